--- a/internal/node/simulation_env_test.go
+++ b/internal/node/simulation_env_test.go
@@ -65,6 +65,7 @@
 		return
 	}
 	sim := e.node.sim
+	sim.recordStateCall(e.node.name, c)
 	e.checkStored(c)
 	sent := sim.clk.Now()
 	over := false
@@ -166,6 +167,7 @@
 		return
 	}
 	sim := e.node.sim
+	sim.recordCloudCall(e.node.name, c)
 	over := false
 	finish := func(r fleet.Result) {
 		if !over && e.live() {
@@ -208,6 +210,7 @@
 		return
 	}
 	sim := e.node.sim
+	sim.recordCommand(e.node.name, addr, d, by)
 	over := false
 	finish := func(status int, rep *wire.Report) {
 		if !over && e.live() {
@@ -301,16 +304,27 @@
 
 // Pulse is part of Env.
 func (e *simulatedEnv) Pulse(member string, m *peerpb.PulseMessage, then func(now time.Time, r *peerpb.PulseMessage, err error)) {
-	callPeer(e, member, func(o *simulatedNode) *peerpb.PulseMessage { return o.core.Pulse(e.node.sim.clk.Now(), m) }, then)
+	e.node.sim.recordPeerCall(e.node.name, member, "pulse", m)
+	callPeer(e, member, func(o *simulatedNode) *peerpb.PulseMessage {
+		answer := o.core.Pulse(e.node.sim.clk.Now(), m)
+		e.node.sim.recordPeerAnswer(o.name, "pulse", answer)
+		return answer
+	}, then)
 }
 
 // Progress is part of Env.
 func (e *simulatedEnv) Progress(member string, m *peerpb.ProgressRequest, then func(now time.Time, r *peerpb.ProgressReply, err error)) {
-	callPeer(e, member, func(o *simulatedNode) *peerpb.ProgressReply { return o.core.Progress(m) }, then)
+	e.node.sim.recordPeerCall(e.node.name, member, "progress", m)
+	callPeer(e, member, func(o *simulatedNode) *peerpb.ProgressReply {
+		answer := o.core.Progress(m)
+		e.node.sim.recordPeerAnswer(o.name, "progress", answer)
+		return answer
+	}, then)
 }
 
 // Probe is part of Env.
 func (e *simulatedEnv) Probe(member string, m *peerpb.ProbeRequest, then func(now time.Time, r *peerpb.ProbeReply, err error)) {
+	e.node.sim.recordPeerCall(e.node.name, member, "probe", m)
 	callPeer(e, member, func(o *simulatedNode) *peerpb.ProbeReply {
 		r := &peerpb.ProbeReply{}
 		for _, a := range m.Addresses {
--- a/internal/node/simulation_network_test.go
+++ b/internal/node/simulation_network_test.go
@@ -56,6 +56,7 @@
 		return
 	}
 	reply := func(status int, body any) {
+		sim.recordWorkerAnswer(n.name, w.Host.ID, status, body)
 		commands, _ := body.(wire.Commands)
 		redirect, _ := body.(wire.Redirect)
 		sim.checkCommands(n, commands.Commands)
@@ -102,7 +103,11 @@
 // deliverCopy delivers a report whose answer nobody gets.
 func (sim *simulation) deliverCopy(n *simulatedNode, report *wire.Report) {
 	if n.alive {
-		n.whenRunning(func() { n.core.Report(sim.clk.Now(), report, func(int, any) {}) })
+		n.whenRunning(func() {
+			n.core.Report(sim.clk.Now(), report, func(status int, body any) {
+				sim.recordWorkerAnswer(n.name, report.Host, status, body)
+			})
+		})
 	}
 }
 
--- a/internal/node/simulation_test.go
+++ b/internal/node/simulation_test.go
@@ -34,6 +34,7 @@
 	cluster  *standin.Cluster
 	nodes    []*simulatedNode
 	machines map[string]*machine
+	digest   *digest // of all effects; nil: none is asked for
 
 	duties      bool // the log of duties is switched on
 	actions     *standin.ActionCheck
@@ -80,7 +81,8 @@
 
 func newSimulation(t *testing.T, seed uint64, cfg *config.Config, blocks int, machineTypes []wire.MachineType) *simulation {
 	clk, rng := standin.NewClock(standin.Epoch), rand.New(rand.NewPCG(seed, 7))
-	sim := &simulation{t: t, clk: clk, rng: rng, cfg: cfg, blocks: blocks, machines: map[string]*machine{}, idleSince: map[*standin.Job]time.Time{}}
+	sim := &simulation{t: t, clk: clk, rng: rng, cfg: cfg, blocks: blocks, machines: map[string]*machine{},
+		digest: newDigest(t), idleSince: map[*standin.Job]time.Time{}}
 	sim.state = standin.NewStateService(clk, rng)
 	sim.cloud = standin.NewCloud(clk, rng, machineTypes)
 	sim.cloud.Booted = sim.booted
--- a/internal/node/simulation_users_test.go
+++ b/internal/node/simulation_users_test.go
@@ -43,6 +43,7 @@
 		generation := n.generation
 		n.whenRunning(func() {
 			r(n, func(answer submission.Response) {
+				sim.recordUserAnswer(n.name, answer)
 				if n.alive && n.generation == generation {
 					sim.clk.In(sim.lag(), func() { then(answer) })
 				}
