--- a/internal/duty/cleanup.go
+++ b/internal/duty/cleanup.go
@@ -28,9 +28,9 @@
 			call(c, then)
 			return
 		}
-		if !slices.Contains(c.Multi.When, l.opt.Tenure) {
+		if !slices.Contains(c.Multi.Compares, l.opt.Tenure) {
 			l.opt.Log.Error("duty: a removal that is not conditioned on the tenure is refused", "removals", removed)
-			then(l.opt.Wall(), store.Result{Status: http.StatusConflict, Failed: []string{l.opt.Tenure.Path}})
+			then(l.opt.Wall(), store.Result{Status: http.StatusConflict, Failed: []string{l.opt.Tenure.Key}})
 			return
 		}
 		if l.cleaned.underWay == 0 {
@@ -48,10 +48,10 @@
 }
 
 // removals counts the removals of records under some prefixes in a transaction.
-func removals(m wire.Multi, prefixes []string) int {
+func removals(m wire.Transaction, prefixes []string) int {
 	n := 0
 	for _, w := range m.Writes {
-		if w.Remove != "" && slices.ContainsFunc(prefixes, func(p string) bool { return strings.HasPrefix(w.Remove, p) }) {
+		if w.Delete != "" && slices.ContainsFunc(prefixes, func(p string) bool { return strings.HasPrefix(w.Delete, p) }) {
 			n++
 		}
 	}
--- a/internal/duty/log.go
+++ b/internal/duty/log.go
@@ -17,7 +17,7 @@
 	Block  int
 	Token  uint64
 	Member string
-	Tenure wire.Cond // the condition of each write
+	Tenure wire.Compare // the condition of each write
 	// ValueKB is the most that the state service takes as a value, now and later.
 	ValueKB float64
 	Call    store.Caller
@@ -69,7 +69,7 @@
 }
 
 // Load takes over the entries of earlier tenures, after which Inherited lists them.
-func (l *Log) Load(now time.Time, items []wire.Item) {
+func (l *Log) Load(now time.Time, items []wire.KeyValue) {
 	l.pages.Load(items, func(target string, value json.RawMessage) {
 		var rec entryRec
 		if err := json.Unmarshal(value, &rec); err != nil || l.actions[rec.Duty] == nil {
--- a/internal/duty/log_test.go
+++ b/internal/duty/log_test.go
@@ -118,8 +118,8 @@
 		t.Fatalf("%d writes under way", len(x.sent))
 	}
 	first := x.sent[0].Multi
-	if first.When[0] != store.Is("c/b/0", 3) || first.When[1] != store.Is("d/0/0", 0) {
-		t.Errorf("conditions: %v", first.When)
+	if first.Compares[0] != store.Is("c/b/0", 3) || first.Compares[1] != store.Is("d/0/0", 0) {
+		t.Errorf("conditions: %v", first.Compares)
 	}
 	x.answer(store.Result{Status: 200, Revision: 9})
 	if ready := len(x.Ready(Returning)); ready != 1 {
@@ -161,22 +161,22 @@
 
 // What a successor makes of the pages it reads.
 func TestLoad(t *testing.T) {
-	page := func(n int, value string) wire.Item {
-		return wire.Item{Path: fmt.Sprintf("d/0/%d", n), Value: json.RawMessage(value), Version: uint64(n + 5)}
+	page := func(n int, value string) wire.KeyValue {
+		return wire.KeyValue{Key: fmt.Sprintf("d/0/%d", n), Value: json.RawMessage(value), Version: uint64(n + 5)}
 	}
 	const one, other = `{"i-1":{"Duty":"return","Token":4,"At":5000}}`, `{"i-2":{"Duty":"reclaim","Token":3,"At":0},"i-3":{"Duty":"return","Token":4,"At":0}}`
 	for _, c := range []struct {
 		name   string
-		pages  []wire.Item
+		pages  []wire.KeyValue
 		ready  int
 		unread int
 	}{
 		{"nothing", nil, 0, 0},
-		{"two pages", []wire.Item{page(0, one), page(1, other)}, 3, 0},
-		{"an entry twice, as its holder ended while it was moved", []wire.Item{page(0, one), page(1, one)}, 1, 0},
-		{"a page that cannot be read", []wire.Item{page(0, `"x`), page(1, other)}, 2, 1},
-		{"an entry of a duty that is not known", []wire.Item{page(0, `{"i-1":{"Duty":"paint","Token":4}}`), page(1, other)}, 2, 0},
-		{"an entry of another form", []wire.Item{page(0, `{"i-1":7}`)}, 0, 0},
+		{"two pages", []wire.KeyValue{page(0, one), page(1, other)}, 3, 0},
+		{"an entry twice, as its holder ended while it was moved", []wire.KeyValue{page(0, one), page(1, one)}, 1, 0},
+		{"a page that cannot be read", []wire.KeyValue{page(0, `"x`), page(1, other)}, 2, 1},
+		{"an entry of a duty that is not known", []wire.KeyValue{page(0, `{"i-1":{"Duty":"paint","Token":4}}`), page(1, other)}, 2, 0},
+		{"an entry of another form", []wire.KeyValue{page(0, `{"i-1":7}`)}, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			x := newTestLog(true)
@@ -194,7 +194,7 @@
 			x.Enter(now, Returning, "i-9", "idle")
 			for _, call := range x.sent {
 				for i, p := range c.pages {
-					if call.Multi.Writes[0].Write == p.Path && !json.Valid(p.Value) {
+					if call.Multi.Writes[0].Put == p.Key && !json.Valid(p.Value) {
 						t.Errorf("page %d, which cannot be read, is written over", i)
 					}
 				}
@@ -208,13 +208,13 @@
 	tenure, other := store.Is("c/b/0", 3), store.Is("c/b/0", 2)
 	for _, c := range []struct {
 		name   string
-		when   []wire.Cond
+		when   []wire.Compare
 		key    string
 		passes bool
 		counts int
 	}{
-		{"of the tenure", []wire.Cond{tenure, store.Is("h/0/x", 4)}, "h/0/x", true, 1},
-		{"of another tenure", []wire.Cond{other, store.Is("h/0/x", 4)}, "h/0/x", false, 0},
+		{"of the tenure", []wire.Compare{tenure, store.Is("h/0/x", 4)}, "h/0/x", true, 1},
+		{"of another tenure", []wire.Compare{other, store.Is("h/0/x", 4)}, "h/0/x", false, 0},
 		{"not conditioned", nil, "h/0/x", false, 0},
 		{"of a record that is no business of clean-up", nil, "q/job-1", true, 0},
 	} {
@@ -222,7 +222,7 @@
 			x := newTestLog(true)
 			var got store.Result
 			call := x.CleanUp(x.opt.Call, "h/0/", "u/0/")
-			call(store.Call{Op: store.OpMulti, Multi: wire.Multi{When: c.when, Writes: []wire.Write{store.Remove(c.key)}}},
+			call(store.Call{Op: store.OpMulti, Multi: wire.Transaction{Compares: c.when, Writes: []wire.Write{store.Remove(c.key)}}},
 				func(_ time.Time, r store.Result) { got = r })
 			if passes := len(x.sent) == 1; passes != c.passes {
 				t.Fatalf("passes: %v", passes)
--- a/internal/duty/model_holder_test.go
+++ b/internal/duty/model_holder_test.go
@@ -13,7 +13,7 @@
 type modelHolder struct {
 	model    *model
 	token    uint64
-	tenure   wire.Cond
+	tenure   wire.Compare
 	log      *duty.Log
 	loaded   bool
 	lost     bool // it knows that it was replaced
@@ -60,7 +60,7 @@
 // load reads the log and plans on it.
 func (h *modelHolder) load() {
 	m := h.model
-	var items []wire.Item
+	var items []wire.KeyValue
 	m.state.Call(store.Call{Op: store.OpList, Under: duty.LogUnder(0)}, func(r store.Result) { items = r.Items })
 	h.loaded = true
 	found := m.stored()
--- a/internal/fleet/cloud.go
+++ b/internal/fleet/cloud.go
@@ -30,7 +30,7 @@
 // Call is one request to the cloud.
 type Call struct {
 	Op     Op
-	Rental wire.Rental
+	Rental wire.ProvisionRequest
 	Hosts  []string // OpDelete
 	After  string   // OpList
 	// By is until when the call may be made; zero: any time. A process that stood
@@ -44,7 +44,7 @@
 	Error        string
 	MachineTypes []wire.MachineType
 	Hosts        []string
-	Page         wire.HostPage
+	Page         wire.MachinePage
 }
 
 // outcome is what came of a call that changes something.
@@ -107,7 +107,7 @@
 		body, _ = json.Marshal(c.Rental)
 		return http.MethodPost, "/machines", body
 	case OpDelete:
-		body, _ = json.Marshal(wire.HostNames{Hosts: c.Hosts})
+		body, _ = json.Marshal(wire.MachineNames{Names: c.Hosts})
 		return http.MethodPost, "/machines/delete", body
 	case OpList:
 		path = "/machines?Page=" + strconv.Itoa(tuning.CloudPage)
@@ -138,9 +138,9 @@
 		err = json.Unmarshal(raw, &f)
 		res.MachineTypes = f.Types
 	case OpRent:
-		var h wire.HostNames
+		var h wire.MachineNames
 		err = json.Unmarshal(raw, &h)
-		res.Hosts = h.Hosts
+		res.Hosts = h.Names
 	case OpList:
 		err = json.Unmarshal(raw, &res.Page)
 	}
--- a/internal/fleet/duties_test.go
+++ b/internal/fleet/duties_test.go
@@ -14,7 +14,7 @@
 
 // logged is a fleet whose duties are logged; items are the pages of the log that an
 // earlier tenure left.
-func logged(t *testing.T, items ...wire.Item) *zone {
+func logged(t *testing.T, items ...wire.KeyValue) *zone {
 	y := newZone(t)
 	y.duties.SwitchOn()
 	y.duties.Load(y.now, items)
@@ -22,18 +22,18 @@
 }
 
 // entryPage is a page of the log with one entry.
-func entryPage(host string, d duty.Duty, token uint64) wire.Item {
-	return wire.Item{Path: "d/0/0", Value: fmt.Appendf(nil, `{%q:{"Duty":%q,"Token":%d,"At":0}}`, host, d, token), Version: 5}
+func entryPage(host string, d duty.Duty, token uint64) wire.KeyValue {
+	return wire.KeyValue{Key: "d/0/0", Value: fmt.Appendf(nil, `{%q:{"Duty":%q,"Token":%d,"At":0}}`, host, d, token), Version: 5}
 }
 
-func rentalItem(value string) wire.Item {
-	return wire.Item{Path: "h/0/b0-3-1", Value: []byte(value), Version: 4}
+func rentalItem(value string) wire.KeyValue {
+	return wire.KeyValue{Key: "h/0/b0-3-1", Value: []byte(value), Version: 4}
 }
 
 // taken loads what earlier tenures wrote: one rental, and its machine as used.
 func (y *zone) taken(rental string) {
 	y.s.Load(y.now, rentalItem(rental))
-	y.s.LoadUsed(y.now, []wire.Item{{Path: "u/0/0", Value: []byte(`{"i-1":"addr"}`), Version: 3}})
+	y.s.LoadUsed(y.now, []wire.KeyValue{{Key: "u/0/0", Value: []byte(`{"i-1":"addr"}`), Version: 3}})
 }
 
 // deleted is the machines of the deletions asked for.
@@ -49,13 +49,13 @@
 // What a successor, with token 7, does with an entry that it finds.
 func TestInheritedEntry(t *testing.T) {
 	const granted, unanswered = `{"Build":"g2","Yard":"a","Number":1,"Hosts":["i-1"]}`, `{"Build":"g2","Yard":"a","Number":1}`
-	work := func(token uint64) []wire.Task {
-		return []wire.Task{{Task: "job-1/0", Attempt: token<<tuning.AttemptBits | 1, Stage: wire.TaskRunning}}
+	work := func(token uint64) []wire.TaskStatus {
+		return []wire.TaskStatus{{Name: "job-1/0", Attempt: token<<tuning.AttemptBits | 1, State: wire.TaskRunning}}
 	}
-	heard := func(tasks []wire.Task) func(y *zone) {
+	heard := func(tasks []wire.TaskStatus) func(y *zone) {
 		return func(y *zone) {
 			m := y.reg.Get("i-1")
-			y.reg.Absorb(y.now, m, &wire.Report{Host: "i-1", Session: 1, Seq: 1, Type: "g2", Zone: "a", Tasks: tasks}, true)
+			y.reg.Absorb(y.now, m, &wire.Heartbeat{Host: "i-1", Incarnation: 1, Sequence: 1, Type: "g2", Zone: "a", Tasks: tasks}, true)
 			y.s.Reporting(y.now, m)
 		}
 	}
@@ -174,7 +174,7 @@
 	refused := Result{Status: 503, Error: NoCapacity}
 	rented := func(t *testing.T, y *zone) Call {
 		t.Helper()
-		y.board.AddJob(y.now, wire.Submission{ID: "job-1", Team: "red", Class: "l", Shape: wire.ShapeGang, Priority: "low", Tasks: 1,
+		y.board.AddJob(y.now, wire.JobSpec{ID: "job-1", Team: "red", Class: "l", Shape: wire.ShapeGang, Priority: "low", Tasks: 1,
 			Vcpus: 10, Gpus: 2, MemGb: 77, AnyType: true}, y.now, 1, false)
 		y.pass(0)
 		y.durable()
@@ -204,7 +204,7 @@
 			t.Errorf("%+v, then %+v", first.Rental, again.Rental)
 		}
 		y.durable()
-		if y.s.by["i-5"] == nil || y.s.by["i-5"].name != first.Rental.Rental {
+		if y.s.by["i-5"] == nil || y.s.by["i-5"].name != first.Rental.Name {
 			t.Errorf("explained by %+v", y.s.by["i-5"])
 		}
 	})
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -60,7 +60,7 @@
 	Unreachable  bool // no worker reaches this node: silence says nothing about a machine
 	block        int
 	token        uint64
-	tenure       wire.Cond
+	tenure       wire.Compare
 	facts        config.Facts
 	cloud        Caller
 	state        store.Caller
@@ -101,7 +101,7 @@
 type Options struct {
 	Block    int
 	Token    uint64
-	Tenure   wire.Cond // the condition of each write
+	Tenure   wire.Compare // the condition of each write
 	Facts    config.Facts
 	Cloud    Caller
 	State    store.Caller
@@ -149,7 +149,7 @@
 
 // LoadUsed takes over the pages that name the machines used by earlier tenures, after
 // their rentals. One whose rental is gone is gone itself, if all rentals could be read.
-func (s *Slice) LoadUsed(now time.Time, items []wire.Item) {
+func (s *Slice) LoadUsed(now time.Time, items []wire.KeyValue) {
 	s.used.Load(items, func(host string, raw json.RawMessage) {
 		m := s.reg.Get(host)
 		if m == nil && s.unread > 0 {
@@ -237,7 +237,7 @@
 // Entering takes note of a machine's first word, which may be an old copy: it
 // is entered as used all the same, so that it can be given tasks as soon as it
 // is heard. A record may name too many, never too few.
-func (s *Slice) Entering(now time.Time, m *worker.Machine, rep *wire.Report) {
+func (s *Slice) Entering(now time.Time, m *worker.Machine, rep *wire.Heartbeat) {
 	if m.State == worker.Booting {
 		m.Address = rep.Address
 		s.enter(now, m)
@@ -317,7 +317,7 @@
 			}
 			// Prices move all the time; the record is for what nodes need to
 			// check submissions.
-			f.Price, f.LowPrice = 0, 0
+			f.Price, f.SpotPrice = 0, 0
 			all := MachineTypeRec{f, len(r.MachineTypes)}
 			raw, _ := json.Marshal(all)
 			if old, ok := s.known[f.Name]; ok && old == string(raw) {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -34,7 +34,7 @@
 	kvs   []func(time.Time, store.Result)
 	gone  []string
 
-	tenure wire.Cond
+	tenure wire.Compare
 	duties *duty.Log
 }
 
@@ -59,7 +59,7 @@
 		State: state, Log: quiet, Machines: y.reg, Board: y.board, Duties: y.duties,
 		Lost: func(time.Time) {}, Gone: func(_ time.Time, m *worker.Machine) { y.gone = append(y.gone, m.Host) },
 		Foreign: func(string, time.Time) bool { return false }})
-	y.s.MachineType(wire.MachineType{Name: "g2", Vcpus: 12, Gpus: 2, MemGb: 96, Price: 5, LowPrice: 2, BootS: 25, Zones: []string{"a"}}, "")
+	y.s.MachineType(wire.MachineType{Name: "g2", Vcpus: 12, Gpus: 2, MemGb: 96, Price: 5, SpotPrice: 2, BootTimeS: 25, Zones: []string{"a"}}, "")
 	return y
 }
 
@@ -118,7 +118,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			y := newZone(t)
-			y.board.AddJob(y.now, wire.Submission{ID: "job-1", Team: "red", Class: "l", Shape: wire.ShapeGang, Priority: "low", Tasks: 1,
+			y.board.AddJob(y.now, wire.JobSpec{ID: "job-1", Team: "red", Class: "l", Shape: wire.ShapeGang, Priority: "low", Tasks: 1,
 				Vcpus: 10, Gpus: 2, MemGb: 77, AnyType: true, Spot: true}, y.now, 1, false)
 			y.pass(0)
 			if y.asked(OpRent) {
@@ -129,10 +129,10 @@
 			for _, a := range c.answers {
 				y.pass(2 * time.Second)
 				h := y.take(OpRent, a).Rental
-				if name != "" && h.Rental != name {
-					t.Errorf("asked for %s after %s", h.Rental, name)
+				if name != "" && h.Name != name {
+					t.Errorf("asked for %s after %s", h.Name, name)
 				}
-				if name = h.Rental; !h.Spot {
+				if name = h.Name; !h.Spot {
 					t.Error("asked for an ordinary machine where a cheap one would do")
 				}
 			}
@@ -140,7 +140,7 @@
 			y.pass(2 * time.Second)
 			again := false
 			for _, call := range y.cloud {
-				again = again || call.Op == OpRent && call.Rental.Rental == name
+				again = again || call.Op == OpRent && call.Rental.Name == name
 			}
 			if again != c.again || len(y.reg.All()) != c.hosts {
 				t.Errorf("asked again: %t, machines %d", again, len(y.reg.All()))
@@ -162,9 +162,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			y := newZone(t)
 			y.s.Set.MaxMachines = c.most
-			y.board.AddJob(y.now, wire.Submission{ID: "job-1", Team: "red", Class: "l", Shape: wire.ShapeGang, Priority: "low", Tasks: 150,
+			y.board.AddJob(y.now, wire.JobSpec{ID: "job-1", Team: "red", Class: "l", Shape: wire.ShapeGang, Priority: "low", Tasks: 150,
 				Vcpus: 10, Gpus: 2, MemGb: 77, AnyType: true, Spot: true}, y.now, 1, false)
-			y.board.AddJob(y.now, wire.Submission{ID: "job-2", Team: "red", Class: "l", Shape: wire.ShapeGang, Priority: "low", Tasks: 150,
+			y.board.AddJob(y.now, wire.JobSpec{ID: "job-2", Team: "red", Class: "l", Shape: wire.ShapeGang, Priority: "low", Tasks: 150,
 				Vcpus: 10, Gpus: 2, MemGb: 77, AnyType: true}, y.now, 2, false)
 			total := 0
 			for range 5 {
@@ -193,9 +193,9 @@
 		"b0-3-2": {Type: "g2", Zone: "a", Number: 1},
 	} {
 		raw, _ := json.Marshal(rec)
-		y.s.Load(y.now, wire.Item{Path: "h/0/" + name, Value: raw, Version: 4})
+		y.s.Load(y.now, wire.KeyValue{Key: "h/0/" + name, Value: raw, Version: 4})
 	}
-	y.s.LoadUsed(y.now, []wire.Item{{Path: "u/0/0", Value: json.RawMessage(`{"i-0":"10.1.0.9:9000","i-1":"10.1.0.1:9000"}`), Version: 5}})
+	y.s.LoadUsed(y.now, []wire.KeyValue{{Key: "u/0/0", Value: json.RawMessage(`{"i-0":"10.1.0.9:9000","i-1":"10.1.0.1:9000"}`), Version: 5}})
 	if m := y.reg.Get("i-1"); m.State != worker.Unheard || m.Address != "10.1.0.1:9000" || m.Cap.GPUs != 2 {
 		t.Errorf("used machine: %+v", m)
 	}
@@ -203,8 +203,8 @@
 		t.Errorf("unused machine: %+v", m)
 	}
 	y.pass(0)
-	if h := y.take(OpRent, Result{Status: 200, Hosts: []string{"i-3"}}); h.Rental.Rental != "b0-3-2" {
-		t.Errorf("asked for %s", h.Rental.Rental)
+	if h := y.take(OpRent, Result{Status: 200, Hosts: []string{"i-3"}}); h.Rental.Name != "b0-3-2" {
+		t.Errorf("asked for %s", h.Rental.Name)
 	}
 	if y.reg.Get("i-3") == nil {
 		t.Error("the answer's machine is not known")
@@ -296,14 +296,14 @@
 func TestUnheardAndNotListed(t *testing.T) {
 	y := newZone(t)
 	raw, _ := json.Marshal(RentalRec{Type: "g2", Zone: "a", Number: 2, Hosts: []string{"i-1", "i-2"}})
-	y.s.Load(y.now, wire.Item{Path: "h/0/b0-3-1", Value: raw, Version: 4})
-	y.s.LoadUsed(y.now, []wire.Item{{Path: "u/0/0", Value: json.RawMessage(`{"i-1":"10.1.0.1:9000","i-2":"10.1.0.2:9000"}`), Version: 5}})
+	y.s.Load(y.now, wire.KeyValue{Key: "h/0/b0-3-1", Value: raw, Version: 4})
+	y.s.LoadUsed(y.now, []wire.KeyValue{{Key: "u/0/0", Value: json.RawMessage(`{"i-1":"10.1.0.1:9000","i-2":"10.1.0.2:9000"}`), Version: 5}})
 	y.pass(0)
 	for i := range tuning.UnheardLists {
 		if m := y.reg.Get("i-2"); m.State != worker.Unheard {
 			t.Fatalf("%v after %d lists", m.State, i)
 		}
-		y.take(OpList, Result{Status: 200, Page: wire.HostPage{Hosts: []wire.Host{{ID: "i-1", Type: "g2", Zone: "a", Stage: wire.HostRunning}}}})
+		y.take(OpList, Result{Status: 200, Page: wire.MachinePage{Machines: []wire.Machine{{ID: "i-1", Type: "g2", Zone: "a", State: wire.MachineRunning}}}})
 		y.pass(tuning.ListEvery)
 	}
 	if a, b := y.reg.Get("i-1").State, y.reg.Get("i-2").State; a != worker.Unheard || b != worker.Deleting {
@@ -315,7 +315,7 @@
 // it, and not because a list lags behind a deletion.
 func TestFound(t *testing.T) {
 	y := newZone(t)
-	list := Result{Status: 200, Page: wire.HostPage{Hosts: []wire.Host{{ID: "i-9", Type: "g2", Zone: "a", Stage: wire.HostRunning}}}}
+	list := Result{Status: 200, Page: wire.MachinePage{Machines: []wire.Machine{{ID: "i-9", Type: "g2", Zone: "a", State: wire.MachineRunning}}}}
 	for i := range tuning.UnexpectedLists + 1 {
 		y.pass(tuning.ListEvery + time.Second)
 		if known := y.reg.Get("i-9") != nil; known != (i >= tuning.UnexpectedLists) {
@@ -380,7 +380,7 @@
 		}
 		n := len(asked) % pages
 		asked = append(asked, y.now)
-		page := wire.HostPage{Hosts: []wire.Host{{ID: fmt.Sprintf("i-%d", n), Stage: wire.HostRunning}}, More: n < pages-1}
+		page := wire.MachinePage{Machines: []wire.Machine{{ID: fmt.Sprintf("i-%d", n), State: wire.MachineRunning}}, More: n < pages-1}
 		if call := y.take(OpList, Result{Status: 200, Page: page}); n > 0 && call.After != fmt.Sprintf("i-%d", n-1) {
 			t.Errorf("page %d begins after %q", n, call.After)
 		}
--- a/internal/fleet/list.go
+++ b/internal/fleet/list.go
@@ -38,7 +38,7 @@
 	due   time.Time // when the next page, or a new list, is asked for
 	busy  bool      // a page is under way
 	after string    // the last machine of the pages read so far; "": a new list begins
-	hosts []wire.Host
+	hosts []wire.Machine
 	pages int
 }
 
@@ -57,9 +57,9 @@
 			return
 		}
 		l.pages++
-		l.hosts = append(l.hosts, r.Page.Hosts...)
-		if n := len(r.Page.Hosts); r.Page.More && n > 0 {
-			l.after = r.Page.Hosts[n-1].ID
+		l.hosts = append(l.hosts, r.Page.Machines...)
+		if n := len(r.Page.Machines); r.Page.More && n > 0 {
+			l.after = r.Page.Machines[n-1].ID
 			s.list(now)
 			return
 		}
@@ -76,7 +76,7 @@
 }
 
 // compare holds the cloud's list, which lags, against what is known.
-func (s *Slice) compare(now time.Time, hosts []wire.Host) {
+func (s *Slice) compare(now time.Time, hosts []wire.Machine) {
 	in := map[string]bool{}
 	for _, h := range hosts {
 		in[h.ID] = true
@@ -93,7 +93,7 @@
 			s.adopt(now, m)
 		}
 		m.Address = h.Address
-		if h.Stage == wire.HostFailed {
+		if h.State == wire.MachineFailed {
 			s.failed(now, m)
 		}
 	}
--- a/internal/fleet/rental.go
+++ b/internal/fleet/rental.go
@@ -165,11 +165,11 @@
 func (s *Slice) rentalName() string { return fmt.Sprintf("b%d-%d-%d", s.block, s.token, s.seq) }
 
 // Load takes over a rental record of an earlier tenure.
-func (s *Slice) Load(now time.Time, it wire.Item) {
-	name := strings.TrimPrefix(it.Path, Rentals(s.block))
+func (s *Slice) Load(now time.Time, it wire.KeyValue) {
+	name := strings.TrimPrefix(it.Key, Rentals(s.block))
 	var rec RentalRec
 	if err := json.Unmarshal(it.Value, &rec); err != nil {
-		s.log.Error("rental record cannot be read", "key", it.Path, "error", err)
+		s.log.Error("rental record cannot be read", "key", it.Key, "error", err)
 		s.unread++
 		return
 	}
@@ -193,8 +193,8 @@
 
 // Named tells of a rental record whose block's it is and which machines it names,
 // none while it waits for them.
-func Named(it wire.Item) (block int, hosts []string) {
-	num, _, _ := strings.Cut(strings.TrimPrefix(it.Path, UnderRentals), "/")
+func Named(it wire.KeyValue) (block int, hosts []string) {
+	num, _, _ := strings.Cut(strings.TrimPrefix(it.Key, UnderRentals), "/")
 	var rec RentalRec
 	block, err := strconv.Atoi(num)
 	if err != nil || json.Unmarshal(it.Value, &rec) != nil {
@@ -205,8 +205,8 @@
 
 // Unanswered tells whether a rental record is one of a block's that names no machines yet,
 // and under which token it was entered.
-func Unanswered(it wire.Item, block int) (name string, token uint64, open bool) {
-	name, ok := strings.CutPrefix(it.Path, Rentals(block))
+func Unanswered(it wire.KeyValue, block int) (name string, token uint64, open bool) {
+	name, ok := strings.CutPrefix(it.Key, Rentals(block))
 	if !ok {
 		return "", 0, false
 	}
@@ -229,7 +229,7 @@
 		return
 	}
 	h.busy = true
-	s.call(Call{Op: OpRent, Rental: wire.Rental{Rental: h.name, Type: h.rec.Type, Zone: h.rec.Zone, Spot: h.rec.Spot, Number: h.rec.Number}},
+	s.call(Call{Op: OpRent, Rental: wire.ProvisionRequest{Name: h.name, Type: h.rec.Type, Zone: h.rec.Zone, Spot: h.rec.Spot, Count: h.rec.Number}},
 		func(now time.Time, r Result) {
 			h.busy, h.asked = false, now
 			s.duties.Answered(now, h.action, r.outcome())
@@ -329,10 +329,10 @@
 		f := s.machineTypes[name]
 		for _, zone := range f.Zones {
 			for _, spot := range []bool{true, false} {
-				o := placement.Offer{Type: f.Name, Zone: zone, Spot: spot, Price: f.Price, BootS: f.BootS, Left: left,
+				o := placement.Offer{Type: f.Name, Zone: zone, Spot: spot, Price: f.Price, BootS: f.BootTimeS, Left: left,
 					Cap: quota.Room{CPUs: f.Vcpus, GPUs: f.Gpus, MemGB: f.MemGb}}
 				if spot {
-					o.Price = f.LowPrice
+					o.Price = f.SpotPrice
 				}
 				if now.Before(s.noneUntil[kindOf(f.Name, zone, spot)]) || s.Set.Paused || room == 0 {
 					o.Left = 0
--- a/internal/fleet/returns.go
+++ b/internal/fleet/returns.go
@@ -73,7 +73,7 @@
 }
 
 func (s *Slice) endingOfBooting(now time.Time, m *worker.Machine) ending {
-	boot := config.Seconds(s.machineTypes[m.Type].BootS)
+	boot := config.Seconds(s.machineTypes[m.Type].BootTimeS)
 	if boot > 0 && now.Sub(m.Born) > boot*tuning.StuckBoots {
 		return reclaimed("boot is stuck")
 	}
@@ -183,7 +183,7 @@
 	if m.Heard.IsZero() {
 		return m.LeaseOver || !m.Used
 	}
-	if slices.ContainsFunc(m.Tasks, func(t wire.Task) bool { return t.Attempt>>tuning.AttemptBits > a.Token }) {
+	if slices.ContainsFunc(m.Tasks, func(t wire.TaskStatus) bool { return t.Attempt>>tuning.AttemptBits > a.Token }) {
 		s.duties.Settle(now, a, "a later tenure gave the machine work")
 		s.duties.Forget(a)
 		s.reg.Set(now, m, worker.Up, "a later tenure gave it work")
--- a/internal/integration/duties_test.go
+++ b/internal/integration/duties_test.go
@@ -81,8 +81,8 @@
 	defer f.running.Done()
 	for {
 		for i := range burstJobs {
-			spec := wire.Submission{ID: fmt.Sprintf("job-%06d", f.jobs), Team: []string{"red", "blue"}[i%2], Class: "sweep", Shape: wire.ShapeBatch,
-				Priority: "normal", Tasks: 4, Vcpus: 2, Gpus: 1, MemGb: 8, Bundle: "img", ImageGb: 1, AnyType: true, GuessS: jobRun.Seconds()}
+			spec := wire.JobSpec{ID: fmt.Sprintf("job-%06d", f.jobs), Team: []string{"red", "blue"}[i%2], Class: "sweep", Shape: wire.ShapeBatch,
+				Priority: "normal", Tasks: 4, Vcpus: 2, Gpus: 1, MemGb: 8, Image: "img", ImageGb: 1, AnyType: true, EstimatedRunTimeS: jobRun.Seconds()}
 			f.jobs++
 			run := jobRun
 			if i == 0 {
@@ -106,9 +106,9 @@
 		c, ok := call.(store.Call)
 		return ok && slices.ContainsFunc(c.Multi.Writes, func(w wire.Write) bool {
 			if d == duty.Renting {
-				return strings.HasPrefix(w.Write, fleet.UnderRentals) && !strings.Contains(string(w.Value), "Hosts")
+				return strings.HasPrefix(w.Put, fleet.UnderRentals) && !strings.Contains(string(w.Value), "Hosts")
 			}
-			return strings.HasPrefix(w.Write, duty.Under) && strings.Contains(string(w.Value), string(duty.Returning))
+			return strings.HasPrefix(w.Put, duty.Under) && strings.Contains(string(w.Value), string(duty.Returning))
 		})
 	}
 }
--- a/internal/integration/http_test.go
+++ b/internal/integration/http_test.go
@@ -73,9 +73,9 @@
 	case req.URL.Path == "/flavors":
 		c.Op = fleet.OpMachineTypes
 	case req.URL.Path == "/machines/delete":
-		var h wire.HostNames
+		var h wire.MachineNames
 		_ = json.Unmarshal(raw, &h)
-		c.Op, c.Hosts = fleet.OpDelete, h.Hosts
+		c.Op, c.Hosts = fleet.OpDelete, h.Names
 	case req.Method == http.MethodPost:
 		c.Op = fleet.OpRent
 		_ = json.Unmarshal(raw, &c.Rental)
@@ -92,16 +92,16 @@
 	case c.Op == fleet.OpList:
 		reply(w, r.Status, r.Page)
 	default:
-		reply(w, r.Status, wire.HostNames{Hosts: r.Hosts})
+		reply(w, r.Status, wire.MachineNames{Names: r.Hosts})
 	}
 }
 
 // serveWorker answers direct commands to all machines, told apart by their addresses.
 func (d *deployment) serveWorker(w http.ResponseWriter, req *http.Request) {
 	addr := req.Context().Value(http.LocalAddrContextKey).(net.Addr).String()
-	var command wire.Do
+	var command wire.DirectCommands
 	_ = json.NewDecoder(req.Body).Decode(&command)
-	status, report := http.StatusServiceUnavailable, (*wire.Report)(nil)
+	status, report := http.StatusServiceUnavailable, (*wire.Heartbeat)(nil)
 	d.locked(func() {
 		worker := d.byAddress[addr]
 		switch {
@@ -125,7 +125,7 @@
 
 // Send is part of standin.Network: it posts a report. The lock is held, and is taken
 // again for the answer.
-func (d *deployment) Send(w *standin.Worker, node int, report *wire.Report, answer standin.AnswerFunc) {
+func (d *deployment) Send(w *standin.Worker, node int, report *wire.Heartbeat, answer standin.AnswerFunc) {
 	raw, _ := json.Marshal(report)
 	client, url := d.clients[w.Host.ID], "http://"+d.nodes[node].cfg.APIAddr+"/checkin"
 	d.running.Add(1)
@@ -133,7 +133,7 @@
 		defer d.running.Done()
 		start := time.Now()
 		status, body := post(client, url, raw)
-		var commands wire.Commands
+		var commands wire.HeartbeatResponse
 		var redirect wire.Redirect
 		_ = json.Unmarshal(body, &commands)
 		_ = json.Unmarshal(body, &redirect)
@@ -147,7 +147,7 @@
 			if status != http.StatusOK {
 				client.CloseIdleConnections()
 			}
-			answer(status, commands, redirect.ReportsTo)
+			answer(status, commands, redirect.Member)
 		})
 	}()
 }
--- a/internal/integration/request_test.go
+++ b/internal/integration/request_test.go
@@ -70,16 +70,16 @@
 	defer line.Close()
 	peers := peerpb.NewPeerClient(line)
 	many := slices.Repeat([]string{"job-000001"}, 100)
-	rep := wire.Report{Host: "i-999999", Address: "127.0.0.1:1", Type: "g8", Zone: "a", Session: 1, Token: 1}
+	rep := wire.Heartbeat{Host: "i-999999", Address: "127.0.0.1:1", Type: "g8", Zone: "a", Incarnation: 1, Token: 1}
 	for i := range 8 {
-		rep.Tasks = append(rep.Tasks, wire.Task{Task: fmt.Sprintf("job-%06d/%d", 1, i), Attempt: 1<<20 + uint64(i), Stage: wire.TaskRunning})
+		rep.Tasks = append(rep.Tasks, wire.TaskStatus{Name: fmt.Sprintf("job-%06d/%d", 1, i), Attempt: 1<<20 + uint64(i), State: wire.TaskRunning})
 	}
 	for _, c := range []struct {
 		name string
 		ask  func(b *testing.B)
 	}{
 		{"report", func(b *testing.B) {
-			rep.Seq++
+			rep.Sequence++
 			raw, _ := json.Marshal(rep)
 			ask(b, http.StatusOK, http.MethodPost, "/checkin", raw)
 		}},
--- a/internal/integration/upgrade_test.go
+++ b/internal/integration/upgrade_test.go
@@ -61,7 +61,7 @@
 
 // upgradeType is small, so that the names of the machines in use fill pages.
 func upgradeType() wire.MachineType {
-	return wire.MachineType{Name: "g2", Vcpus: 16, Gpus: 2, MemGb: 96, FetchGbPerS: 1, Price: 5, LowPrice: 2, BootS: 2, Zones: []string{"a"}}
+	return wire.MachineType{Name: "g2", Vcpus: 16, Gpus: 2, MemGb: 96, FetchGbPerS: 1, Price: 5, SpotPrice: 2, BootTimeS: 2, Zones: []string{"a"}}
 }
 
 func upgradeFacts() config.Facts {
@@ -113,7 +113,7 @@
 	}
 	for _, w := range c.Multi.Writes {
 		if len(w.Value) > comingValueKB*1024 || len(c.Multi.Writes) > comingOps {
-			r.cluster.Break(standin.Expectation, "%s is written with %d bytes, %d changes at once", w.Write, len(w.Value), len(c.Multi.Writes))
+			r.cluster.Break(standin.Expectation, "%s is written with %d bytes, %d changes at once", w.Put, len(w.Value), len(c.Multi.Writes))
 		}
 	}
 }
@@ -178,11 +178,11 @@
 // load is the users: arrays, gangs, and cancellations, until the load is ended.
 func (r *rollout) load() {
 	defer r.running.Done()
-	long := r.add(wire.Submission{ID: "job-900000", Team: "blue", Class: "sweep", Shape: wire.ShapeBatch, Priority: "low", Tasks: longArrayTasks,
-		Vcpus: 1, Gpus: 0, MemGb: 1, Bundle: "img-long", ImageGb: 1, AnyType: true, GuessS: 4}, 4*time.Second)
+	long := r.add(wire.JobSpec{ID: "job-900000", Team: "blue", Class: "sweep", Shape: wire.ShapeBatch, Priority: "low", Tasks: longArrayTasks,
+		Vcpus: 1, Gpus: 0, MemGb: 1, Image: "img-long", ImageGb: 1, AnyType: true, EstimatedRunTimeS: 4}, 4*time.Second)
 	r.locked(func() { r.longArray = long })
-	r.add(wire.Submission{ID: "job-900001", Team: "blue", Class: "sweep", Shape: wire.ShapeBatch, Priority: "low", Tasks: longArrayTasks / 3,
-		Vcpus: 1, Gpus: 0, MemGb: 1, Bundle: "img-long", ImageGb: 1, AnyType: true, GuessS: 4}, 4*time.Second)
+	r.add(wire.JobSpec{ID: "job-900001", Team: "blue", Class: "sweep", Shape: wire.ShapeBatch, Priority: "low", Tasks: longArrayTasks / 3,
+		Vcpus: 1, Gpus: 0, MemGb: 1, Image: "img-long", ImageGb: 1, AnyType: true, EstimatedRunTimeS: 4}, 4*time.Second)
 	for {
 		select {
 		case <-r.endLoad:
@@ -197,14 +197,14 @@
 
 // submitRandom has a user submit an array or a gang, and perhaps cancel it soon.
 func (r *rollout) submitRandom() {
-	var spec wire.Submission
+	var spec wire.JobSpec
 	var run, cancelAfter time.Duration
 	r.locked(func() {
-		spec = wire.Submission{ID: fmt.Sprintf("job-%06d", r.jobs), Team: []string{"red", "blue"}[r.rng.IntN(2)], Class: "sweep", Shape: wire.ShapeBatch,
+		spec = wire.JobSpec{ID: fmt.Sprintf("job-%06d", r.jobs), Team: []string{"red", "blue"}[r.rng.IntN(2)], Class: "sweep", Shape: wire.ShapeBatch,
 			Priority: []string{"low", "normal", "high"}[r.rng.IntN(3)], Tasks: 1 + r.rng.IntN(6), Vcpus: 2, Gpus: 1, MemGb: 8,
-			Bundle: fmt.Sprintf("img-%d", r.rng.IntN(4)), ImageGb: 1, AnyType: true, GuessS: 5}
+			Image: fmt.Sprintf("img-%d", r.rng.IntN(4)), ImageGb: 1, AnyType: true, EstimatedRunTimeS: 5}
 		if r.rng.IntN(3) == 0 {
-			spec.Class, spec.Shape, spec.Tasks, spec.BookmarkS, spec.StowS = "model", wire.ShapeGang, 1+r.rng.IntN(3), 2, 1
+			spec.Class, spec.Shape, spec.Tasks, spec.CheckpointIntervalS, spec.CheckpointSaveTimeS = "model", wire.ShapeGang, 1+r.rng.IntN(3), 2, 1
 		}
 		run = time.Duration(2000+r.rng.IntN(8000)) * time.Millisecond
 		if r.rng.IntN(5) == 0 {
@@ -222,8 +222,8 @@
 // useServices plays services, which are asked for once all have the new version: a
 // service runs, a machine of it is lost, the replica comes back, and it is cancelled.
 func (r *rollout) useServices() {
-	service := r.add(wire.Submission{ID: "job-800000", Team: "red", Class: "portal", Shape: wire.ShapeService, Priority: "critical", Tasks: serviceReplicas,
-		Vcpus: 1, Gpus: 1, MemGb: 4, Bundle: "img-portal", ImageGb: 1, AnyType: true}, 0)
+	service := r.add(wire.JobSpec{ID: "job-800000", Team: "red", Class: "portal", Shape: wire.ShapeService, Priority: "critical", Tasks: serviceReplicas,
+		Vcpus: 1, Gpus: 1, MemGb: 4, Image: "img-portal", ImageGb: 1, AnyType: true}, 0)
 	replicas := func() (hosts []string) {
 		for name, w := range r.cluster.Workers {
 			for _, t := range w.Tasks {
@@ -238,7 +238,7 @@
 	r.locked(func() { r.cloud.Remove(replicas()[0]) })
 	r.until("a lost replica elsewhere", func() bool { return len(replicas()) == serviceReplicas })
 	r.cancel(service)
-	r.until("a cancelled service's end", func() bool { return len(replicas()) == 0 && service.Told == wire.JobWithdrawn })
+	r.until("a cancelled service's end", func() bool { return len(replicas()) == 0 && service.Told == wire.JobCancelled })
 }
 
 // finish ends the load and waits until every job has ended.
--- a/internal/integration/users_test.go
+++ b/internal/integration/users_test.go
@@ -16,7 +16,7 @@
 // request is one request of a user.
 type request func(base string) (status int, body []byte)
 
-func (d *deployment) submission(spec wire.Submission) request {
+func (d *deployment) submission(spec wire.JobSpec) request {
 	raw, _ := json.Marshal(standin.SubmissionBody(spec))
 	return func(base string) (int, []byte) { return post(d.users, base+"/submissions", raw) }
 }
@@ -39,7 +39,7 @@
 	_ = json.Unmarshal(body, &state)
 	d.locked(func() {
 		if status == http.StatusOK || status == http.StatusCreated {
-			d.cluster.Tell(j, state.Stage, before)
+			d.cluster.Tell(j, state.State, before)
 			return
 		}
 		d.cluster.Refused(j, before, status)
@@ -47,7 +47,7 @@
 }
 
 // add has a user submit a job, and ask about it until it has ended.
-func (d *deployment) add(spec wire.Submission, run time.Duration) *standin.Job {
+func (d *deployment) add(spec wire.JobSpec, run time.Duration) *standin.Job {
 	j := standin.NewJob(spec, run)
 	d.locked(func() { d.cluster.AddJob(j) })
 	d.running.Add(1)
--- a/internal/leader/election.go
+++ b/internal/leader/election.go
@@ -24,9 +24,9 @@
 		return // our own record has not been read back yet
 	}
 	if s.leader.version == 0 || !s.live(s.leader.val.Member, s.leader.val.Inc) {
-		s.txn(now, wire.Multi{
-			When:   []wire.Cond{store.Is(keyLeader, s.leader.version), store.Is(underMem+s.self, me.version)},
-			Writes: []wire.Write{store.Put(keyLeader, Rec{Member: s.self, Inc: s.lease}, s.lease)},
+		s.txn(now, wire.Transaction{
+			Compares: []wire.Compare{store.Is(keyLeader, s.leader.version), store.Is(underMem+s.self, me.version)},
+			Writes:   []wire.Write{store.Put(keyLeader, Rec{Member: s.self, Inc: s.lease}, s.lease)},
 		})
 		return
 	}
@@ -46,12 +46,12 @@
 		// has ended; one that is merely absent may only be cut off
 		_, back := s.members[r.val.Holder]
 		rec := BlockRec{Holder: to.Member, Inc: to.Inc, Token: s.token.val.Last + 1, Ended: r.version == 0 || back || r.val.Holder == "", Since: s.wall().UnixMilli()}
-		when := []wire.Cond{
+		when := []wire.Compare{
 			store.Is(keyLeader, s.leader.version), store.Is(blockKey(b), r.version),
 			store.Is(keyToken, s.token.version), store.Is(underMem+to.Member, toVersion),
 		}
 		s.log.Info("assigning block", "block", b, "to", to.Member, "token", rec.Token, "ended", rec.Ended)
-		s.txn(now, wire.Multi{When: when, Writes: []wire.Write{
+		s.txn(now, wire.Transaction{Compares: when, Writes: []wire.Write{
 			store.Put(keyToken, tokenRec{Last: rec.Token}, 0), store.Put(blockKey(b), rec, 0),
 		}})
 		return
@@ -72,9 +72,9 @@
 		return
 	}
 	s.log.Info("changing the switches in force", "from", s.inForce.val.InForce, "to", common)
-	s.txn(now, wire.Multi{
-		When:   []wire.Cond{store.Is(keyLeader, s.leader.version), store.Is(keySwitches, s.inForce.version)},
-		Writes: []wire.Write{store.Put(keySwitches, SwitchesRec{InForce: common}, 0)},
+	s.txn(now, wire.Transaction{
+		Compares: []wire.Compare{store.Is(keyLeader, s.leader.version), store.Is(keySwitches, s.inForce.version)},
+		Writes:   []wire.Write{store.Put(keySwitches, SwitchesRec{InForce: common}, 0)},
 	})
 }
 
@@ -119,7 +119,7 @@
 	return best.val, best.version, best.version != 0
 }
 
-func (s *Slice) txn(now time.Time, m wire.Multi) {
+func (s *Slice) txn(now time.Time, m wire.Transaction) {
 	s.busy = true
 	s.call(store.Call{Op: store.OpMulti, Multi: m}, func(now time.Time, r store.Result) {
 		s.busy = false
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -112,7 +112,7 @@
 	recs    map[int]item[BlockRec]
 	token   item[tokenRec]
 	inForce item[SwitchesRec]
-	other   func(now time.Time, key string, it wire.Item, gone bool)
+	other   func(now time.Time, key string, it wire.KeyValue, gone bool)
 }
 
 type item[T any] struct {
@@ -123,7 +123,7 @@
 // New makes the slice of a member that announces some switches. other is told of changes
 // of control keys that are not this slice's own.
 func New(self string, blocks int, announced []string, wall func() time.Time, call store.Caller, log *slog.Logger,
-	other func(now time.Time, key string, it wire.Item, gone bool)) *Slice {
+	other func(now time.Time, key string, it wire.KeyValue, gone bool)) *Slice {
 	s := &Slice{self: self, blocks: blocks, announced: announced, wall: wall, call: call, log: log, other: other,
 		members: map[string]item[MemberRec]{}, recs: map[int]item[BlockRec]{}}
 	s.mirror = store.NewMirror(Control, call, s.changed)
@@ -139,9 +139,9 @@
 func (s *Slice) Synced() bool { return s.mirror.Synced() }
 
 // Each calls f for every control record under a prefix.
-func (s *Slice) Each(under string, f func(it wire.Item)) {
-	s.mirror.Each(func(it wire.Item) {
-		if strings.HasPrefix(it.Path, under) {
+func (s *Slice) Each(under string, f func(it wire.KeyValue)) {
+	s.mirror.Each(func(it wire.KeyValue) {
+		if strings.HasPrefix(it.Key, under) {
 			f(it)
 		}
 	})
@@ -226,16 +226,16 @@
 	return names, s.leader.val.Member
 }
 
-func decode[T any](log *slog.Logger, it wire.Item) (item[T], bool) {
+func decode[T any](log *slog.Logger, it wire.KeyValue) (item[T], bool) {
 	out := item[T]{version: it.Version}
 	if err := json.Unmarshal(it.Value, &out.val); err != nil {
-		log.Error("control record cannot be read", "key", it.Path, "error", err)
+		log.Error("control record cannot be read", "key", it.Key, "error", err)
 		return item[T]{}, false
 	}
 	return out, true
 }
 
-func (s *Slice) changed(now time.Time, key string, it wire.Item, gone bool) {
+func (s *Slice) changed(now time.Time, key string, it wire.KeyValue, gone bool) {
 	var b int
 	switch {
 	case key == keyToken:
@@ -292,9 +292,9 @@
 	if unreachable {
 		rec.Unreachable = s.self
 	}
-	s.txn(now, wire.Multi{
-		When:   []wire.Cond{store.Is(blockKey(l.Block), l.Version)},
-		Writes: []wire.Write{store.Put(blockKey(l.Block), rec, 0)},
+	s.txn(now, wire.Transaction{
+		Compares: []wire.Compare{store.Is(blockKey(l.Block), l.Version)},
+		Writes:   []wire.Write{store.Put(blockKey(l.Block), rec, 0)},
 	})
 }
 
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -26,7 +26,7 @@
 	e := &elect{now: time.Unix(1000, 0)}
 	e.s = New("n0", 1, nil, func() time.Time { return e.now }, func(c store.Call, then func(time.Time, store.Result)) {
 		e.sent, e.then = append(e.sent, c), append(e.then, then)
-	}, slog.New(slog.NewTextHandler(io.Discard, nil)), func(time.Time, string, wire.Item, bool) {})
+	}, slog.New(slog.NewTextHandler(io.Discard, nil)), func(time.Time, string, wire.KeyValue, bool) {})
 	return e
 }
 
@@ -46,20 +46,20 @@
 	return store.Call{}
 }
 
-func put(key string, v any, version uint64) wire.Item {
+func put(key string, v any, version uint64) wire.KeyValue {
 	raw, _ := json.Marshal(v)
-	return wire.Item{Path: key, Value: raw, Version: version}
+	return wire.KeyValue{Key: key, Value: raw, Version: version}
 }
 
 // join makes the node a member beside what the records already hold.
-func (e *elect) join(t *testing.T, items ...wire.Item) {
+func (e *elect) join(t *testing.T, items ...wire.KeyValue) {
 	e.s.Tick(e.now)
 	e.answer(t, store.OpList, store.Result{Status: 200, Revision: 50, Items: items})
 	e.answer(t, store.OpGrant, store.Result{Status: 200, Lease: 7})
 	e.answer(t, store.OpMulti, store.Result{Status: 200, Revision: 60})
-	var changes []wire.Change
-	for _, it := range []wire.Item{put("c/m/n0", MemberRec{Member: "n0", Inc: 7}, 60)} {
-		changes = append(changes, wire.Change{Write: it.Path, Value: it.Value, Version: it.Version})
+	var changes []wire.Event
+	for _, it := range []wire.KeyValue{put("c/m/n0", MemberRec{Member: "n0", Inc: 7}, 60)} {
+		changes = append(changes, wire.Event{Put: it.Key, Value: it.Value, Version: it.Version})
 	}
 	e.answer(t, store.OpChanges, store.Result{Status: 200, Revision: 60, Events: changes})
 	e.now = e.now.Add(time.Millisecond)
@@ -71,21 +71,21 @@
 	other := put("c/m/n1", MemberRec{Member: "n1", Inc: 5}, 20)
 	for _, c := range []struct {
 		name  string
-		items []wire.Item
+		items []wire.KeyValue
 		want  string // the key it writes first, "" for none
 		token uint64 // of the block, if it assigns it
 		ended bool
 	}{
-		{"nobody leads", []wire.Item{other}, "c/leader", 0, false},
-		{"another leads", []wire.Item{other, put("c/leader", Rec{"n1", 5}, 30)}, "", 0, false},
-		{"the leader's process was replaced", []wire.Item{other, put("c/leader", Rec{"n1", 4}, 30)}, "c/leader", 0, false},
-		{"the leader is gone", []wire.Item{put("c/leader", Rec{"n1", 5}, 30)}, "c/leader", 0, false},
-		{"it leads, no block is held", []wire.Item{put("c/leader", Rec{"n0", 7}, 30), put("c/baton", tokenRec{3}, 31)}, "c/baton", 4, true},
-		{"it leads, the block is held", []wire.Item{other, put("c/leader", Rec{"n0", 7}, 30), put("c/b/0", BlockRec{Holder: "n1", Inc: 5, Token: 3}, 32)}, "", 0, false},
-		{"it leads, the holder vanished", []wire.Item{put("c/leader", Rec{"n0", 7}, 30), put("c/baton", tokenRec{3}, 31), put("c/b/0", BlockRec{Holder: "n1", Inc: 5, Token: 3}, 32)}, "c/baton", 4, false},
-		{"it leads, the holder was restarted", []wire.Item{other, put("c/leader", Rec{"n0", 7}, 30), put("c/baton", tokenRec{3}, 31), put("c/b/0", BlockRec{Holder: "n1", Inc: 4, Token: 3}, 32)}, "c/baton", 4, true},
-		{"it leads, the holder resigned", []wire.Item{other, put("c/leader", Rec{"n0", 7}, 30), put("c/baton", tokenRec{3}, 31), put("c/b/0", BlockRec{Token: 3}, 32)}, "c/baton", 4, true},
-		{"it leads, and gave the block back because it hears no worker", []wire.Item{other, put("c/leader", Rec{"n0", 7}, 30), put("c/baton", tokenRec{3}, 31), put("c/b/0", BlockRec{Token: 3, Unreachable: "n1"}, 32)}, "c/baton", 4, true},
+		{"nobody leads", []wire.KeyValue{other}, "c/leader", 0, false},
+		{"another leads", []wire.KeyValue{other, put("c/leader", Rec{"n1", 5}, 30)}, "", 0, false},
+		{"the leader's process was replaced", []wire.KeyValue{other, put("c/leader", Rec{"n1", 4}, 30)}, "c/leader", 0, false},
+		{"the leader is gone", []wire.KeyValue{put("c/leader", Rec{"n1", 5}, 30)}, "c/leader", 0, false},
+		{"it leads, no block is held", []wire.KeyValue{put("c/leader", Rec{"n0", 7}, 30), put("c/baton", tokenRec{3}, 31)}, "c/baton", 4, true},
+		{"it leads, the block is held", []wire.KeyValue{other, put("c/leader", Rec{"n0", 7}, 30), put("c/b/0", BlockRec{Holder: "n1", Inc: 5, Token: 3}, 32)}, "", 0, false},
+		{"it leads, the holder vanished", []wire.KeyValue{put("c/leader", Rec{"n0", 7}, 30), put("c/baton", tokenRec{3}, 31), put("c/b/0", BlockRec{Holder: "n1", Inc: 5, Token: 3}, 32)}, "c/baton", 4, false},
+		{"it leads, the holder was restarted", []wire.KeyValue{other, put("c/leader", Rec{"n0", 7}, 30), put("c/baton", tokenRec{3}, 31), put("c/b/0", BlockRec{Holder: "n1", Inc: 4, Token: 3}, 32)}, "c/baton", 4, true},
+		{"it leads, the holder resigned", []wire.KeyValue{other, put("c/leader", Rec{"n0", 7}, 30), put("c/baton", tokenRec{3}, 31), put("c/b/0", BlockRec{Token: 3}, 32)}, "c/baton", 4, true},
+		{"it leads, and gave the block back because it hears no worker", []wire.KeyValue{other, put("c/leader", Rec{"n0", 7}, 30), put("c/baton", tokenRec{3}, 31), put("c/b/0", BlockRec{Token: 3, Unreachable: "n1"}, 32)}, "c/baton", 4, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := newElect()
@@ -98,7 +98,7 @@
 			}
 			key := ""
 			if len(got.Multi.Writes) > 0 {
-				key = got.Multi.Writes[0].Write
+				key = got.Multi.Writes[0].Put
 			}
 			if key != c.want {
 				t.Fatalf("writes %q, want %q", key, c.want)
@@ -116,8 +116,8 @@
 					t.Errorf("given to %s, which does not hear the workers", rec.Holder)
 				}
 			}
-			if len(got.Multi.When) != 4 {
-				t.Errorf("assigned on conditions %v, want leader, block, baton and member", got.Multi.When)
+			if len(got.Multi.Compares) != 4 {
+				t.Errorf("assigned on conditions %v, want leader, block, baton and member", got.Multi.Compares)
 			}
 		})
 	}
@@ -258,8 +258,8 @@
 			if err := json.Unmarshal(e.sent[0].Multi.Writes[0].Value, &rec); err != nil || !slices.Equal(rec.InForce, c.want) {
 				t.Errorf("in force: %v, %v; want %v", rec.InForce, err, c.want)
 			}
-			if !slices.Contains(e.sent[0].Multi.When, store.Is(keySwitches, 9)) || !slices.Contains(e.sent[0].Multi.When, store.Is(keyLeader, e.s.leader.version)) {
-				t.Errorf("conditions: %+v", e.sent[0].Multi.When)
+			if !slices.Contains(e.sent[0].Multi.Compares, store.Is(keySwitches, 9)) || !slices.Contains(e.sent[0].Multi.Compares, store.Is(keyLeader, e.s.leader.version)) {
+				t.Errorf("conditions: %+v", e.sent[0].Multi.Compares)
 			}
 		})
 	}
--- a/internal/leader/membership.go
+++ b/internal/leader/membership.go
@@ -63,9 +63,9 @@
 	lease := s.lease
 	rec := MemberRec{Member: s.self, Inc: lease, Since: s.wall().UnixMilli(), Switches: s.announced}
 	s.retry = now.Add(tuning.StateTimeout + tuning.MemberRetry)
-	s.call(store.Call{Op: store.OpMulti, Multi: wire.Multi{
-		When:   []wire.Cond{store.Is(key, s.mirror.Version(key))},
-		Writes: []wire.Write{store.Put(key, rec, lease)},
+	s.call(store.Call{Op: store.OpMulti, Multi: wire.Transaction{
+		Compares: []wire.Compare{store.Is(key, s.mirror.Version(key))},
+		Writes:   []wire.Write{store.Put(key, rec, lease)},
 	}}, func(now time.Time, r store.Result) {
 		s.retry = now.Add(tuning.MemberRetry)
 		if s.lease != lease || s.state != memberJoining {
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -96,11 +96,11 @@
 		return
 	}
 	values := map[string]string{}
-	c.leader.Each(admin.Key, func(it wire.Item) { _ = json.Unmarshal(it.Value, &values) })
+	c.leader.Each(admin.Key, func(it wire.KeyValue) { _ = json.Unmarshal(it.Value, &values) })
 	values[name] = value
-	c.state(store.Call{Op: store.OpMulti, Class: store.ClassUser, Multi: wire.Multi{
-		When:   []wire.Cond{store.Is(admin.Key, c.leader.Version(admin.Key))},
-		Writes: []wire.Write{store.Put(admin.Key, values, 0)},
+	c.state(store.Call{Op: store.OpMulti, Class: store.ClassUser, Multi: wire.Transaction{
+		Compares: []wire.Compare{store.Is(admin.Key, c.leader.Version(admin.Key))},
+		Writes:   []wire.Write{store.Put(admin.Key, values, 0)},
 	}}, func(now time.Time, res store.Result) {
 		switch {
 		case res.OK():
--- a/internal/node/cancellation_loading_test.go
+++ b/internal/node/cancellation_loading_test.go
@@ -18,10 +18,10 @@
 func TestOutageWhileLoading(t *testing.T) {
 	for seed := range uint64(4) {
 		sim := steadySimulationOf(t, 20+seed, 6, 2)
-		long := sim.add(wire.Submission{ID: "job-100", Team: "red", Class: "train", Shape: wire.ShapeBatch, Priority: "high", Tasks: 4,
-			Vcpus: 4, Gpus: 1, MemGb: 20, Bundle: "img", ImageGb: 2, AnyType: true, GuessS: 300}, 400*time.Second)
-		other := sim.add(wire.Submission{ID: "job-101", Team: "red", Class: "train", Shape: wire.ShapeBatch, Priority: "high", Tasks: 2,
-			Vcpus: 4, Gpus: 1, MemGb: 20, Bundle: "img", ImageGb: 2, AnyType: true, GuessS: 300}, 400*time.Second)
+		long := sim.add(wire.JobSpec{ID: "job-100", Team: "red", Class: "train", Shape: wire.ShapeBatch, Priority: "high", Tasks: 4,
+			Vcpus: 4, Gpus: 1, MemGb: 20, Image: "img", ImageGb: 2, AnyType: true, EstimatedRunTimeS: 300}, 400*time.Second)
+		other := sim.add(wire.JobSpec{ID: "job-101", Team: "red", Class: "train", Shape: wire.ShapeBatch, Priority: "high", Tasks: 2,
+			Vcpus: 4, Gpus: 1, MemGb: 20, Image: "img", ImageGb: 2, AnyType: true, EstimatedRunTimeS: 300}, 400*time.Second)
 		sim.runFor(40 * time.Second)
 		h := sim.holder()
 		for _, o := range sim.machines {
@@ -41,7 +41,7 @@
 		for !loading() {
 			sim.clk.Step()
 		}
-		if long.Told != wire.JobWithdrawn {
+		if long.Told != wire.JobCancelled {
 			t.Fatalf("told %q", long.Told)
 		}
 		sim.state.SetDown(true)
@@ -52,14 +52,14 @@
 					rep := sim.machines[id].Report()
 					for _, p := range rep.Tasks {
 						one := *rep
-						one.Tasks = []wire.Task{p}
-						off := strings.HasPrefix(p.Task, long.Spec.ID)
+						one.Tasks = []wire.TaskStatus{p}
+						off := strings.HasPrefix(p.Name, long.Spec.ID)
 						t.Report(sim.clk.Now(), &one, func(status int, _ any) {
-							if status == 200 && p.Stage != wire.TaskExited {
+							if status == 200 && p.State != wire.TaskExited {
 								renewed[off]++
 							}
 						})
-						rep.Seq++
+						rep.Sequence++
 					}
 				}
 			}
@@ -130,8 +130,8 @@
 	m.Withdrawn = []string{"job-900"}
 	n.core.Pulse(sim.clk.Now(), m)
 	for _, id := range []string{"job-900", "job-901"} {
-		sim.add(wire.Submission{ID: id, Team: "red", Class: "sweep", Shape: wire.ShapeBatch, Priority: "normal", Tasks: 1,
-			Vcpus: 4, Gpus: 1, MemGb: 20, Bundle: "img", ImageGb: 2, AnyType: true, GuessS: 5}, 5*time.Second)
+		sim.add(wire.JobSpec{ID: id, Team: "red", Class: "sweep", Shape: wire.ShapeBatch, Priority: "normal", Tasks: 1,
+			Vcpus: 4, Gpus: 1, MemGb: 20, Image: "img", ImageGb: 2, AnyType: true, EstimatedRunTimeS: 5}, 5*time.Second)
 	}
 	sim.runFor(2 * time.Second)
 	if b := n.core.tenures[0].board; b.Job("job-900") != nil || b.Job("job-901") == nil {
@@ -143,10 +143,10 @@
 // the records are read: a report, and a start, may come before the next tick.
 func TestUnheardCountsAtOnce(t *testing.T) {
 	sim := newSimulation(t, 11, facts([]string{"a"}, []config.Team{{Name: "red", GPUsMax: 12}}, 1.5, 10), 1,
-		[]wire.MachineType{{Name: "g2", Vcpus: 12, Gpus: 2, MemGb: 96, FetchGbPerS: 1, Price: 5, LowPrice: 2, BootS: 5, Zones: []string{"a"}}})
+		[]wire.MachineType{{Name: "g2", Vcpus: 12, Gpus: 2, MemGb: 96, FetchGbPerS: 1, Price: 5, SpotPrice: 2, BootTimeS: 5, Zones: []string{"a"}}})
 	sim.cloud.Room[standin.RoomKey("g2", "a", false)] = 4
-	sim.add(wire.Submission{ID: "job-1", Team: "red", Class: "sweep", Shape: wire.ShapeBatch, Priority: "normal", Tasks: 8,
-		Vcpus: 4, Gpus: 1, MemGb: 20, Bundle: "img", ImageGb: 2, AnyType: true, GuessS: 50}, 50*time.Second)
+	sim.add(wire.JobSpec{ID: "job-1", Team: "red", Class: "sweep", Shape: wire.ShapeBatch, Priority: "normal", Tasks: 8,
+		Vcpus: 4, Gpus: 1, MemGb: 20, Image: "img", ImageGb: 2, AnyType: true, EstimatedRunTimeS: 50}, 50*time.Second)
 	sim.runFor(25 * time.Second)
 	for _, h := range sim.machines {
 		h.partitioned = true
@@ -171,8 +171,8 @@
 // with the very answer that renews its lease.
 func TestInheritedCancellation(t *testing.T) {
 	sim := steadySimulation(t, 6, 2)
-	long := sim.add(wire.Submission{ID: "job-100", Team: "red", Class: "train", Shape: wire.ShapeBatch, Priority: "high", Tasks: 2,
-		Vcpus: 4, Gpus: 1, MemGb: 20, Bundle: "img", ImageGb: 2, AnyType: true, GuessS: 300}, 400*time.Second)
+	long := sim.add(wire.JobSpec{ID: "job-100", Team: "red", Class: "train", Shape: wire.ShapeBatch, Priority: "high", Tasks: 2,
+		Vcpus: 4, Gpus: 1, MemGb: 20, Image: "img", ImageGb: 2, AnyType: true, EstimatedRunTimeS: 300}, 400*time.Second)
 	sim.runFor(40 * time.Second)
 	var on *machine
 	for _, id := range sim.hosts() {
@@ -198,12 +198,12 @@
 			break
 		}
 	}
-	if next == nil || long.Told != wire.JobWithdrawn {
+	if next == nil || long.Told != wire.JobCancelled {
 		t.Fatalf("no successor, or told %q", long.Told)
 	}
 	stopped := false
 	next.Report(sim.clk.Now(), on.Report(), func(status int, body any) {
-		for _, o := range body.(wire.Commands).Commands {
+		for _, o := range body.(wire.HeartbeatResponse).Commands {
 			id, _, _ := wire.ParseTask(o.Task)
 			stopped = stopped || status == 200 && o.Verb == wire.VerbStop && id == long.Spec.ID
 		}
--- a/internal/node/cancellation_test.go
+++ b/internal/node/cancellation_test.go
@@ -78,8 +78,8 @@
 				sim := steadySimulationOf(t, 11+seed, 6, 2)
 				var long []*standin.Job
 				for i := range 4 {
-					long = append(long, sim.add(wire.Submission{ID: fmt.Sprintf("job-1%02d", i), Team: "red", Class: "train", Shape: wire.ShapeBatch, Priority: "high", Tasks: 2,
-						Vcpus: 4, Gpus: 1, MemGb: 20, Bundle: "img", ImageGb: 2, AnyType: true, GuessS: 300}, 400*time.Second))
+					long = append(long, sim.add(wire.JobSpec{ID: fmt.Sprintf("job-1%02d", i), Team: "red", Class: "train", Shape: wire.ShapeBatch, Priority: "high", Tasks: 2,
+						Vcpus: 4, Gpus: 1, MemGb: 20, Image: "img", ImageGb: 2, AnyType: true, EstimatedRunTimeS: 300}, 400*time.Second))
 				}
 				sim.runFor(45 * time.Second)
 				holder := sim.holder()
@@ -118,14 +118,14 @@
 						}
 					}
 					ask(sim.clk.Now(), j.Spec.ID, func(r submission.Response) {
-						if a, ok := r.Body.(wire.Accepted); r.Status == 200 && ok {
-							sim.tell(j, a.Stage, "")
+						if a, ok := r.Body.(wire.JobAccepted); r.Status == 200 && ok {
+							sim.tell(j, a.State, "")
 						}
 					})
 				}
 				sim.runFor(300 * time.Millisecond)
 				for _, j := range long[:3] {
-					if j.Told != wire.JobWithdrawn {
+					if j.Told != wire.JobCancelled {
 						t.Fatalf("%s was told %q", j.Spec.ID, j.Told)
 					}
 				}
@@ -231,13 +231,13 @@
 	sim := steadySimulation(t, 2, 1)
 	sim.runFor(40 * time.Second)
 	for i := range 3 {
-		sim.add(wire.Submission{ID: fmt.Sprintf("job-1%02d", i), Team: "red", Class: "sweep", Shape: wire.ShapeBatch, Priority: "high", Tasks: 1,
-			Vcpus: 4, Gpus: 1, MemGb: 20, Bundle: "img", ImageGb: 2, AnyType: true, GuessS: 200}, 200*time.Second)
+		sim.add(wire.JobSpec{ID: fmt.Sprintf("job-1%02d", i), Team: "red", Class: "sweep", Shape: wire.ShapeBatch, Priority: "high", Tasks: 1,
+			Vcpus: 4, Gpus: 1, MemGb: 20, Image: "img", ImageGb: 2, AnyType: true, EstimatedRunTimeS: 200}, 200*time.Second)
 	}
 	sim.runFor(30 * time.Second)
 	sim.rates.delayedCommands, sim.rates.commandDelay = 1, 60*time.Second
-	gang := sim.add(wire.Submission{ID: "job-200", Team: "red", Class: "train", Shape: wire.ShapeGang, Priority: "high", Tasks: 1,
-		Vcpus: 4, Gpus: 1, MemGb: 20, Bundle: "img", ImageGb: 2, AnyType: true, GuessS: 10}, 10*time.Second)
+	gang := sim.add(wire.JobSpec{ID: "job-200", Team: "red", Class: "train", Shape: wire.ShapeGang, Priority: "high", Tasks: 1,
+		Vcpus: 4, Gpus: 1, MemGb: 20, Image: "img", ImageGb: 2, AnyType: true, EstimatedRunTimeS: 10}, 10*time.Second)
 	sent := func() int {
 		n := 0
 		for _, m := range sim.holder().core.tenures[0].reg.All() {
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -16,8 +16,8 @@
 		session = max(1, t.fencing.sessions[m.Host])
 	}
 	m.DoBusy = true
-	command := wire.Do{Token: t.Token, Session: session, Commands: commands}
-	t.c.env.Do(m.Address, command, t.c.leader.Deadline(), func(now time.Time, status int, rep *wire.Report) {
+	command := wire.DirectCommands{Token: t.Token, Incarnation: session, Commands: commands}
+	t.c.env.Do(m.Address, command, t.c.leader.Deadline(), func(now time.Time, status int, rep *wire.Heartbeat) {
 		if t.state == tenureOver {
 			return
 		}
@@ -27,13 +27,13 @@
 }
 
 // answeredDirect takes in what came of a direct command.
-func (t *tenure) answeredDirect(now time.Time, m *worker.Machine, command wire.Do, status int, rep *wire.Report) {
+func (t *tenure) answeredDirect(now time.Time, m *worker.Machine, command wire.DirectCommands, status int, rep *wire.Heartbeat) {
 	if status == NotSent {
 		t.board.Answered(m, command.Commands)
 		return
 	}
 	if status != http.StatusOK && status != http.StatusConflict || rep == nil || rep.Host != m.Host {
-		if m.Session == command.Session && len(command.Commands) > 0 {
+		if m.Session == command.Incarnation && len(command.Commands) > 0 {
 			m.OpenDo++
 		}
 		return
@@ -44,7 +44,7 @@
 		t.end(now, "a machine has seen a higher token")
 	case rep.Token < t.Token:
 		// refused for its session: now that is known
-		t.fencing.sessions[m.Host] = rep.Session
+		t.fencing.sessions[m.Host] = rep.Incarnation
 		t.fencing.due[m.Host] = now
 	default:
 		t.absorb(now, m, rep, false)
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -30,7 +30,7 @@
 	// Do sends a direct command unless that is only possible after a time: a
 	// process that stood still must not act on what it believed before. Status 0
 	// means that no answer came, NotSent that nothing was sent.
-	Do(addr string, d wire.Do, by time.Time, then func(now time.Time, status int, rep *wire.Report))
+	Do(addr string, d wire.DirectCommands, by time.Time, then func(now time.Time, status int, rep *wire.Heartbeat))
 	Pulse(member string, m *peerpb.PulseMessage, then func(now time.Time, r *peerpb.PulseMessage, err error))
 	Progress(member string, m *peerpb.ProgressRequest, then func(now time.Time, r *peerpb.ProgressReply, err error))
 	Probe(member string, m *peerpb.ProbeRequest, then func(now time.Time, r *peerpb.ProbeReply, err error))
@@ -84,7 +84,7 @@
 		settings: admin.Defaults(), peers: map[string]*peerView{}, claims: map[int]*peerpb.Holding{}, blockFor: map[string]int{}, asking: map[int]*asking{},
 		process: rng.Uint64() | 1, cancellationLog: submission.NewCancellationLog(blocks, config.Seconds(cfg.Facts.Workers.CancelS), cfg.Facts.State.WriteRPS), passing: map[string]bool{}}
 	c.leader = leader.New(cfg.Member, blocks, opt.Switches.Announced(), wall, c.state, log, c.control)
-	c.open = store.NewMirror(submission.OpenUnder, c.state, func(now time.Time, _ string, it wire.Item, gone bool) {
+	c.open = store.NewMirror(submission.OpenUnder, c.state, func(now time.Time, _ string, it wire.KeyValue, gone bool) {
 		for _, t := range c.tenures {
 			if t.state != tenureOver && t.records.reading == 0 {
 				t.jobChanged(now, it, gone)
@@ -114,7 +114,7 @@
 }
 
 // control handles control records that are not the leader slice's.
-func (c *Core) control(now time.Time, key string, it wire.Item, gone bool) {
+func (c *Core) control(now time.Time, key string, it wire.KeyValue, gone bool) {
 	if key == admin.Key {
 		c.settings = admin.Defaults()
 		if !gone {
@@ -257,7 +257,7 @@
 }
 
 // Report answers a worker's report.
-func (c *Core) Report(now time.Time, rep *wire.Report, reply func(status int, body any)) {
+func (c *Core) Report(now time.Time, rep *wire.Heartbeat, reply func(status int, body any)) {
 	b := c.blockOf(rep.Host)
 	if t := c.tenures[b]; t != nil && t.state != tenureOver {
 		t.Report(now, rep, reply)
--- a/internal/node/core_test.go
+++ b/internal/node/core_test.go
@@ -40,8 +40,8 @@
 			for _, h := range c.heard {
 				core.Pulse(now, &peerpb.PulseMessage{Member: "n1", Holdings: []*peerpb.Holding{h}})
 			}
-			core.Report(now, &wire.Report{Host: "i-1", Session: 1, Seq: 1}, func(status int, body any) {
-				if r, ok := body.(wire.Redirect); status != 421 || !ok || r.ReportsTo != c.want {
+			core.Report(now, &wire.Heartbeat{Host: "i-1", Incarnation: 1, Sequence: 1}, func(status int, body any) {
+				if r, ok := body.(wire.Redirect); status != 421 || !ok || r.Member != c.want {
 					t.Errorf("answered %d %+v, want 421 to %q", status, body, c.want)
 				}
 			})
--- a/internal/node/digest_test.go
+++ b/internal/node/digest_test.go
@@ -104,7 +104,7 @@
 	}
 }
 
-func (sim *simulation) recordCommand(node, address string, do wire.Do, by time.Time) {
+func (sim *simulation) recordCommand(node, address string, do wire.DirectCommands, by time.Time) {
 	if d := sim.digest; d != nil {
 		d.add(sim.clk.Now(), node, "command", address, do, sinceEpoch(by))
 	}
--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -75,15 +75,15 @@
 			into.add(it)
 		}
 		if n := len(r.Items); r.More && n > 0 {
-			c.readLogs(into, r.Items[n-1].Path, then)
+			c.readLogs(into, r.Items[n-1].Key, then)
 			return
 		}
 		then(now, true)
 	})
 }
 
-func (l *dutyLogs) add(it wire.Item) {
-	number, _, _ := strings.Cut(strings.TrimPrefix(it.Path, duty.Under), "/")
+func (l *dutyLogs) add(it wire.KeyValue) {
+	number, _, _ := strings.Cut(strings.TrimPrefix(it.Key, duty.Under), "/")
 	block, err := strconv.Atoi(number)
 	if err != nil {
 		return
@@ -139,7 +139,7 @@
 	for _, e := range c.logs.entries[block] {
 		actions[e.Duty] = append(actions[e.Duty], duty.ActionStatus{Duty: e.Duty, Target: e.Target, Token: e.Token, Stage: duty.Entered, EnteredAt: e.At})
 	}
-	c.rentals.Each(func(it wire.Item) {
+	c.rentals.Each(func(it wire.KeyValue) {
 		if name, token, open := fleet.Unanswered(it, block); open {
 			actions[duty.Renting] = append(actions[duty.Renting], duty.ActionStatus{Duty: duty.Renting, Target: name, Token: token, Stage: duty.Entered})
 		}
--- a/internal/node/duties_test.go
+++ b/internal/node/duties_test.go
@@ -154,7 +154,7 @@
 func (sim *simulation) leaveEntries(machines int) {
 	const perRental, perPage = 50, 80
 	put := func(key string, value any) {
-		sim.state.Call(store.Call{Op: store.OpMulti, Multi: wire.Multi{Writes: []wire.Write{store.Put(key, value, 0)}}}, func(store.Result) {})
+		sim.state.Call(store.Call{Op: store.OpMulti, Multi: wire.Transaction{Writes: []wire.Write{store.Put(key, value, 0)}}}, func(store.Result) {})
 	}
 	type entry struct {
 		Duty  duty.Duty
@@ -164,8 +164,8 @@
 	page, names := map[string]entry{}, []string{}
 	for i := range machines {
 		id := fmt.Sprintf("i-%06d", i)
-		host := wire.Host{ID: id, Address: addressPrefix + id, Type: smallType.Name, Zone: "a", Stage: wire.HostRunning}
-		sim.cloud.Hosts[id] = &standin.CloudHost{Born: sim.clk.Now(), Host: host}
+		host := wire.Machine{ID: id, Address: addressPrefix + id, Type: smallType.Name, Zone: "a", State: wire.MachineRunning}
+		sim.cloud.Hosts[id] = &standin.CloudHost{Born: sim.clk.Now(), Machine: host}
 		sim.booted(sim.cloud.Hosts[id])
 		page[id], names = entry{duty.Returning, 0, sim.clk.Now().UnixMilli()}, append(names, id)
 		if len(names) == perRental {
--- a/internal/node/fault_combinations_test.go
+++ b/internal/node/fault_combinations_test.go
@@ -15,8 +15,8 @@
 func TestFaultCombinations(t *testing.T) {
 	small := []config.Team{{Name: "red", GPUs: 4, GPUsMax: 10}, {Name: "blue", GPUs: 6, GPUsMax: 12}, {Name: "free"}}
 	tight := []config.Team{{Name: "red", GPUs: 2, GPUsMax: 4}, {Name: "blue", GPUs: 2, GPUsMax: 4}}
-	one := []wire.MachineType{{Name: "g2", Vcpus: 12, Gpus: 2, MemGb: 96, FetchGbPerS: 1, Price: 5, LowPrice: 2, BootS: 5, Zones: []string{"a"}}}
-	two := []wire.MachineType{{Name: "g4", Vcpus: 16, Gpus: 4, MemGb: 128, FetchGbPerS: 1, Price: 9, LowPrice: 4, BootS: 5, Zones: []string{"a", "b"}}}
+	one := []wire.MachineType{{Name: "g2", Vcpus: 12, Gpus: 2, MemGb: 96, FetchGbPerS: 1, Price: 5, SpotPrice: 2, BootTimeS: 5, Zones: []string{"a"}}}
+	two := []wire.MachineType{{Name: "g4", Vcpus: 16, Gpus: 4, MemGb: 128, FetchGbPerS: 1, Price: 9, SpotPrice: 4, BootTimeS: 5, Zones: []string{"a", "b"}}}
 	for _, c := range []struct {
 		name  string
 		zones int
@@ -36,7 +36,7 @@
 		}},
 		{"jobs bound to one zone lose machines", 2, small, func(m *faultScenario) {
 			for i := range 6 {
-				m.job(func(s *wire.Submission) { s.Zone = m.zones[i%2]; s.Together = i%3 == 0 }, m.ms(10000, 40000))
+				m.job(func(s *wire.JobSpec) { s.Zone = m.zones[i%2]; s.SameZone = i%3 == 0 }, m.ms(10000, 40000))
 				m.runFor(m.ms(5000, 10000))
 				for _, h := range m.someMachines() {
 					m.cloud.Remove(h.Host.ID)
@@ -68,7 +68,7 @@
 		}},
 		{"jobs of two or three tasks end far apart across a change of leader", 1, small, func(m *faultScenario) {
 			for range 5 {
-				j := m.job(func(s *wire.Submission) { s.Shape, s.Tasks = wire.ShapeBatch, 2+m.rng.IntN(2) }, m.ms(3000, 8000))
+				j := m.job(func(s *wire.JobSpec) { s.Shape, s.Tasks = wire.ShapeBatch, 2+m.rng.IntN(2) }, m.ms(3000, 8000))
 				m.runFor(m.ms(6000, 9000))
 				for _, id := range m.hosts() {
 					for _, p := range m.machines[id].Tasks {
@@ -177,7 +177,7 @@
 			m.rates.delayedCommands = 0.3
 			for range 8 {
 				m.jobs(2, 10*time.Second, 60*time.Second)
-				m.job(func(s *wire.Submission) { s.Shape, s.Priority = wire.ShapeGang, "critical" }, m.ms(5000, 60000))
+				m.job(func(s *wire.JobSpec) { s.Shape, s.Priority = wire.ShapeGang, "critical" }, m.ms(5000, 60000))
 				m.runFor(m.ms(3000, 9000))
 				m.cancelSome(0.25)
 				if m.rng.IntN(4) == 0 {
@@ -251,7 +251,7 @@
 		}},
 		{"one-task jobs come four a second, a quarter of them cancelled", 1, small, func(m *faultScenario) {
 			for range 240 {
-				j := m.job(func(s *wire.Submission) { s.Shape, s.Tasks, s.Gpus, s.Vcpus = wire.ShapeBatch, 1, 0, 1 }, m.ms(1000, 5000))
+				j := m.job(func(s *wire.JobSpec) { s.Shape, s.Tasks, s.Gpus, s.Vcpus = wire.ShapeBatch, 1, 0, 1 }, m.ms(1000, 5000))
 				if m.rng.IntN(4) == 0 {
 					m.clk.In(m.ms(0, 4000), func() { m.cancel(j) })
 				}
--- a/internal/node/fault_scenario_test.go
+++ b/internal/node/fault_scenario_test.go
@@ -17,15 +17,15 @@
 }
 
 // job makes a user submit a random job, changed as a scenario needs it.
-func (m *faultScenario) job(change func(s *wire.Submission), run time.Duration) *standin.Job {
-	s := wire.Submission{ID: fmt.Sprintf("job-%06d", m.n), Team: m.cfg.Facts.Teams[m.rng.IntN(len(m.cfg.Facts.Teams))].Name, Class: "sweep",
+func (m *faultScenario) job(change func(s *wire.JobSpec), run time.Duration) *standin.Job {
+	s := wire.JobSpec{ID: fmt.Sprintf("job-%06d", m.n), Team: m.cfg.Facts.Teams[m.rng.IntN(len(m.cfg.Facts.Teams))].Name, Class: "sweep",
 		Shape: wire.ShapeBatch, Priority: []string{"low", "normal", "high", "critical"}[m.rng.IntN(4)], Tasks: 1 + m.rng.IntN(4),
-		Vcpus: 4, Gpus: 1, MemGb: 20, Bundle: fmt.Sprintf("img-%d", m.rng.IntN(3)), ImageGb: 2, AnyType: true, Spot: m.rng.IntN(2) == 0, GuessS: run.Seconds()}
+		Vcpus: 4, Gpus: 1, MemGb: 20, Image: fmt.Sprintf("img-%d", m.rng.IntN(3)), ImageGb: 2, AnyType: true, Spot: m.rng.IntN(2) == 0, EstimatedRunTimeS: run.Seconds()}
 	if m.rng.IntN(3) == 0 {
 		s.Shape, s.Tasks = wire.ShapeGang, 1+m.rng.IntN(3)
 	}
 	if m.rng.IntN(6) == 0 {
-		s.Class, s.Shape, s.Tasks, s.Gpus, s.Priority, s.GuessS = "serve", wire.ShapeService, 1+m.rng.IntN(3), 0, "critical", 0
+		s.Class, s.Shape, s.Tasks, s.Gpus, s.Priority, s.EstimatedRunTimeS = "serve", wire.ShapeService, 1+m.rng.IntN(3), 0, "critical", 0
 	}
 	if change != nil {
 		change(&s)
--- a/internal/node/faults_test.go
+++ b/internal/node/faults_test.go
@@ -16,12 +16,12 @@
 // steadyTeams, smallType and steadyJob are what steady simulations consist of.
 var (
 	steadyTeams = []config.Team{{Name: "red"}}
-	smallType   = wire.MachineType{Name: "g2", Vcpus: 12, Gpus: 2, MemGb: 96, FetchGbPerS: 1, Price: 5, LowPrice: 2, BootS: 5, Zones: []string{"a"}}
+	smallType   = wire.MachineType{Name: "g2", Vcpus: 12, Gpus: 2, MemGb: 96, FetchGbPerS: 1, Price: 5, SpotPrice: 2, BootTimeS: 5, Zones: []string{"a"}}
 )
 
-func steadyJob(number int) wire.Submission {
-	return wire.Submission{ID: fmt.Sprintf("job-%d", number), Team: "red", Class: "sweep", Shape: wire.ShapeBatch, Priority: "normal", Tasks: 4,
-		Vcpus: 4, Gpus: 1, MemGb: 20, Bundle: "img", ImageGb: 2, AnyType: true, GuessS: 50}
+func steadyJob(number int) wire.JobSpec {
+	return wire.JobSpec{ID: fmt.Sprintf("job-%d", number), Team: "red", Class: "sweep", Shape: wire.ShapeBatch, Priority: "normal", Tasks: 4,
+		Vcpus: 4, Gpus: 1, MemGb: 20, Image: "img", ImageGb: 2, AnyType: true, EstimatedRunTimeS: 50}
 }
 
 // steadySimulation is a deployment without random faults, with work under way.
@@ -89,7 +89,7 @@
 			copies := func() {
 				for i := range 3 {
 					r := *rep
-					r.Seq += uint64(i)
+					r.Sequence += uint64(i)
 					n.core.Report(sim.clk.Now(), &r, func(int, any) {})
 				}
 			}
@@ -122,7 +122,7 @@
 				return
 			}
 			answered := m.Answered
-			rep.Seq += 5
+			rep.Sequence += 5
 			n.core.Report(sim.clk.Now(), rep, func(status int, _ any) {
 				if status == 200 {
 					sim.fail("a report of a session that is over was taken")
@@ -163,8 +163,8 @@
 			n.restoreState()
 		}},
 		{"a cancellation while a holder and the workers are cut off from all the rest", func(sim *simulation) {
-			long := sim.add(wire.Submission{ID: "job-100", Team: "red", Class: "train", Shape: wire.ShapeGang, Priority: "high", Tasks: 2,
-				Vcpus: 4, Gpus: 1, MemGb: 20, Bundle: "img", ImageGb: 2, AnyType: true, GuessS: 300}, 300*time.Second)
+			long := sim.add(wire.JobSpec{ID: "job-100", Team: "red", Class: "train", Shape: wire.ShapeGang, Priority: "high", Tasks: 2,
+				Vcpus: 4, Gpus: 1, MemGb: 20, Image: "img", ImageGb: 2, AnyType: true, EstimatedRunTimeS: 300}, 300*time.Second)
 			sim.runFor(20 * time.Second)
 			if long.Told != wire.JobRunning {
 				sim.fail("%s is %s", long.Spec.ID, long.Told)
@@ -187,8 +187,8 @@
 		}},
 		{"a machine is cut off as the holder crashes: what it may run waits, what was never begun does not", func(sim *simulation) {
 			for i := range 30 {
-				sim.add(wire.Submission{ID: fmt.Sprintf("job-1%02d", i), Team: "red", Class: "sweep", Shape: wire.ShapeBatch, Priority: "low", Tasks: 4,
-					Vcpus: 4, Gpus: 1, MemGb: 20, Bundle: "img", ImageGb: 2, AnyType: true, GuessS: 5}, 5*time.Second)
+				sim.add(wire.JobSpec{ID: fmt.Sprintf("job-1%02d", i), Team: "red", Class: "sweep", Shape: wire.ShapeBatch, Priority: "low", Tasks: 4,
+					Vcpus: 4, Gpus: 1, MemGb: 20, Image: "img", ImageGb: 2, AnyType: true, EstimatedRunTimeS: 5}, 5*time.Second)
 			}
 			sim.runFor(27 * time.Second)
 			var h *machine
@@ -228,8 +228,8 @@
 					n.freezeFor = []time.Duration{400 * time.Millisecond, 3 * time.Second, 6 * time.Second, 28 * time.Second}[i%4]
 					n.freezeAt = []effect{commandEffect, returnEffect, stateEffect, questionEffect, anyEffect}[i%5]
 				}
-				sim.add(wire.Submission{ID: fmt.Sprintf("job-2%02d", i), Team: "red", Class: "train", Shape: wire.ShapeGang, Priority: "high", Tasks: 2,
-					Vcpus: 4, Gpus: 1, MemGb: 20, Bundle: "img", ImageGb: 2, AnyType: true, GuessS: 8}, 8*time.Second)
+				sim.add(wire.JobSpec{ID: fmt.Sprintf("job-2%02d", i), Team: "red", Class: "train", Shape: wire.ShapeGang, Priority: "high", Tasks: 2,
+					Vcpus: 4, Gpus: 1, MemGb: 20, Image: "img", ImageGb: 2, AnyType: true, EstimatedRunTimeS: 8}, 8*time.Second)
 				sim.runFor(time.Duration(1700+900*(i%5)) * time.Millisecond)
 			}
 			sim.runFor(30 * time.Second)
--- a/internal/node/fleet_limits_test.go
+++ b/internal/node/fleet_limits_test.go
@@ -27,7 +27,7 @@
 		arrays, arrayTasks = 60, 260
 		checkEvery         = 2 * time.Second
 	)
-	machineType := wire.MachineType{Name: "g8", Vcpus: 64, Gpus: 8, MemGb: 384, FetchGbPerS: 1, Price: 5, LowPrice: 2, BootS: 8, Zones: []string{"a"}}
+	machineType := wire.MachineType{Name: "g8", Vcpus: 64, Gpus: 8, MemGb: 384, FetchGbPerS: 1, Price: 5, SpotPrice: 2, BootTimeS: 8, Zones: []string{"a"}}
 	cfg := facts([]string{"a"}, []config.Team{{Name: "red", GPUs: 8000, GPUsMax: 30000}, {Name: "free"}}, 5, 26.5)
 	cfg.Facts.State = config.State{RPS: 400, WriteRPS: 40, ValueKB: 8, TxnOps: 16}
 	sim := newSimulation(t, 41, cfg, 1, []wire.MachineType{machineType})
@@ -36,8 +36,8 @@
 	sim.state.Limits = standin.StateLimits{ValueBytes: 8 << 10, TxnOps: 16, Writes: 40, Requests: 400}
 	sim.cloud.Room[standin.RoomKey("g8", "a", false)] = largeFleet
 	for i := range arrays {
-		spec := wire.Submission{ID: fmt.Sprintf("job-%06d", i), Team: []string{"red", "free"}[i%2], Class: "sweep", Shape: wire.ShapeBatch, Priority: "normal",
-			Tasks: arrayTasks, Vcpus: 16, Gpus: 2, MemGb: 90, Bundle: fmt.Sprintf("img-%d", i%12), ImageGb: 2, AnyType: true, GuessS: 90}
+		spec := wire.JobSpec{ID: fmt.Sprintf("job-%06d", i), Team: []string{"red", "free"}[i%2], Class: "sweep", Shape: wire.ShapeBatch, Priority: "normal",
+			Tasks: arrayTasks, Vcpus: 16, Gpus: 2, MemGb: 90, Image: fmt.Sprintf("img-%d", i%12), ImageGb: 2, AnyType: true, EstimatedRunTimeS: 90}
 		sim.add(spec, 80*time.Second)
 	}
 	sim.runFor(70 * time.Second)
--- a/internal/node/formats_test.go
+++ b/internal/node/formats_test.go
@@ -35,17 +35,17 @@
 		{"a block given back", `{"Holder":"","Inc":0,"Baton":4,"Ended":false,"Deaf":"n1"}`, &leader.BlockRec{}, &leader.BlockRec{Token: 4, Unreachable: "n1"}},
 		{"an open job", `{"Spec":{"Id":"job-1","Lane":"train","Crew":"red","Shape":"standing","Rank":"critical","Pieces":3,"Vcpus":2,"Gpus":0,"MemGb":12.8,` +
 			`"Bundle":"img-1","ImageGb":1,"Builds":["g8"],"Yard":"a","Together":true,"Apart":true,"Loaners":true,"GuessS":0,"BookmarkS":5,"StowS":2,"DueS":9},"At":1700000000000,"Block":2}`,
-			&submission.OpenRec{}, &submission.OpenRec{At: 1700000000000, Block: 2, Spec: wire.Submission{ID: "job-1", Class: "train", Team: "red", Shape: wire.ShapeService, Priority: "critical",
-				Tasks: 3, Vcpus: 2, MemGb: 12.8, Bundle: "img-1", ImageGb: 1, Types: []string{"g8"}, Zone: "a", Together: true, Apart: true, Spot: true, BookmarkS: 5, StowS: 2, DueS: 9}}},
+			&submission.OpenRec{}, &submission.OpenRec{At: 1700000000000, Block: 2, Spec: wire.JobSpec{ID: "job-1", Class: "train", Team: "red", Shape: wire.ShapeService, Priority: "critical",
+				Tasks: 3, Vcpus: 2, MemGb: 12.8, Image: "img-1", ImageGb: 1, Types: []string{"g8"}, Zone: "a", SameZone: true, SpreadAcrossZones: true, Spot: true, CheckpointIntervalS: 5, CheckpointSaveTimeS: 2, DeadlineS: 9}}},
 		{"an open job of any type", `{"Spec":{"Id":"job-1","Lane":"l","Crew":"red","Shape":"batch","Rank":"low","Pieces":1,"Vcpus":1,"Gpus":1,"MemGb":1,` +
 			`"Bundle":"i","ImageGb":1,"AnyBuild":true,"GuessS":1,"BookmarkS":0,"StowS":0},"At":5}`,
-			&submission.OpenRec{}, &submission.OpenRec{At: 5, Spec: wire.Submission{ID: "job-1", Class: "l", Team: "red", Shape: wire.ShapeBatch, Priority: "low",
-				Tasks: 1, Vcpus: 1, Gpus: 1, MemGb: 1, Bundle: "i", ImageGb: 1, AnyType: true, GuessS: 1}}},
+			&submission.OpenRec{}, &submission.OpenRec{At: 5, Spec: wire.JobSpec{ID: "job-1", Class: "l", Team: "red", Shape: wire.ShapeBatch, Priority: "low",
+				Tasks: 1, Vcpus: 1, Gpus: 1, MemGb: 1, Image: "i", ImageGb: 1, AnyType: true, EstimatedRunTimeS: 1}}},
 		{"how a job ended", `{"Stage":"done","Done":3}`, &submission.JobRec{}, &submission.JobRec{Stage: "done", Done: 3}},
 		{"a rental request", `{"Build":"g8","Yard":"a","Loaners":true,"Number":2,"Hosts":["i-000001","i-000002"]}`, &fleet.RentalRec{},
 			&fleet.RentalRec{Type: "g8", Zone: "a", Spot: true, Number: 2, Hosts: []string{"i-000001", "i-000002"}}},
 		{"a machine type", `{"Name":"g8","Vcpus":64,"Gpus":8,"MemGb":384,"LocalGb":0,"FetchGbPerS":0.5,"Price":0,"LowPrice":0,"BootS":50,"Yards":["a","b"],"Of":2}`, &fleet.MachineTypeRec{},
-			&fleet.MachineTypeRec{MachineType: wire.MachineType{Name: "g8", Vcpus: 64, Gpus: 8, MemGb: 384, FetchGbPerS: 0.5, BootS: 50, Zones: []string{"a", "b"}}, Of: 2}},
+			&fleet.MachineTypeRec{MachineType: wire.MachineType{Name: "g8", Vcpus: 64, Gpus: 8, MemGb: 384, FetchGbPerS: 0.5, BootTimeS: 50, Zones: []string{"a", "b"}}, Of: 2}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if err := json.Unmarshal([]byte(c.text), c.into); err != nil || !reflect.DeepEqual(c.into, c.want) {
@@ -69,7 +69,7 @@
 	reg := worker.NewRegistry(cfg.Facts.Workers, quiet)
 	board := placement.NewBoard(cfg.Facts, 1, quota.NewBook(nil, 0, 1), reg, nil, quiet, func(time.Time, *placement.Job) {})
 	add := func(id string, tasks int) *placement.Job {
-		return board.AddJob(now, wire.Submission{ID: id, Shape: wire.ShapeBatch, Tasks: tasks}, now, 1, true)
+		return board.AddJob(now, wire.JobSpec{ID: id, Shape: wire.ShapeBatch, Tasks: tasks}, now, 1, true)
 	}
 	for _, c := range []struct {
 		name  string
@@ -80,7 +80,7 @@
 		{"a usual job", 300, 1, true},
 		{"one that fills the entry", 10000, 1, true},
 		{"two parts", 16384, 2, false},
-		{"the largest", wire.MaxTasks, 13, false},
+		{"the largest", wire.MaxTasksPerJob, 13, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			id := "job-" + fmt.Sprint(c.tasks)
@@ -95,25 +95,25 @@
 				}
 				old[fmt.Sprintf("%s/%d", id, first/chunk)] = bits
 			}
-			var items []wire.Item
+			var items []wire.KeyValue
 			for k, bits := range old {
 				raw, _ := json.Marshal(map[string][]byte{k: bits})
-				items = append(items, wire.Item{Path: fmt.Sprintf("t/0/%d", len(items)), Value: raw, Version: uint64(len(items) + 1)})
+				items = append(items, wire.KeyValue{Key: fmt.Sprintf("t/0/%d", len(items)), Value: raw, Version: uint64(len(items) + 1)})
 			}
-			kv := map[string]wire.Item{}
+			kv := map[string]wire.KeyValue{}
 			for _, it := range items {
-				kv[it.Path] = it
+				kv[it.Key] = it
 			}
 			revision := uint64(100)
 			call := func(c store.Call, then func(time.Time, store.Result)) {
 				revision++
 				for _, w := range c.Multi.Writes {
 					if len(w.Value) > limitKB*1024 {
-						t.Errorf("%s is written with %d bytes", w.Write, len(w.Value))
+						t.Errorf("%s is written with %d bytes", w.Put, len(w.Value))
 					}
-					delete(kv, w.Remove)
-					if w.Write != "" {
-						kv[w.Write] = wire.Item{Path: w.Write, Value: w.Value, Version: revision}
+					delete(kv, w.Delete)
+					if w.Put != "" {
+						kv[w.Put] = wire.KeyValue{Key: w.Put, Value: w.Value, Version: revision}
 					}
 				}
 				then(now, store.Result{Status: 200, Revision: revision})
@@ -122,7 +122,7 @@
 				board.CloseJob(now, id, now)
 				j := add(id, c.tasks)
 				tl := newTallies(store.NewPages("t/0/", limitKB, time.Second, store.ClassTally, store.Is("c/b/0", 1), call, quiet, func(time.Time) { t.Error("lost") }), presentKB)
-				var all []wire.Item
+				var all []wire.KeyValue
 				for _, it := range kv {
 					all = append(all, it)
 				}
--- a/internal/node/http.go
+++ b/internal/node/http.go
@@ -128,7 +128,7 @@
 	if !ok {
 		return
 	}
-	spec, err := wire.ParseSubmission(raw)
+	spec, err := wire.ParseJobSpec(raw)
 	if err != nil {
 		r.log.Debug("submission refused", "error", err)
 		answer(w, http.StatusBadRequest, submission.Problem{Error: err.Error()}, 0)
@@ -159,8 +159,8 @@
 	if !ok {
 		return
 	}
-	var rep wire.Report
-	if err := wire.ParseReport(raw, &rep); err != nil || rep.Host == "" || rep.Session == 0 {
+	var rep wire.Heartbeat
+	if err := wire.ParseHeartbeat(raw, &rep); err != nil || rep.Host == "" || rep.Incarnation == 0 {
 		r.log.Debug("report refused", "from", req.RemoteAddr, "error", err)
 		answer(w, http.StatusBadRequest, submission.Problem{Error: "not a report"}, 0)
 		return
@@ -216,7 +216,7 @@
 }
 
 // direct sends a command straight to a worker.
-func direct(ctx context.Context, client *http.Client, addr string, d wire.Do) (int, *wire.Report) {
+func direct(ctx context.Context, client *http.Client, addr string, d wire.DirectCommands) (int, *wire.Heartbeat) {
 	raw, err := json.Marshal(d)
 	if err != nil {
 		return 0, nil
@@ -231,7 +231,7 @@
 		return 0, nil
 	}
 	defer resp.Body.Close()
-	var rep wire.Report
+	var rep wire.Heartbeat
 	if err := json.NewDecoder(io.LimitReader(resp.Body, tuning.WorkerAnswerBytes)).Decode(&rep); err != nil {
 		return 0, nil
 	}
--- a/internal/node/loading.go
+++ b/internal/node/loading.go
@@ -18,7 +18,7 @@
 
 // records are what a tenure reads of its block before it begins to act.
 type records struct {
-	tallies, used, begun, duties []wire.Item
+	tallies, used, begun, duties []wire.KeyValue
 	reading                      int // reads that are still under way
 }
 
@@ -49,7 +49,7 @@
 }
 
 // list reads all keys under a prefix.
-func (t *tenure) list(now time.Time, under, after string, into *[]wire.Item) {
+func (t *tenure) list(now time.Time, under, after string, into *[]wire.KeyValue) {
 	t.call(store.Call{Op: store.OpList, Class: store.ClassLease, Under: under, After: after, Page: tuning.ListPage}, func(now time.Time, r store.Result) {
 		if !r.OK() {
 			t.c.later(now, tuning.MirrorRetry, func(now time.Time) {
@@ -61,7 +61,7 @@
 		}
 		*into = append(*into, r.Items...)
 		if n := len(r.Items); r.More && n > 0 {
-			t.list(now, under, r.Items[n-1].Path, into)
+			t.list(now, under, r.Items[n-1].Key, into)
 			return
 		}
 		t.readOne(now)
@@ -77,9 +77,9 @@
 
 // takeOver enters what earlier tenures wrote down and goes on to fencing.
 func (t *tenure) takeOver(now time.Time) {
-	t.c.open.Each(func(it wire.Item) { t.jobChanged(now, it, false) })
-	t.c.rentals.Each(func(it wire.Item) {
-		if strings.HasPrefix(it.Path, fleet.Rentals(t.Block)) {
+	t.c.open.Each(func(it wire.KeyValue) { t.jobChanged(now, it, false) })
+	t.c.rentals.Each(func(it wire.KeyValue) {
+		if strings.HasPrefix(it.Key, fleet.Rentals(t.Block)) {
 			t.fleet.Load(now, it)
 		}
 	})
@@ -117,8 +117,8 @@
 }
 
 // jobChanged takes note of an open job's entry, or of its end.
-func (t *tenure) jobChanged(now time.Time, it wire.Item, gone bool) {
-	id := strings.TrimPrefix(it.Path, submission.OpenUnder)
+func (t *tenure) jobChanged(now time.Time, it wire.KeyValue, gone bool) {
+	id := strings.TrimPrefix(it.Key, submission.OpenUnder)
 	if gone {
 		t.board.SetUnreadable(id, false)
 		if t.board.Job(id) != nil {
@@ -130,7 +130,7 @@
 	rec, err := submission.ReadOpen(it)
 	t.board.SetUnreadable(id, err != nil && !off)
 	if err != nil {
-		t.log.Error("job entry cannot be read", "key", it.Path, "error", err)
+		t.log.Error("job entry cannot be read", "key", it.Key, "error", err)
 		return
 	}
 	if off || rec.Block != t.Block {
--- a/internal/node/outcomes.go
+++ b/internal/node/outcomes.go
@@ -92,8 +92,8 @@
 func (o *outcomes) end(j *placement.Job) {
 	id, t := j.Spec.ID, o.t
 	o.ending[id] = true
-	t.call(store.Call{Op: store.OpMulti, Class: store.ClassFinal, Multi: wire.Multi{
-		When: []wire.Cond{t.cond(), store.Is(submission.OpenKey(id), j.Version)},
+	t.call(store.Call{Op: store.OpMulti, Class: store.ClassFinal, Multi: wire.Transaction{
+		Compares: []wire.Compare{t.cond(), store.Is(submission.OpenKey(id), j.Version)},
 		Writes: []wire.Write{
 			store.Put(submission.JobKey(id), submission.JobRec{Stage: wire.JobDone, Done: j.Spec.Tasks}, 0),
 			store.Remove(submission.OpenKey(id)),
--- a/internal/node/outcomes_test.go
+++ b/internal/node/outcomes_test.go
@@ -14,10 +14,10 @@
 // important job's end must not wait behind hundreds of others that completed before it.
 func TestOrderOfEnds(t *testing.T) {
 	now := time.Unix(1000, 0)
-	board, _ := tallyBoard(wire.Submission{ID: "job-9", Shape: wire.ShapeBatch, Tasks: 1})
+	board, _ := tallyBoard(wire.JobSpec{ID: "job-9", Shape: wire.ShapeBatch, Tasks: 1})
 	o := newOutcomes(nil, nil)
 	add := func(id, priority string, ago time.Duration) {
-		j := board.AddJob(now, wire.Submission{ID: id, Shape: wire.ShapeBatch, Priority: priority, Tasks: 1}, now, 1, false)
+		j := board.AddJob(now, wire.JobSpec{ID: id, Shape: wire.ShapeBatch, Priority: priority, Tasks: 1}, now, 1, false)
 		j.Recover(0)
 		o.taskCompleted(now.Add(-ago), j)
 	}
--- a/internal/node/random_faults_test.go
+++ b/internal/node/random_faults_test.go
@@ -26,10 +26,10 @@
 func TestRandomDays(t *testing.T) {
 	small := []config.Team{{Name: "red", GPUs: 4, GPUsMax: 10}, {Name: "blue", GPUs: 6, GPUsMax: 12}, {Name: "free"}}
 	wide := []config.Team{{Name: "red", GPUs: 80, GPUsMax: 200}, {Name: "blue", GPUs: 120, GPUsMax: 240}, {Name: "free"}}
-	one := []wire.MachineType{{Name: "g2", Vcpus: 12, Gpus: 2, MemGb: 96, FetchGbPerS: 1, Price: 5, LowPrice: 2, BootS: 5, Zones: []string{"a"}}}
+	one := []wire.MachineType{{Name: "g2", Vcpus: 12, Gpus: 2, MemGb: 96, FetchGbPerS: 1, Price: 5, SpotPrice: 2, BootTimeS: 5, Zones: []string{"a"}}}
 	two := []wire.MachineType{
-		{Name: "g4", Vcpus: 16, Gpus: 4, MemGb: 128, FetchGbPerS: 1, Price: 9, LowPrice: 4, BootS: 5, Zones: []string{"a", "b"}},
-		{Name: "c8", Vcpus: 8, Gpus: 0, MemGb: 32, FetchGbPerS: 1, Price: 2, LowPrice: 1, BootS: 4, Zones: []string{"b"}},
+		{Name: "g4", Vcpus: 16, Gpus: 4, MemGb: 128, FetchGbPerS: 1, Price: 9, SpotPrice: 4, BootTimeS: 5, Zones: []string{"a", "b"}},
+		{Name: "c8", Vcpus: 8, Gpus: 0, MemGb: 32, FetchGbPerS: 1, Price: 2, SpotPrice: 1, BootTimeS: 4, Zones: []string{"b"}},
 	}
 	for _, day := range []struct {
 		name         string
@@ -150,12 +150,12 @@
 // randomJob makes a user submit a random job, and now and then cancel it.
 func randomJob(sim *simulation, i int, zones []string, machineTypes []wire.MachineType) {
 	team := sim.cfg.Facts.Teams[sim.rng.IntN(len(sim.cfg.Facts.Teams))].Name
-	s := wire.Submission{ID: fmt.Sprintf("job-%06d", i), Team: team, Class: "sweep", Shape: wire.ShapeBatch,
+	s := wire.JobSpec{ID: fmt.Sprintf("job-%06d", i), Team: team, Class: "sweep", Shape: wire.ShapeBatch,
 		Priority: []string{"low", "normal", "high", "critical"}[sim.rng.IntN(4)], Tasks: 1 + sim.rng.IntN(8),
-		Vcpus: 4, Gpus: 1, MemGb: 20, Bundle: fmt.Sprintf("img-%d", sim.rng.IntN(4)), ImageGb: 2, AnyType: true,
-		Spot: sim.rng.IntN(3) > 0, GuessS: 10}
+		Vcpus: 4, Gpus: 1, MemGb: 20, Image: fmt.Sprintf("img-%d", sim.rng.IntN(4)), ImageGb: 2, AnyType: true,
+		Spot: sim.rng.IntN(3) > 0, EstimatedRunTimeS: 10}
 	if sim.rng.IntN(3) == 0 {
-		s.BookmarkS, s.StowS = 2, 1
+		s.CheckpointIntervalS, s.CheckpointSaveTimeS = 2, 1
 	}
 	if sim.rng.IntN(3) == 0 {
 		s.Class, s.Shape, s.Tasks = "train", wire.ShapeGang, 1+sim.rng.IntN(5)
@@ -172,9 +172,9 @@
 	}
 	switch sim.rng.IntN(6) {
 	case 0:
-		s.Together = true
+		s.SameZone = true
 	case 1:
-		s.Apart = s.Shape == wire.ShapeBatch || len(zones) > 1 && s.AnyType && s.Gpus > 0
+		s.SpreadAcrossZones = s.Shape == wire.ShapeBatch || len(zones) > 1 && s.AnyType && s.Gpus > 0
 	case 2:
 		s.Zone = zones[sim.rng.IntN(len(zones))]
 		if !s.AnyType && s.Types[0] == "c8" {
--- a/internal/node/routing.go
+++ b/internal/node/routing.go
@@ -23,7 +23,7 @@
 }
 
 // rentalChanged takes note of a rental's record.
-func (c *Core) rentalChanged(_ time.Time, _ string, it wire.Item, gone bool) {
+func (c *Core) rentalChanged(_ time.Time, _ string, it wire.KeyValue, gone bool) {
 	block, hosts := fleet.Named(it)
 	for _, h := range hosts {
 		if gone {
@@ -48,7 +48,7 @@
 		return b != block
 	}
 	waiting := false
-	c.rentals.Each(func(it wire.Item) {
+	c.rentals.Each(func(it wire.KeyValue) {
 		b, hosts := fleet.Named(it)
 		waiting = waiting || b != block && len(hosts) == 0
 	})
@@ -73,5 +73,5 @@
 	if !live || holder == c.cfg.Member {
 		holder = ""
 	}
-	reply(http.StatusMisdirectedRequest, wire.Redirect{ReportsTo: holder})
+	reply(http.StatusMisdirectedRequest, wire.Redirect{Member: holder})
 }
--- a/internal/node/runtime.go
+++ b/internal/node/runtime.go
@@ -294,7 +294,7 @@
 }
 
 // Do is part of Env.
-func (r *Runtime) Do(addr string, d wire.Do, by time.Time, then func(now time.Time, status int, rep *wire.Report)) {
+func (r *Runtime) Do(addr string, d wire.DirectCommands, by time.Time, then func(now time.Time, status int, rep *wire.Heartbeat)) {
 	go func() {
 		// a fifth of the machines may hang when a takeover asks them all: what
 		// starts tasks does not wait behind that
--- a/internal/node/runtime_test.go
+++ b/internal/node/runtime_test.go
@@ -43,7 +43,7 @@
 	written := 0
 	for class := range store.Classes {
 		for range 3 * tuning.StateWrites {
-			r.State(store.Call{Op: store.OpMulti, Class: store.Class(class), Multi: wire.Multi{Writes: []wire.Write{store.Remove("a")}}},
+			r.State(store.Call{Op: store.OpMulti, Class: store.Class(class), Multi: wire.Transaction{Writes: []wire.Write{store.Remove("a")}}},
 				func(time.Time, store.Result) { written++ })
 		}
 	}
@@ -76,12 +76,12 @@
 	later := time.Now().Add(time.Hour)
 	hung := 0
 	for range 2 * r.pools.do {
-		r.Do(hangs.Addr().String(), wire.Do{Commands: []wire.Command{}}, later, func(time.Time, int, *wire.Report) { hung++ })
+		r.Do(hangs.Addr().String(), wire.DirectCommands{Commands: []wire.Command{}}, later, func(time.Time, int, *wire.Heartbeat) { hung++ })
 	}
 	status := map[string]int{}
 	for name, by := range map[string]time.Time{"in time": later, "too late": time.Now()} {
-		r.Do(srv.Listener.Addr().String(), wire.Do{Commands: []wire.Command{{Verb: wire.VerbRun, Task: name}}}, by,
-			func(_ time.Time, s int, _ *wire.Report) { status[name] = s })
+		r.Do(srv.Listener.Addr().String(), wire.DirectCommands{Commands: []wire.Command{{Verb: wire.VerbRun, Task: name}}}, by,
+			func(_ time.Time, s int, _ *wire.Heartbeat) { status[name] = s })
 	}
 	for len(status) < 2 {
 		(<-r.events)(time.Now())
@@ -131,7 +131,7 @@
 		(<-r.events)(r.clock.Now())
 	}
 	command := func() {
-		r.Do(address, wire.Do{Commands: []wire.Command{{Verb: wire.VerbRun}}}, deadline, func(_ time.Time, status int, _ *wire.Report) { answered["worker"] = status })
+		r.Do(address, wire.DirectCommands{Commands: []wire.Command{{Verb: wire.VerbRun}}}, deadline, func(_ time.Time, status int, _ *wire.Heartbeat) { answered["worker"] = status })
 		(<-r.events)(r.clock.Now())
 	}
 	call()
@@ -161,8 +161,8 @@
 	held := &heldState{}
 	core := NewCore(cfg, Options{Blocks: 2}, held, rand.New(rand.NewPCG(1, 1)), func() time.Time { return now }, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	core.rentals.Tick(now)
-	held.then(now, store.Result{Status: 200, Sent: now, Revision: 5, Items: []wire.Item{
-		{Path: "h/1/b1-2-1", Value: []byte(`{"Number":1,"Hosts":["i-1"]}`), Version: 4}}})
+	held.then(now, store.Result{Status: 200, Sent: now, Revision: 5, Items: []wire.KeyValue{
+		{Key: "h/1/b1-2-1", Value: []byte(`{"Number":1,"Hosts":["i-1"]}`), Version: 4}}})
 	for _, c := range []struct {
 		name, host string
 		there      time.Time
--- a/internal/node/simulation_checks_test.go
+++ b/internal/node/simulation_checks_test.go
@@ -34,7 +34,7 @@
 		sim.fail("%s: horizon %v ahead of its clock", n.name, at.Sub(now))
 	}
 	for _, j := range sim.cluster.Order {
-		if j.Told == wire.JobWithdrawn && j.CancelledAt.Before(at) && t.board.Job(j.Spec.ID) != nil {
+		if j.Told == wire.JobCancelled && j.CancelledAt.Before(at) && t.board.Job(j.Spec.ID) != nil {
 			sim.fail("%s does not know that %s was cancelled at %v, with its horizon at %v",
 				n.name, j.Spec.ID, j.CancelledAt.Sub(standin.Epoch), at.Sub(standin.Epoch))
 		}
@@ -76,7 +76,7 @@
 	for _, o := range commands {
 		id, _, _ := wire.ParseTask(o.Task)
 		j := sim.cluster.Jobs[id]
-		if o.Verb != wire.VerbRun || j == nil || j.Told != wire.JobWithdrawn {
+		if o.Verb != wire.VerbRun || j == nil || j.Told != wire.JobCancelled {
 			continue
 		}
 		if since := sim.clk.Now().Sub(j.CancelledAt); since > mostWithoutNews {
--- a/internal/node/simulation_env_test.go
+++ b/internal/node/simulation_env_test.go
@@ -96,7 +96,7 @@
 	limits := e.node.core.cfg.Facts.State.Stored()
 	for _, x := range c.Multi.Writes {
 		if len(x.Value) > int(limits.ValueKB*1024) || len(c.Multi.Writes) > limits.TxnOps {
-			sim.fail("%s writes %s with %d bytes, %d changes at once", e.node.name, x.Write, len(x.Value), len(c.Multi.Writes))
+			sim.fail("%s writes %s with %d bytes, %d changes at once", e.node.name, x.Put, len(x.Value), len(c.Multi.Writes))
 		}
 	}
 }
@@ -201,7 +201,7 @@
 }
 
 // Do is part of Env.
-func (e *simulatedEnv) Do(addr string, d wire.Do, by time.Time, then func(now time.Time, status int, rep *wire.Report)) {
+func (e *simulatedEnv) Do(addr string, d wire.DirectCommands, by time.Time, then func(now time.Time, status int, rep *wire.Heartbeat)) {
 	at := questionEffect
 	if len(d.Commands) > 0 {
 		at = commandEffect
@@ -212,7 +212,7 @@
 	sim := e.node.sim
 	sim.recordCommand(e.node.name, addr, d, by)
 	over := false
-	finish := func(status int, rep *wire.Report) {
+	finish := func(status int, rep *wire.Heartbeat) {
 		if !over && e.live() {
 			over = true
 			e.node.whenRunning(func() { then(sim.clk.Now(), status, rep) })
@@ -251,7 +251,7 @@
 }
 
 // commandArrives executes a direct command that has reached its machine.
-func (e *simulatedEnv) commandArrives(m *machine, d wire.Do, there, back time.Duration, finish func(int, *wire.Report)) {
+func (e *simulatedEnv) commandArrives(m *machine, d wire.DirectCommands, there, back time.Duration, finish func(int, *wire.Heartbeat)) {
 	sim := e.node.sim
 	if m.Dead {
 		return
--- a/internal/node/simulation_network_test.go
+++ b/internal/node/simulation_network_test.go
@@ -49,25 +49,25 @@
 }
 
 // Send is part of standin.Network.
-func (sim *simulation) Send(w *standin.Worker, node int, report *wire.Report, answer standin.AnswerFunc) {
+func (sim *simulation) Send(w *standin.Worker, node int, report *wire.Heartbeat, answer standin.AnswerFunc) {
 	m, n := sim.machines[w.Host.ID], sim.nodes[node]
 	if m.outboundCut {
-		answer(0, wire.Commands{}, "") // no connection can be made
+		answer(0, wire.HeartbeatResponse{}, "") // no connection can be made
 		return
 	}
 	reply := func(status int, body any) {
 		sim.recordWorkerAnswer(n.name, w.Host.ID, status, body)
-		commands, _ := body.(wire.Commands)
+		commands, _ := body.(wire.HeartbeatResponse)
 		redirect, _ := body.(wire.Redirect)
 		sim.checkCommands(n, commands.Commands)
 		if !m.inboundCut {
-			sim.deliver(m, n, func() { answer(status, commands, redirect.ReportsTo) })
+			sim.deliver(m, n, func() { answer(status, commands, redirect.Member) })
 		}
 	}
 	sim.deliver(m, n, func() {
 		if !n.alive {
 			if !m.inboundCut {
-				answer(0, wire.Commands{}, "")
+				answer(0, wire.HeartbeatResponse{}, "")
 			}
 			return
 		}
@@ -77,7 +77,7 @@
 }
 
 // copyReports makes copies of a report, for late and for the next leader.
-func (sim *simulation) copyReports(report *wire.Report) {
+func (sim *simulation) copyReports(report *wire.Heartbeat) {
 	const mostHeld = 100
 	if sim.chaos && sim.rng.IntN(50) == 0 || sim.rng.Float64() < sim.rates.lateReports {
 		sim.deliverLate(report)
@@ -87,7 +87,7 @@
 	}
 }
 
-func copyOf(report *wire.Report) *wire.Report {
+func copyOf(report *wire.Heartbeat) *wire.Heartbeat {
 	copied := *report
 	copied.Tasks = slices.Clone(report.Tasks)
 	return &copied
@@ -95,13 +95,13 @@
 
 // deliverLate delivers a copy of a report to some node, seconds to well over a lease
 // later, wherever the machine is by then.
-func (sim *simulation) deliverLate(report *wire.Report) {
+func (sim *simulation) deliverLate(report *wire.Heartbeat) {
 	n, copied := sim.nodes[sim.rng.IntN(len(sim.nodes))], copyOf(report)
 	sim.clk.In(time.Duration(500+sim.rng.IntN(40000))*time.Millisecond, func() { sim.deliverCopy(n, copied) })
 }
 
 // deliverCopy delivers a report whose answer nobody gets.
-func (sim *simulation) deliverCopy(n *simulatedNode, report *wire.Report) {
+func (sim *simulation) deliverCopy(n *simulatedNode, report *wire.Heartbeat) {
 	if n.alive {
 		n.whenRunning(func() {
 			n.core.Report(sim.clk.Now(), report, func(status int, body any) {
--- a/internal/node/simulation_test.go
+++ b/internal/node/simulation_test.go
@@ -51,8 +51,8 @@
 	horizonsChecked time.Time
 	idleSince       map[*standin.Job]time.Time // of jobs that could start and have no task anywhere
 	oddRequests     int
-	heldReports     []*wire.Report // copies of reports, for the next leader
-	highestToken    uint64         // seen in a tenure
+	heldReports     []*wire.Heartbeat // copies of reports, for the next leader
+	highestToken    uint64            // seen in a tenure
 }
 
 // faultRates are the shares of messages to which something happens, besides chaos.
@@ -115,7 +115,7 @@
 	f := sim.cloud.MachineTypes[slices.IndexFunc(sim.cloud.MachineTypes, func(f wire.MachineType) bool { return f.Name == h.Type })]
 	m := &machine{}
 	sim.machines[h.ID] = m
-	m.Worker = sim.cluster.AddWorker(h.Host, quota.Room{CPUs: f.Vcpus, GPUs: f.Gpus, MemGB: f.MemGb})
+	m.Worker = sim.cluster.AddWorker(h.Machine, quota.Room{CPUs: f.Vcpus, GPUs: f.Gpus, MemGB: f.MemGb})
 	m.Faulty = sim.rng.Float64() < faultyShare
 }
 
--- a/internal/node/simulation_users_test.go
+++ b/internal/node/simulation_users_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-func (sim *simulation) submission(spec wire.Submission) request {
+func (sim *simulation) submission(spec wire.JobSpec) request {
 	return func(n *simulatedNode, reply func(submission.Response)) {
 		n.core.Users().Submit(sim.clk.Now(), spec, reply)
 	}
@@ -56,9 +56,9 @@
 func stageOf(r submission.Response) string {
 	switch b := r.Body.(type) {
 	case wire.JobState:
-		return b.Stage
-	case wire.Accepted:
-		return b.Stage
+		return b.State
+	case wire.JobAccepted:
+		return b.State
 	}
 	return ""
 }
@@ -81,7 +81,7 @@
 }
 
 // add makes a user submit a job and ask about it until the end of the test.
-func (sim *simulation) add(spec wire.Submission, run time.Duration) *standin.Job {
+func (sim *simulation) add(spec wire.JobSpec, run time.Duration) *standin.Job {
 	j := standin.NewJob(spec, run)
 	sim.cluster.AddJob(j)
 	sim.submit(j)
@@ -195,8 +195,8 @@
 }
 
 // impossible is a job that can never run.
-func (sim *simulation) impossible(id string) wire.Submission {
-	s := wire.Submission{ID: id, Team: "red", Class: "sweep", Shape: wire.ShapeGang, Priority: "low", Tasks: 1, Vcpus: 1, Gpus: 1, MemGb: 1, Bundle: "img", AnyType: true}
+func (sim *simulation) impossible(id string) wire.JobSpec {
+	s := wire.JobSpec{ID: id, Team: "red", Class: "sweep", Shape: wire.ShapeGang, Priority: "low", Tasks: 1, Vcpus: 1, Gpus: 1, MemGb: 1, Image: "img", AnyType: true}
 	switch sim.rng.IntN(4) {
 	case 0:
 		s.Team = "nobody"
--- a/internal/node/takeover_test.go
+++ b/internal/node/takeover_test.go
@@ -27,14 +27,14 @@
 func benchmarkTakeover(b *testing.B, machines, jobs int) {
 	const perHire = 50
 	for range b.N {
-		machineTypes := []wire.MachineType{{Name: "g8", Vcpus: 64, Gpus: 8, MemGb: 384, FetchGbPerS: 1, Price: 5, LowPrice: 2, BootS: 50, Zones: []string{"a"}}}
+		machineTypes := []wire.MachineType{{Name: "g8", Vcpus: 64, Gpus: 8, MemGb: 384, FetchGbPerS: 1, Price: 5, SpotPrice: 2, BootTimeS: 50, Zones: []string{"a"}}}
 		cfg := facts([]string{"a"}, []config.Team{{Name: "red"}}, 4, 18)
 		cfg.Facts.State.ValueKB = 8
 		sim := newSimulation(nil, 5, cfg, 1, machineTypes)
 		put := func(key string, value any) {
 			raw, _ := json.Marshal(value)
 			sim.state.Revision++
-			sim.state.Keys[key] = wire.Item{Path: key, Value: raw, Version: sim.state.Revision}
+			sim.state.Keys[key] = wire.KeyValue{Key: key, Value: raw, Version: sim.state.Revision}
 		}
 		var names []string
 		used := map[string]string{}
@@ -42,8 +42,8 @@
 			id := fmt.Sprintf("i-%06d", i)
 			names = append(names, id)
 			used[id] = "addr-" + id
-			host := wire.Host{ID: id, Address: "addr-" + id, Type: "g8", Zone: "a", Stage: wire.HostRunning}
-			sim.cloud.Hosts[id] = &standin.CloudHost{Born: sim.clk.Now(), Host: host}
+			host := wire.Machine{ID: id, Address: "addr-" + id, Type: "g8", Zone: "a", State: wire.MachineRunning}
+			sim.cloud.Hosts[id] = &standin.CloudHost{Born: sim.clk.Now(), Machine: host}
 			sim.booted(sim.cloud.Hosts[id])
 			if len(names) == perHire {
 				put(fmt.Sprintf("%sb0-0-%d", fleet.Rentals(0), i), fleet.RentalRec{Type: "g8", Zone: "a", Number: perHire, Hosts: names})
@@ -57,8 +57,8 @@
 		sim.cloud.Created = machines
 		for i := range jobs {
 			id := fmt.Sprintf("job-%06d", i)
-			s := wire.Submission{ID: id, Team: "red", Class: "sweep", Shape: wire.ShapeBatch, Priority: "low", Tasks: 60,
-				Vcpus: 6, Gpus: 1, MemGb: 36, Bundle: fmt.Sprintf("img-%d", i%12), ImageGb: 2, AnyType: true, GuessS: 30}
+			s := wire.JobSpec{ID: id, Team: "red", Class: "sweep", Shape: wire.ShapeBatch, Priority: "low", Tasks: 60,
+				Vcpus: 6, Gpus: 1, MemGb: 36, Image: fmt.Sprintf("img-%d", i%12), ImageGb: 2, AnyType: true, EstimatedRunTimeS: 30}
 			if i%2 == 0 {
 				s.Shape, s.Priority, s.Tasks, s.Vcpus, s.Gpus, s.MemGb = wire.ShapeGang, "normal", 4, 57, 8, 310
 			}
--- a/internal/node/tally.go
+++ b/internal/node/tally.go
@@ -81,7 +81,7 @@
 		return n, err == nil && n >= 0
 	}
 	n, err := strconv.Atoi(num)
-	return n * t.chunk, err == nil && n >= 0 && n <= wire.MaxTasks
+	return n * t.chunk, err == nil && n >= 0 && n <= wire.MaxTasksPerJob
 }
 
 // put enters an entry in its page; then is told once it is durable.
@@ -98,7 +98,7 @@
 }
 
 // load takes over what an earlier tenure wrote; job finds an open job.
-func (t *tallies) load(items []wire.Item, job func(id string) *placement.Job) {
+func (t *tallies) load(items []wire.KeyValue, job func(id string) *placement.Job) {
 	t.pages.Load(items, func(key string, raw json.RawMessage) {
 		id, num, _ := strings.Cut(key, "/")
 		first, ok := t.first(num)
--- a/internal/node/tally_test.go
+++ b/internal/node/tally_test.go
@@ -21,7 +21,7 @@
 	t        *testing.T
 	now      time.Time
 	limit    int
-	keys     map[string]wire.Item
+	keys     map[string]wire.KeyValue
 	revision uint64
 	refused  map[string]int
 }
@@ -29,16 +29,16 @@
 func (s *tallyStore) call(c store.Call, then func(time.Time, store.Result)) {
 	for _, w := range c.Multi.Writes {
 		if len(w.Value) > s.limit {
-			s.refused[w.Write+string(w.Value)]++
+			s.refused[w.Put+string(w.Value)]++
 			then(s.now, store.Result{Status: 400})
 			return
 		}
 	}
 	s.revision++
 	for _, w := range c.Multi.Writes {
-		delete(s.keys, w.Remove)
-		if w.Write != "" {
-			s.keys[w.Write] = wire.Item{Path: w.Write, Value: w.Value, Version: s.revision}
+		delete(s.keys, w.Delete)
+		if w.Put != "" {
+			s.keys[w.Put] = wire.KeyValue{Key: w.Put, Value: w.Value, Version: s.revision}
 		}
 	}
 	then(s.now, store.Result{Status: 200, Revision: s.revision})
@@ -50,7 +50,7 @@
 	for _, it := range s.keys {
 		page := map[string]json.RawMessage{}
 		if json.Unmarshal(it.Value, &page) != nil {
-			s.t.Errorf("%s cannot be read", it.Path)
+			s.t.Errorf("%s cannot be read", it.Key)
 		}
 		for k := range page {
 			all[k] = true
@@ -63,13 +63,13 @@
 func reportDone(board *placement.Board, j *placement.Job, nth int) {
 	m := &worker.Machine{Host: "i-1", State: worker.Up, Images: map[string]time.Time{}}
 	for n := 0; n < j.Spec.Tasks; n += nth {
-		m.Tasks = append(m.Tasks, wire.Task{Task: wire.TaskName(j.Spec.ID, n), Attempt: 1, Stage: wire.TaskExited, Cause: wire.CauseDone})
+		m.Tasks = append(m.Tasks, wire.TaskStatus{Name: wire.TaskName(j.Spec.ID, n), Attempt: 1, State: wire.TaskExited, ExitReason: wire.ExitDone})
 	}
 	board.Reported(time.Unix(0, 0), m, worker.Fresh, true)
 }
 
 // tallyBoard is a board with one job.
-func tallyBoard(spec wire.Submission) (*placement.Board, *placement.Job) {
+func tallyBoard(spec wire.JobSpec) (*placement.Board, *placement.Job) {
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
 	cfg := facts([]string{"a"}, nil, 1.5, 10)
 	reg := worker.NewRegistry(cfg.Facts.Workers, quiet)
@@ -94,8 +94,8 @@
 		{"a limit that nobody announced", 10056, 1024, []string{"job-1/@0", "job-1/@4680", "job-1/@9360"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			spec := wire.Submission{ID: "job-1", Shape: wire.ShapeBatch, Tasks: c.tasks}
-			s := &tallyStore{t: t, now: time.Unix(100, 0), limit: c.limit, keys: map[string]wire.Item{}, refused: map[string]int{}}
+			spec := wire.JobSpec{ID: "job-1", Shape: wire.ShapeBatch, Tasks: c.tasks}
+			s := &tallyStore{t: t, now: time.Unix(100, 0), limit: c.limit, keys: map[string]wire.KeyValue{}, refused: map[string]int{}}
 			newTenure := func() (*tallies, *placement.Board, *placement.Job) {
 				board, j := tallyBoard(spec)
 				pages := store.NewPages("t/0/", 2, time.Second, store.ClassTally, store.Is("c/b/0", 1), s.call,
--- a/internal/node/tenure.go
+++ b/internal/node/tenure.go
@@ -101,7 +101,7 @@
 }
 
 // cond is the condition of every write: the block's record is as this tenure began.
-func (t *tenure) cond() wire.Cond { return store.Is(leader.BlockKey(t.Block), t.Version) }
+func (t *tenure) cond() wire.Compare { return store.Is(leader.BlockKey(t.Block), t.Version) }
 
 // call passes a call on and drops its answer once the tenure is over.
 func (t *tenure) call(c store.Call, then func(time.Time, store.Result)) {
--- a/internal/node/tenure_reports.go
+++ b/internal/node/tenure_reports.go
@@ -14,7 +14,7 @@
 )
 
 // absorb takes in a machine's account of itself and tells whether it was news.
-func (t *tenure) absorb(now time.Time, m *worker.Machine, rep *wire.Report, checkin bool) bool {
+func (t *tenure) absorb(now time.Time, m *worker.Machine, rep *wire.Heartbeat, checkin bool) bool {
 	v := t.reg.Absorb(now, m, rep, checkin)
 	if v == worker.Stale {
 		return false
@@ -30,7 +30,7 @@
 }
 
 // Report answers a worker's report.
-func (t *tenure) Report(now time.Time, rep *wire.Report, reply func(status int, body any)) {
+func (t *tenure) Report(now time.Time, rep *wire.Heartbeat, reply func(status int, body any)) {
 	if rep.Token > t.Token {
 		// A machine that this block does not have may belong to another one
 		// whose record of it has not arrived here yet.
@@ -45,7 +45,7 @@
 		reply(http.StatusServiceUnavailable, submission.Problem{Error: err.Error()})
 		return
 	}
-	reply(http.StatusOK, wire.Commands{Token: t.Token, Commands: commands})
+	reply(http.StatusOK, wire.HeartbeatResponse{Token: t.Token, Commands: commands})
 	if rep.Token == t.Token && t.c.leader.Entitled(now) {
 		t.sendUrgent(now)
 	}
@@ -61,7 +61,7 @@
 
 // answerReport takes a report in and gives the commands of its answer, which renews the
 // worker's lease.
-func (t *tenure) answerReport(now time.Time, rep *wire.Report) ([]wire.Command, error) {
+func (t *tenure) answerReport(now time.Time, rep *wire.Heartbeat) ([]wire.Command, error) {
 	if now.After(t.knows(now).Add(t.renewBound())) {
 		// A worker's lease counts from when it sent its report: however late this
 		// answer is, no lease that it renews ends later than one renewed now.
@@ -108,7 +108,7 @@
 // answerBeforeToken answers a machine that has not seen this tenure's token. What it says
 // may be minutes old, a copy from a machine long gone: nothing is concluded from it. If it
 // is there, the answer renews its lease and it reports again at once.
-func (t *tenure) answerBeforeToken(now time.Time, rep *wire.Report) ([]wire.Command, error) {
+func (t *tenure) answerBeforeToken(now time.Time, rep *wire.Heartbeat) ([]wire.Command, error) {
 	if m := t.reg.Get(rep.Host); m != nil {
 		if !m.Glimpse(rep) {
 			return nil, errStaleReport
@@ -128,10 +128,10 @@
 // unread tells whether a report shows a task of a job that this node has not read as
 // open. While the records are being read it cannot be stopped, so its lease is not
 // renewed: the job may have been called off long ago.
-func (t *tenure) unread(rep *wire.Report) bool {
-	return slices.ContainsFunc(rep.Tasks, func(p wire.Task) bool {
-		id, _, ok := wire.ParseTask(p.Task)
-		if !ok || p.Stage == wire.TaskExited {
+func (t *tenure) unread(rep *wire.Heartbeat) bool {
+	return slices.ContainsFunc(rep.Tasks, func(p wire.TaskStatus) bool {
+		id, _, ok := wire.ParseTask(p.Name)
+		if !ok || p.State == wire.TaskExited {
 			return false
 		}
 		_, open := t.c.open.Get(submission.OpenKey(id))
--- a/internal/node/unreadable_test.go
+++ b/internal/node/unreadable_test.go
@@ -147,7 +147,7 @@
 		sim.state.OnCall = func(c store.Call, status int) {
 			for _, w := range c.Multi.Writes {
 				if status == 400 && w.Lease == 0 {
-					refused[w.Write+string(w.Value)]++
+					refused[w.Put+string(w.Value)]++
 				}
 			}
 		}
--- a/internal/placement/array.go
+++ b/internal/placement/array.go
@@ -55,7 +55,7 @@
 // fits tells whether one more task may be queued at a machine.
 func (d *arrayDraw) fits(m *worker.Machine) bool {
 	return m.FreeForMain().Fits(d.j.need) && (d.spread == nil || d.j.zoneOK(m.Zone, d.spread)) &&
-		(!d.imageOnly || d.b.hasImage(m, d.j.Spec.Bundle))
+		(!d.imageOnly || d.b.hasImage(m, d.j.Spec.Image))
 }
 
 // findCandidates looks at the machines that have changed since none had room.
@@ -146,7 +146,7 @@
 	if j.Spec.Spot && !m.Spot {
 		s += 4 * tuning.FillSteps
 	}
-	if !b.hasImage(m, j.Spec.Bundle) {
+	if !b.hasImage(m, j.Spec.Image) {
 		s += 2 * tuning.FillSteps
 	}
 	return s + int(tuning.FillSteps*m.FreeForMain().Share(m.Cap))
@@ -158,7 +158,7 @@
 	if _, ok := m.Images[bundle]; ok {
 		return true
 	}
-	has := func(t *Task) bool { return t.Job.Spec.Bundle == bundle }
+	has := func(t *Task) bool { return t.Job.Spec.Image == bundle }
 	h := b.host(m)
 	return slices.ContainsFunc(h.on, has) || slices.ContainsFunc(h.high, has)
 }
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -45,22 +45,22 @@
 
 // report lets a machine report its tasks, all running, and what else is given;
 // it returns the commands of the answer.
-func (x *bench) report(m *worker.Machine, extra ...wire.Task) []wire.Command {
+func (x *bench) report(m *worker.Machine, extra ...wire.TaskStatus) []wire.Command {
 	x.t.Helper()
-	rep := &wire.Report{Host: m.Host, Type: "g2", Zone: m.Zone, Spot: m.Spot, Session: 1, Seq: m.Seq + 1}
+	rep := &wire.Heartbeat{Host: m.Host, Type: "g2", Zone: m.Zone, Spot: m.Spot, Incarnation: 1, Sequence: m.Seq + 1}
 	if !m.Recall.IsZero() {
 		left := m.Recall.Sub(x.now).Seconds()
-		rep.RecallS = &left
+		rep.PreemptionNoticeS = &left
 	}
 	for _, t := range x.b.host(m).on {
-		p := wire.Task{Task: t.Name(), Attempt: t.attempt, Stage: wire.TaskRunning}
+		p := wire.TaskStatus{Name: t.Name(), Attempt: t.attempt, State: wire.TaskRunning}
 		for _, e := range extra {
-			if e.Task == p.Task {
+			if e.Name == p.Name {
 				e.Attempt = t.attempt
 				p = e
 			}
 		}
-		if p.Stage != "" && t.ordered {
+		if p.State != "" && t.ordered {
 			rep.Tasks = append(rep.Tasks, p)
 		}
 	}
@@ -73,8 +73,8 @@
 func (x *bench) job(team, shape, priority string, tasks int, gpus float64) *Job {
 	x.next++
 	x.now = x.now.Add(tuning.TurnsSoon)
-	return x.b.AddJob(x.now, wire.Submission{ID: fmt.Sprintf("job-%d", x.next), Team: team, Class: "l", Shape: shape, Priority: priority, Tasks: tasks,
-		Vcpus: 5, Gpus: gpus, MemGb: 30, Bundle: "img", AnyType: true, GuessS: 60}, x.now, uint64(x.next), false)
+	return x.b.AddJob(x.now, wire.JobSpec{ID: fmt.Sprintf("job-%d", x.next), Team: team, Class: "l", Shape: shape, Priority: priority, Tasks: tasks,
+		Vcpus: 5, Gpus: gpus, MemGb: 30, Image: "img", AnyType: true, EstimatedRunTimeS: 60}, x.now, uint64(x.next), false)
 }
 
 func (x *bench) verbs(commands []wire.Command) string {
--- a/internal/placement/board.go
+++ b/internal/placement/board.go
@@ -77,7 +77,7 @@
 	fitted         int  // gangs placed in this draw
 	drawn          int  // arrays' tasks queued in this draw
 	first          *Job // the gang before which no other of its priority is placed
-	unexpected     map[*worker.Machine][]wire.Task
+	unexpected     map[*worker.Machine][]wire.TaskStatus
 	runRatio       map[string]float64 // by class: run time over the owner's estimate
 	seen           map[string]bool    // classes of which a job has come
 	// unreadable are open jobs whose records cannot be read.
@@ -92,7 +92,7 @@
 	return &Board{
 		Set: Settings{DropThreshold: tuning.DropThreshold}, facts: facts, token: token, book: book, reg: reg, rng: rng, log: log,
 		jobs: map[string]*Job{}, hosts: map[*worker.Machine]*host{}, survey: newSurvey(),
-		unexpected: map[*worker.Machine][]wire.Task{}, runRatio: map[string]float64{}, seen: map[string]bool{}, unreadable: map[string]bool{}, finished: finished,
+		unexpected: map[*worker.Machine][]wire.TaskStatus{}, runRatio: map[string]float64{}, seen: map[string]bool{}, unreadable: map[string]bool{}, finished: finished,
 	}
 }
 
@@ -118,7 +118,7 @@
 func (b *Board) Jobs() []*Job { return b.order }
 
 // AddJob takes up an open job.
-func (b *Board) AddJob(now time.Time, spec wire.Submission, at time.Time, version uint64, early bool) *Job {
+func (b *Board) AddJob(now time.Time, spec wire.JobSpec, at time.Time, version uint64, early bool) *Job {
 	if j := b.jobs[spec.ID]; j != nil {
 		j.Version = version
 		return j
--- a/internal/placement/close.go
+++ b/internal/placement/close.go
@@ -77,7 +77,7 @@
 	}
 	for _, t := range h.on {
 		j := t.Job
-		if t.phase != Live || t.spare || j.closed || j.Gang() || j.Service() || j.Spec.BookmarkS <= 0 || t.runFrom.IsZero() {
+		if t.phase != Live || t.spare || j.closed || j.Gang() || j.Service() || j.Spec.CheckpointIntervalS <= 0 || t.runFrom.IsZero() {
 			return false
 		}
 	}
@@ -96,7 +96,7 @@
 			if !o.FreeForMain().Fits(j.need) || o == m || o.Closing || !o.FreeForMain().Sub(got[o]).Sub(mine[o]).Fits(j.need) || !j.allows(o.Type, o.Zone, o.Spot) || j.avoids(o) {
 				return false
 			}
-			_, ok := o.Images[j.Spec.Bundle]
+			_, ok := o.Images[j.Spec.Image]
 			return ok
 		})
 		if i < 0 {
--- a/internal/placement/commands.go
+++ b/internal/placement/commands.go
@@ -114,8 +114,8 @@
 
 // reportedCommands are the commands, at most one, for a task that its machine reports: one
 // that is not expected there stops, one that has ended is taken off its reports.
-func (b *Board) reportedCommands(m *worker.Machine, p *wire.Task) []wire.Command {
-	id, n, ok := wire.ParseTask(p.Task)
+func (b *Board) reportedCommands(m *worker.Machine, p *wire.TaskStatus) []wire.Command {
+	id, n, ok := wire.ParseTask(p.Name)
 	if b.unreadable[id] {
 		return nil
 	}
@@ -125,9 +125,9 @@
 			j = nil
 		}
 	}
-	if p.Stage == wire.TaskExited {
+	if p.State == wire.TaskExited {
 		if b.reapable(m, j, n, p) {
-			return []wire.Command{{Verb: wire.VerbReap, Task: p.Task, Attempt: p.Attempt}}
+			return []wire.Command{{Verb: wire.VerbReap, Task: p.Name, Attempt: p.Attempt}}
 		}
 		return nil
 	}
@@ -137,19 +137,19 @@
 	}
 	switch {
 	case t == nil || t.at != m || t.attempt != p.Attempt:
-		return []wire.Command{stopCommand(p.Task, p.Attempt, 0)}
-	case t.phase == Stopping && (p.Stage != wire.TaskSaving || t.grace == 0):
+		return []wire.Command{stopCommand(p.Name, p.Attempt, 0)}
+	case t.phase == Stopping && (p.State != wire.TaskSaving || t.grace == 0):
 		t.stopDue = false
-		return []wire.Command{stopCommand(p.Task, p.Attempt, t.grace)}
+		return []wire.Command{stopCommand(p.Name, p.Attempt, t.grace)}
 	}
 	return nil
 }
 
 // reapable tells whether an exited task may be taken off its machine's reports: a
 // completion stays there until it is kept elsewhere.
-func (b *Board) reapable(m *worker.Machine, j *Job, n int, p *wire.Task) bool {
-	kept := j == nil || j.closed || p.Cause != wire.CauseDone || j.Service() || j.durable.has(n)
-	return kept && !b.host(m).direct[attemptKey{p.Task, p.Attempt}]
+func (b *Board) reapable(m *worker.Machine, j *Job, n int, p *wire.TaskStatus) bool {
+	kept := j == nil || j.closed || p.ExitReason != wire.ExitDone || j.Service() || j.durable.has(n)
+	return kept && !b.host(m).direct[attemptKey{p.Name, p.Attempt}]
 }
 
 // handedOutCommands are the commands, at most one, for a task that was handed out to a
@@ -180,20 +180,20 @@
 }
 
 func stopCommand(task string, attempt uint64, grace float64) wire.Command {
-	return wire.Command{Verb: wire.VerbStop, Task: task, Attempt: attempt, WindDownS: &grace}
+	return wire.Command{Verb: wire.VerbStop, Task: task, Attempt: attempt, GracePeriodS: &grace}
 }
 
 // Halts are the stops for those of a machine's tasks whose jobs are over. They may be
 // given at any time, by whoever knows of the end.
-func (b *Board) Halts(tasks []wire.Task) []wire.Command {
+func (b *Board) Halts(tasks []wire.TaskStatus) []wire.Command {
 	var out []wire.Command
 	for _, p := range tasks {
-		id, _, ok := wire.ParseTask(p.Task)
-		if !ok || p.Stage == wire.TaskExited || b.unreadable[id] || len(out) == tuning.CommandsMost {
+		id, _, ok := wire.ParseTask(p.Name)
+		if !ok || p.State == wire.TaskExited || b.unreadable[id] || len(out) == tuning.CommandsMost {
 			continue
 		}
 		if j := b.jobs[id]; j == nil || j.closed {
-			out = append(out, stopCommand(p.Task, p.Attempt, 0))
+			out = append(out, stopCommand(p.Name, p.Attempt, 0))
 		}
 	}
 	return out
--- a/internal/placement/demand.go
+++ b/internal/placement/demand.go
@@ -11,7 +11,7 @@
 )
 
 // maxCount bounds how many tasks of no size are counted into a machine.
-const maxCount = wire.MaxTasks
+const maxCount = wire.MaxTasksPerJob
 
 // Offer is a kind of machine that can be rented now.
 type Offer struct {
@@ -60,7 +60,7 @@
 
 // Expect estimates a task's run time in seconds.
 func (b *Board) Expect(j *Job) float64 {
-	e := j.Spec.GuessS
+	e := j.Spec.EstimatedRunTimeS
 	if r, ok := b.runRatio[j.Spec.Class]; ok {
 		e *= r
 	}
--- a/internal/placement/demand_whole.go
+++ b/internal/placement/demand_whole.go
@@ -45,7 +45,7 @@
 func (d *demand) packJob(j *Job, n int, bins []*bin) []*bin {
 	p := &jobPacking{d: d, j: j, n: n, bins: bins}
 	zone := ""
-	if j.Spec.Together {
+	if j.Spec.SameZone {
 		least := n + 1
 		for _, z := range d.b.facts.Zones {
 			if j.Spec.Zone != "" && j.Spec.Zone != z || !j.zoneOK(z, j.stayingZones()) {
--- a/internal/placement/draw.go
+++ b/internal/placement/draw.go
@@ -45,18 +45,18 @@
 
 // zoneOK tells whether one more task of a job may be in a zone, beside n.
 func (j *Job) zoneOK(zone string, n map[string]int) bool {
-	if j.Spec.Together {
+	if j.Spec.SameZone {
 		for y, c := range n {
 			if c > 0 && y != zone {
 				return false
 			}
 		}
 	}
-	return !j.Spec.Apart || n[zone]+1 <= (j.Spec.Tasks+1)/2
+	return !j.Spec.SpreadAcrossZones || n[zone]+1 <= (j.Spec.Tasks+1)/2
 }
 
 // constrained tells whether where a job's tasks may be depends on the others.
-func (j *Job) constrained() bool { return j.Spec.Together || j.Spec.Apart }
+func (j *Job) constrained() bool { return j.Spec.SameZone || j.Spec.SpreadAcrossZones }
 
 // startable tells whether all that may be on unseen machines allows a held
 // task of the job to start.
@@ -162,8 +162,8 @@
 				b.moveReplica(now, t, now.Add(margin).After(m.Recall))
 				continue
 			}
-			if t.phase == Live && t.Job.Spec.BookmarkS > 0 && t.stage != wire.TaskFetching &&
-				now.Add(config.Seconds(t.Job.Spec.StowS)+margin).After(m.Recall) {
+			if t.phase == Live && t.Job.Spec.CheckpointIntervalS > 0 && t.stage != wire.TaskFetching &&
+				now.Add(config.Seconds(t.Job.Spec.CheckpointSaveTimeS)+margin).After(m.Recall) {
 				b.yield(now, t, "machine is recalled")
 			}
 		}
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -70,7 +70,7 @@
 // have to share one; nil if there is none.
 func (b *Board) cheapestZone(now time.Time, j *Job, guaranteed bool) []place {
 	zones := []string{""}
-	if j.Spec.Together {
+	if j.Spec.SameZone {
 		zones = b.facts.Zones
 	}
 	var best []place
@@ -163,7 +163,7 @@
 		if c.known = c.room.Fits(j.need); !c.known {
 			c.score = tuning.ScorePreempt
 		}
-		if _, ok := m.Images[j.Spec.Bundle]; !ok {
+		if _, ok := m.Images[j.Spec.Image]; !ok {
 			c.score += b.fetchScore(j, m)
 		}
 		if j.Spec.Spot && !m.Spot {
@@ -175,7 +175,7 @@
 	slices.SortStableFunc(cands, byScore)
 	var sure []*cand // by score
 	for i := range cands {
-		if !j.Spec.Apart && b.enough(sure, j, cands[i].score) {
+		if !j.Spec.SpreadAcrossZones && b.enough(sure, j, cands[i].score) {
 			break
 		}
 		c := cands[i]
@@ -225,7 +225,7 @@
 
 // fetchTime estimates how many seconds a machine takes to fetch a job's image.
 func (j *Job) fetchTime(m *worker.Machine) float64 {
-	if _, ok := m.Images[j.Spec.Bundle]; ok || m.Fetch <= 0 {
+	if _, ok := m.Images[j.Spec.Image]; ok || m.Fetch <= 0 {
 		return 0
 	}
 	return j.Spec.ImageGb / m.Fetch
@@ -305,8 +305,8 @@
 // loss is the work, in seconds, that stopping a task throws away.
 func (b *Board) loss(now time.Time, t *Task) float64 {
 	ran := now.Sub(t.sentAt).Seconds()
-	if t.Job.Spec.BookmarkS > 0 {
-		ran = t.Job.Spec.StowS
+	if t.Job.Spec.CheckpointIntervalS > 0 {
+		ran = t.Job.Spec.CheckpointSaveTimeS
 	}
 	return ran * t.Job.need.Share(t.at.Cap)
 }
--- a/internal/placement/lifecycle.go
+++ b/internal/placement/lifecycle.go
@@ -87,10 +87,10 @@
 
 // grace is how long a job's running task is given to save.
 func (j *Job) grace() float64 {
-	if j.Spec.BookmarkS <= 0 {
+	if j.Spec.CheckpointIntervalS <= 0 {
 		return 0
 	}
-	return j.Spec.StowS + tuning.SaveGrace.Seconds()
+	return j.Spec.CheckpointSaveTimeS + tuning.SaveGrace.Seconds()
 }
 
 // yield stops a task so that it can go on later; a gang stops as a whole.
@@ -166,8 +166,8 @@
 			b.Count.SparesFinished++
 		}
 		j.wellOn[t.at.Host] = true
-		if !t.runFrom.IsZero() && j.Spec.GuessS > 0 && !j.Gang() {
-			ratio := now.Sub(t.runFrom).Seconds() / j.Spec.GuessS
+		if !t.runFrom.IsZero() && j.Spec.EstimatedRunTimeS > 0 && !j.Gang() {
+			ratio := now.Sub(t.runFrom).Seconds() / j.Spec.EstimatedRunTimeS
 			old, ok := b.runRatio[j.Spec.Class]
 			if !ok {
 				old = 1
--- a/internal/placement/loss_test.go
+++ b/internal/placement/loss_test.go
@@ -60,7 +60,7 @@
 	if o := x.verbs(x.report(m1)); o != "stop "+mate.Name()+";" {
 		t.Fatalf("its mate is told: %s", o)
 	}
-	x.report(m1, wire.Task{Task: mate.Name(), Stage: wire.TaskExited, Cause: wire.CauseMatesGone})
+	x.report(m1, wire.TaskStatus{Name: mate.Name(), State: wire.TaskExited, ExitReason: wire.ExitGangMemberLost})
 	x.report(m1)
 	if g.located != 0 || low.located != 2 {
 		t.Fatalf("%d of the gang and %d of the rest run on the machine left", g.located, low.located)
@@ -71,9 +71,9 @@
 	if len(g.tasks) != 2 || g.located != 0 || low.located != 2 {
 		t.Fatalf("the gang has %d places, %d of it run beside %d", len(g.tasks), g.located, low.located)
 	}
-	var gone []wire.Task
+	var gone []wire.TaskStatus
 	for _, v := range x.b.host(m1).on {
-		gone = append(gone, wire.Task{Task: v.Name(), Stage: wire.TaskExited, Cause: wire.CauseHalted})
+		gone = append(gone, wire.TaskStatus{Name: v.Name(), State: wire.TaskExited, ExitReason: wire.ExitStopped})
 	}
 	x.report(m1, gone...)
 	if g.located != 2 || low.located != 0 || g.attempt <= before || g.tasks[0].attempt != g.tasks[1].attempt {
--- a/internal/placement/order.go
+++ b/internal/placement/order.go
@@ -55,7 +55,7 @@
 				}
 				first = min(first, j.turn)
 				j.late = j.turn > first+tuning.ImagePatience.Seconds()
-				j.seeds = float64(images[j.Spec.Bundle]) < float64(j.held())*j.share(b.reg)
+				j.seeds = float64(images[j.Spec.Image]) < float64(j.held())*j.share(b.reg)
 			}
 		}
 	}
@@ -134,7 +134,7 @@
 func (j *Job) share(reg *worker.Registry) float64 {
 	for _, m := range reg.All() {
 		if m.Cap.Fits(j.need) && j.allows(m.Type, m.Zone, m.Spot) {
-			return 1 / float64(max(1, m.Cap.Count(j.need, wire.MaxTasks)))
+			return 1 / float64(max(1, m.Cap.Count(j.need, wire.MaxTasksPerJob)))
 		}
 	}
 	return 1
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -48,7 +48,7 @@
 		check func(x *bench, task *Task, home, away *worker.Machine) string
 	}{
 		{"the spare finishes first", 0, func(x *bench, task *Task, _, away *worker.Machine) {
-			x.report(away, wire.Task{Task: task.Name(), Stage: wire.TaskExited, Cause: wire.CauseDone})
+			x.report(away, wire.TaskStatus{Name: task.Name(), State: wire.TaskExited, ExitReason: wire.ExitDone})
 		}, func(x *bench, task *Task, home, _ *worker.Machine) string {
 			if len(x.done) != 1 || len(x.b.host(home).high) != 0 || task.main != nil {
 				return "the main is still there"
@@ -65,7 +65,7 @@
 			if o := x.verbs(x.report(home)); o != "" {
 				return "started before the spare's exit was reported: " + o
 			}
-			x.report(away, wire.Task{Task: task.Name(), Stage: wire.TaskExited, Cause: wire.CauseHalted})
+			x.report(away, wire.TaskStatus{Name: task.Name(), State: wire.TaskExited, ExitReason: wire.ExitStopped})
 			if task.stops != 1 || task.low != away {
 				return "the spare does not wait again"
 			}
@@ -77,7 +77,7 @@
 		{"stopped too often", tuning.DropThreshold - 1, func(x *bench, task *Task, home, away *worker.Machine) {
 			home.Taken = quota.Room{}
 			x.report(home)
-			x.report(away, wire.Task{Task: task.Name(), Stage: wire.TaskExited, Cause: wire.CauseHalted})
+			x.report(away, wire.TaskStatus{Name: task.Name(), State: wire.TaskExited, ExitReason: wire.ExitStopped})
 		}, func(x *bench, task *Task, home, away *worker.Machine) string {
 			if task.low != nil || task.main != home {
 				return "the spare was not dropped, or the main was"
@@ -125,8 +125,8 @@
 				t.Fatalf("the spare does not start: %v", task.phase)
 			}
 			x.b.Commands(x.now, away, InAnswer)
-			x.reg.Absorb(x.now, away, &wire.Report{Host: away.Host, Type: "g2", Zone: "a", Session: 1, Seq: away.Seq + 1,
-				Tasks: []wire.Task{{Task: task.Name(), Attempt: task.attempt, Stage: wire.TaskRunning}}}, true)
+			x.reg.Absorb(x.now, away, &wire.Heartbeat{Host: away.Host, Type: "g2", Zone: "a", Incarnation: 1, Sequence: away.Seq + 1,
+				Tasks: []wire.TaskStatus{{Name: task.Name(), Attempt: task.attempt, State: wire.TaskRunning}}}, true)
 			x.b.Reported(x.now, away, worker.Fresh, true)
 			c.after(x, task, home, away)
 			if bad := c.check(x, task, home, away); bad != "" {
@@ -177,9 +177,9 @@
 			if o := x.verbs(x.report(m)); g.located != 0 || len(x.b.host(m).on) != 2 {
 				t.Fatalf("started beside what it stops: %s", o)
 			}
-			var gone []wire.Task
+			var gone []wire.TaskStatus
 			for _, v := range x.b.host(m).on {
-				gone = append(gone, wire.Task{Task: v.Name(), Stage: wire.TaskExited, Cause: wire.CauseHalted})
+				gone = append(gone, wire.TaskStatus{Name: v.Name(), State: wire.TaskExited, ExitReason: wire.ExitStopped})
 			}
 			if o := x.verbs(x.report(m, gone...)); g.located != 1 {
 				t.Errorf("did not start once the room was free: %s", o)
@@ -217,7 +217,7 @@
 			}
 		}
 		if len(x.b.host(m).on) > 0 {
-			x.report(m, wire.Task{Task: x.b.host(m).on[0].Name(), Stage: wire.TaskExited, Cause: wire.CauseMatesGone})
+			x.report(m, wire.TaskStatus{Name: x.b.host(m).on[0].Name(), State: wire.TaskExited, ExitReason: wire.ExitGangMemberLost})
 		}
 	}
 	x.b.Draw(x.now)
@@ -228,7 +228,7 @@
 		x.report(m)
 	}
 	// one is done, so all are; a machine lost now must not bring one back
-	x.report(g.tasks[0].at, wire.Task{Task: g.tasks[0].Name(), Stage: wire.TaskExited, Cause: wire.CauseDone})
+	x.report(g.tasks[0].at, wire.TaskStatus{Name: g.tasks[0].Name(), State: wire.TaskExited, ExitReason: wire.ExitDone})
 	if !g.Complete() {
 		t.Fatal("one task is done, the gang is not")
 	}
@@ -264,7 +264,7 @@
 				x.b.Answered(m, commands)
 			}
 			x.b.CloseJob(x.now, j.Spec.ID, x.now.Add(time.Minute))
-			rep := &wire.Report{Host: m.Host, Type: "g2", Zone: "a", Session: 1, Seq: m.Seq + 1}
+			rep := &wire.Heartbeat{Host: m.Host, Type: "g2", Zone: "a", Incarnation: 1, Sequence: m.Seq + 1}
 			x.b.Reported(x.now, m, x.reg.Absorb(x.now, m, rep, c.checkin), c.checkin)
 			if got := m.Busy == 0; got != c.gone {
 				t.Errorf("gone: %t, want %t", got, c.gone)
@@ -284,7 +284,7 @@
 	j := x.job("blue", wire.ShapeBatch, "low", 2, 1)
 	x.b.Draw(x.now)
 	x.report(m)
-	end := wire.Task{Task: j.tasks[0].Name(), Stage: wire.TaskExited, Cause: wire.CauseDone}
+	end := wire.TaskStatus{Name: j.tasks[0].Name(), State: wire.TaskExited, ExitReason: wire.ExitDone}
 	for _, o := range x.report(m, end) {
 		if o.Verb == wire.VerbReap {
 			t.Error("reaped before the outcome is durable")
--- a/internal/placement/reports.go
+++ b/internal/placement/reports.go
@@ -18,10 +18,10 @@
 		h.direct = nil // commands of an earlier session are void
 		m.Images = map[string]time.Time{}
 	}
-	shown := make(map[string]*wire.Task, len(m.Tasks))
+	shown := make(map[string]*wire.TaskStatus, len(m.Tasks))
 	for i := range m.Tasks {
 		p := &m.Tasks[i]
-		shown[p.Task] = p
+		shown[p.Name] = p
 	}
 	for _, t := range slices.Clone(h.on) {
 		if t.at != m {
@@ -46,45 +46,45 @@
 }
 
 // saw handles a task that its machine reports.
-func (b *Board) saw(now time.Time, m *worker.Machine, t *Task, p *wire.Task) {
+func (b *Board) saw(now time.Time, m *worker.Machine, t *Task, p *wire.TaskStatus) {
 	t.reported = true
-	if p.Stage != wire.TaskExited {
-		if p.Stage != wire.TaskFetching {
-			m.Images[t.Job.Spec.Bundle] = now
+	if p.State != wire.TaskExited {
+		if p.State != wire.TaskFetching {
+			m.Images[t.Job.Spec.Image] = now
 		}
-		if p.Stage == wire.TaskRunning && t.runFrom.IsZero() {
+		if p.State == wire.TaskRunning && t.runFrom.IsZero() {
 			t.runFrom = now
 		}
-		if t.stage != p.Stage {
-			b.log.Debug("task stage", "task", p.Task, "attempt", p.Attempt, "host", m.Host, "stage", p.Stage)
+		if t.stage != p.State {
+			b.log.Debug("task stage", "task", p.Name, "attempt", p.Attempt, "host", m.Host, "stage", p.State)
 		}
-		t.stage = p.Stage
+		t.stage = p.State
 		t.Job.servedWell(now, t)
 		if t.phase == Sent {
-			b.setPhase(now, t, Live, p.Stage)
+			b.setPhase(now, t, Live, p.State)
 		}
 		return
 	}
 	j := t.Job
-	b.log.Debug("task exited", "task", p.Task, "attempt", p.Attempt, "host", m.Host, "cause", p.Cause, "stored", p.Stored)
-	if p.Cause == wire.CauseDone && j.Service() {
+	b.log.Debug("task exited", "task", p.Name, "attempt", p.Attempt, "host", m.Host, "cause", p.ExitReason, "stored", p.CheckpointSaved)
+	if p.ExitReason == wire.ExitDone && j.Service() {
 		b.gone(now, t, j.restartPause(now, t), "a service's replica ended")
 		return
 	}
-	switch p.Cause {
-	case wire.CauseDone:
+	switch p.ExitReason {
+	case wire.ExitDone:
 		b.finish(now, t)
 		if j.Gang() {
 			b.finishGang(now, j)
 		}
-	case wire.CauseError:
+	case wire.ExitError:
 		b.failed(now, m, t)
-		b.gone(now, t, tuning.RetryPause, p.Cause)
-	case wire.CauseNoRoom, wire.CauseInUse, wire.CauseUnknown:
-		b.log.Info("start refused", "task", p.Task, "host", m.Host, "cause", p.Cause)
-		b.gone(now, t, tuning.RefusedPause, p.Cause)
+		b.gone(now, t, tuning.RetryPause, p.ExitReason)
+	case wire.ExitInsufficientResources, wire.ExitOtherAttemptPresent, wire.ExitUnknownTask:
+		b.log.Info("start refused", "task", p.Name, "host", m.Host, "cause", p.ExitReason)
+		b.gone(now, t, tuning.RefusedPause, p.ExitReason)
 	default:
-		b.gone(now, t, 0, p.Cause)
+		b.gone(now, t, 0, p.ExitReason)
 	}
 }
 
@@ -142,11 +142,11 @@
 // unexplained handles what a machine reports that the board does not expect
 // there: tasks that an earlier tenure started, and the remains of jobs that
 // are over.
-func (b *Board) unexplained(now time.Time, m *worker.Machine, shown map[string]*wire.Task) {
+func (b *Board) unexplained(now time.Time, m *worker.Machine, shown map[string]*wire.TaskStatus) {
 	delete(b.unexpected, m)
 	m.Stranger = false
 	for _, p := range m.Tasks {
-		id, n, ok := wire.ParseTask(p.Task)
+		id, n, ok := wire.ParseTask(p.Name)
 		var j *Job
 		if ok {
 			j = b.jobs[id]
@@ -158,8 +158,8 @@
 		} else {
 			j = nil
 		}
-		if p.Stage == wire.TaskExited {
-			if j != nil && p.Cause == wire.CauseDone && !j.Service() && !j.done.has(n) {
+		if p.State == wire.TaskExited {
+			if j != nil && p.ExitReason == wire.ExitDone && !j.Service() && !j.done.has(n) {
 				b.foundDone(now, j, n)
 			}
 			continue
@@ -170,7 +170,7 @@
 				continue
 			}
 		}
-		b.log.Info("stray task", "task", p.Task, "attempt", p.Attempt, "host", m.Host)
+		b.log.Info("stray task", "task", p.Name, "attempt", p.Attempt, "host", m.Host)
 		b.unexpected[m] = append(b.unexpected[m], p)
 		m.Stranger = m.Stranger || j == nil
 	}
@@ -197,7 +197,7 @@
 }
 
 // adopt takes over a task that an earlier tenure started.
-func (b *Board) adopt(now time.Time, j *Job, n int, m *worker.Machine, p wire.Task) {
+func (b *Board) adopt(now time.Time, j *Job, n int, m *worker.Machine, p wire.TaskStatus) {
 	t := j.tasks[n]
 	if t == nil {
 		t = &Task{Job: j, N: n}
--- a/internal/placement/reserve.go
+++ b/internal/placement/reserve.go
@@ -99,7 +99,7 @@
 				return
 			}
 		}
-		d.open(&Job{Spec: wire.Submission{AnyType: true}}, "")
+		d.open(&Job{Spec: wire.JobSpec{AnyType: true}}, "")
 		return
 	}
 }
--- a/internal/placement/service.go
+++ b/internal/placement/service.go
@@ -155,7 +155,7 @@
 			spread != nil && !j.zoneOK(m.Zone, spread) {
 			continue
 		}
-		if image == withImage && !b.hasImage(m, j.Spec.Bundle) {
+		if image == withImage && !b.hasImage(m, j.Spec.Image) {
 			continue
 		}
 		switch rank := b.replicaRank(j, m); {
@@ -200,7 +200,7 @@
 	if !b.serves(m) {
 		rank += alone
 	}
-	if !b.hasImage(m, j.Spec.Bundle) {
+	if !b.hasImage(m, j.Spec.Image) {
 		rank += noImage
 	}
 	if m.Spot {
--- a/internal/placement/service_test.go
+++ b/internal/placement/service_test.go
@@ -90,7 +90,7 @@
 			x.direct()
 			m := x.reg.All()[0]
 			x.now = x.now.Add(tuning.ServiceWell + time.Second)
-			x.report(m, wire.Task{Task: j.Spec.ID + "/0", Stage: wire.TaskExited, Cause: wire.CauseDone})
+			x.report(m, wire.TaskStatus{Name: j.Spec.ID + "/0", State: wire.TaskExited, ExitReason: wire.ExitDone})
 			if sent := x.direct(); j.Done() != 0 || !strings.Contains(sent, "run ") && j.Located() != 1 {
 				return "not started again: " + sent
 			}
@@ -99,7 +99,7 @@
 		{"one that ends as it begins waits", 1, func(x *bench) string {
 			j := service(x, 1)
 			x.direct()
-			x.report(x.reg.All()[0], wire.Task{Task: j.Spec.ID + "/0", Stage: wire.TaskExited, Cause: wire.CauseDone})
+			x.report(x.reg.All()[0], wire.TaskStatus{Name: j.Spec.ID + "/0", State: wire.TaskExited, ExitReason: wire.ExitDone})
 			if x.direct(); j.Located() != 0 {
 				return "started again at once"
 			}
@@ -126,7 +126,7 @@
 			if stopping == "" || strings.Count(stopping, "job-") != 1 {
 				return "stopped: " + stopping
 			}
-			x.report(m, wire.Task{Task: stopping, Stage: wire.TaskExited, Cause: wire.CauseHalted})
+			x.report(m, wire.TaskStatus{Name: stopping, State: wire.TaskExited, ExitReason: wire.ExitStopped})
 			x.direct()
 			if j.Located() != 1 {
 				return "the replica did not get the room"
@@ -152,7 +152,7 @@
 			if sent := x.direct(); !strings.Contains(sent, "stop") {
 				return "not moved"
 			}
-			x.report(from.m, wire.Task{Task: j.Spec.ID + "/0", Stage: wire.TaskExited, Cause: wire.CauseHalted})
+			x.report(from.m, wire.TaskStatus{Name: j.Spec.ID + "/0", State: wire.TaskExited, ExitReason: wire.ExitStopped})
 			x.direct()
 			if x.on(j)[other.Host] != 1 {
 				return "not started on the other machine"
@@ -183,7 +183,7 @@
 				for _, m := range x.reg.All() {
 					if x.on(j)[m.Host] > 0 {
 						starts++
-						x.report(m, wire.Task{Task: j.Spec.ID + "/0", Stage: wire.TaskExited, Cause: wire.CauseError})
+						x.report(m, wire.TaskStatus{Name: j.Spec.ID + "/0", State: wire.TaskExited, ExitReason: wire.ExitError})
 					}
 				}
 				x.now = x.now.Add(time.Second)
@@ -206,7 +206,7 @@
 				for _, m := range x.reg.All() {
 					if x.on(j)[m.Host] > 0 {
 						x.report(m)
-						x.report(m, wire.Task{Task: j.Spec.ID + "/0", Stage: wire.TaskExited, Cause: wire.CauseError})
+						x.report(m, wire.TaskStatus{Name: j.Spec.ID + "/0", State: wire.TaskExited, ExitReason: wire.ExitError})
 						break
 					}
 				}
@@ -248,7 +248,7 @@
 				for _, m := range x.reg.All() {
 					if x.on(j)[m.Host] > 0 {
 						starts++
-						x.report(m, wire.Task{Task: j.Spec.ID + "/0", Stage: wire.TaskExited, Cause: wire.CauseDone})
+						x.report(m, wire.TaskStatus{Name: j.Spec.ID + "/0", State: wire.TaskExited, ExitReason: wire.ExitDone})
 					}
 				}
 			}
@@ -284,7 +284,7 @@
 				return "does not move"
 			}
 			x.b.CloseJob(x.now, j.Spec.ID, x.now.Add(time.Minute))
-			x.report(from, wire.Task{Task: j.Spec.ID + "/0", Stage: wire.TaskExited, Cause: wire.CauseHalted})
+			x.report(from, wire.TaskStatus{Name: j.Spec.ID + "/0", State: wire.TaskExited, ExitReason: wire.ExitStopped})
 			for range 20 {
 				if sent := x.direct(); strings.Contains(sent, "run ") {
 					return "started again"
@@ -298,7 +298,7 @@
 		{"apart, its machine is recalled: it moves within its zone", 4, func(x *bench) string {
 			x.twoZones()
 			j := service(x, 2)
-			j.Spec.Apart = true
+			j.Spec.SpreadAcrossZones = true
 			x.direct()
 			if zones := j.zones(false); zones["a"] != 1 || zones["b"] != 1 {
 				return "not apart"
@@ -315,7 +315,7 @@
 				return "does not move while there is a place"
 			}
 			zone := from.Zone
-			x.report(from, wire.Task{Task: j.Spec.ID + "/0", Stage: wire.TaskExited, Cause: wire.CauseHalted})
+			x.report(from, wire.TaskStatus{Name: j.Spec.ID + "/0", State: wire.TaskExited, ExitReason: wire.ExitStopped})
 			x.direct()
 			if at := j.tasks[0].at; at == nil || at.Zone != zone || at == from {
 				return "not moved within its zone"
@@ -325,7 +325,7 @@
 		{"together, a machine is lost: its replica stays in the zone of the others", 4, func(x *bench) string {
 			x.twoZones()
 			j := service(x, 2)
-			j.Spec.Together = true
+			j.Spec.SameZone = true
 			x.direct()
 			zone := j.tasks[1].at.Zone
 			lost := j.tasks[0].at
@@ -376,7 +376,7 @@
 			}
 			for _, t := range low.sorted() {
 				if t.phase == Stopping {
-					x.report(t.at, wire.Task{Task: t.Name(), Stage: wire.TaskExited, Cause: wire.CauseHalted})
+					x.report(t.at, wire.TaskStatus{Name: t.Name(), State: wire.TaskExited, ExitReason: wire.ExitStopped})
 				}
 			}
 			x.direct()
--- a/internal/placement/survey.go
+++ b/internal/placement/survey.go
@@ -202,7 +202,7 @@
 		}
 		b.survey.reaches[k] = r
 	}
-	if !j.Spec.Together {
+	if !j.Spec.SameZone {
 		return r.total >= j.Spec.Tasks
 	}
 	for _, n := range r.zones {
--- a/internal/placement/task.go
+++ b/internal/placement/task.go
@@ -67,7 +67,7 @@
 
 // Job is an open job, or a closed one whose tasks are not all gone yet.
 type Job struct {
-	Spec    wire.Submission
+	Spec    wire.JobSpec
 	At      time.Time // when it was accepted, by the time of day
 	Since   time.Time // since when it has been known, by the steady clock
 	Version uint64    // version of its record
--- a/internal/placement/turns_test.go
+++ b/internal/placement/turns_test.go
@@ -66,12 +66,12 @@
 				}
 				for _, m := range x.reg.All() {
 					// tasks end after ten seconds, or as soon as they are told
-					var ends []wire.Task
+					var ends []wire.TaskStatus
 					for _, task := range x.b.host(m).on {
 						if task.phase == Stopping {
-							ends = append(ends, wire.Task{Task: task.Name(), Stage: wire.TaskExited, Cause: wire.CauseHalted})
+							ends = append(ends, wire.TaskStatus{Name: task.Name(), State: wire.TaskExited, ExitReason: wire.ExitStopped})
 						} else if x.now.Sub(task.sentAt) > 10*time.Second {
-							ends = append(ends, wire.Task{Task: task.Name(), Stage: wire.TaskExited, Cause: wire.CauseDone})
+							ends = append(ends, wire.TaskStatus{Name: task.Name(), State: wire.TaskExited, ExitReason: wire.ExitDone})
 						}
 					}
 					x.report(m, ends...)
--- a/internal/standin/actions.go
+++ b/internal/standin/actions.go
@@ -65,17 +65,17 @@
 	}
 	for _, w := range call.Multi.Writes {
 		switch {
-		case w.Write == inForceKey:
+		case w.Put == inForceKey:
 			if c.inForce.IsZero() && strings.Contains(string(w.Value), `"duties"`) {
 				c.inForce = c.cluster.Clock.Now()
 			}
-		case strings.HasPrefix(w.Write, duty.Under):
+		case strings.HasPrefix(w.Put, duty.Under):
 			c.EntryWrites++
-			c.storedPage(w.Write, w.Value)
-		case strings.HasPrefix(w.Remove, duty.Under):
-			delete(c.pages, w.Remove)
-		case strings.HasPrefix(w.Write, fleet.UnderRentals):
-			name := w.Write[strings.LastIndex(w.Write, "/")+1:]
+			c.storedPage(w.Put, w.Value)
+		case strings.HasPrefix(w.Delete, duty.Under):
+			delete(c.pages, w.Delete)
+		case strings.HasPrefix(w.Put, fleet.UnderRentals):
+			name := w.Put[strings.LastIndex(w.Put, "/")+1:]
 			c.entered[name] = duty.Entry{Duty: duty.Renting, Target: name}
 		}
 	}
--- a/internal/standin/actions_test.go
+++ b/internal/standin/actions_test.go
@@ -27,7 +27,7 @@
 	x.cloud.Booted = func(*CloudHost) {}
 	x.cloud.Ended = func(h *CloudHost) { c.Remove(h.ID) }
 	for _, id := range []string{"a1", "a2"} {
-		x.cloud.Hosts[id] = &CloudHost{Host: c.Workers[id].Host}
+		x.cloud.Hosts[id] = &CloudHost{Machine: c.Workers[id].Host}
 	}
 	x.check = NewActionCheck(c, x.state, x.cloud)
 	x.write(t, inForceKey, `{"InForce":["duties"]}`)
@@ -36,11 +36,11 @@
 
 func (x *actionTest) write(t *testing.T, key, value string) {
 	t.Helper()
-	w := wire.Write{Write: key, Value: json.RawMessage(value)}
+	w := wire.Write{Put: key, Value: json.RawMessage(value)}
 	if value == "" {
 		w = store.Remove(key)
 	}
-	x.state.Call(store.Call{Op: store.OpMulti, Multi: wire.Multi{Writes: []wire.Write{w}}}, func(r store.Result) {
+	x.state.Call(store.Call{Op: store.OpMulti, Multi: wire.Transaction{Writes: []wire.Write{w}}}, func(r store.Result) {
 		if !r.OK() {
 			t.Fatalf("write of %s: %d", key, r.Status)
 		}
@@ -52,7 +52,7 @@
 }
 
 func (x *actionTest) rent(name string) {
-	x.cloud.Call(fleet.Call{Op: fleet.OpRent, Rental: wire.Rental{Rental: name, Type: "g", Zone: "a", Number: 1}})
+	x.cloud.Call(fleet.Call{Op: fleet.OpRent, Rental: wire.ProvisionRequest{Name: name, Type: "g", Zone: "a", Count: 1}})
 }
 
 // The checker of the log of duties finds a planted violation of each rule, and none where
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -34,13 +34,13 @@
 
 // CloudHost is a rented machine.
 type CloudHost struct {
-	wire.Host
+	wire.Machine
 	Born time.Time
 }
 
 type snapshot struct {
 	at    time.Time
-	hosts []wire.Host
+	hosts []wire.Machine
 }
 
 const (
@@ -64,7 +64,7 @@
 func (c *Cloud) snap() {
 	s := snapshot{at: c.clk.Now()}
 	for _, h := range c.Hosts {
-		w := h.Host
+		w := h.Machine
 		w.AgeS = c.clk.Now().Sub(h.Born).Seconds()
 		s.hosts = append(s.hosts, w)
 	}
@@ -102,32 +102,32 @@
 }
 
 // rent rents machines. A request that was granted before gets the same answer.
-func (c *Cloud) rent(request wire.Rental) fleet.Result {
-	if hosts, ok := c.rentals[request.Rental]; ok {
+func (c *Cloud) rent(request wire.ProvisionRequest) fleet.Result {
+	if hosts, ok := c.rentals[request.Name]; ok {
 		return fleet.Result{Status: 200, Hosts: hosts}
 	}
 	kind := RoomKey(request.Type, request.Zone, request.Spot)
-	n := min(request.Number, c.Room[kind])
+	n := min(request.Count, c.Room[kind])
 	if n <= 0 {
 		return fleet.Result{Status: 503, Error: fleet.NoCapacity}
 	}
 	if c.OnRent != nil {
-		c.OnRent(request.Rental)
+		c.OnRent(request.Name)
 	}
 	c.Room[kind] -= n
 	var names []string
 	for range n {
 		names = append(names, c.create(request))
 	}
-	c.rentals[request.Rental] = names
+	c.rentals[request.Name] = names
 	return fleet.Result{Status: 200, Hosts: names}
 }
 
 // create starts the boot of one machine and returns its name.
-func (c *Cloud) create(request wire.Rental) string {
+func (c *Cloud) create(request wire.ProvisionRequest) string {
 	id, addr := fmt.Sprintf("i-%06d", c.Created), c.Address(c.Created)
 	c.Created++
-	host := &CloudHost{Born: c.clk.Now(), Host: wire.Host{ID: id, Address: addr, Type: request.Type, Zone: request.Zone, Spot: request.Spot, Stage: wire.HostBooting}}
+	host := &CloudHost{Born: c.clk.Now(), Machine: wire.Machine{ID: id, Address: addr, Type: request.Type, Zone: request.Zone, Spot: request.Spot, State: wire.MachineBooting}}
 	c.Hosts[id] = host
 	if c.rng.Float64() < c.NeverBoot {
 		return id
@@ -138,7 +138,7 @@
 	}
 	c.clk.In(boot, func() {
 		if c.Hosts[id] == host {
-			host.Stage = wire.HostRunning
+			host.State = wire.MachineRunning
 			c.Booted(host)
 		}
 	})
@@ -151,9 +151,9 @@
 	r := fleet.Result{Status: 200}
 	for _, h := range c.history[i].hosts {
 		if h.ID > after {
-			r.Page.Hosts = append(r.Page.Hosts, h)
+			r.Page.Machines = append(r.Page.Machines, h)
 		}
-		if len(r.Page.Hosts) == c.Page {
+		if len(r.Page.Machines) == c.Page {
 			r.Page.More = true
 			break
 		}
--- a/internal/standin/cluster.go
+++ b/internal/standin/cluster.go
@@ -13,7 +13,7 @@
 
 // Job is a job and what its user knows of it.
 type Job struct {
-	Spec       wire.Submission
+	Spec       wire.JobSpec
 	Run        time.Duration // how long each task runs
 	Faulty     bool          // its tasks fail on every machine
 	Impossible bool          // it can never run, so it must not be accepted
@@ -38,7 +38,7 @@
 }
 
 // NewJob makes a job that nobody has submitted yet.
-func NewJob(spec wire.Submission, run time.Duration) *Job {
+func NewJob(spec wire.JobSpec, run time.Duration) *Job {
 	return &Job{Spec: spec, Run: run, Done: make([]bool, spec.Tasks)}
 }
 
@@ -48,7 +48,7 @@
 // Ended tells whether the user was told a final state.
 func (j *Job) Ended() bool { return isFinal(j.Told) }
 
-func isFinal(stage string) bool { return stage == wire.JobDone || stage == wire.JobWithdrawn }
+func isFinal(stage string) bool { return stage == wire.JobDone || stage == wire.JobCancelled }
 
 func (j *Job) need() quota.Room {
 	return quota.Room{CPUs: j.Spec.Vcpus, GPUs: j.Spec.Gpus, MemGB: j.Spec.MemGb}
@@ -56,7 +56,7 @@
 
 // AnswerFunc takes the answer to a report: the status and, with 200, the commands, with
 // 421 the node to report to.
-type AnswerFunc func(status int, commands wire.Commands, reportsTo string)
+type AnswerFunc func(status int, commands wire.HeartbeatResponse, reportsTo string)
 
 // Network carries workers' reports to controllers.
 type Network interface {
@@ -65,7 +65,7 @@
 	// NodeIndex finds a controller by name, -1 if there is none.
 	NodeIndex(name string) int
 	// Send delivers a report to a controller. answer may be called late or never.
-	Send(w *Worker, node int, report *wire.Report, answer AnswerFunc)
+	Send(w *Worker, node int, report *wire.Heartbeat, answer AnswerFunc)
 }
 
 // Cluster is the workers and the jobs, and the record of the rules broken by them.
@@ -150,12 +150,12 @@
 var Epoch = time.Unix(1_700_000_000, 0)
 
 // SubmissionBody is the protocol's JSON of a submission.
-func SubmissionBody(s wire.Submission) map[string]any {
+func SubmissionBody(s wire.JobSpec) map[string]any {
 	body := map[string]any{
 		"Id": s.ID, "Lane": s.Class, "Crew": s.Team, "Shape": s.Shape, "Rank": s.Priority, "Pieces": s.Tasks,
-		"Vcpus": s.Vcpus, "Gpus": s.Gpus, "MemGb": s.MemGb, "Bundle": s.Bundle, "ImageGb": s.ImageGb,
-		"Builds": nil, "Yard": nil, "Together": s.Together, "Apart": s.Apart, "Loaners": s.Spot,
-		"GuessS": s.GuessS, "BookmarkS": s.BookmarkS, "StowS": s.StowS, "DueS": nil,
+		"Vcpus": s.Vcpus, "Gpus": s.Gpus, "MemGb": s.MemGb, "Bundle": s.Image, "ImageGb": s.ImageGb,
+		"Builds": nil, "Yard": nil, "Together": s.SameZone, "Apart": s.SpreadAcrossZones, "Loaners": s.Spot,
+		"GuessS": s.EstimatedRunTimeS, "BookmarkS": s.CheckpointIntervalS, "StowS": s.CheckpointSaveTimeS, "DueS": nil,
 	}
 	if !s.AnyType {
 		body["Builds"] = s.Types
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -53,7 +53,7 @@
 
 // LargeType is the machine type that loads are played on.
 func LargeType() wire.MachineType {
-	return wire.MachineType{Name: "g8", Vcpus: 64, Gpus: 8, MemGb: 384, FetchGbPerS: 1, Price: 5, LowPrice: 2, BootS: 5, Zones: []string{"a"}}
+	return wire.MachineType{Name: "g8", Vcpus: 64, Gpus: 8, MemGb: 384, FetchGbPerS: 1, Price: 5, SpotPrice: 2, BootTimeS: 5, Zones: []string{"a"}}
 }
 
 // Facts are the settings of the load's deployment.
@@ -66,13 +66,13 @@
 }
 
 // Array is one of the load's arrays.
-func (l Load) Array(number int) wire.Submission {
-	return wire.Submission{ID: fmt.Sprintf("job-%06d", number), Team: "red", Class: "sweep", Shape: wire.ShapeBatch, Priority: "low", Tasks: l.Tasks,
-		Vcpus: 6, Gpus: 1, MemGb: 36, Bundle: fmt.Sprintf("img-%d", number%12), ImageGb: 2, AnyType: true, GuessS: l.Run.Seconds(), BookmarkS: 20, StowS: 3}
+func (l Load) Array(number int) wire.JobSpec {
+	return wire.JobSpec{ID: fmt.Sprintf("job-%06d", number), Team: "red", Class: "sweep", Shape: wire.ShapeBatch, Priority: "low", Tasks: l.Tasks,
+		Vcpus: 6, Gpus: 1, MemGb: 36, Image: fmt.Sprintf("img-%d", number%12), ImageGb: 2, AnyType: true, EstimatedRunTimeS: l.Run.Seconds(), CheckpointIntervalS: 20, CheckpointSaveTimeS: 3}
 }
 
 // Gang is one of the load's gangs.
-func (l Load) Gang(number int) wire.Submission {
+func (l Load) Gang(number int) wire.JobSpec {
 	s := l.Array(number)
 	s.Class, s.Shape, s.Priority, s.Tasks, s.Vcpus, s.Gpus, s.MemGb = "model", wire.ShapeGang, "normal", 2, 57, 8, 310
 	return s
--- a/internal/standin/rules.go
+++ b/internal/standin/rules.go
@@ -54,7 +54,7 @@
 // overdue tells whether a job was cancelled so long ago that none of its tasks may be
 // left.
 func (c *Cluster) overdue(j *Job) bool {
-	return j.Told == wire.JobWithdrawn && c.Clock.Now().Sub(j.CancelledAt) > c.cancelTime()
+	return j.Told == wire.JobCancelled && c.Clock.Now().Sub(j.CancelledAt) > c.cancelTime()
 }
 
 // checkStart checks the rules that the start of a task may break.
@@ -88,11 +88,11 @@
 		c.Break(WrongPlace, "%s on %s", name, w.Host.ID)
 	}
 	for zone, n := range zones {
-		if s.Together && n > 0 && zone != w.Host.Zone {
+		if s.SameZone && n > 0 && zone != w.Host.Zone {
 			c.Break(WrongPlace, "%s is in another zone than its siblings", name)
 		}
 	}
-	if s.Apart && zones[w.Host.Zone]+1 > (s.Tasks+1)/2 {
+	if s.SpreadAcrossZones && zones[w.Host.Zone]+1 > (s.Tasks+1)/2 {
 		c.Break(WrongPlace, "%s is one too many in its zone", name)
 	}
 }
@@ -158,7 +158,7 @@
 		c.Break(WentBack, "%s was told %s, now %s", j.Spec.ID, before, stage)
 	case stage == wire.JobDone && !j.Complete():
 		c.Break(NotDone, "%s", j.Spec.ID)
-	case stage == wire.JobWithdrawn && !j.CancelAsked:
+	case stage == wire.JobCancelled && !j.CancelAsked:
 		c.Break(WentBack, "%s was never cancelled", j.Spec.ID)
 	}
 	if j.Impossible {
@@ -169,7 +169,7 @@
 		return false
 	}
 	news = !j.Accepted || isFinal(stage)
-	if stage == wire.JobWithdrawn {
+	if stage == wire.JobCancelled {
 		j.CancelledAt = c.Clock.Now()
 	}
 	j.Accepted, j.Told = true, stage
@@ -213,12 +213,12 @@
 	}
 	total, most := 0, 0
 	for _, n := range places {
-		if s.Apart {
+		if s.SpreadAcrossZones {
 			n = min(n, (s.Tasks+1)/2)
 		}
 		total, most = total+n, max(most, n)
 	}
-	if s.Together {
+	if s.SameZone {
 		total = most
 	}
 	return total >= need
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -43,7 +43,7 @@
 // StateService is a stand-in for the state service, by the protocol.
 type StateService struct {
 	// Keys are the stored keys, Revision the newest change.
-	Keys     map[string]wire.Item
+	Keys     map[string]wire.KeyValue
 	Revision uint64
 	Limits   StateLimits
 	Page     int // keys that a list shows at most
@@ -54,7 +54,7 @@
 	clk         *Clock
 	rng         *rand.Rand
 	leases      map[uint64]*lease
-	log         []wire.Change
+	log         []wire.Event
 	oldest      uint64 // changes up to here have been forgotten
 	nextLease   uint64
 	watches     []*watch
@@ -82,7 +82,7 @@
 
 // NewStateService makes an empty state service.
 func NewStateService(clk *Clock, rng *rand.Rand) *StateService {
-	s := &StateService{clk: clk, rng: rng, Keys: map[string]wire.Item{}, leases: map[uint64]*lease{},
+	s := &StateService{clk: clk, rng: rng, Keys: map[string]wire.KeyValue{}, leases: map[uint64]*lease{},
 		Page: smallPage, Kept: smallHistory}
 	s.sweep()
 	return s
@@ -109,7 +109,7 @@
 			sort.Strings(keys)
 			for _, k := range keys {
 				s.Revision++
-				s.change(wire.Write{Remove: k})
+				s.change(wire.Write{Delete: k})
 			}
 			s.wake()
 		}
@@ -131,23 +131,23 @@
 // Put sets a key, as a test's own change.
 func (s *StateService) Put(key string, value json.RawMessage) {
 	s.Revision++
-	s.change(wire.Write{Write: key, Value: value})
+	s.change(wire.Write{Put: key, Value: value})
 	s.wake()
 }
 
 func (s *StateService) change(w wire.Write) {
-	if w.Remove != "" {
-		if _, ok := s.Keys[w.Remove]; ok {
-			delete(s.Keys, w.Remove)
-			s.log = append(s.log, wire.Change{Remove: w.Remove, Version: s.Revision})
+	if w.Delete != "" {
+		if _, ok := s.Keys[w.Delete]; ok {
+			delete(s.Keys, w.Delete)
+			s.log = append(s.log, wire.Event{Delete: w.Delete, Version: s.Revision})
 		}
 	} else {
-		s.Keys[w.Write] = wire.Item{Path: w.Write, Value: w.Value, Version: s.Revision, Lease: w.Lease}
-		s.log = append(s.log, wire.Change{Write: w.Write, Value: w.Value, Version: s.Revision})
+		s.Keys[w.Put] = wire.KeyValue{Key: w.Put, Value: w.Value, Version: s.Revision, Lease: w.Lease}
+		s.log = append(s.log, wire.Event{Put: w.Put, Value: w.Value, Version: s.Revision})
 	}
 	if len(s.log) > s.Kept {
 		s.oldest = s.log[s.Kept/2].Version
-		s.log = append([]wire.Change{}, s.log[s.Kept/2+1:]...)
+		s.log = append([]wire.Event{}, s.log[s.Kept/2+1:]...)
 	}
 }
 
@@ -172,7 +172,7 @@
 	}
 	r := store.Result{Status: 200, Revision: s.Revision}
 	for _, c := range s.log {
-		if c.Version > since && strings.HasPrefix(c.Write+c.Remove, under) {
+		if c.Version > since && strings.HasPrefix(c.Put+c.Delete, under) {
 			r.Events = append(r.Events, c)
 		}
 	}
@@ -265,7 +265,7 @@
 }
 
 // multi executes a transaction.
-func (s *StateService) multi(m wire.Multi) store.Result {
+func (s *StateService) multi(m wire.Transaction) store.Result {
 	if !s.allowed(m) {
 		return store.Result{Status: 400}
 	}
@@ -273,9 +273,9 @@
 		return store.Result{Status: 429}
 	}
 	var failed []string
-	for _, c := range m.When {
-		if s.Keys[c.Path].Version != c.Version {
-			failed = append(failed, c.Path)
+	for _, c := range m.Compares {
+		if s.Keys[c.Key].Version != c.Version {
+			failed = append(failed, c.Key)
 		}
 	}
 	if len(failed) > 0 {
@@ -293,7 +293,7 @@
 
 // allowed tells whether a transaction is within the limits of size and names no lease
 // that has ended.
-func (s *StateService) allowed(m wire.Multi) bool {
+func (s *StateService) allowed(m wire.Transaction) bool {
 	if s.Limits.TxnOps > 0 && len(m.Writes) > s.Limits.TxnOps {
 		return false
 	}
--- a/internal/standin/task.go
+++ b/internal/standin/task.go
@@ -41,13 +41,13 @@
 	if now.Before(t.Until) {
 		return
 	}
-	w.Images[t.Job.Spec.Bundle] = true
+	w.Images[t.Job.Spec.Image] = true
 	w.changed = true
 	switch {
 	case w.Faulty || t.Job.Faulty:
-		w.exit(t, wire.CauseError, false)
+		w.exit(t, wire.ExitError, false)
 	case t.Job.Done[t.N]:
-		w.exit(t, wire.CauseDone, false)
+		w.exit(t, wire.ExitDone, false)
 	case t.Job.Spec.Shape == wire.ShapeGang:
 		t.Stage, t.Until = wire.TaskWaiting, now.Add(config.Seconds(w.cluster.Facts.Workers.GangWaitS))
 	default:
@@ -61,7 +61,7 @@
 	members := w.cluster.members(t)
 	if len(members) < t.Job.Spec.Tasks {
 		if now.After(t.Until) {
-			w.exit(t, wire.CauseAlone, false)
+			w.exit(t, wire.ExitGangWaitTimeout, false)
 		}
 		return
 	}
@@ -82,7 +82,7 @@
 			t.lostAt = now
 		}
 		if now.Sub(t.lostAt) > membersLost {
-			w.exit(t, wire.CauseMatesGone, false)
+			w.exit(t, wire.ExitGangMemberLost, false)
 			return
 		}
 		if t.Stage == wire.TaskRunning {
@@ -92,13 +92,13 @@
 	switch {
 	case now.Before(t.Until):
 	case t.Stage == wire.TaskSaving:
-		w.exit(t, wire.CauseHalted, true)
+		w.exit(t, wire.ExitStopped, true)
 	case t.Job.Spec.Shape == wire.ShapeService:
 	case gang:
 		w.completeGang(t)
 	default:
 		t.Job.Done[t.N] = true
-		w.exit(t, wire.CauseDone, false)
+		w.exit(t, wire.ExitDone, false)
 		w.cluster.completed(t.Job)
 	}
 }
@@ -111,7 +111,7 @@
 	}
 	for _, m := range members {
 		t.Job.Done[m.task.N] = true
-		m.worker.exit(m.task, wire.CauseDone, false)
+		m.worker.exit(m.task, wire.ExitDone, false)
 	}
 	w.cluster.completed(t.Job)
 }
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -36,7 +36,7 @@
 
 // Worker is a stand-in for a machine's worker, by the protocol.
 type Worker struct {
-	Host    wire.Host
+	Host    wire.Machine
 	Cap     quota.Room
 	Fetch   time.Duration // that an image takes
 	Dead    bool          // the machine is gone
@@ -60,7 +60,7 @@
 
 // AddWorker starts the worker of a machine that has booted. It reports from the next
 // event of the clock on.
-func (c *Cluster) AddWorker(host wire.Host, capacity quota.Room) *Worker {
+func (c *Cluster) AddWorker(host wire.Machine, capacity quota.Room) *Worker {
 	w := &Worker{Host: host, Cap: capacity, Fetch: DefaultFetch, Session: 1, Images: map[string]bool{},
 		Node: c.rng.IntN(c.network.Nodes()), cluster: c, leased: c.Clock.Now(), changed: true}
 	c.Workers[host.ID] = w
@@ -91,16 +91,16 @@
 }
 
 // Report is the worker's account of itself; each has the next sequence number.
-func (w *Worker) Report() *wire.Report {
+func (w *Worker) Report() *wire.Heartbeat {
 	w.Seq++
-	r := &wire.Report{Host: w.Host.ID, Address: w.Host.Address, Type: w.Host.Type, Zone: w.Host.Zone, Spot: w.Host.Spot,
-		Session: w.Session, Seq: w.Seq, Token: w.Token}
+	r := &wire.Heartbeat{Host: w.Host.ID, Address: w.Host.Address, Type: w.Host.Type, Zone: w.Host.Zone, Spot: w.Host.Spot,
+		Incarnation: w.Session, Sequence: w.Seq, Token: w.Token}
 	if !w.Recall.IsZero() {
 		left := max(0, w.Recall.Sub(w.cluster.Clock.Now()).Seconds())
-		r.RecallS = &left
+		r.PreemptionNoticeS = &left
 	}
 	for _, t := range w.Tasks {
-		r.Tasks = append(r.Tasks, wire.Task{Task: wire.TaskName(t.Job.Spec.ID, t.N), Attempt: t.Attempt, Stage: t.Stage, Cause: t.Cause, Stored: t.Stored})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Name: wire.TaskName(t.Job.Spec.ID, t.N), Attempt: t.Attempt, State: t.Stage, ExitReason: t.Cause, CheckpointSaved: t.Stored})
 	}
 	return r
 }
@@ -154,7 +154,7 @@
 			w.nextNode(number)
 		}
 	})
-	w.cluster.network.Send(w, w.Node, report, func(status int, commands wire.Commands, reportsTo string) {
+	w.cluster.network.Send(w, w.Node, report, func(status int, commands wire.HeartbeatResponse, reportsTo string) {
 		if w.inFlight != number || w.Dead || w.Hung || w.Session != session {
 			return
 		}
@@ -163,7 +163,7 @@
 }
 
 // answered takes the answer to the report under way, which was sent at a time.
-func (w *Worker) answered(number int, sent time.Time, status int, commands wire.Commands, reportsTo string) {
+func (w *Worker) answered(number int, sent time.Time, status int, commands wire.HeartbeatResponse, reportsTo string) {
 	switch status {
 	case 200:
 		w.inFlight = noReport
@@ -210,8 +210,8 @@
 }
 
 // Command executes a direct command that has reached the worker.
-func (w *Worker) Command(d wire.Do) (status int, report *wire.Report) {
-	if d.Token < w.Token || d.Session != w.Session {
+func (w *Worker) Command(d wire.DirectCommands) (status int, report *wire.Heartbeat) {
+	if d.Token < w.Token || d.Incarnation != w.Session {
 		return 409, w.Report()
 	}
 	w.sawToken(d.Token)
@@ -231,7 +231,7 @@
 		case wire.VerbRun:
 			w.run(j, n, command.Attempt)
 		case wire.VerbStop:
-			w.stop(w.Find(j, n, command.Attempt), command.WindDownS)
+			w.stop(w.Find(j, n, command.Attempt), command.GracePeriodS)
 		case wire.VerbReap:
 			w.reap(w.Find(j, n, command.Attempt))
 		}
@@ -246,14 +246,14 @@
 	t := &Task{Job: j, N: n, Attempt: attempt, Stage: wire.TaskExited}
 	switch {
 	case w.Find(j, n, 0) != nil:
-		t.Cause = wire.CauseInUse
+		t.Cause = wire.ExitOtherAttemptPresent
 	case !w.Free().Fits(j.need()):
-		t.Cause = wire.CauseNoRoom
+		t.Cause = wire.ExitInsufficientResources
 	default:
 		w.cluster.checkStart(w, j, n)
 		t.Stage = wire.TaskFetching
 		t.Until = w.cluster.Clock.Now()
-		if !w.Images[j.Spec.Bundle] {
+		if !w.Images[j.Spec.Image] {
 			t.Until = t.Until.Add(w.Fetch)
 		}
 		if w.cluster.Started != nil {
@@ -278,11 +278,11 @@
 	}
 	spec := &t.Job.Spec
 	switch {
-	case t.Stage == wire.TaskRunning && spec.BookmarkS > 0 && grace >= spec.StowS:
-		t.Stage, t.Until = wire.TaskSaving, w.cluster.Clock.Now().Add(config.Seconds(spec.StowS))
+	case t.Stage == wire.TaskRunning && spec.CheckpointIntervalS > 0 && grace >= spec.CheckpointSaveTimeS:
+		t.Stage, t.Until = wire.TaskSaving, w.cluster.Clock.Now().Add(config.Seconds(spec.CheckpointSaveTimeS))
 	case t.Stage == wire.TaskSaving && grace > 0:
 	default:
-		w.exit(t, wire.CauseHalted, false)
+		w.exit(t, wire.ExitStopped, false)
 	}
 }
 
--- a/internal/standin/worker_test.go
+++ b/internal/standin/worker_test.go
@@ -17,7 +17,7 @@
 	grace := 5.0
 	for _, c := range []struct {
 		name  string
-		spec  func(s *wire.Submission)
+		spec  func(s *wire.JobSpec)
 		steps []step
 		stage string // of the newest attempt at the end, "" if it is not listed
 		cause string
@@ -25,13 +25,13 @@
 		{"a start fetches the image first", nil, []step{{wire.VerbRun, 1, 0}}, wire.TaskFetching, ""},
 		{"then it runs", nil, []step{{wire.VerbRun, 1, 0}, {"", 1, 3 * time.Second}}, wire.TaskRunning, ""},
 		{"a repeated start has no effect", nil, []step{{wire.VerbRun, 1, 0}, {wire.VerbRun, 1, 3 * time.Second}}, wire.TaskRunning, ""},
-		{"another attempt beside it is refused", nil, []step{{wire.VerbRun, 1, 0}, {wire.VerbRun, 2, 0}}, wire.TaskExited, wire.CauseInUse},
-		{"one that does not fit is refused", func(s *wire.Submission) { s.Gpus = 9 }, []step{{wire.VerbRun, 1, 0}}, wire.TaskExited, wire.CauseNoRoom},
-		{"a stop ends it", nil, []step{{wire.VerbRun, 1, 0}, {wire.VerbStop, 1, 3 * time.Second}}, wire.TaskExited, wire.CauseHalted},
-		{"a stop with grace lets it save", func(s *wire.Submission) { s.BookmarkS, s.StowS = 1, 4 }, []step{{wire.VerbRun, 1, 0}, {wire.VerbStop, 1, 3 * time.Second}}, wire.TaskSaving, ""},
+		{"another attempt beside it is refused", nil, []step{{wire.VerbRun, 1, 0}, {wire.VerbRun, 2, 0}}, wire.TaskExited, wire.ExitOtherAttemptPresent},
+		{"one that does not fit is refused", func(s *wire.JobSpec) { s.Gpus = 9 }, []step{{wire.VerbRun, 1, 0}}, wire.TaskExited, wire.ExitInsufficientResources},
+		{"a stop ends it", nil, []step{{wire.VerbRun, 1, 0}, {wire.VerbStop, 1, 3 * time.Second}}, wire.TaskExited, wire.ExitStopped},
+		{"a stop with grace lets it save", func(s *wire.JobSpec) { s.CheckpointIntervalS, s.CheckpointSaveTimeS = 1, 4 }, []step{{wire.VerbRun, 1, 0}, {wire.VerbStop, 1, 3 * time.Second}}, wire.TaskSaving, ""},
 		{"an exited attempt is reaped", nil, []step{{wire.VerbRun, 1, 0}, {wire.VerbStop, 1, 0}, {wire.VerbReap, 1, 0}}, "", ""},
 		{"a running one is not", nil, []step{{wire.VerbRun, 1, 0}, {wire.VerbReap, 1, 0}}, wire.TaskFetching, ""},
-		{"a gang waits for its other tasks", func(s *wire.Submission) { s.Shape = wire.ShapeGang }, []step{{wire.VerbRun, 1, 0}, {"", 1, 3 * time.Second}}, wire.TaskWaiting, ""},
+		{"a gang waits for its other tasks", func(s *wire.JobSpec) { s.Shape = wire.ShapeGang }, []step{{wire.VerbRun, 1, 0}, {"", 1, 3 * time.Second}}, wire.TaskWaiting, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cluster := testCluster()
@@ -42,13 +42,13 @@
 				cluster.play(s.after)
 				attempt = max(attempt, s.attempt)
 				if s.verb != "" {
-					w.Command(wire.Do{Token: 1, Session: w.Session, Commands: []wire.Command{{Verb: s.verb, Task: "job-1/0", Attempt: s.attempt, WindDownS: &grace}}})
+					w.Command(wire.DirectCommands{Token: 1, Incarnation: w.Session, Commands: []wire.Command{{Verb: s.verb, Task: "job-1/0", Attempt: s.attempt, GracePeriodS: &grace}}})
 				}
 			}
 			stage, cause := "", ""
 			for _, p := range w.Report().Tasks {
 				if p.Attempt == attempt {
-					stage, cause = p.Stage, p.Cause
+					stage, cause = p.State, p.ExitReason
 				}
 			}
 			if stage != c.stage || cause != c.cause {
@@ -69,7 +69,7 @@
 	}{
 		{"a first token", 3, 1, 200}, {"the same again", 3, 1, 200}, {"a lower one", 2, 1, 409}, {"another session", 4, 2, 409},
 	} {
-		if status, rep := w.Command(wire.Do{Token: c.token, Session: c.session}); status != c.want || rep.Token != 3 {
+		if status, rep := w.Command(wire.DirectCommands{Token: c.token, Incarnation: c.session}); status != c.want || rep.Token != 3 {
 			t.Errorf("%s: %d, token %d", c.name, status, rep.Token)
 		}
 	}
--- a/internal/store/budget_test.go
+++ b/internal/store/budget_test.go
@@ -14,7 +14,7 @@
 func TestBudgetOrder(t *testing.T) {
 	now := time.Unix(100, 0)
 	write := func(c Class) Call {
-		return Call{Op: OpMulti, Class: c, Multi: wire.Multi{Writes: []wire.Write{Remove("a")}}}
+		return Call{Op: OpMulti, Class: c, Multi: wire.Transaction{Writes: []wire.Write{Remove("a")}}}
 	}
 	b := NewBudget(config.State{RPS: 200, WriteRPS: 20}, 1)
 	spend := func(c Class) (n int) {
@@ -42,8 +42,8 @@
 // Nobody tells when the limits fall: refusals beyond what uneven shares explain do, or
 // one for a size. Until then the present rate is used.
 func TestBudgetLowers(t *testing.T) {
-	write := Call{Op: OpMulti, Class: ClassUser, Multi: wire.Multi{Writes: []wire.Write{Remove("a")}}}
-	leased := Call{Op: OpMulti, Multi: wire.Multi{Writes: []wire.Write{{Write: "c/leader", Lease: 7}}}}
+	write := Call{Op: OpMulti, Class: ClassUser, Multi: wire.Transaction{Writes: []wire.Write{Remove("a")}}}
+	leased := Call{Op: OpMulti, Multi: wire.Transaction{Writes: []wire.Write{{Put: "c/leader", Lease: 7}}}}
 	for _, c := range []struct {
 		name   string
 		call   Call
@@ -88,7 +88,7 @@
 // change of the limits; where the limits have fallen, a trial costs few refusals and the
 // next one comes later.
 func TestBudgetTriesAgain(t *testing.T) {
-	write := Call{Op: OpMulti, Class: ClassUser, Multi: wire.Multi{Writes: []wire.Write{Remove("a")}}}
+	write := Call{Op: OpMulti, Class: ClassUser, Multi: wire.Transaction{Writes: []wire.Write{Remove("a")}}}
 	const hours = 2
 	for _, c := range []struct {
 		name        string
@@ -159,7 +159,7 @@
 				budgets = append(budgets, b)
 			}
 			write := func(class Class) Call {
-				return Call{Op: OpMulti, Class: class, Multi: wire.Multi{Writes: []wire.Write{Remove("a")}}}
+				return Call{Op: OpMulti, Class: class, Multi: wire.Transaction{Writes: []wire.Write{Remove("a")}}}
 			}
 			rng := rand.New(rand.NewPCG(1, 1))
 			service := 10.0
@@ -207,7 +207,7 @@
 // A node whose writes wait while the others leave theirs uses more than its part, and no
 // more than that once the service refuses something.
 func TestBudgetGrows(t *testing.T) {
-	write := Call{Op: OpMulti, Class: ClassFinal, Multi: wire.Multi{Writes: []wire.Write{Remove("a")}}}
+	write := Call{Op: OpMulti, Class: ClassFinal, Multi: wire.Transaction{Writes: []wire.Write{Remove("a")}}}
 	for _, c := range []struct {
 		name       string
 		wanted     int // writes a second
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -56,19 +56,19 @@
 		return res
 	}
 	var out struct {
-		wire.Item
-		Items    []wire.Item
+		wire.KeyValue
+		Items    []wire.KeyValue
 		More     bool
 		Revision uint64   `json:"Epoch"`
 		Failed   []string `json:"failed"`
-		Events   []wire.Change
+		Events   []wire.Event
 	}
 	if err := json.Unmarshal(raw, &out); err != nil && resp.StatusCode == http.StatusOK {
 		// an answer that cannot be read is as good as none
 		return res
 	}
 	res.Status = resp.StatusCode
-	res.Item, res.Items, res.More = out.Item, out.Items, out.More
+	res.Item, res.Items, res.More = out.KeyValue, out.Items, out.More
 	res.Revision, res.Failed, res.Lease, res.Events = out.Revision, out.Failed, out.Lease, out.Events
 	return res
 }
--- a/internal/store/mirror.go
+++ b/internal/store/mirror.go
@@ -29,7 +29,7 @@
 	Pace   time.Duration
 	under  string
 	call   Caller
-	change func(now time.Time, key string, it wire.Item, gone bool)
+	change func(now time.Time, key string, it wire.KeyValue, gone bool)
 
 	state    mirrorState
 	round    int // tells answers of an abandoned round apart
@@ -40,7 +40,7 @@
 	fresh    time.Time // all that was written by then has been taken in
 	listed   time.Time // when the first call of the list under way was sent
 	retry    time.Time
-	items    map[string]wire.Item
+	items    map[string]wire.KeyValue
 	seen     map[string]bool // keys listed in this round
 	base     uint64          // the revision that this round's list began at
 
@@ -53,8 +53,8 @@
 // NewMirror makes a mirror of the keys under a prefix; change is told of each
 // change, in order.
 func NewMirror(under string, call Caller,
-	change func(now time.Time, key string, it wire.Item, gone bool)) *Mirror {
-	return &Mirror{under: under, call: call, change: change, items: map[string]wire.Item{}}
+	change func(now time.Time, key string, it wire.KeyValue, gone bool)) *Mirror {
+	return &Mirror{under: under, call: call, change: change, items: map[string]wire.KeyValue{}}
 }
 
 // Synced tells whether all keys have been read at least once.
@@ -124,14 +124,14 @@
 }
 
 // Each calls f for every key, in key order.
-func (m *Mirror) Each(f func(it wire.Item)) {
+func (m *Mirror) Each(f func(it wire.KeyValue)) {
 	for _, k := range slices.Sorted(maps.Keys(m.items)) {
 		f(m.items[k])
 	}
 }
 
 // Get returns a key.
-func (m *Mirror) Get(key string) (wire.Item, bool) {
+func (m *Mirror) Get(key string) (wire.KeyValue, bool) {
 	it, ok := m.items[key]
 	return it, ok
 }
@@ -179,9 +179,9 @@
 		}
 		last := after
 		for _, it := range r.Items {
-			m.seen[it.Path] = true
+			m.seen[it.Key] = true
 			m.put(now, it)
-			last = it.Path
+			last = it.Key
 		}
 		if r.More && last != after {
 			m.list(now, last)
@@ -201,12 +201,12 @@
 	})
 }
 
-func (m *Mirror) put(now time.Time, it wire.Item) {
-	if old, ok := m.items[it.Path]; ok && old.Version >= it.Version {
+func (m *Mirror) put(now time.Time, it wire.KeyValue) {
+	if old, ok := m.items[it.Key]; ok && old.Version >= it.Version {
 		return
 	}
-	m.items[it.Path] = it
-	m.change(now, it.Path, it, false)
+	m.items[it.Key] = it
+	m.change(now, it.Key, it, false)
 }
 
 func (m *Mirror) follow(now time.Time) {
@@ -238,13 +238,13 @@
 	})
 }
 
-func (m *Mirror) apply(now time.Time, ev wire.Change) {
-	if ev.Write != "" {
-		m.put(now, wire.Item{Path: ev.Write, Value: ev.Value, Version: ev.Version})
+func (m *Mirror) apply(now time.Time, ev wire.Event) {
+	if ev.Put != "" {
+		m.put(now, wire.KeyValue{Key: ev.Put, Value: ev.Value, Version: ev.Version})
 		return
 	}
-	if it, ok := m.items[ev.Remove]; ok && it.Version < ev.Version {
-		delete(m.items, ev.Remove)
-		m.change(now, ev.Remove, it, true)
+	if it, ok := m.items[ev.Delete]; ok && it.Version < ev.Version {
+		delete(m.items, ev.Delete)
+		m.change(now, ev.Delete, it, true)
 	}
 }
--- a/internal/store/pages.go
+++ b/internal/store/pages.go
@@ -26,7 +26,7 @@
 	limit  int // bytes a page's entries may take
 	every  time.Duration
 	class  Class
-	tenure wire.Cond
+	tenure wire.Compare
 	call   Caller
 	log    *slog.Logger
 	lost   func(now time.Time)
@@ -56,7 +56,7 @@
 
 // NewPages makes empty pages under a prefix. Each page is written at most once
 // in a while.
-func NewPages(under string, valueKB float64, every time.Duration, class Class, tenure wire.Cond, call Caller, log *slog.Logger, lost func(now time.Time)) *Pages {
+func NewPages(under string, valueKB float64, every time.Duration, class Class, tenure wire.Compare, call Caller, log *slog.Logger, lost func(now time.Time)) *Pages {
 	return &Pages{under: under, limit: int(valueKB * 1024 * tuning.PageFill), every: every, class: class, tenure: tenure, call: call, log: log, lost: lost,
 		where: map[string]*page{}, also: map[string][]*page{}}
 }
@@ -103,18 +103,18 @@
 
 // Load takes over pages that an earlier tenure wrote and tells of each entry. A page that
 // cannot be read keeps its place and is never written; Unread tells how many there are.
-func (p *Pages) Load(items []wire.Item, each func(key string, value json.RawMessage)) {
+func (p *Pages) Load(items []wire.KeyValue, each func(key string, value json.RawMessage)) {
 	for _, it := range items {
-		n, err := strconv.Atoi(strings.TrimPrefix(it.Path, p.under))
+		n, err := strconv.Atoi(strings.TrimPrefix(it.Key, p.under))
 		if err != nil || n < 0 || n > tuning.PagesMost {
-			p.log.Error("page's name cannot be read", "key", it.Path)
+			p.log.Error("page's name cannot be read", "key", it.Key)
 			p.unread++
 			continue
 		}
 		entries := map[string]json.RawMessage{}
 		g := p.add(n, it.Version)
 		if err := json.Unmarshal(it.Value, &entries); err != nil || entries == nil {
-			p.log.Error("page cannot be read", "key", it.Path, "error", err)
+			p.log.Error("page cannot be read", "key", it.Key, "error", err)
 			g.unread = true
 			p.unread++
 			continue
--- a/internal/store/pages_test.go
+++ b/internal/store/pages_test.go
@@ -17,23 +17,23 @@
 // and a successor finds everything again.
 func TestPages(t *testing.T) {
 	now := time.Unix(0, 0)
-	kv := map[string]wire.Item{}
+	kv := map[string]wire.KeyValue{}
 	revision, writes := uint64(10), 0
 	call := func(c Call, then func(time.Time, Result)) {
-		for _, cond := range c.Multi.When {
-			if cond.Path != "c/b/0" && kv[cond.Path].Version != cond.Version {
-				then(now, Result{Status: 409, Failed: []string{cond.Path}})
+		for _, cond := range c.Multi.Compares {
+			if cond.Key != "c/b/0" && kv[cond.Key].Version != cond.Version {
+				then(now, Result{Status: 409, Failed: []string{cond.Key}})
 				return
 			}
 		}
 		revision++
 		for _, w := range c.Multi.Writes {
 			if writes++; len(w.Value) > 1024 {
-				t.Errorf("%s has %d bytes", w.Write, len(w.Value))
+				t.Errorf("%s has %d bytes", w.Put, len(w.Value))
 			}
-			delete(kv, w.Remove)
-			if w.Write != "" {
-				kv[w.Write] = wire.Item{Path: w.Write, Value: w.Value, Version: revision}
+			delete(kv, w.Delete)
+			if w.Put != "" {
+				kv[w.Put] = wire.KeyValue{Key: w.Put, Value: w.Value, Version: revision}
 			}
 		}
 		then(now, Result{Status: 200, Revision: revision})
@@ -65,7 +65,7 @@
 	if durable != 61 || writes != before+1 {
 		t.Errorf("%d durable by %d more writes, want one", durable, writes-before)
 	}
-	var items []wire.Item
+	var items []wire.KeyValue
 	for _, it := range kv {
 		items = append(items, it)
 	}
@@ -103,7 +103,7 @@
 		old[k], want[k] = fmt.Sprintf("10.0.0.%d:9000", i), true
 	}
 	raw, _ := json.Marshal(old)
-	kv := map[string]wire.Item{"u/0/0": {Path: "u/0/0", Value: raw, Version: 5}}
+	kv := map[string]wire.KeyValue{"u/0/0": {Key: "u/0/0", Value: raw, Version: 5}}
 	stored := func() map[string]bool {
 		out := map[string]bool{}
 		for _, it := range kv {
@@ -124,7 +124,7 @@
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
 	p := NewPages("u/0/", 1, time.Second, ClassTenure, Is("c/b/0", 2), func(c Call, then func(time.Time, Result)) { calls = append(calls, pending{c, then}) }, quiet,
 		func(time.Time) { t.Error("lost") })
-	p.Load([]wire.Item{kv["u/0/0"]}, func(string, json.RawMessage) {})
+	p.Load([]wire.KeyValue{kv["u/0/0"]}, func(string, json.RawMessage) {})
 	p.Tick(now)
 	if len(calls) != 0 {
 		t.Fatal("a page that nothing changed was written")
@@ -140,11 +140,11 @@
 			revision++
 			for _, w := range calls[i].c.Multi.Writes {
 				if len(w.Value) > limit {
-					t.Fatalf("%s is written with %d bytes", w.Write, len(w.Value))
+					t.Fatalf("%s is written with %d bytes", w.Put, len(w.Value))
 				}
-				delete(kv, w.Remove)
-				if w.Write != "" {
-					kv[w.Write] = wire.Item{Path: w.Write, Value: w.Value, Version: revision}
+				delete(kv, w.Delete)
+				if w.Put != "" {
+					kv[w.Put] = wire.KeyValue{Key: w.Put, Value: w.Value, Version: revision}
 				}
 			}
 			for k := range want {
@@ -181,13 +181,13 @@
 type pageStore struct {
 	t        *testing.T
 	limit    int
-	keys     map[string]wire.Item
+	keys     map[string]wire.KeyValue
 	revision uint64
 	refused  []string // values, in order
 	now      time.Time
 }
 
-func (s *pageStore) items() (out []wire.Item) {
+func (s *pageStore) items() (out []wire.KeyValue) {
 	for _, it := range s.keys {
 		out = append(out, it)
 	}
@@ -210,7 +210,7 @@
 		{"half of the present one", 512, true}, {"an eighth of it", 130, true}, {"less than one entry takes", 20, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := &pageStore{t: t, limit: c.limit, keys: map[string]wire.Item{}, revision: 10}
+			s := &pageStore{t: t, limit: c.limit, keys: map[string]wire.KeyValue{}, revision: 10}
 			p, durable, now := s.pages(1), map[string]bool{}, time.Unix(0, 0)
 			const entries = 60
 			for i := range entries {
@@ -244,9 +244,9 @@
 // A page that cannot be read keeps its place: nothing is written over it.
 func TestUnreadablePage(t *testing.T) {
 	for _, value := range []string{`{"i-000001":"10.0`, `["i-000001"]`, `null`, `7`} {
-		s := &pageStore{t: t, limit: 1024, revision: 10, keys: map[string]wire.Item{
-			"u/0/0": {Path: "u/0/0", Value: json.RawMessage(value), Version: 5},
-			"u/0/1": {Path: "u/0/1", Value: json.RawMessage(`{"i-000002":"a"}`), Version: 6},
+		s := &pageStore{t: t, limit: 1024, revision: 10, keys: map[string]wire.KeyValue{
+			"u/0/0": {Key: "u/0/0", Value: json.RawMessage(value), Version: 5},
+			"u/0/1": {Key: "u/0/1", Value: json.RawMessage(`{"i-000002":"a"}`), Version: 6},
 		}}
 		p, found, durable := s.pages(1), 0, 0
 		p.Load(s.items(), func(string, json.RawMessage) { found++ })
@@ -264,24 +264,24 @@
 
 func (s *pageStore) call(c Call, then func(time.Time, Result)) {
 	now := s.now
-	for _, cond := range c.Multi.When {
-		if cond.Path != "c/b/0" && s.keys[cond.Path].Version != cond.Version {
-			then(now, Result{Status: 409, Failed: []string{cond.Path}})
+	for _, cond := range c.Multi.Compares {
+		if cond.Key != "c/b/0" && s.keys[cond.Key].Version != cond.Version {
+			then(now, Result{Status: 409, Failed: []string{cond.Key}})
 			return
 		}
 	}
 	for _, w := range c.Multi.Writes {
 		if len(w.Value) > s.limit {
-			s.refused = append(s.refused, w.Write+string(w.Value))
+			s.refused = append(s.refused, w.Put+string(w.Value))
 			then(now, Result{Status: 400})
 			return
 		}
 	}
 	s.revision++
 	for _, w := range c.Multi.Writes {
-		delete(s.keys, w.Remove)
-		if w.Write != "" {
-			s.keys[w.Write] = wire.Item{Path: w.Write, Value: w.Value, Version: s.revision}
+		delete(s.keys, w.Delete)
+		if w.Put != "" {
+			s.keys[w.Put] = wire.KeyValue{Key: w.Put, Value: w.Value, Version: s.revision}
 		}
 	}
 	then(now, Result{Status: 200, Revision: s.revision})
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -34,7 +34,7 @@
 	TooLarge func(now time.Time) bool
 
 	class   Class
-	tenure  wire.Cond
+	tenure  wire.Compare
 	call    Caller
 	version uint64
 	state   recordState
@@ -49,7 +49,7 @@
 
 // NewRecord makes the record of a key that now has the given version. done is
 // told of each version that has become durable, lost when the tenure is over.
-func NewRecord(key string, version uint64, class Class, tenure wire.Cond, call Caller,
+func NewRecord(key string, version uint64, class Class, tenure wire.Compare, call Caller,
 	done func(now time.Time, ver int), lost func(now time.Time)) *Record {
 	return &Record{Key: key, version: version, class: class, tenure: tenure, call: call, done: done, lost: lost}
 }
@@ -83,14 +83,14 @@
 	ver, want := r.ver, r.want
 	w := Remove(r.Key)
 	if want != nil {
-		w = wire.Write{Write: r.Key, Value: want}
+		w = wire.Write{Put: r.Key, Value: want}
 	} else if r.version == 0 {
 		r.settle(now, ver)
 		return
 	}
 	r.set(recordWriting)
-	r.call(Call{Op: OpMulti, Class: r.class, Multi: wire.Multi{
-		When: []wire.Cond{r.tenure, Is(r.Key, r.version)}, Writes: []wire.Write{w},
+	r.call(Call{Op: OpMulti, Class: r.class, Multi: wire.Transaction{
+		Compares: []wire.Compare{r.tenure, Is(r.Key, r.version)}, Writes: []wire.Write{w},
 	}}, func(now time.Time, res Result) {
 		switch {
 		case res.OK():
@@ -99,7 +99,7 @@
 				r.version = 0
 			}
 			r.settle(now, ver)
-		case res.Status == 409 && slices.Contains(res.Failed, r.tenure.Path):
+		case res.Status == 409 && slices.Contains(res.Failed, r.tenure.Key):
 			r.set(recordDirty)
 			r.retry = now.Add(tuning.RecordRetry)
 			r.lost(now)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -48,7 +48,7 @@
 	After  string // OpList
 	Since  uint64 // OpChanges
 	Page   int    // OpList
-	Multi  wire.Multi
+	Multi  wire.Transaction
 	Lease  uint64        // OpTouch
 	Life   time.Duration // OpGrant
 	WaitMs int           // OpChanges
@@ -69,13 +69,13 @@
 type Result struct {
 	Status   int // the HTTP status; 0 when no response came
 	Sent     time.Time
-	Item     wire.Item
-	Items    []wire.Item
+	Item     wire.KeyValue
+	Items    []wire.KeyValue
 	More     bool
 	Revision uint64
 	Failed   []string
 	Lease    uint64
-	Events   []wire.Change
+	Events   []wire.Event
 }
 
 // OK tells whether the call was executed as asked.
@@ -90,11 +90,11 @@
 	if err != nil {
 		panic("store: value of " + key + " cannot be written as JSON: " + err.Error())
 	}
-	return wire.Write{Write: key, Value: raw, Lease: lease}
+	return wire.Write{Put: key, Value: raw, Lease: lease}
 }
 
 // Remove is the removal of a key.
-func Remove(key string) wire.Write { return wire.Write{Remove: key} }
+func Remove(key string) wire.Write { return wire.Write{Delete: key} }
 
 // Is is the condition that a key has a version; 0: that it does not exist.
-func Is(key string, version uint64) wire.Cond { return wire.Cond{Path: key, Version: version} }
+func Is(key string, version uint64) wire.Compare { return wire.Compare{Key: key, Version: version} }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -39,13 +39,13 @@
 		{"get nothing", Call{Op: OpGet, Key: "a"}, 404, `{"Epoch":431}`, "GET /kv/a ", func(r Result) bool { return r.Status == 404 }},
 		{"list", Call{Op: OpList, Under: "q/0/", After: "q/0/x", Page: 10}, 200, `{"Items":[{"Path":"q/0/y","Value":1,"Stamp":2}],"More":true,"Epoch":9}`,
 			"GET /kv?Under=q%2F0%2F&After=q%2F0%2Fx&Page=10 ", func(r Result) bool { return len(r.Items) == 1 && r.More && r.Revision == 9 }},
-		{"transaction", Call{Op: OpMulti, Multi: wire.Multi{When: []wire.Cond{Is("a", 0)}, Writes: []wire.Write{Put("a", 1, 7), Remove("b")}}}, 409,
+		{"transaction", Call{Op: OpMulti, Multi: wire.Transaction{Compares: []wire.Compare{Is("a", 0)}, Writes: []wire.Write{Put("a", 1, 7), Remove("b")}}}, 409,
 			`{"failed":["a"],"Epoch":4}`, `POST /multi {"When":[{"Path":"a","Stamp":0}],"Writes":[{"Write":"a","Value":1,"Hold":7},{"Remove":"b"}]}`,
 			func(r Result) bool { return r.Status == 409 && r.Failed[0] == "a" }},
 		{"grant", Call{Op: OpGrant, Life: 3500 * time.Millisecond}, 200, `{"Hold":7}`, `POST /grants {"LifeMs":3500}`, func(r Result) bool { return r.Lease == 7 }},
 		{"touch", Call{Op: OpTouch, Lease: 7}, 404, ``, `POST /grants/7/touch {}`, func(r Result) bool { return r.Status == 404 }},
 		{"watch", Call{Op: OpChanges, Under: "c/", Since: 5, WaitMs: 10}, 200, `{"Epoch":6,"Events":[{"Remove":"c/d","Stamp":6}]}`,
-			"GET /changes?Under=c%2F&After=5&WaitMs=10 ", func(r Result) bool { return r.Events[0].Remove == "c/d" }},
+			"GET /changes?Under=c%2F&After=5&WaitMs=10 ", func(r Result) bool { return r.Events[0].Delete == "c/d" }},
 		{"an answer that cannot be read is none", Call{Op: OpGet, Key: "a"}, 200, `{"Path"`, "GET /kv/a ", func(r Result) bool { return r.Status == 0 }},
 		{"a refusal that cannot be read is one", Call{Op: OpGet, Key: "a"}, 503, `oops`, "GET /kv/a ", func(r Result) bool { return r.Refused() }},
 	} {
@@ -86,28 +86,28 @@
 func TestMirror(t *testing.T) {
 	f := &fake{}
 	seen := ""
-	m := NewMirror("q/", f.call, func(_ time.Time, key string, it wire.Item, gone bool) {
+	m := NewMirror("q/", f.call, func(_ time.Time, key string, it wire.KeyValue, gone bool) {
 		if gone {
 			seen += "-"
 		}
 		seen += key + string(it.Value) + " "
 	})
-	item := func(key, v string, version uint64) wire.Item {
-		return wire.Item{Path: key, Value: json.RawMessage(v), Version: version}
+	item := func(key, v string, version uint64) wire.KeyValue {
+		return wire.KeyValue{Key: key, Value: json.RawMessage(v), Version: version}
 	}
 	now := time.Unix(0, 0)
 	m.Tick(now)
-	f.answer(t, Result{Status: 200, Revision: 10, More: true, Items: []wire.Item{item("q/a", "1", 3)}})
-	f.answer(t, Result{Status: 200, Revision: 12, Items: []wire.Item{item("q/b", "2", 12)}})
+	f.answer(t, Result{Status: 200, Revision: 10, More: true, Items: []wire.KeyValue{item("q/a", "1", 3)}})
+	f.answer(t, Result{Status: 200, Revision: 12, Items: []wire.KeyValue{item("q/b", "2", 12)}})
 	if c := f.calls[0]; c.Op != OpChanges || c.Since != 10 {
 		t.Fatalf("follows from %d, want the first page's revision", c.Since)
 	}
 	// what the list already showed, and what is older than it, comes again
-	f.answer(t, Result{Status: 200, Revision: 13, Events: []wire.Change{
-		{Remove: "q/b", Version: 11}, {Write: "q/b", Value: json.RawMessage("2"), Version: 12}, {Remove: "q/a", Version: 13}}})
+	f.answer(t, Result{Status: 200, Revision: 13, Events: []wire.Event{
+		{Delete: "q/b", Version: 11}, {Put: "q/b", Value: json.RawMessage("2"), Version: 12}, {Delete: "q/a", Version: 13}}})
 	// fallen too far behind: everything is read again
 	f.answer(t, Result{Status: 410})
-	f.answer(t, Result{Status: 200, Revision: 900, Items: []wire.Item{item("q/c", "3", 700)}})
+	f.answer(t, Result{Status: 200, Revision: 900, Items: []wire.KeyValue{item("q/c", "3", 700)}})
 	if want := "q/a1 q/b2 -q/a1 q/c3 -q/b2 "; seen != want {
 		t.Errorf("told of %q, want %q", seen, want)
 	}
@@ -124,7 +124,7 @@
 	}{
 		{"written", []Result{{Status: 200, Revision: 5}}, true, false, 3},
 		{"refused, then written", []Result{{Status: 503}, {Status: 200, Revision: 5}}, true, false, 3},
-		{"no answer, and it had been written", []Result{{}, {Status: 409, Failed: []string{"k"}}, {Status: 200, Item: wire.Item{Version: 4}}, {Status: 200, Revision: 5}}, true, false, 4},
+		{"no answer, and it had been written", []Result{{}, {Status: 409, Failed: []string{"k"}}, {Status: 200, Item: wire.KeyValue{Version: 4}}, {Status: 200, Revision: 5}}, true, false, 4},
 		{"conflict, and the key is gone", []Result{{Status: 409, Failed: []string{"k"}}, {Status: 404}, {Status: 200, Revision: 5}}, true, false, 0},
 		{"the tenure is over", []Result{{Status: 409, Failed: []string{"c/b/0"}}}, false, true, 3},
 	} {
@@ -143,8 +143,8 @@
 			if r.Settled() != c.kept || lost != c.lost {
 				t.Errorf("settled %t, lost %t", r.Settled(), lost)
 			}
-			if last.Multi.When[0] != Is("c/b/0", 2) || last.Multi.When[1] != Is("k", c.version) {
-				t.Errorf("conditions %v", last.Multi.When)
+			if last.Multi.Compares[0] != Is("c/b/0", 2) || last.Multi.Compares[1] != Is("k", c.version) {
+				t.Errorf("conditions %v", last.Multi.Compares)
 			}
 		})
 	}
@@ -162,7 +162,7 @@
 		t.Fatalf("status %d", r.Status)
 	}
 	f := &fake{}
-	m := NewMirror("c/", f.call, func(time.Time, string, wire.Item, bool) {})
+	m := NewMirror("c/", f.call, func(time.Time, string, wire.KeyValue, bool) {})
 	now := time.Unix(100, 0)
 	m.Tick(now)
 	f.answer(t, Result{Status: 200, Revision: 5})
--- a/internal/submission/cancel.go
+++ b/internal/submission/cancel.go
@@ -15,7 +15,7 @@
 		return
 	}
 	if f, ok := s.finals.m[id]; ok {
-		reply(Response{Status: 200, Body: wire.Accepted{ID: id, Stage: f.Stage}})
+		reply(Response{Status: 200, Body: wire.JobAccepted{ID: id, State: f.State}})
 		return
 	}
 	if s.inHand >= tuning.SubmitsInHand {
@@ -39,21 +39,21 @@
 			reply(refuse(404, "no such job", 0))
 			return
 		case f.stage != wire.JobPending:
-			reply(Response{Status: 200, Body: wire.Accepted{ID: id, Stage: f.stage}})
+			reply(Response{Status: 200, Body: wire.JobAccepted{ID: id, State: f.stage}})
 			return
 		}
-		s.call(store.Call{Op: store.OpMulti, Class: store.ClassUser, Multi: wire.Multi{
-			When: []wire.Cond{store.Is(OpenKey(id), f.version)},
+		s.call(store.Call{Op: store.OpMulti, Class: store.ClassUser, Multi: wire.Transaction{
+			Compares: []wire.Compare{store.Is(OpenKey(id), f.version)},
 			Writes: []wire.Write{
-				store.Put(JobKey(id), JobRec{Stage: wire.JobWithdrawn}, 0),
+				store.Put(JobKey(id), JobRec{Stage: wire.JobCancelled}, 0),
 				store.Remove(OpenKey(id)),
 			},
 		}}, func(now time.Time, r store.Result) {
 			switch {
 			case r.OK():
 				s.log.Debug("job cancelled", "job", id)
-				s.final(now, wire.JobState{ID: id, Stage: wire.JobWithdrawn})
-				reply(Response{Status: 200, Body: wire.Accepted{ID: id, Stage: wire.JobWithdrawn}})
+				s.final(now, wire.JobState{ID: id, State: wire.JobCancelled})
+				reply(Response{Status: 200, Body: wire.JobAccepted{ID: id, State: wire.JobCancelled}})
 			case (r.Status == 409 || r.Status == 0) && tries < tuning.CancelTries:
 				// changed under us, or perhaps written: look again
 				s.cancel(now, id, tries+1, reply)
--- a/internal/submission/cancellation_log_test.go
+++ b/internal/submission/cancellation_log_test.go
@@ -96,13 +96,13 @@
 		told    bool
 	}{
 		{"its own cancellation", func(d *desk, r func(Response)) { d.s.Cancel(now, "job-1", r) }, []store.Result{rec(wire.JobPending), ok}, true},
-		{"found after a lost answer", func(d *desk, r func(Response)) { d.s.Cancel(now, "job-1", r) }, []store.Result{rec(wire.JobPending), none, missing, rec(wire.JobWithdrawn)}, true},
-		{"cancelled before, by another node", func(d *desk, r func(Response)) { d.s.Cancel(now, "job-1", r) }, []store.Result{missing, rec(wire.JobWithdrawn)}, true},
-		{"a question", func(d *desk, r func(Response)) { d.s.Query(now, "job-1", r) }, []store.Result{read, rec(wire.JobWithdrawn)}, true},
-		{"a repeated submission", func(d *desk, r func(Response)) { d.s.Submit(now, job(nil), r) }, []store.Result{conflict, missing, rec(wire.JobWithdrawn)}, true},
+		{"found after a lost answer", func(d *desk, r func(Response)) { d.s.Cancel(now, "job-1", r) }, []store.Result{rec(wire.JobPending), none, missing, rec(wire.JobCancelled)}, true},
+		{"cancelled before, by another node", func(d *desk, r func(Response)) { d.s.Cancel(now, "job-1", r) }, []store.Result{missing, rec(wire.JobCancelled)}, true},
+		{"a question", func(d *desk, r func(Response)) { d.s.Query(now, "job-1", r) }, []store.Result{read, rec(wire.JobCancelled)}, true},
+		{"a repeated submission", func(d *desk, r func(Response)) { d.s.Submit(now, job(nil), r) }, []store.Result{conflict, missing, rec(wire.JobCancelled)}, true},
 		{"a repeat of one that would be refused now", func(d *desk, r func(Response)) {
-			d.s.Submit(now, job(func(s *wire.Submission) { s.Team = "green" }), r)
-		}, []store.Result{missing, rec(wire.JobWithdrawn)}, true},
+			d.s.Submit(now, job(func(s *wire.JobSpec) { s.Team = "green" }), r)
+		}, []store.Result{missing, rec(wire.JobCancelled)}, true},
 		{"a job that is done", func(d *desk, r func(Response)) { d.s.Query(now, "job-1", r) }, []store.Result{read, rec(wire.JobDone)}, false},
 		{"no answer", func(d *desk, r func(Response)) { d.s.Cancel(now, "job-1", r) }, []store.Result{rec(wire.JobPending), outage}, false},
 	} {
--- a/internal/submission/query.go
+++ b/internal/submission/query.go
@@ -46,7 +46,7 @@
 	}
 	rec, err := ReadOpen(it)
 	if err != nil {
-		s.log.Error("job entry cannot be read", "key", it.Path, "error", err)
+		s.log.Error("job entry cannot be read", "key", it.Key, "error", err)
 		answer(Unable("the job's record cannot be read"))
 		return
 	}
@@ -56,9 +56,9 @@
 			s.ended(now, id, answer)
 			return
 		}
-		st := wire.JobState{ID: id, Stage: wire.JobPending, Done: p.Done, Running: p.Running}
+		st := wire.JobState{ID: id, State: wire.JobPending, Done: p.Done, Running: p.Running}
 		if p.Running > 0 {
-			st.Stage = wire.JobRunning
+			st.State = wire.JobRunning
 		}
 		answer(Response{Status: 200, Body: st})
 	})
@@ -73,7 +73,7 @@
 		case f.stage == "":
 			answer(refuse(404, "no such job", 0))
 		default:
-			answer(Response{Status: 200, Body: wire.JobState{ID: id, Stage: f.stage, Done: f.done}})
+			answer(Response{Status: 200, Body: wire.JobState{ID: id, State: f.stage, Done: f.done}})
 		}
 	})
 }
--- a/internal/submission/record.go
+++ b/internal/submission/record.go
@@ -21,14 +21,14 @@
 
 // OpenRec is an open job's entry. Each change is conditioned on its version.
 type OpenRec struct {
-	Spec  wire.Submission
+	Spec  wire.JobSpec
 	At    int64 // when it was accepted, ms of the time of day
 	Block int   `json:",omitempty"`
 }
 
 // ReadOpen reads an open job's entry. An error means that this version cannot tell what
 // the job is: its shape or its form may be of a later one.
-func ReadOpen(it wire.Item) (OpenRec, error) {
+func ReadOpen(it wire.KeyValue) (OpenRec, error) {
 	var rec OpenRec
 	if err := json.Unmarshal(it.Value, &rec); err != nil {
 		return OpenRec{}, err
@@ -36,9 +36,9 @@
 	s := &rec.Spec
 	_, known := wire.Priority(s.Priority)
 	switch {
-	case s.ID != strings.TrimPrefix(it.Path, OpenUnder):
+	case s.ID != strings.TrimPrefix(it.Key, OpenUnder):
 		return OpenRec{}, errors.New("it names another job")
-	case s.Tasks < 1 || s.Tasks > wire.MaxTasks:
+	case s.Tasks < 1 || s.Tasks > wire.MaxTasksPerJob:
 		return OpenRec{}, fmt.Errorf("%d tasks", s.Tasks)
 	case !wire.KnownShape(s.Shape):
 		return OpenRec{}, fmt.Errorf("unknown shape %q", s.Shape)
--- a/internal/submission/submission.go
+++ b/internal/submission/submission.go
@@ -75,14 +75,14 @@
 
 // final remembers how a job ended, before any user is told of it.
 func (s *Slice) final(now time.Time, st wire.JobState) {
-	if st.Stage == wire.JobWithdrawn {
+	if st.State == wire.JobCancelled {
 		s.told(now, st.ID)
 	}
 	s.finals.put(st)
 }
 
 // block chooses the block of a new job.
-func (s *Slice) block(spec *wire.Submission) int {
+func (s *Slice) block(spec *wire.JobSpec) int {
 	if quota.Limited(s.facts.Teams, spec.Team) {
 		return quota.Home(s.facts.Teams, spec.Team, s.blocks)
 	}
@@ -95,7 +95,7 @@
 
 // check tells why a job can never run; undecided means that this node cannot
 // tell yet.
-func (s *Slice) check(spec *wire.Submission) (why string, undecided bool) {
+func (s *Slice) check(spec *wire.JobSpec) (why string, undecided bool) {
 	i := slices.IndexFunc(s.facts.Teams, func(t config.Team) bool { return t.Name == spec.Team })
 	if i < 0 {
 		return "unknown team", false
@@ -130,16 +130,16 @@
 	switch {
 	case len(zones) == 0:
 		return "a task fits no allowed machine type", false
-	case spec.Shape != wire.ShapeBatch && spec.Apart && spec.Tasks > 1 && (spec.Together || len(zones) == 1):
+	case spec.Shape != wire.ShapeBatch && spec.SpreadAcrossZones && spec.Tasks > 1 && (spec.SameZone || len(zones) == 1):
 		return "its tasks cannot be spread over zones", false
 	}
 	return "", false
 }
 
 // Submit takes a well-formed submission.
-func (s *Slice) Submit(now time.Time, spec wire.Submission, reply func(Response)) {
+func (s *Slice) Submit(now time.Time, spec wire.JobSpec, reply func(Response)) {
 	if f, ok := s.finals.m[spec.ID]; ok {
-		reply(Response{Status: 200, Body: wire.Accepted{ID: f.ID, Stage: f.Stage}})
+		reply(Response{Status: 200, Body: wire.JobAccepted{ID: f.ID, State: f.State}})
 		return
 	}
 	why, undecided := s.check(&spec)
@@ -168,7 +168,7 @@
 				answer(Unable("cannot tell yet"))
 				return
 			}
-			answer(Response{Status: 200, Body: wire.Accepted{ID: spec.ID, Stage: f.stage}})
+			answer(Response{Status: 200, Body: wire.JobAccepted{ID: spec.ID, State: f.stage}})
 		})
 	case why != "":
 		s.refuseUnlessKnown(now, spec.ID, status, why, answer)
@@ -204,9 +204,9 @@
 			then(found{})
 			return
 		}
-		r.Item.Path = OpenKey(id)
+		r.Item.Key = OpenKey(id)
 		if _, err := ReadOpen(r.Item); err != nil {
-			s.log.Error("job entry cannot be read", "key", r.Item.Path, "error", err)
+			s.log.Error("job entry cannot be read", "key", r.Item.Key, "error", err)
 			then(found{})
 			return
 		}
@@ -223,11 +223,11 @@
 			then(found{sure: true})
 		case !r.OK():
 			then(found{})
-		case json.Unmarshal(r.Item.Value, &rec) != nil || rec.Stage != wire.JobDone && rec.Stage != wire.JobWithdrawn:
+		case json.Unmarshal(r.Item.Value, &rec) != nil || rec.Stage != wire.JobDone && rec.Stage != wire.JobCancelled:
 			s.log.Error("job record cannot be read", "key", JobKey(id))
 			then(found{})
 		default:
-			s.final(now, wire.JobState{ID: id, Stage: rec.Stage, Done: rec.Done})
+			s.final(now, wire.JobState{ID: id, State: rec.Stage, Done: rec.Done})
 			then(found{sure: true, stage: rec.Stage, done: rec.Done})
 		}
 	})
@@ -235,21 +235,21 @@
 
 func (s *Slice) write(now time.Time, rec OpenRec, tries int, reply func(Response)) {
 	id := rec.Spec.ID
-	s.call(store.Call{Op: store.OpMulti, Class: store.ClassUser, Multi: wire.Multi{
-		When:   []wire.Cond{store.Is(OpenKey(id), 0), store.Is(JobKey(id), 0)},
-		Writes: []wire.Write{store.Put(OpenKey(id), rec, 0)},
+	s.call(store.Call{Op: store.OpMulti, Class: store.ClassUser, Multi: wire.Transaction{
+		Compares: []wire.Compare{store.Is(OpenKey(id), 0), store.Is(JobKey(id), 0)},
+		Writes:   []wire.Write{store.Put(OpenKey(id), rec, 0)},
 	}}, func(now time.Time, r store.Result) {
 		switch {
 		case r.OK():
 			s.log.Debug("job accepted", "job", id, "class", rec.Spec.Class, "block", rec.Block)
-			reply(Response{Status: 201, Body: wire.Accepted{ID: id, Stage: wire.JobPending}})
+			reply(Response{Status: 201, Body: wire.JobAccepted{ID: id, State: wire.JobPending}})
 		case r.Status == 409:
 			s.find(now, id, func(f found) {
 				if f.stage == "" {
 					reply(Unable("state service does not answer"))
 					return
 				}
-				reply(Response{Status: 200, Body: wire.Accepted{ID: id, Stage: f.stage}})
+				reply(Response{Status: 200, Body: wire.JobAccepted{ID: id, State: f.stage}})
 			})
 		case r.Status == 0 && tries == 0:
 			// perhaps written: the same transaction then finds the key there
@@ -274,7 +274,7 @@
 	s.find(now, id, func(f found) {
 		switch {
 		case f.stage != "":
-			reply(Response{Status: 200, Body: wire.Accepted{ID: id, Stage: f.stage}})
+			reply(Response{Status: 200, Body: wire.JobAccepted{ID: id, State: f.stage}})
 		case !f.sure:
 			reply(Unable("cannot tell yet"))
 		default:
