--- a/internal/submission/submission_test.go
+++ b/internal/submission/submission_test.go
@@ -30,7 +30,7 @@
 	call := func(c store.Call, then func(time.Time, store.Result)) {
 		d.calls, d.then = append(d.calls, c), append(d.then, then)
 	}
-	d.open = store.NewMirror(OpenUnder, call, func(time.Time, string, wire.Item, bool) {})
+	d.open = store.NewMirror(OpenUnder, call, func(time.Time, string, wire.KeyValue, bool) {})
 	d.open.Tick(now)
 	d.answer(store.Result{Status: 200, Revision: 10})
 	d.answer(none) // no watch beside the questions
@@ -53,7 +53,7 @@
 	if stage == wire.JobPending {
 		raw, _ = json.Marshal(OpenRec{Spec: job(nil)})
 	}
-	return store.Result{Status: 200, Item: wire.Item{Value: raw, Version: 5}}
+	return store.Result{Status: 200, Item: wire.KeyValue{Value: raw, Version: 5}}
 }
 
 var (
@@ -66,8 +66,8 @@
 	types    = map[string]wire.MachineType{"g8": {Name: "g8", Vcpus: 96, Gpus: 8, MemGb: 768, Zones: []string{"a", "b"}}, "c1": {Name: "c1", Vcpus: 4, MemGb: 8, Zones: []string{"a"}}}
 )
 
-func job(change func(s *wire.Submission)) wire.Submission {
-	s := wire.Submission{ID: "job-1", Team: "red", Class: "l", Shape: wire.ShapeGang, Priority: "low", Tasks: 2, Vcpus: 8, Gpus: 1, MemGb: 10, AnyType: true}
+func job(change func(s *wire.JobSpec)) wire.JobSpec {
+	s := wire.JobSpec{ID: "job-1", Team: "red", Class: "l", Shape: wire.ShapeGang, Priority: "low", Tasks: 2, Vcpus: 8, Gpus: 1, MemGb: 10, AnyType: true}
 	if change != nil {
 		change(&s)
 	}
@@ -77,7 +77,7 @@
 func TestSubmit(t *testing.T) {
 	for _, c := range []struct {
 		name         string
-		change       func(s *wire.Submission)
+		change       func(s *wire.JobSpec)
 		machineTypes map[string]wire.MachineType
 		answers      []store.Result
 		status       int
@@ -90,34 +90,34 @@
 		{"no answer twice", nil, types, []store.Result{none, none}, 503, ""},
 		{"outage", nil, types, []store.Result{outage}, 503, ""},
 		{"rate limit", nil, types, []store.Result{limited}, 503, ""},
-		{"unknown team", func(s *wire.Submission) { s.Team = "green" }, types, []store.Result{missing, missing}, 422, ""},
-		{"unknown team, but accepted once", func(s *wire.Submission) { s.Team = "green" }, types, []store.Result{rec(wire.JobPending)}, 200, wire.JobPending},
-		{"gang beyond the limit", func(s *wire.Submission) { s.Tasks = 9 }, types, []store.Result{missing, missing}, 422, ""},
-		{"array beyond the limit in all", func(s *wire.Submission) { s.Tasks, s.Shape = 9, wire.ShapeBatch }, types, []store.Result{ok}, 201, wire.JobPending},
-		{"too large a task", func(s *wire.Submission) { s.MemGb = 800 }, types, []store.Result{missing, missing}, 422, ""},
-		{"unknown types only", func(s *wire.Submission) { s.AnyType, s.Types = false, []string{"x"} }, types, []store.Result{missing, missing}, 422, ""},
-		{"no type allowed", func(s *wire.Submission) { s.AnyType = false }, types, []store.Result{missing, missing}, 422, ""},
-		{"unknown zone", func(s *wire.Submission) { s.Zone = "z" }, types, []store.Result{missing, missing}, 422, ""},
-		{"a gang together and apart", func(s *wire.Submission) { s.Together, s.Apart = true, true }, types, []store.Result{missing, missing}, 422, ""},
-		{"one task together and apart", func(s *wire.Submission) { s.Together, s.Apart, s.Tasks = true, true, 1 }, types, []store.Result{ok}, 201, wire.JobPending},
-		{"a service within the limit", func(s *wire.Submission) { s.Shape, s.Tasks, s.GuessS = wire.ShapeService, 8, 0 }, types, []store.Result{ok}, 201, wire.JobPending},
-		{"a service beyond the limit in all", func(s *wire.Submission) { s.Shape, s.Tasks = wire.ShapeService, 9 }, types, []store.Result{missing, missing}, 422, ""},
-		{"a service beyond the limit, but accepted once", func(s *wire.Submission) { s.Shape, s.Tasks = wire.ShapeService, 9 }, types, []store.Result{rec(wire.JobPending)}, 200, wire.JobPending},
-		{"a service beyond the limit, but accepted and cancelled", func(s *wire.Submission) { s.Shape, s.Tasks = wire.ShapeService, 9 }, types, []store.Result{missing, rec(wire.JobWithdrawn)}, 200, wire.JobWithdrawn},
-		{"a service that no allowed type holds", func(s *wire.Submission) { s.Shape, s.AnyType, s.Types = wire.ShapeService, false, []string{"c1"} }, types, []store.Result{missing, missing}, 422, ""},
-		{"a service apart in one zone", func(s *wire.Submission) { s.Shape, s.Apart, s.Zone = wire.ShapeService, true, "a" }, types, []store.Result{missing, missing}, 422, ""},
-		{"a service together and apart", func(s *wire.Submission) { s.Shape, s.Together, s.Apart = wire.ShapeService, true, true }, types, []store.Result{missing, missing}, 422, ""},
-		{"a service while types are not known", func(s *wire.Submission) { s.Shape = wire.ShapeService }, nil, []store.Result{missing, missing}, 503, ""},
+		{"unknown team", func(s *wire.JobSpec) { s.Team = "green" }, types, []store.Result{missing, missing}, 422, ""},
+		{"unknown team, but accepted once", func(s *wire.JobSpec) { s.Team = "green" }, types, []store.Result{rec(wire.JobPending)}, 200, wire.JobPending},
+		{"gang beyond the limit", func(s *wire.JobSpec) { s.Tasks = 9 }, types, []store.Result{missing, missing}, 422, ""},
+		{"array beyond the limit in all", func(s *wire.JobSpec) { s.Tasks, s.Shape = 9, wire.ShapeBatch }, types, []store.Result{ok}, 201, wire.JobPending},
+		{"too large a task", func(s *wire.JobSpec) { s.MemGb = 800 }, types, []store.Result{missing, missing}, 422, ""},
+		{"unknown types only", func(s *wire.JobSpec) { s.AnyType, s.Types = false, []string{"x"} }, types, []store.Result{missing, missing}, 422, ""},
+		{"no type allowed", func(s *wire.JobSpec) { s.AnyType = false }, types, []store.Result{missing, missing}, 422, ""},
+		{"unknown zone", func(s *wire.JobSpec) { s.Zone = "z" }, types, []store.Result{missing, missing}, 422, ""},
+		{"a gang together and apart", func(s *wire.JobSpec) { s.SameZone, s.SpreadAcrossZones = true, true }, types, []store.Result{missing, missing}, 422, ""},
+		{"one task together and apart", func(s *wire.JobSpec) { s.SameZone, s.SpreadAcrossZones, s.Tasks = true, true, 1 }, types, []store.Result{ok}, 201, wire.JobPending},
+		{"a service within the limit", func(s *wire.JobSpec) { s.Shape, s.Tasks, s.EstimatedRunTimeS = wire.ShapeService, 8, 0 }, types, []store.Result{ok}, 201, wire.JobPending},
+		{"a service beyond the limit in all", func(s *wire.JobSpec) { s.Shape, s.Tasks = wire.ShapeService, 9 }, types, []store.Result{missing, missing}, 422, ""},
+		{"a service beyond the limit, but accepted once", func(s *wire.JobSpec) { s.Shape, s.Tasks = wire.ShapeService, 9 }, types, []store.Result{rec(wire.JobPending)}, 200, wire.JobPending},
+		{"a service beyond the limit, but accepted and cancelled", func(s *wire.JobSpec) { s.Shape, s.Tasks = wire.ShapeService, 9 }, types, []store.Result{missing, rec(wire.JobCancelled)}, 200, wire.JobCancelled},
+		{"a service that no allowed type holds", func(s *wire.JobSpec) { s.Shape, s.AnyType, s.Types = wire.ShapeService, false, []string{"c1"} }, types, []store.Result{missing, missing}, 422, ""},
+		{"a service apart in one zone", func(s *wire.JobSpec) { s.Shape, s.SpreadAcrossZones, s.Zone = wire.ShapeService, true, "a" }, types, []store.Result{missing, missing}, 422, ""},
+		{"a service together and apart", func(s *wire.JobSpec) { s.Shape, s.SameZone, s.SpreadAcrossZones = wire.ShapeService, true, true }, types, []store.Result{missing, missing}, 422, ""},
+		{"a service while types are not known", func(s *wire.JobSpec) { s.Shape = wire.ShapeService }, nil, []store.Result{missing, missing}, 503, ""},
 		{"refused for its size by the state service", nil, types, []store.Result{{Status: 400}, missing, missing}, 400, ""},
 		{"refused for its size, but accepted once", nil, types, []store.Result{{Status: 400}, rec(wire.JobPending)}, 200, wire.JobPending},
-		{"a record that cannot be read", nil, types, []store.Result{conflict, {Status: 200, Item: wire.Item{Value: json.RawMessage(`{"Spec":{"Id":"job-1","Shape":"swarm","Pieces":1}}`)}}}, 503, ""},
-		{"an end that cannot be read", nil, types, []store.Result{conflict, missing, {Status: 200, Item: wire.Item{Value: json.RawMessage(`{"Stage":"paused"}`)}}}, 503, ""},
+		{"a record that cannot be read", nil, types, []store.Result{conflict, {Status: 200, Item: wire.KeyValue{Value: json.RawMessage(`{"Spec":{"Id":"job-1","Shape":"swarm","Pieces":1}}`)}}}, 503, ""},
+		{"an end that cannot be read", nil, types, []store.Result{conflict, missing, {Status: 200, Item: wire.KeyValue{Value: json.RawMessage(`{"Stage":"paused"}`)}}}, 503, ""},
 		{"types not known yet", nil, nil, []store.Result{missing, missing}, 503, ""},
 		{"types not known yet, but accepted once", nil, nil, []store.Result{rec(wire.JobPending)}, 200, wire.JobPending},
-		{"too large to be kept", func(s *wire.Submission) { s.Bundle = strings.Repeat("x", 5000) }, types, []store.Result{missing, missing}, 400, ""},
-		{"too large to be kept, but accepted once", func(s *wire.Submission) { s.Bundle = strings.Repeat("x", 5000) }, types, []store.Result{rec(wire.JobPending)}, 200, wire.JobPending},
-		{"too large to be kept, and the state service is down", func(s *wire.Submission) { s.Bundle = strings.Repeat("x", 5000) }, types, []store.Result{outage}, 503, ""},
-		{"can never run, and the state service is down", func(s *wire.Submission) { s.Team = "green" }, types, []store.Result{outage}, 503, ""},
+		{"too large to be kept", func(s *wire.JobSpec) { s.Image = strings.Repeat("x", 5000) }, types, []store.Result{missing, missing}, 400, ""},
+		{"too large to be kept, but accepted once", func(s *wire.JobSpec) { s.Image = strings.Repeat("x", 5000) }, types, []store.Result{rec(wire.JobPending)}, 200, wire.JobPending},
+		{"too large to be kept, and the state service is down", func(s *wire.JobSpec) { s.Image = strings.Repeat("x", 5000) }, types, []store.Result{outage}, 503, ""},
+		{"can never run, and the state service is down", func(s *wire.JobSpec) { s.Team = "green" }, types, []store.Result{outage}, 503, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			d := newDesk(c.machineTypes)
@@ -132,7 +132,7 @@
 			if got == nil || got.Status != c.status {
 				t.Fatalf("got %+v, want %d", got, c.status)
 			}
-			if a, is := got.Body.(wire.Accepted); c.stage != "" && (!is || a.Stage != c.stage) {
+			if a, is := got.Body.(wire.JobAccepted); c.stage != "" && (!is || a.State != c.stage) {
 				t.Errorf("body %+v, want stage %s", got.Body, c.stage)
 			}
 			if retry := got.RetryAfter > 0; retry != (c.status == 503) {
@@ -152,10 +152,10 @@
 		status  int
 		stage   string
 	}{
-		{"open", []store.Result{rec(wire.JobPending), ok}, 200, wire.JobWithdrawn},
+		{"open", []store.Result{rec(wire.JobPending), ok}, 200, wire.JobCancelled},
 		{"done", []store.Result{missing, rec(wire.JobDone)}, 200, wire.JobDone},
 		{"done meanwhile", []store.Result{rec(wire.JobPending), conflict, missing, rec(wire.JobDone)}, 200, wire.JobDone},
-		{"no answer, and it was written", []store.Result{rec(wire.JobPending), none, missing, rec(wire.JobWithdrawn)}, 200, wire.JobWithdrawn},
+		{"no answer, and it was written", []store.Result{rec(wire.JobPending), none, missing, rec(wire.JobCancelled)}, 200, wire.JobCancelled},
 		{"unknown", []store.Result{missing, missing}, 404, ""},
 		{"outage", []store.Result{outage}, 503, ""},
 		{"outage in between", []store.Result{rec(wire.JobPending), outage}, 503, ""},
@@ -170,7 +170,7 @@
 			if got == nil || got.Status != c.status {
 				t.Fatalf("got %+v, want %d", got, c.status)
 			}
-			if a, is := got.Body.(wire.Accepted); c.stage != "" && (!is || a.Stage != c.stage) {
+			if a, is := got.Body.(wire.JobAccepted); c.stage != "" && (!is || a.State != c.stage) {
 				t.Errorf("body %+v, want stage %s", got.Body, c.stage)
 			}
 			if c.stage == "" {
@@ -178,7 +178,7 @@
 			}
 			// final answers come from memory, and stay
 			d.s.Query(now, "job-1", func(r Response) { got = &r })
-			if s, is := got.Body.(wire.JobState); !is || s.Stage != c.stage || len(d.calls) != 0 {
+			if s, is := got.Body.(wire.JobState); !is || s.State != c.stage || len(d.calls) != 0 {
 				t.Errorf("asked again: %+v", got)
 			}
 		})
@@ -205,7 +205,7 @@
 	if len(got) != 1 || got[0] != 404 {
 		t.Fatalf("answers %v", got)
 	}
-	d.answer(store.Result{Status: 200, Revision: 12, Events: []wire.Change{{Write: OpenKey("job-1"), Value: rec(wire.JobPending).Item.Value, Version: 12}}})
+	d.answer(store.Result{Status: 200, Revision: 12, Events: []wire.Event{{Put: OpenKey("job-1"), Value: rec(wire.JobPending).Item.Value, Version: 12}}})
 	if len(got) != 3 || got[1] != 200 || got[2] != 200 || len(d.calls) != 0 {
 		t.Fatalf("answers %v, under way %+v", got, d.calls)
 	}
--- a/internal/wire/report_test.go
+++ b/internal/wire/report_test.go
@@ -32,8 +32,8 @@
 		{"nothing", ``, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var got, want Report
-			err, std := ParseReport([]byte(c.body), &got), json.Unmarshal([]byte(c.body), &want)
+			var got, want Heartbeat
+			err, std := ParseHeartbeat([]byte(c.body), &got), json.Unmarshal([]byte(c.body), &want)
 			if (err != nil) != c.bad || (std != nil) != c.bad {
 				t.Fatalf("%v; encoding/json: %v", err, std)
 			}
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -10,36 +10,36 @@
 	"strings"
 )
 
-// MaxTasks is the largest number of tasks in one job.
-const MaxTasks = 100000
+// MaxTasksPerJob is the largest number of tasks in one job.
+const MaxTasksPerJob = 100000
 
-// maxName bounds the names a user may choose, in bytes, so that a job always
+// maxNameBytes bounds the names a user may choose, in bytes, so that a job always
 // fits one value of the state service.
-const maxName = 200
-
-// Submission is a job as its user described it.
-type Submission struct {
-	ID        string `json:"Id"`
-	Class     string `json:"Lane"`
-	Team      string `json:"Crew"`
-	Shape     string
-	Priority  string `json:"Rank"`
-	Tasks     int    `json:"Pieces"`
-	Vcpus     float64
-	Gpus      float64
-	MemGb     float64
-	Bundle    string
-	ImageGb   float64
-	Types     []string `json:"Builds,omitempty"`
-	AnyType   bool     `json:"AnyBuild,omitempty"`
-	Zone      string   `json:"Yard,omitempty"`
-	Together  bool     `json:",omitempty"`
-	Apart     bool     `json:",omitempty"`
-	Spot      bool     `json:"Loaners,omitempty"`
-	GuessS    float64
-	BookmarkS float64
-	StowS     float64
-	DueS      float64 `json:",omitempty"`
+const maxNameBytes = 200
+
+// JobSpec is a job as its user described it.
+type JobSpec struct {
+	ID                  string `json:"Id"`
+	Class               string `json:"Lane"`
+	Team                string `json:"Crew"`
+	Shape               string
+	Priority            string `json:"Rank"`
+	Tasks               int    `json:"Pieces"`
+	Vcpus               float64
+	Gpus                float64
+	MemGb               float64
+	Image               string `json:"Bundle"`
+	ImageGb             float64
+	Types               []string `json:"Builds,omitempty"`
+	AnyType             bool     `json:"AnyBuild,omitempty"`
+	Zone                string   `json:"Yard,omitempty"`
+	SameZone            bool     `json:"Together,omitempty"`
+	SpreadAcrossZones   bool     `json:"Apart,omitempty"`
+	Spot                bool     `json:"Loaners,omitempty"`
+	EstimatedRunTimeS   float64  `json:"GuessS"`
+	CheckpointIntervalS float64  `json:"BookmarkS"`
+	CheckpointSaveTimeS float64  `json:"StowS"`
+	DeadlineS           float64  `json:"DueS,omitempty"`
 }
 
 // Priorities is how many there are.
@@ -86,26 +86,26 @@
 		return "", 0, false
 	}
 	n, err := strconv.Atoi(num)
-	if err != nil || n < 0 || n >= MaxTasks || strconv.Itoa(n) != num {
+	if err != nil || n < 0 || n >= MaxTasksPerJob || strconv.Itoa(n) != num {
 		return "", 0, false
 	}
 	return job, n, true
 }
 
-// fields reads a JSON object by exact field names. encoding/json alone would
+// fieldReader reads a JSON object by exact field names. encoding/json alone would
 // match names without regard to case and take a missing field for zero.
-type fields struct {
+type fieldReader struct {
 	raw map[string]json.RawMessage
 	err error
 }
 
-func (f *fields) fail(name, what string) {
+func (f *fieldReader) fail(name, what string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("%s: %s", name, what)
 	}
 }
 
-func (f *fields) get(name string, out any, may bool) bool {
+func (f *fieldReader) get(name string, out any, may bool) bool {
 	raw, ok := f.raw[name]
 	if !ok || bytes.Equal(raw, []byte("null")) {
 		if !may {
@@ -120,15 +120,15 @@
 	return true
 }
 
-func (f *fields) text(name string) string {
+func (f *fieldReader) text(name string) string {
 	var s string
-	if f.get(name, &s, false) && (s == "" || len(s) > maxName) {
+	if f.get(name, &s, false) && (s == "" || len(s) > maxNameBytes) {
 		f.fail(name, "length out of range")
 	}
 	return s
 }
 
-func (f *fields) amount(name string, above float64) float64 {
+func (f *fieldReader) amount(name string, above float64) float64 {
 	var v float64
 	if f.get(name, &v, false) && (math.IsInf(v, 0) || v < 0 || v < above || v > 1e9) {
 		f.fail(name, "out of range")
@@ -136,23 +136,23 @@
 	return v
 }
 
-func (f *fields) flag(name string) bool {
+func (f *fieldReader) flag(name string) bool {
 	var v bool
 	f.get(name, &v, false)
 	return v
 }
 
-// ParseSubmission reads and checks a submission. An error means that it is
+// ParseJobSpec reads and checks a submission. An error means that it is
 // malformed.
-func ParseSubmission(body []byte) (Submission, error) {
-	f := &fields{}
+func ParseJobSpec(body []byte) (JobSpec, error) {
+	f := &fieldReader{}
 	if err := json.Unmarshal(body, &f.raw); err != nil {
-		return Submission{}, errors.New("not a JSON object")
+		return JobSpec{}, errors.New("not a JSON object")
 	}
 	if f.raw == nil {
-		return Submission{}, errors.New("not a JSON object")
+		return JobSpec{}, errors.New("not a JSON object")
 	}
-	var s Submission
+	var s JobSpec
 	s.ID = f.text("Id")
 	if f.err == nil && !ValidID(s.ID) {
 		f.fail("Id", "not a job id")
@@ -167,30 +167,30 @@
 	if _, ok := Priority(s.Priority); f.err == nil && !ok {
 		f.fail("Rank", "unknown")
 	}
-	if f.get("Pieces", &s.Tasks, false) && (s.Tasks < 1 || s.Tasks > MaxTasks) {
+	if f.get("Pieces", &s.Tasks, false) && (s.Tasks < 1 || s.Tasks > MaxTasksPerJob) {
 		f.fail("Pieces", "out of range")
 	}
 	s.Vcpus = f.amount("Vcpus", 0)
 	s.Gpus = f.amount("Gpus", 0)
 	s.MemGb = f.amount("MemGb", 0)
-	s.Bundle = f.text("Bundle")
+	s.Image = f.text("Bundle")
 	s.ImageGb = f.amount("ImageGb", 0)
 	s.AnyType = !f.get("Builds", &s.Types, true)
 	for _, b := range s.Types {
-		if b == "" || len(b) > maxName {
+		if b == "" || len(b) > maxNameBytes {
 			f.fail("Builds", "length out of range")
 		}
 	}
-	if f.get("Yard", &s.Zone, true) && (s.Zone == "" || len(s.Zone) > maxName) {
+	if f.get("Yard", &s.Zone, true) && (s.Zone == "" || len(s.Zone) > maxNameBytes) {
 		f.fail("Yard", "length out of range")
 	}
-	s.Together = f.flag("Together")
-	s.Apart = f.flag("Apart")
+	s.SameZone = f.flag("Together")
+	s.SpreadAcrossZones = f.flag("Apart")
 	s.Spot = f.flag("Loaners")
-	s.GuessS = f.amount("GuessS", 0)
-	s.BookmarkS = f.amount("BookmarkS", 0)
-	s.StowS = f.amount("StowS", 0)
-	if f.get("DueS", &s.DueS, true) && (math.IsInf(s.DueS, 0) || s.DueS < 0 || s.DueS > 1e9) {
+	s.EstimatedRunTimeS = f.amount("GuessS", 0)
+	s.CheckpointIntervalS = f.amount("BookmarkS", 0)
+	s.CheckpointSaveTimeS = f.amount("StowS", 0)
+	if f.get("DueS", &s.DeadlineS, true) && (math.IsInf(s.DeadlineS, 0) || s.DeadlineS < 0 || s.DeadlineS > 1e9) {
 		f.fail("DueS", "out of range")
 	}
 	return s, f.err
--- a/internal/wire/submission_test.go
+++ b/internal/wire/submission_test.go
@@ -74,7 +74,7 @@
 					delete(m, c.field)
 				}
 				raw, _ := json.Marshal(m)
-				s, err := ParseSubmission(raw)
+				s, err := ParseJobSpec(raw)
 				if c.bad == "" && (err != nil || s.ID != "job-000412") {
 					t.Fatalf("refused: %v", err)
 				}
@@ -85,7 +85,7 @@
 		}
 	}
 	for _, raw := range []string{"", "{", "[]", "null", `"x"`, "3", `{"id":"job-1"}`} {
-		if _, err := ParseSubmission([]byte(raw)); err == nil {
+		if _, err := ParseJobSpec([]byte(raw)); err == nil {
 			t.Errorf("%q was taken for a submission", raw)
 		}
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -23,7 +23,7 @@
 	JobPending   = "pending"
 	JobRunning   = "running"
 	JobDone      = "done"
-	JobWithdrawn = "withdrawn"
+	JobCancelled = "withdrawn"
 )
 
 // Stages of a task as its worker reports them.
@@ -37,14 +37,14 @@
 
 // Causes of a task's exit.
 const (
-	CauseDone      = "done"
-	CauseHalted    = "halted"
-	CauseMatesGone = "mates_gone"
-	CauseAlone     = "alone"
-	CauseError     = "error"
-	CauseNoRoom    = "no_room"
-	CauseInUse     = "in_use"
-	CauseUnknown   = "unknown"
+	ExitDone                  = "done"
+	ExitStopped               = "halted"
+	ExitGangMemberLost        = "mates_gone"
+	ExitGangWaitTimeout       = "alone"
+	ExitError                 = "error"
+	ExitInsufficientResources = "no_room"
+	ExitOtherAttemptPresent   = "in_use"
+	ExitUnknownTask           = "unknown"
 )
 
 // Verbs of an order to a worker.
@@ -56,72 +56,72 @@
 
 // Stages of a machine in the cloud's list.
 const (
-	HostBooting = "booting"
-	HostRunning = "running"
-	HostFailed  = "failed"
+	MachineBooting = "booting"
+	MachineRunning = "running"
+	MachineFailed  = "failed"
 )
 
 // JobState is the answer to a submission, a query or a cancellation.
 type JobState struct {
 	ID      string `json:"Id"`
-	Stage   string
-	Done    int `json:"done"`
-	Running int `json:"running"`
+	State   string `json:"Stage"`
+	Done    int    `json:"done"`
+	Running int    `json:"running"`
 }
 
-// Accepted is the answer to a submission or a cancellation.
-type Accepted struct {
+// JobAccepted is the answer to a submission or a cancellation.
+type JobAccepted struct {
 	ID    string `json:"Id"`
-	Stage string
+	State string `json:"Stage"`
 }
 
-// Report is a worker's account of itself.
-type Report struct {
-	Host    string
-	Address string
-	Type    string `json:"Build"`
-	Zone    string `json:"Yard"`
-	Spot    bool   `json:"Loaners"`
-	Session uint64 `json:"Stint"`
-	Seq     uint64 `json:"Tally"`
-	Token   uint64 `json:"Baton"`
-	RecallS *float64
-	Tasks   []Task `json:"Pieces"`
+// Heartbeat is a worker's account of itself.
+type Heartbeat struct {
+	Host              string
+	Address           string
+	Type              string       `json:"Build"`
+	Zone              string       `json:"Yard"`
+	Spot              bool         `json:"Loaners"`
+	Incarnation       uint64       `json:"Stint"`
+	Sequence          uint64       `json:"Tally"`
+	Token             uint64       `json:"Baton"`
+	PreemptionNoticeS *float64     `json:"RecallS"`
+	Tasks             []TaskStatus `json:"Pieces"`
 }
 
-// Task is one task in a report.
-type Task struct {
-	Task    string `json:"Piece"`
-	Attempt uint64 `json:"Try"`
-	Stage   string
-	Cause   string `json:",omitempty"`
-	Stored  bool   `json:",omitempty"`
+// TaskStatus is one task in a report.
+type TaskStatus struct {
+	Name            string `json:"Piece"`
+	Attempt         uint64 `json:"Try"`
+	State           string `json:"Stage"`
+	ExitReason      string `json:"Cause,omitempty"`
+	CheckpointSaved bool   `json:"Stored,omitempty"`
 }
 
 // Command is one command to a worker.
 type Command struct {
-	Verb      string   `json:"Verb"`
-	Task      string   `json:"Piece"`
-	Attempt   uint64   `json:"Try"`
-	WindDownS *float64 `json:",omitempty"`
+	Verb         string   `json:"Verb"`
+	Task         string   `json:"Piece"`
+	Attempt      uint64   `json:"Try"`
+	GracePeriodS *float64 `json:"WindDownS,omitempty"`
 }
 
-// Commands answers a report.
-type Commands struct {
+// HeartbeatResponse answers a report.
+type HeartbeatResponse struct {
 	Token    uint64    `json:"Baton"`
 	Commands []Command `json:"Orders"`
 }
 
-// Do is a direct command to a worker.
-type Do struct {
-	Token    uint64    `json:"Baton"`
-	Session  uint64    `json:"Stint"`
-	Commands []Command `json:"Orders"`
+// DirectCommands is a direct command to a worker.
+type DirectCommands struct {
+	Token       uint64    `json:"Baton"`
+	Incarnation uint64    `json:"Stint"`
+	Commands    []Command `json:"Orders"`
 }
 
 // Redirect answers a report that belongs to another node.
 type Redirect struct {
-	ReportsTo string `json:",omitempty"`
+	Member string `json:"ReportsTo,omitempty"`
 }
 
 // MachineType is one machine type.
@@ -133,8 +133,8 @@
 	LocalGb     float64
 	FetchGbPerS float64
 	Price       float64
-	LowPrice    float64
-	BootS       float64
+	SpotPrice   float64  `json:"LowPrice"`
+	BootTimeS   float64  `json:"BootS"`
 	Zones       []string `json:"Yards"`
 }
 
@@ -143,69 +143,69 @@
 	Types []MachineType `json:"Builds"`
 }
 
-// Rental asks the cloud for machines.
-type Rental struct {
-	Rental string `json:"Hire"`
-	Type   string `json:"Build"`
-	Zone   string `json:"Yard"`
-	Spot   bool   `json:"Loaners"`
-	Number int
+// ProvisionRequest asks the cloud for machines.
+type ProvisionRequest struct {
+	Name  string `json:"Hire"`
+	Type  string `json:"Build"`
+	Zone  string `json:"Yard"`
+	Spot  bool   `json:"Loaners"`
+	Count int    `json:"Number"`
 }
 
-// HostNames lists machines by name, in requests and answers.
-type HostNames struct {
-	Hosts []string
+// MachineNames lists machines by name, in requests and answers.
+type MachineNames struct {
+	Names []string `json:"Hosts"`
 }
 
-// Host is one machine in the cloud's list.
-type Host struct {
+// Machine is one machine in the cloud's list.
+type Machine struct {
 	ID      string `json:"Id"`
 	Address string
 	Type    string `json:"Build"`
 	Zone    string `json:"Yard"`
 	Spot    bool   `json:"Loaners"`
-	Stage   string
+	State   string `json:"Stage"`
 	AgeS    float64
 }
 
-// HostPage is one page of the cloud's list.
-type HostPage struct {
-	Hosts []Host
-	More  bool
+// MachinePage is one page of the cloud's list.
+type MachinePage struct {
+	Machines []Machine `json:"Hosts"`
+	More     bool
 }
 
-// Cond is a condition of a transaction: the key has this version.
-type Cond struct {
-	Path    string
+// Compare is a condition of a transaction: the key has this version.
+type Compare struct {
+	Key     string `json:"Path"`
 	Version uint64 `json:"Stamp"`
 }
 
 // Write is one change of a transaction: a put or a removal.
 type Write struct {
-	Write  string          `json:",omitempty"`
+	Put    string          `json:"Write,omitempty"`
 	Value  json.RawMessage `json:",omitempty"`
 	Lease  uint64          `json:"Hold,omitempty"`
-	Remove string          `json:",omitempty"`
+	Delete string          `json:"Remove,omitempty"`
 }
 
-// Multi is a transaction.
-type Multi struct {
-	When   []Cond  `json:",omitempty"`
-	Writes []Write `json:",omitempty"`
+// Transaction is a transaction.
+type Transaction struct {
+	Compares []Compare `json:"When,omitempty"`
+	Writes   []Write   `json:",omitempty"`
 }
 
-// Item is one key of the state service.
-type Item struct {
-	Path    string
+// KeyValue is one key of the state service.
+type KeyValue struct {
+	Key     string `json:"Path"`
 	Value   json.RawMessage
 	Version uint64 `json:"Stamp"`
 	Lease   uint64 `json:"Hold"`
 }
 
-// Change is one event of a watch.
-type Change struct {
-	Write   string
+// Event is one event of a watch.
+type Event struct {
+	Put     string `json:"Write"`
 	Value   json.RawMessage
-	Remove  string
+	Delete  string `json:"Remove"`
 	Version uint64 `json:"Stamp"`
 }
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -68,7 +68,7 @@
 	// The newest session and report seen in any message, absorbed or not.
 	SeenSession, SeenSeq uint64
 	Recall               time.Time // when the cloud takes it away; zero: no notice
-	Tasks                []wire.Task
+	Tasks                []wire.TaskStatus
 	Stranger             bool // has tasks that no open job explains
 	Recorded             bool // its rental record names it
 	Used                 bool // its rental record says that it may have tasks
@@ -195,11 +195,11 @@
 
 // Glimpse takes note of a report from which nothing else may be concluded, as
 // it may be a late copy, and tells whether it is at least the newest one seen.
-func (m *Machine) Glimpse(rep *wire.Report) bool {
-	if rep.Session < m.SeenSession || rep.Session == m.SeenSession && rep.Seq <= m.SeenSeq {
+func (m *Machine) Glimpse(rep *wire.Heartbeat) bool {
+	if rep.Incarnation < m.SeenSession || rep.Incarnation == m.SeenSession && rep.Sequence <= m.SeenSeq {
 		return false
 	}
-	m.SeenSession, m.SeenSeq = rep.Session, rep.Seq
+	m.SeenSession, m.SeenSeq = rep.Incarnation, rep.Sequence
 	return true
 }
 
@@ -207,27 +207,27 @@
 // command since, has reached the worker. A worker that gets no answer gives up
 // after some seconds and goes to the next node, so that it comes back late and
 // with other reports in between.
-func (m *Machine) proves(now time.Time, rep *wire.Report, checkin bool) bool {
+func (m *Machine) proves(now time.Time, rep *wire.Heartbeat, checkin bool) bool {
 	switch {
 	case !checkin || m.Session == 0:
 		return true // the command has just been answered; the token has reached it
-	case rep.Session != m.Session:
+	case rep.Incarnation != m.Session:
 		return false
 	}
-	return rep.Seq == m.Seq+1 || !m.Checked.IsZero() && now.Sub(m.Checked) < tuning.WorkerPatience
+	return rep.Sequence == m.Seq+1 || !m.Checked.IsZero() && now.Sub(m.Checked) < tuning.WorkerPatience
 }
 
 // Absorb takes in a worker's account of itself. checkin tells a report from
 // the answer to a direct command.
-func (r *Registry) Absorb(now time.Time, m *Machine, rep *wire.Report, checkin bool) Verdict {
+func (r *Registry) Absorb(now time.Time, m *Machine, rep *wire.Heartbeat, checkin bool) Verdict {
 	// Reports held back by a cut arrive late and out of order: their task
 	// list is as old as they are.
-	if m.Session != 0 && (rep.Session < m.Session || rep.Session == m.Session && rep.Seq <= m.Seq) {
+	if m.Session != 0 && (rep.Incarnation < m.Session || rep.Incarnation == m.Session && rep.Sequence <= m.Seq) {
 		return Stale
 	}
 	// What a session that is surely over had to say is old, however late it
 	// comes.
-	if m.State == Lapsed && rep.Session <= m.SeenSession {
+	if m.State == Lapsed && rep.Incarnation <= m.SeenSession {
 		return Stale
 	}
 	m.Glimpse(rep)
@@ -236,29 +236,29 @@
 		m.Proven, m.Unproven = true, time.Time{}
 	case m.Unproven.IsZero():
 		// once is nothing: an answer was lost, or the holder is a new one
-		m.Proven, m.Unproven = m.Proven && rep.Session == m.Session, now
+		m.Proven, m.Unproven = m.Proven && rep.Incarnation == m.Session, now
 	default:
 		m.Proven = false
 	}
 	v := Fresh
-	if m.Session != 0 && rep.Session > m.Session {
+	if m.Session != 0 && rep.Incarnation > m.Session {
 		v = Renewed
 		m.OpenDo = 0 // commands of an earlier session are void
 	}
-	if m.Answered.IsZero() || rep.Session > m.Session {
+	if m.Answered.IsZero() || rep.Incarnation > m.Session {
 		// From here on the worker drops whatever an earlier tenure answers. A session's
 		// lease counts from when it began, which may be a moment ago: an answer to an
 		// earlier session, or to an old copy of its report, says nothing of its end.
 		m.Answered = now
 	}
-	m.Session, m.Seq, m.Heard = rep.Session, rep.Seq, now
+	m.Session, m.Seq, m.Heard = rep.Incarnation, rep.Sequence, now
 	if checkin {
 		m.Checked = now
 	}
 	m.Address, m.Type, m.Zone, m.Spot = rep.Address, rep.Type, rep.Zone, rep.Spot
 	m.Recall = time.Time{}
-	if rep.RecallS != nil {
-		m.Recall = now.Add(config.Seconds(*rep.RecallS))
+	if rep.PreemptionNoticeS != nil {
+		m.Recall = now.Add(config.Seconds(*rep.PreemptionNoticeS))
 	}
 	m.Tasks = rep.Tasks
 	if m.State != Deleting && m.State != Gone {
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -36,7 +36,7 @@
 			r := registry()
 			m := r.Add(time.Unix(0, 0), "i-1", Booting)
 			for i, s := range c.msgs {
-				rep := &wire.Report{Host: "i-1", Session: s.session, Seq: s.seq}
+				rep := &wire.Heartbeat{Host: "i-1", Incarnation: s.session, Sequence: s.seq}
 				if got := r.Absorb(time.Unix(int64(i), 0), m, rep, true); got != s.want {
 					t.Errorf("message %d: %v, want %v", i, got, s.want)
 				}
@@ -70,7 +70,7 @@
 			r := registry()
 			m := r.Add(time.Unix(0, 0), "i-1", Booting)
 			for i, s := range c.msgs {
-				r.Absorb(time.Unix(0, int64(s.at*1e9)), m, &wire.Report{Host: "i-1", Session: s.session, Seq: s.seq}, !s.do)
+				r.Absorb(time.Unix(0, int64(s.at*1e9)), m, &wire.Heartbeat{Host: "i-1", Incarnation: s.session, Sequence: s.seq}, !s.do)
 				if m.Proven != s.want {
 					t.Errorf("message %d: proven %t, want %t", i, m.Proven, s.want)
 				}
@@ -134,7 +134,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := registry()
 			m := r.Add(time.Unix(0, 0), "i-1", Booting)
-			r.Absorb(time.Unix(0, 0), m, &wire.Report{Host: "i-1", Session: 1, Seq: 1}, true)
+			r.Absorb(time.Unix(0, 0), m, &wire.Heartbeat{Host: "i-1", Incarnation: 1, Sequence: 1}, true)
 			r.Behind = c.behind
 			r.Quiet(time.Unix(0, 0).Add(c.after), time.Time{})
 			if m.State != c.want {
@@ -162,7 +162,7 @@
 			m := r.Add(time.Unix(0, 0), "i-1", Unheard)
 			m.Answered = time.Unix(-5, 0) // an old copy
 			for i, s := range c.sessions {
-				r.Absorb(time.Unix(int64(i), 0), m, &wire.Report{Host: "i-1", Session: s, Seq: uint64(i + 1)}, false)
+				r.Absorb(time.Unix(int64(i), 0), m, &wire.Heartbeat{Host: "i-1", Incarnation: s, Sequence: uint64(i + 1)}, false)
 			}
 			if got := m.Answered.Sub(time.Unix(0, 0)).Seconds(); got != c.want {
 				t.Errorf("counts from %v s, want %v", got, c.want)
