--- a/cmd/juniperchute/duties.go
+++ b/cmd/juniperchute/duties.go
@@ -20,7 +20,7 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return ask(cmd, addr, func(ctx context.Context, c peerpb.AdminClient) error {
-				d, err := c.Duties(ctx, &peerpb.DutiesRequest{})
+				d, err := c.Duties(ctx, &peerpb.IntentsRequest{})
 				if err == nil {
 					printDuties(cmd.OutOrStdout(), d)
 				}
@@ -40,7 +40,7 @@
 	return (time.Duration(ms) * time.Millisecond).Round(100 * time.Millisecond).String()
 }
 
-func printDuties(out io.Writer, d *peerpb.DutiesReply) {
+func printDuties(out io.Writer, d *peerpb.IntentsReply) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	defer w.Flush()
 	log := "not in force: actions are not entered before they are sent"
@@ -49,12 +49,12 @@
 	}
 	fmt.Fprintf(w, "asked\t%s\nlog of duties\t%s\nholders as of\t%s ago\nentries as of\t%s ago\n",
 		d.Member, log, ageText(d.HoldersAgeMs), ageText(d.EntriesAgeMs))
-	for _, b := range d.Blocks {
+	for _, b := range d.Shards {
 		printBlockDuties(w, b)
 	}
 }
 
-func printBlockDuties(w io.Writer, b *peerpb.BlockDuties) {
+func printBlockDuties(w io.Writer, b *peerpb.ShardIntents) {
 	holder := b.Holder
 	switch {
 	case holder == "":
@@ -68,25 +68,25 @@
 	if b.SinceMs != 0 {
 		since = time.UnixMilli(b.SinceMs).UTC().Format(time.DateTime) + " UTC"
 	}
-	fmt.Fprintf(w, "\nblock %d\theld by %s\nsince\t%s\ntoken\t%d\n", b.Block, holder, since, b.Token)
-	if b.UnreadPages > 0 {
-		fmt.Fprintf(w, "pages of the log that cannot be read\t%d\n", b.UnreadPages)
+	fmt.Fprintf(w, "\nblock %d\theld by %s\nsince\t%s\ntoken\t%d\n", b.Shard, holder, since, b.Token)
+	if b.UnreadablePages > 0 {
+		fmt.Fprintf(w, "pages of the log that cannot be read\t%d\n", b.UnreadablePages)
 	}
 	fmt.Fprintln(w, "duty\tholder\tnot settled\toldest")
-	for _, s := range b.Duties {
+	for _, s := range b.Operations {
 		oldest := "-"
-		if len(s.Actions) > 0 {
-			oldest = ageText(s.Actions[0].AgeMs)
+		if len(s.Intents) > 0 {
+			oldest = ageText(s.Intents[0].AgeMs)
 		}
-		unsettled := s.Unsettled + s.RemovalsUnderWay
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", s.Duty, b.Holder, unsettled, oldest)
+		unsettled := s.Pending + s.RemovalsInFlight
+		fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", s.Operation, b.Holder, unsettled, oldest)
 	}
-	for _, s := range b.Duties {
-		for _, a := range s.Actions {
-			fmt.Fprintf(w, "%s\t%s\t%s\tentered under token %d, %s ago\n", s.Duty, a.Target, a.Stage, a.Token, ageText(a.AgeMs))
+	for _, s := range b.Operations {
+		for _, a := range s.Intents {
+			fmt.Fprintf(w, "%s\t%s\t%s\tentered under token %d, %s ago\n", s.Operation, a.Target, a.State, a.Token, ageText(a.AgeMs))
 		}
-		if left := int(s.Unsettled) - len(s.Actions); left > 0 {
-			fmt.Fprintf(w, "%s\tand %d more\n", s.Duty, left)
+		if left := int(s.Pending) - len(s.Intents); left > 0 {
+			fmt.Fprintf(w, "%s\tand %d more\n", s.Operation, left)
 		}
 	}
 }
--- a/cmd/juniperchute/main.go
+++ b/cmd/juniperchute/main.go
@@ -69,10 +69,10 @@
 					return err
 				}
 			}
-			for _, why := range cfg.Facts.Limits.Small() {
+			for _, why := range cfg.Platform.MachineLimits.BelowMeasured() {
 				fmt.Fprintf(cmd.OutOrStdout(), "%s: warning: %s\n", args[0], why)
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: fine: member %s of %d, %d teams\n", args[0], cfg.Member, len(cfg.Known)+1, len(cfg.Facts.Teams))
+			fmt.Fprintf(cmd.OutOrStdout(), "%s: fine: member %s of %d, %d teams\n", args[0], cfg.Member, len(cfg.Peers)+1, len(cfg.Platform.Teams))
 			return nil
 		},
 	}
@@ -103,24 +103,24 @@
 	if err != nil {
 		return err
 	}
-	for _, why := range cfg.Facts.Limits.Small() {
+	for _, why := range cfg.Platform.MachineLimits.BelowMeasured() {
 		log.Warn("a small machine", "why", why)
 	}
-	var on switches.Switches
+	var on switches.Gates
 	if switchFile != "" {
 		if on, err = switches.Load(switchFile); err != nil {
 			return err
 		}
 	}
-	node.LimitProcess(cfg.Facts.Limits)
+	node.LimitProcess(cfg.Platform.MachineLimits)
 	var seed [16]byte
 	if _, err := crand.Read(seed[:]); err != nil {
 		return err
 	}
 	rng := rand.New(rand.NewPCG(binary.LittleEndian.Uint64(seed[:8]), binary.LittleEndian.Uint64(seed[8:])))
 	steady := clock.New(nil)
-	if on.Duties {
-		steady = clock.New(clock.Suspended)
+	if on.IntentLog {
+		steady = clock.New(clock.TimeSuspended)
 	}
 	options, finish, err := node.NewOptions(on, cfg.Member, rng)
 	if err != nil {
--- a/cmd/juniperchute/status.go
+++ b/cmd/juniperchute/status.go
@@ -45,18 +45,18 @@
 		}
 		fmt.Fprintf(w, "version of %s\t%s\n", m, v)
 	}
-	for _, b := range s.Blocks {
-		fmt.Fprintf(w, "block %d\theld by %s\ttoken %d\n", b.Block, b.Holder, b.Token)
+	for _, b := range s.Claims {
+		fmt.Fprintf(w, "block %d\theld by %s\ttoken %d\n", b.Shard, b.Holder, b.Token)
 	}
-	for _, b := range s.Held {
-		fmt.Fprintf(w, "\nblock %d\t%s\n", b.Block, b.State)
+	for _, b := range s.Shards {
+		fmt.Fprintf(w, "\nblock %d\t%s\n", b.Shard, b.State)
 		fmt.Fprintln(w, "machine\ttype\tzone\tspot\tstate\ttasks\tnotes")
 		for _, m := range b.Machines {
 			notes := ""
-			if m.Faulty {
+			if m.Quarantined {
 				notes += "faulty "
 			}
-			if m.Recalled {
+			if m.PreemptionNotice {
 				notes += "recalled"
 			}
 			fmt.Fprintf(w, "%s\t%s\t%s\t%t\t%s\t%d\t%s\n", m.Host, m.Type, m.Zone, m.Spot, m.State, m.Tasks, notes)
--- a/cmd/juniperchute/trace.go
+++ b/cmd/juniperchute/trace.go
@@ -20,7 +20,7 @@
 }
 
 func (f traceFilter) shows(h duty.History) bool {
-	return (f.target == "" || f.target == h.Target) && (!f.takenOver || h.TakenOver) && (!f.unsettled || !h.Settled)
+	return (f.target == "" || f.target == h.Target) && (!f.takenOver || h.FailedOver) && (!f.unsettled || !h.Completed)
 }
 
 func traceCmd() *cobra.Command {
@@ -66,10 +66,10 @@
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	defer w.Flush()
 	end := "not settled in these traces"
-	if h.Settled {
+	if h.Completed {
 		end = "settled"
 	}
-	fmt.Fprintf(w, "%s %s, block %s: %s, %v in all\n", h.Duty, h.Target, h.Block, end, h.Took().Round(time.Millisecond))
+	fmt.Fprintf(w, "%s %s, block %s: %s, %v in all\n", h.Operation, h.Target, h.Shard, end, h.Duration().Round(time.Millisecond))
 	for _, s := range h.Steps {
 		fmt.Fprintf(w, "  %s\t%s\ttoken %s\t%s\n", s.At.UTC().Format("15:04:05.000"), s.Member, s.Token, s.Text)
 	}
--- a/internal/admin/settings.go
+++ b/internal/admin/settings.go
@@ -17,15 +17,15 @@
 
 // Settings are what operators may change while the service runs.
 type Settings struct {
-	DropThreshold int
-	MaxMachines   int
-	RentalPaused  bool
-	IdleReturn    time.Duration
+	DropThreshold  int
+	MaxMachines    int
+	ScaleOutPaused bool
+	IdleTimeout    time.Duration
 }
 
 // Defaults are the settings where operators have said nothing.
 func Defaults() Settings {
-	return Settings{DropThreshold: tuning.DropThreshold, IdleReturn: tuning.IdleReturn}
+	return Settings{DropThreshold: tuning.DropThreshold, IdleTimeout: tuning.IdleReturn}
 }
 
 type setting struct {
@@ -33,7 +33,7 @@
 	set func(s *Settings, v string) error
 }
 
-func whole(v string, from, to int) (int, error) {
+func parseInt(v string, from, to int) (int, error) {
 	n, err := strconv.Atoi(v)
 	if err != nil || n < from || n > to {
 		return 0, fmt.Errorf("%q is not a whole number from %d to %d", v, from, to)
@@ -44,26 +44,26 @@
 var settings = map[string]setting{
 	"placement.drop_threshold": {
 		func(s *Settings) string { return strconv.Itoa(s.DropThreshold) },
-		func(s *Settings, v string) (err error) { s.DropThreshold, err = whole(v, 1, 1000); return },
+		func(s *Settings, v string) (err error) { s.DropThreshold, err = parseInt(v, 1, 1000); return },
 	},
 	"fleet.max_machines": {
 		func(s *Settings) string { return strconv.Itoa(s.MaxMachines) },
-		func(s *Settings, v string) (err error) { s.MaxMachines, err = whole(v, 0, 100000); return },
+		func(s *Settings, v string) (err error) { s.MaxMachines, err = parseInt(v, 0, 100000); return },
 	},
 	"fleet.hire_paused": {
-		func(s *Settings) string { return strconv.FormatBool(s.RentalPaused) },
+		func(s *Settings) string { return strconv.FormatBool(s.ScaleOutPaused) },
 		func(s *Settings, v string) (err error) {
-			if s.RentalPaused, err = strconv.ParseBool(v); err != nil {
+			if s.ScaleOutPaused, err = strconv.ParseBool(v); err != nil {
 				err = fmt.Errorf("%q is not true or false", v)
 			}
 			return
 		},
 	},
 	"fleet.idle_return_s": {
-		func(s *Settings) string { return strconv.Itoa(int(s.IdleReturn.Seconds())) },
+		func(s *Settings) string { return strconv.Itoa(int(s.IdleTimeout.Seconds())) },
 		func(s *Settings, v string) error {
-			n, err := whole(v, 5, 3600)
-			s.IdleReturn = time.Duration(n) * time.Second
+			n, err := parseInt(v, 5, 3600)
+			s.IdleTimeout = time.Duration(n) * time.Second
 			return err
 		},
 	},
@@ -91,9 +91,9 @@
 	return out, nil
 }
 
-// Read takes the settings from their record. What it does not know or cannot
+// Decode takes the settings from their record. What it does not know or cannot
 // use is left at its default, so that versions may differ.
-func Read(raw json.RawMessage, log *slog.Logger) Settings {
+func Decode(raw json.RawMessage, log *slog.Logger) Settings {
 	s := Defaults()
 	var values map[string]string
 	if err := json.Unmarshal(raw, &values); err != nil {
--- a/internal/admin/settings_test.go
+++ b/internal/admin/settings_test.go
@@ -31,8 +31,8 @@
 		}
 	}
 	// another version's settings do no harm
-	s := Read(json.RawMessage(`{"fleet.idle_return_s":"90","of.another.version":"x","fleet.max_machines":"-5"}`), slog.New(slog.NewTextHandler(io.Discard, nil)))
-	if s.IdleReturn != 90*time.Second || s.MaxMachines != 0 {
+	s := Decode(json.RawMessage(`{"fleet.idle_return_s":"90","of.another.version":"x","fleet.max_machines":"-5"}`), slog.New(slog.NewTextHandler(io.Discard, nil)))
+	if s.IdleTimeout != 90*time.Second || s.MaxMachines != 0 {
 		t.Errorf("read %+v", s)
 	}
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -55,11 +55,11 @@
 
 // Two readings of this system's own clocks differ by next to nothing.
 func TestSystem(t *testing.T) {
-	first, err := Suspended()
+	first, err := TimeSuspended()
 	if err != nil {
 		t.Fatal(err)
 	}
-	second, err := Suspended()
+	second, err := TimeSuspended()
 	if err != nil || second-first > time.Second || first-second > time.Second {
 		t.Errorf("%v, then %v, %v", first, second, err)
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -15,8 +15,8 @@
 	"juniperchute/internal/tuning"
 )
 
-// Known is another controller node.
-type Known struct {
+// Peer is another controller node.
+type Peer struct {
 	Member  string `toml:"member"`
 	Area    string `toml:"area"`
 	Address string `toml:"address"`
@@ -41,50 +41,50 @@
 
 // Workers are the facts about workers, in seconds.
 type Workers struct {
-	ReportS   float64 `toml:"report_s"`
-	LeaseS    float64 `toml:"lease_s"`
-	GangWaitS float64 `toml:"gang_wait_s"`
-	GangPeerS float64 `toml:"gang_peer_s"`
-	CancelS   float64 `toml:"cancel_s"`
+	HeartbeatS float64 `toml:"report_s"`
+	LeaseS     float64 `toml:"lease_s"`
+	GangWaitS  float64 `toml:"gang_wait_s"`
+	GangPeerS  float64 `toml:"gang_peer_s"`
+	CancelS    float64 `toml:"cancel_s"`
 }
 
-// State are the limits of the state service.
-type State struct {
+// StateLimits are the limits of the state service.
+type StateLimits struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
 	ValueKB  float64 `toml:"value_kb"`
 	TxnOps   int     `toml:"txn_ops"`
 	// Next are the limits that the service will have from some moment on,
 	// unannounced. One that is not named stays as it is.
-	Next NextState `toml:"next"`
+	Next UpcomingLimits `toml:"next"`
 }
 
-// NextState is a table of limits to come, as written; fields not known are ignored.
-type NextState map[string]any
+// UpcomingLimits is a table of limits to come, as written; fields not known are ignored.
+type UpcomingLimits map[string]any
 
-// Coming are the limits to come, those not named as they are now.
-func (s State) Coming() State {
-	out := State{RPS: s.RPS, WriteRPS: s.WriteRPS, ValueKB: s.ValueKB, TxnOps: s.TxnOps}
+// Upcoming are the limits to come, those not named as they are now.
+func (s StateLimits) Upcoming() StateLimits {
+	out := StateLimits{RPS: s.RPS, WriteRPS: s.WriteRPS, ValueKB: s.ValueKB, TxnOps: s.TxnOps}
 	for name, to := range map[string]*float64{"rps": &out.RPS, "write_rps": &out.WriteRPS, "value_kb": &out.ValueKB} {
-		if v, ok := amount(s.Next[name]); ok {
+		if v, ok := number(s.Next[name]); ok {
 			*to = v
 		}
 	}
-	if v, ok := amount(s.Next["txn_ops"]); ok {
+	if v, ok := number(s.Next["txn_ops"]); ok {
 		out.TxnOps = int(v)
 	}
 	return out
 }
 
-// Stored are the limits for what is stored: whatever is written has to fit the service
+// StoredLimits are the limits for what is stored: whatever is written has to fit the service
 // before and after the change, as nobody tells when it comes.
-func (s State) Stored() State {
-	c := s.Coming()
+func (s StateLimits) StoredLimits() StateLimits {
+	c := s.Upcoming()
 	c.ValueKB, c.TxnOps = min(c.ValueKB, s.ValueKB), min(c.TxnOps, s.TxnOps)
 	return c
 }
 
-func amount(v any) (float64, bool) {
+func number(v any) (float64, bool) {
 	switch n := v.(type) {
 	case float64:
 		return n, true
@@ -94,35 +94,35 @@
 	return 0, false
 }
 
-func (n NextState) check() error {
+func (n UpcomingLimits) check() error {
 	for _, name := range []string{"rps", "write_rps", "value_kb", "txn_ops"} {
 		raw, named := n[name]
 		if !named {
 			continue
 		}
-		if v, ok := amount(raw); !ok || !(v > 0) || math.IsInf(v, 0) || name == "txn_ops" && v != math.Trunc(v) {
+		if v, ok := number(raw); !ok || !(v > 0) || math.IsInf(v, 0) || name == "txn_ops" && v != math.Trunc(v) {
 			return fmt.Errorf("facts.state.next.%s: %v is not a number above 0", name, raw)
 		}
 	}
 	return nil
 }
 
-// Cloud are the limits of the cloud.
-type Cloud struct {
+// CloudLimits are the limits of the cloud.
+type CloudLimits struct {
 	RPS      float64 `toml:"rps"`
 	ListLagS float64 `toml:"list_lag_s"`
 }
 
-// Limits are those of the machine the process runs on.
-type Limits struct {
+// MachineLimits are those of the machine the process runs on.
+type MachineLimits struct {
 	CPU      float64 `toml:"cpu"`
 	MemoryMB float64 `toml:"memory_mb"`
 	Sockets  int     `toml:"sockets"`
 }
 
-// Small names the fields that are smaller than any this service was measured with:
+// BelowMeasured names the fields that are smaller than any this service was measured with:
 // it runs, as the fleet may be small too, but nobody has seen it keep up.
-func (l Limits) Small() []string {
+func (l MachineLimits) BelowMeasured() []string {
 	var out []string
 	for _, f := range []struct {
 		name         string
@@ -139,17 +139,17 @@
 	return out
 }
 
-// Facts describe the deployment.
-type Facts struct {
-	Nodes       int         `toml:"nodes"`
-	Zones       []string    `toml:"zones"`
-	TimeBoundMS float64     `toml:"time_bound_ms"`
-	Teams       []Team      `toml:"teams"`
-	Objectives  []Objective `toml:"objectives"`
-	Workers     Workers     `toml:"workers"`
-	State       State       `toml:"state"`
-	Cloud       Cloud       `toml:"cloud"`
-	Limits      Limits      `toml:"machine_limits"`
+// Platform describe the deployment.
+type Platform struct {
+	Nodes         int           `toml:"nodes"`
+	Zones         []string      `toml:"zones"`
+	TimeBoundMS   float64       `toml:"time_bound_ms"`
+	Teams         []Team        `toml:"teams"`
+	Objectives    []Objective   `toml:"objectives"`
+	Workers       Workers       `toml:"workers"`
+	State         StateLimits   `toml:"state"`
+	Cloud         CloudLimits   `toml:"cloud"`
+	MachineLimits MachineLimits `toml:"machine_limits"`
 }
 
 // External are the addresses of the outside services.
@@ -164,9 +164,9 @@
 	Area     string   `toml:"area"`
 	APIAddr  string   `toml:"api_addr"`
 	PeerBind string   `toml:"peer_bind"`
-	Known    []Known  `toml:"known"`
+	Peers    []Peer   `toml:"known"`
 	External External `toml:"external"`
-	Facts    Facts    `toml:"facts"`
+	Platform Platform `toml:"facts"`
 }
 
 // Load reads and checks a settings file. Unknown fields are ignored.
@@ -198,7 +198,7 @@
 
 // check finds the first field that is missing or invalid.
 func (c *Config) check() error {
-	for _, check := range []func() error{c.checkNames, c.checkAddresses, c.Facts.checkTeams, c.Facts.checkObjectives, c.Facts.checkAmounts, c.Facts.State.check} {
+	for _, check := range []func() error{c.checkNames, c.checkAddresses, c.Platform.checkTeams, c.Platform.checkObjectives, c.Platform.checkAmounts, c.Platform.State.check} {
 		if err := check(); err != nil {
 			return err
 		}
@@ -213,7 +213,7 @@
 		}
 	}
 	names := map[string]bool{c.Member: true}
-	for i, k := range c.Known {
+	for i, k := range c.Peers {
 		if k.Member == "" {
 			return fmt.Errorf("known[%d].member: missing", i)
 		}
@@ -231,7 +231,7 @@
 		{"api_addr", c.APIAddr}, {"peer_bind", c.PeerBind},
 		{"external.cloud", c.External.Cloud}, {"external.state", c.External.State},
 	}
-	for i, k := range c.Known {
+	for i, k := range c.Peers {
 		addresses = append(addresses, address{fmt.Sprintf("known[%d].address", i), k.Address})
 	}
 	for _, a := range addresses {
@@ -245,7 +245,7 @@
 	return nil
 }
 
-func (f *Facts) checkTeams() error {
+func (f *Platform) checkTeams() error {
 	if len(f.Zones) == 0 {
 		return errors.New("facts.zones: missing")
 	}
@@ -269,7 +269,7 @@
 	return nil
 }
 
-func (f *Facts) checkObjectives() error {
+func (f *Platform) checkObjectives() error {
 	for i, o := range f.Objectives {
 		if o.Kind == "" || o.WithinS < 0 {
 			return fmt.Errorf("facts.objectives[%d]: invalid", i)
@@ -278,13 +278,13 @@
 	return nil
 }
 
-func (f *Facts) checkAmounts() error {
+func (f *Platform) checkAmounts() error {
 	for _, p := range []struct {
 		name  string
 		value float64
 	}{
 		{"facts.nodes", float64(f.Nodes)},
-		{"facts.workers.report_s", f.Workers.ReportS},
+		{"facts.workers.report_s", f.Workers.HeartbeatS},
 		{"facts.workers.lease_s", f.Workers.LeaseS},
 		{"facts.workers.gang_wait_s", f.Workers.GangWaitS},
 		{"facts.workers.gang_peer_s", f.Workers.GangPeerS},
@@ -295,9 +295,9 @@
 		{"facts.state.txn_ops", float64(f.State.TxnOps)},
 		{"facts.cloud.rps", f.Cloud.RPS},
 		{"facts.cloud.list_lag_s", f.Cloud.ListLagS},
-		{"facts.machine_limits.cpu", f.Limits.CPU},
-		{"facts.machine_limits.memory_mb", f.Limits.MemoryMB},
-		{"facts.machine_limits.sockets", float64(f.Limits.Sockets)},
+		{"facts.machine_limits.cpu", f.MachineLimits.CPU},
+		{"facts.machine_limits.memory_mb", f.MachineLimits.MemoryMB},
+		{"facts.machine_limits.sockets", float64(f.MachineLimits.Sockets)},
 	} {
 		if !(p.value > 0) { // NaN too
 			return fmt.Errorf("%s: missing or not above 0", p.name)
@@ -309,11 +309,11 @@
 	return nil
 }
 
-func (s *State) check() error {
+func (s *StateLimits) check() error {
 	if err := s.Next.check(); err != nil {
 		return err
 	}
-	if s.Stored().TxnOps < tuning.TxnOpsLeast {
+	if s.StoredLimits().TxnOps < tuning.TxnOpsLeast {
 		return fmt.Errorf("facts.state.txn_ops, or next.txn_ops: below %d, the changes that go together", tuning.TxnOpsLeast)
 	}
 	return nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -91,7 +91,7 @@
 			switch {
 			case c.bad == "" && err != nil:
 				t.Fatal(err)
-			case c.bad == "" && (cfg.Member != "n0" || cfg.Facts.Workers.LeaseS != 10 || cfg.Facts.Teams[0].GPUsMax != 8):
+			case c.bad == "" && (cfg.Member != "n0" || cfg.Platform.Workers.LeaseS != 10 || cfg.Platform.Teams[0].GPUsMax != 8):
 				t.Fatalf("read wrongly: %+v", cfg)
 			case c.bad != "" && (err == nil || !strings.Contains(err.Error(), c.bad) || strings.Contains(err.Error(), "\n")):
 				t.Fatalf("got %v, want one line naming %q", err, c.bad)
@@ -104,15 +104,15 @@
 func TestSmall(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		limits Limits
+		limits MachineLimits
 		names  []string
 	}{
-		{"the least measured", Limits{CPU: 0.036, MemoryMB: 65, Sockets: 900}, nil},
-		{"half its share", Limits{CPU: 0.018, MemoryMB: 65, Sockets: 900}, []string{"cpu"}},
-		{"less of all", Limits{CPU: 0.01, MemoryMB: 20, Sockets: 100}, []string{"cpu", "memory_mb", "sockets"}},
+		{"the least measured", MachineLimits{CPU: 0.036, MemoryMB: 65, Sockets: 900}, nil},
+		{"half its share", MachineLimits{CPU: 0.018, MemoryMB: 65, Sockets: 900}, []string{"cpu"}},
+		{"less of all", MachineLimits{CPU: 0.01, MemoryMB: 20, Sockets: 100}, []string{"cpu", "memory_mb", "sockets"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got := c.limits.Small()
+			got := c.limits.BelowMeasured()
 			if len(got) != len(c.names) {
 				t.Fatalf("%q, want %q named", got, c.names)
 			}
@@ -128,22 +128,22 @@
 // What is written fits both the present limits and the ones to come; the rate stays the
 // present one until the service shows the other.
 func TestLimitsToCome(t *testing.T) {
-	now := State{RPS: 200, WriteRPS: 20, ValueKB: 4, TxnOps: 8}
+	now := StateLimits{RPS: 200, WriteRPS: 20, ValueKB: 4, TxnOps: 8}
 	for _, c := range []struct {
 		name           string
-		next           NextState
-		coming, stored State
+		next           UpcomingLimits
+		coming, stored StateLimits
 	}{
 		{"none", nil, now, now},
-		{"lower ones", NextState{"value_kb": 2.0, "txn_ops": int64(4), "write_rps": 15.0}, State{RPS: 200, WriteRPS: 15, ValueKB: 2, TxnOps: 4}, State{RPS: 200, WriteRPS: 15, ValueKB: 2, TxnOps: 4}},
-		{"a higher one: the present limit for a value holds until then", NextState{"value_kb": 8.0, "rps": int64(100)}, State{RPS: 100, WriteRPS: 20, ValueKB: 8, TxnOps: 8}, State{RPS: 100, WriteRPS: 20, ValueKB: 4, TxnOps: 8}},
+		{"lower ones", UpcomingLimits{"value_kb": 2.0, "txn_ops": int64(4), "write_rps": 15.0}, StateLimits{RPS: 200, WriteRPS: 15, ValueKB: 2, TxnOps: 4}, StateLimits{RPS: 200, WriteRPS: 15, ValueKB: 2, TxnOps: 4}},
+		{"a higher one: the present limit for a value holds until then", UpcomingLimits{"value_kb": 8.0, "rps": int64(100)}, StateLimits{RPS: 100, WriteRPS: 20, ValueKB: 8, TxnOps: 8}, StateLimits{RPS: 100, WriteRPS: 20, ValueKB: 4, TxnOps: 8}},
 	} {
 		s := now
 		s.Next = c.next
-		if got := s.Coming(); !reflect.DeepEqual(got, c.coming) {
+		if got := s.Upcoming(); !reflect.DeepEqual(got, c.coming) {
 			t.Errorf("%s: coming %+v, want %+v", c.name, got, c.coming)
 		}
-		if got := s.Stored(); !reflect.DeepEqual(got, c.stored) {
+		if got := s.StoredLimits(); !reflect.DeepEqual(got, c.stored) {
 			t.Errorf("%s: stored %+v, want %+v", c.name, got, c.stored)
 		}
 	}
--- a/internal/duty/cleanup.go
+++ b/internal/duty/cleanup.go
@@ -10,37 +10,37 @@
 	"juniperchute/internal/wire"
 )
 
-// cleaning counts removals from the state service in this tenure.
-type cleaning struct {
-	underWay, removed int
-	oldest            time.Time // when the first of those under way was sent
+// removalStats counts removals from the state service in this tenure.
+type removalStats struct {
+	inFlight, done int
+	oldest         time.Time // when the first of those under way was sent
 }
 
-// CleanUp passes on the tenure's calls of the state service and sees to it that records
+// GuardRemovals passes on the tenure's calls of the state service and sees to it that records
 // under the given prefixes are removed by the holder alone: a removal that is not
 // conditioned on the tenure is refused here, one of a replaced holder by the service. What
 // there is to remove follows from what is stored, so a successor goes on where its
 // predecessor stopped.
-func (l *Log) CleanUp(call store.Caller, prefixes ...string) store.Caller {
+func (l *Log) GuardRemovals(call store.Caller, prefixes ...string) store.Caller {
 	return func(c store.Call, then func(now time.Time, r store.Result)) {
-		removed := removals(c.Multi, prefixes)
+		removed := removals(c.Transaction, prefixes)
 		if removed == 0 {
 			call(c, then)
 			return
 		}
-		if !slices.Contains(c.Multi.Compares, l.opt.Tenure) {
-			l.opt.Log.Error("duty: a removal that is not conditioned on the tenure is refused", "removals", removed)
-			then(l.opt.Wall(), store.Result{Status: http.StatusConflict, Failed: []string{l.opt.Tenure.Key}})
+		if !slices.Contains(c.Transaction.Compares, l.options.TermCompare) {
+			l.options.Log.Error("duty: a removal that is not conditioned on the tenure is refused", "removals", removed)
+			then(l.options.WallClock(), store.Result{Status: http.StatusConflict, FailedKeys: []string{l.options.TermCompare.Key}})
 			return
 		}
-		if l.cleaned.underWay == 0 {
-			l.cleaned.oldest = l.opt.Wall()
+		if l.removals.inFlight == 0 {
+			l.removals.oldest = l.options.WallClock()
 		}
-		l.cleaned.underWay += removed
+		l.removals.inFlight += removed
 		call(c, func(now time.Time, r store.Result) {
-			l.cleaned.underWay -= removed
+			l.removals.inFlight -= removed
 			if r.OK() {
-				l.cleaned.removed += removed
+				l.removals.done += removed
 			}
 			then(now, r)
 		})
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -13,74 +13,74 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// Duty is a kind of action that one holder at a time carries out for a block.
-type Duty string
+// Operation is a kind of action that one holder at a time carries out for a block.
+type Operation string
 
 // The duties. Their names are stored.
 const (
-	// Renting asks the cloud for machines.
-	Renting Duty = "rent"
-	// Returning gives back machines that are known to have no work.
-	Returning Duty = "return"
-	// Reclaiming takes back machines that are lost: silent, stuck, taken or failed.
-	Reclaiming Duty = "reclaim"
-	// CleanUp removes records that nothing needs any more.
-	CleanUp Duty = "clean-up"
+	// Provision asks the cloud for machines.
+	Provision Operation = "rent"
+	// Deprovision gives back machines that are known to have no work.
+	Deprovision Operation = "return"
+	// Reclaim takes back machines that are lost: silent, stuck, taken or failed.
+	Reclaim Operation = "reclaim"
+	// Cleanup removes records that nothing needs any more.
+	Cleanup Operation = "clean-up"
 )
 
-// All lists the duties.
-func All() []Duty { return []Duty{Renting, Returning, Reclaiming, CleanUp} }
+// Operations lists the duties.
+func Operations() []Operation { return []Operation{Provision, Deprovision, Reclaim, Cleanup} }
 
-// Stage is how far an action is.
-type Stage int
+// State is how far an action is.
+type State int
 
 // The stages of an action.
 const (
-	// Entering: its entry is being made durable.
-	Entering Stage = iota
-	// Entered: its entry is durable, and no call is under way.
-	Entered
-	// Sent: a call is under way.
-	Sent
-	// Settled: what came of it is known.
-	Settled
+	// Recording: its entry is being made durable.
+	Recording State = iota
+	// Recorded: its entry is durable, and no call is under way.
+	Recorded
+	// InFlight: a call is under way.
+	InFlight
+	// Completed: what came of it is known.
+	Completed
 )
 
-func (s Stage) String() string {
+func (s State) String() string {
 	return [...]string{"entering", "entered", "sent", "settled"}[s]
 }
 
 // follows tells whether an action may go from one stage to another.
-func (s Stage) follows(from Stage) bool {
+func (s State) follows(from State) bool {
 	switch s {
-	case Entered:
-		return from == Entering || from == Sent
-	case Sent:
-		return from == Entered
-	case Settled:
-		return from == Entered || from == Sent
+	case Recorded:
+		return from == Recording || from == InFlight
+	case InFlight:
+		return from == Recorded
+	case Completed:
+		return from == Recorded || from == InFlight
 	}
 	return false
 }
 
-// Action is one intended action of a duty.
-type Action struct {
-	Duty Duty
+// Intent is one intended action of a duty.
+type Intent struct {
+	Operation Operation
 	// Target is the rental's name or the machine's; neither is ever used again.
 	Target string
 	// Token is the token of the tenure that entered it.
 	Token uint64
-	// EnteredAt is when it was decided, by the deciding controller's time of day.
-	EnteredAt time.Time
-	// Inherited: an earlier tenure entered it.
-	Inherited bool
+	// DecidedAt is when it was decided, by the deciding controller's time of day.
+	DecidedAt time.Time
+	// Recovered: an earlier tenure entered it.
+	Recovered bool
 
-	stage     Stage
-	since     time.Time // of the stage
-	calls     int       // made in this tenure
-	elsewhere bool      // another record is its entry
-	span      trace.Span
+	state             State
+	since             time.Time // of the stage
+	calls             int       // made in this tenure
+	recordedElsewhere bool      // another record is its entry
+	span              trace.Span
 }
 
-// Stage is how far the action is.
-func (a *Action) Stage() Stage { return a.stage }
+// State is how far the action is.
+func (a *Intent) State() State { return a.state }
--- a/internal/duty/history.go
+++ b/internal/duty/history.go
@@ -10,20 +10,20 @@
 // Names of spans and of their attributes. They are stored.
 const (
 	spanDecision   = "decision"
-	spanEntry      = "entry"
+	spanRecording  = "entry"
 	spanCall       = "call"
-	spanTakeover   = "takeover"
-	spanSettlement = "settlement"
+	spanRecovery   = "takeover"
+	spanCompletion = "settlement"
 
-	attributeDuty      = "duty"
-	attributeTarget    = "target"
-	attributeBlock     = "block"
-	attributeToken     = "token"
-	attributeEntered   = "entered_token"
-	attributeInherited = "inherited"
-	attributeOutcome   = "outcome"
-	attributeCalls     = "calls"
-	attributeWhy       = "why"
+	attributeOperation     = "duty"
+	attributeTarget        = "target"
+	attributeShard         = "block"
+	attributeToken         = "token"
+	attributeRecordedToken = "entered_token"
+	attributeRecovered     = "inherited"
+	attributeOutcome       = "outcome"
+	attributeCalls         = "calls"
+	attributeWhy           = "why"
 )
 
 // Step is one step of an action, in plain words.
@@ -36,16 +36,16 @@
 
 // History is what became of one action, as the traces of the controllers tell.
 type History struct {
-	Duty, Target, Block string
-	Steps               []Step
-	// TakenOver tells whether a successor took it over.
-	TakenOver bool
-	// Settled tells whether its end is in the traces.
-	Settled bool
+	Operation, Target, Shard string
+	Steps                    []Step
+	// FailedOver tells whether a successor took it over.
+	FailedOver bool
+	// Completed tells whether its end is in the traces.
+	Completed bool
 }
 
-// Took is the time from the first to the last step.
-func (h History) Took() time.Duration {
+// Duration is the time from the first to the last step.
+func (h History) Duration() time.Duration {
 	if len(h.Steps) == 0 {
 		return 0
 	}
@@ -56,7 +56,7 @@
 func Histories(spans []tracing.Span) []History {
 	var out []History
 	for _, group := range tracing.ByTrace(spans) {
-		if group[0].Attribute(attributeDuty) != "" {
+		if group[0].Attribute(attributeOperation) != "" {
 			out = append(out, history(group))
 		}
 	}
@@ -65,10 +65,10 @@
 
 func history(spans []tracing.Span) History {
 	first := spans[0]
-	h := History{Duty: first.Attribute(attributeDuty), Target: first.Attribute(attributeTarget), Block: first.Attribute(attributeBlock)}
+	h := History{Operation: first.Attribute(attributeOperation), Target: first.Attribute(attributeTarget), Shard: first.Attribute(attributeShard)}
 	for _, s := range spans {
-		h.TakenOver = h.TakenOver || s.Name == spanTakeover
-		h.Settled = h.Settled || s.Name == spanSettlement
+		h.FailedOver = h.FailedOver || s.Name == spanRecovery
+		h.Completed = h.Completed || s.Name == spanCompletion
 		h.Steps = append(h.Steps, Step{At: s.Start, Member: s.Member, Token: s.Attribute(attributeToken), Text: stepText(s)})
 	}
 	return h
@@ -80,13 +80,13 @@
 	switch s.Name {
 	case spanDecision:
 		return "decides: " + s.Attribute(attributeWhy)
-	case spanEntry:
+	case spanRecording:
 		return fmt.Sprintf("enters it in the log, durable after %v", took)
 	case spanCall:
 		return fmt.Sprintf("calls the cloud (call %s of its tenure): %s after %v", s.Attribute(attributeCalls), s.Attribute(attributeOutcome), took)
-	case spanTakeover:
-		return fmt.Sprintf("takes it over, entered under token %s", s.Attribute(attributeEntered))
-	case spanSettlement:
+	case spanRecovery:
+		return fmt.Sprintf("takes it over, entered under token %s", s.Attribute(attributeRecordedToken))
+	case spanCompletion:
 		return "settles it: all that was planned on is written down"
 	}
 	return s.Name
--- a/internal/duty/log_test.go
+++ b/internal/duty/log_test.go
@@ -26,13 +26,13 @@
 
 func newTestLog(on bool) *testLog {
 	x := &testLog{}
-	x.Log = NewLog(Options{Token: 7, Tenure: store.Is("c/b/0", 3), ValueKB: 1, Wall: func() time.Time { return now },
-		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Lost: func(time.Time) { x.lost = true },
-		Call: func(c store.Call, then func(time.Time, store.Result)) {
+	x.Log = NewLog(Options{Token: 7, TermCompare: store.VersionEquals("c/b/0", 3), ValueKB: 1, WallClock: func() time.Time { return now },
+		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), OnTermLost: func(time.Time) { x.lost = true },
+		StateCall: func(c store.Call, then func(time.Time, store.Result)) {
 			x.sent, x.then = append(x.sent, c), append(x.then, then)
 		}})
 	if on {
-		x.SwitchOn()
+		x.EnableDurability()
 	}
 	return x
 }
@@ -46,45 +46,45 @@
 	}
 }
 
-func (x *testLog) action(target string) *Action { return x.Get(Returning, target) }
+func (x *testLog) action(target string) *Intent { return x.Get(Deprovision, target) }
 
 // An action goes from entry to settlement in this order only, whatever is asked of it.
 func TestStages(t *testing.T) {
 	taken := store.Result{Status: 200, Revision: 9}
-	enter := func(x *testLog) { x.Enter(now, Returning, "i-1", "idle") }
+	enter := func(x *testLog) { x.Record(now, Deprovision, "i-1", "idle") }
 	entered := func(x *testLog) { enter(x); x.answer(taken) }
-	sent := func(x *testLog) { entered(x); x.Send(now, x.action("i-1")) }
+	sent := func(x *testLog) { entered(x); x.StartCall(now, x.action("i-1")) }
 	for _, c := range []struct {
 		name string
 		play func(x *testLog)
-		want Stage
+		want State
 		send bool // a call may be made
 	}{
-		{"decided", enter, Entering, false},
-		{"its entry is refused", func(x *testLog) { enter(x); x.answer(store.Result{Status: 503}) }, Entering, false},
-		{"its entry is not answered", func(x *testLog) { enter(x); x.answer(store.Result{}) }, Entering, false},
-		{"the tenure is over", func(x *testLog) { enter(x); x.answer(store.Result{Status: 409, Failed: []string{"c/b/0"}}) }, Entering, false},
-		{"entered", entered, Entered, true},
-		{"sent", sent, Sent, false},
-		{"the call was refused", func(x *testLog) { sent(x); x.Answered(now, x.action("i-1"), NotExecuted) }, Entered, true},
-		{"the call was not answered", func(x *testLog) { sent(x); x.Answered(now, x.action("i-1"), Unknown) }, Entered, true},
-		{"done", func(x *testLog) { sent(x); x.Answered(now, x.action("i-1"), Done) }, Settled, false},
-		{"an answer to no call", func(x *testLog) { entered(x); x.Answered(now, x.action("i-1"), Done) }, Entered, true},
-		{"settled before its entry is durable", func(x *testLog) { enter(x); x.Settle(now, x.action("i-1"), "") }, Entering, false},
-		{"forgotten before it is settled", func(x *testLog) { sent(x); x.Forget(x.action("i-1")) }, Sent, false},
-		{"entered twice", func(x *testLog) { sent(x); x.Enter(now, Reclaiming, "i-1", "silent") }, Sent, false},
+		{"decided", enter, Recording, false},
+		{"its entry is refused", func(x *testLog) { enter(x); x.answer(store.Result{Status: 503}) }, Recording, false},
+		{"its entry is not answered", func(x *testLog) { enter(x); x.answer(store.Result{}) }, Recording, false},
+		{"the tenure is over", func(x *testLog) { enter(x); x.answer(store.Result{Status: 409, FailedKeys: []string{"c/b/0"}}) }, Recording, false},
+		{"entered", entered, Recorded, true},
+		{"sent", sent, InFlight, false},
+		{"the call was refused", func(x *testLog) { sent(x); x.FinishCall(now, x.action("i-1"), NotExecuted) }, Recorded, true},
+		{"the call was not answered", func(x *testLog) { sent(x); x.FinishCall(now, x.action("i-1"), Unknown) }, Recorded, true},
+		{"done", func(x *testLog) { sent(x); x.FinishCall(now, x.action("i-1"), Done) }, Completed, false},
+		{"an answer to no call", func(x *testLog) { entered(x); x.FinishCall(now, x.action("i-1"), Done) }, Recorded, true},
+		{"settled before its entry is durable", func(x *testLog) { enter(x); x.Complete(now, x.action("i-1"), "") }, Recording, false},
+		{"forgotten before it is settled", func(x *testLog) { sent(x); x.Forget(x.action("i-1")) }, InFlight, false},
+		{"entered twice", func(x *testLog) { sent(x); x.Record(now, Reclaim, "i-1", "silent") }, InFlight, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			x := newTestLog(true)
 			c.play(x)
 			a := x.action("i-1")
-			if a == nil || a.Stage() != c.want {
+			if a == nil || a.State() != c.want {
 				t.Fatalf("%+v, want %v", a, c.want)
 			}
-			if got := len(x.Ready(Returning)) == 1; got != c.send {
+			if got := len(x.Ready(Deprovision)) == 1; got != c.send {
 				t.Errorf("may be sent: %v", got)
 			}
-			if x.Get(Reclaiming, "i-1") != nil {
+			if x.Get(Reclaim, "i-1") != nil {
 				t.Error("entered for two duties")
 			}
 		})
@@ -93,16 +93,16 @@
 
 // No change of stage but the allowed ones is carried out, whoever asks for it.
 func TestFollows(t *testing.T) {
-	allowed := map[Stage][]Stage{Entering: {Entered}, Entered: {Sent, Settled}, Sent: {Entered, Settled}}
-	for from := Entering; from <= Settled; from++ {
-		for to := Entering; to <= Settled; to++ {
+	allowed := map[State][]State{Recording: {Recorded}, Recorded: {InFlight, Completed}, InFlight: {Recorded, Completed}}
+	for from := Recording; from <= Completed; from++ {
+		for to := Recording; to <= Completed; to++ {
 			x := newTestLog(true)
-			x.Enter(now, Returning, "i-1", "idle")
+			x.Record(now, Deprovision, "i-1", "idle")
 			a := x.action("i-1")
-			a.stage = from
+			a.state = from
 			want := slices.Contains(allowed[from], to)
-			if got := x.set(now, a, to, "test"); got != want || want != (a.stage == to && from != to) {
-				t.Errorf("%v to %v: %v, then %v", from, to, got, a.stage)
+			if got := x.setState(now, a, to, "test"); got != want || want != (a.state == to && from != to) {
+				t.Errorf("%v to %v: %v, then %v", from, to, got, a.state)
 			}
 		}
 	}
@@ -112,17 +112,17 @@
 func TestEntriesShareWrites(t *testing.T) {
 	x := newTestLog(true)
 	for i := range 5 {
-		x.Enter(now, Returning, fmt.Sprintf("i-%d", i), "idle")
+		x.Record(now, Deprovision, fmt.Sprintf("i-%d", i), "idle")
 	}
 	if len(x.sent) != 1 {
 		t.Fatalf("%d writes under way", len(x.sent))
 	}
-	first := x.sent[0].Multi
-	if first.Compares[0] != store.Is("c/b/0", 3) || first.Compares[1] != store.Is("d/0/0", 0) {
+	first := x.sent[0].Transaction
+	if first.Compares[0] != store.VersionEquals("c/b/0", 3) || first.Compares[1] != store.VersionEquals("d/0/0", 0) {
 		t.Errorf("conditions: %v", first.Compares)
 	}
 	x.answer(store.Result{Status: 200, Revision: 9})
-	if ready := len(x.Ready(Returning)); ready != 1 {
+	if ready := len(x.Ready(Deprovision)); ready != 1 {
 		t.Errorf("%d are ready after the first write, which had one", ready)
 	}
 	now := now.Add(tuning.EntriesEvery)
@@ -130,11 +130,11 @@
 	if len(x.sent) != 1 {
 		t.Fatalf("%d writes for the others", len(x.sent))
 	}
-	if entries, err := ReadPage(x.sent[0].Multi.Writes[0].Value); err != nil || len(entries) != 5 || entries[0].Token != 7 {
+	if entries, err := ReadPage(x.sent[0].Transaction.Writes[0].Value); err != nil || len(entries) != 5 || entries[0].Token != 7 {
 		t.Errorf("%v, %v", entries, err)
 	}
 	x.answer(store.Result{Status: 200, Revision: 10})
-	if ready := len(x.Ready(Returning)); ready != 5 {
+	if ready := len(x.Ready(Deprovision)); ready != 5 {
 		t.Errorf("%d are ready", ready)
 	}
 }
@@ -143,18 +143,18 @@
 func TestFullLog(t *testing.T) {
 	x := newTestLog(false)
 	for i := range tuning.EntriesMost {
-		if !x.Enter(now, Returning, fmt.Sprintf("i-%d", i), "idle") {
+		if !x.Record(now, Deprovision, fmt.Sprintf("i-%d", i), "idle") {
 			t.Fatalf("no room for action %d", i)
 		}
 	}
-	if x.Enter(now, Returning, "i-more", "idle") || x.action("i-more") != nil {
+	if x.Record(now, Deprovision, "i-more", "idle") || x.action("i-more") != nil {
 		t.Fatal("entered although the log is full")
 	}
 	a := x.action("i-3")
-	x.Send(now, a)
-	x.Answered(now, a, Done)
+	x.StartCall(now, a)
+	x.FinishCall(now, a, Done)
 	x.Forget(a)
-	if !x.Enter(now, Returning, "i-more", "idle") {
+	if !x.Record(now, Deprovision, "i-more", "idle") {
 		t.Error("no room after one was settled")
 	}
 }
@@ -181,20 +181,20 @@
 		t.Run(c.name, func(t *testing.T) {
 			x := newTestLog(true)
 			x.Load(now, c.pages)
-			ready := x.Ready(Returning, Reclaiming)
-			if len(ready) != c.ready || x.Unread() != c.unread || x.Open() != c.ready {
-				t.Fatalf("%d ready, %d unread, %d open", len(ready), x.Unread(), x.Open())
+			ready := x.Ready(Deprovision, Reclaim)
+			if len(ready) != c.ready || x.UnreadablePages() != c.unread || x.Pending() != c.ready {
+				t.Fatalf("%d ready, %d unread, %d open", len(ready), x.UnreadablePages(), x.Pending())
 			}
 			for _, a := range ready {
-				if !a.Inherited || a.Token >= 7 {
+				if !a.Recovered || a.Token >= 7 {
 					t.Errorf("%+v is not inherited", a)
 				}
 			}
 			// what cannot be read is never written over
-			x.Enter(now, Returning, "i-9", "idle")
+			x.Record(now, Deprovision, "i-9", "idle")
 			for _, call := range x.sent {
 				for i, p := range c.pages {
-					if call.Multi.Writes[0].Put == p.Key && !json.Valid(p.Value) {
+					if call.Transaction.Writes[0].Put == p.Key && !json.Valid(p.Value) {
 						t.Errorf("page %d, which cannot be read, is written over", i)
 					}
 				}
@@ -205,7 +205,7 @@
 
 // Removals pass only if they are conditioned on the tenure, and are counted.
 func TestCleanUp(t *testing.T) {
-	tenure, other := store.Is("c/b/0", 3), store.Is("c/b/0", 2)
+	tenure, other := store.VersionEquals("c/b/0", 3), store.VersionEquals("c/b/0", 2)
 	for _, c := range []struct {
 		name   string
 		when   []wire.Compare
@@ -213,16 +213,16 @@
 		passes bool
 		counts int
 	}{
-		{"of the tenure", []wire.Compare{tenure, store.Is("h/0/x", 4)}, "h/0/x", true, 1},
-		{"of another tenure", []wire.Compare{other, store.Is("h/0/x", 4)}, "h/0/x", false, 0},
+		{"of the tenure", []wire.Compare{tenure, store.VersionEquals("h/0/x", 4)}, "h/0/x", true, 1},
+		{"of another tenure", []wire.Compare{other, store.VersionEquals("h/0/x", 4)}, "h/0/x", false, 0},
 		{"not conditioned", nil, "h/0/x", false, 0},
 		{"of a record that is no business of clean-up", nil, "q/job-1", true, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			x := newTestLog(true)
 			var got store.Result
-			call := x.CleanUp(x.opt.Call, "h/0/", "u/0/")
-			call(store.Call{Op: store.OpMulti, Multi: wire.Transaction{Compares: c.when, Writes: []wire.Write{store.Remove(c.key)}}},
+			call := x.GuardRemovals(x.options.StateCall, "h/0/", "u/0/")
+			call(store.Call{Op: store.OpTransaction, Transaction: wire.Transaction{Compares: c.when, Writes: []wire.Write{store.Delete(c.key)}}},
 				func(_ time.Time, r store.Result) { got = r })
 			if passes := len(x.sent) == 1; passes != c.passes {
 				t.Fatalf("passes: %v", passes)
@@ -233,12 +233,12 @@
 				}
 				return
 			}
-			status := func() Status { return x.Status()[len(All())-1] }
-			if s := status(); s.Duty != CleanUp || s.UnderWay != c.counts || s.Oldest.IsZero() != (c.counts == 0) {
+			status := func() OperationStatus { return x.Status()[len(Operations())-1] }
+			if s := status(); s.Operation != Cleanup || s.RemovalsInFlight != c.counts || s.OldestRemovalSentAt.IsZero() != (c.counts == 0) {
 				t.Errorf("%+v", s)
 			}
 			x.answer(store.Result{Status: 200})
-			if s := status(); s.UnderWay != 0 || s.Removed != c.counts {
+			if s := status(); s.RemovalsInFlight != 0 || s.RemovalsDone != c.counts {
 				t.Errorf("%+v", s)
 			}
 		})
@@ -248,8 +248,8 @@
 // With the log off nothing is written, and actions may be sent at once.
 func TestSwitchedOff(t *testing.T) {
 	x := newTestLog(false)
-	x.Enter(now, Reclaiming, "i-1", "silent")
-	if len(x.sent) != 0 || len(x.Ready(Reclaiming)) != 1 {
-		t.Errorf("%d writes, %d ready", len(x.sent), len(x.Ready(Reclaiming)))
+	x.Record(now, Reclaim, "i-1", "silent")
+	if len(x.sent) != 0 || len(x.Ready(Reclaim)) != 1 {
+		t.Errorf("%d writes, %d ready", len(x.sent), len(x.Ready(Reclaim)))
 	}
 }
--- a/internal/duty/model_holder_test.go
+++ b/internal/duty/model_holder_test.go
@@ -61,7 +61,7 @@
 func (h *modelHolder) load() {
 	m := h.model
 	var items []wire.KeyValue
-	m.state.Call(store.Call{Op: store.OpList, Under: duty.LogUnder(0)}, func(r store.Result) { items = r.Items })
+	m.state.Call(store.Call{Op: store.OpList, Prefix: duty.LogPrefix(0)}, func(r store.Result) { items = r.KeyValues })
 	h.loaded = true
 	found := m.stored()
 	for _, host := range m.hosts {
@@ -75,9 +75,9 @@
 		items = nil
 	}
 	h.log.Load(m.now(), items)
-	for _, a := range h.log.Inherited(duty.Returning) {
+	for _, a := range h.log.Recovered(duty.Deprovision) {
 		if !m.machines[a.Target].exists {
-			h.log.Settle(m.now(), a, "gone already")
+			h.log.Complete(m.now(), a, "gone already")
 			h.forget(a)
 		}
 	}
@@ -97,10 +97,10 @@
 
 func (h *modelHolder) enter(host string) {
 	m := h.model
-	if h.log.Get(duty.Returning, host) != nil || !h.reaches(host) || m.machines[host].work != 0 {
+	if h.log.Get(duty.Deprovision, host) != nil || !h.reaches(host) || m.machines[host].work != 0 {
 		return
 	}
-	h.log.Enter(m.now(), duty.Returning, host, "idle")
+	h.log.Record(m.now(), duty.Deprovision, host, "idle")
 	h.entering = append(h.entering, &enterOperation{host, m.step, true})
 	if m.fault == sendsEarly {
 		m.deletes = append(m.deletes, &deleteCall{host: host})
@@ -110,7 +110,7 @@
 // giveWork starts work on a machine that is not given up.
 func (h *modelHolder) giveWork(host string) {
 	machine := h.model.machines[host]
-	if h.log.Get(duty.Returning, host) != nil || !h.reaches(host) || machine.work != 0 {
+	if h.log.Get(duty.Deprovision, host) != nil || !h.reaches(host) || machine.work != 0 {
 		return
 	}
 	machine.work = h.token
@@ -121,25 +121,25 @@
 
 // send calls the cloud for what is ready.
 func (h *modelHolder) send() {
-	for _, a := range h.log.Ready(duty.Returning) {
-		if h.log.Send(h.model.now(), a) {
+	for _, a := range h.log.Ready(duty.Deprovision) {
+		if h.log.StartCall(h.model.now(), a) {
 			h.model.deletes = append(h.model.deletes, &deleteCall{h, a, a.Target})
 		}
 	}
 }
 
-func (h *modelHolder) answered(a *duty.Action, o duty.Outcome) {
-	h.log.Answered(h.model.now(), a, o)
+func (h *modelHolder) answered(a *duty.Intent, o duty.Outcome) {
+	h.log.FinishCall(h.model.now(), a, o)
 	if o == duty.Unknown && h.model.fault == forgetsUnanswered {
-		h.log.Settle(h.model.now(), a, "not answered")
+		h.log.Complete(h.model.now(), a, "not answered")
 		h.forget(a)
 	}
-	if a.Stage() == duty.Settled {
+	if a.State() == duty.Completed {
 		h.forget(a)
 	}
 }
 
-func (h *modelHolder) forget(a *duty.Action) {
+func (h *modelHolder) forget(a *duty.Intent) {
 	h.model.record(a.Target, h.model.step, math.MaxInt64, operation{settle, h.token, a.Target}, outcome{})
 	h.log.Forget(a)
 }
--- a/internal/duty/model_test.go
+++ b/internal/duty/model_test.go
@@ -71,7 +71,7 @@
 
 type deleteCall struct {
 	holder *modelHolder // nil: nobody waits for the answer any more
-	action *duty.Action
+	action *duty.Intent
 	host   string
 }
 
@@ -99,7 +99,7 @@
 func (m *model) stored() map[string]uint64 {
 	out := map[string]uint64{}
 	for key, it := range m.state.Keys {
-		if len(key) > len(duty.Under) && key[:len(duty.Under)] == duty.Under {
+		if len(key) > len(duty.Prefix) && key[:len(duty.Prefix)] == duty.Prefix {
 			entries, err := duty.ReadPage(it.Value)
 			if err != nil {
 				m.breaks("page %s: %v", key, err)
@@ -117,13 +117,13 @@
 	token := uint64(len(m.holders) + 1)
 	m.state.Put(blockKey, fmt.Appendf(nil, `{"Baton":%d}`, token))
 	h := &modelHolder{model: m, token: token, began: m.step}
-	h.tenure = store.Is(blockKey, m.state.Revision)
+	h.tenure = store.VersionEquals(blockKey, m.state.Revision)
 	if m.fault == writesUnfenced {
-		h.tenure = store.Is(otherKey, m.state.Keys[otherKey].Version)
+		h.tenure = store.VersionEquals(otherKey, m.state.Keys[otherKey].Version)
 	}
-	h.log = duty.NewLog(duty.Options{Token: token, Tenure: h.tenure, ValueKB: 1, Call: h.call, Wall: m.now,
-		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Lost: func(time.Time) { h.lost = true }})
-	h.log.SwitchOn()
+	h.log = duty.NewLog(duty.Options{Token: token, TermCompare: h.tenure, ValueKB: 1, StateCall: h.call, WallClock: m.now,
+		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), OnTermLost: func(time.Time) { h.lost = true }})
+	h.log.EnableDurability()
 	m.holders = append(m.holders, h)
 }
 
@@ -237,7 +237,7 @@
 func (m *model) observe() {
 	for _, h := range m.holders {
 		for _, o := range h.entering {
-			if a := h.log.Get(duty.Returning, o.host); o.open && a != nil && a.Stage() != duty.Entering {
+			if a := h.log.Get(duty.Deprovision, o.host); o.open && a != nil && a.State() != duty.Recording {
 				o.open = false
 				m.record(o.host, o.at, m.step, operation{enter, h.token, o.host}, known)
 			}
@@ -265,7 +265,7 @@
 			h.load()
 		}
 		h.tick()
-		for len(h.log.Ready(duty.Returning)) > 0 {
+		for len(h.log.Ready(duty.Deprovision)) > 0 {
 			h.send()
 		}
 		m.observe()
--- a/internal/duty/property_test.go
+++ b/internal/duty/property_test.go
@@ -120,7 +120,7 @@
 	h.load()
 	h.enter("i-0")
 	m.finish()
-	if len(m.broken) > 0 || m.machines["i-0"].exists || h.log.Get(duty.Returning, "i-0") != nil {
+	if len(m.broken) > 0 || m.machines["i-0"].exists || h.log.Get(duty.Deprovision, "i-0") != nil {
 		t.Errorf("%v, machine there: %v", m.broken, m.machines["i-0"].exists)
 	}
 }
--- a/internal/duty/status.go
+++ b/internal/duty/status.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// ActionStatus is what is told of an action that is not settled.
-type ActionStatus struct {
-	Duty      Duty
+// IntentStatus is what is told of an action that is not settled.
+type IntentStatus struct {
+	Operation Operation
 	Target    string
 	Token     uint64
-	Stage     Stage
-	EnteredAt time.Time // zero: not known
-	Inherited bool
+	State     State
+	DecidedAt time.Time // zero: not known
+	Recovered bool
 }
 
-// Status is what is told of one duty.
-type Status struct {
-	Duty    Duty
-	Actions []ActionStatus // those that are not settled, by target
-	// UnderWay and Removed count removals, of clean-up only.
-	UnderWay, Removed int
-	Oldest            time.Time // when the oldest removal under way was sent
+// OperationStatus is what is told of one duty.
+type OperationStatus struct {
+	Operation Operation
+	Intents   []IntentStatus // those that are not settled, by target
+	// RemovalsInFlight and Removed count removals, of clean-up only.
+	RemovalsInFlight, RemovalsDone int
+	OldestRemovalSentAt            time.Time // when the oldest removal under way was sent
 }
 
 // Status tells of all duties.
-func (l *Log) Status() []Status {
-	var out []Status
-	for _, d := range All() {
-		s := Status{Duty: d}
-		for _, a := range l.list(func(a *Action) bool { return a.stage != Settled }, []Duty{d}) {
-			s.Actions = append(s.Actions, ActionStatus{Duty: d, Target: a.Target, Token: a.Token, Stage: a.stage, EnteredAt: a.EnteredAt, Inherited: a.Inherited})
+func (l *Log) Status() []OperationStatus {
+	var out []OperationStatus
+	for _, d := range Operations() {
+		s := OperationStatus{Operation: d}
+		for _, a := range l.list(func(a *Intent) bool { return a.state != Completed }, []Operation{d}) {
+			s.Intents = append(s.Intents, IntentStatus{Operation: d, Target: a.Target, Token: a.Token, State: a.state, DecidedAt: a.DecidedAt, Recovered: a.Recovered})
 		}
-		if d == CleanUp {
-			s.UnderWay, s.Removed = l.cleaned.underWay, l.cleaned.removed
-			if s.UnderWay > 0 {
-				s.Oldest = l.cleaned.oldest
+		if d == Cleanup {
+			s.RemovalsInFlight, s.RemovalsDone = l.removals.inFlight, l.removals.done
+			if s.RemovalsInFlight > 0 {
+				s.OldestRemovalSentAt = l.removals.oldest
 			}
 		}
 		out = append(out, s)
--- a/internal/duty/trace.go
+++ b/internal/duty/trace.go
@@ -17,33 +17,33 @@
 }
 
 // identity names an action among all of a deployment's.
-func (l *Log) identity(a *Action) string {
-	return LogUnder(l.opt.Block) + string(a.Duty) + "/" + a.Target
+func (l *Log) identity(a *Intent) string {
+	return LogPrefix(l.options.Shard) + string(a.Operation) + "/" + a.Target
 }
 
-func (l *Log) attributes(a *Action) []attribute.KeyValue {
+func (l *Log) attributes(a *Intent) []attribute.KeyValue {
 	return []attribute.KeyValue{
-		attribute.String(attributeDuty, string(a.Duty)), attribute.String(attributeTarget, a.Target), attribute.Int(attributeBlock, l.opt.Block),
-		attribute.String(attributeToken, strconv.FormatUint(l.opt.Token, 10)), attribute.String(attributeEntered, strconv.FormatUint(a.Token, 10)),
-		attribute.Bool(attributeInherited, a.Inherited),
+		attribute.String(attributeOperation, string(a.Operation)), attribute.String(attributeTarget, a.Target), attribute.Int(attributeShard, l.options.Shard),
+		attribute.String(attributeToken, strconv.FormatUint(l.options.Token, 10)), attribute.String(attributeRecordedToken, strconv.FormatUint(a.Token, 10)),
+		attribute.Bool(attributeRecovered, a.Recovered),
 	}
 }
 
 // event makes a span of an action's that is over at once.
-func (l *Log) event(a *Action, name string, more ...attribute.KeyValue) {
-	if l.opt.Tracer != nil {
-		l.opt.Tracer.Event(l.identity(a), name, append(l.attributes(a), more...)...)
+func (l *Log) event(a *Intent, name string, more ...attribute.KeyValue) {
+	if l.options.Tracer != nil {
+		l.options.Tracer.Event(l.identity(a), name, append(l.attributes(a), more...)...)
 	}
 }
 
 // begin begins a span of an action's; end ends it.
-func (l *Log) begin(a *Action, name string) {
-	if l.opt.Tracer != nil {
-		a.span = l.opt.Tracer.Begin(l.identity(a), name, l.attributes(a)...)
+func (l *Log) begin(a *Intent, name string) {
+	if l.options.Tracer != nil {
+		a.span = l.options.Tracer.Begin(l.identity(a), name, l.attributes(a)...)
 	}
 }
 
-func (a *Action) end(attributes ...attribute.KeyValue) {
+func (a *Intent) end(attributes ...attribute.KeyValue) {
 	if a.span != nil {
 		a.span.SetAttributes(attributes...)
 		a.span.End()
@@ -51,24 +51,24 @@
 	}
 }
 
-func (l *Log) traceDecision(a *Action, why string) {
-	if l.opt.Tracer == nil {
+func (l *Log) traceDecision(a *Intent, why string) {
+	if l.options.Tracer == nil {
 		return
 	}
 	l.event(a, spanDecision, attribute.String(attributeWhy, why))
-	l.begin(a, spanEntry)
+	l.begin(a, spanRecording)
 }
 
-func (l *Log) traceEntry(a *Action) { a.end() }
+func (l *Log) traceRecorded(a *Intent) { a.end() }
 
-func (l *Log) traceInherited(a *Action) { l.event(a, spanTakeover) }
+func (l *Log) traceRecovered(a *Intent) { l.event(a, spanRecovery) }
 
-func (l *Log) traceCall(a *Action) { l.begin(a, spanCall) }
+func (l *Log) traceCall(a *Intent) { l.begin(a, spanCall) }
 
-func (l *Log) traceAnswer(a *Action, o Outcome) {
+func (l *Log) traceAnswer(a *Intent, o Outcome) {
 	if a.span != nil {
 		a.end(attribute.String(attributeOutcome, o.String()), attribute.Int(attributeCalls, a.calls))
 	}
 }
 
-func (l *Log) traceSettled(a *Action) { l.event(a, spanSettlement) }
+func (l *Log) traceCompleted(a *Intent) { l.event(a, spanCompletion) }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -61,7 +61,7 @@
 	block        int
 	token        uint64
 	tenure       wire.Compare
-	facts        config.Facts
+	facts        config.Platform
 	cloud        Caller
 	state        store.Caller
 	log          *slog.Logger
@@ -72,8 +72,8 @@
 	gone         func(now time.Time, m *worker.Machine)
 	foreign      func(host string, there time.Time) bool
 	machineTypes map[string]wire.MachineType
-	known        map[string]string // machine types as recorded for all nodes
-	files        []*store.Record   // of the machine types
+	known        map[string]string     // machine types as recorded for all nodes
+	files        []*store.DesiredValue // of the machine types
 	used         *store.Pages
 	entered      map[string]bool // machines that are being, or have been, entered as used
 	limit        *rate.Limiter
@@ -102,7 +102,7 @@
 	Block    int
 	Token    uint64
 	Tenure   wire.Compare // the condition of each write
-	Facts    config.Facts
+	Facts    config.Platform
 	Cloud    Caller
 	State    store.Caller
 	Log      *slog.Logger
@@ -134,7 +134,7 @@
 		rentals: map[string]*rental{}, by: map[string]*rental{}, noneUntil: map[string]time.Time{},
 		listed: map[string]bool{}, missing: map[string]int{}, entered: map[string]bool{},
 	}
-	s.used = store.NewPages(UsedUnder(o.Block), o.Facts.State.Stored().ValueKB, tuning.UsedEvery, store.ClassTenure, o.Tenure, o.State, o.Log, o.Lost)
+	s.used = store.NewPages(UsedUnder(o.Block), o.Facts.State.StoredLimits().ValueKB, tuning.UsedEvery, store.PriorityTerm, o.Tenure, o.State, o.Log, o.Lost)
 	return s
 }
 
@@ -156,7 +156,7 @@
 			m = s.addUnrecorded(now, host)
 		}
 		if m == nil || !m.Recorded && s.unread == 0 {
-			s.used.Drop(host)
+			s.used.Delete(host)
 			return
 		}
 		s.entered[host], m.Used = true, true
@@ -165,7 +165,7 @@
 			s.reg.Set(now, m, worker.Unheard, "used by an earlier tenure")
 		}
 	})
-	if s.used.Unread() > 0 {
+	if s.used.Unreadable() > 0 {
 		s.assumeUsed(now)
 	}
 	s.takeOverEndings(now)
@@ -324,7 +324,7 @@
 				continue
 			}
 			s.known[f.Name] = string(raw)
-			rec := store.NewRecord(underMachineTypes+f.Name, 0, store.ClassTenure, s.tenure, s.state, func(time.Time, int) {}, s.lost)
+			rec := store.NewDesiredValue(underMachineTypes+f.Name, 0, store.PriorityTerm, s.tenure, s.state, func(time.Time, int) {}, s.lost)
 			rec.Set(all)
 			s.files = append(s.files, rec)
 			rec.Tick(now)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -41,8 +41,8 @@
 func newZone(t *testing.T) *zone {
 	const token, valueKB = 7, 4
 	y := &zone{t: t, now: time.Unix(1000, 0)}
-	facts := config.Facts{Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}, Cloud: config.Cloud{RPS: 100, ListLagS: 3},
-		Workers: config.Workers{ReportS: 1.5, LeaseS: 10}}
+	facts := config.Platform{Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}, Cloud: config.CloudLimits{RPS: 100, ListLagS: 3},
+		Workers: config.Workers{HeartbeatS: 1.5, LeaseS: 10}}
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
 	y.reg = worker.NewRegistry(facts.Workers, quiet)
 	y.board = placement.NewBoard(facts, 7, quota.NewBook(facts.Teams, 0, 1), y.reg, rand.New(rand.NewPCG(1, 1)), quiet, func(time.Time, *placement.Job) {})
@@ -50,8 +50,8 @@
 	state := func(c store.Call, then func(time.Time, store.Result)) {
 		y.kv, y.kvs = append(y.kv, c), append(y.kvs, then)
 	}
-	y.tenure = store.Is("c/b/0", 3)
-	y.duties = duty.NewLog(duty.Options{Token: token, Tenure: y.tenure, ValueKB: valueKB, Call: state, Wall: func() time.Time { return y.now }, Log: quiet, Lost: func(time.Time) {}})
+	y.tenure = store.VersionEquals("c/b/0", 3)
+	y.duties = duty.NewLog(duty.Options{Token: token, TermCompare: y.tenure, ValueKB: valueKB, StateCall: state, WallClock: func() time.Time { return y.now }, Log: quiet, OnTermLost: func(time.Time) {}})
 	y.s = New(y.now, Options{Token: token, Tenure: y.tenure, Facts: facts,
 		Cloud: func(c Call, then func(time.Time, Result)) {
 			y.cloud, y.reply = append(y.cloud, c), append(y.reply, then)
@@ -284,7 +284,7 @@
 			}
 			y.now = y.now.Add(c.after)
 			y.s.returns(y.now)
-			if got := y.duties.Open(); got != 0 != c.goes || c.goes && got != c.unheard {
+			if got := y.duties.Pending(); got != 0 != c.goes || c.goes && got != c.unheard {
 				t.Errorf("%d returned, want any: %t", got, c.goes)
 			}
 		})
@@ -324,7 +324,7 @@
 		y.take(OpList, list)
 	}
 	m := y.reg.Get("i-9")
-	if m == nil || !m.Recorded || len(y.kv) == 0 || y.kv[len(y.kv)-1].Multi.Writes == nil {
+	if m == nil || !m.Recorded || len(y.kv) == 0 || y.kv[len(y.kv)-1].Transaction.Writes == nil {
 		t.Fatalf("not adopted: %+v", m)
 	}
 }
@@ -344,7 +344,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			y := newZone(t)
-			y.s.facts.State = config.State{ValueKB: 4, Next: config.NextState{"value_kb": c.valueKB}}
+			y.s.facts.State = config.StateLimits{ValueKB: 4, Next: config.UpcomingLimits{"value_kb": c.valueKB}}
 			n := y.s.rentalMost()
 			rec := RentalRec{Type: "g2", Zone: "a", Spot: true, Number: n}
 			for i := range n {
--- a/internal/fleet/rental.go
+++ b/internal/fleet/rental.go
@@ -47,12 +47,12 @@
 	name  string
 	rec   RentalRec
 	state rentalState
-	file  *store.Record
+	file  *store.DesiredValue
 	busy  bool
 	retry time.Time
 	kept  bool // its record names its machines durably
 	// action is the intended rental; the record is its entry.
-	action *duty.Action
+	action *duty.Intent
 	asked  time.Time     // when the cloud last answered
 	gone   []goneMachine // whose removal from the record is not durable yet
 }
@@ -77,11 +77,11 @@
 }
 
 func (s *Slice) file(h *rental, version uint64) {
-	h.file = store.NewRecord(Rentals(s.block)+h.name, version, store.ClassTenure, s.tenure, s.state, func(now time.Time, ver int) {
+	h.file = store.NewDesiredValue(Rentals(s.block)+h.name, version, store.PriorityTerm, s.tenure, s.state, func(now time.Time, ver int) {
 		s.forgetGone(h, ver)
 		switch h.state {
 		case rentalRecording:
-			s.duties.Recorded(now, h.action)
+			s.duties.MarkRecorded(now, h.action)
 			s.set(h, rentalAsking, "recorded")
 		case rentalGranted:
 			h.kept = true
@@ -91,12 +91,12 @@
 				}
 			}
 		case rentalEmpty:
-			if h.file.Settled() {
+			if h.file.Durable() {
 				delete(s.rentals, h.name)
 			}
 		}
 	}, s.lost)
-	h.file.TooLarge = func(now time.Time) bool { return s.divide(now, h) }
+	h.file.OnTooLarge = func(now time.Time) bool { return s.divide(now, h) }
 }
 
 // divide gives half of a rental's machines a record of their own: the service has refused
@@ -145,7 +145,7 @@
 
 // forget forgets the settled action that ended a machine.
 func (s *Slice) forget(host string) {
-	for _, d := range []duty.Duty{duty.Returning, duty.Reclaiming} {
+	for _, d := range []duty.Operation{duty.Deprovision, duty.Reclaim} {
 		if a := s.duties.Get(d, host); a != nil {
 			s.duties.Forget(a)
 		}
@@ -179,7 +179,7 @@
 	if len(rec.Hosts) == 0 {
 		// The earlier holder did not get to write the answer down. Asking
 		// again by the same name tells it, or rents the machines now.
-		h.action = s.duties.InheritRecorded(now, duty.Renting, name, tokenOf(name))
+		h.action = s.duties.RecoverElsewhere(now, duty.Provision, name, tokenOf(name))
 		s.set(h, rentalAsking, "taken over without an answer")
 		return
 	}
@@ -225,14 +225,14 @@
 // ask asks the cloud for a rental's machines. The name stays the same until the
 // answer is certain: repeating it rents nothing twice.
 func (s *Slice) ask(now time.Time, h *rental) {
-	if !s.duties.Send(now, h.action) {
+	if !s.duties.StartCall(now, h.action) {
 		return
 	}
 	h.busy = true
 	s.call(Call{Op: OpRent, Rental: wire.ProvisionRequest{Name: h.name, Type: h.rec.Type, Zone: h.rec.Zone, Spot: h.rec.Spot, Count: h.rec.Number}},
 		func(now time.Time, r Result) {
 			h.busy, h.asked = false, now
-			s.duties.Answered(now, h.action, r.outcome())
+			s.duties.FinishCall(now, h.action, r.outcome())
 			kind := h.kind()
 			switch {
 			case r.Status == 200:
@@ -289,7 +289,7 @@
 
 func (s *Slice) drop(now time.Time, h *rental, why string) {
 	if h.action != nil {
-		s.duties.Settle(now, h.action, why)
+		s.duties.Complete(now, h.action, why)
 	}
 	s.set(h, rentalEmpty, why)
 	h.file.Set(nil)
@@ -373,7 +373,7 @@
 // rentalMost is how many machines one rental request may ask for: its record names them
 // all, and has to fit the state service now and after its limits fall.
 func (s *Slice) rentalMost() int {
-	bytes := int(s.facts.State.Stored().ValueKB*1024*tuning.PageFill) - tuning.RentalBytes
+	bytes := int(s.facts.State.StoredLimits().ValueKB*1024*tuning.PageFill) - tuning.RentalBytes
 	return max(1, min(s.most, bytes/tuning.HostBytes))
 }
 
@@ -401,7 +401,7 @@
 func (s *Slice) rental(now time.Time, rec RentalRec) *rental {
 	s.seq++
 	h := &rental{name: s.rentalName(), rec: rec}
-	h.action = s.duties.EnterRecorded(now, duty.Renting, h.name, "waiting work")
+	h.action = s.duties.RecordElsewhere(now, duty.Provision, h.name, "waiting work")
 	s.file(h, 0)
 	s.rentals[h.name] = h
 	s.log.Info("renting", "name", h.name, "type", rec.Type, "zone", rec.Zone, "spot", rec.Spot, "number", rec.Number)
--- a/internal/fleet/returns.go
+++ b/internal/fleet/returns.go
@@ -14,13 +14,13 @@
 
 // ending is why a machine is given up, and by which duty; without one it is kept.
 type ending struct {
-	duty duty.Duty
+	duty duty.Operation
 	why  string
 }
 
 func keep() ending                { return ending{} }
-func returned(why string) ending  { return ending{duty.Returning, why} }
-func reclaimed(why string) ending { return ending{duty.Reclaiming, why} }
+func returned(why string) ending  { return ending{duty.Deprovision, why} }
+func reclaimed(why string) ending { return ending{duty.Reclaim, why} }
 
 // returns looks for machines to give back.
 func (s *Slice) returns(now time.Time) {
@@ -41,7 +41,7 @@
 // giveUp enters a machine's end. From here on it gets no work; if there is no room in the
 // log it stays as it is, and is looked at again.
 func (s *Slice) giveUp(now time.Time, m *worker.Machine, e ending) {
-	if s.duties.Enter(now, e.duty, m.Host, e.why) {
+	if s.duties.Record(now, e.duty, m.Host, e.why) {
 		s.reg.Set(now, m, worker.Deleting, e.why)
 	}
 }
@@ -129,7 +129,7 @@
 // takeOverEndings goes on with the machines that earlier tenures entered as given up:
 // they get no work, and are deleted, again if need be.
 func (s *Slice) takeOverEndings(now time.Time) {
-	for _, a := range s.duties.Inherited(duty.Returning, duty.Reclaiming) {
+	for _, a := range s.duties.Recovered(duty.Deprovision, duty.Reclaim) {
 		if m := s.reg.Get(a.Target); m != nil {
 			s.heedEntry(now, m)
 		}
@@ -141,18 +141,18 @@
 	if m.State == worker.Deleting {
 		return
 	}
-	for _, d := range []duty.Duty{duty.Returning, duty.Reclaiming} {
-		if a := s.duties.Get(d, m.Host); a != nil && a.Inherited && a.Stage() != duty.Settled {
+	for _, d := range []duty.Operation{duty.Deprovision, duty.Reclaim} {
+		if a := s.duties.Get(d, m.Host); a != nil && a.Recovered && a.State() != duty.Completed {
 			s.reg.Set(now, m, worker.Deleting, "entered by an earlier tenure")
 		}
 	}
 }
 
 // next lists the machines that may be deleted now, as many as one call takes.
-func (s *Slice) next(now time.Time) []*duty.Action {
-	var out []*duty.Action
-	for _, a := range s.duties.Ready(duty.Returning, duty.Reclaiming) {
-		if a.Inherited && !s.confirmed(now, a) {
+func (s *Slice) next(now time.Time) []*duty.Intent {
+	var out []*duty.Intent
+	for _, a := range s.duties.Ready(duty.Deprovision, duty.Reclaim) {
+		if a.Recovered && !s.confirmed(now, a) {
 			continue
 		}
 		if out = append(out, a); len(out) == tuning.DeletePage {
@@ -166,11 +166,11 @@
 // have held the block since: it reads no log, and may have given the machine work. If no
 // other token lies between it cannot; otherwise the machine is heard first, or its lease
 // is surely over. The entry of one that has work of a later tenure than its own is void.
-func (s *Slice) confirmed(now time.Time, a *duty.Action) bool {
+func (s *Slice) confirmed(now time.Time, a *duty.Intent) bool {
 	m := s.reg.Get(a.Target)
 	if m == nil && !s.unsettled() && s.unread == 0 {
 		// no rental names it: it is gone, and that is written down
-		s.duties.Settle(now, a, "gone already")
+		s.duties.Complete(now, a, "gone already")
 		s.duties.Forget(a)
 		return false
 	}
@@ -184,7 +184,7 @@
 		return m.LeaseOver || !m.Used
 	}
 	if slices.ContainsFunc(m.Tasks, func(t wire.TaskStatus) bool { return t.Attempt>>tuning.AttemptBits > a.Token }) {
-		s.duties.Settle(now, a, "a later tenure gave the machine work")
+		s.duties.Complete(now, a, "a later tenure gave the machine work")
 		s.duties.Forget(a)
 		s.reg.Set(now, m, worker.Up, "a later tenure gave it work")
 		s.board.NoteChange(m)
@@ -203,14 +203,14 @@
 	}
 	hosts := make([]string, len(actions))
 	for i, a := range actions {
-		s.duties.Send(now, a)
+		s.duties.StartCall(now, a)
 		hosts[i] = a.Target
 	}
 	s.delBusy = true
 	s.call(Call{Op: OpDelete, Hosts: hosts}, func(now time.Time, r Result) {
 		s.delBusy = false
 		for _, a := range actions {
-			s.duties.Answered(now, a, r.outcome())
+			s.duties.FinishCall(now, a, r.outcome())
 		}
 		if r.Status != 200 {
 			s.delRetry = s.pause(now)
@@ -232,7 +232,7 @@
 func (s *Slice) strike(now time.Time, host string) {
 	delete(s.missing, host)
 	delete(s.entered, host)
-	s.used.Drop(host)
+	s.used.Delete(host)
 	h := s.by[host]
 	if h == nil {
 		s.forget(host)
@@ -241,7 +241,7 @@
 	delete(s.by, host)
 	h.rec.Hosts = slices.DeleteFunc(slices.Clone(h.rec.Hosts), func(o string) bool { return o == host })
 	if len(h.rec.Hosts) == 0 {
-		h.gone = append(h.gone, goneMachine{host, h.file.Newest() + 1})
+		h.gone = append(h.gone, goneMachine{host, h.file.WantedVersion() + 1})
 		s.drop(now, h, "all machines gone")
 		return
 	}
--- a/internal/integration/benchmark_test.go
+++ b/internal/integration/benchmark_test.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		return err
 	}
-	node.LimitProcess(cfg.Facts.Limits)
+	node.LimitProcess(cfg.Platform.MachineLimits)
 	if prefix := os.Getenv(profileVariable); prefix != "" {
 		stop, err := profile(prefix + "-" + cfg.Member)
 		if err != nil {
@@ -47,7 +47,7 @@
 		defer stop()
 	}
 	rng := rand.New(rand.NewPCG(1, uint64(os.Getpid())))
-	var on switches.Switches
+	var on switches.Gates
 	if file := os.Getenv(switchesVariable); file != "" {
 		if on, err = switches.Load(file); err != nil {
 			return err
--- a/internal/integration/deployment_test.go
+++ b/internal/integration/deployment_test.go
@@ -38,7 +38,7 @@
 // around them, driven by the wall clock.
 type deployment struct {
 	tb      testing.TB
-	facts   config.Facts
+	facts   config.Platform
 	ctx     context.Context
 	running sync.WaitGroup
 	nodes   []*process
@@ -65,7 +65,7 @@
 }
 
 // newDeployment starts the stand-ins; the controllers are started by the test.
-func newDeployment(tb testing.TB, facts config.Facts, machineType wire.MachineType, machines int) *deployment {
+func newDeployment(tb testing.TB, facts config.Platform, machineType wire.MachineType, machines int) *deployment {
 	tb.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &deployment{tb: tb, facts: facts, ctx: ctx, clk: standin.NewClock(time.Now()), byAddress: map[string]*standin.Worker{}, clients: map[string]*http.Client{},
@@ -97,15 +97,15 @@
 
 func (d *deployment) addNodes(external config.External) {
 	dir := d.tb.TempDir()
-	var known []config.Known
+	var known []config.Peer
 	for i := range d.facts.Nodes {
-		known = append(known, config.Known{Member: fmt.Sprintf("node-%d", i), Area: "a", Address: freeAddress(d.tb)})
+		known = append(known, config.Peer{Member: fmt.Sprintf("node-%d", i), Area: "a", Address: freeAddress(d.tb)})
 	}
 	for i, k := range known {
-		c := config.Config{Member: k.Member, Area: k.Area, PeerBind: k.Address, APIAddr: freeAddress(d.tb), External: external, Facts: d.facts}
+		c := config.Config{Member: k.Member, Area: k.Area, PeerBind: k.Address, APIAddr: freeAddress(d.tb), External: external, Platform: d.facts}
 		for j, o := range known {
 			if j != i {
-				c.Known = append(c.Known, o)
+				c.Peers = append(c.Peers, o)
 			}
 		}
 		d.nodes = append(d.nodes, &process{tb: d.tb, cfg: c, file: filepath.Join(dir, c.Member+".toml")})
--- a/internal/integration/duties_command_test.go
+++ b/internal/integration/duties_command_test.go
@@ -33,7 +33,7 @@
 		}
 		return out
 	}
-	held := f.gate.hold(onTheWay, callsCloud(duty.Returning))
+	held := f.gate.hold(onTheWay, callsCloud(duty.Deprovision))
 	if !held.wait(waitLimit) {
 		t.Fatal("no deletion")
 	}
--- a/internal/integration/http_test.go
+++ b/internal/integration/http_test.go
@@ -29,22 +29,22 @@
 	raw, _ := io.ReadAll(req.Body)
 	q := req.URL.Query()
 	number := func(s string) uint64 { n, _ := strconv.ParseUint(s, 10, 64); return n }
-	c := store.Call{Op: store.OpMulti, Under: q.Get("Under"), After: q.Get("After"), Since: number(q.Get("After")), WaitMs: int(number(q.Get("WaitMs")))}
+	c := store.Call{Op: store.OpTransaction, Prefix: q.Get("Under"), After: q.Get("After"), SinceRevision: number(q.Get("After")), WatchWaitMs: int(number(q.Get("WaitMs")))}
 	switch path := req.URL.Path; {
 	case path == "/kv":
 		c.Op = store.OpList
 	case strings.HasPrefix(path, "/kv/"):
 		c.Op, c.Key = store.OpGet, strings.TrimPrefix(path, "/kv/")
 	case path == "/changes":
-		c.Op = store.OpChanges
+		c.Op = store.OpWatch
 	case path == "/grants":
 		var g struct{ LifeMs int64 }
 		_ = json.Unmarshal(raw, &g)
-		c.Op, c.Life = store.OpGrant, time.Duration(g.LifeMs)*time.Millisecond
+		c.Op, c.LeaseTTL = store.OpGrantLease, time.Duration(g.LifeMs)*time.Millisecond
 	case strings.HasPrefix(path, "/grants/"):
-		c.Op, c.Lease = store.OpTouch, number(strings.TrimSuffix(strings.TrimPrefix(path, "/grants/"), "/touch"))
+		c.Op, c.Lease = store.OpRenewLease, number(strings.TrimSuffix(strings.TrimPrefix(path, "/grants/"), "/touch"))
 	default:
-		_ = json.Unmarshal(raw, &c.Multi)
+		_ = json.Unmarshal(raw, &c.Transaction)
 	}
 	return c
 }
@@ -58,10 +58,10 @@
 	case r := <-ch:
 		d.gate.pass(answered, c)
 		if c.Op == store.OpGet && r.Status == http.StatusOK {
-			reply(w, r.Status, r.Item)
+			reply(w, r.Status, r.KeyValue)
 			return
 		}
-		reply(w, r.Status, map[string]any{"Items": r.Items, "More": r.More, "Epoch": r.Revision, "failed": r.Failed, "Hold": r.Lease, "Events": r.Events})
+		reply(w, r.Status, map[string]any{"Items": r.KeyValues, "More": r.More, "Epoch": r.Revision, "failed": r.FailedKeys, "Hold": r.Lease, "Events": r.Events})
 	case <-req.Context().Done():
 	}
 }
--- a/internal/integration/request_test.go
+++ b/internal/integration/request_test.go
@@ -87,7 +87,7 @@
 		{"submission again", func(b *testing.B) { ask(b, http.StatusOK, http.MethodPost, "/submissions", job(1)) }},
 		{"malformed", func(b *testing.B) { ask(b, http.StatusBadRequest, http.MethodPost, "/submissions", job(1)[1:]) }},
 		{"pulse of a peer", func(b *testing.B) {
-			if _, err := peers.Pulse(b.Context(), &peerpb.PulseMessage{Member: "node-1", Holdings: []*peerpb.Holding{{Token: 1, Holder: "node-0"}}}); err != nil {
+			if _, err := peers.Pulse(b.Context(), &peerpb.PeerHeartbeat{Member: "node-1", Claims: []*peerpb.LeaseClaim{{Token: 1, Holder: "node-0"}}}); err != nil {
 				b.Fatal(err)
 			}
 		}},
--- a/internal/integration/trace_test.go
+++ b/internal/integration/trace_test.go
@@ -15,7 +15,7 @@
 	}
 	for _, h := range duty.Histories(spans) {
 		first, last := h.Steps[0], h.Steps[len(h.Steps)-1]
-		if h.Duty == string(duty.Returning) && h.TakenOver && h.Settled && first.Member != last.Member && first.Token != last.Token {
+		if h.Operation == string(duty.Deprovision) && h.FailedOver && h.Completed && first.Member != last.Member && first.Token != last.Token {
 			for _, s := range h.Steps {
 				f.t.Logf("%s: %s under token %s %s", h.Target, s.Member, s.Token, s.Text)
 			}
--- a/internal/integration/upgrade_test.go
+++ b/internal/integration/upgrade_test.go
@@ -64,10 +64,10 @@
 	return wire.MachineType{Name: "g2", Vcpus: 16, Gpus: 2, MemGb: 96, FetchGbPerS: 1, Price: 5, SpotPrice: 2, BootTimeS: 2, Zones: []string{"a"}}
 }
 
-func upgradeFacts() config.Facts {
+func upgradeFacts() config.Platform {
 	f := standin.Facts([]string{"a"}, []config.Team{{Name: "red", GPUs: 8, GPUsMax: 16}, {Name: "blue"}}, 1, 6)
 	f.Workers.CancelS, f.Workers.GangWaitS, f.Workers.GangPeerS = 20, 10, 3
-	f.State = config.State{RPS: presentRequests, WriteRPS: presentWrites, ValueKB: presentValueKB, TxnOps: presentOps, Next: config.NextState{
+	f.State = config.StateLimits{RPS: presentRequests, WriteRPS: presentWrites, ValueKB: presentValueKB, TxnOps: presentOps, Next: config.UpcomingLimits{
 		"rps": comingRequests, "write_rps": comingWrites, "value_kb": comingValueKB, "txn_ops": int64(comingOps)}}
 	return f
 }
@@ -111,9 +111,9 @@
 	if !r.fallen {
 		return
 	}
-	for _, w := range c.Multi.Writes {
-		if len(w.Value) > comingValueKB*1024 || len(c.Multi.Writes) > comingOps {
-			r.cluster.Break(standin.Expectation, "%s is written with %d bytes, %d changes at once", w.Put, len(w.Value), len(c.Multi.Writes))
+	for _, w := range c.Transaction.Writes {
+		if len(w.Value) > comingValueKB*1024 || len(c.Transaction.Writes) > comingOps {
+			r.cluster.Break(standin.Expectation, "%s is written with %d bytes, %d changes at once", w.Put, len(w.Value), len(c.Transaction.Writes))
 		}
 	}
 }
--- a/internal/leader/horizon_test.go
+++ b/internal/leader/horizon_test.go
@@ -43,10 +43,10 @@
 				}
 				return base.Add(time.Duration(s * float64(time.Second)))
 			}
-			h := NewHorizon(c.peers)
-			h.Read(at(c.read))
+			h := NewCancellationWatermark(c.peers)
+			h.AdvanceTo(at(c.read))
 			for _, v := range c.vouched {
-				h.Vouch(v.peer, v.process, at(v.born), at(v.until))
+				h.Acknowledge(v.peer, v.process, at(v.born), at(v.until))
 			}
 			if got := h.At(at(100)); !got.Equal(at(c.want)) {
 				t.Errorf("horizon %v, want %v", got.Sub(base), at(c.want).Sub(base))
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -16,7 +16,7 @@
 
 // elect is a slice whose calls are caught.
 type elect struct {
-	s    *Slice
+	s    *Membership
 	now  time.Time
 	sent []store.Call
 	then []func(time.Time, store.Result)
@@ -37,7 +37,7 @@
 		if c.Op == op {
 			then := e.then[i]
 			e.sent, e.then = append(e.sent[:i:i], e.sent[i+1:]...), append(e.then[:i:i], e.then[i+1:]...)
-			r.Sent = e.now
+			r.SentAt = e.now
 			then(e.now, r)
 			return c
 		}
@@ -54,21 +54,21 @@
 // join makes the node a member beside what the records already hold.
 func (e *elect) join(t *testing.T, items ...wire.KeyValue) {
 	e.s.Tick(e.now)
-	e.answer(t, store.OpList, store.Result{Status: 200, Revision: 50, Items: items})
-	e.answer(t, store.OpGrant, store.Result{Status: 200, Lease: 7})
-	e.answer(t, store.OpMulti, store.Result{Status: 200, Revision: 60})
+	e.answer(t, store.OpList, store.Result{Status: 200, Revision: 50, KeyValues: items})
+	e.answer(t, store.OpGrantLease, store.Result{Status: 200, Lease: 7})
+	e.answer(t, store.OpTransaction, store.Result{Status: 200, Revision: 60})
 	var changes []wire.Event
-	for _, it := range []wire.KeyValue{put("c/m/n0", MemberRec{Member: "n0", Inc: 7}, 60)} {
+	for _, it := range []wire.KeyValue{put("c/m/n0", MemberRecord{Member: "n0", Incarnation: 7}, 60)} {
 		changes = append(changes, wire.Event{Put: it.Key, Value: it.Value, Version: it.Version})
 	}
-	e.answer(t, store.OpChanges, store.Result{Status: 200, Revision: 60, Events: changes})
+	e.answer(t, store.OpWatch, store.Result{Status: 200, Revision: 60, Events: changes})
 	e.now = e.now.Add(time.Millisecond)
 	e.s.Tick(e.now)
 }
 
 // What a member does about the records it finds.
 func TestCampaign(t *testing.T) {
-	other := put("c/m/n1", MemberRec{Member: "n1", Inc: 5}, 20)
+	other := put("c/m/n1", MemberRecord{Member: "n1", Incarnation: 5}, 20)
 	for _, c := range []struct {
 		name  string
 		items []wire.KeyValue
@@ -77,28 +77,28 @@
 		ended bool
 	}{
 		{"nobody leads", []wire.KeyValue{other}, "c/leader", 0, false},
-		{"another leads", []wire.KeyValue{other, put("c/leader", Rec{"n1", 5}, 30)}, "", 0, false},
-		{"the leader's process was replaced", []wire.KeyValue{other, put("c/leader", Rec{"n1", 4}, 30)}, "c/leader", 0, false},
-		{"the leader is gone", []wire.KeyValue{put("c/leader", Rec{"n1", 5}, 30)}, "c/leader", 0, false},
-		{"it leads, no block is held", []wire.KeyValue{put("c/leader", Rec{"n0", 7}, 30), put("c/baton", tokenRec{3}, 31)}, "c/baton", 4, true},
-		{"it leads, the block is held", []wire.KeyValue{other, put("c/leader", Rec{"n0", 7}, 30), put("c/b/0", BlockRec{Holder: "n1", Inc: 5, Token: 3}, 32)}, "", 0, false},
-		{"it leads, the holder vanished", []wire.KeyValue{put("c/leader", Rec{"n0", 7}, 30), put("c/baton", tokenRec{3}, 31), put("c/b/0", BlockRec{Holder: "n1", Inc: 5, Token: 3}, 32)}, "c/baton", 4, false},
-		{"it leads, the holder was restarted", []wire.KeyValue{other, put("c/leader", Rec{"n0", 7}, 30), put("c/baton", tokenRec{3}, 31), put("c/b/0", BlockRec{Holder: "n1", Inc: 4, Token: 3}, 32)}, "c/baton", 4, true},
-		{"it leads, the holder resigned", []wire.KeyValue{other, put("c/leader", Rec{"n0", 7}, 30), put("c/baton", tokenRec{3}, 31), put("c/b/0", BlockRec{Token: 3}, 32)}, "c/baton", 4, true},
-		{"it leads, and gave the block back because it hears no worker", []wire.KeyValue{other, put("c/leader", Rec{"n0", 7}, 30), put("c/baton", tokenRec{3}, 31), put("c/b/0", BlockRec{Token: 3, Unreachable: "n1"}, 32)}, "c/baton", 4, true},
+		{"another leads", []wire.KeyValue{other, put("c/leader", LeaderRecord{"n1", 5}, 30)}, "", 0, false},
+		{"the leader's process was replaced", []wire.KeyValue{other, put("c/leader", LeaderRecord{"n1", 4}, 30)}, "c/leader", 0, false},
+		{"the leader is gone", []wire.KeyValue{put("c/leader", LeaderRecord{"n1", 5}, 30)}, "c/leader", 0, false},
+		{"it leads, no block is held", []wire.KeyValue{put("c/leader", LeaderRecord{"n0", 7}, 30), put("c/baton", tokenRecord{3}, 31)}, "c/baton", 4, true},
+		{"it leads, the block is held", []wire.KeyValue{other, put("c/leader", LeaderRecord{"n0", 7}, 30), put("c/b/0", ShardRecord{Holder: "n1", Incarnation: 5, Token: 3}, 32)}, "", 0, false},
+		{"it leads, the holder vanished", []wire.KeyValue{put("c/leader", LeaderRecord{"n0", 7}, 30), put("c/baton", tokenRecord{3}, 31), put("c/b/0", ShardRecord{Holder: "n1", Incarnation: 5, Token: 3}, 32)}, "c/baton", 4, false},
+		{"it leads, the holder was restarted", []wire.KeyValue{other, put("c/leader", LeaderRecord{"n0", 7}, 30), put("c/baton", tokenRecord{3}, 31), put("c/b/0", ShardRecord{Holder: "n1", Incarnation: 4, Token: 3}, 32)}, "c/baton", 4, true},
+		{"it leads, the holder resigned", []wire.KeyValue{other, put("c/leader", LeaderRecord{"n0", 7}, 30), put("c/baton", tokenRecord{3}, 31), put("c/b/0", ShardRecord{Token: 3}, 32)}, "c/baton", 4, true},
+		{"it leads, and gave the block back because it hears no worker", []wire.KeyValue{other, put("c/leader", LeaderRecord{"n0", 7}, 30), put("c/baton", tokenRecord{3}, 31), put("c/b/0", ShardRecord{Token: 3, Unreachable: "n1"}, 32)}, "c/baton", 4, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := newElect()
 			e.join(t, c.items...)
 			var got store.Call
 			for _, s := range e.sent {
-				if s.Op == store.OpMulti {
+				if s.Op == store.OpTransaction {
 					got = s
 				}
 			}
 			key := ""
-			if len(got.Multi.Writes) > 0 {
-				key = got.Multi.Writes[0].Put
+			if len(got.Transaction.Writes) > 0 {
+				key = got.Transaction.Writes[0].Put
 			}
 			if key != c.want {
 				t.Fatalf("writes %q, want %q", key, c.want)
@@ -106,18 +106,18 @@
 			if c.token == 0 {
 				return
 			}
-			var rec BlockRec
-			if err := json.Unmarshal(got.Multi.Writes[1].Value, &rec); err != nil || rec.Token != c.token || rec.Ended != c.ended {
+			var rec ShardRecord
+			if err := json.Unmarshal(got.Transaction.Writes[1].Value, &rec); err != nil || rec.Token != c.token || rec.PredecessorEnded != c.ended {
 				t.Errorf("block record %+v, want baton %d, ended %t", rec, c.token, c.ended)
 			}
 			if last := c.items[len(c.items)-1]; string(last.Value) != "" {
-				var was BlockRec
+				var was ShardRecord
 				if json.Unmarshal(last.Value, &was) == nil && was.Unreachable != "" && rec.Holder == was.Unreachable {
 					t.Errorf("given to %s, which does not hear the workers", rec.Holder)
 				}
 			}
-			if len(got.Multi.Compares) != 4 {
-				t.Errorf("assigned on conditions %v, want leader, block, baton and member", got.Multi.Compares)
+			if len(got.Transaction.Compares) != 4 {
+				t.Errorf("assigned on conditions %v, want leader, block, baton and member", got.Transaction.Compares)
 			}
 		})
 	}
@@ -127,25 +127,25 @@
 func TestChoose(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		members    []MemberRec
+		members    []MemberRecord
 		leads      string
 		last, deaf string
 		want       string
 	}{
-		{"the one restarted already, not the one that is next", []MemberRec{{Member: "n1", Inc: 1, Since: 10}, {Member: "n2", Inc: 2, Since: 90}, {Member: "n3", Inc: 3, Since: 11}}, "", "n0", "", "n2"},
-		{"one that does not lead", []MemberRec{{Member: "n1", Inc: 1, Since: 10}, {Member: "n2", Inc: 2, Since: 90}}, "n2", "n0", "", "n1"},
-		{"not the one that ended a moment ago", []MemberRec{{Member: "n1", Inc: 1, Since: 10}, {Member: "n2", Inc: 2, Since: 90}}, "n1", "n2", "", "n1"},
-		{"not the one that hears no worker", []MemberRec{{Member: "n1", Inc: 1, Since: 10}, {Member: "n2", Inc: 2, Since: 90}}, "n1", "", "n2", "n1"},
-		{"the one that ended rather than one that hears no worker", []MemberRec{{Member: "n1", Inc: 1, Since: 10}, {Member: "n2", Inc: 2, Since: 90}}, "", "n1", "n2", "n1"},
-		{"whoever is there", []MemberRec{{Member: "n2", Inc: 2, Since: 90}}, "n2", "n2", "n2", "n2"},
+		{"the one restarted already, not the one that is next", []MemberRecord{{Member: "n1", Incarnation: 1, JoinedAtMs: 10}, {Member: "n2", Incarnation: 2, JoinedAtMs: 90}, {Member: "n3", Incarnation: 3, JoinedAtMs: 11}}, "", "n0", "", "n2"},
+		{"one that does not lead", []MemberRecord{{Member: "n1", Incarnation: 1, JoinedAtMs: 10}, {Member: "n2", Incarnation: 2, JoinedAtMs: 90}}, "n2", "n0", "", "n1"},
+		{"not the one that ended a moment ago", []MemberRecord{{Member: "n1", Incarnation: 1, JoinedAtMs: 10}, {Member: "n2", Incarnation: 2, JoinedAtMs: 90}}, "n1", "n2", "", "n1"},
+		{"not the one that hears no worker", []MemberRecord{{Member: "n1", Incarnation: 1, JoinedAtMs: 10}, {Member: "n2", Incarnation: 2, JoinedAtMs: 90}}, "n1", "", "n2", "n1"},
+		{"the one that ended rather than one that hears no worker", []MemberRecord{{Member: "n1", Incarnation: 1, JoinedAtMs: 10}, {Member: "n2", Incarnation: 2, JoinedAtMs: 90}}, "", "n1", "n2", "n1"},
+		{"whoever is there", []MemberRecord{{Member: "n2", Incarnation: 2, JoinedAtMs: 90}}, "n2", "n2", "n2", "n2"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := newElect()
-			e.s.leader.val.Member = c.leads
+			e.s.leader.value.Member = c.leads
 			for _, m := range c.members {
-				e.s.members[m.Member] = item[MemberRec]{m, m.Inc}
+				e.s.members[m.Member] = versioned[MemberRecord]{m, m.Incarnation}
 			}
-			if got, _, ok := e.s.choose(c.last, c.deaf); !ok || got.Member != c.want {
+			if got, _, ok := e.s.chooseHolder(c.last, c.deaf); !ok || got.Member != c.want {
 				t.Errorf("chose %q, want %q", got.Member, c.want)
 			}
 		})
@@ -158,7 +158,7 @@
 	e := newElect()
 	e.join(t)
 	start := e.now
-	at := func(d time.Duration) bool { return e.s.Entitled(start.Add(d)) }
+	at := func(d time.Duration) bool { return e.s.LeaseValid(start.Add(d)) }
 	if !at(0) || !at(tuning.MemberLease/2) {
 		t.Error("not entitled with a fresh lease")
 	}
@@ -167,20 +167,20 @@
 	}
 	e.now = start.Add(tuning.MemberTouch)
 	e.s.Tick(e.now)
-	e.answer(t, store.OpTouch, store.Result{Status: 503})
+	e.answer(t, store.OpRenewLease, store.Result{Status: 503})
 	if at(tuning.MemberLease) {
 		t.Error("a refused renewal counts as one")
 	}
 	e.now = start.Add(2 * tuning.MemberTouch)
 	e.s.Tick(e.now)
-	e.answer(t, store.OpTouch, store.Result{Status: 200})
+	e.answer(t, store.OpRenewLease, store.Result{Status: 200})
 	if !at(tuning.MemberLease) {
 		t.Error("a renewal does not count")
 	}
 	e.now = start.Add(4 * tuning.MemberTouch)
 	e.s.Tick(e.now)
-	e.answer(t, store.OpTouch, store.Result{Status: 404})
-	if e.s.Entitled(e.now) || e.s.Inc() != 0 || len(e.s.Tenures()) != 0 {
+	e.answer(t, store.OpRenewLease, store.Result{Status: 404})
+	if e.s.LeaseValid(e.now) || e.s.Incarnation() != 0 || len(e.s.Terms()) != 0 {
 		t.Error("acts for a lease that has ended")
 	}
 }
@@ -195,7 +195,7 @@
 	e.now = e.now.Add(tuning.MemberTouch)
 	touches := func() (n int) {
 		for _, c := range e.sent {
-			if c.Op == store.OpTouch {
+			if c.Op == store.OpRenewLease {
 				n++
 			}
 		}
@@ -210,13 +210,13 @@
 	}
 	// the second was sent 2 s after the grant and is answered first
 	at, then := sent.Add(2*tuning.MemberTouch), e.then[len(e.then)-2]
-	then(e.now, store.Result{Status: 200, Sent: at})
-	if got := e.s.Deadline(); !got.Equal(until(at)) {
-		t.Errorf("the lease stands until %v after the renewal, want %v", got.Sub(at), until(at).Sub(at))
+	then(e.now, store.Result{Status: 200, SentAt: at})
+	if got := e.s.LeaseDeadline(); !got.Equal(leaseDeadlineAfter(at)) {
+		t.Errorf("the lease stands until %v after the renewal, want %v", got.Sub(at), leaseDeadlineAfter(at).Sub(at))
 	}
 	// an earlier one's answer does not shorten it
-	e.then[len(e.then)-3](e.now, store.Result{Status: 200, Sent: sent.Add(tuning.MemberTouch)})
-	if got := e.s.Deadline(); !got.Equal(until(at)) {
+	e.then[len(e.then)-3](e.now, store.Result{Status: 200, SentAt: sent.Add(tuning.MemberTouch)})
+	if got := e.s.LeaseDeadline(); !got.Equal(leaseDeadlineAfter(at)) {
 		t.Errorf("an earlier answer moved the end to %v", got.Sub(at))
 	}
 }
@@ -241,25 +241,25 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := newElect()
-			e.s.announced = c.members[0]
+			e.s.announcedFeatures = c.members[0]
 			for i, announced := range c.members {
 				name := fmt.Sprintf("n%d", i)
-				e.s.members[name] = item[MemberRec]{MemberRec{Member: name, Inc: uint64(i + 1), Switches: announced}, uint64(i + 1)}
+				e.s.members[name] = versioned[MemberRecord]{MemberRecord{Member: name, Incarnation: uint64(i + 1), Features: announced}, uint64(i + 1)}
 			}
-			e.s.inForce = item[SwitchesRec]{SwitchesRec{c.inForce}, 9}
-			e.s.enforce(e.now)
+			e.s.featuresInForce = versioned[FeaturesRecord]{FeaturesRecord{c.inForce}, 9}
+			e.s.recordFeatures(e.now)
 			if writes := len(e.sent) == 1; writes != c.writes {
 				t.Fatalf("%d calls", len(e.sent))
 			}
 			if !c.writes {
 				return
 			}
-			var rec SwitchesRec
-			if err := json.Unmarshal(e.sent[0].Multi.Writes[0].Value, &rec); err != nil || !slices.Equal(rec.InForce, c.want) {
+			var rec FeaturesRecord
+			if err := json.Unmarshal(e.sent[0].Transaction.Writes[0].Value, &rec); err != nil || !slices.Equal(rec.InForce, c.want) {
 				t.Errorf("in force: %v, %v; want %v", rec.InForce, err, c.want)
 			}
-			if !slices.Contains(e.sent[0].Multi.Compares, store.Is(keySwitches, 9)) || !slices.Contains(e.sent[0].Multi.Compares, store.Is(keyLeader, e.s.leader.version)) {
-				t.Errorf("conditions: %+v", e.sent[0].Multi.Compares)
+			if !slices.Contains(e.sent[0].Transaction.Compares, store.VersionEquals(keyFeatures, 9)) || !slices.Contains(e.sent[0].Transaction.Compares, store.VersionEquals(keyLeader, e.s.leader.version)) {
+				t.Errorf("conditions: %+v", e.sent[0].Transaction.Compares)
 			}
 		})
 	}
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -16,8 +16,8 @@
 	"juniperchute/internal/wire"
 )
 
-// HandlePulse is part of peer.Handler.
-func (r *Runtime) HandlePulse(ctx context.Context, m *peerpb.PulseMessage) (out *peerpb.PulseMessage, err error) {
+// HandleHeartbeat is part of peer.Handler.
+func (r *Runtime) HandleHeartbeat(ctx context.Context, m *peerpb.PeerHeartbeat) (out *peerpb.PeerHeartbeat, err error) {
 	err = r.Ask(ctx, func(now time.Time) { out = r.core.Pulse(now, m) })
 	return out, err
 }
@@ -62,8 +62,8 @@
 	return out, err
 }
 
-// HandleSet is part of peer.Handler.
-func (r *Runtime) HandleSet(ctx context.Context, name, value string) (*peerpb.Settings, error) {
+// HandleSetSetting is part of peer.Handler.
+func (r *Runtime) HandleSetSetting(ctx context.Context, name, value string) (*peerpb.Settings, error) {
 	type result struct {
 		s   *peerpb.Settings
 		err error
@@ -98,8 +98,8 @@
 	values := map[string]string{}
 	c.leader.Each(admin.Key, func(it wire.KeyValue) { _ = json.Unmarshal(it.Value, &values) })
 	values[name] = value
-	c.state(store.Call{Op: store.OpMulti, Class: store.ClassUser, Multi: wire.Transaction{
-		Compares: []wire.Compare{store.Is(admin.Key, c.leader.Version(admin.Key))},
+	c.state(store.Call{Op: store.OpTransaction, Priority: store.PriorityUser, Transaction: wire.Transaction{
+		Compares: []wire.Compare{store.VersionEquals(admin.Key, c.leader.Version(admin.Key))},
 		Writes:   []wire.Write{store.Put(admin.Key, values, 0)},
 	}}, func(now time.Time, res store.Result) {
 		switch {
@@ -117,7 +117,7 @@
 // Status tells an operator what this controller knows.
 func (c *Core) Status(now time.Time, lat map[string]int64) *peerpb.StatusReply {
 	names, lead := c.leader.Members()
-	out := &peerpb.StatusReply{Member: c.cfg.Member, Leader: lead, Members: names, Blocks: c.holdings(),
+	out := &peerpb.StatusReply{Member: c.cfg.Member, Leader: lead, Members: names, Claims: c.holdings(),
 		Versions: map[string]string{c.cfg.Member: admin.Version()}}
 	for name, p := range c.peers {
 		if now.Sub(p.heard) < 3*tuning.PulseEvery {
@@ -126,15 +126,15 @@
 	}
 	for b := range c.blocks {
 		if t := c.tenures[b]; t != nil {
-			out.Held = append(out.Held, t.status(lat))
+			out.Shards = append(out.Shards, t.status(lat))
 		}
 	}
 	return out
 }
 
-func (t *tenure) status(lat map[string]int64) *peerpb.BlockStatus {
+func (t *tenure) status(lat map[string]int64) *peerpb.ShardStatus {
 	n := t.board.Count
-	out := &peerpb.BlockStatus{Block: int32(t.Block), State: t.state.String(), Counters: map[string]int64{
+	out := &peerpb.ShardStatus{Shard: int32(t.Shard), State: t.state.String(), Counters: map[string]int64{
 		"mains_started": int64(n.MainsStarted), "spares_started": int64(n.SparesStarted), "spares_finished": int64(n.SparesFinished),
 		"spares_yielded": int64(n.SparesYielded), "spares_dropped": int64(n.SparesDropped), "redrawn": int64(n.Redrawn),
 		"preempted": int64(n.Preempted), "failed": int64(n.Failed), "gangs_placed": int64(n.GangsPlaced), "moved": int64(n.Moved),
@@ -144,7 +144,7 @@
 	}
 	for _, m := range t.reg.All() {
 		out.Machines = append(out.Machines, &peerpb.Machine{Host: m.Host, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
-			State: m.State.String(), Tasks: int32(m.Busy), Faulty: m.Faulty, Recalled: !m.Recall.IsZero()})
+			State: m.State.String(), Tasks: int32(m.Busy), Quarantined: m.Faulty, PreemptionNotice: !m.Recall.IsZero()})
 	}
 	for _, u := range t.book.Usages() {
 		out.Teams = append(out.Teams, &peerpb.Team{Name: u.Team, CpusUsed: u.Used.CPUs, GpusUsed: u.Used.GPUs, CpusMax: u.Max.CPUs, GpusMax: u.Max.GPUs})
--- a/internal/node/cancellation_loading_test.go
+++ b/internal/node/cancellation_loading_test.go
@@ -100,9 +100,9 @@
 				other = sim.nodes[1]
 			}
 			m := other.core.pulseMessage(sim.clk.Now(), n.name)
-			m.Withdrawn = []string{id}
+			m.Cancelled = []string{id}
 			r := n.core.Pulse(sim.clk.Now(), m)
-			if !slices.Contains(r.Have, id) {
+			if !slices.Contains(r.AcknowledgedCancelled, id) {
 				t.Fatal("it does not say that it has it")
 			}
 			for te.state == tenureLoading {
@@ -127,7 +127,7 @@
 		other = sim.nodes[1]
 	}
 	m := other.core.pulseMessage(sim.clk.Now(), n.name)
-	m.Withdrawn = []string{"job-900"}
+	m.Cancelled = []string{"job-900"}
 	n.core.Pulse(sim.clk.Now(), m)
 	for _, id := range []string{"job-900", "job-901"} {
 		sim.add(wire.JobSpec{ID: id, Team: "red", Class: "sweep", Shape: wire.ShapeBatch, Priority: "normal", Tasks: 1,
--- a/internal/node/cancellation_test.go
+++ b/internal/node/cancellation_test.go
@@ -163,31 +163,31 @@
 func TestWhoVouches(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		change func(h *simulatedNode, m *peerpb.PulseMessage)
+		change func(h *simulatedNode, m *peerpb.PeerHeartbeat)
 		moves  bool
 	}{
-		{"peers that say they have told of nothing else", func(*simulatedNode, *peerpb.PulseMessage) {}, true},
-		{"peers that lost count", func(_ *simulatedNode, m *peerpb.PulseMessage) { m.Vouches = false }, false},
-		{"peers that know of an older token: what the holder before has was told to that one", func(_ *simulatedNode, m *peerpb.PulseMessage) {
-			m.Holdings = []*peerpb.Holding{{Token: m.Holdings[0].Token - 1, Holder: m.Holdings[0].Holder}}
+		{"peers that say they have told of nothing else", func(*simulatedNode, *peerpb.PeerHeartbeat) {}, true},
+		{"peers that lost count", func(_ *simulatedNode, m *peerpb.PeerHeartbeat) { m.CancellationsComplete = false }, false},
+		{"peers that know of an older token: what the holder before has was told to that one", func(_ *simulatedNode, m *peerpb.PeerHeartbeat) {
+			m.Claims = []*peerpb.LeaseClaim{{Token: m.Claims[0].Token - 1, Holder: m.Claims[0].Holder}}
 		}, false},
-		{"peers that know of no holder", func(_ *simulatedNode, m *peerpb.PulseMessage) { m.Holdings = nil }, false},
-		{"peers that echo a former process of the holder's name: the mark is of another clock", func(_ *simulatedNode, m *peerpb.PulseMessage) {
+		{"peers that know of no holder", func(_ *simulatedNode, m *peerpb.PeerHeartbeat) { m.Claims = nil }, false},
+		{"peers that echo a former process of the holder's name: the mark is of another clock", func(_ *simulatedNode, m *peerpb.PeerHeartbeat) {
 			m.EchoProcess++
 			m.EchoNs += int64(time.Hour)
 		}, false},
-		{"peers of an earlier version", func(_ *simulatedNode, m *peerpb.PulseMessage) {
-			m.Process, m.UpMs, m.MarkNs, m.EchoProcess, m.EchoNs, m.Vouches = 0, 0, 0, 0, 0, false
+		{"peers of an earlier version", func(_ *simulatedNode, m *peerpb.PeerHeartbeat) {
+			m.Process, m.UpMs, m.ClockNs, m.EchoProcess, m.EchoNs, m.CancellationsComplete = 0, 0, 0, 0, 0, false
 		}, false},
-		{"peers that were replaced since the holder's last read", func(_ *simulatedNode, m *peerpb.PulseMessage) { m.Process++; m.UpMs = 100 }, false},
-		{"nobody's while the records are being read: what is called off cannot be stopped yet", func(h *simulatedNode, _ *peerpb.PulseMessage) { h.core.tenures[0].state = tenureLoading }, false},
+		{"peers that were replaced since the holder's last read", func(_ *simulatedNode, m *peerpb.PeerHeartbeat) { m.Process++; m.UpMs = 100 }, false},
+		{"nobody's while the records are being read: what is called off cannot be stopped yet", func(h *simulatedNode, _ *peerpb.PeerHeartbeat) { h.core.tenures[0].state = tenureLoading }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			sim := steadySimulation(t, 6, 8)
 			h := sim.holder()
 			sim.state.SetDown(true)
 			sim.runFor(3 * time.Second)
-			words := map[string]*peerpb.PulseMessage{}
+			words := map[string]*peerpb.PeerHeartbeat{}
 			for _, n := range sim.nodes {
 				if n != h {
 					m := n.core.pulseMessage(sim.clk.Now(), h.name)
@@ -200,7 +200,7 @@
 			before := h.core.tenures[0].knows(sim.clk.Now())
 			sim.runFor(200 * time.Millisecond)
 			for _, m := range words {
-				m.MarkNs += int64(time.Second)
+				m.ClockNs += int64(time.Second)
 				m.EchoNs += int64(time.Second) / 10
 				h.core.Pulse(sim.clk.Now(), m)
 			}
@@ -213,7 +213,7 @@
 	t.Run("own reads of jobs, while the control records are not read", func(t *testing.T) {
 		sim := steadySimulation(t, 6, 8)
 		h := sim.holder()
-		h.silentWatches, h.peersCut = leader.Control, true
+		h.silentWatches, h.peersCut = leader.ControlPrefix, true
 		sim.runFor(10 * time.Second)
 		if n := sim.holder(); n != h {
 			t.Fatal("it is not the holder any more")
--- a/internal/node/cancellations.go
+++ b/internal/node/cancellations.go
@@ -12,7 +12,7 @@
 // cancellations is what a block's holder knows of cancelled jobs, and up to when it knows
 // of all of them.
 type cancellations struct {
-	horizon *leader.Horizon
+	horizon *leader.CancellationWatermark
 	// known are cancellations that nodes have told of: what is read of these jobs as open
 	// is old.
 	known map[string]time.Time
@@ -21,11 +21,11 @@
 
 func newCancellations(cfg *config.Config) *cancellations {
 	var peers []string
-	for _, k := range cfg.Known {
+	for _, k := range cfg.Peers {
 		peers = append(peers, k.Member)
 	}
-	return &cancellations{horizon: leader.NewHorizon(peers), known: map[string]time.Time{},
-		keep: config.Seconds(cfg.Facts.Workers.CancelS) * tuning.CancellationKeep}
+	return &cancellations{horizon: leader.NewCancellationWatermark(peers), known: map[string]time.Time{},
+		keep: config.Seconds(cfg.Platform.Workers.CancelS) * tuning.CancellationKeep}
 }
 
 // note enters a cancellation and tells whether it is news.
@@ -48,7 +48,7 @@
 // renewBound is how long past its horizon a holder goes on renewing workers: what it
 // cannot know to be cancelled must be gone in time.
 func (t *tenure) renewBound() time.Duration {
-	w := t.c.cfg.Facts.Workers
+	w := t.c.cfg.Platform.Workers
 	return max(tuning.RenewLeast, config.Seconds(w.CancelS)-t.reg.Expiry()-tuning.RenewMargin)
 }
 
@@ -56,11 +56,11 @@
 // that reads jobs but not the control records might read on after its block is
 // another's: the older of the two counts.
 func (t *tenure) knows(now time.Time) time.Time {
-	read := t.c.open.Fresh()
-	if f := t.c.leader.Fresh(); f.Before(read) {
+	read := t.c.open.CurrentAsOf()
+	if f := t.c.leader.CurrentAsOf(); f.Before(read) {
 		read = f
 	}
-	t.cancelled.horizon.Read(read)
+	t.cancelled.horizon.AdvanceTo(read)
 	return t.cancelled.horizon.At(now)
 }
 
@@ -81,7 +81,7 @@
 // jobOver ends a job, done or cancelled.
 func (t *tenure) jobOver(now time.Time, id string) {
 	// Not known before, so not told before the horizon.
-	t.board.CloseJob(now, id, t.cancelled.horizon.At(now).Add(config.Seconds(t.c.cfg.Facts.Workers.CancelS)))
+	t.board.CloseJob(now, id, t.cancelled.horizon.At(now).Add(config.Seconds(t.c.cfg.Platform.Workers.CancelS)))
 	t.outcomes.drop(id)
-	t.begun.Drop(id)
+	t.begun.Delete(id)
 }
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -17,7 +17,7 @@
 	}
 	m.DoBusy = true
 	command := wire.DirectCommands{Token: t.Token, Incarnation: session, Commands: commands}
-	t.c.env.Do(m.Address, command, t.c.leader.Deadline(), func(now time.Time, status int, rep *wire.Heartbeat) {
+	t.c.env.Do(m.Address, command, t.c.leader.LeaseDeadline(), func(now time.Time, status int, rep *wire.Heartbeat) {
 		if t.state == tenureOver {
 			return
 		}
@@ -54,7 +54,7 @@
 
 // settle draws, and sends at once what should not wait for a report.
 func (t *tenure) settle(now time.Time) {
-	if t.state == tenureLoading || t.state == tenureOver || !t.c.leader.Entitled(now) {
+	if t.state == tenureLoading || t.state == tenureOver || !t.c.leader.LeaseValid(now) {
 		return
 	}
 	t.board.Draw(now)
--- a/internal/node/conns.go
+++ b/internal/node/conns.go
@@ -22,7 +22,7 @@
 // newPools divides the sockets. Commands get a part that grows with the limit, as
 // a fifth of the machines may hang at once; clients get whatever the controller itself
 // does not need. Where that is fewer than the machines, workers take turns.
-func newPools(l config.Limits, peers int) pools {
+func newPools(l config.MachineLimits, peers int) pools {
 	p := pools{do: max(tuning.DoCalls, int(float64(l.Sockets)*tuning.DoShare))}
 	own := 2*p.do + stateConns() + tuning.CloudCalls + 2*peers + tuning.OwnSockets
 	p.clients = max(tuning.ClientsLeast, l.Sockets-own)
@@ -31,7 +31,7 @@
 
 // stateConns is how many connections to the state service there may be.
 func stateConns() int {
-	return tuning.StateReads + store.Classes*tuning.StateWrites + tuning.StateExtra
+	return tuning.StateReads + store.Priorities*tuning.StateWrites + tuning.StateExtra
 }
 
 // clientListener is the listener for workers, users and health checks. It keeps their
@@ -171,5 +171,5 @@
 // a worker reports, and a user asks, several times within it, so one that does not
 // is dead, and after a cut there would be one of them for each machine.
 func idleTimeout(w config.Workers) time.Duration {
-	return max(tuning.IdleLeast, config.Seconds(w.ReportS*tuning.IdleReports))
+	return max(tuning.IdleLeast, config.Seconds(w.HeartbeatS*tuning.IdleReports))
 }
--- a/internal/node/conns_test.go
+++ b/internal/node/conns_test.go
@@ -24,7 +24,7 @@
 		{"one of three, 48 machines", 900, 2, 48, 500},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := newPools(config.Limits{Sockets: c.sockets}, c.peers)
+			p := newPools(config.MachineLimits{Sockets: c.sockets}, c.peers)
 			if p.clients < c.machines+c.clients {
 				t.Errorf("%d connections for %d workers and %d users", p.clients, c.machines, c.clients)
 			}
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -31,7 +31,7 @@
 	// process that stood still must not act on what it believed before. Status 0
 	// means that no answer came, NotSent that nothing was sent.
 	Do(addr string, d wire.DirectCommands, by time.Time, then func(now time.Time, status int, rep *wire.Heartbeat))
-	Pulse(member string, m *peerpb.PulseMessage, then func(now time.Time, r *peerpb.PulseMessage, err error))
+	Pulse(member string, m *peerpb.PeerHeartbeat, then func(now time.Time, r *peerpb.PeerHeartbeat, err error))
 	Progress(member string, m *peerpb.ProgressRequest, then func(now time.Time, r *peerpb.ProgressReply, err error))
 	Probe(member string, m *peerpb.ProbeRequest, then func(now time.Time, r *peerpb.ProbeReply, err error))
 }
@@ -49,18 +49,18 @@
 	wall   func() time.Time
 	log    *slog.Logger
 
-	leader          *leader.Slice
+	leader          *leader.Membership
 	users           *submission.Slice
-	open            *store.Mirror  // open jobs of all blocks
-	rentals         *store.Mirror  // rentals of all blocks
-	blockFor        map[string]int // machines by the rentals that name them
+	open            *store.WatchCache // open jobs of all blocks
+	rentals         *store.WatchCache // rentals of all blocks
+	blockFor        map[string]int    // machines by the rentals that name them
 	tenures         map[int]*tenure
 	machineTypes    map[string]wire.MachineType
 	machineTypeRaw  map[string]string
 	machineTypesOf  int // how many machine types there are
 	settings        admin.Settings
 	peers           map[string]*peerView
-	claims          map[int]*peerpb.Holding // the highest token that peers know of each block
+	claims          map[int]*peerpb.LeaseClaim // the highest token that peers know of each block
 	asking          map[int]*asking
 	pulseDue        time.Time
 	process         uint64    // drawn at the start: tells this process from others of its name
@@ -81,20 +81,20 @@
 	blocks := opt.Blocks
 	c := &Core{cfg: cfg, opt: opt, blocks: blocks, env: env, rng: rng, wall: wall, log: log,
 		tenures: map[int]*tenure{}, machineTypes: map[string]wire.MachineType{}, machineTypeRaw: map[string]string{},
-		settings: admin.Defaults(), peers: map[string]*peerView{}, claims: map[int]*peerpb.Holding{}, blockFor: map[string]int{}, asking: map[int]*asking{},
-		process: rng.Uint64() | 1, cancellationLog: submission.NewCancellationLog(blocks, config.Seconds(cfg.Facts.Workers.CancelS), cfg.Facts.State.WriteRPS), passing: map[string]bool{}}
+		settings: admin.Defaults(), peers: map[string]*peerView{}, claims: map[int]*peerpb.LeaseClaim{}, blockFor: map[string]int{}, asking: map[int]*asking{},
+		process: rng.Uint64() | 1, cancellationLog: submission.NewCancellationLog(blocks, config.Seconds(cfg.Platform.Workers.CancelS), cfg.Platform.State.WriteRPS), passing: map[string]bool{}}
 	c.leader = leader.New(cfg.Member, blocks, opt.Switches.Announced(), wall, c.state, log, c.control)
-	c.open = store.NewMirror(submission.OpenUnder, c.state, func(now time.Time, _ string, it wire.KeyValue, gone bool) {
+	c.open = store.NewWatchCache(submission.OpenUnder, c.state, func(now time.Time, _ string, it wire.KeyValue, gone bool) {
 		for _, t := range c.tenures {
 			if t.state != tenureOver && t.records.reading == 0 {
 				t.jobChanged(now, it, gone)
 			}
 		}
 	})
-	c.rentals = store.NewMirror(fleet.UnderRentals, c.state, c.rentalChanged)
-	c.users = submission.New(cfg.Facts, blocks, wall, c.state, log,
+	c.rentals = store.NewWatchCache(fleet.UnderRentals, c.state, c.rentalChanged)
+	c.users = submission.New(cfg.Platform, blocks, wall, c.state, log,
 		c.types, c.open, c.progress, c.tell)
-	for _, k := range cfg.Known {
+	for _, k := range cfg.Peers {
 		c.peers[k.Member] = &peerView{}
 	}
 	return c
@@ -118,7 +118,7 @@
 	if key == admin.Key {
 		c.settings = admin.Defaults()
 		if !gone {
-			c.settings = admin.Read(it.Value, c.log)
+			c.settings = admin.Decode(it.Value, c.log)
 		}
 		for _, t := range c.tenures {
 			t.configure()
@@ -155,13 +155,13 @@
 
 // after begins and ends tenures as the records say.
 func (c *Core) after(now time.Time) {
-	mine := c.leader.Tenures()
+	mine := c.leader.Terms()
 	for b := range c.blocks {
 		t := c.tenures[b]
 		if t == nil {
 			continue
 		}
-		inc := c.leader.Inc()
+		inc := c.leader.Incarnation()
 		_, token, known := c.leader.Holder(b)
 		switch {
 		case t.state == tenureOver:
@@ -174,17 +174,17 @@
 		if t.state != tenureOver {
 			continue
 		}
-		if slices.ContainsFunc(mine, func(l leader.Tenure) bool { return l.Block == b && l.Token == t.Token }) {
+		if slices.ContainsFunc(mine, func(l leader.Term) bool { return l.Shard == b && l.Token == t.Token }) {
 			// Ended on somebody's word while the records still name us: left
 			// alone, the block would have no holder for good.
-			c.leader.Resign(now, t.Tenure, t.fencing.unreachable)
+			c.leader.Resign(now, t.Term, t.fencing.unreachable)
 			continue
 		}
 		delete(c.tenures, b)
 	}
 	for _, l := range mine {
-		if c.tenures[l.Block] == nil && c.leader.Entitled(now) {
-			c.tenures[l.Block] = newTenure(now, c, l, c.leader.Inc())
+		if c.tenures[l.Shard] == nil && c.leader.LeaseValid(now) {
+			c.tenures[l.Shard] = newTenure(now, c, l, c.leader.Incarnation())
 		}
 	}
 }
@@ -216,9 +216,9 @@
 		i++
 	}
 	c.after(now)
-	c.open.Pace, c.rentals.Pace = tuning.OpenPace, tuning.OpenPace
+	c.open.MinWatchInterval, c.rentals.MinWatchInterval = tuning.OpenPace, tuning.OpenPace
 	if len(c.tenures) > 0 {
-		c.open.Pace = tuning.HolderPace
+		c.open.MinWatchInterval = tuning.HolderPace
 	}
 	c.open.Tick(now)
 	c.rentals.Tick(now)
--- a/internal/node/core_test.go
+++ b/internal/node/core_test.go
@@ -22,23 +22,23 @@
 	now := time.Unix(1000, 0)
 	for _, c := range []struct {
 		name  string
-		heard []*peerpb.Holding // from peers, in this order
+		heard []*peerpb.LeaseClaim // from peers, in this order
 		want  string
 	}{
 		{"nothing known", nil, ""},
-		{"a peer knows", []*peerpb.Holding{{Token: 4, Holder: "n1"}}, "n1"},
-		{"a newer word counts", []*peerpb.Holding{{Token: 4, Holder: "n1"}, {Token: 5, Holder: "n2"}}, "n2"},
-		{"an older word does not", []*peerpb.Holding{{Token: 5, Holder: "n2"}, {Token: 4, Holder: "n1"}}, "n2"},
-		{"given back, not yet given away", []*peerpb.Holding{{Token: 4, Holder: "n1"}, {Token: 5}}, ""},
-		{"never to itself", []*peerpb.Holding{{Token: 4, Holder: "n0"}}, ""},
+		{"a peer knows", []*peerpb.LeaseClaim{{Token: 4, Holder: "n1"}}, "n1"},
+		{"a newer word counts", []*peerpb.LeaseClaim{{Token: 4, Holder: "n1"}, {Token: 5, Holder: "n2"}}, "n2"},
+		{"an older word does not", []*peerpb.LeaseClaim{{Token: 5, Holder: "n2"}, {Token: 4, Holder: "n1"}}, "n2"},
+		{"given back, not yet given away", []*peerpb.LeaseClaim{{Token: 4, Holder: "n1"}, {Token: 5}}, ""},
+		{"never to itself", []*peerpb.LeaseClaim{{Token: 4, Holder: "n0"}}, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cfg := facts([]string{"a"}, []config.Team{{Name: "red"}}, 1.5, 10)
 			cfg.Member = "n0"
-			cfg.Known = []config.Known{{Member: "n1"}, {Member: "n2"}}
+			cfg.Peers = []config.Peer{{Member: "n1"}, {Member: "n2"}}
 			core := NewCore(cfg, Options{Blocks: 1}, nil, rand.New(rand.NewPCG(1, 1)), func() time.Time { return now }, slog.New(slog.NewTextHandler(io.Discard, nil)))
 			for _, h := range c.heard {
-				core.Pulse(now, &peerpb.PulseMessage{Member: "n1", Holdings: []*peerpb.Holding{h}})
+				core.Pulse(now, &peerpb.PeerHeartbeat{Member: "n1", Claims: []*peerpb.LeaseClaim{h}})
 			}
 			core.Report(now, &wire.Heartbeat{Host: "i-1", Incarnation: 1, Sequence: 1}, func(status int, body any) {
 				if r, ok := body.(wire.Redirect); status != 421 || !ok || r.Member != c.want {
@@ -65,10 +65,10 @@
 func TestProgressTogether(t *testing.T) {
 	now := time.Unix(1000, 0)
 	cfg := facts([]string{"a"}, []config.Team{{Name: "red"}}, 1.5, 10)
-	cfg.Member, cfg.Known = "n0", []config.Known{{Member: "n1"}}
+	cfg.Member, cfg.Peers = "n0", []config.Peer{{Member: "n1"}}
 	env := &heldCalls{}
 	core := NewCore(cfg, Options{Blocks: 1}, env, rand.New(rand.NewPCG(1, 1)), func() time.Time { return now }, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	core.Pulse(now, &peerpb.PulseMessage{Member: "n1", Holdings: []*peerpb.Holding{{Token: 4, Holder: "n1"}}})
+	core.Pulse(now, &peerpb.PeerHeartbeat{Member: "n1", Claims: []*peerpb.LeaseClaim{{Token: 4, Holder: "n1"}}})
 	const questions = 90
 	got := map[int]submission.Progress{}
 	for i := range questions {
--- a/internal/node/digest_test.go
+++ b/internal/node/digest_test.go
@@ -94,7 +94,7 @@
 
 func (sim *simulation) recordStateCall(node string, c store.Call) {
 	if d := sim.digest; d != nil {
-		d.add(sim.clk.Now(), node, "state", c.Op, c.Class, c.Key, c.Under, c.After, c.Since, c.Page, c.Multi, c.Lease, c.Life, c.WaitMs)
+		d.add(sim.clk.Now(), node, "state", c.Op, c.Priority, c.Key, c.Prefix, c.After, c.SinceRevision, c.PageSize, c.Transaction, c.Lease, c.LeaseTTL, c.WatchWaitMs)
 	}
 }
 
--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -28,15 +28,15 @@
 // errNeverRead tells that this node has not read what it is asked for yet.
 var errNeverRead = errors.New("the control records have not been read yet")
 
-// HandleDuties is part of peer.Handler.
-func (r *Runtime) HandleDuties(ctx context.Context) (*peerpb.DutiesReply, error) {
+// HandleIntents is part of peer.Handler.
+func (r *Runtime) HandleIntents(ctx context.Context) (*peerpb.IntentsReply, error) {
 	type result struct {
-		reply *peerpb.DutiesReply
+		reply *peerpb.IntentsReply
 		err   error
 	}
 	ch := make(chan result, 1)
 	if err := r.Ask(ctx, func(now time.Time) {
-		r.core.Duties(now, func(reply *peerpb.DutiesReply, err error) { ch <- result{reply, err} })
+		r.core.Duties(now, func(reply *peerpb.IntentsReply, err error) { ch <- result{reply, err} })
 	}); err != nil {
 		return nil, err
 	}
@@ -50,7 +50,7 @@
 
 // Duties tells who carries out the duties and what is not settled. The logs are read
 // anew; if the state service does not answer, what was read last is told with its age.
-func (c *Core) Duties(now time.Time, reply func(*peerpb.DutiesReply, error)) {
+func (c *Core) Duties(now time.Time, reply func(*peerpb.IntentsReply, error)) {
 	if !c.leader.Synced() {
 		reply(nil, errNeverRead)
 		return
@@ -66,16 +66,16 @@
 
 // readLogs reads the pages of all blocks' logs.
 func (c *Core) readLogs(into dutyLogs, after string, then func(now time.Time, ok bool)) {
-	c.state(store.Call{Op: store.OpList, Class: store.ClassUser, Under: duty.Under, After: after, Page: tuning.ListPage}, func(now time.Time, r store.Result) {
+	c.state(store.Call{Op: store.OpList, Priority: store.PriorityUser, Prefix: duty.Prefix, After: after, PageSize: tuning.ListPage}, func(now time.Time, r store.Result) {
 		if !r.OK() {
 			then(now, false)
 			return
 		}
-		for _, it := range r.Items {
+		for _, it := range r.KeyValues {
 			into.add(it)
 		}
-		if n := len(r.Items); r.More && n > 0 {
-			c.readLogs(into, r.Items[n-1].Key, then)
+		if n := len(r.KeyValues); r.More && n > 0 {
+			c.readLogs(into, r.KeyValues[n-1].Key, then)
 			return
 		}
 		then(now, true)
@@ -83,7 +83,7 @@
 }
 
 func (l *dutyLogs) add(it wire.KeyValue) {
-	number, _, _ := strings.Cut(strings.TrimPrefix(it.Key, duty.Under), "/")
+	number, _, _ := strings.Cut(strings.TrimPrefix(it.Key, duty.Prefix), "/")
 	block, err := strconv.Atoi(number)
 	if err != nil {
 		return
@@ -104,19 +104,19 @@
 	return max(0, now.Sub(at).Milliseconds())
 }
 
-func (c *Core) dutiesReply(now time.Time) *peerpb.DutiesReply {
-	out := &peerpb.DutiesReply{Member: c.cfg.Member, InForce: c.leader.InForce(switches.Duties),
-		HoldersAgeMs: age(now, c.leader.Heard()), EntriesAgeMs: age(now, c.logs.at)}
+func (c *Core) dutiesReply(now time.Time) *peerpb.IntentsReply {
+	out := &peerpb.IntentsReply{Member: c.cfg.Member, InForce: c.leader.FeatureInForce(switches.IntentLogFeature),
+		HoldersAgeMs: age(now, c.leader.LastContact()), EntriesAgeMs: age(now, c.logs.at)}
 	for b := range c.blocks {
-		out.Blocks = append(out.Blocks, c.blockDuties(b))
+		out.Shards = append(out.Shards, c.blockDuties(b))
 	}
 	return out
 }
 
-func (c *Core) blockDuties(block int) *peerpb.BlockDuties {
+func (c *Core) blockDuties(block int) *peerpb.ShardIntents {
 	holder, token, live := c.leader.Holder(block)
-	out := &peerpb.BlockDuties{Block: int32(block), Holder: holder, Token: token, Live: live, UnreadPages: int32(c.logs.unread[block])}
-	if since := c.leader.BlockSince(block); !since.IsZero() {
+	out := &peerpb.ShardIntents{Shard: int32(block), Holder: holder, Token: token, Live: live, UnreadablePages: int32(c.logs.unread[block])}
+	if since := c.leader.ShardAssignedAt(block); !since.IsZero() {
 		out.SinceMs = since.UnixMilli()
 	}
 	statuses := c.recordedDuties(block)
@@ -127,38 +127,38 @@
 		}
 	}
 	for _, s := range statuses {
-		out.Duties = append(out.Duties, c.dutyStatus(s))
+		out.Operations = append(out.Operations, c.dutyStatus(s))
 	}
 	return out
 }
 
 // recordedDuties tells of a block's duties what is stored: the entries of its log, and
 // the rentals that name no machines yet.
-func (c *Core) recordedDuties(block int) []duty.Status {
-	actions := map[duty.Duty][]duty.ActionStatus{}
+func (c *Core) recordedDuties(block int) []duty.OperationStatus {
+	actions := map[duty.Operation][]duty.IntentStatus{}
 	for _, e := range c.logs.entries[block] {
-		actions[e.Duty] = append(actions[e.Duty], duty.ActionStatus{Duty: e.Duty, Target: e.Target, Token: e.Token, Stage: duty.Entered, EnteredAt: e.At})
+		actions[e.Operation] = append(actions[e.Operation], duty.IntentStatus{Operation: e.Operation, Target: e.Target, Token: e.Token, State: duty.Recorded, DecidedAt: e.DecidedAt})
 	}
 	c.rentals.Each(func(it wire.KeyValue) {
 		if name, token, open := fleet.Unanswered(it, block); open {
-			actions[duty.Renting] = append(actions[duty.Renting], duty.ActionStatus{Duty: duty.Renting, Target: name, Token: token, Stage: duty.Entered})
+			actions[duty.Provision] = append(actions[duty.Provision], duty.IntentStatus{Operation: duty.Provision, Target: name, Token: token, State: duty.Recorded})
 		}
 	})
-	var out []duty.Status
-	for _, d := range duty.All() {
-		out = append(out, duty.Status{Duty: d, Actions: actions[d]})
+	var out []duty.OperationStatus
+	for _, d := range duty.Operations() {
+		out = append(out, duty.OperationStatus{Operation: d, Intents: actions[d]})
 	}
 	return out
 }
 
 // dutyStatus tells of one duty, the oldest actions first.
-func (c *Core) dutyStatus(s duty.Status) *peerpb.DutyStatus {
-	out := &peerpb.DutyStatus{Duty: string(s.Duty), Unsettled: int32(len(s.Actions)), RemovalsUnderWay: int32(s.UnderWay), RemovalsDone: int64(s.Removed)}
-	slices.SortStableFunc(s.Actions, func(a, b duty.ActionStatus) int {
-		return cmp.Or(a.EnteredAt.Compare(b.EnteredAt), cmp.Compare(a.Target, b.Target))
+func (c *Core) dutyStatus(s duty.OperationStatus) *peerpb.OperationStatus {
+	out := &peerpb.OperationStatus{Operation: string(s.Operation), Pending: int32(len(s.Intents)), RemovalsInFlight: int32(s.RemovalsInFlight), RemovalsDone: int64(s.RemovalsDone)}
+	slices.SortStableFunc(s.Intents, func(a, b duty.IntentStatus) int {
+		return cmp.Or(a.DecidedAt.Compare(b.DecidedAt), cmp.Compare(a.Target, b.Target))
 	})
-	for _, a := range s.Actions[:min(len(s.Actions), tuning.DutyEntriesShown)] {
-		out.Actions = append(out.Actions, &peerpb.DutyAction{Target: a.Target, Token: a.Token, Stage: a.Stage.String(), AgeMs: age(c.wall(), a.EnteredAt)})
+	for _, a := range s.Intents[:min(len(s.Intents), tuning.DutyEntriesShown)] {
+		out.Intents = append(out.Intents, &peerpb.IntentStatus{Target: a.Target, Token: a.Token, State: a.State.String(), AgeMs: age(c.wall(), a.DecidedAt)})
 	}
 	return out
 }
--- a/internal/node/duties_test.go
+++ b/internal/node/duties_test.go
@@ -24,7 +24,7 @@
 // entries are the targets in a block's log as it is stored.
 func (sim *simulation) entries() (out []string) {
 	for key, it := range sim.state.Keys {
-		if strings.HasPrefix(key, duty.Under) {
+		if strings.HasPrefix(key, duty.Prefix) {
 			entries, err := duty.ReadPage(it.Value)
 			if err != nil {
 				sim.fail("%s: %v", key, err)
@@ -154,10 +154,10 @@
 func (sim *simulation) leaveEntries(machines int) {
 	const perRental, perPage = 50, 80
 	put := func(key string, value any) {
-		sim.state.Call(store.Call{Op: store.OpMulti, Multi: wire.Transaction{Writes: []wire.Write{store.Put(key, value, 0)}}}, func(store.Result) {})
+		sim.state.Call(store.Call{Op: store.OpTransaction, Transaction: wire.Transaction{Writes: []wire.Write{store.Put(key, value, 0)}}}, func(store.Result) {})
 	}
 	type entry struct {
-		Duty  duty.Duty
+		Duty  duty.Operation
 		Token uint64
 		At    int64
 	}
@@ -167,13 +167,13 @@
 		host := wire.Machine{ID: id, Address: addressPrefix + id, Type: smallType.Name, Zone: "a", State: wire.MachineRunning}
 		sim.cloud.Hosts[id] = &standin.CloudHost{Born: sim.clk.Now(), Machine: host}
 		sim.booted(sim.cloud.Hosts[id])
-		page[id], names = entry{duty.Returning, 0, sim.clk.Now().UnixMilli()}, append(names, id)
+		page[id], names = entry{duty.Deprovision, 0, sim.clk.Now().UnixMilli()}, append(names, id)
 		if len(names) == perRental {
 			put(fmt.Sprintf("%sb0-0-%d", fleet.Rentals(0), i), fleet.RentalRec{Type: smallType.Name, Zone: "a", Number: perRental, Hosts: names})
 			names = nil
 		}
 		if len(page) == perPage {
-			put(fmt.Sprintf("%s%d", duty.LogUnder(0), i/perPage), page)
+			put(fmt.Sprintf("%s%d", duty.LogPrefix(0), i/perPage), page)
 			page = map[string]entry{}
 		}
 	}
@@ -188,7 +188,7 @@
 		most                 = 90 * time.Second
 	)
 	cfg := facts([]string{"a"}, steadyTeams, 4, 18)
-	cfg.Facts.Cloud.RPS = cloudRPS
+	cfg.Platform.Cloud.RPS = cloudRPS
 	sim := newSimulation(t, 5, cfg, 1, []wire.MachineType{smallType})
 	sim.checkEvery = time.Second
 	sim.state.Page, sim.cloud.Page = tuning.ListPage, tuning.CloudPage
@@ -216,7 +216,7 @@
 	if left := len(sim.entries()); left > 0 {
 		t.Errorf("%d entries are left after %v", left, sim.clk.Now().Sub(standin.Epoch))
 	}
-	if n := sim.actions.Effects[duty.Returning]; n < largeFleet {
+	if n := sim.actions.Effects[duty.Deprovision]; n < largeFleet {
 		t.Errorf("%d deletions", n)
 	}
 	t.Logf("%d entries completed and forgotten after %v; %d calls of the state service were refused", largeFleet, sim.clk.Now().Sub(standin.Epoch), refused)
@@ -224,9 +224,9 @@
 }
 
 // askDuties asks a node about the duties.
-func (sim *simulation) askDuties(n *simulatedNode) (reply *peerpb.DutiesReply) {
+func (sim *simulation) askDuties(n *simulatedNode) (reply *peerpb.IntentsReply) {
 	sim.t.Helper()
-	n.core.Duties(sim.clk.Now(), func(r *peerpb.DutiesReply, err error) {
+	n.core.Duties(sim.clk.Now(), func(r *peerpb.IntentsReply, err error) {
 		if err != nil {
 			sim.t.Errorf("%s: %v", n.name, err)
 		}
@@ -246,9 +246,9 @@
 	sim.runUntil("an entry", 2*time.Minute, func() bool { return len(sim.entries()) > 0 })
 	holder := sim.holder()
 	host := sim.entries()[0]
-	names := func(r *peerpb.DutiesReply) (out []string) {
-		for _, d := range r.Blocks[0].Duties {
-			for _, a := range d.Actions {
+	names := func(r *peerpb.IntentsReply) (out []string) {
+		for _, d := range r.Shards[0].Operations {
+			for _, a := range d.Intents {
 				out = append(out, a.Target)
 			}
 		}
@@ -258,7 +258,7 @@
 	token := holder.core.tenures[0].Token
 	for _, n := range sim.nodes {
 		r := sim.askDuties(n)
-		b := r.Blocks[0]
+		b := r.Shards[0]
 		if !r.InForce || b.Holder != holder.name || !b.Live || b.Token != token || b.SinceMs == 0 || (b.State == "open") != (n == holder) {
 			t.Errorf("%s: %+v", n.name, r)
 		}
@@ -274,15 +274,15 @@
 			other = n
 		}
 	}
-	if r := sim.askDuties(other); r.Blocks[0].Holder != holder.name {
-		t.Errorf("right after the crash: %+v", r.Blocks[0])
+	if r := sim.askDuties(other); r.Shards[0].Holder != holder.name {
+		t.Errorf("right after the crash: %+v", r.Shards[0])
 	}
 	sim.runUntil("a record without a live holder", 10*time.Second, func() bool {
 		_, _, live := other.core.leader.Holder(0)
 		return !live
 	})
-	if r := sim.askDuties(other); r.Blocks[0].Live && r.Blocks[0].Holder == holder.name {
-		t.Errorf("during the takeover: %+v", r.Blocks[0])
+	if r := sim.askDuties(other); r.Shards[0].Live && r.Shards[0].Holder == holder.name {
+		t.Errorf("during the takeover: %+v", r.Shards[0])
 	}
 	sim.runFor(5 * time.Second)
 	sim.stateOutage(20 * time.Second)
--- a/internal/node/fault_scenario_test.go
+++ b/internal/node/fault_scenario_test.go
@@ -18,7 +18,7 @@
 
 // job makes a user submit a random job, changed as a scenario needs it.
 func (m *faultScenario) job(change func(s *wire.JobSpec), run time.Duration) *standin.Job {
-	s := wire.JobSpec{ID: fmt.Sprintf("job-%06d", m.n), Team: m.cfg.Facts.Teams[m.rng.IntN(len(m.cfg.Facts.Teams))].Name, Class: "sweep",
+	s := wire.JobSpec{ID: fmt.Sprintf("job-%06d", m.n), Team: m.cfg.Platform.Teams[m.rng.IntN(len(m.cfg.Platform.Teams))].Name, Class: "sweep",
 		Shape: wire.ShapeBatch, Priority: []string{"low", "normal", "high", "critical"}[m.rng.IntN(4)], Tasks: 1 + m.rng.IntN(4),
 		Vcpus: 4, Gpus: 1, MemGb: 20, Image: fmt.Sprintf("img-%d", m.rng.IntN(3)), ImageGb: 2, AnyType: true, Spot: m.rng.IntN(2) == 0, EstimatedRunTimeS: run.Seconds()}
 	if m.rng.IntN(3) == 0 {
@@ -48,7 +48,7 @@
 // leader is whoever holds the block or is about to, or any node.
 func (m *faultScenario) leader() *simulatedNode {
 	for _, n := range m.nodes {
-		if t := n.core.tenures[0]; n.alive && t != nil && t.state != tenureOver && n.core.leader.Entitled(m.clk.Now()) {
+		if t := n.core.tenures[0]; n.alive && t != nil && t.state != tenureOver && n.core.leader.LeaseValid(m.clk.Now()) {
 			return n
 		}
 	}
--- a/internal/node/faults_test.go
+++ b/internal/node/faults_test.go
@@ -137,7 +137,7 @@
 			n := sim.holder()
 			n.stateCut, n.peersCut = true, true
 			sim.runFor(tuning.MemberLease + time.Second)
-			if n.core.leader.Entitled(sim.clk.Now()) {
+			if n.core.leader.LeaseValid(sim.clk.Now()) {
 				sim.fail("the old holder still decides")
 			}
 			sim.runFor(8 * time.Second)
--- a/internal/node/fencing.go
+++ b/internal/node/fencing.go
@@ -24,7 +24,7 @@
 // is surely over, whatever the holder before it did.
 func (t *tenure) unheardUntil() time.Time {
 	u := t.since.Add(t.reg.Expiry())
-	if !t.Ended {
+	if !t.PredecessorEnded {
 		u = u.Add(t.renewBound())
 	}
 	return u
@@ -75,7 +75,7 @@
 // that a holder they can reach renews their leases in time. Keeping it would
 // lose every task, and return every machine as silent.
 func (t *tenure) listen(now time.Time) {
-	w := t.c.cfg.Facts.Workers
+	w := t.c.cfg.Platform.Workers
 	var last time.Time
 	machines := 0
 	each := func(f func(m *worker.Machine)) {
@@ -91,7 +91,7 @@
 			last = m.Checked
 		}
 	})
-	t.fencing.unreachable = machines >= tuning.UnreachableMachines && now.Sub(last) > config.Seconds(w.ReportS*tuning.UnreachableReports)+tuning.SilentGrace
+	t.fencing.unreachable = machines >= tuning.UnreachableMachines && now.Sub(last) > config.Seconds(w.HeartbeatS*tuning.UnreachableReports)+tuning.SilentGrace
 	if !t.fencing.unreachable || now.Before(t.fencing.probeDue) {
 		return
 	}
@@ -103,7 +103,7 @@
 			addrs = append(addrs, m.Address)
 		}
 	})
-	for _, k := range t.c.cfg.Known {
+	for _, k := range t.c.cfg.Peers {
 		t.c.env.Probe(k.Member, &peerpb.ProbeRequest{Addresses: addrs}, func(now time.Time, r *peerpb.ProbeReply, err error) {
 			if err == nil && r.Answered > 0 && t.fencing.unreachable && t.state != tenureOver {
 				t.end(now, "only this node does not hear the workers")
--- a/internal/node/fleet_limits_test.go
+++ b/internal/node/fleet_limits_test.go
@@ -29,7 +29,7 @@
 	)
 	machineType := wire.MachineType{Name: "g8", Vcpus: 64, Gpus: 8, MemGb: 384, FetchGbPerS: 1, Price: 5, SpotPrice: 2, BootTimeS: 8, Zones: []string{"a"}}
 	cfg := facts([]string{"a"}, []config.Team{{Name: "red", GPUs: 8000, GPUsMax: 30000}, {Name: "free"}}, 5, 26.5)
-	cfg.Facts.State = config.State{RPS: 400, WriteRPS: 40, ValueKB: 8, TxnOps: 16}
+	cfg.Platform.State = config.StateLimits{RPS: 400, WriteRPS: 40, ValueKB: 8, TxnOps: 16}
 	sim := newSimulation(t, 41, cfg, 1, []wire.MachineType{machineType})
 	sim.checkEvery = checkEvery
 	sim.state.Page, sim.state.Kept, sim.cloud.Page = tuning.ListPage, 10000, tuning.CloudPage
--- a/internal/node/formats_test.go
+++ b/internal/node/formats_test.go
@@ -29,10 +29,10 @@
 		into any
 		want any
 	}{
-		{"a member", `{"Member":"n0","Inc":7,"Since":1700000000000}`, &leader.MemberRec{}, &leader.MemberRec{Member: "n0", Inc: 7, Since: 1700000000000}},
-		{"the leader", `{"Member":"n0","Inc":7}`, &leader.Rec{}, &leader.Rec{Member: "n0", Inc: 7}},
-		{"a block", `{"Holder":"n1","Inc":9,"Baton":4,"Ended":true}`, &leader.BlockRec{}, &leader.BlockRec{Holder: "n1", Inc: 9, Token: 4, Ended: true}},
-		{"a block given back", `{"Holder":"","Inc":0,"Baton":4,"Ended":false,"Deaf":"n1"}`, &leader.BlockRec{}, &leader.BlockRec{Token: 4, Unreachable: "n1"}},
+		{"a member", `{"Member":"n0","Inc":7,"Since":1700000000000}`, &leader.MemberRecord{}, &leader.MemberRecord{Member: "n0", Incarnation: 7, JoinedAtMs: 1700000000000}},
+		{"the leader", `{"Member":"n0","Inc":7}`, &leader.LeaderRecord{}, &leader.LeaderRecord{Member: "n0", Incarnation: 7}},
+		{"a block", `{"Holder":"n1","Inc":9,"Baton":4,"Ended":true}`, &leader.ShardRecord{}, &leader.ShardRecord{Holder: "n1", Incarnation: 9, Token: 4, PredecessorEnded: true}},
+		{"a block given back", `{"Holder":"","Inc":0,"Baton":4,"Ended":false,"Deaf":"n1"}`, &leader.ShardRecord{}, &leader.ShardRecord{Token: 4, Unreachable: "n1"}},
 		{"an open job", `{"Spec":{"Id":"job-1","Lane":"train","Crew":"red","Shape":"standing","Rank":"critical","Pieces":3,"Vcpus":2,"Gpus":0,"MemGb":12.8,` +
 			`"Bundle":"img-1","ImageGb":1,"Builds":["g8"],"Yard":"a","Together":true,"Apart":true,"Loaners":true,"GuessS":0,"BookmarkS":5,"StowS":2,"DueS":9},"At":1700000000000,"Block":2}`,
 			&submission.OpenRec{}, &submission.OpenRec{At: 1700000000000, Block: 2, Spec: wire.JobSpec{ID: "job-1", Class: "train", Team: "red", Shape: wire.ShapeService, Priority: "critical",
@@ -66,8 +66,8 @@
 	now := time.Unix(0, 0)
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
 	cfg := facts([]string{"a"}, nil, 1.5, 10)
-	reg := worker.NewRegistry(cfg.Facts.Workers, quiet)
-	board := placement.NewBoard(cfg.Facts, 1, quota.NewBook(nil, 0, 1), reg, nil, quiet, func(time.Time, *placement.Job) {})
+	reg := worker.NewRegistry(cfg.Platform.Workers, quiet)
+	board := placement.NewBoard(cfg.Platform, 1, quota.NewBook(nil, 0, 1), reg, nil, quiet, func(time.Time, *placement.Job) {})
 	add := func(id string, tasks int) *placement.Job {
 		return board.AddJob(now, wire.JobSpec{ID: id, Shape: wire.ShapeBatch, Tasks: tasks}, now, 1, true)
 	}
@@ -107,7 +107,7 @@
 			revision := uint64(100)
 			call := func(c store.Call, then func(time.Time, store.Result)) {
 				revision++
-				for _, w := range c.Multi.Writes {
+				for _, w := range c.Transaction.Writes {
 					if len(w.Value) > limitKB*1024 {
 						t.Errorf("%s is written with %d bytes", w.Put, len(w.Value))
 					}
@@ -121,7 +121,7 @@
 			tenure := func() (*tallies, *placement.Job) {
 				board.CloseJob(now, id, now)
 				j := add(id, c.tasks)
-				tl := newTallies(store.NewPages("t/0/", limitKB, time.Second, store.ClassTally, store.Is("c/b/0", 1), call, quiet, func(time.Time) { t.Error("lost") }), presentKB)
+				tl := newTallies(store.NewPages("t/0/", limitKB, time.Second, store.PriorityCompletion, store.VersionEquals("c/b/0", 1), call, quiet, func(time.Time) { t.Error("lost") }), presentKB)
 				var all []wire.KeyValue
 				for _, it := range kv {
 					all = append(all, it)
--- a/internal/node/http.go
+++ b/internal/node/http.go
@@ -30,7 +30,7 @@
 		Handler:           mux,
 		ReadHeaderTimeout: tuning.HeaderTimeout,
 		ReadTimeout:       tuning.HeaderTimeout,
-		IdleTimeout:       idleTimeout(r.cfg.Facts.Workers),
+		IdleTimeout:       idleTimeout(r.cfg.Platform.Workers),
 		MaxHeaderBytes:    16 << 10,
 	}
 }
--- a/internal/node/loading.go
+++ b/internal/node/loading.go
@@ -26,18 +26,18 @@
 func (t *tenure) load(now time.Time) {
 	t.syncMirror(now, t.c.open)
 	t.syncMirror(now, t.c.rentals)
-	t.list(now, tallyUnder(t.Block), "", &t.records.tallies)
-	t.list(now, fleet.UsedUnder(t.Block), "", &t.records.used)
-	t.list(now, begunUnder(t.Block), "", &t.records.begun)
-	t.list(now, duty.LogUnder(t.Block), "", &t.records.duties)
+	t.list(now, tallyUnder(t.Shard), "", &t.records.tallies)
+	t.list(now, fleet.UsedUnder(t.Shard), "", &t.records.used)
+	t.list(now, begunUnder(t.Shard), "", &t.records.begun)
+	t.list(now, duty.LogPrefix(t.Shard), "", &t.records.duties)
 	t.records.reading = 6
 }
 
 func begunUnder(block int) string { return fmt.Sprintf("b/%d/", block) }
 
 // syncMirror waits until a mirror holds all that was written before this tenure.
-func (t *tenure) syncMirror(now time.Time, m *store.Mirror) {
-	m.Sync(now, 0, func(now time.Time, ok bool) {
+func (t *tenure) syncMirror(now time.Time, m *store.WatchCache) {
+	m.WaitCurrent(now, 0, func(now time.Time, ok bool) {
 		switch {
 		case t.state == tenureOver:
 		case ok:
@@ -50,7 +50,7 @@
 
 // list reads all keys under a prefix.
 func (t *tenure) list(now time.Time, under, after string, into *[]wire.KeyValue) {
-	t.call(store.Call{Op: store.OpList, Class: store.ClassLease, Under: under, After: after, Page: tuning.ListPage}, func(now time.Time, r store.Result) {
+	t.call(store.Call{Op: store.OpList, Priority: store.PriorityLease, Prefix: under, After: after, PageSize: tuning.ListPage}, func(now time.Time, r store.Result) {
 		if !r.OK() {
 			t.c.later(now, tuning.MirrorRetry, func(now time.Time) {
 				if t.state != tenureOver {
@@ -59,9 +59,9 @@
 			})
 			return
 		}
-		*into = append(*into, r.Items...)
-		if n := len(r.Items); r.More && n > 0 {
-			t.list(now, under, r.Items[n-1].Key, into)
+		*into = append(*into, r.KeyValues...)
+		if n := len(r.KeyValues); r.More && n > 0 {
+			t.list(now, under, r.KeyValues[n-1].Key, into)
 			return
 		}
 		t.readOne(now)
@@ -79,7 +79,7 @@
 func (t *tenure) takeOver(now time.Time) {
 	t.c.open.Each(func(it wire.KeyValue) { t.jobChanged(now, it, false) })
 	t.c.rentals.Each(func(it wire.KeyValue) {
-		if strings.HasPrefix(it.Key, fleet.Rentals(t.Block)) {
+		if strings.HasPrefix(it.Key, fleet.Rentals(t.Shard)) {
 			t.fleet.Load(now, it)
 		}
 	})
@@ -91,10 +91,10 @@
 			j.Before = true
 			t.board.Begun(j)
 		} else {
-			t.begun.Drop(id)
+			t.begun.Delete(id)
 		}
 	})
-	if t.begun.Unread() > 0 {
+	if t.begun.Unreadable() > 0 {
 		t.assumeBegun()
 	}
 	t.records = records{}
@@ -133,7 +133,7 @@
 		t.log.Error("job entry cannot be read", "key", it.Key, "error", err)
 		return
 	}
-	if off || rec.Block != t.Block {
+	if off || rec.Block != t.Shard {
 		return
 	}
 	// The predecessor started nothing after its lease ended, and that was
--- a/internal/node/options.go
+++ b/internal/node/options.go
@@ -13,18 +13,18 @@
 // Options are what a controller is started with beside the platform's settings.
 type Options struct {
 	Blocks   int
-	Switches switches.Switches
+	Switches switches.Gates
 	Tracer   duty.Tracer // nil: no spans are made
 }
 
 // NewOptions makes the options of a member that has some switches on. finish writes what
 // is left of its trace.
-func NewOptions(s switches.Switches, member string, rng *rand.Rand) (o Options, finish func(), err error) {
+func NewOptions(s switches.Gates, member string, rng *rand.Rand) (o Options, finish func(), err error) {
 	o = Options{Blocks: tuning.Blocks, Switches: s}
 	if s.Trace.File == "" {
 		return o, func() {}, nil
 	}
-	recorder, err := tracing.Open(s.Trace.File, int64(s.Trace.MostMB*(1<<20)), member, time.Now, rng)
+	recorder, err := tracing.Open(s.Trace.File, int64(s.Trace.MaxMB*(1<<20)), member, time.Now, rng)
 	if err != nil {
 		return Options{}, nil, err
 	}
--- a/internal/node/outcomes.go
+++ b/internal/node/outcomes.go
@@ -92,11 +92,11 @@
 func (o *outcomes) end(j *placement.Job) {
 	id, t := j.Spec.ID, o.t
 	o.ending[id] = true
-	t.call(store.Call{Op: store.OpMulti, Class: store.ClassFinal, Multi: wire.Transaction{
-		Compares: []wire.Compare{t.cond(), store.Is(submission.OpenKey(id), j.Version)},
+	t.call(store.Call{Op: store.OpTransaction, Priority: store.PriorityJobEnd, Transaction: wire.Transaction{
+		Compares: []wire.Compare{t.cond(), store.VersionEquals(submission.OpenKey(id), j.Version)},
 		Writes: []wire.Write{
 			store.Put(submission.JobKey(id), submission.JobRec{Stage: wire.JobDone, Done: j.Spec.Tasks}, 0),
-			store.Remove(submission.OpenKey(id)),
+			store.Delete(submission.OpenKey(id)),
 		},
 	}}, func(now time.Time, r store.Result) {
 		delete(o.ending, id)
@@ -104,7 +104,7 @@
 		case r.OK():
 			t.log.Info("job done", "job", id, "class", j.Spec.Class, "took", t.c.wall().Sub(j.At), "written_after", now.Sub(o.completed[id]))
 			t.jobOver(now, id)
-		case r.Status == http.StatusConflict && slices.Contains(r.Failed, leader.BlockKey(t.Block)):
+		case r.Status == http.StatusConflict && slices.Contains(r.FailedKeys, leader.ShardKey(t.Shard)):
 			t.lost(now)
 		case r.Status == http.StatusConflict:
 			o.readAgain(now, id)
@@ -118,14 +118,14 @@
 // ours was applied after all.
 func (o *outcomes) readAgain(now time.Time, id string) {
 	o.ending[id] = true
-	o.t.call(store.Call{Op: store.OpGet, Class: store.ClassFinal, Key: submission.OpenKey(id)}, func(now time.Time, r store.Result) {
+	o.t.call(store.Call{Op: store.OpGet, Priority: store.PriorityJobEnd, Key: submission.OpenKey(id)}, func(now time.Time, r store.Result) {
 		delete(o.ending, id)
 		o.retryAt[id] = now.Add(tuning.RecordRetry)
 		switch j := o.t.board.Job(id); {
 		case r.Status == http.StatusNotFound:
 			o.t.jobOver(now, id)
 		case r.OK() && j != nil:
-			j.Version = r.Item.Version
+			j.Version = r.KeyValue.Version
 		}
 	})
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -20,10 +20,10 @@
 // silent is how long the state service has not answered this node; never
 // answered counts as a very long time.
 func (c *Core) silent(now time.Time) time.Duration {
-	if c.leader.Heard().IsZero() {
+	if c.leader.LastContact().IsZero() {
 		return time.Hour
 	}
-	return now.Sub(c.leader.Heard())
+	return now.Sub(c.leader.LastContact())
 }
 
 // tokens are the highest fencing tokens known, by block.
@@ -36,33 +36,33 @@
 }
 
 // holdings tells who holds the blocks, as far as this node knows.
-func (c *Core) holdings() (out []*peerpb.Holding) {
+func (c *Core) holdings() (out []*peerpb.LeaseClaim) {
 	for b := range c.blocks {
 		if holder, token, _ := c.holder(b); token > 0 {
-			out = append(out, &peerpb.Holding{Block: int32(b), Token: token, Holder: holder})
+			out = append(out, &peerpb.LeaseClaim{Shard: int32(b), Token: token, Holder: holder})
 		}
 	}
 	return out
 }
 
 // pulseMessage is what a peer is told.
-func (c *Core) pulseMessage(now time.Time, to string) *peerpb.PulseMessage {
-	m := &peerpb.PulseMessage{Member: c.cfg.Member, StateSilentMs: c.silent(now).Milliseconds(), Process: c.process, Version: admin.Version()}
+func (c *Core) pulseMessage(now time.Time, to string) *peerpb.PeerHeartbeat {
+	m := &peerpb.PeerHeartbeat{Member: c.cfg.Member, StateUnreachableMs: c.silent(now).Milliseconds(), Process: c.process, Version: admin.Version()}
 	if !c.born.IsZero() {
 		up := now.Sub(c.born)
-		m.UpMs, m.MarkNs = up.Milliseconds(), int64(up)
+		m.UpMs, m.ClockNs = up.Milliseconds(), int64(up)
 	}
-	m.Holdings = c.holdings()
-	m.Withdrawn, m.Vouches = c.cancellationLog.Pending(now, c.tokens())
+	m.Claims = c.holdings()
+	m.Cancelled, m.CancellationsComplete = c.cancellationLog.Pending(now, c.tokens())
 	if p := c.peers[to]; p != nil {
-		m.EchoProcess, m.EchoNs, m.Have = p.process, p.mark, p.owed
+		m.EchoProcess, m.EchoNs, m.AcknowledgedCancelled = p.process, p.mark, p.owed
 		p.owed = nil
 	}
 	return m
 }
 
 func (c *Core) pulse(now time.Time) {
-	for _, k := range c.cfg.Known {
+	for _, k := range c.cfg.Peers {
 		if k.Member < c.cfg.Member {
 			continue // it asks: one exchange tells both all there is to tell
 		}
@@ -72,7 +72,7 @@
 
 // exchange tells a peer what this node knows and hears the same of it.
 func (c *Core) exchange(now time.Time, member string, then func(now time.Time)) {
-	c.env.Pulse(member, c.pulseMessage(now, member), func(now time.Time, r *peerpb.PulseMessage, err error) {
+	c.env.Pulse(member, c.pulseMessage(now, member), func(now time.Time, r *peerpb.PeerHeartbeat, err error) {
 		if err == nil {
 			c.heardPeer(now, member, r)
 		}
@@ -115,32 +115,32 @@
 	})
 }
 
-func (c *Core) heardPeer(now time.Time, name string, m *peerpb.PulseMessage) {
+func (c *Core) heardPeer(now time.Time, name string, m *peerpb.PeerHeartbeat) {
 	p := c.peers[name]
 	if p != nil {
-		p.heard, p.silent = now, time.Duration(m.StateSilentMs)*time.Millisecond
+		p.heard, p.silent = now, time.Duration(m.StateUnreachableMs)*time.Millisecond
 		p.version = m.Version
-		if p.process != m.Process || m.MarkNs > p.mark {
-			p.process, p.mark = m.Process, m.MarkNs
+		if p.process != m.Process || m.ClockNs > p.mark {
+			p.process, p.mark = m.Process, m.ClockNs
 		}
-		p.owed = append(p.owed, m.Withdrawn...)
+		p.owed = append(p.owed, m.Cancelled...)
 		p.owed = p.owed[max(0, len(p.owed)-tuning.CancellationsAtOnce):]
 	}
 	for _, t := range c.tenures {
-		for _, id := range m.Withdrawn {
+		for _, id := range m.Cancelled {
 			if t.state != tenureOver {
 				t.jobCancelled(now, id)
 			}
 		}
 	}
-	for _, h := range m.Holdings {
+	for _, h := range m.Claims {
 		if h.Holder == m.Member {
-			c.cancellationLog.Had(m.Have, int(h.Block), h.Token)
+			c.cancellationLog.Had(m.AcknowledgedCancelled, int(h.Shard), h.Token)
 		}
-		if old := c.claims[int(h.Block)]; old == nil || h.Token > old.Token {
-			c.claims[int(h.Block)] = h
+		if old := c.claims[int(h.Shard)]; old == nil || h.Token > old.Token {
+			c.claims[int(h.Shard)] = h
 		}
-		t := c.tenures[int(h.Block)]
+		t := c.tenures[int(h.Shard)]
 		if t == nil || t.state == tenureOver {
 			continue
 		}
@@ -151,15 +151,15 @@
 		// A peer that knows of another holder passes on what that one lacks. One that
 		// echoes what this process sent has made its message after that was sent;
 		// any other message may have been held back.
-		if p != nil && h.Token == t.Token && m.Vouches && m.EchoProcess == c.process && t.state != tenureLoading {
+		if p != nil && h.Token == t.Token && m.CancellationsComplete && m.EchoProcess == c.process && t.state != tenureLoading {
 			up := time.Duration(m.UpMs) * time.Millisecond
-			t.cancelled.horizon.Vouch(name, m.Process, now.Add(-up+time.Duration(float64(up)*2*tuning.ClockDrift)), c.born.Add(time.Duration(m.EchoNs)))
+			t.cancelled.horizon.Acknowledge(name, m.Process, now.Add(-up+time.Duration(float64(up)*2*tuning.ClockDrift)), c.born.Add(time.Duration(m.EchoNs)))
 		}
 	}
 }
 
 // Pulse answers a peer's pulse.
-func (c *Core) Pulse(now time.Time, m *peerpb.PulseMessage) *peerpb.PulseMessage {
+func (c *Core) Pulse(now time.Time, m *peerpb.PeerHeartbeat) *peerpb.PeerHeartbeat {
 	c.heardPeer(now, m.Member, m)
 	return c.pulseMessage(now, m.Member)
 }
--- a/internal/node/progress.go
+++ b/internal/node/progress.go
@@ -48,7 +48,7 @@
 	n := min(len(a.waiting), tuning.ProgressJobs)
 	batch := a.waiting[:n:n]
 	a.waiting = a.waiting[n:]
-	m := &peerpb.ProgressRequest{Block: int32(block)}
+	m := &peerpb.ProgressRequest{Shard: int32(block)}
 	for _, q := range batch {
 		m.Jobs = append(m.Jobs, q.job)
 	}
@@ -71,7 +71,7 @@
 // Progress answers a peer's question.
 func (c *Core) Progress(m *peerpb.ProgressRequest) *peerpb.ProgressReply {
 	out := &peerpb.ProgressReply{}
-	if t := c.tenures[int(m.Block)]; t != nil && t.state != tenureOver {
+	if t := c.tenures[int(m.Shard)]; t != nil && t.state != tenureOver {
 		for _, id := range m.Jobs {
 			p := t.progress(id)
 			out.Jobs = append(out.Jobs, &peerpb.JobProgress{Known: p.Known, Done: int64(p.Done), Running: int64(p.Running)})
--- a/internal/node/random_faults_test.go
+++ b/internal/node/random_faults_test.go
@@ -14,7 +14,7 @@
 
 // facts are the settings of a small deployment.
 func facts(zones []string, teams []config.Team, reportS, leaseS float64) *config.Config {
-	return &config.Config{Member: "x", Area: zones[0], Facts: standin.Facts(zones, teams, reportS, leaseS)}
+	return &config.Config{Member: "x", Area: zones[0], Platform: standin.Facts(zones, teams, reportS, leaseS)}
 }
 
 // latestCall is how late a call of the cloud comes at most in a simulation.
@@ -93,8 +93,8 @@
 // pages too large.
 func (sim *simulation) begins() {
 	sim.startsOld = true
-	sim.cfg.Facts.State.ValueKB = 1
-	sim.cfg.Facts.State.Next = config.NextState{"value_kb": 0.5, "txn_ops": int64(4), "write_rps": 12.0}
+	sim.cfg.Platform.State.ValueKB = 1
+	sim.cfg.Platform.State.Next = config.UpcomingLimits{"value_kb": 0.5, "txn_ops": int64(4), "write_rps": 12.0}
 	sim.state.Limits.ValueBytes, sim.state.Limits.TxnOps = 1024, 8
 	for _, n := range sim.nodes {
 		n.crash(0)
@@ -149,7 +149,7 @@
 
 // randomJob makes a user submit a random job, and now and then cancel it.
 func randomJob(sim *simulation, i int, zones []string, machineTypes []wire.MachineType) {
-	team := sim.cfg.Facts.Teams[sim.rng.IntN(len(sim.cfg.Facts.Teams))].Name
+	team := sim.cfg.Platform.Teams[sim.rng.IntN(len(sim.cfg.Platform.Teams))].Name
 	s := wire.JobSpec{ID: fmt.Sprintf("job-%06d", i), Team: team, Class: "sweep", Shape: wire.ShapeBatch,
 		Priority: []string{"low", "normal", "high", "critical"}[sim.rng.IntN(4)], Tasks: 1 + sim.rng.IntN(8),
 		Vcpus: 4, Gpus: 1, MemGb: 20, Image: fmt.Sprintf("img-%d", sim.rng.IntN(4)), ImageGb: 2, AnyType: true,
--- a/internal/node/routing.go
+++ b/internal/node/routing.go
@@ -41,7 +41,7 @@
 	if c.blocks == 1 {
 		return false
 	}
-	if !c.rentals.Fresh().After(there) {
+	if !c.rentals.CurrentAsOf().After(there) {
 		return true
 	}
 	if b, ok := c.blockFor[host]; ok {
--- a/internal/node/runtime.go
+++ b/internal/node/runtime.go
@@ -45,9 +45,9 @@
 	workers    *http.Client
 	peers      *peer.Clients
 	budgetLock sync.Mutex
-	budget     *store.Budget
+	budget     *store.RateLimiter
 	readSlots  chan struct{}
-	writeSlots [store.Classes]chan struct{}
+	writeSlots [store.Priorities]chan struct{}
 	cloudSlots chan struct{}
 	doSlots    chan struct{}
 	fenceSlots chan struct{}
@@ -59,7 +59,7 @@
 
 // LimitProcess keeps this process within the machine's share of one core and its
 // memory.
-func LimitProcess(l config.Limits) {
+func LimitProcess(l config.MachineLimits) {
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(tuning.GCPercent)
 	debug.SetMemoryLimit(int64(l.MemoryMB * (1 << 20) * tuning.MemoryShare))
@@ -77,7 +77,7 @@
 
 // NewRuntime makes the runtime of a controller.
 func NewRuntime(cfg *config.Config, opt Options, steady *clock.Clock, log *slog.Logger, rng *rand.Rand) *Runtime {
-	p := newPools(cfg.Facts.Limits, len(cfg.Known))
+	p := newPools(cfg.Platform.MachineLimits, len(cfg.Peers))
 	r := &Runtime{
 		cfg: cfg, log: log, clock: steady, done: make(chan struct{}), pools: p,
 		events:     make(chan func(time.Time), tuning.EventBuffer),
@@ -86,8 +86,8 @@
 		state:      store.NewClient(cfg.External.State, transport(stateConns(), tuning.DialTimeout), steady.Now),
 		cloud:      fleet.NewClient(cfg.External.Cloud, transport(tuning.CloudCalls, tuning.DialTimeout)),
 		workers:    &http.Client{Transport: transport(tuning.DoIdle, tuning.WorkerDial)},
-		peers:      peer.NewClients(cfg.Known),
-		budget:     store.NewBudget(cfg.Facts.State, len(cfg.Known)+1),
+		peers:      peer.NewClients(cfg.Peers),
+		budget:     store.NewRateLimiter(cfg.Platform.State, len(cfg.Peers)+1),
 		readSlots:  make(chan struct{}, tuning.StateReads),
 		cloudSlots: make(chan struct{}, tuning.CloudCalls),
 		doSlots:    make(chan struct{}, p.do),
@@ -189,7 +189,7 @@
 // machine that is what makes leases and reports late.
 func (r *Runtime) carry(what string, f func(now time.Time)) {
 	start := r.clock.Now()
-	if moved := r.clock.Moved(); moved != r.moved {
+	if moved := r.clock.SuspendedFor(); moved != r.moved {
 		r.log.Warn("the clock was moved forward: this machine was suspended", "by", moved-r.moved)
 		r.moved = moved
 		r.core.ClockMoved(start)
@@ -248,9 +248,9 @@
 func (r *Runtime) State(c store.Call, then func(now time.Time, res store.Result)) {
 	go func() {
 		switch {
-		case c.Class == store.ClassLease: // leases and watches wait behind nothing
-		case len(c.Multi.Writes) > 0:
-			defer enter(r.writeSlots[c.Class])()
+		case c.Priority == store.PriorityLease: // leases and watches wait behind nothing
+		case len(c.Transaction.Writes) > 0:
+			defer enter(r.writeSlots[c.Priority])()
 		default:
 			defer enter(r.readSlots)()
 		}
@@ -264,14 +264,14 @@
 			time.Sleep(wait)
 		}
 		start := time.Now()
-		res := r.state.Do(r.ctx, c)
+		res := r.state.Execute(r.ctx, c)
 		r.budgetLock.Lock()
-		lowered := r.budget.Note(r.clock.Now(), c, res.Status)
+		lowered := r.budget.Observe(r.clock.Now(), c, res.Status)
 		r.budgetLock.Unlock()
 		if lowered {
 			r.log.Warn("the state service has lowered its limits", "status", res.Status)
 		}
-		if c.Op != store.OpChanges {
+		if c.Op != store.OpWatch {
 			r.lat.note(latState, time.Since(start))
 		}
 		r.post(func(now time.Time) { then(now, res) })
@@ -315,7 +315,7 @@
 }
 
 // Pulse is part of Env.
-func (r *Runtime) Pulse(member string, m *peerpb.PulseMessage, then func(now time.Time, res *peerpb.PulseMessage, err error)) {
+func (r *Runtime) Pulse(member string, m *peerpb.PeerHeartbeat, then func(now time.Time, res *peerpb.PeerHeartbeat, err error)) {
 	go func() { // one a second and peer: no slot, so that it waits behind nothing
 		ctx, cancel := context.WithTimeout(r.ctx, tuning.PulseTimeout)
 		defer cancel()
--- a/internal/node/runtime_test.go
+++ b/internal/node/runtime_test.go
@@ -26,8 +26,8 @@
 func effects(t *testing.T, state string) *Runtime {
 	cfg := facts([]string{"a"}, []config.Team{{Name: "red"}}, 1.5, 10)
 	cfg.External = config.External{Cloud: "127.0.0.1:1", State: state}
-	cfg.Facts.State.WriteRPS = 0.1
-	cfg.Facts.Limits.Sockets = 2179
+	cfg.Platform.State.WriteRPS = 0.1
+	cfg.Platform.MachineLimits.Sockets = 2179
 	r := NewRuntime(cfg, Options{Blocks: tuning.Blocks}, clock.New(nil), slog.New(slog.NewTextHandler(io.Discard, nil)), rand.New(rand.NewPCG(1, 1)))
 	r.ctx = t.Context()
 	t.Cleanup(func() { close(r.done) })
@@ -41,18 +41,18 @@
 	defer srv.Close()
 	r := effects(t, srv.Listener.Addr().String())
 	written := 0
-	for class := range store.Classes {
+	for class := range store.Priorities {
 		for range 3 * tuning.StateWrites {
-			r.State(store.Call{Op: store.OpMulti, Class: store.Class(class), Multi: wire.Transaction{Writes: []wire.Write{store.Remove("a")}}},
+			r.State(store.Call{Op: store.OpTransaction, Priority: store.Priority(class), Transaction: wire.Transaction{Writes: []wire.Write{store.Delete("a")}}},
 				func(time.Time, store.Result) { written++ })
 		}
 	}
 	read := false
-	r.State(store.Call{Op: store.OpChanges, Class: store.ClassUser, Under: "q/"}, func(_ time.Time, res store.Result) { read = res.OK() })
+	r.State(store.Call{Op: store.OpWatch, Priority: store.PriorityUser, Prefix: "q/"}, func(_ time.Time, res store.Result) { read = res.OK() })
 	for !read {
 		(<-r.events)(time.Now())
 	}
-	if written >= store.Classes*tuning.StateWrites {
+	if written >= store.Priorities*tuning.StateWrites {
 		t.Errorf("%d writes came first", written)
 	}
 }
@@ -161,7 +161,7 @@
 	held := &heldState{}
 	core := NewCore(cfg, Options{Blocks: 2}, held, rand.New(rand.NewPCG(1, 1)), func() time.Time { return now }, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	core.rentals.Tick(now)
-	held.then(now, store.Result{Status: 200, Sent: now, Revision: 5, Items: []wire.KeyValue{
+	held.then(now, store.Result{Status: 200, SentAt: now, Revision: 5, KeyValues: []wire.KeyValue{
 		{Key: "h/1/b1-2-1", Value: []byte(`{"Number":1,"Hosts":["i-1"]}`), Version: 4}}})
 	for _, c := range []struct {
 		name, host string
--- a/internal/node/simulation_checks_test.go
+++ b/internal/node/simulation_checks_test.go
@@ -126,7 +126,7 @@
 func (sim *simulation) requireActions() {
 	sim.t.Helper()
 	sim.t.Logf("carried out: %v, %d writes of the log", sim.actions.Effects, sim.actions.EntryWrites)
-	for _, d := range []duty.Duty{duty.Renting, duty.Returning} {
+	for _, d := range []duty.Operation{duty.Provision, duty.Deprovision} {
 		if sim.actions.Effects[d] == 0 {
 			sim.t.Errorf("nothing was carried out for %s: this tests nothing", d)
 		}
--- a/internal/node/simulation_env_test.go
+++ b/internal/node/simulation_env_test.go
@@ -54,8 +54,8 @@
 
 // checkEntitled checks that whatever changes a machine's tasks is done with the lease.
 func (e *simulatedEnv) checkEntitled(what string) {
-	if l := e.node.core.leader; !l.Entitled(e.node.sim.clk.Now()) {
-		e.node.sim.fail("%s: %s past its lease's end at %v", e.node.name, what, l.Deadline().Sub(standin.Epoch))
+	if l := e.node.core.leader; !l.LeaseValid(e.node.sim.clk.Now()) {
+		e.node.sim.fail("%s: %s past its lease's end at %v", e.node.name, what, l.LeaseDeadline().Sub(standin.Epoch))
 	}
 }
 
@@ -74,10 +74,10 @@
 			return
 		}
 		over = true
-		r.Sent = sent
+		r.SentAt = sent
 		e.node.whenRunning(func() { then(sim.clk.Now(), r) })
 	}
-	sim.clk.In(c.Limit(), func() { finish(store.Result{}) })
+	sim.clk.In(c.Timeout(), func() { finish(store.Result{}) })
 	arrive := func() { e.stateArrives(c, finish) }
 	if sim.rates.slowState > 0 {
 		sooner, lag := arrive, time.Duration(sim.rng.Int64N(int64(sim.rates.slowState)))
@@ -93,10 +93,10 @@
 	if !sim.startsOld || !e.node.upgraded {
 		return
 	}
-	limits := e.node.core.cfg.Facts.State.Stored()
-	for _, x := range c.Multi.Writes {
-		if len(x.Value) > int(limits.ValueKB*1024) || len(c.Multi.Writes) > limits.TxnOps {
-			sim.fail("%s writes %s with %d bytes, %d changes at once", e.node.name, x.Put, len(x.Value), len(c.Multi.Writes))
+	limits := e.node.core.cfg.Platform.State.StoredLimits()
+	for _, x := range c.Transaction.Writes {
+		if len(x.Value) > int(limits.ValueKB*1024) || len(c.Transaction.Writes) > limits.TxnOps {
+			sim.fail("%s writes %s with %d bytes, %d changes at once", e.node.name, x.Put, len(x.Value), len(c.Transaction.Writes))
 		}
 	}
 }
@@ -104,16 +104,16 @@
 // stateArrives executes a call that has reached the state service.
 func (e *simulatedEnv) stateArrives(c store.Call, finish func(store.Result)) {
 	sim, n := e.node.sim, e.node
-	if n.stateRefused && (c.Op != store.OpChanges || c.WaitMs == 0) {
+	if n.stateRefused && (c.Op != store.OpWatch || c.WatchWaitMs == 0) {
 		sim.clk.In(sim.lag(), func() { finish(store.Result{Status: 503}) })
 		return
 	}
-	if c.Op == store.OpChanges && n.silentWatches != "" && c.Under == n.silentWatches {
+	if c.Op == store.OpWatch && n.silentWatches != "" && c.Prefix == n.silentWatches {
 		return
 	}
 	sim.state.Call(c, func(r store.Result) {
 		// a refused node's watches wait as in an outage, those opened before too
-		if n.noState() || n.stateRefused && c.Op == store.OpChanges {
+		if n.noState() || n.stateRefused && c.Op == store.OpWatch {
 			return
 		}
 		lag := sim.lag()
@@ -133,7 +133,7 @@
 	sim, n := e.node.sim, e.node
 	roll := sim.rng.IntN(1000)
 	fault := sim.rng.Float64()
-	multi := c.Op == store.OpMulti && len(c.Multi.Writes) > 0
+	multi := c.Op == store.OpTransaction && len(c.Transaction.Writes) > 0
 	execute := func() { sim.state.Call(c, func(store.Result) {}) } // its answer is lost
 	upTo := func(most time.Duration) time.Duration { return time.Duration(sim.rng.Int64N(int64(most))) }
 	switch {
@@ -145,11 +145,11 @@
 		if sim.rng.IntN(2) == 0 {
 			n.heldCalls = append(n.heldCalls, arrive) // comes late, even from a process that has ended
 		}
-	case sim.chaos && roll < 4 && c.Op == store.OpMulti:
+	case sim.chaos && roll < 4 && c.Op == store.OpTransaction:
 		sim.clk.In(upTo(30*time.Second), arrive)
 	case sim.chaos && roll < 8:
 		sim.clk.In(sim.lag(), execute)
-	case sim.chaos && roll < 16 && c.Op == store.OpMulti: // carried out, and repeated late
+	case sim.chaos && roll < 16 && c.Op == store.OpTransaction: // carried out, and repeated late
 		sim.clk.In(sim.lag(), arrive)
 		sim.clk.In(upTo(30*time.Second), execute)
 	default:
@@ -303,9 +303,9 @@
 }
 
 // Pulse is part of Env.
-func (e *simulatedEnv) Pulse(member string, m *peerpb.PulseMessage, then func(now time.Time, r *peerpb.PulseMessage, err error)) {
+func (e *simulatedEnv) Pulse(member string, m *peerpb.PeerHeartbeat, then func(now time.Time, r *peerpb.PeerHeartbeat, err error)) {
 	e.node.sim.recordPeerCall(e.node.name, member, "pulse", m)
-	callPeer(e, member, func(o *simulatedNode) *peerpb.PulseMessage {
+	callPeer(e, member, func(o *simulatedNode) *peerpb.PeerHeartbeat {
 		answer := o.core.Pulse(e.node.sim.clk.Now(), m)
 		e.node.sim.recordPeerAnswer(o.name, "pulse", answer)
 		return answer
--- a/internal/node/simulation_test.go
+++ b/internal/node/simulation_test.go
@@ -87,10 +87,10 @@
 	sim.cloud = standin.NewCloud(clk, rng, machineTypes)
 	sim.cloud.Booted = sim.booted
 	sim.cloud.Ended = sim.ended
-	sim.cluster = standin.NewCluster(clk, rng, cfg.Facts, sim)
+	sim.cluster = standin.NewCluster(clk, rng, cfg.Platform, sim)
 	sim.cluster.CompletedHook = sim.completed
 	for i := range simulatedNodes {
-		zone := cfg.Facts.Zones[i%len(cfg.Facts.Zones)]
+		zone := cfg.Platform.Zones[i%len(cfg.Platform.Zones)]
 		sim.nodes = append(sim.nodes, &simulatedNode{sim: sim, name: fmt.Sprintf("node-%d", i), zone: zone})
 	}
 	for _, n := range sim.nodes {
@@ -206,7 +206,7 @@
 // holder is the node that holds the block and knows where all tasks are.
 func (sim *simulation) holder() *simulatedNode {
 	for _, n := range sim.nodes {
-		if t := n.core.tenures[0]; n.alive && t != nil && t.state == tenureOpen && n.core.leader.Entitled(sim.clk.Now()) {
+		if t := n.core.tenures[0]; n.alive && t != nil && t.state == tenureOpen && n.core.leader.LeaseValid(sim.clk.Now()) {
 			return n
 		}
 	}
@@ -247,14 +247,14 @@
 	generation := n.generation
 	cfg := *n.sim.cfg
 	cfg.Member = n.name
-	cfg.Known = nil
+	cfg.Peers = nil
 	for _, o := range n.sim.nodes {
 		if o != n {
-			cfg.Known = append(cfg.Known, config.Known{Member: o.name, Address: "127.0.0.1:1"})
+			cfg.Peers = append(cfg.Peers, config.Peer{Member: o.name, Address: "127.0.0.1:1"})
 		}
 	}
 	if n.sim.startsOld && !n.upgraded {
-		cfg.Facts.State.Next = nil // it knows nothing of limits to come, and fills its pages
+		cfg.Platform.State.Next = nil // it knows nothing of limits to come, and fills its pages
 	}
 	rng := rand.New(rand.NewPCG(n.sim.rng.Uint64(), 1))
 	n.core = NewCore(&cfg, n.options(), &simulatedEnv{node: n, generation: generation}, rng, n.sim.clk.Now, n.sim.logger(n.name))
@@ -273,7 +273,7 @@
 // options are what the node's process is started with.
 func (n *simulatedNode) options() Options {
 	o := Options{Blocks: n.sim.blocks}
-	o.Switches.Duties = n.sim.duties && (n.upgraded || !n.sim.startsOld)
+	o.Switches.IntentLog = n.sim.duties && (n.upgraded || !n.sim.startsOld)
 	return o
 }
 
--- a/internal/node/simulation_users_test.go
+++ b/internal/node/simulation_users_test.go
@@ -206,7 +206,7 @@
 		s.AnyType = false
 	case 3:
 		s.Tasks = 5000
-		if sim.cfg.Facts.Teams[0].GPUsMax == 0 {
+		if sim.cfg.Platform.Teams[0].GPUsMax == 0 {
 			s.Zone = "nowhere"
 		}
 	}
--- a/internal/node/steady_test.go
+++ b/internal/node/steady_test.go
@@ -12,7 +12,7 @@
 // leanSimulation is a deployment of the size of a lean one in simulated time, loaded and
 // steady.
 func leanSimulation(load standin.Load) *simulation {
-	cfg := &config.Config{Member: "x", Area: "a", Facts: load.Facts()}
+	cfg := &config.Config{Member: "x", Area: "a", Platform: load.Facts()}
 	sim := newSimulation(nil, 5, cfg, 1, []wire.MachineType{standin.LargeType()})
 	sim.state.Page, sim.state.Kept, sim.cloud.Page = 1000, 10000, 500
 	sim.cloud.Room[standin.RoomKey(standin.LargeType().Name, "a", false)] = load.Machines
--- a/internal/node/takeover_test.go
+++ b/internal/node/takeover_test.go
@@ -29,7 +29,7 @@
 	for range b.N {
 		machineTypes := []wire.MachineType{{Name: "g8", Vcpus: 64, Gpus: 8, MemGb: 384, FetchGbPerS: 1, Price: 5, SpotPrice: 2, BootTimeS: 50, Zones: []string{"a"}}}
 		cfg := facts([]string{"a"}, []config.Team{{Name: "red"}}, 4, 18)
-		cfg.Facts.State.ValueKB = 8
+		cfg.Platform.State.ValueKB = 8
 		sim := newSimulation(nil, 5, cfg, 1, machineTypes)
 		put := func(key string, value any) {
 			raw, _ := json.Marshal(value)
--- a/internal/node/tally.go
+++ b/internal/node/tally.go
@@ -39,8 +39,8 @@
 // newTallies makes an empty record; valueKB is the present limit for a value.
 func newTallies(pages *store.Pages, valueKB float64) *tallies {
 	t := &tallies{pages: pages, chunk: int(valueKB*1024) * tuning.TallyBits, entries: map[string]map[string][]byte{}}
-	t.part = partOf(pages.Size())
-	pages.Shrunk = t.refit
+	t.part = partOf(pages.MaxEntryBytes())
+	pages.OnLimitLowered = t.refit
 	return t
 }
 
@@ -105,7 +105,7 @@
 		j := job(id)
 		var bits []byte
 		if j == nil || !ok || json.Unmarshal(raw, &bits) != nil {
-			t.pages.Drop(key)
+			t.pages.Delete(key)
 			return
 		}
 		t.note(tallyKey{id, key, first}, bits)
@@ -128,7 +128,7 @@
 // refit puts entries that are larger than a page may be in smaller ones. The page's size
 // may have become smaller because the service refused one.
 func (t *tallies) refit() {
-	t.part = partOf(t.pages.Size())
+	t.part = partOf(t.pages.MaxEntryBytes())
 	var large []tallyKey
 	for job, entries := range t.entries {
 		for key, bits := range entries {
@@ -173,7 +173,7 @@
 	switch {
 	case !open:
 	case k.key != partKey(k.job, k.first):
-		t.pages.Drop(k.key)
+		t.pages.Delete(k.key)
 		delete(t.entries[k.job], k.key)
 	case len(bits) > step:
 		t.put(k, bits[:step], func(time.Time) {})
@@ -201,7 +201,7 @@
 // drop removes a job that is over.
 func (t *tallies) drop(id string) {
 	for key := range t.entries[id] {
-		t.pages.Drop(key)
+		t.pages.Delete(key)
 	}
 	delete(t.entries, id)
 }
--- a/internal/node/tally_test.go
+++ b/internal/node/tally_test.go
@@ -27,7 +27,7 @@
 }
 
 func (s *tallyStore) call(c store.Call, then func(time.Time, store.Result)) {
-	for _, w := range c.Multi.Writes {
+	for _, w := range c.Transaction.Writes {
 		if len(w.Value) > s.limit {
 			s.refused[w.Put+string(w.Value)]++
 			then(s.now, store.Result{Status: 400})
@@ -35,7 +35,7 @@
 		}
 	}
 	s.revision++
-	for _, w := range c.Multi.Writes {
+	for _, w := range c.Transaction.Writes {
 		delete(s.keys, w.Delete)
 		if w.Put != "" {
 			s.keys[w.Put] = wire.KeyValue{Key: w.Put, Value: w.Value, Version: s.revision}
@@ -72,8 +72,8 @@
 func tallyBoard(spec wire.JobSpec) (*placement.Board, *placement.Job) {
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
 	cfg := facts([]string{"a"}, nil, 1.5, 10)
-	reg := worker.NewRegistry(cfg.Facts.Workers, quiet)
-	board := placement.NewBoard(cfg.Facts, 1, quota.NewBook(nil, 0, 1), reg, nil, quiet, func(time.Time, *placement.Job) {})
+	reg := worker.NewRegistry(cfg.Platform.Workers, quiet)
+	board := placement.NewBoard(cfg.Platform, 1, quota.NewBook(nil, 0, 1), reg, nil, quiet, func(time.Time, *placement.Job) {})
 	return board, board.AddJob(time.Unix(0, 0), spec, time.Unix(0, 0), 1, true)
 }
 
@@ -98,7 +98,7 @@
 			s := &tallyStore{t: t, now: time.Unix(100, 0), limit: c.limit, keys: map[string]wire.KeyValue{}, refused: map[string]int{}}
 			newTenure := func() (*tallies, *placement.Board, *placement.Job) {
 				board, j := tallyBoard(spec)
-				pages := store.NewPages("t/0/", 2, time.Second, store.ClassTally, store.Is("c/b/0", 1), s.call,
+				pages := store.NewPages("t/0/", 2, time.Second, store.PriorityCompletion, store.VersionEquals("c/b/0", 1), s.call,
 					slog.New(slog.NewTextHandler(io.Discard, nil)), func(time.Time) { t.Error("lost") })
 				tl := newTallies(pages, 8)
 				tl.load(slices.Collect(maps.Values(s.keys)), board.Job)
--- a/internal/node/tenure.go
+++ b/internal/node/tenure.go
@@ -35,7 +35,7 @@
 
 // tenure is the time in which this process holds one block.
 type tenure struct {
-	leader.Tenure
+	leader.Term
 	c     *Core
 	inc   uint64
 	state tenureState
@@ -58,24 +58,24 @@
 	countDue  time.Time // when the counters of copies are logged
 }
 
-func newTenure(now time.Time, c *Core, l leader.Tenure, inc uint64) *tenure {
-	t := &tenure{Tenure: l, c: c, inc: inc, since: now, log: c.log.With("block", l.Block, "token", l.Token),
+func newTenure(now time.Time, c *Core, l leader.Term, inc uint64) *tenure {
+	t := &tenure{Term: l, c: c, inc: inc, since: now, log: c.log.With("block", l.Shard, "token", l.Token),
 		fencing:   fencing{due: map[string]time.Time{}, sessions: map[string]uint64{}},
 		cancelled: newCancellations(c.cfg)}
-	t.reg = worker.NewRegistry(c.cfg.Facts.Workers, t.log)
-	t.book = quota.NewBook(c.cfg.Facts.Teams, l.Block, c.blocks)
-	t.board = placement.NewBoard(c.cfg.Facts, l.Token, t.book, t.reg, c.rng, t.log,
+	t.reg = worker.NewRegistry(c.cfg.Platform.Workers, t.log)
+	t.book = quota.NewBook(c.cfg.Platform.Teams, l.Shard, c.blocks)
+	t.board = placement.NewBoard(c.cfg.Platform, l.Token, t.book, t.reg, c.rng, t.log,
 		func(now time.Time, j *placement.Job) { t.outcomes.taskCompleted(now, j) })
-	t.duties = duty.NewLog(duty.Options{Block: l.Block, Token: l.Token, Tenure: t.cond(), ValueKB: c.cfg.Facts.State.Stored().ValueKB,
-		Call: t.call, Wall: c.wall, Log: t.log, Lost: t.lost, Tracer: c.opt.Tracer})
-	t.clean = t.duties.CleanUp(t.call, fleet.Rentals(l.Block), fleet.UsedUnder(l.Block), begunUnder(l.Block), tallyUnder(l.Block))
-	t.fleet = fleet.New(now, fleet.Options{Block: l.Block, Token: l.Token, Tenure: t.cond(), Facts: c.cfg.Facts, Cloud: t.cloud, State: t.clean,
+	t.duties = duty.NewLog(duty.Options{Shard: l.Shard, Token: l.Token, TermCompare: t.cond(), ValueKB: c.cfg.Platform.State.StoredLimits().ValueKB,
+		StateCall: t.call, WallClock: c.wall, Log: t.log, OnTermLost: t.lost, Tracer: c.opt.Tracer})
+	t.clean = t.duties.GuardRemovals(t.call, fleet.Rentals(l.Shard), fleet.UsedUnder(l.Shard), begunUnder(l.Shard), tallyUnder(l.Shard))
+	t.fleet = fleet.New(now, fleet.Options{Block: l.Shard, Token: l.Token, Tenure: t.cond(), Facts: c.cfg.Platform, Cloud: t.cloud, State: t.clean,
 		Log: t.log, Machines: t.reg, Board: t.board, Duties: t.duties, Lost: t.lost, Gone: t.board.Forget,
-		Foreign: func(host string, there time.Time) bool { return c.foreign(l.Block, host, there) }})
-	t.outcomes = newOutcomes(t, newTallies(t.pages(tallyUnder(l.Block), tuning.TallyEvery, store.ClassTally), c.cfg.Facts.State.ValueKB))
-	t.begun = t.pages(begunUnder(l.Block), tuning.BegunEvery, store.ClassTenure)
+		Foreign: func(host string, there time.Time) bool { return c.foreign(l.Shard, host, there) }})
+	t.outcomes = newOutcomes(t, newTallies(t.pages(tallyUnder(l.Shard), tuning.TallyEvery, store.PriorityCompletion), c.cfg.Platform.State.ValueKB))
+	t.begun = t.pages(begunUnder(l.Shard), tuning.BegunEvery, store.PriorityTerm)
 	t.board.Begin = t.markBegun
-	t.log.Info("tenure begins", "ended", l.Ended)
+	t.log.Info("tenure begins", "ended", l.PredecessorEnded)
 	for name, f := range c.machineTypes {
 		t.fleet.MachineType(f, c.machineTypeRaw[name])
 	}
@@ -85,8 +85,8 @@
 }
 
 // pages makes pages under a prefix that only this tenure may write.
-func (t *tenure) pages(under string, every time.Duration, class store.Class) *store.Pages {
-	valueKB := t.c.cfg.Facts.State.Stored().ValueKB
+func (t *tenure) pages(under string, every time.Duration, class store.Priority) *store.Pages {
+	valueKB := t.c.cfg.Platform.State.StoredLimits().ValueKB
 	return store.NewPages(under, valueKB, every, class, t.cond(), t.clean, t.log, t.lost)
 }
 
@@ -101,7 +101,7 @@
 }
 
 // cond is the condition of every write: the block's record is as this tenure began.
-func (t *tenure) cond() wire.Compare { return store.Is(leader.BlockKey(t.Block), t.Version) }
+func (t *tenure) cond() wire.Compare { return store.VersionEquals(leader.ShardKey(t.Shard), t.Version) }
 
 // call passes a call on and drops its answer once the tenure is over.
 func (t *tenure) call(c store.Call, then func(time.Time, store.Result)) {
@@ -115,7 +115,7 @@
 
 // cloud passes a call on, to be made only while this process surely holds the block.
 func (t *tenure) cloud(c fleet.Call, then func(now time.Time, r fleet.Result)) {
-	c.By = t.c.leader.Deadline()
+	c.By = t.c.leader.LeaseDeadline()
 	t.c.env.Cloud(c, then)
 }
 
@@ -137,15 +137,15 @@
 func (t *tenure) configure() {
 	s := t.c.settings
 	t.board.Set = placement.Settings{DropThreshold: s.DropThreshold}
-	t.fleet.Set = fleet.Settings{MaxMachines: s.MaxMachines, Paused: s.RentalPaused, IdleReturn: s.IdleReturn}
+	t.fleet.Set = fleet.Settings{MaxMachines: s.MaxMachines, Paused: s.ScaleOutPaused, IdleReturn: s.IdleTimeout}
 }
 
 // switchOn has the log of duties kept from now on if that is switched on here and in
 // force. It goes on to the tenure's end, as it does no harm beside members that keep none.
 func (t *tenure) switchOn() {
-	if t.c.opt.Switches.Duties && t.c.leader.InForce(switches.Duties) && !t.duties.Durable() {
+	if t.c.opt.Switches.IntentLog && t.c.leader.FeatureInForce(switches.IntentLogFeature) && !t.duties.Durable() {
 		t.log.Info("duties are entered in the log from now on")
-		t.duties.SwitchOn()
+		t.duties.EnableDurability()
 	}
 }
 
@@ -161,7 +161,7 @@
 	for _, m := range t.reg.Quiet(now, t.unheardUntil()) {
 		t.board.Lost(now, m, "lease surely over")
 	}
-	if t.state == tenureLoading || !t.c.leader.Entitled(now) {
+	if t.state == tenureLoading || !t.c.leader.LeaseValid(now) {
 		return
 	}
 	t.switchOn()
--- a/internal/node/tenure_reports.go
+++ b/internal/node/tenure_reports.go
@@ -37,7 +37,7 @@
 		if m := t.reg.Get(rep.Host); m != nil && m.Used {
 			t.end(now, "a report shows a higher token")
 		}
-		t.c.redirect(t.Block, reply)
+		t.c.redirect(t.Shard, reply)
 		return
 	}
 	commands, err := t.answerReport(now, rep)
@@ -46,7 +46,7 @@
 		return
 	}
 	reply(http.StatusOK, wire.HeartbeatResponse{Token: t.Token, Commands: commands})
-	if rep.Token == t.Token && t.c.leader.Entitled(now) {
+	if rep.Token == t.Token && t.c.leader.LeaseValid(now) {
 		t.sendUrgent(now)
 	}
 }
@@ -93,7 +93,7 @@
 	commands := []wire.Command{}
 	switch {
 	case t.state == tenureLoading:
-	case t.c.leader.Entitled(now):
+	case t.c.leader.LeaseValid(now):
 		t.board.Draw(now)
 		commands = append(commands, t.board.Commands(now, m, placement.InAnswer)...)
 	default:
--- a/internal/node/unreadable_test.go
+++ b/internal/node/unreadable_test.go
@@ -145,7 +145,7 @@
 		sim.state.Limits.ValueBytes = bytes
 		refused := map[string]int{}
 		sim.state.OnCall = func(c store.Call, status int) {
-			for _, w := range c.Multi.Writes {
+			for _, w := range c.Transaction.Writes {
 				if status == 400 && w.Lease == 0 {
 					refused[w.Put+string(w.Value)]++
 				}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -24,7 +24,7 @@
 }
 
 // NewClients prepares the connections.
-func NewClients(known []config.Known) *Clients {
+func NewClients(known []config.Peer) *Clients {
 	c := &Clients{conns: map[string]*grpc.ClientConn{}}
 	for _, k := range known {
 		// addresses are IP numbers, checked by config, so this cannot fail
@@ -57,20 +57,20 @@
 	}
 }
 
-var errUnknown = errors.New("unknown member")
+var errUnknownMember = errors.New("unknown member")
 
-type unknown struct{}
+type unknownPeer struct{}
 
-func (unknown) Pulse(context.Context, *peerpb.PulseMessage, ...grpc.CallOption) (*peerpb.PulseMessage, error) {
-	return nil, errUnknown
+func (unknownPeer) Pulse(context.Context, *peerpb.PeerHeartbeat, ...grpc.CallOption) (*peerpb.PeerHeartbeat, error) {
+	return nil, errUnknownMember
 }
 
-func (unknown) Progress(context.Context, *peerpb.ProgressRequest, ...grpc.CallOption) (*peerpb.ProgressReply, error) {
-	return nil, errUnknown
+func (unknownPeer) Progress(context.Context, *peerpb.ProgressRequest, ...grpc.CallOption) (*peerpb.ProgressReply, error) {
+	return nil, errUnknownMember
 }
 
-func (unknown) Probe(context.Context, *peerpb.ProbeRequest, ...grpc.CallOption) (*peerpb.ProbeReply, error) {
-	return nil, errUnknown
+func (unknownPeer) Probe(context.Context, *peerpb.ProbeRequest, ...grpc.CallOption) (*peerpb.ProbeReply, error) {
+	return nil, errUnknownMember
 }
 
 // Peer is the client of one member.
@@ -78,25 +78,25 @@
 	if conn := c.conns[member]; conn != nil {
 		return peerpb.NewPeerClient(conn)
 	}
-	return unknown{}
+	return unknownPeer{}
 }
 
 // Handler answers what peers and operators ask. Its methods are called on
 // goroutines of the server's.
 type Handler interface {
-	HandlePulse(ctx context.Context, m *peerpb.PulseMessage) (*peerpb.PulseMessage, error)
+	HandleHeartbeat(ctx context.Context, m *peerpb.PeerHeartbeat) (*peerpb.PeerHeartbeat, error)
 	HandleProgress(ctx context.Context, m *peerpb.ProgressRequest) (*peerpb.ProgressReply, error)
 	HandleProbe(ctx context.Context, m *peerpb.ProbeRequest) (*peerpb.ProbeReply, error)
 	HandleStatus(ctx context.Context) (*peerpb.StatusReply, error)
 	HandleSettings(ctx context.Context) (*peerpb.Settings, error)
-	HandleDuties(ctx context.Context) (*peerpb.DutiesReply, error)
-	HandleSet(ctx context.Context, name, value string) (*peerpb.Settings, error)
+	HandleIntents(ctx context.Context) (*peerpb.IntentsReply, error)
+	HandleSetSetting(ctx context.Context, name, value string) (*peerpb.Settings, error)
 }
 
 type service struct {
 	peerpb.UnimplementedPeerServer
 	peerpb.UnimplementedAdminServer
-	h Handler
+	handler Handler
 }
 
 // NewServer makes the gRPC server of a controller.
@@ -106,43 +106,43 @@
 		grpc.MaxRecvMsgSize(tuning.BodyBytes), grpc.MaxConcurrentStreams(tuning.PeerCalls),
 		grpc.ConnectionTimeout(5*time.Second),
 	)
-	svc := &service{h: h}
+	svc := &service{handler: h}
 	peerpb.RegisterPeerServer(s, svc)
 	peerpb.RegisterAdminServer(s, svc)
 	return s
 }
 
-func wrap[T any](v T, err error) (T, error) {
+func withStatus[T any](v T, err error) (T, error) {
 	if err != nil && status.Code(err) == codes.Unknown {
 		err = status.Error(codes.Unavailable, err.Error())
 	}
 	return v, err
 }
 
-func (s *service) Pulse(ctx context.Context, m *peerpb.PulseMessage) (*peerpb.PulseMessage, error) {
-	return wrap(s.h.HandlePulse(ctx, m))
+func (s *service) Pulse(ctx context.Context, m *peerpb.PeerHeartbeat) (*peerpb.PeerHeartbeat, error) {
+	return withStatus(s.handler.HandleHeartbeat(ctx, m))
 }
 
 func (s *service) Progress(ctx context.Context, m *peerpb.ProgressRequest) (*peerpb.ProgressReply, error) {
-	return wrap(s.h.HandleProgress(ctx, m))
+	return withStatus(s.handler.HandleProgress(ctx, m))
 }
 
 func (s *service) Probe(ctx context.Context, m *peerpb.ProbeRequest) (*peerpb.ProbeReply, error) {
-	return wrap(s.h.HandleProbe(ctx, m))
+	return withStatus(s.handler.HandleProbe(ctx, m))
 }
 
 func (s *service) Status(ctx context.Context, _ *peerpb.StatusRequest) (*peerpb.StatusReply, error) {
-	return wrap(s.h.HandleStatus(ctx))
+	return withStatus(s.handler.HandleStatus(ctx))
 }
 
-func (s *service) Duties(ctx context.Context, _ *peerpb.DutiesRequest) (*peerpb.DutiesReply, error) {
-	return wrap(s.h.HandleDuties(ctx))
+func (s *service) Duties(ctx context.Context, _ *peerpb.IntentsRequest) (*peerpb.IntentsReply, error) {
+	return withStatus(s.handler.HandleIntents(ctx))
 }
 
 func (s *service) GetSettings(ctx context.Context, _ *peerpb.GetSettingsRequest) (*peerpb.Settings, error) {
-	return wrap(s.h.HandleSettings(ctx))
+	return withStatus(s.handler.HandleSettings(ctx))
 }
 
 func (s *service) SetSetting(ctx context.Context, m *peerpb.SetSettingRequest) (*peerpb.Settings, error) {
-	return wrap(s.h.HandleSet(ctx, m.Name, m.Value))
+	return withStatus(s.handler.HandleSetSetting(ctx, m.Name, m.Value))
 }
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -26,7 +26,7 @@
 }
 
 func newBench(t *testing.T, machines int) *bench {
-	f := config.Facts{Zones: []string{"a"}, Workers: config.Workers{ReportS: 1.5, LeaseS: 10},
+	f := config.Platform{Zones: []string{"a"}, Workers: config.Workers{HeartbeatS: 1.5, LeaseS: 10},
 		Teams: []config.Team{{Name: "red", GPUs: 2, GPUsMax: 4}, {Name: "blue", GPUs: 2, GPUsMax: 8}}}
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
 	x := &bench{t: t, now: time.Unix(1000, 0)}
--- a/internal/placement/board.go
+++ b/internal/placement/board.go
@@ -57,7 +57,7 @@
 	AttemptsUsedUp bool
 	asked          int // marks on their way
 	Count          Counters
-	facts          config.Facts
+	facts          config.Platform
 	token          uint64
 	book           *quota.Book
 	reg            *worker.Registry
@@ -87,7 +87,7 @@
 }
 
 // NewBoard makes an empty board; finished is told of each task's completion.
-func NewBoard(facts config.Facts, token uint64, book *quota.Book, reg *worker.Registry, rng *rand.Rand,
+func NewBoard(facts config.Platform, token uint64, book *quota.Book, reg *worker.Registry, rng *rand.Rand,
 	log *slog.Logger, finished func(now time.Time, j *Job)) *Board {
 	return &Board{
 		Set: Settings{DropThreshold: tuning.DropThreshold}, facts: facts, token: token, book: book, reg: reg, rng: rng, log: log,
--- a/internal/placement/commands.go
+++ b/internal/placement/commands.go
@@ -69,7 +69,7 @@
 	if len(q.high) > 0 {
 		return
 	}
-	stuck := config.Seconds(b.facts.Workers.ReportS * tuning.SpareReports)
+	stuck := config.Seconds(b.facts.Workers.HeartbeatS * tuning.SpareReports)
 	for _, t := range slices.Clone(q.low) {
 		j := t.Job
 		if t.low != m || t.phase != Idle || t.main == nil || now.Sub(t.mainSince) < stuck || !room.Fits(j.need) ||
--- a/internal/placement/draw.go
+++ b/internal/placement/draw.go
@@ -156,7 +156,7 @@
 		if m.Recall.IsZero() {
 			continue
 		}
-		margin := config.Seconds(b.facts.Workers.ReportS*tuning.RecallReports) + tuning.SaveGrace
+		margin := config.Seconds(b.facts.Workers.HeartbeatS*tuning.RecallReports) + tuning.SaveGrace
 		for _, t := range slices.Clone(h.on) {
 			if t.phase == Live && t.Job.Service() {
 				b.moveReplica(now, t, now.Add(margin).After(m.Recall))
@@ -173,7 +173,7 @@
 // redraw moves mains that have been stuck past a report round while another
 // machine would take them now.
 func (b *Board) redraw(now time.Time) {
-	round := config.Seconds(b.facts.Workers.ReportS * tuning.RedrawReports)
+	round := config.Seconds(b.facts.Workers.HeartbeatS * tuning.RedrawReports)
 	for _, m := range b.reg.All() {
 		h := b.host(m)
 		if len(h.high) == 0 {
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -236,7 +236,7 @@
 func (b *Board) fetchScore(j *Job, m *worker.Machine) float64 {
 	for _, o := range b.facts.Objectives {
 		if o.Kind == "wait" && o.Class == j.Spec.Class && m.Fetch > 0 &&
-			j.fetchTime(m)*tuning.FetchSlack+b.facts.Workers.ReportS < o.WithinS {
+			j.fetchTime(m)*tuning.FetchSlack+b.facts.Workers.HeartbeatS < o.WithinS {
 			return tuning.ScoreQuickImage
 		}
 	}
--- a/internal/standin/actions.go
+++ b/internal/standin/actions.go
@@ -28,7 +28,7 @@
 // service stores it. It knows what no controller does: what was carried out late.
 type ActionCheck struct {
 	// Effects counts the actions that were carried out, by duty.
-	Effects map[duty.Duty]int
+	Effects map[duty.Operation]int
 	// EntryWrites counts the successful writes of pages of the log.
 	EntryWrites int
 	// Grace is how long after the log came in force calls that were made before may be
@@ -46,7 +46,7 @@
 
 // NewActionCheck makes a checker and has it watch the stand-ins.
 func NewActionCheck(cluster *Cluster, state *StateService, cloud *Cloud) *ActionCheck {
-	c := &ActionCheck{Effects: map[duty.Duty]int{}, cluster: cluster, state: state, entered: map[string]duty.Entry{}, pages: map[string]map[string]bool{}}
+	c := &ActionCheck{Effects: map[duty.Operation]int{}, cluster: cluster, state: state, entered: map[string]duty.Entry{}, pages: map[string]map[string]bool{}}
 	before := state.OnCall
 	state.OnCall = func(call store.Call, status int) {
 		if before != nil {
@@ -63,20 +63,20 @@
 	if status != 200 {
 		return
 	}
-	for _, w := range call.Multi.Writes {
+	for _, w := range call.Transaction.Writes {
 		switch {
 		case w.Put == inForceKey:
 			if c.inForce.IsZero() && strings.Contains(string(w.Value), `"duties"`) {
 				c.inForce = c.cluster.Clock.Now()
 			}
-		case strings.HasPrefix(w.Put, duty.Under):
+		case strings.HasPrefix(w.Put, duty.Prefix):
 			c.EntryWrites++
 			c.storedPage(w.Put, w.Value)
-		case strings.HasPrefix(w.Delete, duty.Under):
+		case strings.HasPrefix(w.Delete, duty.Prefix):
 			delete(c.pages, w.Delete)
 		case strings.HasPrefix(w.Put, fleet.UnderRentals):
 			name := w.Put[strings.LastIndex(w.Put, "/")+1:]
-			c.entered[name] = duty.Entry{Duty: duty.Renting, Target: name}
+			c.entered[name] = duty.Entry{Operation: duty.Provision, Target: name}
 		}
 	}
 }
@@ -133,7 +133,7 @@
 	if !c.active() {
 		return
 	}
-	c.Effects[duty.Renting]++
+	c.Effects[duty.Provision]++
 	if _, ok := c.entered[name]; !ok {
 		c.cluster.Break(NotEntered, "rental %s", name)
 	} else if !c.recorded(name) {
@@ -151,7 +151,7 @@
 		c.cluster.Break(NotEntered, "deletion of %s", host)
 		return
 	}
-	c.Effects[e.Duty]++
+	c.Effects[e.Operation]++
 	if !c.open(host) {
 		c.cluster.Break(StaleAction, "%s is deleted after its entry was settled", host)
 	}
@@ -160,8 +160,8 @@
 		return // it is still booting
 	}
 	for _, t := range w.Tasks {
-		if t.OnMachine() && (e.Duty == duty.Returning || tokenOf(t) > e.Token) {
-			c.cluster.Break(WorkReturned, "%s is deleted with attempt %d of %s on it, entered for %s under token %d", host, t.Attempt, t.Job.Spec.ID, e.Duty, e.Token)
+		if t.OnMachine() && (e.Operation == duty.Deprovision || tokenOf(t) > e.Token) {
+			c.cluster.Break(WorkReturned, "%s is deleted with attempt %d of %s on it, entered for %s under token %d", host, t.Attempt, t.Job.Spec.ID, e.Operation, e.Token)
 		}
 	}
 }
@@ -170,7 +170,7 @@
 func (c *ActionCheck) started(w *Worker, t *Task) {
 	e, ok := c.entered[w.Host.ID]
 	if ok && c.active() && tokenOf(t) > e.Token {
-		c.cluster.Break(WorkGiven, "%s gets attempt %d, entered for %s under token %d", w.Host.ID, t.Attempt, e.Duty, e.Token)
+		c.cluster.Break(WorkGiven, "%s gets attempt %d, entered for %s under token %d", w.Host.ID, t.Attempt, e.Operation, e.Token)
 	}
 }
 
--- a/internal/standin/actions_test.go
+++ b/internal/standin/actions_test.go
@@ -38,9 +38,9 @@
 	t.Helper()
 	w := wire.Write{Put: key, Value: json.RawMessage(value)}
 	if value == "" {
-		w = store.Remove(key)
+		w = store.Delete(key)
 	}
-	x.state.Call(store.Call{Op: store.OpMulti, Multi: wire.Transaction{Writes: []wire.Write{w}}}, func(r store.Result) {
+	x.state.Call(store.Call{Op: store.OpTransaction, Transaction: wire.Transaction{Writes: []wire.Write{w}}}, func(r store.Result) {
 		if !r.OK() {
 			t.Fatalf("write of %s: %d", key, r.Status)
 		}
--- a/internal/standin/cluster.go
+++ b/internal/standin/cluster.go
@@ -71,7 +71,7 @@
 // Cluster is the workers and the jobs, and the record of the rules broken by them.
 type Cluster struct {
 	Clock   *Clock
-	Facts   config.Facts
+	Facts   config.Platform
 	Workers map[string]*Worker // by machine name
 	Jobs    map[string]*Job
 	Order   []*Job // in the order of their submission
@@ -88,7 +88,7 @@
 }
 
 // NewCluster makes a cluster without machines.
-func NewCluster(clk *Clock, rng *rand.Rand, facts config.Facts, network Network) *Cluster {
+func NewCluster(clk *Clock, rng *rand.Rand, facts config.Platform, network Network) *Cluster {
 	return &Cluster{Clock: clk, Facts: facts, Workers: map[string]*Worker{}, Jobs: map[string]*Job{}, rng: rng, network: network, began: clk.Now()}
 }
 
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -10,14 +10,14 @@
 
 // Facts are the settings of a small deployment with the given zones, teams and times of
 // its workers.
-func Facts(zones []string, teams []config.Team, reportS, leaseS float64) config.Facts {
-	return config.Facts{
+func Facts(zones []string, teams []config.Team, reportS, leaseS float64) config.Platform {
+	return config.Platform{
 		Nodes: 3, Zones: zones, TimeBoundMS: 100, Teams: teams,
-		Objectives: []config.Objective{{Kind: "finished", Class: "sweep", WithinS: 60, Share: 0.8}},
-		Workers:    config.Workers{ReportS: reportS, LeaseS: leaseS, GangWaitS: 20, GangPeerS: 4, CancelS: 35},
-		State:      config.State{RPS: 200, WriteRPS: 20, ValueKB: 4, TxnOps: 8},
-		Cloud:      config.Cloud{RPS: 8, ListLagS: 3},
-		Limits:     config.Limits{CPU: 0.1, MemoryMB: 98, Sockets: 900},
+		Objectives:    []config.Objective{{Kind: "finished", Class: "sweep", WithinS: 60, Share: 0.8}},
+		Workers:       config.Workers{HeartbeatS: reportS, LeaseS: leaseS, GangWaitS: 20, GangPeerS: 4, CancelS: 35},
+		State:         config.StateLimits{RPS: 200, WriteRPS: 20, ValueKB: 4, TxnOps: 8},
+		Cloud:         config.CloudLimits{RPS: 8, ListLagS: 3},
+		MachineLimits: config.MachineLimits{CPU: 0.1, MemoryMB: 98, Sockets: 900},
 	}
 }
 
@@ -25,7 +25,7 @@
 type Load struct {
 	Name            string
 	Nodes, Machines int
-	Limits          config.Limits
+	Limits          config.MachineLimits
 	ReportS, LeaseS float64
 	ArraysPerS      float64
 	GangsPerS       float64
@@ -38,16 +38,16 @@
 // LeanLoads are the sizes of the lean deployments.
 func LeanLoads() []Load {
 	return []Load{
-		{Name: "exams", Nodes: 3, Machines: 180, Limits: config.Limits{CPU: 0.036, MemoryMB: 65, Sockets: 900}, ReportS: 1.5, LeaseS: 10,
+		{Name: "exams", Nodes: 3, Machines: 180, Limits: config.MachineLimits{CPU: 0.036, MemoryMB: 65, Sockets: 900}, ReportS: 1.5, LeaseS: 10,
 			ArraysPerS: 0.4, GangsPerS: 0.4, Tasks: 20, Run: 70 * time.Second, RequestsPerS: 200, WritesPerS: 20},
-		{Name: "dispatch", Nodes: 7, Machines: 600, Limits: config.Limits{CPU: 0.09, MemoryMB: 114, Sockets: 1500}, ReportS: 4, LeaseS: 18,
+		{Name: "dispatch", Nodes: 7, Machines: 600, Limits: config.MachineLimits{CPU: 0.09, MemoryMB: 114, Sockets: 1500}, ReportS: 4, LeaseS: 18,
 			ArraysPerS: 1, GangsPerS: 0.9, Tasks: 75, Run: 40 * time.Second, RequestsPerS: 250, WritesPerS: 25},
 	}
 }
 
 // LargestLoad is one of 4,000 machines, the most that one holder was measured with.
 func LargestLoad() Load {
-	return Load{Name: "4,000 machines", Nodes: 3, Machines: 4000, Limits: config.Limits{CPU: 0.432, MemoryMB: 271, Sockets: 2179}, ReportS: 5, LeaseS: 26.5,
+	return Load{Name: "4,000 machines", Nodes: 3, Machines: 4000, Limits: config.MachineLimits{CPU: 0.432, MemoryMB: 271, Sockets: 2179}, ReportS: 5, LeaseS: 26.5,
 		ArraysPerS: 2.4, GangsPerS: 3.5, Tasks: 150, Run: 60 * time.Second, RequestsPerS: 400, WritesPerS: 40}
 }
 
@@ -57,10 +57,10 @@
 }
 
 // Facts are the settings of the load's deployment.
-func (l Load) Facts() config.Facts {
+func (l Load) Facts() config.Platform {
 	f := Facts([]string{"a"}, []config.Team{{Name: "red"}}, l.ReportS, l.LeaseS)
-	f.Nodes, f.Limits = l.Nodes, l.Limits
-	f.State = config.State{RPS: l.RequestsPerS, WriteRPS: l.WritesPerS, ValueKB: 8, TxnOps: 16}
+	f.Nodes, f.MachineLimits = l.Nodes, l.Limits
+	f.State = config.StateLimits{RPS: l.RequestsPerS, WriteRPS: l.WritesPerS, ValueKB: 8, TxnOps: 16}
 	f.Objectives = []config.Objective{{Kind: "finished", Class: "sweep", WithinS: 250}, {Kind: "finished", Class: "model", WithinS: 350}}
 	return f
 }
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -188,7 +188,7 @@
 			then(r)
 		}
 	}
-	if s.down && (c.Op != store.OpChanges || c.WaitMs == 0) {
+	if s.down && (c.Op != store.OpWatch || c.WatchWaitMs == 0) {
 		reply(store.Result{Status: 503})
 		return
 	}
@@ -199,17 +199,17 @@
 	switch c.Op {
 	case store.OpGet:
 		if it, ok := s.Keys[c.Key]; ok {
-			reply(store.Result{Status: 200, Item: it})
+			reply(store.Result{Status: 200, KeyValue: it})
 		} else {
 			reply(store.Result{Status: 404, Revision: s.Revision})
 		}
 	case store.OpList:
 		reply(s.list(c))
-	case store.OpGrant:
+	case store.OpGrantLease:
 		s.nextLease++
-		s.leases[s.nextLease] = &lease{c.Life, s.clk.Now().Add(c.Life)}
+		s.leases[s.nextLease] = &lease{c.LeaseTTL, s.clk.Now().Add(c.LeaseTTL)}
 		reply(store.Result{Status: 200, Lease: s.nextLease})
-	case store.OpTouch:
+	case store.OpRenewLease:
 		h := s.leases[c.Lease]
 		if h == nil {
 			reply(store.Result{Status: 404})
@@ -217,9 +217,9 @@
 		}
 		h.ends = s.clk.Now().Add(h.life)
 		reply(store.Result{Status: 200, Lease: c.Lease})
-	case store.OpMulti:
-		reply(s.multi(c.Multi))
-	case store.OpChanges:
+	case store.OpTransaction:
+		reply(s.multi(c.Transaction))
+	case store.OpWatch:
 		s.watch(c, reply)
 	}
 }
@@ -228,31 +228,31 @@
 func (s *StateService) list(c store.Call) store.Result {
 	var keys []string
 	for k := range s.Keys {
-		if strings.HasPrefix(k, c.Under) && k > c.After {
+		if strings.HasPrefix(k, c.Prefix) && k > c.After {
 			keys = append(keys, k)
 		}
 	}
 	sort.Strings(keys)
 	r := store.Result{Status: 200, Revision: s.Revision}
 	for _, k := range keys {
-		if len(r.Items) == s.Page {
+		if len(r.KeyValues) == s.Page {
 			r.More = true
 			break
 		}
-		r.Items = append(r.Items, s.Keys[k])
+		r.KeyValues = append(r.KeyValues, s.Keys[k])
 	}
 	return r
 }
 
 // watch answers once a key with the prefix has changed, or when the time has run out.
 func (s *StateService) watch(c store.Call, reply func(store.Result)) {
-	if r, ok := s.changes(c.Under, c.Since); (ok || c.WaitMs == 0) && !s.down {
+	if r, ok := s.changes(c.Prefix, c.SinceRevision); (ok || c.WatchWaitMs == 0) && !s.down {
 		reply(r)
 		return
 	}
-	w := &watch{c.Under, c.Since, reply}
+	w := &watch{c.Prefix, c.SinceRevision, reply}
 	s.watches = append(s.watches, w)
-	s.clk.In(time.Duration(c.WaitMs)*time.Millisecond, func() {
+	s.clk.In(time.Duration(c.WatchWaitMs)*time.Millisecond, func() {
 		i := slices.Index(s.watches, w)
 		if i < 0 {
 			return
@@ -279,7 +279,7 @@
 		}
 	}
 	if len(failed) > 0 {
-		return store.Result{Status: 409, Failed: failed, Revision: s.Revision}
+		return store.Result{Status: 409, FailedKeys: failed, Revision: s.Revision}
 	}
 	if len(m.Writes) > 0 {
 		s.Revision++
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -127,7 +127,7 @@
 		w.advance(t)
 	}
 	gap := now.Sub(w.lastSent)
-	due := gap > config.Seconds(w.cluster.Facts.Workers.ReportS) || w.changed && gap > leastReportGap
+	due := gap > config.Seconds(w.cluster.Facts.Workers.HeartbeatS) || w.changed && gap > leastReportGap
 	if w.inFlight == noReport && due {
 		w.send()
 	}
--- a/internal/store/budget_test.go
+++ b/internal/store/budget_test.go
@@ -13,11 +13,11 @@
 
 func TestBudgetOrder(t *testing.T) {
 	now := time.Unix(100, 0)
-	write := func(c Class) Call {
-		return Call{Op: OpMulti, Class: c, Multi: wire.Transaction{Writes: []wire.Write{Remove("a")}}}
+	write := func(c Priority) Call {
+		return Call{Op: OpTransaction, Priority: c, Transaction: wire.Transaction{Writes: []wire.Write{Delete("a")}}}
 	}
-	b := NewBudget(config.State{RPS: 200, WriteRPS: 20}, 1)
-	spend := func(c Class) (n int) {
+	b := NewRateLimiter(config.StateLimits{RPS: 200, WriteRPS: 20}, 1)
+	spend := func(c Priority) (n int) {
 		for {
 			if _, ok := b.Take(now, write(c)); !ok {
 				return n
@@ -26,7 +26,7 @@
 		}
 	}
 	// each class leaves something for the ones before it
-	tallies, finals, users, leases := spend(ClassTally), spend(ClassFinal), spend(ClassUser), spend(ClassLease)
+	tallies, finals, users, leases := spend(PriorityCompletion), spend(PriorityJobEnd), spend(PriorityUser), spend(PriorityLease)
 	if tallies != 12 || finals != 4 || users != 2 || leases != 2 {
 		t.Errorf("tallies %d, finals %d, users %d, leases %d of a bucket of 20", tallies, finals, users, leases)
 	}
@@ -34,7 +34,7 @@
 		t.Error("a read was held back by writes")
 	}
 	now = now.Add(time.Second)
-	if _, ok := b.Take(now, write(ClassTally)); !ok {
+	if _, ok := b.Take(now, write(PriorityCompletion)); !ok {
 		t.Error("the bucket did not fill again")
 	}
 }
@@ -42,8 +42,8 @@
 // Nobody tells when the limits fall: refusals beyond what uneven shares explain do, or
 // one for a size. Until then the present rate is used.
 func TestBudgetLowers(t *testing.T) {
-	write := Call{Op: OpMulti, Class: ClassUser, Multi: wire.Transaction{Writes: []wire.Write{Remove("a")}}}
-	leased := Call{Op: OpMulti, Multi: wire.Transaction{Writes: []wire.Write{{Put: "c/leader", Lease: 7}}}}
+	write := Call{Op: OpTransaction, Priority: PriorityUser, Transaction: wire.Transaction{Writes: []wire.Write{Delete("a")}}}
+	leased := Call{Op: OpTransaction, Transaction: wire.Transaction{Writes: []wire.Write{{Put: "c/leader", Lease: 7}}}}
 	for _, c := range []struct {
 		name   string
 		call   Call
@@ -64,11 +64,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Unix(100, 0)
-			b := NewBudget(config.State{RPS: 100, WriteRPS: 20, Next: config.NextState{"write_rps": 10.0}}, 1)
+			b := NewRateLimiter(config.StateLimits{RPS: 100, WriteRPS: 20, Next: config.UpcomingLimits{"write_rps": 10.0}}, 1)
 			lowered := false
 			for range c.n {
 				now = now.Add(c.every)
-				lowered = b.Note(now, c.call, c.status) || lowered
+				lowered = b.Observe(now, c.call, c.status) || lowered
 			}
 			now = now.Add(time.Minute)
 			n := 0
@@ -88,7 +88,7 @@
 // change of the limits; where the limits have fallen, a trial costs few refusals and the
 // next one comes later.
 func TestBudgetTriesAgain(t *testing.T) {
-	write := Call{Op: OpMulti, Class: ClassUser, Multi: wire.Transaction{Writes: []wire.Write{Remove("a")}}}
+	write := Call{Op: OpTransaction, Priority: PriorityUser, Transaction: wire.Transaction{Writes: []wire.Write{Delete("a")}}}
 	const hours = 2
 	for _, c := range []struct {
 		name        string
@@ -100,14 +100,14 @@
 		{"the limits have fallen", true, [2]int{1, 60}, [2]int{8, 11}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := NewBudget(config.State{RPS: 100, WriteRPS: 20, Next: config.NextState{"write_rps": 10.0}}, 1)
+			b := NewRateLimiter(config.StateLimits{RPS: 100, WriteRPS: 20, Next: config.UpcomingLimits{"write_rps": 10.0}}, 1)
 			start := time.Unix(100, 0)
 			now := start
 			for range tuning.LowerAfter {
 				now = now.Add(100 * time.Millisecond)
-				b.Note(now, write, http.StatusTooManyRequests)
+				b.Observe(now, write, http.StatusTooManyRequests)
 			}
-			if b.level != rateLowered {
+			if b.level != limitsLowered {
 				t.Fatalf("level %v", b.level)
 			}
 			service, refused, last := 10.0, 0, 0
@@ -118,7 +118,7 @@
 				}
 				if c.fallen && service < 1 {
 					refused++
-					b.Note(now, write, http.StatusTooManyRequests)
+					b.Observe(now, write, http.StatusTooManyRequests)
 					continue
 				}
 				service--
@@ -147,19 +147,19 @@
 		{"nobody has noticed", 3, 0}, {"one has noticed", 3, 1}, {"all but one have noticed", 3, 2}, {"seven nodes, half of them", 7, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			limits := config.State{RPS: 1000, WriteRPS: 20, Next: config.NextState{"write_rps": 10.0}}
+			limits := config.StateLimits{RPS: 1000, WriteRPS: 20, Next: config.UpcomingLimits{"write_rps": 10.0}}
 			now := time.Unix(100, 0)
 			start := now
-			var budgets []*Budget
+			var budgets []*RateLimiter
 			for i := range c.nodes {
-				b := NewBudget(limits, c.nodes)
+				b := NewRateLimiter(limits, c.nodes)
 				if i < c.noticed {
-					b.set(now, rateLowered)
+					b.setLevel(now, limitsLowered)
 				}
 				budgets = append(budgets, b)
 			}
-			write := func(class Class) Call {
-				return Call{Op: OpMulti, Class: class, Multi: wire.Transaction{Writes: []wire.Write{Remove("a")}}}
+			write := func(class Priority) Call {
+				return Call{Op: OpTransaction, Priority: class, Transaction: wire.Transaction{Writes: []wire.Write{Delete("a")}}}
 			}
 			rng := rand.New(rand.NewPCG(1, 1))
 			service := 10.0
@@ -174,17 +174,17 @@
 				for _, i := range rng.Perm(c.nodes) {
 					b := budgets[i]
 					// all have more of each class than may be written
-					for _, class := range []Class{ClassUser, ClassTally} {
+					for _, class := range []Priority{PriorityUser, PriorityCompletion} {
 						if _, ok := b.Take(now, write(class)); !ok {
 							continue
 						}
 						if service < 1 {
-							b.Note(now, write(class), http.StatusTooManyRequests)
+							b.Observe(now, write(class), http.StatusTooManyRequests)
 							continue
 						}
 						service--
-						b.Note(now, write(class), http.StatusOK)
-						if class == ClassUser {
+						b.Observe(now, write(class), http.StatusOK)
+						if class == PriorityUser {
 							longest[i] = max(longest[i], now.Sub(lastUser[i]))
 							lastUser[i] = now
 						}
@@ -192,7 +192,7 @@
 				}
 			}
 			for i, b := range budgets {
-				if b.level != rateLowered {
+				if b.level != limitsLowered {
 					t.Errorf("node %d has not noticed: %v", i, b.level)
 				}
 				// all nodes ask for several times the rate all the time
@@ -207,7 +207,7 @@
 // A node whose writes wait while the others leave theirs uses more than its part, and no
 // more than that once the service refuses something.
 func TestBudgetGrows(t *testing.T) {
-	write := Call{Op: OpMulti, Class: ClassFinal, Multi: wire.Transaction{Writes: []wire.Write{Remove("a")}}}
+	write := Call{Op: OpTransaction, Priority: PriorityJobEnd, Transaction: wire.Transaction{Writes: []wire.Write{Delete("a")}}}
 	for _, c := range []struct {
 		name       string
 		wanted     int // writes a second
@@ -221,7 +221,7 @@
 		{"the others use theirs: refusals", 30, true, 0, 125, tuning.StateShare},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := NewBudget(config.State{RPS: 1000, WriteRPS: 20}, 3)
+			b := NewRateLimiter(config.StateLimits{RPS: 1000, WriteRPS: 20}, 3)
 			now := time.Unix(100, 0)
 			written, owed := 0, 0.0
 			const seconds = 60
@@ -233,14 +233,14 @@
 					}
 					owed--
 					if c.refused && now.Nanosecond() == 0 {
-						b.Note(now, write, http.StatusTooManyRequests)
+						b.Observe(now, write, http.StatusTooManyRequests)
 					}
 					if end.Sub(now) <= 10*time.Second {
 						written++
 					}
 				}
 				if c.refused && now.Nanosecond() < 1e7 {
-					b.Note(now, write, http.StatusTooManyRequests)
+					b.Observe(now, write, http.StatusTooManyRequests)
 				}
 			}
 			if written < c.least || written > c.most || b.share != c.finalShare {
