--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -16,30 +16,30 @@
 
 // Client speaks to the state service over HTTP.
 type Client struct {
-	base  string
-	http  *http.Client
-	clock func() time.Time
+	baseURL string
+	http    *http.Client
+	now     func() time.Time
 }
 
 // NewClient makes a client of the service at addr.
-func NewClient(addr string, rt http.RoundTripper, clock func() time.Time) *Client {
-	return &Client{base: "http://" + addr, http: &http.Client{Transport: rt}, clock: clock}
+func NewClient(address string, transport http.RoundTripper, now func() time.Time) *Client {
+	return &Client{baseURL: "http://" + address, http: &http.Client{Transport: transport}, now: now}
 }
 
-// Do carries out a call. It blocks until the answer or the call's time limit.
-func (c *Client) Do(ctx context.Context, call Call) Result {
-	limit := call.Limit()
+// Execute carries out a call. It blocks until the answer or the call's time limit.
+func (c *Client) Execute(ctx context.Context, call Call) Result {
+	limit := call.Timeout()
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	method, path, body := call.request()
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, bytes.NewReader(body))
 	if err != nil {
-		return Result{Sent: c.clock()}
+		return Result{SentAt: c.now()}
 	}
 	if body != nil {
 		req.Header.Set("Content-Type", "application/json")
 	}
-	res := Result{Sent: c.clock()}
+	res := Result{SentAt: c.now()}
 	resp, err := c.http.Do(req)
 	if err != nil {
 		return res
@@ -49,7 +49,7 @@
 	if err != nil {
 		return res
 	}
-	if len(raw) > tuning.StateAnswerBytes && call.Op == OpChanges {
+	if len(raw) > tuning.StateAnswerBytes && call.Op == OpWatch {
 		// Asked again the same changes would come, and more: the keys have to be read
 		// anew, a page at a time.
 		res.Status = http.StatusGone
@@ -68,8 +68,8 @@
 		return res
 	}
 	res.Status = resp.StatusCode
-	res.Item, res.Items, res.More = out.KeyValue, out.Items, out.More
-	res.Revision, res.Failed, res.Lease, res.Events = out.Revision, out.Failed, out.Lease, out.Events
+	res.KeyValue, res.KeyValues, res.More = out.KeyValue, out.Items, out.More
+	res.Revision, res.FailedKeys, res.Lease, res.Events = out.Revision, out.Failed, out.Lease, out.Events
 	return res
 }
 
@@ -78,20 +78,20 @@
 	case OpGet:
 		return http.MethodGet, "/kv/" + (&url.URL{Path: c.Key}).EscapedPath(), nil
 	case OpList:
-		q := "/kv?Under=" + url.QueryEscape(c.Under)
+		q := "/kv?Under=" + url.QueryEscape(c.Prefix)
 		if c.After != "" {
 			q += "&After=" + url.QueryEscape(c.After)
 		}
-		return http.MethodGet, q + "&Page=" + strconv.Itoa(c.Page), nil
-	case OpChanges:
-		return http.MethodGet, "/changes?Under=" + url.QueryEscape(c.Under) +
-			"&After=" + strconv.FormatUint(c.Since, 10) + "&WaitMs=" + strconv.Itoa(c.WaitMs), nil
-	case OpGrant:
-		b, _ := json.Marshal(struct{ LifeMs int64 }{c.Life.Milliseconds()})
+		return http.MethodGet, q + "&Page=" + strconv.Itoa(c.PageSize), nil
+	case OpWatch:
+		return http.MethodGet, "/changes?Under=" + url.QueryEscape(c.Prefix) +
+			"&After=" + strconv.FormatUint(c.SinceRevision, 10) + "&WaitMs=" + strconv.Itoa(c.WatchWaitMs), nil
+	case OpGrantLease:
+		b, _ := json.Marshal(struct{ LifeMs int64 }{c.LeaseTTL.Milliseconds()})
 		return http.MethodPost, "/grants", b
-	case OpTouch:
+	case OpRenewLease:
 		return http.MethodPost, "/grants/" + strconv.FormatUint(c.Lease, 10) + "/touch", []byte("{}")
 	}
-	b, _ := json.Marshal(c.Multi)
+	b, _ := json.Marshal(c.Transaction)
 	return http.MethodPost, "/multi", b
 }
--- a/internal/store/pages_test.go
+++ b/internal/store/pages_test.go
@@ -20,14 +20,14 @@
 	kv := map[string]wire.KeyValue{}
 	revision, writes := uint64(10), 0
 	call := func(c Call, then func(time.Time, Result)) {
-		for _, cond := range c.Multi.Compares {
+		for _, cond := range c.Transaction.Compares {
 			if cond.Key != "c/b/0" && kv[cond.Key].Version != cond.Version {
-				then(now, Result{Status: 409, Failed: []string{cond.Key}})
+				then(now, Result{Status: 409, FailedKeys: []string{cond.Key}})
 				return
 			}
 		}
 		revision++
-		for _, w := range c.Multi.Writes {
+		for _, w := range c.Transaction.Writes {
 			if writes++; len(w.Value) > 1024 {
 				t.Errorf("%s has %d bytes", w.Put, len(w.Value))
 			}
@@ -40,7 +40,7 @@
 	}
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
 	open := func() *Pages {
-		return NewPages("t/0/", 1, time.Second, ClassTally, Is("c/b/0", 2), call, quiet, func(time.Time) { t.Error("lost") })
+		return NewPages("t/0/", 1, time.Second, PriorityCompletion, VersionEquals("c/b/0", 2), call, quiet, func(time.Time) { t.Error("lost") })
 	}
 	p := open()
 	durable := 0
@@ -56,7 +56,7 @@
 	}
 	before := writes
 	p.Put("job-0/0", strings.Repeat("y", 20), func(time.Time) { durable++ })
-	p.Drop("job-1/0")
+	p.Delete("job-1/0")
 	for range 10 {
 		p.Tick(now) // not yet
 	}
@@ -77,7 +77,7 @@
 	}
 	before = writes
 	for k := range found {
-		p.Drop(k)
+		p.Delete(k)
 	}
 	for range 5 { // nothing waits for this: not each removal is a write
 		now = now.Add(time.Second)
@@ -122,7 +122,7 @@
 	var calls []pending
 	now, revision := time.Unix(0, 0), uint64(10)
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
-	p := NewPages("u/0/", 1, time.Second, ClassTenure, Is("c/b/0", 2), func(c Call, then func(time.Time, Result)) { calls = append(calls, pending{c, then}) }, quiet,
+	p := NewPages("u/0/", 1, time.Second, PriorityTerm, VersionEquals("c/b/0", 2), func(c Call, then func(time.Time, Result)) { calls = append(calls, pending{c, then}) }, quiet,
 		func(time.Time) { t.Error("lost") })
 	p.Load([]wire.KeyValue{kv["u/0/0"]}, func(string, json.RawMessage) {})
 	p.Tick(now)
@@ -131,14 +131,14 @@
 	}
 	p.Put("i-000060", "10.0.0.60:9000", func(time.Time) {})
 	want["i-000060"] = true
-	p.Drop("i-000003")
+	p.Delete("i-000003")
 	for range 12 {
 		now = now.Add(2 * time.Second)
 		p.Tick(now)
 		// the newest first: whatever the order in which they are carried out
 		for i := len(calls) - 1; i >= 0; i-- {
 			revision++
-			for _, w := range calls[i].c.Multi.Writes {
+			for _, w := range calls[i].c.Transaction.Writes {
 				if len(w.Value) > limit {
 					t.Fatalf("%s is written with %d bytes", w.Put, len(w.Value))
 				}
@@ -195,7 +195,7 @@
 }
 
 func (s *pageStore) pages(kb float64) *Pages {
-	return NewPages("u/0/", kb, time.Second, ClassTenure, Is("c/b/0", 2), s.call, slog.New(slog.NewTextHandler(io.Discard, nil)),
+	return NewPages("u/0/", kb, time.Second, PriorityTerm, VersionEquals("c/b/0", 2), s.call, slog.New(slog.NewTextHandler(io.Discard, nil)),
 		func(time.Time) { s.t.Error("lost") })
 }
 
@@ -256,21 +256,21 @@
 		for i := range 20 {
 			p.Tick(time.Unix(int64(i)*2, 0))
 		}
-		if got := string(s.keys["u/0/0"].Value); got != value || p.Unread() != 1 || found != 1 || durable != 80 {
-			t.Errorf("%s became %s; %d unread, %d found, %d durable", value, got, p.Unread(), found, durable)
+		if got := string(s.keys["u/0/0"].Value); got != value || p.Unreadable() != 1 || found != 1 || durable != 80 {
+			t.Errorf("%s became %s; %d unread, %d found, %d durable", value, got, p.Unreadable(), found, durable)
 		}
 	}
 }
 
 func (s *pageStore) call(c Call, then func(time.Time, Result)) {
 	now := s.now
-	for _, cond := range c.Multi.Compares {
+	for _, cond := range c.Transaction.Compares {
 		if cond.Key != "c/b/0" && s.keys[cond.Key].Version != cond.Version {
-			then(now, Result{Status: 409, Failed: []string{cond.Key}})
+			then(now, Result{Status: 409, FailedKeys: []string{cond.Key}})
 			return
 		}
 	}
-	for _, w := range c.Multi.Writes {
+	for _, w := range c.Transaction.Writes {
 		if len(w.Value) > s.limit {
 			s.refused = append(s.refused, w.Put+string(w.Value))
 			then(now, Result{Status: 400})
@@ -278,7 +278,7 @@
 		}
 	}
 	s.revision++
-	for _, w := range c.Multi.Writes {
+	for _, w := range c.Transaction.Writes {
 		delete(s.keys, w.Delete)
 		if w.Put != "" {
 			s.keys[w.Put] = wire.KeyValue{Key: w.Put, Value: w.Value, Version: s.revision}
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -9,88 +9,88 @@
 	"juniperchute/internal/wire"
 )
 
-type recordState int
+type desiredValueState int
 
 const (
-	recordClean   recordState = iota // the service has what is wanted
-	recordDirty                      // something newer is wanted
-	recordWriting                    // a write is under way
-	recordReading                    // the key's version is being read again
-	recordRefused                    // the wanted value was refused for its size; a smaller one is awaited
+	valueClean          desiredValueState = iota // the service has what is wanted
+	valueDirty                                   // something newer is wanted
+	valueWriting                                 // a write is under way
+	valueReadingVersion                          // the key's version is being read again
+	valueTooLarge                                // the wanted value was refused for its size; a smaller one is awaited
 )
 
-func (s recordState) String() string {
+func (s desiredValueState) String() string {
 	return [...]string{"clean", "dirty", "writing", "reading", "refused"}[s]
 }
 
-// Record keeps one key at a wanted value, through refusals, lost answers and
+// DesiredValue keeps one key at a wanted value, through refusals, lost answers and
 // late transactions: each write is conditioned on the version before it and on
 // the tenure, so that a late one fails.
-type Record struct {
+type DesiredValue struct {
 	Key string
-	// TooLarge is told when the service has refused the wanted value for its size and
+	// OnTooLarge is told when the service has refused the wanted value for its size and
 	// tells whether its owner will set a smaller one. Without it the value is written
 	// again after growing pauses.
-	TooLarge func(now time.Time) bool
-
-	class   Class
-	tenure  wire.Compare
-	call    Caller
-	version uint64
-	state   recordState
-	want    json.RawMessage // nil: no key
-	ver     int             // of what is wanted
-	kept    int             // newest version that is durable
-	retry   time.Time
-	pause   time.Duration // after a refusal for the size
-	done    func(now time.Time, ver int)
-	lost    func(now time.Time)
+	OnTooLarge func(now time.Time) bool
+
+	priority       Priority
+	termCompare    wire.Compare
+	stateCall      Caller
+	version        uint64
+	state          desiredValueState
+	wanted         json.RawMessage // nil: no key
+	wantedVersion  int             // of what is wanted
+	durableVersion int             // newest version that is durable
+	retryAt        time.Time
+	sizeRetryPause time.Duration // after a refusal for the size
+	onDurable      func(now time.Time, ver int)
+	onTermLost     func(now time.Time)
 }
 
-// NewRecord makes the record of a key that now has the given version. done is
+// NewDesiredValue makes the record of a key that now has the given version. done is
 // told of each version that has become durable, lost when the tenure is over.
-func NewRecord(key string, version uint64, class Class, tenure wire.Compare, call Caller,
-	done func(now time.Time, ver int), lost func(now time.Time)) *Record {
-	return &Record{Key: key, version: version, class: class, tenure: tenure, call: call, done: done, lost: lost}
+func NewDesiredValue(key string, version uint64, priority Priority, termCompare wire.Compare, stateCall Caller,
+	onDurable func(now time.Time, ver int), onTermLost func(now time.Time)) *DesiredValue {
+	return &DesiredValue{Key: key, version: version, priority: priority, termCompare: termCompare, stateCall: stateCall, onDurable: onDurable, onTermLost: onTermLost}
 }
 
 // Set wants a new value, nil for no key, and returns its version.
-func (r *Record) Set(value any) int {
-	r.want = nil
+func (r *DesiredValue) Set(value any) int {
+	r.wanted = nil
 	if value != nil {
-		r.want = Put(r.Key, value, 0).Value
+		r.wanted = Put(r.Key, value, 0).Value
 	}
-	r.ver++
-	if r.state == recordClean || r.state == recordRefused {
-		r.set(recordDirty)
+	r.wantedVersion++
+	if r.state == valueClean || r.state == valueTooLarge {
+		r.setState(valueDirty)
 	}
-	return r.ver
+	return r.wantedVersion
 }
 
-// Newest is the version of the newest wanted value.
-func (r *Record) Newest() int { return r.ver }
+// WantedVersion is the version of the newest wanted value.
+func (r *DesiredValue) WantedVersion() int { return r.wantedVersion }
 
-// Settled tells whether the newest wanted value is durable.
-func (r *Record) Settled() bool { return r.kept == r.ver }
+// Durable tells whether the newest wanted value is durable.
+func (r *DesiredValue) Durable() bool { return r.durableVersion == r.wantedVersion }
 
-func (r *Record) set(s recordState) { r.state = s }
+func (r *DesiredValue) setState(s desiredValueState) { r.state = s }
 
 // Tick starts what is due.
-func (r *Record) Tick(now time.Time) {
-	if r.state != recordDirty || now.Before(r.retry) {
+func (r *DesiredValue) Tick(now time.Time) {
+	if r.state != valueDirty || now.Before(r.retryAt) {
 		return
 	}
-	ver, want := r.ver, r.want
-	w := Remove(r.Key)
+	ver, want := r.wantedVersion, r.wanted
+	w := Delete(r.Key)
 	if want != nil {
 		w = wire.Write{Put: r.Key, Value: want}
 	} else if r.version == 0 {
-		r.settle(now, ver)
+		r.markDurable(now, ver)
 		return
 	}
-	r.set(recordWriting)
-	r.call(Call{Op: OpMulti, Class: r.class, Multi: wire.Transaction{
-		Compares: []wire.Compare{r.tenure, Is(r.Key, r.version)}, Writes: []wire.Write{w},
+	r.setState(valueWriting)
+	r.stateCall(Call{Op: OpTransaction, Priority: r.priority, Transaction: wire.Transaction{
+		Compares: []wire.Compare{r.termCompare, VersionEquals(r.Key, r.version)}, Writes: []wire.Write{w},
 	}}, func(now time.Time, res Result) {
 		switch {
 		case res.OK():
@@ -98,62 +98,62 @@
 			if want == nil {
 				r.version = 0
 			}
-			r.settle(now, ver)
-		case res.Status == 409 && slices.Contains(res.Failed, r.tenure.Key):
-			r.set(recordDirty)
-			r.retry = now.Add(tuning.RecordRetry)
-			r.lost(now)
+			r.markDurable(now, ver)
+		case res.Status == 409 && slices.Contains(res.FailedKeys, r.termCompare.Key):
+			r.setState(valueDirty)
+			r.retryAt = now.Add(tuning.RecordRetry)
+			r.onTermLost(now)
 		case res.Status == 409:
-			r.read(now)
+			r.readVersion(now)
 		case res.Status == 400:
-			r.refused(now, ver)
+			r.handleTooLarge(now, ver)
 		default:
-			r.set(recordDirty)
-			r.retry = now.Add(tuning.RecordRetry)
+			r.setState(valueDirty)
+			r.retryAt = now.Add(tuning.RecordRetry)
 		}
 	})
 }
 
-// refused handles a refusal for the size, by a limit that nobody announced: the same
+// handleTooLarge handles a refusal for the size, by a limit that nobody announced: the same
 // value is not written again and again.
-func (r *Record) refused(now time.Time, ver int) {
-	r.set(recordDirty)
-	if r.ver != ver {
+func (r *DesiredValue) handleTooLarge(now time.Time, ver int) {
+	r.setState(valueDirty)
+	if r.wantedVersion != ver {
 		return // another value is wanted by now
 	}
-	if r.TooLarge != nil {
-		r.set(recordRefused)
-		if r.TooLarge(now) {
+	if r.OnTooLarge != nil {
+		r.setState(valueTooLarge)
+		if r.OnTooLarge(now) {
 			return
 		}
-		r.set(recordDirty)
+		r.setState(valueDirty)
 	}
-	r.pause = min(max(2*r.pause, tuning.RecordRetry), tuning.RecordRetryMost)
-	r.retry = now.Add(r.pause)
+	r.sizeRetryPause = min(max(2*r.sizeRetryPause, tuning.RecordRetry), tuning.RecordRetryMost)
+	r.retryAt = now.Add(r.sizeRetryPause)
 }
 
-func (r *Record) settle(now time.Time, ver int) {
-	r.kept, r.pause = ver, 0
-	r.set(recordClean)
-	if r.ver != ver {
-		r.set(recordDirty)
+func (r *DesiredValue) markDurable(now time.Time, ver int) {
+	r.durableVersion, r.sizeRetryPause = ver, 0
+	r.setState(valueClean)
+	if r.wantedVersion != ver {
+		r.setState(valueDirty)
 	}
-	r.done(now, ver)
+	r.onDurable(now, ver)
 }
 
-// read learns the key's version after a conflict: an earlier write of ours,
+// readVersion learns the key's version after a conflict: an earlier write of ours,
 // thought lost, was applied.
-func (r *Record) read(now time.Time) {
-	r.set(recordReading)
-	r.call(Call{Op: OpGet, Class: r.class, Key: r.Key}, func(now time.Time, res Result) {
-		r.set(recordDirty)
+func (r *DesiredValue) readVersion(now time.Time) {
+	r.setState(valueReadingVersion)
+	r.stateCall(Call{Op: OpGet, Priority: r.priority, Key: r.Key}, func(now time.Time, res Result) {
+		r.setState(valueDirty)
 		switch res.Status {
 		case 200:
-			r.version = res.Item.Version
+			r.version = res.KeyValue.Version
 		case 404:
 			r.version = 0
 		default:
-			r.retry = now.Add(tuning.RecordRetry)
+			r.retryAt = now.Add(tuning.RecordRetry)
 		}
 	})
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -17,49 +17,49 @@
 const (
 	OpGet Op = iota
 	OpList
-	OpMulti
-	OpGrant
-	OpTouch
-	OpChanges
+	OpTransaction
+	OpGrantLease
+	OpRenewLease
+	OpWatch
 )
 
-// Class orders calls when the rate is short: a lower one goes first.
-type Class int
+// Priority orders calls when the rate is short: a lower one goes first.
+type Priority int
 
-// Classes of calls, in the order in which they may spend the rate.
+// Priorities of calls, in the order in which they may spend the rate.
 const (
-	ClassLease Class = iota
-	// ClassTenure: what a holder has to write down before it can go on: rentals,
+	PriorityLease Priority = iota
+	// PriorityTerm: what a holder has to write down before it can go on: rentals,
 	// used machines, begun jobs.
-	ClassTenure
-	ClassUser
-	ClassFinal
-	ClassTally
+	PriorityTerm
+	PriorityUser
+	PriorityJobEnd
+	PriorityCompletion
 
-	Classes = int(ClassTally) + 1
+	Priorities = int(PriorityCompletion) + 1
 )
 
 // Call is one request to the state service.
 type Call struct {
-	Op     Op
-	Class  Class
-	Key    string // OpGet
-	Under  string // OpList, OpChanges
-	After  string // OpList
-	Since  uint64 // OpChanges
-	Page   int    // OpList
-	Multi  wire.Transaction
-	Lease  uint64        // OpTouch
-	Life   time.Duration // OpGrant
-	WaitMs int           // OpChanges
+	Op            Op
+	Priority      Priority
+	Key           string // OpGet
+	Prefix        string // OpList, OpChanges
+	After         string // OpList
+	SinceRevision uint64 // OpChanges
+	PageSize      int    // OpList
+	Transaction   wire.Transaction
+	Lease         uint64        // OpTouch
+	LeaseTTL      time.Duration // OpGrant
+	WatchWaitMs   int           // OpChanges
 }
 
-// Limit is how long a call may take.
-func (c Call) Limit() time.Duration {
+// Timeout is how long a call may take.
+func (c Call) Timeout() time.Duration {
 	switch c.Op {
-	case OpChanges:
-		return time.Duration(c.WaitMs)*time.Millisecond + tuning.StateTimeout
-	case OpTouch:
+	case OpWatch:
+		return time.Duration(c.WatchWaitMs)*time.Millisecond + tuning.StateTimeout
+	case OpRenewLease:
 		return tuning.TouchTimeout
 	}
 	return tuning.StateTimeout
@@ -67,15 +67,15 @@
 
 // Result is what came of a call.
 type Result struct {
-	Status   int // the HTTP status; 0 when no response came
-	Sent     time.Time
-	Item     wire.KeyValue
-	Items    []wire.KeyValue
-	More     bool
-	Revision uint64
-	Failed   []string
-	Lease    uint64
-	Events   []wire.Event
+	Status     int // the HTTP status; 0 when no response came
+	SentAt     time.Time
+	KeyValue   wire.KeyValue
+	KeyValues  []wire.KeyValue
+	More       bool
+	Revision   uint64
+	FailedKeys []string
+	Lease      uint64
+	Events     []wire.Event
 }
 
 // OK tells whether the call was executed as asked.
@@ -93,8 +93,10 @@
 	return wire.Write{Put: key, Value: raw, Lease: lease}
 }
 
-// Remove is the removal of a key.
-func Remove(key string) wire.Write { return wire.Write{Delete: key} }
+// Delete is the removal of a key.
+func Delete(key string) wire.Write { return wire.Write{Delete: key} }
 
-// Is is the condition that a key has a version; 0: that it does not exist.
-func Is(key string, version uint64) wire.Compare { return wire.Compare{Key: key, Version: version} }
+// VersionEquals is the condition that a key has a version; 0: that it does not exist.
+func VersionEquals(key string, version uint64) wire.Compare {
+	return wire.Compare{Key: key, Version: version}
+}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -35,23 +35,25 @@
 		check  func(r Result) bool
 	}{
 		{"get", Call{Op: OpGet, Key: "j/job-1"}, 200, `{"Path":"j/job-1","Value":{"x":1},"Stamp":412,"Hold":7}`, "GET /kv/j/job-1 ",
-			func(r Result) bool { return r.OK() && r.Item.Version == 412 && string(r.Item.Value) == `{"x":1}` }},
+			func(r Result) bool {
+				return r.OK() && r.KeyValue.Version == 412 && string(r.KeyValue.Value) == `{"x":1}`
+			}},
 		{"get nothing", Call{Op: OpGet, Key: "a"}, 404, `{"Epoch":431}`, "GET /kv/a ", func(r Result) bool { return r.Status == 404 }},
-		{"list", Call{Op: OpList, Under: "q/0/", After: "q/0/x", Page: 10}, 200, `{"Items":[{"Path":"q/0/y","Value":1,"Stamp":2}],"More":true,"Epoch":9}`,
-			"GET /kv?Under=q%2F0%2F&After=q%2F0%2Fx&Page=10 ", func(r Result) bool { return len(r.Items) == 1 && r.More && r.Revision == 9 }},
-		{"transaction", Call{Op: OpMulti, Multi: wire.Transaction{Compares: []wire.Compare{Is("a", 0)}, Writes: []wire.Write{Put("a", 1, 7), Remove("b")}}}, 409,
+		{"list", Call{Op: OpList, Prefix: "q/0/", After: "q/0/x", PageSize: 10}, 200, `{"Items":[{"Path":"q/0/y","Value":1,"Stamp":2}],"More":true,"Epoch":9}`,
+			"GET /kv?Under=q%2F0%2F&After=q%2F0%2Fx&Page=10 ", func(r Result) bool { return len(r.KeyValues) == 1 && r.More && r.Revision == 9 }},
+		{"transaction", Call{Op: OpTransaction, Transaction: wire.Transaction{Compares: []wire.Compare{VersionEquals("a", 0)}, Writes: []wire.Write{Put("a", 1, 7), Delete("b")}}}, 409,
 			`{"failed":["a"],"Epoch":4}`, `POST /multi {"When":[{"Path":"a","Stamp":0}],"Writes":[{"Write":"a","Value":1,"Hold":7},{"Remove":"b"}]}`,
-			func(r Result) bool { return r.Status == 409 && r.Failed[0] == "a" }},
-		{"grant", Call{Op: OpGrant, Life: 3500 * time.Millisecond}, 200, `{"Hold":7}`, `POST /grants {"LifeMs":3500}`, func(r Result) bool { return r.Lease == 7 }},
-		{"touch", Call{Op: OpTouch, Lease: 7}, 404, ``, `POST /grants/7/touch {}`, func(r Result) bool { return r.Status == 404 }},
-		{"watch", Call{Op: OpChanges, Under: "c/", Since: 5, WaitMs: 10}, 200, `{"Epoch":6,"Events":[{"Remove":"c/d","Stamp":6}]}`,
+			func(r Result) bool { return r.Status == 409 && r.FailedKeys[0] == "a" }},
+		{"grant", Call{Op: OpGrantLease, LeaseTTL: 3500 * time.Millisecond}, 200, `{"Hold":7}`, `POST /grants {"LifeMs":3500}`, func(r Result) bool { return r.Lease == 7 }},
+		{"touch", Call{Op: OpRenewLease, Lease: 7}, 404, ``, `POST /grants/7/touch {}`, func(r Result) bool { return r.Status == 404 }},
+		{"watch", Call{Op: OpWatch, Prefix: "c/", SinceRevision: 5, WatchWaitMs: 10}, 200, `{"Epoch":6,"Events":[{"Remove":"c/d","Stamp":6}]}`,
 			"GET /changes?Under=c%2F&After=5&WaitMs=10 ", func(r Result) bool { return r.Events[0].Delete == "c/d" }},
 		{"an answer that cannot be read is none", Call{Op: OpGet, Key: "a"}, 200, `{"Path"`, "GET /kv/a ", func(r Result) bool { return r.Status == 0 }},
 		{"a refusal that cannot be read is one", Call{Op: OpGet, Key: "a"}, 503, `oops`, "GET /kv/a ", func(r Result) bool { return r.Refused() }},
 	} {
 		t.Run(k.name, func(t *testing.T) {
 			status, answer = k.status, k.answer
-			r := c.Do(context.Background(), k.call)
+			r := c.Execute(context.Background(), k.call)
 			if s := got.Method + " " + got.URL.RequestURI() + " " + body; s != k.sent {
 				t.Errorf("sent %q, want %q", s, k.sent)
 			}
@@ -86,7 +88,7 @@
 func TestMirror(t *testing.T) {
 	f := &fake{}
 	seen := ""
-	m := NewMirror("q/", f.call, func(_ time.Time, key string, it wire.KeyValue, gone bool) {
+	m := NewWatchCache("q/", f.call, func(_ time.Time, key string, it wire.KeyValue, gone bool) {
 		if gone {
 			seen += "-"
 		}
@@ -97,17 +99,17 @@
 	}
 	now := time.Unix(0, 0)
 	m.Tick(now)
-	f.answer(t, Result{Status: 200, Revision: 10, More: true, Items: []wire.KeyValue{item("q/a", "1", 3)}})
-	f.answer(t, Result{Status: 200, Revision: 12, Items: []wire.KeyValue{item("q/b", "2", 12)}})
-	if c := f.calls[0]; c.Op != OpChanges || c.Since != 10 {
-		t.Fatalf("follows from %d, want the first page's revision", c.Since)
+	f.answer(t, Result{Status: 200, Revision: 10, More: true, KeyValues: []wire.KeyValue{item("q/a", "1", 3)}})
+	f.answer(t, Result{Status: 200, Revision: 12, KeyValues: []wire.KeyValue{item("q/b", "2", 12)}})
+	if c := f.calls[0]; c.Op != OpWatch || c.SinceRevision != 10 {
+		t.Fatalf("follows from %d, want the first page's revision", c.SinceRevision)
 	}
 	// what the list already showed, and what is older than it, comes again
 	f.answer(t, Result{Status: 200, Revision: 13, Events: []wire.Event{
 		{Delete: "q/b", Version: 11}, {Put: "q/b", Value: json.RawMessage("2"), Version: 12}, {Delete: "q/a", Version: 13}}})
 	// fallen too far behind: everything is read again
 	f.answer(t, Result{Status: 410})
-	f.answer(t, Result{Status: 200, Revision: 900, Items: []wire.KeyValue{item("q/c", "3", 700)}})
+	f.answer(t, Result{Status: 200, Revision: 900, KeyValues: []wire.KeyValue{item("q/c", "3", 700)}})
 	if want := "q/a1 q/b2 -q/a1 q/c3 -q/b2 "; seen != want {
 		t.Errorf("told of %q, want %q", seen, want)
 	}
@@ -124,27 +126,27 @@
 	}{
 		{"written", []Result{{Status: 200, Revision: 5}}, true, false, 3},
 		{"refused, then written", []Result{{Status: 503}, {Status: 200, Revision: 5}}, true, false, 3},
-		{"no answer, and it had been written", []Result{{}, {Status: 409, Failed: []string{"k"}}, {Status: 200, Item: wire.KeyValue{Version: 4}}, {Status: 200, Revision: 5}}, true, false, 4},
-		{"conflict, and the key is gone", []Result{{Status: 409, Failed: []string{"k"}}, {Status: 404}, {Status: 200, Revision: 5}}, true, false, 0},
-		{"the tenure is over", []Result{{Status: 409, Failed: []string{"c/b/0"}}}, false, true, 3},
+		{"no answer, and it had been written", []Result{{}, {Status: 409, FailedKeys: []string{"k"}}, {Status: 200, KeyValue: wire.KeyValue{Version: 4}}, {Status: 200, Revision: 5}}, true, false, 4},
+		{"conflict, and the key is gone", []Result{{Status: 409, FailedKeys: []string{"k"}}, {Status: 404}, {Status: 200, Revision: 5}}, true, false, 0},
+		{"the tenure is over", []Result{{Status: 409, FailedKeys: []string{"c/b/0"}}}, false, true, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := &fake{}
 			lost := false
-			r := NewRecord("k", 3, ClassTally, Is("c/b/0", 2), f.call, func(time.Time, int) {}, func(time.Time) { lost = true })
+			r := NewDesiredValue("k", 3, PriorityCompletion, VersionEquals("c/b/0", 2), f.call, func(time.Time, int) {}, func(time.Time) { lost = true })
 			r.Set(1)
 			var last Call
 			for i, a := range c.answers {
 				r.Tick(now.Add(time.Duration(i) * time.Hour))
-				if call := f.answer(t, a); call.Op == OpMulti {
+				if call := f.answer(t, a); call.Op == OpTransaction {
 					last = call
 				}
 			}
-			if r.Settled() != c.kept || lost != c.lost {
-				t.Errorf("settled %t, lost %t", r.Settled(), lost)
+			if r.Durable() != c.kept || lost != c.lost {
+				t.Errorf("settled %t, lost %t", r.Durable(), lost)
 			}
-			if last.Multi.Compares[0] != Is("c/b/0", 2) || last.Multi.Compares[1] != Is("k", c.version) {
-				t.Errorf("conditions %v", last.Multi.Compares)
+			if last.Transaction.Compares[0] != VersionEquals("c/b/0", 2) || last.Transaction.Compares[1] != VersionEquals("k", c.version) {
+				t.Errorf("conditions %v", last.Transaction.Compares)
 			}
 		})
 	}
@@ -157,12 +159,12 @@
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, long) }))
 	defer srv.Close()
 	c := NewClient(strings.TrimPrefix(srv.URL, "http://"), http.DefaultTransport, time.Now)
-	r := c.Do(t.Context(), Call{Op: OpChanges, Under: "c/", WaitMs: 1})
+	r := c.Execute(t.Context(), Call{Op: OpWatch, Prefix: "c/", WatchWaitMs: 1})
 	if r.Status != http.StatusGone {
 		t.Fatalf("status %d", r.Status)
 	}
 	f := &fake{}
-	m := NewMirror("c/", f.call, func(time.Time, string, wire.KeyValue, bool) {})
+	m := NewWatchCache("c/", f.call, func(time.Time, string, wire.KeyValue, bool) {})
 	now := time.Unix(100, 0)
 	m.Tick(now)
 	f.answer(t, Result{Status: 200, Revision: 5})
--- a/internal/submission/cancel.go
+++ b/internal/submission/cancel.go
@@ -42,11 +42,11 @@
 			reply(Response{Status: 200, Body: wire.JobAccepted{ID: id, State: f.stage}})
 			return
 		}
-		s.call(store.Call{Op: store.OpMulti, Class: store.ClassUser, Multi: wire.Transaction{
-			Compares: []wire.Compare{store.Is(OpenKey(id), f.version)},
+		s.call(store.Call{Op: store.OpTransaction, Priority: store.PriorityUser, Transaction: wire.Transaction{
+			Compares: []wire.Compare{store.VersionEquals(OpenKey(id), f.version)},
 			Writes: []wire.Write{
 				store.Put(JobKey(id), JobRec{Stage: wire.JobCancelled}, 0),
-				store.Remove(OpenKey(id)),
+				store.Delete(OpenKey(id)),
 			},
 		}}, func(now time.Time, r store.Result) {
 			switch {
--- a/internal/submission/query.go
+++ b/internal/submission/query.go
@@ -28,7 +28,7 @@
 	}
 	// One look at what has changed among the open jobs answers all questions
 	// that came before it.
-	s.open.Sync(now, s.gap, func(now time.Time, ok bool) {
+	s.open.WaitCurrent(now, s.gap, func(now time.Time, ok bool) {
 		if !ok {
 			answer(Unable("state service does not answer"))
 			return
--- a/internal/submission/submission.go
+++ b/internal/submission/submission.go
@@ -23,13 +23,13 @@
 
 // Slice is this node's part in answering users.
 type Slice struct {
-	facts        config.Facts
+	facts        config.Platform
 	blocks       int
 	wall         func() time.Time
 	call         store.Caller
 	log          *slog.Logger
 	machineTypes func() map[string]wire.MachineType
-	open         *store.Mirror
+	open         *store.WatchCache
 	gap          time.Duration // between two looks at the open jobs
 	progress     func(now time.Time, block int, id string, then func(now time.Time, p Progress))
 	told         func(now time.Time, id string) // of a cancellation that a user is about to be told of
@@ -40,8 +40,8 @@
 }
 
 // New makes the slice.
-func New(facts config.Facts, blocks int, wall func() time.Time, call store.Caller, log *slog.Logger,
-	machineTypes func() map[string]wire.MachineType, open *store.Mirror,
+func New(facts config.Platform, blocks int, wall func() time.Time, call store.Caller, log *slog.Logger,
+	machineTypes func() map[string]wire.MachineType, open *store.WatchCache,
 	progress func(now time.Time, block int, id string, then func(now time.Time, p Progress)),
 	told func(now time.Time, id string)) *Slice {
 	gap := time.Duration(0)
@@ -180,7 +180,7 @@
 // fits tells whether a job's record fits the state service, now and after its limits fall.
 func (s *Slice) fits(rec OpenRec) bool {
 	raw, err := json.Marshal(rec)
-	limit := int(s.facts.State.Stored().ValueKB * 1024 * tuning.PageFill)
+	limit := int(s.facts.State.StoredLimits().ValueKB * 1024 * tuning.PageFill)
 	return err == nil && (s.facts.State.ValueKB <= 0 || len(raw) <= limit)
 }
 
@@ -195,7 +195,7 @@
 // find reads a job's records: the open entry first, then the end. As a job goes
 // from one to the other in one transaction, it cannot be missed in between.
 func (s *Slice) find(now time.Time, id string, then func(f found)) {
-	s.call(store.Call{Op: store.OpGet, Class: store.ClassUser, Key: OpenKey(id)}, func(now time.Time, r store.Result) {
+	s.call(store.Call{Op: store.OpGet, Priority: store.PriorityUser, Key: OpenKey(id)}, func(now time.Time, r store.Result) {
 		switch {
 		case r.Status == 404:
 			s.end(now, id, then)
@@ -204,26 +204,26 @@
 			then(found{})
 			return
 		}
-		r.Item.Key = OpenKey(id)
-		if _, err := ReadOpen(r.Item); err != nil {
-			s.log.Error("job entry cannot be read", "key", r.Item.Key, "error", err)
+		r.KeyValue.Key = OpenKey(id)
+		if _, err := ReadOpen(r.KeyValue); err != nil {
+			s.log.Error("job entry cannot be read", "key", r.KeyValue.Key, "error", err)
 			then(found{})
 			return
 		}
-		then(found{sure: true, stage: wire.JobPending, version: r.Item.Version})
+		then(found{sure: true, stage: wire.JobPending, version: r.KeyValue.Version})
 	})
 }
 
 // end reads how a job that is not open ended.
 func (s *Slice) end(now time.Time, id string, then func(f found)) {
-	s.call(store.Call{Op: store.OpGet, Class: store.ClassUser, Key: JobKey(id)}, func(now time.Time, r store.Result) {
+	s.call(store.Call{Op: store.OpGet, Priority: store.PriorityUser, Key: JobKey(id)}, func(now time.Time, r store.Result) {
 		var rec JobRec
 		switch {
 		case r.Status == 404:
 			then(found{sure: true})
 		case !r.OK():
 			then(found{})
-		case json.Unmarshal(r.Item.Value, &rec) != nil || rec.Stage != wire.JobDone && rec.Stage != wire.JobCancelled:
+		case json.Unmarshal(r.KeyValue.Value, &rec) != nil || rec.Stage != wire.JobDone && rec.Stage != wire.JobCancelled:
 			s.log.Error("job record cannot be read", "key", JobKey(id))
 			then(found{})
 		default:
@@ -235,8 +235,8 @@
 
 func (s *Slice) write(now time.Time, rec OpenRec, tries int, reply func(Response)) {
 	id := rec.Spec.ID
-	s.call(store.Call{Op: store.OpMulti, Class: store.ClassUser, Multi: wire.Transaction{
-		Compares: []wire.Compare{store.Is(OpenKey(id), 0), store.Is(JobKey(id), 0)},
+	s.call(store.Call{Op: store.OpTransaction, Priority: store.PriorityUser, Transaction: wire.Transaction{
+		Compares: []wire.Compare{store.VersionEquals(OpenKey(id), 0), store.VersionEquals(JobKey(id), 0)},
 		Writes:   []wire.Write{store.Put(OpenKey(id), rec, 0)},
 	}}, func(now time.Time, r store.Result) {
 		switch {
--- a/internal/submission/submission_test.go
+++ b/internal/submission/submission_test.go
@@ -18,7 +18,7 @@
 // desk is the slice with a state service that answers from a script.
 type desk struct {
 	s     *Slice
-	open  *store.Mirror
+	open  *store.WatchCache
 	calls []store.Call
 	then  []func(time.Time, store.Result)
 	told  []string // cancellations of which users are told
@@ -26,11 +26,11 @@
 
 func newDesk(machineTypes map[string]wire.MachineType) *desk {
 	d := &desk{}
-	facts := config.Facts{Zones: []string{"a", "b"}, State: config.State{ValueKB: 4}, Teams: []config.Team{{Name: "red", GPUsMax: 8}, {Name: "free"}}}
+	facts := config.Platform{Zones: []string{"a", "b"}, State: config.StateLimits{ValueKB: 4}, Teams: []config.Team{{Name: "red", GPUsMax: 8}, {Name: "free"}}}
 	call := func(c store.Call, then func(time.Time, store.Result)) {
 		d.calls, d.then = append(d.calls, c), append(d.then, then)
 	}
-	d.open = store.NewMirror(OpenUnder, call, func(time.Time, string, wire.KeyValue, bool) {})
+	d.open = store.NewWatchCache(OpenUnder, call, func(time.Time, string, wire.KeyValue, bool) {})
 	d.open.Tick(now)
 	d.answer(store.Result{Status: 200, Revision: 10})
 	d.answer(none) // no watch beside the questions
@@ -53,7 +53,7 @@
 	if stage == wire.JobPending {
 		raw, _ = json.Marshal(OpenRec{Spec: job(nil)})
 	}
-	return store.Result{Status: 200, Item: wire.KeyValue{Value: raw, Version: 5}}
+	return store.Result{Status: 200, KeyValue: wire.KeyValue{Value: raw, Version: 5}}
 }
 
 var (
@@ -110,8 +110,8 @@
 		{"a service while types are not known", func(s *wire.JobSpec) { s.Shape = wire.ShapeService }, nil, []store.Result{missing, missing}, 503, ""},
 		{"refused for its size by the state service", nil, types, []store.Result{{Status: 400}, missing, missing}, 400, ""},
 		{"refused for its size, but accepted once", nil, types, []store.Result{{Status: 400}, rec(wire.JobPending)}, 200, wire.JobPending},
-		{"a record that cannot be read", nil, types, []store.Result{conflict, {Status: 200, Item: wire.KeyValue{Value: json.RawMessage(`{"Spec":{"Id":"job-1","Shape":"swarm","Pieces":1}}`)}}}, 503, ""},
-		{"an end that cannot be read", nil, types, []store.Result{conflict, missing, {Status: 200, Item: wire.KeyValue{Value: json.RawMessage(`{"Stage":"paused"}`)}}}, 503, ""},
+		{"a record that cannot be read", nil, types, []store.Result{conflict, {Status: 200, KeyValue: wire.KeyValue{Value: json.RawMessage(`{"Spec":{"Id":"job-1","Shape":"swarm","Pieces":1}}`)}}}, 503, ""},
+		{"an end that cannot be read", nil, types, []store.Result{conflict, missing, {Status: 200, KeyValue: wire.KeyValue{Value: json.RawMessage(`{"Stage":"paused"}`)}}}, 503, ""},
 		{"types not known yet", nil, nil, []store.Result{missing, missing}, 503, ""},
 		{"types not known yet, but accepted once", nil, nil, []store.Result{rec(wire.JobPending)}, 200, wire.JobPending},
 		{"too large to be kept", func(s *wire.JobSpec) { s.Image = strings.Repeat("x", 5000) }, types, []store.Result{missing, missing}, 400, ""},
@@ -194,7 +194,7 @@
 	ask()
 	ask()
 	ask()
-	if len(d.calls) != 1 || d.calls[0].Op != store.OpChanges || d.calls[0].WaitMs != 0 {
+	if len(d.calls) != 1 || d.calls[0].Op != store.OpWatch || d.calls[0].WatchWaitMs != 0 {
 		t.Fatalf("under way: %+v, want one look at the changes", d.calls)
 	}
 	d.answer(store.Result{Status: 200, Revision: 11}) // the job was submitted after this look
@@ -205,7 +205,7 @@
 	if len(got) != 1 || got[0] != 404 {
 		t.Fatalf("answers %v", got)
 	}
-	d.answer(store.Result{Status: 200, Revision: 12, Events: []wire.Event{{Put: OpenKey("job-1"), Value: rec(wire.JobPending).Item.Value, Version: 12}}})
+	d.answer(store.Result{Status: 200, Revision: 12, Events: []wire.Event{{Put: OpenKey("job-1"), Value: rec(wire.JobPending).KeyValue.Value, Version: 12}}})
 	if len(got) != 3 || got[1] != 200 || got[2] != 200 || len(d.calls) != 0 {
 		t.Fatalf("answers %v, under way %+v", got, d.calls)
 	}
--- a/internal/switches/switches_test.go
+++ b/internal/switches/switches_test.go
@@ -11,19 +11,19 @@
 func TestLoad(t *testing.T) {
 	for _, c := range []struct {
 		name, file string
-		want       Switches
+		want       Gates
 		fault      string // named in the error
 	}{
-		{"empty: all off", "", Switches{Trace: Trace{MostMB: defaultTraceMB}}, ""},
-		{"duties on", "duties = true\n", Switches{Duties: true, Trace: Trace{MostMB: defaultTraceMB}}, ""},
-		{"a trace", "[trace]\nfile = \"/tmp/trace\"\nmost_mb = 2.5\n", Switches{Trace: Trace{File: "/tmp/trace", MostMB: 2.5}}, ""},
-		{"unknown switch", "dutys = true\n", Switches{}, "dutys: unknown switch"},
-		{"unknown field of a table", "[trace]\nfil = \"x\"\n", Switches{}, "trace.fil: unknown switch"},
-		{"wrong type", "duties = \"yes\"\n", Switches{}, "duties"},
-		{"wrong type in a table", "[trace]\nmost_mb = true\n", Switches{}, "most_mb"},
-		{"not above 0", "[trace]\nmost_mb = 0\n", Switches{}, "trace.most_mb"},
-		{"not a number", "[trace]\nmost_mb = nan\n", Switches{}, "trace.most_mb"},
-		{"not TOML", "duties\n", Switches{}, "line 1"},
+		{"empty: all off", "", Gates{Trace: Trace{MaxMB: defaultTraceMB}}, ""},
+		{"duties on", "duties = true\n", Gates{IntentLog: true, Trace: Trace{MaxMB: defaultTraceMB}}, ""},
+		{"a trace", "[trace]\nfile = \"/tmp/trace\"\nmost_mb = 2.5\n", Gates{Trace: Trace{File: "/tmp/trace", MaxMB: 2.5}}, ""},
+		{"unknown switch", "dutys = true\n", Gates{}, "dutys: unknown switch"},
+		{"unknown field of a table", "[trace]\nfil = \"x\"\n", Gates{}, "trace.fil: unknown switch"},
+		{"wrong type", "duties = \"yes\"\n", Gates{}, "duties"},
+		{"wrong type in a table", "[trace]\nmost_mb = true\n", Gates{}, "most_mb"},
+		{"not above 0", "[trace]\nmost_mb = 0\n", Gates{}, "trace.most_mb"},
+		{"not a number", "[trace]\nmost_mb = nan\n", Gates{}, "trace.most_mb"},
+		{"not TOML", "duties\n", Gates{}, "line 1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			file := filepath.Join(t.TempDir(), "switches.toml")
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -308,5 +308,5 @@
 }
 
 func (r *Registry) silence() time.Duration {
-	return config.Seconds(r.facts.ReportS*tuning.SilentReports) + tuning.SilentGrace
+	return config.Seconds(r.facts.HeartbeatS*tuning.SilentReports) + tuning.SilentGrace
 }
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -13,7 +13,7 @@
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
 func registry() *Registry {
-	return NewRegistry(config.Workers{ReportS: 1.5, LeaseS: 10}, quiet)
+	return NewRegistry(config.Workers{HeartbeatS: 1.5, LeaseS: 10}, quiet)
 }
 
 func TestAbsorb(t *testing.T) {
