--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -18,13 +18,13 @@
 
 // HandleHeartbeat is part of peer.Handler.
 func (r *Runtime) HandleHeartbeat(ctx context.Context, m *peerpb.PeerHeartbeat) (out *peerpb.PeerHeartbeat, err error) {
-	err = r.Ask(ctx, func(now time.Time) { out = r.core.Pulse(now, m) })
+	err = r.Ask(ctx, func(now time.Time) { out = r.controller.HandlePeerHeartbeat(now, m) })
 	return out, err
 }
 
 // HandleProgress is part of peer.Handler.
 func (r *Runtime) HandleProgress(ctx context.Context, m *peerpb.ProgressRequest) (out *peerpb.ProgressReply, err error) {
-	err = r.Ask(ctx, func(now time.Time) { out = r.core.Progress(m) })
+	err = r.Ask(ctx, func(now time.Time) { out = r.controller.HandleProgress(m) })
 	return out, err
 }
 
@@ -36,8 +36,8 @@
 	addrs := m.Addresses[:min(len(m.Addresses), tuning.ProbeWorkers)]
 	for _, addr := range addrs {
 		go func() {
-			defer enter(r.fenceSlots)()
-			answered <- show(ctx, r.workers, addr)
+			defer acquire(r.fencingSlots)()
+			answered <- probeWorker(ctx, r.workers, addr)
 		}()
 	}
 	out := &peerpb.ProbeReply{}
@@ -51,14 +51,14 @@
 
 // HandleStatus is part of peer.Handler.
 func (r *Runtime) HandleStatus(ctx context.Context) (out *peerpb.StatusReply, err error) {
-	lat := r.lat.values()
-	err = r.Ask(ctx, func(now time.Time) { out = r.core.Status(now, lat) })
+	lat := r.latencies.values()
+	err = r.Ask(ctx, func(now time.Time) { out = r.controller.Status(now, lat) })
 	return out, err
 }
 
 // HandleSettings is part of peer.Handler.
 func (r *Runtime) HandleSettings(ctx context.Context) (out *peerpb.Settings, err error) {
-	err = r.Ask(ctx, func(now time.Time) { out = &peerpb.Settings{Values: r.core.settings.Values()} })
+	err = r.Ask(ctx, func(now time.Time) { out = &peerpb.Settings{Values: r.controller.settings.Values()} })
 	return out, err
 }
 
@@ -70,7 +70,7 @@
 	}
 	ch := make(chan result, 1)
 	if err := r.Ask(ctx, func(now time.Time) {
-		r.core.SetSetting(now, name, value, func(s admin.Settings, err error) {
+		r.controller.SetSetting(now, name, value, func(s admin.Settings, err error) {
 			ch <- result{&peerpb.Settings{Values: s.Values()}, err}
 		})
 	}); err != nil {
@@ -85,21 +85,21 @@
 }
 
 // SetSetting checks a change of the operators' settings and writes it down.
-func (c *Core) SetSetting(now time.Time, name, value string, reply func(admin.Settings, error)) {
+func (c *Controller) SetSetting(now time.Time, name, value string, reply func(admin.Settings, error)) {
 	next, err := c.settings.With(name, value)
 	if err != nil {
 		reply(c.settings, status.Error(codes.InvalidArgument, err.Error()))
 		return
 	}
-	if !c.leader.Synced() {
+	if !c.membership.Synced() {
 		reply(c.settings, errors.New("settings have not been read yet"))
 		return
 	}
 	values := map[string]string{}
-	c.leader.Each(admin.Key, func(it wire.KeyValue) { _ = json.Unmarshal(it.Value, &values) })
+	c.membership.Each(admin.Key, func(it wire.KeyValue) { _ = json.Unmarshal(it.Value, &values) })
 	values[name] = value
-	c.state(store.Call{Op: store.OpTransaction, Priority: store.PriorityUser, Transaction: wire.Transaction{
-		Compares: []wire.Compare{store.VersionEquals(admin.Key, c.leader.Version(admin.Key))},
+	c.callState(store.Call{Op: store.OpTransaction, Priority: store.PriorityUser, Transaction: wire.Transaction{
+		Compares: []wire.Compare{store.VersionEquals(admin.Key, c.membership.Version(admin.Key))},
 		Writes:   []wire.Write{store.Put(admin.Key, values, 0)},
 	}}, func(now time.Time, res store.Result) {
 		switch {
@@ -115,25 +115,25 @@
 }
 
 // Status tells an operator what this controller knows.
-func (c *Core) Status(now time.Time, lat map[string]int64) *peerpb.StatusReply {
-	names, lead := c.leader.Members()
-	out := &peerpb.StatusReply{Member: c.cfg.Member, Leader: lead, Members: names, Claims: c.holdings(),
-		Versions: map[string]string{c.cfg.Member: admin.Version()}}
+func (c *Controller) Status(now time.Time, lat map[string]int64) *peerpb.StatusReply {
+	names, lead := c.membership.Members()
+	out := &peerpb.StatusReply{Member: c.config.Member, Leader: lead, Members: names, Claims: c.leaseClaimList(),
+		Versions: map[string]string{c.config.Member: admin.Version()}}
 	for name, p := range c.peers {
-		if now.Sub(p.heard) < 3*tuning.PulseEvery {
+		if now.Sub(p.lastHeartbeat) < 3*tuning.PulseEvery {
 			out.Versions[name] = p.version
 		}
 	}
-	for b := range c.blocks {
-		if t := c.tenures[b]; t != nil {
+	for b := range c.shards {
+		if t := c.terms[b]; t != nil {
 			out.Shards = append(out.Shards, t.status(lat))
 		}
 	}
 	return out
 }
 
-func (t *tenure) status(lat map[string]int64) *peerpb.ShardStatus {
-	n := t.board.Count
+func (t *term) status(lat map[string]int64) *peerpb.ShardStatus {
+	n := t.scheduler.Count
 	out := &peerpb.ShardStatus{Shard: int32(t.Shard), State: t.state.String(), Counters: map[string]int64{
 		"mains_started": int64(n.MainsStarted), "spares_started": int64(n.SparesStarted), "spares_finished": int64(n.SparesFinished),
 		"spares_yielded": int64(n.SparesYielded), "spares_dropped": int64(n.SparesDropped), "redrawn": int64(n.Redrawn),
@@ -142,14 +142,14 @@
 	for k, v := range lat {
 		out.Counters[k] = v
 	}
-	for _, m := range t.reg.All() {
+	for _, m := range t.workers.All() {
 		out.Machines = append(out.Machines, &peerpb.Machine{Host: m.Host, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
 			State: m.State.String(), Tasks: int32(m.Busy), Quarantined: m.Faulty, PreemptionNotice: !m.Recall.IsZero()})
 	}
-	for _, u := range t.book.Usages() {
+	for _, u := range t.ledger.Usages() {
 		out.Teams = append(out.Teams, &peerpb.Team{Name: u.Team, CpusUsed: u.Used.CPUs, GpusUsed: u.Used.GPUs, CpusMax: u.Max.CPUs, GpusMax: u.Max.GPUs})
 	}
-	for i, j := range t.board.Jobs() {
+	for i, j := range t.scheduler.Jobs() {
 		if i == tuning.StatusJobs {
 			break
 		}
--- a/internal/node/cancellation_loading_test.go
+++ b/internal/node/cancellation_loading_test.go
@@ -32,7 +32,7 @@
 		h.crash(time.Hour)
 		loading := func() bool {
 			for _, n := range sim.nodes {
-				if t := n.core.tenures[0]; n.alive && t != nil && t.state == tenureLoading {
+				if t := n.controller.terms[0]; n.alive && t != nil && t.state == termLoading {
 					return true
 				}
 			}
@@ -47,14 +47,14 @@
 		sim.state.SetDown(true)
 		renewed := map[bool]int{} // by whether the job was called off
 		for _, n := range sim.nodes {
-			if t := n.core.tenures[0]; n.alive && t != nil && t.state == tenureLoading {
+			if t := n.controller.terms[0]; n.alive && t != nil && t.state == termLoading {
 				for _, id := range sim.hosts() {
 					rep := sim.machines[id].Report()
 					for _, p := range rep.Tasks {
 						one := *rep
 						one.Tasks = []wire.TaskStatus{p}
 						off := strings.HasPrefix(p.Name, long.Spec.ID)
-						t.Report(sim.clk.Now(), &one, func(status int, _ any) {
+						t.HandleHeartbeat(sim.clk.Now(), &one, func(status int, _ any) {
 							if status == 200 && p.State != wire.TaskExited {
 								renewed[off]++
 							}
@@ -87,29 +87,29 @@
 	for range 100000 {
 		sim.clk.Step()
 		for _, n := range sim.nodes {
-			te := n.core.tenures[0]
-			if !n.alive || te == nil || te.state != tenureLoading {
+			te := n.controller.terms[0]
+			if !n.alive || te == nil || te.state != termLoading {
 				continue
 			}
 			id := sim.cluster.Order[3].Spec.ID
-			if _, open := n.core.open.Get(submission.OpenKey(id)); !open {
+			if _, open := n.controller.openJobs.Get(submission.OpenKey(id)); !open {
 				t.Fatalf("%s is not open", id)
 			}
 			other := sim.nodes[0]
 			if other == n {
 				other = sim.nodes[1]
 			}
-			m := other.core.pulseMessage(sim.clk.Now(), n.name)
+			m := other.controller.peerHeartbeat(sim.clk.Now(), n.name)
 			m.Cancelled = []string{id}
-			r := n.core.Pulse(sim.clk.Now(), m)
+			r := n.controller.HandlePeerHeartbeat(sim.clk.Now(), m)
 			if !slices.Contains(r.AcknowledgedCancelled, id) {
 				t.Fatal("it does not say that it has it")
 			}
-			for te.state == tenureLoading {
+			for te.state == termLoading {
 				sim.clk.Step()
 			}
-			if te.state != tenureFencing || te.board.Job(id) != nil || te.board.Job(sim.cluster.Order[4].Spec.ID) == nil {
-				t.Errorf("%v: the job that was called off is open: %v", te.state, te.board.Job(id) != nil)
+			if te.state != termFencing || te.scheduler.Job(id) != nil || te.scheduler.Job(sim.cluster.Order[4].Spec.ID) == nil {
+				t.Errorf("%v: the job that was called off is open: %v", te.state, te.scheduler.Job(id) != nil)
 			}
 			return
 		}
@@ -126,15 +126,15 @@
 	if other == n {
 		other = sim.nodes[1]
 	}
-	m := other.core.pulseMessage(sim.clk.Now(), n.name)
+	m := other.controller.peerHeartbeat(sim.clk.Now(), n.name)
 	m.Cancelled = []string{"job-900"}
-	n.core.Pulse(sim.clk.Now(), m)
+	n.controller.HandlePeerHeartbeat(sim.clk.Now(), m)
 	for _, id := range []string{"job-900", "job-901"} {
 		sim.add(wire.JobSpec{ID: id, Team: "red", Class: "sweep", Shape: wire.ShapeBatch, Priority: "normal", Tasks: 1,
 			Vcpus: 4, Gpus: 1, MemGb: 20, Image: "img", ImageGb: 2, AnyType: true, EstimatedRunTimeS: 5}, 5*time.Second)
 	}
 	sim.runFor(2 * time.Second)
-	if b := n.core.tenures[0].board; b.Job("job-900") != nil || b.Job("job-901") == nil {
+	if b := n.controller.terms[0].scheduler; b.Job("job-900") != nil || b.Job("job-901") == nil {
 		t.Errorf("called off and open: %v; another open: %v", b.Job("job-900") != nil, b.Job("job-901") != nil)
 	}
 }
@@ -155,9 +155,9 @@
 	for range 100000 {
 		sim.clk.Step()
 		for _, n := range sim.nodes {
-			if te := n.core.tenures[0]; n.alive && te != nil && te.state == tenureFencing {
+			if te := n.controller.terms[0]; n.alive && te != nil && te.state == termFencing {
 				all := quota.Room{GPUs: 12}
-				if te.book.Admits("red", all, false) {
+				if te.ledger.Admits("red", all, false) {
 					t.Error("the whole limit may be used, though no machine has been heard")
 				}
 				return
@@ -186,11 +186,11 @@
 	h := sim.holder()
 	h.crash(time.Hour)
 	sim.cancel(long)
-	var next *tenure
+	var next *term
 	for range 200 {
 		sim.runFor(50 * time.Millisecond)
 		for _, n := range sim.nodes {
-			if t := n.core.tenures[0]; n.alive && t != nil && t.state == tenureFencing {
+			if t := n.controller.terms[0]; n.alive && t != nil && t.state == termFencing {
 				next = t
 			}
 		}
@@ -202,7 +202,7 @@
 		t.Fatalf("no successor, or told %q", long.Told)
 	}
 	stopped := false
-	next.Report(sim.clk.Now(), on.Report(), func(status int, body any) {
+	next.HandleHeartbeat(sim.clk.Now(), on.Report(), func(status int, body any) {
 		for _, o := range body.(wire.HeartbeatResponse).Commands {
 			id, _, _ := wire.ParseTask(o.Task)
 			stopped = stopped || status == 200 && o.Verb == wire.VerbStop && id == long.Spec.ID
--- a/internal/node/cancellations.go
+++ b/internal/node/cancellations.go
@@ -12,11 +12,11 @@
 // cancellations is what a block's holder knows of cancelled jobs, and up to when it knows
 // of all of them.
 type cancellations struct {
-	horizon *leader.CancellationWatermark
+	watermark *leader.CancellationWatermark
 	// known are cancellations that nodes have told of: what is read of these jobs as open
 	// is old.
-	known map[string]time.Time
-	keep  time.Duration // past it a cancelled job's tasks are gone
+	known   map[string]time.Time
+	keepFor time.Duration // past it a cancelled job's tasks are gone
 }
 
 func newCancellations(cfg *config.Config) *cancellations {
@@ -24,64 +24,64 @@
 	for _, k := range cfg.Peers {
 		peers = append(peers, k.Member)
 	}
-	return &cancellations{horizon: leader.NewCancellationWatermark(peers), known: map[string]time.Time{},
-		keep: config.Seconds(cfg.Platform.Workers.CancelS) * tuning.CancellationKeep}
+	return &cancellations{watermark: leader.NewCancellationWatermark(peers), known: map[string]time.Time{},
+		keepFor: config.Seconds(cfg.Platform.Workers.CancelS) * tuning.CancellationKeep}
 }
 
-// note enters a cancellation and tells whether it is news.
-func (c *cancellations) note(now time.Time, id string) bool {
-	if c.has(id) {
+// add enters a cancellation and tells whether it is news.
+func (c *cancellations) add(now time.Time, id string) bool {
+	if c.contains(id) {
 		return false
 	}
 	if len(c.known) >= tuning.CancellationsKept {
-		maps.DeleteFunc(c.known, func(_ string, at time.Time) bool { return now.Sub(at) > c.keep })
+		maps.DeleteFunc(c.known, func(_ string, at time.Time) bool { return now.Sub(at) > c.keepFor })
 	}
 	c.known[id] = now
 	return true
 }
 
-func (c *cancellations) has(id string) bool {
+func (c *cancellations) contains(id string) bool {
 	_, known := c.known[id]
 	return known
 }
 
-// renewBound is how long past its horizon a holder goes on renewing workers: what it
+// renewalBound is how long past its horizon a holder goes on renewing workers: what it
 // cannot know to be cancelled must be gone in time.
-func (t *tenure) renewBound() time.Duration {
-	w := t.c.cfg.Platform.Workers
-	return max(tuning.RenewLeast, config.Seconds(w.CancelS)-t.reg.Expiry()-tuning.RenewMargin)
+func (t *term) renewalBound() time.Duration {
+	w := t.controller.config.Platform.Workers
+	return max(tuning.RenewLeast, config.Seconds(w.CancelS)-t.workers.Expiry()-tuning.RenewMargin)
 }
 
-// knows is the moment up to which this holder surely knows all cancellations. A node
+// cancellationsKnownUntil is the moment up to which this holder surely knows all cancellations. A node
 // that reads jobs but not the control records might read on after its block is
 // another's: the older of the two counts.
-func (t *tenure) knows(now time.Time) time.Time {
-	read := t.c.open.CurrentAsOf()
-	if f := t.c.leader.CurrentAsOf(); f.Before(read) {
+func (t *term) cancellationsKnownUntil(now time.Time) time.Time {
+	read := t.controller.openJobs.CurrentAsOf()
+	if f := t.controller.membership.CurrentAsOf(); f.Before(read) {
 		read = f
 	}
-	t.cancelled.horizon.AdvanceTo(read)
-	return t.cancelled.horizon.At(now)
+	t.cancellations.watermark.AdvanceTo(read)
+	return t.cancellations.watermark.At(now)
 }
 
-// jobCancelled is told of a cancellation that a node has told a user of. The state service
+// cancelJob is told of a cancellation that a node has told a user of. The state service
 // may not tell of it for long, so it counts before it is read there, and whoever told of
 // it is answered that it is known. What is read later may be older: the answer of a slow
 // service, or the jobs as they were when this tenure began. The job is not taken up then.
-func (t *tenure) jobCancelled(now time.Time, id string) {
-	if !t.cancelled.note(now, id) {
+func (t *term) cancelJob(now time.Time, id string) {
+	if !t.cancellations.add(now, id) {
 		return
 	}
-	t.board.SetUnreadable(id, false)
-	if t.board.Job(id) != nil {
-		t.jobOver(now, id)
+	t.scheduler.SetUnreadable(id, false)
+	if t.scheduler.Job(id) != nil {
+		t.closeJob(now, id)
 	}
 }
 
-// jobOver ends a job, done or cancelled.
-func (t *tenure) jobOver(now time.Time, id string) {
+// closeJob ends a job, done or cancelled.
+func (t *term) closeJob(now time.Time, id string) {
 	// Not known before, so not told before the horizon.
-	t.board.CloseJob(now, id, t.cancelled.horizon.At(now).Add(config.Seconds(t.c.cfg.Platform.Workers.CancelS)))
-	t.outcomes.drop(id)
-	t.begun.Delete(id)
+	t.scheduler.CloseJob(now, id, t.cancellations.watermark.At(now).Add(config.Seconds(t.controller.config.Platform.Workers.CancelS)))
+	t.completions.forget(id)
+	t.startMarkers.Delete(id)
 }
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -9,27 +9,27 @@
 	"juniperchute/internal/worker"
 )
 
-// direct sends a direct command.
-func (t *tenure) direct(now time.Time, m *worker.Machine, commands []wire.Command) {
+// sendCommands sends a direct command.
+func (t *term) sendCommands(now time.Time, m *worker.Machine, commands []wire.Command) {
 	session := m.Session
 	if session == 0 {
-		session = max(1, t.fencing.sessions[m.Host])
+		session = max(1, t.fencing.incarnations[m.Host])
 	}
 	m.DoBusy = true
 	command := wire.DirectCommands{Token: t.Token, Incarnation: session, Commands: commands}
-	t.c.env.Do(m.Address, command, t.c.leader.LeaseDeadline(), func(now time.Time, status int, rep *wire.Heartbeat) {
-		if t.state == tenureOver {
+	t.controller.effects.SendCommands(m.Address, command, t.controller.membership.LeaseDeadline(), func(now time.Time, status int, rep *wire.Heartbeat) {
+		if t.state == termEnded {
 			return
 		}
 		m.DoBusy = false
-		t.answeredDirect(now, m, command, status, rep)
+		t.handleCommandResult(now, m, command, status, rep)
 	})
 }
 
-// answeredDirect takes in what came of a direct command.
-func (t *tenure) answeredDirect(now time.Time, m *worker.Machine, command wire.DirectCommands, status int, rep *wire.Heartbeat) {
+// handleCommandResult takes in what came of a direct command.
+func (t *term) handleCommandResult(now time.Time, m *worker.Machine, command wire.DirectCommands, status int, rep *wire.Heartbeat) {
 	if status == NotSent {
-		t.board.Answered(m, command.Commands)
+		t.scheduler.Answered(m, command.Commands)
 		return
 	}
 	if status != http.StatusOK && status != http.StatusConflict || rep == nil || rep.Host != m.Host {
@@ -38,37 +38,37 @@
 		}
 		return
 	}
-	t.board.Answered(m, command.Commands)
+	t.scheduler.Answered(m, command.Commands)
 	switch {
 	case rep.Token > t.Token:
 		t.end(now, "a machine has seen a higher token")
 	case rep.Token < t.Token:
 		// refused for its session: now that is known
-		t.fencing.sessions[m.Host] = rep.Incarnation
-		t.fencing.due[m.Host] = now
+		t.fencing.incarnations[m.Host] = rep.Incarnation
+		t.fencing.askAt[m.Host] = now
 	default:
-		t.absorb(now, m, rep, false)
-		t.settle(now)
+		t.applyHeartbeat(now, m, rep, false)
+		t.scheduleNow(now)
 	}
 }
 
-// settle draws, and sends at once what should not wait for a report.
-func (t *tenure) settle(now time.Time) {
-	if t.state == tenureLoading || t.state == tenureOver || !t.c.leader.LeaseValid(now) {
+// scheduleNow draws, and sends at once what should not wait for a report.
+func (t *term) scheduleNow(now time.Time) {
+	if t.state == termLoading || t.state == termEnded || !t.controller.membership.LeaseValid(now) {
 		return
 	}
-	t.board.Draw(now)
+	t.scheduler.Draw(now)
 	t.sendUrgent(now)
 }
 
 // sendUrgent sends what should not wait for a report.
-func (t *tenure) sendUrgent(now time.Time) {
-	if t.state == tenureLoading || t.state == tenureOver {
+func (t *term) sendUrgent(now time.Time) {
+	if t.state == termLoading || t.state == termEnded {
 		return
 	}
-	for _, m := range t.board.Urgent(now) {
-		if commands := t.board.Commands(now, m, placement.Direct); len(commands) > 0 {
-			t.direct(now, m, commands)
+	for _, m := range t.scheduler.Urgent(now) {
+		if commands := t.scheduler.Commands(now, m, placement.Direct); len(commands) > 0 {
+			t.sendCommands(now, m, commands)
 		}
 	}
 }
--- a/internal/node/conns.go
+++ b/internal/node/conns.go
@@ -12,70 +12,70 @@
 	"juniperchute/internal/tuning"
 )
 
-// pools are how many of a controller's own connections may be under way at once,
+// connectionLimits are how many of a controller's own connections may be under way at once,
 // by what they are for, within the machine's limit of sockets.
-type pools struct {
-	do      int // direct commands, and as many again that only ask for an account
-	clients int // connections of workers, users and health checks
+type connectionLimits struct {
+	commands int // direct commands, and as many again that only ask for an account
+	clients  int // connections of workers, users and health checks
 }
 
-// newPools divides the sockets. Commands get a part that grows with the limit, as
+// newConnectionLimits divides the sockets. Commands get a part that grows with the limit, as
 // a fifth of the machines may hang at once; clients get whatever the controller itself
 // does not need. Where that is fewer than the machines, workers take turns.
-func newPools(l config.MachineLimits, peers int) pools {
-	p := pools{do: max(tuning.DoCalls, int(float64(l.Sockets)*tuning.DoShare))}
-	own := 2*p.do + stateConns() + tuning.CloudCalls + 2*peers + tuning.OwnSockets
+func newConnectionLimits(l config.MachineLimits, peers int) connectionLimits {
+	p := connectionLimits{commands: max(tuning.DoCalls, int(float64(l.Sockets)*tuning.DoShare))}
+	own := 2*p.commands + stateConnections() + tuning.CloudCalls + 2*peers + tuning.OwnSockets
 	p.clients = max(tuning.ClientsLeast, l.Sockets-own)
 	return p
 }
 
-// stateConns is how many connections to the state service there may be.
-func stateConns() int {
+// stateConnections is how many connections to the state service there may be.
+func stateConnections() int {
 	return tuning.StateReads + store.Priorities*tuning.StateWrites + tuning.StateExtra
 }
 
-// clientListener is the listener for workers, users and health checks. It keeps their
+// limitedListener is the listener for workers, users and health checks. It keeps their
 // connections within a limit. When that is reached, a new one takes the place of the
 // user's connection that has been idle longest, so that users push no worker out and a
 // successor has room for all workers at once. If there is none, it takes the place of
 // the idle worker's connection that was answered last: a worker reports no sooner than
 // half a second after an answer, so no report is lost by that. Only when every
 // connection has a request in hand is a new one refused, at once.
-type clientListener struct {
+type limitedListener struct {
 	net.Listener
-	limit  int
-	shared int // from so many open connections on, workers share them in time
-	clock  func() time.Time
-	lock   sync.Mutex
-	open   map[*clientConn]bool
+	limit      int
+	sharedFrom int // from so many open connections on, workers share them in time
+	clock      func() time.Time
+	lock       sync.Mutex
+	open       map[*clientConnection]bool
 }
 
-func newClientListener(l net.Listener, limit int, clock func() time.Time) *clientListener {
-	return &clientListener{Listener: l, limit: limit, shared: int(float64(limit) * tuning.SharedClients), clock: clock, open: map[*clientConn]bool{}}
+func newLimitedListener(l net.Listener, limit int, clock func() time.Time) *limitedListener {
+	return &limitedListener{Listener: l, limit: limit, sharedFrom: int(float64(limit) * tuning.SharedClients), clock: clock, open: map[*clientConnection]bool{}}
 }
 
-// clientConn is one connection.
-type clientConn struct {
+// clientConnection is one connection.
+type clientConnection struct {
 	net.Conn
-	listener *clientListener
-	worker   bool      // it has brought a report
-	idle     time.Time // since when it has waited for a request; zero: one is in hand
-	used     bool      // it has brought a request
+	listener   *limitedListener
+	isWorker   bool      // it has brought a report
+	idleSince  time.Time // since when it has waited for a request; zero: one is in hand
+	hadRequest bool      // it has brought a request
 }
 
 // Accept is part of net.Listener.
-func (l *clientListener) Accept() (net.Conn, error) {
+func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		c := &clientConn{Conn: conn, listener: l, idle: l.clock()}
+		c := &clientConnection{Conn: conn, listener: l, idleSince: l.clock()}
 		l.lock.Lock()
 		room := len(l.open) < l.limit
-		var evicted *clientConn
+		var evicted *clientConnection
 		if !room {
-			evicted = l.leastNeeded()
+			evicted = l.evictionCandidate()
 		}
 		if room || evicted != nil {
 			l.open[c] = true
@@ -91,22 +91,22 @@
 	}
 }
 
-// leastNeeded finds the idle connection whose end costs least: the user's that has been
+// evictionCandidate finds the idle connection whose end costs least: the user's that has been
 // idle longest, or else the worker's that has been idle shortest.
-func (l *clientListener) leastNeeded() *clientConn {
-	var user, worker *clientConn
+func (l *limitedListener) evictionCandidate() *clientConnection {
+	var user, worker *clientConnection
 	now := l.clock()
 	for c := range l.open {
 		switch {
-		case c.idle.IsZero():
-		case !c.used && now.Sub(c.idle) < tuning.FirstRequest:
+		case c.idleSince.IsZero():
+		case !c.hadRequest && now.Sub(c.idleSince) < tuning.FirstRequest:
 			// its first request is on its way: in a burst of new connections each
 			// would take the place of the one before
-		case c.worker:
-			if worker == nil || c.idle.After(worker.idle) {
+		case c.isWorker:
+			if worker == nil || c.idleSince.After(worker.idleSince) {
 				worker = c
 			}
-		case user == nil || c.idle.Before(user.idle):
+		case user == nil || c.idleSince.Before(user.idleSince):
 			user = c
 		}
 	}
@@ -118,23 +118,23 @@
 
 // crowded tells whether a worker's connection is to be closed with the answer to its
 // report, so that another worker's has room.
-func (l *clientListener) crowded() bool {
+func (l *limitedListener) crowded() bool {
 	l.lock.Lock()
 	defer l.lock.Unlock()
-	return len(l.open) >= l.shared
+	return len(l.open) >= l.sharedFrom
 }
 
 // Close is part of net.Conn.
-func (c *clientConn) Close() error {
+func (c *clientConnection) Close() error {
 	c.listener.lock.Lock()
 	delete(c.listener.open, c)
 	c.listener.lock.Unlock()
 	return c.Conn.Close()
 }
 
-// state follows a connection for http.Server.
-func (l *clientListener) state(conn net.Conn, s http.ConnState) {
-	c, ok := conn.(*clientConn)
+// trackState follows a connection for http.Server.
+func (l *limitedListener) trackState(conn net.Conn, s http.ConnState) {
+	c, ok := conn.(*clientConnection)
 	if !ok {
 		return
 	}
@@ -142,27 +142,27 @@
 	defer l.lock.Unlock()
 	switch s {
 	case http.StateActive:
-		c.idle, c.used = time.Time{}, true
+		c.idleSince, c.hadRequest = time.Time{}, true
 	case http.StateIdle:
-		c.idle = l.clock()
+		c.idleSince = l.clock()
 	}
 }
 
-type clientConnKey struct{}
+type clientConnectionKey struct{}
 
-func withClientConn(ctx context.Context, conn net.Conn) context.Context {
-	return context.WithValue(ctx, clientConnKey{}, conn)
+func withClientConnection(ctx context.Context, conn net.Conn) context.Context {
+	return context.WithValue(ctx, clientConnectionKey{}, conn)
 }
 
-// noteWorker notes that a request's connection is a worker's, and tells whether it is to
+// markWorkerConnection notes that a request's connection is a worker's, and tells whether it is to
 // be closed with the answer.
-func noteWorker(req *http.Request) (closes bool) {
-	c, ok := req.Context().Value(clientConnKey{}).(*clientConn)
+func markWorkerConnection(req *http.Request) (closes bool) {
+	c, ok := req.Context().Value(clientConnectionKey{}).(*clientConnection)
 	if !ok {
 		return false
 	}
 	c.listener.lock.Lock()
-	c.worker = true
+	c.isWorker = true
 	c.listener.lock.Unlock()
 	return c.listener.crowded()
 }
--- a/internal/node/conns_test.go
+++ b/internal/node/conns_test.go
@@ -24,11 +24,11 @@
 		{"one of three, 48 machines", 900, 2, 48, 500},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := newPools(config.MachineLimits{Sockets: c.sockets}, c.peers)
+			p := newConnectionLimits(config.MachineLimits{Sockets: c.sockets}, c.peers)
 			if p.clients < c.machines+c.clients {
 				t.Errorf("%d connections for %d workers and %d users", p.clients, c.machines, c.clients)
 			}
-			own := 2*p.do + stateConns() + tuning.CloudCalls + 2*c.peers
+			own := 2*p.commands + stateConnections() + tuning.CloudCalls + 2*c.peers
 			if p.clients+own > c.sockets {
 				t.Errorf("%d and %d of its own are more than %d sockets", p.clients, own, c.sockets)
 			}
@@ -83,7 +83,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			in := &pile{}
-			g := newClientListener(in, 3, func() time.Time { return now })
+			g := newLimitedListener(in, 3, func() time.Time { return now })
 			var links []*link
 			for _, what := range c.open {
 				l := &link{}
@@ -94,13 +94,13 @@
 					t.Fatal(err)
 				}
 				now = now.Add(time.Second)
-				g.state(conn, http.StateActive)
+				g.trackState(conn, http.StateActive)
 				if what == worker || what == busyWorker {
-					req, _ := http.NewRequestWithContext(withClientConn(t.Context(), conn), http.MethodPost, "/checkin", nil)
-					noteWorker(req)
+					req, _ := http.NewRequestWithContext(withClientConnection(t.Context(), conn), http.MethodPost, "/checkin", nil)
+					markWorkerConnection(req)
 				}
 				if what != busyUser && what != busyWorker {
-					g.state(conn, http.StateIdle)
+					g.trackState(conn, http.StateIdle)
 				}
 			}
 			last := &link{}
@@ -126,15 +126,15 @@
 func TestCrowded(t *testing.T) {
 	const limit = 100
 	in := &pile{}
-	l := newClientListener(in, limit, time.Now)
+	l := newLimitedListener(in, limit, time.Now)
 	for n := 1; n <= limit; n++ {
 		in.conns = []net.Conn{&link{}}
 		conn, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		req, _ := http.NewRequestWithContext(withClientConn(t.Context(), conn), http.MethodPost, "/checkin", nil)
-		if closes, want := noteWorker(req), n >= limit*98/100; closes != want {
+		req, _ := http.NewRequestWithContext(withClientConnection(t.Context(), conn), http.MethodPost, "/checkin", nil)
+		if closes, want := markWorkerConnection(req), n >= limit*98/100; closes != want {
 			t.Errorf("with %d of %d open: closed %v", n, limit, closes)
 		}
 	}
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -22,106 +22,106 @@
 	"juniperchute/internal/wire"
 )
 
-// Env carries out effects. Each brings its result back to the goroutine that
+// Effects carries out effects. Each brings its result back to the goroutine that
 // owns the Core.
-type Env interface {
-	State(c store.Call, then func(now time.Time, r store.Result))
-	Cloud(c fleet.Call, then func(now time.Time, r fleet.Result))
-	// Do sends a direct command unless that is only possible after a time: a
+type Effects interface {
+	CallState(c store.Call, then func(now time.Time, r store.Result))
+	CallCloud(c fleet.Call, then func(now time.Time, r fleet.Result))
+	// SendCommands sends a direct command unless that is only possible after a time: a
 	// process that stood still must not act on what it believed before. Status 0
 	// means that no answer came, NotSent that nothing was sent.
-	Do(addr string, d wire.DirectCommands, by time.Time, then func(now time.Time, status int, rep *wire.Heartbeat))
-	Pulse(member string, m *peerpb.PeerHeartbeat, then func(now time.Time, r *peerpb.PeerHeartbeat, err error))
-	Progress(member string, m *peerpb.ProgressRequest, then func(now time.Time, r *peerpb.ProgressReply, err error))
-	Probe(member string, m *peerpb.ProbeRequest, then func(now time.Time, r *peerpb.ProbeReply, err error))
+	SendCommands(addr string, d wire.DirectCommands, by time.Time, then func(now time.Time, status int, rep *wire.Heartbeat))
+	SendHeartbeat(member string, m *peerpb.PeerHeartbeat, then func(now time.Time, r *peerpb.PeerHeartbeat, err error))
+	AskProgress(member string, m *peerpb.ProgressRequest, then func(now time.Time, r *peerpb.ProgressReply, err error))
+	ProbeWorkers(member string, m *peerpb.ProbeRequest, then func(now time.Time, r *peerpb.ProbeReply, err error))
 }
 
 // NotSent is the status of a direct command that was too late to be sent.
 const NotSent = -1
 
-// Core is all state of one controller.
-type Core struct {
-	cfg    *config.Config
-	opt    Options
-	blocks int
-	env    Env
-	rng    *rand.Rand
-	wall   func() time.Time
-	log    *slog.Logger
+// Controller is all state of one controller.
+type Controller struct {
+	config    *config.Config
+	options   Options
+	shards    int
+	effects   Effects
+	rng       *rand.Rand
+	wallClock func() time.Time
+	log       *slog.Logger
 
-	leader          *leader.Membership
-	users           *submission.Slice
-	open            *store.WatchCache // open jobs of all blocks
-	rentals         *store.WatchCache // rentals of all blocks
-	blockFor        map[string]int    // machines by the rentals that name them
-	tenures         map[int]*tenure
-	machineTypes    map[string]wire.MachineType
-	machineTypeRaw  map[string]string
-	machineTypesOf  int // how many machine types there are
-	settings        admin.Settings
-	peers           map[string]*peerView
-	claims          map[int]*peerpb.LeaseClaim // the highest token that peers know of each block
-	asking          map[int]*asking
-	pulseDue        time.Time
-	process         uint64    // drawn at the start: tells this process from others of its name
-	born            time.Time // of its first tick
-	cancellationLog *submission.CancellationLog
-	passing         map[string]bool // holders that a cancellation is being passed to
-	timers          []timer
-	logs            dutyLogs // as last read for an operator
+	membership         *leader.Membership
+	submissions        *submission.Slice
+	openJobs           *store.WatchCache // openJobs jobs of all blocks
+	provisionRequests  *store.WatchCache // provisionRequests of all blocks
+	shardOfMachine     map[string]int    // machines by the rentals that name them
+	terms              map[int]*term
+	machineTypes       map[string]wire.MachineType
+	machineTypeRecords map[string]string
+	machineTypeCount   int // how many machine types there are
+	settings           admin.Settings
+	peers              map[string]*peerStatus
+	leaseClaims        map[int]*peerpb.LeaseClaim // the highest token that peers know of each block
+	progressQueries    map[int]*progressQueue
+	heartbeatAt        time.Time
+	processID          uint64    // drawn at the start: tells this process from others of its name
+	startedAt          time.Time // of its first tick
+	cancellationLog    *submission.CancellationLog
+	forwardingTo       map[string]bool // holders that a cancellation is being passed to
+	timers             []timer
+	intentLogs         storedIntents // as last read for an operator
 }
 
 type timer struct {
-	at time.Time
-	f  func(now time.Time)
+	at  time.Time
+	run func(now time.Time)
 }
 
-// NewCore makes the state of one controller. wall is the time of day.
-func NewCore(cfg *config.Config, opt Options, env Env, rng *rand.Rand, wall func() time.Time, log *slog.Logger) *Core {
+// NewController makes the state of one controller. wall is the time of day.
+func NewController(cfg *config.Config, opt Options, env Effects, rng *rand.Rand, wall func() time.Time, log *slog.Logger) *Controller {
 	blocks := opt.Blocks
-	c := &Core{cfg: cfg, opt: opt, blocks: blocks, env: env, rng: rng, wall: wall, log: log,
-		tenures: map[int]*tenure{}, machineTypes: map[string]wire.MachineType{}, machineTypeRaw: map[string]string{},
-		settings: admin.Defaults(), peers: map[string]*peerView{}, claims: map[int]*peerpb.LeaseClaim{}, blockFor: map[string]int{}, asking: map[int]*asking{},
-		process: rng.Uint64() | 1, cancellationLog: submission.NewCancellationLog(blocks, config.Seconds(cfg.Platform.Workers.CancelS), cfg.Platform.State.WriteRPS), passing: map[string]bool{}}
-	c.leader = leader.New(cfg.Member, blocks, opt.Switches.Announced(), wall, c.state, log, c.control)
-	c.open = store.NewWatchCache(submission.OpenUnder, c.state, func(now time.Time, _ string, it wire.KeyValue, gone bool) {
-		for _, t := range c.tenures {
-			if t.state != tenureOver && t.records.reading == 0 {
-				t.jobChanged(now, it, gone)
+	c := &Controller{config: cfg, options: opt, shards: blocks, effects: env, rng: rng, wallClock: wall, log: log,
+		terms: map[int]*term{}, machineTypes: map[string]wire.MachineType{}, machineTypeRecords: map[string]string{},
+		settings: admin.Defaults(), peers: map[string]*peerStatus{}, leaseClaims: map[int]*peerpb.LeaseClaim{}, shardOfMachine: map[string]int{}, progressQueries: map[int]*progressQueue{},
+		processID: rng.Uint64() | 1, cancellationLog: submission.NewCancellationLog(blocks, config.Seconds(cfg.Platform.Workers.CancelS), cfg.Platform.State.WriteRPS), forwardingTo: map[string]bool{}}
+	c.membership = leader.New(cfg.Member, blocks, opt.Switches.Announced(), wall, c.callState, log, c.applyControlRecord)
+	c.openJobs = store.NewWatchCache(submission.OpenUnder, c.callState, func(now time.Time, _ string, it wire.KeyValue, gone bool) {
+		for _, t := range c.terms {
+			if t.state != termEnded && t.predecessorRecords.readsInFlight == 0 {
+				t.applyOpenJob(now, it, gone)
 			}
 		}
 	})
-	c.rentals = store.NewWatchCache(fleet.UnderRentals, c.state, c.rentalChanged)
-	c.users = submission.New(cfg.Platform, blocks, wall, c.state, log,
-		c.types, c.open, c.progress, c.tell)
+	c.provisionRequests = store.NewWatchCache(fleet.UnderRentals, c.callState, c.applyProvisionRecord)
+	c.submissions = submission.New(cfg.Platform, blocks, wall, c.callState, log,
+		c.allMachineTypes, c.openJobs, c.jobProgress, c.recordCancellation)
 	for _, k := range cfg.Peers {
-		c.peers[k.Member] = &peerView{}
+		c.peers[k.Member] = &peerStatus{}
 	}
 	return c
 }
 
-// state passes a call on, and looks after the tenures when its answer has
+// callState passes a call on, and looks after the tenures when its answer has
 // been handled.
-func (c *Core) state(call store.Call, then func(time.Time, store.Result)) {
-	c.env.State(call, func(now time.Time, r store.Result) {
+func (c *Controller) callState(call store.Call, then func(time.Time, store.Result)) {
+	c.effects.CallState(call, func(now time.Time, r store.Result) {
 		then(now, r)
-		c.after(now)
+		c.reconcileTerms(now)
 	})
 }
 
-func (c *Core) later(now time.Time, d time.Duration, f func(now time.Time)) {
+func (c *Controller) schedule(now time.Time, d time.Duration, f func(now time.Time)) {
 	c.timers = append(c.timers, timer{now.Add(d), f})
 }
 
-// control handles control records that are not the leader slice's.
-func (c *Core) control(now time.Time, key string, it wire.KeyValue, gone bool) {
+// applyControlRecord handles control records that are not the leader slice's.
+func (c *Controller) applyControlRecord(now time.Time, key string, it wire.KeyValue, gone bool) {
 	if key == admin.Key {
 		c.settings = admin.Defaults()
 		if !gone {
 			c.settings = admin.Decode(it.Value, c.log)
 		}
-		for _, t := range c.tenures {
-			t.configure()
+		for _, t := range c.terms {
+			t.applySettings()
 		}
 		return
 	}
@@ -130,7 +130,7 @@
 		return
 	}
 	delete(c.machineTypes, name)
-	delete(c.machineTypeRaw, name)
+	delete(c.machineTypeRecords, name)
 	if gone {
 		return
 	}
@@ -139,97 +139,97 @@
 		c.log.Error("machine type's record cannot be read", "key", key, "error", err)
 		return
 	}
-	c.machineTypes[name], c.machineTypeRaw[name], c.machineTypesOf = f.MachineType, string(it.Value), f.Of
-	for _, t := range c.tenures {
-		t.fleet.MachineType(f.MachineType, string(it.Value))
+	c.machineTypes[name], c.machineTypeRecords[name], c.machineTypeCount = f.MachineType, string(it.Value), f.Of
+	for _, t := range c.terms {
+		t.autoscaler.MachineType(f.MachineType, string(it.Value))
 	}
 }
 
-// types are the machine types, none until all of them are known.
-func (c *Core) types() map[string]wire.MachineType {
-	if len(c.machineTypes) < c.machineTypesOf {
+// allMachineTypes are the machine types, none until all of them are known.
+func (c *Controller) allMachineTypes() map[string]wire.MachineType {
+	if len(c.machineTypes) < c.machineTypeCount {
 		return nil
 	}
 	return c.machineTypes
 }
 
-// after begins and ends tenures as the records say.
-func (c *Core) after(now time.Time) {
-	mine := c.leader.Terms()
-	for b := range c.blocks {
-		t := c.tenures[b]
+// reconcileTerms begins and ends tenures as the records say.
+func (c *Controller) reconcileTerms(now time.Time) {
+	mine := c.membership.Terms()
+	for b := range c.shards {
+		t := c.terms[b]
 		if t == nil {
 			continue
 		}
-		inc := c.leader.Incarnation()
-		_, token, known := c.leader.Holder(b)
+		inc := c.membership.Incarnation()
+		_, token, known := c.membership.Holder(b)
 		switch {
-		case t.state == tenureOver:
-		case inc != 0 && inc != t.inc:
+		case t.state == termEnded:
+		case inc != 0 && inc != t.incarnation:
 			// a new lease: nothing of the old one's may be used beside it
 			t.end(now, "this process has a new lease")
 		case known && token > t.Token:
 			t.end(now, "the block was given away")
 		}
-		if t.state != tenureOver {
+		if t.state != termEnded {
 			continue
 		}
 		if slices.ContainsFunc(mine, func(l leader.Term) bool { return l.Shard == b && l.Token == t.Token }) {
 			// Ended on somebody's word while the records still name us: left
 			// alone, the block would have no holder for good.
-			c.leader.Resign(now, t.Term, t.fencing.unreachable)
+			c.membership.Resign(now, t.Term, t.fencing.unreachable)
 			continue
 		}
-		delete(c.tenures, b)
+		delete(c.terms, b)
 	}
 	for _, l := range mine {
-		if c.tenures[l.Shard] == nil && c.leader.LeaseValid(now) {
-			c.tenures[l.Shard] = newTenure(now, c, l, c.leader.Incarnation())
+		if c.terms[l.Shard] == nil && c.membership.LeaseValid(now) {
+			c.terms[l.Shard] = newTerm(now, c, l, c.membership.Incarnation())
 		}
 	}
 }
 
-// ClockMoved is told that the clock was moved forward. This process's own lease may have
+// EndTermsAfterSuspension is told that the clock was moved forward. This process's own lease may have
 // ended by it, which is safe. That a worker's lease is over must not be concluded from time
 // that may not have passed: all tenures end, and whoever holds the blocks next waits for
 // leases from its own beginning.
-func (c *Core) ClockMoved(now time.Time) {
-	for _, t := range c.tenures {
-		if t.state != tenureOver {
+func (c *Controller) EndTermsAfterSuspension(now time.Time) {
+	for _, t := range c.terms {
+		if t.state != termEnded {
 			t.end(now, "the clock was moved forward")
 		}
 	}
 }
 
 // Tick starts what is due.
-func (c *Core) Tick(now time.Time) {
-	if c.born.IsZero() {
-		c.born = now
+func (c *Controller) Tick(now time.Time) {
+	if c.startedAt.IsZero() {
+		c.startedAt = now
 	}
-	c.leader.Tick(now)
+	c.membership.Tick(now)
 	for i := 0; i < len(c.timers); {
 		if tm := c.timers[i]; !now.Before(tm.at) {
 			c.timers = slices.Delete(c.timers, i, i+1)
-			tm.f(now)
+			tm.run(now)
 			continue
 		}
 		i++
 	}
-	c.after(now)
-	c.open.MinWatchInterval, c.rentals.MinWatchInterval = tuning.OpenPace, tuning.OpenPace
-	if len(c.tenures) > 0 {
-		c.open.MinWatchInterval = tuning.HolderPace
+	c.reconcileTerms(now)
+	c.openJobs.MinWatchInterval, c.provisionRequests.MinWatchInterval = tuning.OpenPace, tuning.OpenPace
+	if len(c.terms) > 0 {
+		c.openJobs.MinWatchInterval = tuning.HolderPace
 	}
-	c.open.Tick(now)
-	c.rentals.Tick(now)
-	for b := range c.blocks {
-		if t := c.tenures[b]; t != nil {
+	c.openJobs.Tick(now)
+	c.provisionRequests.Tick(now)
+	for b := range c.shards {
+		if t := c.terms[b]; t != nil {
 			t.Tick(now)
 		}
 	}
-	if !now.Before(c.pulseDue) {
-		c.pulseDue = now.Add(tuning.PulseEvery)
-		c.pulse(now)
+	if !now.Before(c.heartbeatAt) {
+		c.heartbeatAt = now.Add(tuning.PulseEvery)
+		c.sendHeartbeats(now)
 	}
 }
 
@@ -237,18 +237,18 @@
 // the state service, or that hears neither it nor any peer, says no, so that
 // users go to the others; in an outage all stay, as they would be slow to come
 // back.
-func (c *Core) Healthy(now time.Time) bool {
-	if !c.leader.Synced() || !c.open.Synced() || len(c.types()) == 0 {
+func (c *Controller) Healthy(now time.Time) bool {
+	if !c.membership.Synced() || !c.openJobs.Synced() || len(c.allMachineTypes()) == 0 {
 		return false
 	}
-	if c.silent(now) < tuning.CutAfter+tuning.WatchWait {
+	if c.stateUnreachableFor(now) < tuning.CutAfter+tuning.WatchWait {
 		return true
 	}
 	alone := len(c.peers) > 0
 	for _, p := range c.peers {
-		if now.Sub(p.heard) < 3*tuning.PulseEvery {
+		if now.Sub(p.lastHeartbeat) < 3*tuning.PulseEvery {
 			alone = false
-			if p.silent < tuning.CutAfter {
+			if p.stateUnreachableFor < tuning.CutAfter {
 				return false
 			}
 		}
@@ -256,22 +256,22 @@
 	return !alone
 }
 
-// Report answers a worker's report.
-func (c *Core) Report(now time.Time, rep *wire.Heartbeat, reply func(status int, body any)) {
-	b := c.blockOf(rep.Host)
-	if t := c.tenures[b]; t != nil && t.state != tenureOver {
-		t.Report(now, rep, reply)
+// HandleHeartbeat answers a worker's report.
+func (c *Controller) HandleHeartbeat(now time.Time, rep *wire.Heartbeat, reply func(status int, body any)) {
+	b := c.shardOf(rep.Host)
+	if t := c.terms[b]; t != nil && t.state != termEnded {
+		t.HandleHeartbeat(now, rep, reply)
 		return
 	}
 	c.redirect(b, reply)
 }
 
-// Waited tells how long the next report has waited for its turn.
-func (c *Core) Waited(d time.Duration) {
-	for _, t := range c.tenures {
-		t.reg.Behind = d
+// ObserveQueueDelay tells how long the next report has waited for its turn.
+func (c *Controller) ObserveQueueDelay(d time.Duration) {
+	for _, t := range c.terms {
+		t.workers.Behind = d
 	}
 }
 
-// Users is the slice that answers users.
-func (c *Core) Users() *submission.Slice { return c.users }
+// Submissions is the slice that answers users.
+func (c *Controller) Submissions() *submission.Slice { return c.submissions }
--- a/internal/node/core_test.go
+++ b/internal/node/core_test.go
@@ -36,11 +36,11 @@
 			cfg := facts([]string{"a"}, []config.Team{{Name: "red"}}, 1.5, 10)
 			cfg.Member = "n0"
 			cfg.Peers = []config.Peer{{Member: "n1"}, {Member: "n2"}}
-			core := NewCore(cfg, Options{Blocks: 1}, nil, rand.New(rand.NewPCG(1, 1)), func() time.Time { return now }, slog.New(slog.NewTextHandler(io.Discard, nil)))
+			core := NewController(cfg, Options{Blocks: 1}, nil, rand.New(rand.NewPCG(1, 1)), func() time.Time { return now }, slog.New(slog.NewTextHandler(io.Discard, nil)))
 			for _, h := range c.heard {
-				core.Pulse(now, &peerpb.PeerHeartbeat{Member: "n1", Claims: []*peerpb.LeaseClaim{h}})
+				core.HandlePeerHeartbeat(now, &peerpb.PeerHeartbeat{Member: "n1", Claims: []*peerpb.LeaseClaim{h}})
 			}
-			core.Report(now, &wire.Heartbeat{Host: "i-1", Incarnation: 1, Sequence: 1}, func(status int, body any) {
+			core.HandleHeartbeat(now, &wire.Heartbeat{Host: "i-1", Incarnation: 1, Sequence: 1}, func(status int, body any) {
 				if r, ok := body.(wire.Redirect); status != 421 || !ok || r.Member != c.want {
 					t.Errorf("answered %d %+v, want 421 to %q", status, body, c.want)
 				}
@@ -51,7 +51,7 @@
 
 // heldCalls is an Env that keeps the calls for progress.
 type heldCalls struct {
-	Env
+	Effects
 	asked []*peerpb.ProgressRequest
 	then  []func(now time.Time, r *peerpb.ProgressReply, err error)
 }
@@ -67,12 +67,12 @@
 	cfg := facts([]string{"a"}, []config.Team{{Name: "red"}}, 1.5, 10)
 	cfg.Member, cfg.Peers = "n0", []config.Peer{{Member: "n1"}}
 	env := &heldCalls{}
-	core := NewCore(cfg, Options{Blocks: 1}, env, rand.New(rand.NewPCG(1, 1)), func() time.Time { return now }, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	core.Pulse(now, &peerpb.PeerHeartbeat{Member: "n1", Claims: []*peerpb.LeaseClaim{{Token: 4, Holder: "n1"}}})
+	core := NewController(cfg, Options{Blocks: 1}, env, rand.New(rand.NewPCG(1, 1)), func() time.Time { return now }, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	core.HandlePeerHeartbeat(now, &peerpb.PeerHeartbeat{Member: "n1", Claims: []*peerpb.LeaseClaim{{Token: 4, Holder: "n1"}}})
 	const questions = 90
 	got := map[int]submission.Progress{}
 	for i := range questions {
-		core.progress(now, 0, fmt.Sprintf("job-%d", i), func(_ time.Time, p submission.Progress) { got[i] = p })
+		core.jobProgress(now, 0, fmt.Sprintf("job-%d", i), func(_ time.Time, p submission.Progress) { got[i] = p })
 	}
 	for i := 0; i < len(env.then); i++ {
 		r := &peerpb.ProgressReply{}
--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -18,15 +18,15 @@
 	"juniperchute/internal/wire"
 )
 
-// dutyLogs are the logs of all blocks as this node last read them.
-type dutyLogs struct {
-	entries map[int][]duty.Entry
-	unread  map[int]int // pages that cannot be read
-	at      time.Time   // when they were read; zero: never
+// storedIntents are the logs of all blocks as this node last read them.
+type storedIntents struct {
+	entries    map[int][]duty.Entry
+	unreadable map[int]int // pages that cannot be read
+	readAt     time.Time   // when they were read; zero: never
 }
 
-// errNeverRead tells that this node has not read what it is asked for yet.
-var errNeverRead = errors.New("the control records have not been read yet")
+// errRecordsNotRead tells that this node has not read what it is asked for yet.
+var errRecordsNotRead = errors.New("the control records have not been read yet")
 
 // HandleIntents is part of peer.Handler.
 func (r *Runtime) HandleIntents(ctx context.Context) (*peerpb.IntentsReply, error) {
@@ -36,7 +36,7 @@
 	}
 	ch := make(chan result, 1)
 	if err := r.Ask(ctx, func(now time.Time) {
-		r.core.Duties(now, func(reply *peerpb.IntentsReply, err error) { ch <- result{reply, err} })
+		r.controller.Intents(now, func(reply *peerpb.IntentsReply, err error) { ch <- result{reply, err} })
 	}); err != nil {
 		return nil, err
 	}
@@ -48,25 +48,25 @@
 	}
 }
 
-// Duties tells who carries out the duties and what is not settled. The logs are read
+// Intents tells who carries out the duties and what is not settled. The logs are read
 // anew; if the state service does not answer, what was read last is told with its age.
-func (c *Core) Duties(now time.Time, reply func(*peerpb.IntentsReply, error)) {
-	if !c.leader.Synced() {
-		reply(nil, errNeverRead)
+func (c *Controller) Intents(now time.Time, reply func(*peerpb.IntentsReply, error)) {
+	if !c.membership.Synced() {
+		reply(nil, errRecordsNotRead)
 		return
 	}
-	read := dutyLogs{entries: map[int][]duty.Entry{}, unread: map[int]int{}, at: now}
-	c.readLogs(read, "", func(now time.Time, ok bool) {
+	read := storedIntents{entries: map[int][]duty.Entry{}, unreadable: map[int]int{}, readAt: now}
+	c.readIntentLogs(read, "", func(now time.Time, ok bool) {
 		if ok {
-			c.logs = read
+			c.intentLogs = read
 		}
-		reply(c.dutiesReply(now), nil)
+		reply(c.intentsReply(now), nil)
 	})
 }
 
-// readLogs reads the pages of all blocks' logs.
-func (c *Core) readLogs(into dutyLogs, after string, then func(now time.Time, ok bool)) {
-	c.state(store.Call{Op: store.OpList, Priority: store.PriorityUser, Prefix: duty.Prefix, After: after, PageSize: tuning.ListPage}, func(now time.Time, r store.Result) {
+// readIntentLogs reads the pages of all blocks' logs.
+func (c *Controller) readIntentLogs(into storedIntents, after string, then func(now time.Time, ok bool)) {
+	c.callState(store.Call{Op: store.OpList, Priority: store.PriorityUser, Prefix: duty.Prefix, After: after, PageSize: tuning.ListPage}, func(now time.Time, r store.Result) {
 		if !r.OK() {
 			then(now, false)
 			return
@@ -75,14 +75,14 @@
 			into.add(it)
 		}
 		if n := len(r.KeyValues); r.More && n > 0 {
-			c.readLogs(into, r.KeyValues[n-1].Key, then)
+			c.readIntentLogs(into, r.KeyValues[n-1].Key, then)
 			return
 		}
 		then(now, true)
 	})
 }
 
-func (l *dutyLogs) add(it wire.KeyValue) {
+func (l *storedIntents) add(it wire.KeyValue) {
 	number, _, _ := strings.Cut(strings.TrimPrefix(it.Key, duty.Prefix), "/")
 	block, err := strconv.Atoi(number)
 	if err != nil {
@@ -90,56 +90,56 @@
 	}
 	entries, err := duty.ReadPage(it.Value)
 	if err != nil {
-		l.unread[block]++
+		l.unreadable[block]++
 		return
 	}
 	l.entries[block] = append(l.entries[block], entries...)
 }
 
-// age is how long ago something was, in milliseconds, -1 if it never was.
-func age(now, at time.Time) int64 {
+// ageMs is how long ago something was, in milliseconds, -1 if it never was.
+func ageMs(now, at time.Time) int64 {
 	if at.IsZero() {
 		return -1
 	}
 	return max(0, now.Sub(at).Milliseconds())
 }
 
-func (c *Core) dutiesReply(now time.Time) *peerpb.IntentsReply {
-	out := &peerpb.IntentsReply{Member: c.cfg.Member, InForce: c.leader.FeatureInForce(switches.IntentLogFeature),
-		HoldersAgeMs: age(now, c.leader.LastContact()), EntriesAgeMs: age(now, c.logs.at)}
-	for b := range c.blocks {
-		out.Shards = append(out.Shards, c.blockDuties(b))
+func (c *Controller) intentsReply(now time.Time) *peerpb.IntentsReply {
+	out := &peerpb.IntentsReply{Member: c.config.Member, InForce: c.membership.FeatureInForce(switches.IntentLogFeature),
+		HoldersAgeMs: ageMs(now, c.membership.LastContact()), EntriesAgeMs: ageMs(now, c.intentLogs.readAt)}
+	for b := range c.shards {
+		out.Shards = append(out.Shards, c.shardIntents(b))
 	}
 	return out
 }
 
-func (c *Core) blockDuties(block int) *peerpb.ShardIntents {
-	holder, token, live := c.leader.Holder(block)
-	out := &peerpb.ShardIntents{Shard: int32(block), Holder: holder, Token: token, Live: live, UnreadablePages: int32(c.logs.unread[block])}
-	if since := c.leader.ShardAssignedAt(block); !since.IsZero() {
+func (c *Controller) shardIntents(block int) *peerpb.ShardIntents {
+	holder, token, live := c.membership.Holder(block)
+	out := &peerpb.ShardIntents{Shard: int32(block), Holder: holder, Token: token, Live: live, UnreadablePages: int32(c.intentLogs.unreadable[block])}
+	if since := c.membership.ShardAssignedAt(block); !since.IsZero() {
 		out.SinceMs = since.UnixMilli()
 	}
-	statuses := c.recordedDuties(block)
-	if t := c.tenures[block]; t != nil && t.state != tenureOver {
+	statuses := c.recordedIntents(block)
+	if t := c.terms[block]; t != nil && t.state != termEnded {
 		out.State = t.state.String()
-		if t.state != tenureLoading {
-			statuses = t.duties.Status()
+		if t.state != termLoading {
+			statuses = t.intents.Status()
 		}
 	}
 	for _, s := range statuses {
-		out.Operations = append(out.Operations, c.dutyStatus(s))
+		out.Operations = append(out.Operations, c.operationStatus(s))
 	}
 	return out
 }
 
-// recordedDuties tells of a block's duties what is stored: the entries of its log, and
+// recordedIntents tells of a block's duties what is stored: the entries of its log, and
 // the rentals that name no machines yet.
-func (c *Core) recordedDuties(block int) []duty.OperationStatus {
+func (c *Controller) recordedIntents(block int) []duty.OperationStatus {
 	actions := map[duty.Operation][]duty.IntentStatus{}
-	for _, e := range c.logs.entries[block] {
+	for _, e := range c.intentLogs.entries[block] {
 		actions[e.Operation] = append(actions[e.Operation], duty.IntentStatus{Operation: e.Operation, Target: e.Target, Token: e.Token, State: duty.Recorded, DecidedAt: e.DecidedAt})
 	}
-	c.rentals.Each(func(it wire.KeyValue) {
+	c.provisionRequests.Each(func(it wire.KeyValue) {
 		if name, token, open := fleet.Unanswered(it, block); open {
 			actions[duty.Provision] = append(actions[duty.Provision], duty.IntentStatus{Operation: duty.Provision, Target: name, Token: token, State: duty.Recorded})
 		}
@@ -151,14 +151,14 @@
 	return out
 }
 
-// dutyStatus tells of one duty, the oldest actions first.
-func (c *Core) dutyStatus(s duty.OperationStatus) *peerpb.OperationStatus {
+// operationStatus tells of one duty, the oldest actions first.
+func (c *Controller) operationStatus(s duty.OperationStatus) *peerpb.OperationStatus {
 	out := &peerpb.OperationStatus{Operation: string(s.Operation), Pending: int32(len(s.Intents)), RemovalsInFlight: int32(s.RemovalsInFlight), RemovalsDone: int64(s.RemovalsDone)}
 	slices.SortStableFunc(s.Intents, func(a, b duty.IntentStatus) int {
 		return cmp.Or(a.DecidedAt.Compare(b.DecidedAt), cmp.Compare(a.Target, b.Target))
 	})
 	for _, a := range s.Intents[:min(len(s.Intents), tuning.DutyEntriesShown)] {
-		out.Intents = append(out.Intents, &peerpb.IntentStatus{Target: a.Target, Token: a.Token, State: a.State.String(), AgeMs: age(c.wall(), a.DecidedAt)})
+		out.Intents = append(out.Intents, &peerpb.IntentStatus{Target: a.Target, Token: a.Token, State: a.State.String(), AgeMs: ageMs(c.wallClock(), a.DecidedAt)})
 	}
 	return out
 }
--- a/internal/node/duties_test.go
+++ b/internal/node/duties_test.go
@@ -77,7 +77,7 @@
 			holder.crash(500 * time.Millisecond)
 			sim.runUntil("a successor", 20*time.Second, func() bool {
 				for _, n := range sim.nodes {
-					if t := n.core.tenures[0]; n.alive && n != holder && t != nil && t.state != tenureOver {
+					if t := n.controller.terms[0]; n.alive && n != holder && t != nil && t.state != termEnded {
 						n.crash(300 * time.Millisecond)
 						return true
 					}
@@ -124,11 +124,11 @@
 	}
 	cut.partitioned = true
 	sim.holder().crash(time.Hour)
-	var tenure *tenure
+	var tenure *term
 	sim.runUntil("a tenure that deletes the machine", 20*time.Second, func() bool {
 		for _, n := range sim.nodes {
-			if o := n.core.tenures[0]; n.alive && o != nil && o.state == tenureFencing {
-				if m := o.reg.Get(cut.Host.ID); m != nil && m.State == worker.Deleting {
+			if o := n.controller.terms[0]; n.alive && o != nil && o.state == termFencing {
+				if m := o.workers.Get(cut.Host.ID); m != nil && m.State == worker.Deleting {
 					tenure = o
 					return true
 				}
@@ -137,12 +137,12 @@
 		return false
 	})
 	old := cut.Report()
-	tenure.Report(sim.clk.Now(), old, func(int, any) {})
-	if m := tenure.reg.Get(cut.Host.ID); m.Answered.IsZero() {
+	tenure.HandleHeartbeat(sim.clk.Now(), old, func(int, any) {})
+	if m := tenure.workers.Get(cut.Host.ID); m.Answered.IsZero() {
 		t.Fatal("the older report was not answered: this tests nothing")
 	}
 	sim.runFor(500 * time.Millisecond)
-	if tenure.state != tenureFencing {
+	if tenure.state != termFencing {
 		t.Errorf("%v although it is not known what is on %s", tenure.state, cut.Host.ID)
 	}
 	sim.cloud.Down, cut.partitioned = false, false
@@ -226,7 +226,7 @@
 // askDuties asks a node about the duties.
 func (sim *simulation) askDuties(n *simulatedNode) (reply *peerpb.IntentsReply) {
 	sim.t.Helper()
-	n.core.Duties(sim.clk.Now(), func(r *peerpb.IntentsReply, err error) {
+	n.controller.Intents(sim.clk.Now(), func(r *peerpb.IntentsReply, err error) {
 		if err != nil {
 			sim.t.Errorf("%s: %v", n.name, err)
 		}
@@ -255,7 +255,7 @@
 		return out
 	}
 	sim.cloud.Down = true // so that it stays unsettled
-	token := holder.core.tenures[0].Token
+	token := holder.controller.terms[0].Token
 	for _, n := range sim.nodes {
 		r := sim.askDuties(n)
 		b := r.Shards[0]
@@ -278,7 +278,7 @@
 		t.Errorf("right after the crash: %+v", r.Shards[0])
 	}
 	sim.runUntil("a record without a live holder", 10*time.Second, func() bool {
-		_, _, live := other.core.leader.Holder(0)
+		_, _, live := other.controller.membership.Holder(0)
 		return !live
 	})
 	if r := sim.askDuties(other); r.Shards[0].Live && r.Shards[0].Holder == holder.name {
@@ -300,13 +300,13 @@
 func TestClockMoved(t *testing.T) {
 	sim := dutiesSimulation(t)
 	holder := sim.holder()
-	before := holder.core.tenures[0]
-	holder.core.ClockMoved(sim.clk.Now())
-	if before.state != tenureOver {
+	before := holder.controller.terms[0]
+	holder.controller.EndTermsAfterSuspension(sim.clk.Now())
+	if before.state != termEnded {
 		t.Fatalf("the tenure is %v", before.state)
 	}
 	sim.runFor(10 * time.Second)
-	if next := sim.holder(); next == nil || next.core.tenures[0].Token <= before.Token {
+	if next := sim.holder(); next == nil || next.controller.terms[0].Token <= before.Token {
 		t.Error("no tenure under a newer token")
 	}
 	sim.settle()
--- a/internal/node/faults_test.go
+++ b/internal/node/faults_test.go
@@ -90,11 +90,11 @@
 				for i := range 3 {
 					r := *rep
 					r.Sequence += uint64(i)
-					n.core.Report(sim.clk.Now(), &r, func(int, any) {})
+					n.controller.HandleHeartbeat(sim.clk.Now(), &r, func(int, any) {})
 				}
 			}
 			copies()
-			if m := n.core.tenures[0].reg.Get(h.Host.ID); m != nil {
+			if m := n.controller.terms[0].workers.Get(h.Host.ID); m != nil {
 				sim.fail("%s is back: %v", h.Host.ID, m.State)
 			}
 			// the same to a successor, which never heard that machine
@@ -105,13 +105,13 @@
 				return
 			}
 			copies()
-			if m := n.core.tenures[0].reg.Get(h.Host.ID); m != nil {
+			if m := n.controller.terms[0].workers.Get(h.Host.ID); m != nil {
 				sim.fail("%s is back at the successor: %v", h.Host.ID, m.State)
 			}
 		}},
 		{"a silent machine's late reports: what its old session says is over", func(sim *simulation) {
 			n := sim.holder()
-			reg := n.core.tenures[0].reg
+			reg := n.controller.terms[0].workers
 			h := sim.someMachine()
 			rep := h.Report()
 			h.partitioned, h.Hung = true, true
@@ -123,7 +123,7 @@
 			}
 			answered := m.Answered
 			rep.Sequence += 5
-			n.core.Report(sim.clk.Now(), rep, func(status int, _ any) {
+			n.controller.HandleHeartbeat(sim.clk.Now(), rep, func(status int, _ any) {
 				if status == 200 {
 					sim.fail("a report of a session that is over was taken")
 				}
@@ -137,7 +137,7 @@
 			n := sim.holder()
 			n.stateCut, n.peersCut = true, true
 			sim.runFor(tuning.MemberLease + time.Second)
-			if n.core.leader.LeaseValid(sim.clk.Now()) {
+			if n.controller.membership.LeaseValid(sim.clk.Now()) {
 				sim.fail("the old holder still decides")
 			}
 			sim.runFor(8 * time.Second)
@@ -205,11 +205,11 @@
 			for range 9 {
 				sim.runFor(time.Second)
 				for _, n := range sim.nodes {
-					t := n.core.tenures[0]
-					if !n.alive || n == before || t == nil || t.state != tenureFencing {
+					t := n.controller.terms[0]
+					if !n.alive || n == before || t == nil || t.state != termFencing {
 						continue
 					}
-					for _, j := range t.board.Jobs() {
+					for _, j := range t.scheduler.Jobs() {
 						if j.Early && j.Located() > 0 && !strings.Contains(marked, `"`+j.Spec.ID+`"`) {
 							began++
 						}
--- a/internal/node/fencing.go
+++ b/internal/node/fencing.go
@@ -14,72 +14,72 @@
 // fencing is what a tenure does to learn where tasks of earlier tenures are, and whether
 // it still reaches its workers.
 type fencing struct {
-	due         map[string]time.Time // when a machine is asked again
-	sessions    map[string]uint64    // of machines that refused a command for its session
-	unreachable bool                 // this node hears none of its workers any more
-	probeDue    time.Time            // when peers are asked again whether they do
+	askAt        map[string]time.Time // when a machine is asked again
+	incarnations map[string]uint64    // of machines that refused a command for its session
+	unreachable  bool                 // this node hears none of its workers any more
+	probeAt      time.Time            // when peers are asked again whether they do
 }
 
-// unheardUntil is when the lease of a machine that this tenure has not heard
+// unreconciledLeaseEnd is when the lease of a machine that this tenure has not heard
 // is surely over, whatever the holder before it did.
-func (t *tenure) unheardUntil() time.Time {
-	u := t.since.Add(t.reg.Expiry())
+func (t *term) unreconciledLeaseEnd() time.Time {
+	u := t.startedAt.Add(t.workers.Expiry())
 	if !t.PredecessorEnded {
-		u = u.Add(t.renewBound())
+		u = u.Add(t.renewalBound())
 	}
 	return u
 }
 
-// fence asks the machines not heard yet for their account, under the new
+// fenceWorkers asks the machines not heard yet for their account, under the new
 // token, and opens the tenure once none is left.
-func (t *tenure) fence(now time.Time) {
-	for _, m := range t.reg.All() {
-		if t.unheard(m) {
-			if m.Address != "" && !m.DoBusy && !now.Before(t.fencing.due[m.Host]) {
-				t.fencing.due[m.Host] = now.Add(tuning.FenceRetry)
-				t.direct(now, m, []wire.Command{})
+func (t *term) fenceWorkers(now time.Time) {
+	for _, m := range t.workers.All() {
+		if t.unreconciled(m) {
+			if m.Address != "" && !m.DoBusy && !now.Before(t.fencing.askAt[m.Host]) {
+				t.fencing.askAt[m.Host] = now.Add(tuning.FenceRetry)
+				t.sendCommands(now, m, []wire.Command{})
 			}
 		}
 	}
-	if t.account() == 0 && t.state == tenureFencing {
-		t.set(now, tenureOpen, "every machine heard or gone")
-		t.board.Open(now)
+	if t.reserveUnknown() == 0 && t.state == termFencing {
+		t.setState(now, termOpen, "every machine heard or gone")
+		t.scheduler.Open(now)
 	}
 }
 
-// unheard tells whether a machine may have tasks of an earlier tenure that are not known.
+// unreconciled tells whether a machine may have tasks of an earlier tenure that are not known.
 // One that is being deleted is heard by what it says under this tenure's token alone: the
 // answer to an older report renews its lease without telling what is on it.
-func (t *tenure) unheard(m *worker.Machine) bool {
+func (t *term) unreconciled(m *worker.Machine) bool {
 	return m.State == worker.Unheard || m.State == worker.Deleting && m.Heard.IsZero() && m.Used && !m.LeaseOver
 }
 
-// account has the whole room of machines whose tasks are not known count against every
+// reserveUnknown has the whole room of machines whose tasks are not known count against every
 // limited team, and tells how many have not been heard.
-func (t *tenure) account() (unheard int) {
+func (t *term) reserveUnknown() (unheard int) {
 	var blocked quota.Room
-	for _, m := range t.reg.All() {
-		if t.unheard(m) {
+	for _, m := range t.workers.All() {
+		if t.unreconciled(m) {
 			unheard++
 			blocked = blocked.Add(m.Cap)
 		} else if m.Stranger {
 			blocked = blocked.Add(m.Cap)
 		}
 	}
-	t.book.Block(blocked)
+	t.ledger.Block(blocked)
 	return unheard
 }
 
-// listen notices when this node hears none of its workers any more. If a peer
+// detectIsolation notices when this node hears none of its workers any more. If a peer
 // still reaches them, only this node is cut off: it gives the block back, so
 // that a holder they can reach renews their leases in time. Keeping it would
 // lose every task, and return every machine as silent.
-func (t *tenure) listen(now time.Time) {
-	w := t.c.cfg.Platform.Workers
+func (t *term) detectIsolation(now time.Time) {
+	w := t.controller.config.Platform.Workers
 	var last time.Time
 	machines := 0
 	each := func(f func(m *worker.Machine)) {
-		for _, m := range t.reg.All() {
+		for _, m := range t.workers.All() {
 			if (m.State == worker.Up || m.State == worker.Silent) && now.Sub(m.Checked) <= config.Seconds(w.LeaseS) {
 				f(m)
 			}
@@ -92,10 +92,10 @@
 		}
 	})
 	t.fencing.unreachable = machines >= tuning.UnreachableMachines && now.Sub(last) > config.Seconds(w.HeartbeatS*tuning.UnreachableReports)+tuning.SilentGrace
-	if !t.fencing.unreachable || now.Before(t.fencing.probeDue) {
+	if !t.fencing.unreachable || now.Before(t.fencing.probeAt) {
 		return
 	}
-	t.fencing.probeDue = now.Add(tuning.ProbeTimeout + tuning.ProgressTimeout)
+	t.fencing.probeAt = now.Add(tuning.ProbeTimeout + tuning.ProgressTimeout)
 	t.log.Info("no worker is heard any more", "machines", machines, "for", now.Sub(last))
 	var addrs []string
 	each(func(m *worker.Machine) {
@@ -103,11 +103,11 @@
 			addrs = append(addrs, m.Address)
 		}
 	})
-	for _, k := range t.c.cfg.Peers {
-		t.c.env.Probe(k.Member, &peerpb.ProbeRequest{Addresses: addrs}, func(now time.Time, r *peerpb.ProbeReply, err error) {
-			if err == nil && r.Answered > 0 && t.fencing.unreachable && t.state != tenureOver {
+	for _, k := range t.controller.config.Peers {
+		t.controller.effects.ProbeWorkers(k.Member, &peerpb.ProbeRequest{Addresses: addrs}, func(now time.Time, r *peerpb.ProbeReply, err error) {
+			if err == nil && r.Answered > 0 && t.fencing.unreachable && t.state != termEnded {
 				t.end(now, "only this node does not hear the workers")
-				t.c.after(now)
+				t.controller.reconcileTerms(now)
 			}
 		})
 	}
--- a/internal/node/fleet_limits_test.go
+++ b/internal/node/fleet_limits_test.go
@@ -71,11 +71,11 @@
 // back, and the next tenure, under a new token, goes on with all jobs.
 func TestAttemptNumbersUsedUp(t *testing.T) {
 	sim := steadySimulation(t, 6, 8)
-	tenure := sim.holder().core.tenures[0]
-	tenure.board.AttemptsUsedUp = true
+	tenure := sim.holder().controller.terms[0]
+	tenure.scheduler.AttemptsUsedUp = true
 	sim.runFor(10 * time.Second)
 	next := sim.holder()
-	if next == nil || next.core.tenures[0].Token <= tenure.Token {
+	if next == nil || next.controller.terms[0].Token <= tenure.Token {
 		t.Fatal("no tenure under a newer token")
 	}
 	sim.settle()
@@ -94,15 +94,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	clients := newClientListener(ln, limit, time.Now)
+	clients := newLimitedListener(ln, limit, time.Now)
 	srv := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		if noteWorker(req) {
+		if markWorkerConnection(req) {
 			w.Header().Set("Connection", "close")
 		}
 	}))
 	srv.Listener.Close()
 	srv.Listener = clients
-	srv.Config.ConnState, srv.Config.ConnContext = clients.state, withClientConn
+	srv.Config.ConnState, srv.Config.ConnContext = clients.trackState, withClientConnection
 	srv.Start()
 	defer srv.Close()
 	slots := make(chan struct{}, atOnce)
@@ -113,7 +113,7 @@
 		idle = append(idle, client)
 		running.Go(func() {
 			for range rounds {
-				leave := enter(slots)
+				leave := acquire(slots)
 				resp, err := client.Post(srv.URL, "application/json", strings.NewReader("{}"))
 				if err != nil {
 					t.Error(err)
--- a/internal/node/formats_test.go
+++ b/internal/node/formats_test.go
@@ -118,10 +118,10 @@
 				}
 				then(now, store.Result{Status: 200, Revision: revision})
 			}
-			tenure := func() (*tallies, *placement.Job) {
+			tenure := func() (*completionBitmaps, *placement.Job) {
 				board.CloseJob(now, id, now)
 				j := add(id, c.tasks)
-				tl := newTallies(store.NewPages("t/0/", limitKB, time.Second, store.PriorityCompletion, store.VersionEquals("c/b/0", 1), call, quiet, func(time.Time) { t.Error("lost") }), presentKB)
+				tl := newCompletionBitmaps(store.NewPages("t/0/", limitKB, time.Second, store.PriorityCompletion, store.VersionEquals("c/b/0", 1), call, quiet, func(time.Time) { t.Error("lost") }), presentKB)
 				var all []wire.KeyValue
 				for _, it := range kv {
 					all = append(all, it)
@@ -161,7 +161,7 @@
 				t.Errorf("kept as %d entries: %v", len(keys), keys)
 			}
 			tl, _ := tenure()
-			tl.drop(id)
+			tl.forget(id)
 			tl.pages.Tick(now)
 			now = now.Add(tuning.PruneEvery)
 			tl.pages.Tick(now)
--- a/internal/node/http.go
+++ b/internal/node/http.go
@@ -19,34 +19,34 @@
 // server is the HTTP server for users, workers and health checks.
 func (r *Runtime) server() *http.Server {
 	mux := http.NewServeMux()
-	mux.HandleFunc("/healthz", only(http.MethodGet, r.health))
-	mux.HandleFunc("/submissions", only(http.MethodPost, r.submit))
-	mux.HandleFunc("/submissions/", r.job)
-	mux.HandleFunc("/checkin", only(http.MethodPost, r.checkin))
+	mux.HandleFunc("/healthz", requireMethod(http.MethodGet, r.handleHealth))
+	mux.HandleFunc("/submissions", requireMethod(http.MethodPost, r.handleSubmit))
+	mux.HandleFunc("/submissions/", r.handleJob)
+	mux.HandleFunc("/checkin", requireMethod(http.MethodPost, r.handleHeartbeat))
 	mux.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) {
-		answer(w, http.StatusNotFound, submission.Problem{Error: "no such path"}, 0)
+		writeJSON(w, http.StatusNotFound, submission.Problem{Error: "no such path"}, 0)
 	})
 	return &http.Server{
 		Handler:           mux,
 		ReadHeaderTimeout: tuning.HeaderTimeout,
 		ReadTimeout:       tuning.HeaderTimeout,
-		IdleTimeout:       idleTimeout(r.cfg.Platform.Workers),
+		IdleTimeout:       idleTimeout(r.config.Platform.Workers),
 		MaxHeaderBytes:    16 << 10,
 	}
 }
 
-func only(method string, h http.HandlerFunc) http.HandlerFunc {
+func requireMethod(method string, h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		if req.Method != method && !(method == http.MethodGet && req.Method == http.MethodHead) {
 			w.Header().Set("Allow", method)
-			answer(w, http.StatusMethodNotAllowed, submission.Problem{Error: "method not allowed"}, 0)
+			writeJSON(w, http.StatusMethodNotAllowed, submission.Problem{Error: "method not allowed"}, 0)
 			return
 		}
 		h(w, req)
 	}
 }
 
-func answer(w http.ResponseWriter, status int, body any, retryAfter int) {
+func writeJSON(w http.ResponseWriter, status int, body any, retryAfter int) {
 	raw, err := json.Marshal(body)
 	if err != nil {
 		status, raw = http.StatusInternalServerError, []byte("{}")
@@ -61,14 +61,14 @@
 	_, _ = w.Write(raw) // a client that has gone away is no concern of ours
 }
 
-func respond(w http.ResponseWriter, resp submission.Response) {
-	answer(w, resp.Status, resp.Body, resp.RetryAfter)
+func writeResponse(w http.ResponseWriter, resp submission.Response) {
+	writeJSON(w, resp.Status, resp.Body, resp.RetryAfter)
 }
 
-// body reads a request body of at most the protocol's size. One that says that it is
+// readBody reads a request body of at most the protocol's size. One that says that it is
 // larger is refused unread, and a small one that says its size is read into just that;
 // what a client only claims to send takes no memory.
-func body(w http.ResponseWriter, req *http.Request) ([]byte, bool) {
+func readBody(w http.ResponseWriter, req *http.Request) ([]byte, bool) {
 	if req.ContentLength <= tuning.BodyBytes {
 		in := http.MaxBytesReader(w, req.Body, tuning.BodyBytes)
 		var raw []byte
@@ -84,124 +84,128 @@
 		}
 		var big *http.MaxBytesError
 		if !errors.As(err, &big) {
-			answer(w, http.StatusBadRequest, submission.Problem{Error: "body cannot be read"}, 0)
+			writeJSON(w, http.StatusBadRequest, submission.Problem{Error: "body cannot be read"}, 0)
 			return nil, false
 		}
 	}
-	answer(w, http.StatusBadRequest, submission.Problem{Error: "body is too large"}, 0)
+	writeJSON(w, http.StatusBadRequest, submission.Problem{Error: "body is too large"}, 0)
 	return nil, false
 }
 
-// ask hands a user's request to the owner and waits for its answer. When the
+// askOwner hands a user's request to the owner and waits for its answer. When the
 // buffer is full the user is told so at once.
-func (r *Runtime) ask(w http.ResponseWriter, req *http.Request, f func(now time.Time, reply func(submission.Response))) {
+func (r *Runtime) askOwner(w http.ResponseWriter, req *http.Request, f func(now time.Time, reply func(submission.Response))) {
 	start := time.Now()
 	ch := make(chan submission.Response, 1)
-	if !offer(r.users, func(now time.Time) { f(now, func(s submission.Response) { ch <- s }) }) {
-		respond(w, submission.Busy())
+	if !tryPost(r.requests, func(now time.Time) { f(now, func(s submission.Response) { ch <- s }) }) {
+		writeResponse(w, submission.Busy())
 		return
 	}
 	select {
 	case s := <-ch:
-		r.lat.note(latUser, time.Since(start))
-		respond(w, s)
+		r.latencies.record(latencyUser, time.Since(start))
+		writeResponse(w, s)
 	case <-req.Context().Done():
 	}
 }
 
-// health does not wait for the owner: a node that is busy is not unhealthy, and
+// handleHealth does not wait for the owner: a node that is busy is not unhealthy, and
 // the load balancer is slow to come back to one that was too late twice.
-func (r *Runtime) health(w http.ResponseWriter, _ *http.Request) {
+func (r *Runtime) handleHealth(w http.ResponseWriter, _ *http.Request) {
 	if r.healthy.Load() {
-		answer(w, http.StatusOK, struct{}{}, 0)
+		writeJSON(w, http.StatusOK, struct{}{}, 0)
 		return
 	}
-	respond(w, submission.Unable("cannot take requests"))
+	writeResponse(w, submission.Unable("cannot take requests"))
 }
 
-func (r *Runtime) submit(w http.ResponseWriter, req *http.Request) {
-	if len(r.users) == cap(r.users) {
-		respond(w, submission.Busy()) // before the work of reading it
+func (r *Runtime) handleSubmit(w http.ResponseWriter, req *http.Request) {
+	if len(r.requests) == cap(r.requests) {
+		writeResponse(w, submission.Busy()) // before the work of reading it
 		return
 	}
-	raw, ok := body(w, req)
+	raw, ok := readBody(w, req)
 	if !ok {
 		return
 	}
 	spec, err := wire.ParseJobSpec(raw)
 	if err != nil {
 		r.log.Debug("submission refused", "error", err)
-		answer(w, http.StatusBadRequest, submission.Problem{Error: err.Error()}, 0)
+		writeJSON(w, http.StatusBadRequest, submission.Problem{Error: err.Error()}, 0)
 		return
 	}
-	r.ask(w, req, func(now time.Time, reply func(submission.Response)) { r.core.users.Submit(now, spec, reply) })
+	r.askOwner(w, req, func(now time.Time, reply func(submission.Response)) {
+		r.controller.submissions.Submit(now, spec, reply)
+	})
 }
 
-func (r *Runtime) job(w http.ResponseWriter, req *http.Request) {
+func (r *Runtime) handleJob(w http.ResponseWriter, req *http.Request) {
 	id := strings.TrimPrefix(req.URL.Path, "/submissions/")
 	if cancelled, ok := strings.CutSuffix(id, "/cancel"); ok && !strings.Contains(cancelled, "/") {
-		only(http.MethodPost, func(w http.ResponseWriter, req *http.Request) {
-			r.ask(w, req, func(now time.Time, reply func(submission.Response)) { r.core.users.Cancel(now, cancelled, reply) })
+		requireMethod(http.MethodPost, func(w http.ResponseWriter, req *http.Request) {
+			r.askOwner(w, req, func(now time.Time, reply func(submission.Response)) {
+				r.controller.submissions.Cancel(now, cancelled, reply)
+			})
 		})(w, req)
 		return
 	}
 	if strings.Contains(id, "/") {
-		answer(w, http.StatusNotFound, submission.Problem{Error: "no such path"}, 0)
+		writeJSON(w, http.StatusNotFound, submission.Problem{Error: "no such path"}, 0)
 		return
 	}
-	only(http.MethodGet, func(w http.ResponseWriter, req *http.Request) {
-		r.ask(w, req, func(now time.Time, reply func(submission.Response)) { r.core.users.Query(now, id, reply) })
+	requireMethod(http.MethodGet, func(w http.ResponseWriter, req *http.Request) {
+		r.askOwner(w, req, func(now time.Time, reply func(submission.Response)) { r.controller.submissions.Query(now, id, reply) })
 	})(w, req)
 }
 
-func (r *Runtime) checkin(w http.ResponseWriter, req *http.Request) {
-	raw, ok := body(w, req)
+func (r *Runtime) handleHeartbeat(w http.ResponseWriter, req *http.Request) {
+	raw, ok := readBody(w, req)
 	if !ok {
 		return
 	}
 	var rep wire.Heartbeat
 	if err := wire.ParseHeartbeat(raw, &rep); err != nil || rep.Host == "" || rep.Incarnation == 0 {
 		r.log.Debug("report refused", "from", req.RemoteAddr, "error", err)
-		answer(w, http.StatusBadRequest, submission.Problem{Error: "not a report"}, 0)
+		writeJSON(w, http.StatusBadRequest, submission.Problem{Error: "not a report"}, 0)
 		return
 	}
-	if noteWorker(req) {
+	if markWorkerConnection(req) {
 		w.Header().Set("Connection", "close")
 	}
 	ch := make(chan submission.Response, 1)
 	came := r.clock.Now()
 	report := func(now time.Time) {
-		r.core.Waited(now.Sub(came))
-		r.core.Report(now, &rep, func(status int, body any) { ch <- submission.Response{Status: status, Body: body} })
+		r.controller.ObserveQueueDelay(now.Sub(came))
+		r.controller.HandleHeartbeat(now, &rep, func(status int, body any) { ch <- submission.Response{Status: status, Body: body} })
 	}
-	if !offer(r.reports, report) && !r.wait(w, req, report) {
+	if !tryPost(r.heartbeats, report) && !r.waitForTurn(w, req, report) {
 		return
 	}
 	select {
 	case s := <-ch:
-		respond(w, s)
+		writeResponse(w, s)
 	case <-req.Context().Done():
 	}
 }
 
-// wait hands a report to the owner whose buffer is full. A worker has one report in
+// waitForTurn hands a report to the owner whose buffer is full. A worker has one report in
 // hand, so it waits for its turn: refused, it would go to another node, be sent back
 // and ask again, when there is most to do.
-func (r *Runtime) wait(w http.ResponseWriter, req *http.Request, report func(now time.Time)) bool {
+func (r *Runtime) waitForTurn(w http.ResponseWriter, req *http.Request, report func(now time.Time)) bool {
 	late := time.NewTimer(tuning.ReportWait)
 	defer late.Stop()
 	select {
-	case r.reports <- report:
+	case r.heartbeats <- report:
 		return true
 	case <-late.C:
-		respond(w, submission.Unable("too many reports at once"))
+		writeResponse(w, submission.Unable("too many reports at once"))
 	case <-req.Context().Done():
 	}
 	return false
 }
 
-// show tells whether a worker answers.
-func show(ctx context.Context, client *http.Client, addr string) bool {
+// probeWorker tells whether a worker answers.
+func probeWorker(ctx context.Context, client *http.Client, addr string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/show", nil)
 	if err != nil {
 		return false
@@ -215,8 +219,8 @@
 	return err == nil && resp.StatusCode == http.StatusOK
 }
 
-// direct sends a command straight to a worker.
-func direct(ctx context.Context, client *http.Client, addr string, d wire.DirectCommands) (int, *wire.Heartbeat) {
+// sendDirect sends a command straight to a worker.
+func sendDirect(ctx context.Context, client *http.Client, addr string, d wire.DirectCommands) (int, *wire.Heartbeat) {
 	raw, err := json.Marshal(d)
 	if err != nil {
 		return 0, nil
--- a/internal/node/http_test.go
+++ b/internal/node/http_test.go
@@ -28,9 +28,9 @@
 				select {
 				case f := <-r.events:
 					f(time.Now())
-				case f := <-r.reports:
+				case f := <-r.heartbeats:
 					f(time.Now())
-				case f := <-r.users:
+				case f := <-r.requests:
 					f(time.Now())
 				case <-r.ctx.Done():
 					return
@@ -38,9 +38,9 @@
 			}
 		}()
 	} else {
-		for range cap(r.users) { // the owner is far behind
-			r.users <- func(time.Time) {}
-			r.reports <- func(time.Time) {}
+		for range cap(r.requests) { // the owner is far behind
+			r.requests <- func(time.Time) {}
+			r.heartbeats <- func(time.Time) {}
 		}
 	}
 	return r
--- a/internal/node/outcomes.go
+++ b/internal/node/outcomes.go
@@ -15,34 +15,34 @@
 	"juniperchute/internal/wire"
 )
 
-// outcomes writes down what has become of a block's jobs: which tasks have completed, in
+// jobCompletions writes down what has become of a block's jobs: which tasks have completed, in
 // batches, and the end of each job.
-type outcomes struct {
-	t         *tenure
-	tallies   *tallies
-	tallyDue  time.Time
-	unsaved   map[string]*placement.Job // with completions that are not written down
-	completed map[string]time.Time      // when the last task of a job completed
-	ending    map[string]bool           // jobs whose end is being written
-	retryAt   map[string]time.Time      // after a failed write of an end
+type jobCompletions struct {
+	term         *term
+	bitmaps      *completionBitmaps
+	flushAt      time.Time
+	unsavedJobs  map[string]*placement.Job // with completions that are not written down
+	completedAt  map[string]time.Time      // when the last task of a job completed
+	endsInFlight map[string]bool           // jobs whose end is being written
+	retryAt      map[string]time.Time      // after a failed write of an end
 }
 
-func newOutcomes(t *tenure, tallies *tallies) *outcomes {
-	return &outcomes{t: t, tallies: tallies, unsaved: map[string]*placement.Job{}, completed: map[string]time.Time{},
-		ending: map[string]bool{}, retryAt: map[string]time.Time{}}
+func newJobCompletions(t *term, tallies *completionBitmaps) *jobCompletions {
+	return &jobCompletions{term: t, bitmaps: tallies, unsavedJobs: map[string]*placement.Job{}, completedAt: map[string]time.Time{},
+		endsInFlight: map[string]bool{}, retryAt: map[string]time.Time{}}
 }
 
 // taskCompleted is told of each completed task.
-func (o *outcomes) taskCompleted(now time.Time, j *placement.Job) {
+func (o *jobCompletions) taskCompleted(now time.Time, j *placement.Job) {
 	id := j.Spec.ID
-	o.unsaved[id] = j
-	if j.Complete() && o.completed[id].IsZero() {
-		o.completed[id] = now
+	o.unsavedJobs[id] = j
+	if j.Complete() && o.completedAt[id].IsZero() {
+		o.completedAt[id] = now
 	}
 }
 
-// adopt takes up the jobs that an earlier tenure did not get to end.
-func (o *outcomes) adopt(now time.Time, jobs []*placement.Job) {
+// recoverCompleted takes up the jobs that an earlier tenure did not get to end.
+func (o *jobCompletions) recoverCompleted(now time.Time, jobs []*placement.Job) {
 	for _, j := range jobs {
 		if j.Complete() {
 			o.taskCompleted(now, j)
@@ -50,90 +50,90 @@
 	}
 }
 
-// save writes completions down: the ends of jobs at once, the rest in batches.
-func (o *outcomes) save(now time.Time) {
-	for _, j := range o.ended(now) {
-		if len(o.ending) == tuning.EndsAtOnce {
+// flush writes completions down: the ends of jobs at once, the rest in batches.
+func (o *jobCompletions) flush(now time.Time) {
+	for _, j := range o.jobsToEnd(now) {
+		if len(o.endsInFlight) == tuning.EndsAtOnce {
 			break
 		}
-		o.end(j)
+		o.writeEnd(j)
 	}
-	if !now.Before(o.tallyDue) {
-		o.tallyDue = now.Add(tuning.TallyEvery)
-		for _, id := range slices.Sorted(maps.Keys(o.unsaved)) {
-			if j := o.unsaved[id]; !j.Complete() {
-				o.tallies.save(j, o.t.board.Job)
-				delete(o.unsaved, id)
+	if !now.Before(o.flushAt) {
+		o.flushAt = now.Add(tuning.TallyEvery)
+		for _, id := range slices.Sorted(maps.Keys(o.unsavedJobs)) {
+			if j := o.unsavedJobs[id]; !j.Complete() {
+				o.bitmaps.save(j, o.term.scheduler.Job)
+				delete(o.unsavedJobs, id)
 			}
 		}
 	}
-	o.tallies.pages.Tick(now)
+	o.bitmaps.pages.Tick(now)
 }
 
-// ended lists the jobs whose end is to be written now, in the order in which that is to
+// jobsToEnd lists the jobs whose end is to be written now, in the order in which that is to
 // happen: when the rate of writes is short, an important job's end does not wait behind
 // those of others.
-func (o *outcomes) ended(now time.Time) (out []*placement.Job) {
-	for id := range o.completed {
-		if j := o.unsaved[id]; j != nil && !o.ending[id] && !now.Before(o.retryAt[id]) {
+func (o *jobCompletions) jobsToEnd(now time.Time) (out []*placement.Job) {
+	for id := range o.completedAt {
+		if j := o.unsavedJobs[id]; j != nil && !o.endsInFlight[id] && !now.Before(o.retryAt[id]) {
 			out = append(out, j)
 		}
 	}
 	slices.SortFunc(out, func(a, b *placement.Job) int {
 		return cmp.Or(
 			cmp.Compare(b.Priority(), a.Priority()),
-			o.completed[a.Spec.ID].Compare(o.completed[b.Spec.ID]),
+			o.completedAt[a.Spec.ID].Compare(o.completedAt[b.Spec.ID]),
 			cmp.Compare(a.Spec.ID, b.Spec.ID))
 	})
 	return out
 }
 
-// end writes a job's end: done, unless its user was faster with a cancellation.
-func (o *outcomes) end(j *placement.Job) {
-	id, t := j.Spec.ID, o.t
-	o.ending[id] = true
-	t.call(store.Call{Op: store.OpTransaction, Priority: store.PriorityJobEnd, Transaction: wire.Transaction{
-		Compares: []wire.Compare{t.cond(), store.VersionEquals(submission.OpenKey(id), j.Version)},
+// writeEnd writes a job's end: done, unless its user was faster with a cancellation.
+func (o *jobCompletions) writeEnd(j *placement.Job) {
+	id, t := j.Spec.ID, o.term
+	o.endsInFlight[id] = true
+	t.callState(store.Call{Op: store.OpTransaction, Priority: store.PriorityJobEnd, Transaction: wire.Transaction{
+		Compares: []wire.Compare{t.termCompare(), store.VersionEquals(submission.OpenKey(id), j.Version)},
 		Writes: []wire.Write{
 			store.Put(submission.JobKey(id), submission.JobRec{Stage: wire.JobDone, Done: j.Spec.Tasks}, 0),
 			store.Delete(submission.OpenKey(id)),
 		},
 	}}, func(now time.Time, r store.Result) {
-		delete(o.ending, id)
+		delete(o.endsInFlight, id)
 		switch {
 		case r.OK():
-			t.log.Info("job done", "job", id, "class", j.Spec.Class, "took", t.c.wall().Sub(j.At), "written_after", now.Sub(o.completed[id]))
-			t.jobOver(now, id)
+			t.log.Info("job done", "job", id, "class", j.Spec.Class, "took", t.controller.wallClock().Sub(j.At), "written_after", now.Sub(o.completedAt[id]))
+			t.closeJob(now, id)
 		case r.Status == http.StatusConflict && slices.Contains(r.FailedKeys, leader.ShardKey(t.Shard)):
-			t.lost(now)
+			t.onTermLost(now)
 		case r.Status == http.StatusConflict:
-			o.readAgain(now, id)
+			o.resolveConflict(now, id)
 		default:
 			o.retryAt[id] = now.Add(tuning.RecordRetry)
 		}
 	})
 }
 
-// readAgain settles a conflict about a job's end: it was cancelled, or an earlier write of
+// resolveConflict settles a conflict about a job's end: it was cancelled, or an earlier write of
 // ours was applied after all.
-func (o *outcomes) readAgain(now time.Time, id string) {
-	o.ending[id] = true
-	o.t.call(store.Call{Op: store.OpGet, Priority: store.PriorityJobEnd, Key: submission.OpenKey(id)}, func(now time.Time, r store.Result) {
-		delete(o.ending, id)
+func (o *jobCompletions) resolveConflict(now time.Time, id string) {
+	o.endsInFlight[id] = true
+	o.term.callState(store.Call{Op: store.OpGet, Priority: store.PriorityJobEnd, Key: submission.OpenKey(id)}, func(now time.Time, r store.Result) {
+		delete(o.endsInFlight, id)
 		o.retryAt[id] = now.Add(tuning.RecordRetry)
-		switch j := o.t.board.Job(id); {
+		switch j := o.term.scheduler.Job(id); {
 		case r.Status == http.StatusNotFound:
-			o.t.jobOver(now, id)
+			o.term.closeJob(now, id)
 		case r.OK() && j != nil:
 			j.Version = r.KeyValue.Version
 		}
 	})
 }
 
-// drop forgets a job that is over.
-func (o *outcomes) drop(id string) {
-	o.tallies.drop(id)
-	delete(o.unsaved, id)
-	delete(o.completed, id)
+// forget forgets a job that is over.
+func (o *jobCompletions) forget(id string) {
+	o.bitmaps.forget(id)
+	delete(o.unsavedJobs, id)
+	delete(o.completedAt, id)
 	delete(o.retryAt, id)
 }
--- a/internal/node/outcomes_test.go
+++ b/internal/node/outcomes_test.go
@@ -15,7 +15,7 @@
 func TestOrderOfEnds(t *testing.T) {
 	now := time.Unix(1000, 0)
 	board, _ := tallyBoard(wire.JobSpec{ID: "job-9", Shape: wire.ShapeBatch, Tasks: 1})
-	o := newOutcomes(nil, nil)
+	o := newJobCompletions(nil, nil)
 	add := func(id, priority string, ago time.Duration) {
 		j := board.AddJob(now, wire.JobSpec{ID: id, Shape: wire.ShapeBatch, Priority: priority, Tasks: 1}, now, 1, false)
 		j.Recover(0)
@@ -27,10 +27,10 @@
 	add("job-4", "normal", 9*time.Second)
 	add("job-5", "critical", 0)
 	add("job-6", "low", 5*time.Second)
-	o.ending["job-5"] = true
+	o.endsInFlight["job-5"] = true
 	o.retryAt["job-4"] = now.Add(time.Second)
 	var got []string
-	for _, j := range o.ended(now) {
+	for _, j := range o.jobsToEnd(now) {
 		got = append(got, j.Spec.ID)
 	}
 	if want := []string{"job-3", "job-2", "job-6", "job-1"}; !slices.Equal(got, want) {
@@ -58,8 +58,8 @@
 	for range 120 {
 		sim.runFor(500 * time.Millisecond)
 		for _, n := range sim.nodes {
-			if te := n.core.tenures[0]; te != nil && len(te.outcomes.ending) > tuning.EndsAtOnce {
-				t.Fatalf("%d ends are under way", len(te.outcomes.ending))
+			if te := n.controller.terms[0]; te != nil && len(te.completions.endsInFlight) > tuning.EndsAtOnce {
+				t.Fatalf("%d ends are under way", len(te.completions.endsInFlight))
 			}
 		}
 		for j, at := range completed {
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -8,62 +8,62 @@
 	"juniperchute/internal/tuning"
 )
 
-type peerView struct {
-	heard   time.Time     // when it last said so
-	silent  time.Duration // since the state service answered it
-	process uint64        // of its newest message
-	version string        // as it told
-	mark    int64         // its clock's in that message
-	owed    []string      // cancellations that it passed on and has not been told of having
+type peerStatus struct {
+	lastHeartbeat       time.Time     // when it last said so
+	stateUnreachableFor time.Duration // since the state service answered it
+	processID           uint64        // of its newest message
+	version             string        // as it told
+	clockNs             int64         // its clock's in that message
+	unacknowledged      []string      // cancellations that it passed on and has not been told of having
 }
 
-// silent is how long the state service has not answered this node; never
+// stateUnreachableFor is how long the state service has not answered this node; never
 // answered counts as a very long time.
-func (c *Core) silent(now time.Time) time.Duration {
-	if c.leader.LastContact().IsZero() {
+func (c *Controller) stateUnreachableFor(now time.Time) time.Duration {
+	if c.membership.LastContact().IsZero() {
 		return time.Hour
 	}
-	return now.Sub(c.leader.LastContact())
+	return now.Sub(c.membership.LastContact())
 }
 
 // tokens are the highest fencing tokens known, by block.
-func (c *Core) tokens() []uint64 {
-	out := make([]uint64, c.blocks)
+func (c *Controller) tokens() []uint64 {
+	out := make([]uint64, c.shards)
 	for b := range out {
-		_, out[b], _ = c.holder(b)
+		_, out[b], _ = c.holderOf(b)
 	}
 	return out
 }
 
-// holdings tells who holds the blocks, as far as this node knows.
-func (c *Core) holdings() (out []*peerpb.LeaseClaim) {
-	for b := range c.blocks {
-		if holder, token, _ := c.holder(b); token > 0 {
+// leaseClaimList tells who holds the blocks, as far as this node knows.
+func (c *Controller) leaseClaimList() (out []*peerpb.LeaseClaim) {
+	for b := range c.shards {
+		if holder, token, _ := c.holderOf(b); token > 0 {
 			out = append(out, &peerpb.LeaseClaim{Shard: int32(b), Token: token, Holder: holder})
 		}
 	}
 	return out
 }
 
-// pulseMessage is what a peer is told.
-func (c *Core) pulseMessage(now time.Time, to string) *peerpb.PeerHeartbeat {
-	m := &peerpb.PeerHeartbeat{Member: c.cfg.Member, StateUnreachableMs: c.silent(now).Milliseconds(), Process: c.process, Version: admin.Version()}
-	if !c.born.IsZero() {
-		up := now.Sub(c.born)
+// peerHeartbeat is what a peer is told.
+func (c *Controller) peerHeartbeat(now time.Time, to string) *peerpb.PeerHeartbeat {
+	m := &peerpb.PeerHeartbeat{Member: c.config.Member, StateUnreachableMs: c.stateUnreachableFor(now).Milliseconds(), Process: c.processID, Version: admin.Version()}
+	if !c.startedAt.IsZero() {
+		up := now.Sub(c.startedAt)
 		m.UpMs, m.ClockNs = up.Milliseconds(), int64(up)
 	}
-	m.Claims = c.holdings()
+	m.Claims = c.leaseClaimList()
 	m.Cancelled, m.CancellationsComplete = c.cancellationLog.Pending(now, c.tokens())
 	if p := c.peers[to]; p != nil {
-		m.EchoProcess, m.EchoNs, m.AcknowledgedCancelled = p.process, p.mark, p.owed
-		p.owed = nil
+		m.EchoProcess, m.EchoNs, m.AcknowledgedCancelled = p.processID, p.clockNs, p.unacknowledged
+		p.unacknowledged = nil
 	}
 	return m
 }
 
-func (c *Core) pulse(now time.Time) {
-	for _, k := range c.cfg.Peers {
-		if k.Member < c.cfg.Member {
+func (c *Controller) sendHeartbeats(now time.Time) {
+	for _, k := range c.config.Peers {
+		if k.Member < c.config.Member {
 			continue // it asks: one exchange tells both all there is to tell
 		}
 		c.exchange(now, k.Member, func(time.Time) {})
@@ -71,65 +71,65 @@
 }
 
 // exchange tells a peer what this node knows and hears the same of it.
-func (c *Core) exchange(now time.Time, member string, then func(now time.Time)) {
-	c.env.Pulse(member, c.pulseMessage(now, member), func(now time.Time, r *peerpb.PeerHeartbeat, err error) {
+func (c *Controller) exchange(now time.Time, member string, then func(now time.Time)) {
+	c.effects.SendHeartbeat(member, c.peerHeartbeat(now, member), func(now time.Time, r *peerpb.PeerHeartbeat, err error) {
 		if err == nil {
-			c.heardPeer(now, member, r)
+			c.applyPeerHeartbeat(now, member, r)
 		}
 		then(now)
 	})
 }
 
-// tell takes note of a cancellation that a user is about to be told of, and passes it
+// recordCancellation takes note of a cancellation that a user is about to be told of, and passes it
 // to the block's holder at once: one that cannot read it in the state service would go
 // on renewing the leases of its tasks' machines. The user's answer does not wait.
-func (c *Core) tell(now time.Time, id string) {
+func (c *Controller) recordCancellation(now time.Time, id string) {
 	c.cancellationLog.Add(now, id)
-	for b := range c.blocks {
-		if t := c.tenures[b]; t != nil && t.state != tenureOver {
-			t.jobCancelled(now, id)
+	for b := range c.shards {
+		if t := c.terms[b]; t != nil && t.state != termEnded {
+			t.cancelJob(now, id)
 			c.cancellationLog.Had([]string{id}, b, t.Token)
 		}
-		if holder, _, live := c.holder(b); live {
-			c.pass(now, holder)
+		if holder, _, live := c.holderOf(b); live {
+			c.forwardCancellations(now, holder)
 		}
 	}
 }
 
-// pass sends a holder what it has not said it has. One message at a time: what comes
+// forwardCancellations sends a holder what it has not said it has. One message at a time: what comes
 // up meanwhile goes with the next.
-func (c *Core) pass(now time.Time, holder string) {
-	if c.peers[holder] == nil || c.passing[holder] {
+func (c *Controller) forwardCancellations(now time.Time, holder string) {
+	if c.peers[holder] == nil || c.forwardingTo[holder] {
 		return
 	}
 	before, _ := c.cancellationLog.Pending(now, c.tokens())
 	if len(before) == 0 {
 		return
 	}
-	c.passing[holder] = true
+	c.forwardingTo[holder] = true
 	c.exchange(now, holder, func(now time.Time) {
-		c.passing[holder] = false
+		c.forwardingTo[holder] = false
 		if left, _ := c.cancellationLog.Pending(now, c.tokens()); len(left) > 0 && left[len(left)-1] != before[len(before)-1] {
-			c.pass(now, holder)
+			c.forwardCancellations(now, holder)
 		}
 	})
 }
 
-func (c *Core) heardPeer(now time.Time, name string, m *peerpb.PeerHeartbeat) {
+func (c *Controller) applyPeerHeartbeat(now time.Time, name string, m *peerpb.PeerHeartbeat) {
 	p := c.peers[name]
 	if p != nil {
-		p.heard, p.silent = now, time.Duration(m.StateUnreachableMs)*time.Millisecond
+		p.lastHeartbeat, p.stateUnreachableFor = now, time.Duration(m.StateUnreachableMs)*time.Millisecond
 		p.version = m.Version
-		if p.process != m.Process || m.ClockNs > p.mark {
-			p.process, p.mark = m.Process, m.ClockNs
+		if p.processID != m.Process || m.ClockNs > p.clockNs {
+			p.processID, p.clockNs = m.Process, m.ClockNs
 		}
-		p.owed = append(p.owed, m.Cancelled...)
-		p.owed = p.owed[max(0, len(p.owed)-tuning.CancellationsAtOnce):]
+		p.unacknowledged = append(p.unacknowledged, m.Cancelled...)
+		p.unacknowledged = p.unacknowledged[max(0, len(p.unacknowledged)-tuning.CancellationsAtOnce):]
 	}
-	for _, t := range c.tenures {
+	for _, t := range c.terms {
 		for _, id := range m.Cancelled {
-			if t.state != tenureOver {
-				t.jobCancelled(now, id)
+			if t.state != termEnded {
+				t.cancelJob(now, id)
 			}
 		}
 	}
@@ -137,11 +137,11 @@
 		if h.Holder == m.Member {
 			c.cancellationLog.Had(m.AcknowledgedCancelled, int(h.Shard), h.Token)
 		}
-		if old := c.claims[int(h.Shard)]; old == nil || h.Token > old.Token {
-			c.claims[int(h.Shard)] = h
+		if old := c.leaseClaims[int(h.Shard)]; old == nil || h.Token > old.Token {
+			c.leaseClaims[int(h.Shard)] = h
 		}
-		t := c.tenures[int(h.Shard)]
-		if t == nil || t.state == tenureOver {
+		t := c.terms[int(h.Shard)]
+		if t == nil || t.state == termEnded {
 			continue
 		}
 		if h.Token > t.Token {
@@ -151,15 +151,15 @@
 		// A peer that knows of another holder passes on what that one lacks. One that
 		// echoes what this process sent has made its message after that was sent;
 		// any other message may have been held back.
-		if p != nil && h.Token == t.Token && m.CancellationsComplete && m.EchoProcess == c.process && t.state != tenureLoading {
+		if p != nil && h.Token == t.Token && m.CancellationsComplete && m.EchoProcess == c.processID && t.state != termLoading {
 			up := time.Duration(m.UpMs) * time.Millisecond
-			t.cancelled.horizon.Acknowledge(name, m.Process, now.Add(-up+time.Duration(float64(up)*2*tuning.ClockDrift)), c.born.Add(time.Duration(m.EchoNs)))
+			t.cancellations.watermark.Acknowledge(name, m.Process, now.Add(-up+time.Duration(float64(up)*2*tuning.ClockDrift)), c.startedAt.Add(time.Duration(m.EchoNs)))
 		}
 	}
 }
 
-// Pulse answers a peer's pulse.
-func (c *Core) Pulse(now time.Time, m *peerpb.PeerHeartbeat) *peerpb.PeerHeartbeat {
-	c.heardPeer(now, m.Member, m)
-	return c.pulseMessage(now, m.Member)
+// HandlePeerHeartbeat answers a peer's pulse.
+func (c *Controller) HandlePeerHeartbeat(now time.Time, m *peerpb.PeerHeartbeat) *peerpb.PeerHeartbeat {
+	c.applyPeerHeartbeat(now, m.Member, m)
+	return c.peerHeartbeat(now, m.Member)
 }
--- a/internal/node/progress.go
+++ b/internal/node/progress.go
@@ -8,70 +8,70 @@
 	"juniperchute/internal/tuning"
 )
 
-// progress finds out how far a job is, from its block's holder.
-func (c *Core) progress(now time.Time, block int, id string, then func(now time.Time, p submission.Progress)) {
-	if t := c.tenures[block]; t != nil && t.state != tenureOver {
+// jobProgress finds out how far a job is, from its block's holder.
+func (c *Controller) jobProgress(now time.Time, block int, id string, then func(now time.Time, p submission.Progress)) {
+	if t := c.terms[block]; t != nil && t.state != termEnded {
 		then(now, t.progress(id))
 		return
 	}
-	holder, _, ok := c.holder(block)
+	holder, _, ok := c.holderOf(block)
 	if !ok || c.peers[holder] == nil {
 		then(now, submission.Progress{})
 		return
 	}
-	a := c.asking[block]
+	a := c.progressQueries[block]
 	if a == nil {
-		a = &asking{}
-		c.asking[block] = a
+		a = &progressQueue{}
+		c.progressQueries[block] = a
 	}
-	a.waiting = append(a.waiting, question{id, then})
-	c.ask(now, block, a)
+	a.queries = append(a.queries, progressQuery{id, then})
+	c.sendProgressQueries(now, block, a)
 }
 
-// asking is the questions about a block's jobs that its holder has to be asked. One
+// progressQueue is the questions about a block's jobs that its holder has to be asked. One
 // call at a time carries all that have come by then: thousands of jobs are asked
 // about every few seconds, at every node.
-type asking struct {
-	busy    bool
-	waiting []question
+type progressQueue struct {
+	inFlight bool
+	queries  []progressQuery
 }
 
-type question struct {
-	job  string
-	then func(now time.Time, p submission.Progress)
+type progressQuery struct {
+	job   string
+	reply func(now time.Time, p submission.Progress)
 }
 
-func (c *Core) ask(now time.Time, block int, a *asking) {
-	if a.busy || len(a.waiting) == 0 {
+func (c *Controller) sendProgressQueries(now time.Time, block int, a *progressQueue) {
+	if a.inFlight || len(a.queries) == 0 {
 		return
 	}
-	n := min(len(a.waiting), tuning.ProgressJobs)
-	batch := a.waiting[:n:n]
-	a.waiting = a.waiting[n:]
+	n := min(len(a.queries), tuning.ProgressJobs)
+	batch := a.queries[:n:n]
+	a.queries = a.queries[n:]
 	m := &peerpb.ProgressRequest{Shard: int32(block)}
 	for _, q := range batch {
 		m.Jobs = append(m.Jobs, q.job)
 	}
-	holder, _, _ := c.holder(block)
-	a.busy = true
-	c.env.Progress(holder, m, func(now time.Time, r *peerpb.ProgressReply, err error) {
-		a.busy = false
+	holder, _, _ := c.holderOf(block)
+	a.inFlight = true
+	c.effects.AskProgress(holder, m, func(now time.Time, r *peerpb.ProgressReply, err error) {
+		a.inFlight = false
 		for i, q := range batch {
 			p := submission.Progress{}
 			if err == nil && len(r.Jobs) == n {
 				j := r.Jobs[i]
 				p = submission.Progress{Known: j.Known, Done: int(j.Done), Running: int(j.Running)}
 			}
-			q.then(now, p)
+			q.reply(now, p)
 		}
-		c.ask(now, block, a)
+		c.sendProgressQueries(now, block, a)
 	})
 }
 
-// Progress answers a peer's question.
-func (c *Core) Progress(m *peerpb.ProgressRequest) *peerpb.ProgressReply {
+// HandleProgress answers a peer's question.
+func (c *Controller) HandleProgress(m *peerpb.ProgressRequest) *peerpb.ProgressReply {
 	out := &peerpb.ProgressReply{}
-	if t := c.tenures[int(m.Shard)]; t != nil && t.state != tenureOver {
+	if t := c.terms[int(m.Shard)]; t != nil && t.state != termEnded {
 		for _, id := range m.Jobs {
 			p := t.progress(id)
 			out.Jobs = append(out.Jobs, &peerpb.JobProgress{Known: p.Known, Done: int64(p.Done), Running: int64(p.Running)})
@@ -80,8 +80,8 @@
 	return out
 }
 
-func (t *tenure) progress(id string) submission.Progress {
-	j := t.board.Job(id)
+func (t *term) progress(id string) submission.Progress {
+	j := t.scheduler.Job(id)
 	if j == nil {
 		return submission.Progress{}
 	}
--- a/internal/node/routing.go
+++ b/internal/node/routing.go
@@ -8,69 +8,69 @@
 	"juniperchute/internal/wire"
 )
 
-// blockOf finds the block of a machine: the one whose rental records name it;
+// shardOf finds the block of a machine: the one whose rental records name it;
 // machines that nobody expected go to the first block.
-func (c *Core) blockOf(host string) int {
-	if c.blocks == 1 {
+func (c *Controller) shardOf(host string) int {
+	if c.shards == 1 {
 		return 0
 	}
-	for b, t := range c.tenures {
-		if t.state != tenureOver && t.reg.Get(host) != nil {
+	for b, t := range c.terms {
+		if t.state != termEnded && t.workers.Get(host) != nil {
 			return b
 		}
 	}
-	return c.blockFor[host]
+	return c.shardOfMachine[host]
 }
 
-// rentalChanged takes note of a rental's record.
-func (c *Core) rentalChanged(_ time.Time, _ string, it wire.KeyValue, gone bool) {
+// applyProvisionRecord takes note of a rental's record.
+func (c *Controller) applyProvisionRecord(_ time.Time, _ string, it wire.KeyValue, gone bool) {
 	block, hosts := fleet.Named(it)
 	for _, h := range hosts {
 		if gone {
-			delete(c.blockFor, h)
+			delete(c.shardOfMachine, h)
 		} else {
-			c.blockFor[h] = block
+			c.shardOfMachine[h] = block
 		}
 	}
 }
 
-// foreign tells whether a machine, which was there at some time, is, or may turn out to be,
+// mayBelongToOtherShard tells whether a machine, which was there at some time, is, or may turn out to be,
 // of another block than the given one. Records read before then say nothing: the rental
 // that brought it may be younger.
-func (c *Core) foreign(block int, host string, there time.Time) bool {
-	if c.blocks == 1 {
+func (c *Controller) mayBelongToOtherShard(block int, host string, there time.Time) bool {
+	if c.shards == 1 {
 		return false
 	}
-	if !c.rentals.CurrentAsOf().After(there) {
+	if !c.provisionRequests.CurrentAsOf().After(there) {
 		return true
 	}
-	if b, ok := c.blockFor[host]; ok {
+	if b, ok := c.shardOfMachine[host]; ok {
 		return b != block
 	}
 	waiting := false
-	c.rentals.Each(func(it wire.KeyValue) {
+	c.provisionRequests.Each(func(it wire.KeyValue) {
 		b, hosts := fleet.Named(it)
 		waiting = waiting || b != block && len(hosts) == 0
 	})
 	return waiting
 }
 
-// holder names a block's holder: as the records say, or a peer that has seen
+// holderOf names a block's holder: as the records say, or a peer that has seen
 // newer ones. A node cut off from the state service would otherwise send
 // workers to a holder that is none any more, and two such nodes to each other,
 // until their leases are over.
-func (c *Core) holder(block int) (member string, token uint64, live bool) {
-	member, token, live = c.leader.Holder(block)
-	if h := c.claims[block]; h != nil && h.Token > token {
+func (c *Controller) holderOf(block int) (member string, token uint64, live bool) {
+	member, token, live = c.membership.Holder(block)
+	if h := c.leaseClaims[block]; h != nil && h.Token > token {
 		return h.Holder, h.Token, h.Holder != ""
 	}
 	return member, token, live
 }
 
 // redirect sends a worker to its block's holder.
-func (c *Core) redirect(block int, reply func(status int, body any)) {
-	holder, _, live := c.holder(block)
-	if !live || holder == c.cfg.Member {
+func (c *Controller) redirect(block int, reply func(status int, body any)) {
+	holder, _, live := c.holderOf(block)
+	if !live || holder == c.config.Member {
 		holder = ""
 	}
 	reply(http.StatusMisdirectedRequest, wire.Redirect{Member: holder})
--- a/internal/node/runtime.go
+++ b/internal/node/runtime.go
@@ -27,34 +27,34 @@
 // Runtime is the goroutine that owns a Core, and the Env that carries out its
 // effects with real connections.
 type Runtime struct {
-	cfg   *config.Config
-	log   *slog.Logger
-	clock *clock.Clock // by which leases are judged
-	core  *Core
-	moved time.Duration // by which the clock had been moved when the owner last looked
+	config       *config.Config
+	log          *slog.Logger
+	clock        *clock.Clock // by which leases are judged
+	controller   *Controller
+	suspendedFor time.Duration // by which the clock had been moved when the owner last looked
 	// What waits for the owner, each with a small buffer: results of its effects and
 	// peers' calls first, then workers' reports and users' requests in turn.
-	events  chan func(now time.Time)
-	reports chan func(now time.Time)
-	users   chan func(now time.Time)
-	done    chan struct{}
-	pools   pools
+	events      chan func(now time.Time)
+	heartbeats  chan func(now time.Time)
+	requests    chan func(now time.Time)
+	done        chan struct{}
+	connections connectionLimits
 
-	state      *store.Client
-	cloud      *fleet.Client
-	workers    *http.Client
-	peers      *peer.Clients
-	budgetLock sync.Mutex
-	budget     *store.RateLimiter
-	readSlots  chan struct{}
-	writeSlots [store.Priorities]chan struct{}
-	cloudSlots chan struct{}
-	doSlots    chan struct{}
-	fenceSlots chan struct{}
-	peerSlots  chan struct{}
-	ctx        context.Context
-	lat        latencies
-	healthy    atomic.Bool // as of the last tick: health is answered without the owner
+	state           *store.Client
+	cloud           *fleet.Client
+	workers         *http.Client
+	peers           *peer.Clients
+	rateLimiterLock sync.Mutex
+	rateLimiter     *store.RateLimiter
+	readSlots       chan struct{}
+	writeSlots      [store.Priorities]chan struct{}
+	cloudSlots      chan struct{}
+	commandSlots    chan struct{}
+	fencingSlots    chan struct{}
+	peerSlots       chan struct{}
+	ctx             context.Context
+	latencies       latencyRecorder
+	healthy         atomic.Bool // as of the last tick: health is answered without the owner
 }
 
 // LimitProcess keeps this process within the machine's share of one core and its
@@ -77,28 +77,28 @@
 
 // NewRuntime makes the runtime of a controller.
 func NewRuntime(cfg *config.Config, opt Options, steady *clock.Clock, log *slog.Logger, rng *rand.Rand) *Runtime {
-	p := newPools(cfg.Platform.MachineLimits, len(cfg.Peers))
+	p := newConnectionLimits(cfg.Platform.MachineLimits, len(cfg.Peers))
 	r := &Runtime{
-		cfg: cfg, log: log, clock: steady, done: make(chan struct{}), pools: p,
-		events:     make(chan func(time.Time), tuning.EventBuffer),
-		reports:    make(chan func(time.Time), tuning.EventBuffer),
-		users:      make(chan func(time.Time), tuning.EventBuffer),
-		state:      store.NewClient(cfg.External.State, transport(stateConns(), tuning.DialTimeout), steady.Now),
-		cloud:      fleet.NewClient(cfg.External.Cloud, transport(tuning.CloudCalls, tuning.DialTimeout)),
-		workers:    &http.Client{Transport: transport(tuning.DoIdle, tuning.WorkerDial)},
-		peers:      peer.NewClients(cfg.Peers),
-		budget:     store.NewRateLimiter(cfg.Platform.State, len(cfg.Peers)+1),
-		readSlots:  make(chan struct{}, tuning.StateReads),
-		cloudSlots: make(chan struct{}, tuning.CloudCalls),
-		doSlots:    make(chan struct{}, p.do),
-		fenceSlots: make(chan struct{}, p.do),
-		peerSlots:  make(chan struct{}, tuning.PeerCalls),
-		lat:        newLatencies(),
+		config: cfg, log: log, clock: steady, done: make(chan struct{}), connections: p,
+		events:       make(chan func(time.Time), tuning.EventBuffer),
+		heartbeats:   make(chan func(time.Time), tuning.EventBuffer),
+		requests:     make(chan func(time.Time), tuning.EventBuffer),
+		state:        store.NewClient(cfg.External.State, transport(stateConnections(), tuning.DialTimeout), steady.Now),
+		cloud:        fleet.NewClient(cfg.External.Cloud, transport(tuning.CloudCalls, tuning.DialTimeout)),
+		workers:      &http.Client{Transport: transport(tuning.DoIdle, tuning.WorkerDial)},
+		peers:        peer.NewClients(cfg.Peers),
+		rateLimiter:  store.NewRateLimiter(cfg.Platform.State, len(cfg.Peers)+1),
+		readSlots:    make(chan struct{}, tuning.StateReads),
+		cloudSlots:   make(chan struct{}, tuning.CloudCalls),
+		commandSlots: make(chan struct{}, p.commands),
+		fencingSlots: make(chan struct{}, p.commands),
+		peerSlots:    make(chan struct{}, tuning.PeerCalls),
+		latencies:    newLatencyRecorder(),
 	}
 	for i := range r.writeSlots {
 		r.writeSlots[i] = make(chan struct{}, tuning.StateWrites)
 	}
-	r.core = NewCore(cfg, opt, r, rng, time.Now, log)
+	r.controller = NewController(cfg, opt, r, rng, time.Now, log)
 	return r
 }
 
@@ -108,18 +108,18 @@
 	defer cancel()
 	r.ctx = ctx
 	defer close(r.done)
-	api, err := net.Listen("tcp", r.cfg.APIAddr)
+	api, err := net.Listen("tcp", r.config.APIAddr)
 	if err != nil {
 		return fmt.Errorf("api_addr: %w", err)
 	}
-	inner, err := net.Listen("tcp", r.cfg.PeerBind)
+	inner, err := net.Listen("tcp", r.config.PeerBind)
 	if err != nil {
 		return fmt.Errorf("peer_bind: %w", err)
 	}
 	failed := make(chan error, 2)
-	clients := newClientListener(api, r.pools.clients, r.clock.Now)
+	clients := newLimitedListener(api, r.connections.clients, r.clock.Now)
 	srv := r.server()
-	srv.ConnState, srv.ConnContext = clients.state, withClientConn
+	srv.ConnState, srv.ConnContext = clients.trackState, withClientConnection
 	go func() { failed <- srv.Serve(clients) }()
 	rpc := peer.NewServer(r)
 	go func() { failed <- rpc.Serve(inner) }()
@@ -128,47 +128,47 @@
 		rpc.Stop()
 		r.peers.Close()
 	}()
-	r.log.Info("serving", "api", r.cfg.APIAddr, "peers", r.cfg.PeerBind)
-	return r.own(ctx, failed)
+	r.log.Info("serving", "api", r.config.APIAddr, "peers", r.config.PeerBind)
+	return r.runLoop(ctx, failed)
 }
 
-// own is the loop of the goroutine that owns all state. A lease's renewal must wait
+// runLoop is the loop of the goroutine that owns all state. A lease's renewal must wait
 // neither behind a thousand reports nor behind the results of all that the block needs:
 // ticks go first, then results, then reports and requests in turn.
-func (r *Runtime) own(ctx context.Context, failed <-chan error) error {
+func (r *Runtime) runLoop(ctx context.Context, failed <-chan error) error {
 	tick := time.NewTicker(tuning.TickEvery)
 	defer tick.Stop()
 	last := r.clock.Now()
 	turn := func(time.Time) {
 		now := r.clock.Advance() // leases may have ended while the machine was suspended
-		r.noteLate(now.Sub(last) - tuning.TickEvery)
+		r.logLateTick(now.Sub(last) - tuning.TickEvery)
 		last = now
-		r.core.Tick(now)
-		r.healthy.Store(r.core.Healthy(now))
+		r.controller.Tick(now)
+		r.healthy.Store(r.controller.Healthy(now))
 	}
-	r.carry("tick", turn)
+	r.runEvent("tick", turn)
 	for {
 		select {
 		case <-tick.C:
-			r.carry("tick", turn)
+			r.runEvent("tick", turn)
 			continue
 		default:
 		}
 		select {
 		case f := <-r.events:
-			r.carry("event", f)
+			r.runEvent("event", f)
 			continue
 		default:
 		}
 		select {
 		case f := <-r.events:
-			r.carry("event", f)
-		case f := <-r.reports:
-			r.carry("report", f)
-		case f := <-r.users:
-			r.carry("request", f)
+			r.runEvent("event", f)
+		case f := <-r.heartbeats:
+			r.runEvent("report", f)
+		case f := <-r.requests:
+			r.runEvent("request", f)
 		case <-tick.C:
-			r.carry("tick", turn)
+			r.runEvent("tick", turn)
 		case err := <-failed:
 			return err
 		case <-ctx.Done():
@@ -177,39 +177,39 @@
 	}
 }
 
-// noteLate tells of a tick that came late: leases and reports are next.
-func (r *Runtime) noteLate(late time.Duration) {
+// logLateTick tells of a tick that came late: leases and reports are next.
+func (r *Runtime) logLateTick(late time.Duration) {
 	if late > tuning.LateTick {
 		r.log.Warn("too little processor time", "late", late, "goroutines", runtime.NumGoroutine(),
-			"events", len(r.events), "reports", len(r.reports), "requests", len(r.users))
+			"events", len(r.events), "reports", len(r.heartbeats), "requests", len(r.requests))
 	}
 }
 
-// carry has the owner do one thing, and tells of one that took long: on a starved
+// runEvent has the owner do one thing, and tells of one that took long: on a starved
 // machine that is what makes leases and reports late.
-func (r *Runtime) carry(what string, f func(now time.Time)) {
+func (r *Runtime) runEvent(what string, f func(now time.Time)) {
 	start := r.clock.Now()
-	if moved := r.clock.SuspendedFor(); moved != r.moved {
-		r.log.Warn("the clock was moved forward: this machine was suspended", "by", moved-r.moved)
-		r.moved = moved
-		r.core.ClockMoved(start)
+	if moved := r.clock.SuspendedFor(); moved != r.suspendedFor {
+		r.log.Warn("the clock was moved forward: this machine was suspended", "by", moved-r.suspendedFor)
+		r.suspendedFor = moved
+		r.controller.EndTermsAfterSuspension(start)
 	}
 	f(start)
 	if took := r.clock.Now().Sub(start); took > tuning.SlowTurn {
-		r.log.Warn("the owner was busy", "with", what, "for", took, "events", len(r.events), "reports", len(r.reports), "requests", len(r.users))
+		r.log.Warn("the owner was busy", "with", what, "for", took, "events", len(r.events), "reports", len(r.heartbeats), "requests", len(r.requests))
 	}
 }
 
-// post hands an event to the owner, waiting for room.
-func (r *Runtime) post(f func(now time.Time)) {
+// postEvent hands an event to the owner, waiting for room.
+func (r *Runtime) postEvent(f func(now time.Time)) {
 	select {
 	case r.events <- f:
 	case <-r.done:
 	}
 }
 
-// offer hands an event to the owner unless its buffer is full.
-func offer(to chan func(now time.Time), f func(now time.Time)) bool {
+// tryPost hands an event to the owner unless its buffer is full.
+func tryPost(to chan func(now time.Time), f func(now time.Time)) bool {
 	select {
 	case to <- f:
 		return true
@@ -218,13 +218,13 @@
 	}
 }
 
-var errBusy = errors.New("busy")
+var errOverloaded = errors.New("busy")
 
 // Ask runs f on the owner goroutine and waits for it.
 func (r *Runtime) Ask(ctx context.Context, f func(now time.Time)) error {
 	did := make(chan struct{})
-	if !offer(r.events, func(now time.Time) { f(now); close(did) }) {
-		return errBusy
+	if !tryPost(r.events, func(now time.Time) { f(now); close(did) }) {
+		return errOverloaded
 	}
 	select {
 	case <-did:
@@ -236,28 +236,28 @@
 	}
 }
 
-// Core is the state that Ask's functions may use.
-func (r *Runtime) Core() *Core { return r.core }
+// Controller is the state that Ask's functions may use.
+func (r *Runtime) Controller() *Controller { return r.controller }
 
-func enter(slots chan struct{}) func() {
+func acquire(slots chan struct{}) func() {
 	slots <- struct{}{}
 	return func() { <-slots }
 }
 
-// State is part of Env.
-func (r *Runtime) State(c store.Call, then func(now time.Time, res store.Result)) {
+// CallState is part of Env.
+func (r *Runtime) CallState(c store.Call, then func(now time.Time, res store.Result)) {
 	go func() {
 		switch {
 		case c.Priority == store.PriorityLease: // leases and watches wait behind nothing
 		case len(c.Transaction.Writes) > 0:
-			defer enter(r.writeSlots[c.Priority])()
+			defer acquire(r.writeSlots[c.Priority])()
 		default:
-			defer enter(r.readSlots)()
+			defer acquire(r.readSlots)()
 		}
 		for {
-			r.budgetLock.Lock()
-			wait, ok := r.budget.Take(r.clock.Now(), c)
-			r.budgetLock.Unlock()
+			r.rateLimiterLock.Lock()
+			wait, ok := r.rateLimiter.Take(r.clock.Now(), c)
+			r.rateLimiterLock.Unlock()
 			if ok {
 				break
 			}
@@ -265,83 +265,83 @@
 		}
 		start := time.Now()
 		res := r.state.Execute(r.ctx, c)
-		r.budgetLock.Lock()
-		lowered := r.budget.Observe(r.clock.Now(), c, res.Status)
-		r.budgetLock.Unlock()
+		r.rateLimiterLock.Lock()
+		lowered := r.rateLimiter.Observe(r.clock.Now(), c, res.Status)
+		r.rateLimiterLock.Unlock()
 		if lowered {
 			r.log.Warn("the state service has lowered its limits", "status", res.Status)
 		}
 		if c.Op != store.OpWatch {
-			r.lat.note(latState, time.Since(start))
+			r.latencies.record(latencyState, time.Since(start))
 		}
-		r.post(func(now time.Time) { then(now, res) })
+		r.postEvent(func(now time.Time) { then(now, res) })
 	}()
 }
 
-// Cloud is part of Env.
-func (r *Runtime) Cloud(c fleet.Call, then func(now time.Time, res fleet.Result)) {
+// CallCloud is part of Env.
+func (r *Runtime) CallCloud(c fleet.Call, then func(now time.Time, res fleet.Result)) {
 	go func() {
-		defer enter(r.cloudSlots)()
+		defer acquire(r.cloudSlots)()
 		start := time.Now()
 		if !c.By.IsZero() && !r.clock.Advance().Before(c.By) {
-			r.post(func(now time.Time) { then(now, fleet.Result{}) })
+			r.postEvent(func(now time.Time) { then(now, fleet.Result{}) })
 			return
 		}
 		res := r.cloud.Do(r.ctx, c)
-		r.lat.note(latCloud, time.Since(start))
-		r.post(func(now time.Time) { then(now, res) })
+		r.latencies.record(latencyCloud, time.Since(start))
+		r.postEvent(func(now time.Time) { then(now, res) })
 	}()
 }
 
-// Do is part of Env.
-func (r *Runtime) Do(addr string, d wire.DirectCommands, by time.Time, then func(now time.Time, status int, rep *wire.Heartbeat)) {
+// SendCommands is part of Env.
+func (r *Runtime) SendCommands(addr string, d wire.DirectCommands, by time.Time, then func(now time.Time, status int, rep *wire.Heartbeat)) {
 	go func() {
 		// a fifth of the machines may hang when a takeover asks them all: what
 		// starts tasks does not wait behind that
-		slots := r.doSlots
+		slots := r.commandSlots
 		if len(d.Commands) == 0 {
-			slots = r.fenceSlots
+			slots = r.fencingSlots
 		}
-		defer enter(slots)()
+		defer acquire(slots)()
 		if !r.clock.Advance().Before(by) {
-			r.post(func(now time.Time) { then(now, NotSent, nil) })
+			r.postEvent(func(now time.Time) { then(now, NotSent, nil) })
 			return
 		}
 		ctx, cancel := context.WithTimeout(r.ctx, tuning.DoTimeout)
 		defer cancel()
-		status, rep := direct(ctx, r.workers, addr, d)
-		r.post(func(now time.Time) { then(now, status, rep) })
+		status, rep := sendDirect(ctx, r.workers, addr, d)
+		r.postEvent(func(now time.Time) { then(now, status, rep) })
 	}()
 }
 
-// Pulse is part of Env.
-func (r *Runtime) Pulse(member string, m *peerpb.PeerHeartbeat, then func(now time.Time, res *peerpb.PeerHeartbeat, err error)) {
+// SendHeartbeat is part of Env.
+func (r *Runtime) SendHeartbeat(member string, m *peerpb.PeerHeartbeat, then func(now time.Time, res *peerpb.PeerHeartbeat, err error)) {
 	go func() { // one a second and peer: no slot, so that it waits behind nothing
 		ctx, cancel := context.WithTimeout(r.ctx, tuning.PulseTimeout)
 		defer cancel()
 		res, err := r.peers.Peer(member).Pulse(ctx, m)
-		r.post(func(now time.Time) { then(now, res, err) })
+		r.postEvent(func(now time.Time) { then(now, res, err) })
 	}()
 }
 
-// Progress is part of Env.
-func (r *Runtime) Progress(member string, m *peerpb.ProgressRequest, then func(now time.Time, res *peerpb.ProgressReply, err error)) {
+// AskProgress is part of Env.
+func (r *Runtime) AskProgress(member string, m *peerpb.ProgressRequest, then func(now time.Time, res *peerpb.ProgressReply, err error)) {
 	go func() {
-		defer enter(r.peerSlots)()
+		defer acquire(r.peerSlots)()
 		ctx, cancel := context.WithTimeout(r.ctx, tuning.ProgressTimeout)
 		defer cancel()
 		res, err := r.peers.Peer(member).Progress(ctx, m)
-		r.post(func(now time.Time) { then(now, res, err) })
+		r.postEvent(func(now time.Time) { then(now, res, err) })
 	}()
 }
 
-// Probe is part of Env.
-func (r *Runtime) Probe(member string, m *peerpb.ProbeRequest, then func(now time.Time, res *peerpb.ProbeReply, err error)) {
+// ProbeWorkers is part of Env.
+func (r *Runtime) ProbeWorkers(member string, m *peerpb.ProbeRequest, then func(now time.Time, res *peerpb.ProbeReply, err error)) {
 	go func() {
-		defer enter(r.peerSlots)()
+		defer acquire(r.peerSlots)()
 		ctx, cancel := context.WithTimeout(r.ctx, tuning.ProbeTimeout+tuning.ProgressTimeout)
 		defer cancel()
 		res, err := r.peers.Peer(member).Probe(ctx, m)
-		r.post(func(now time.Time) { then(now, res, err) })
+		r.postEvent(func(now time.Time) { then(now, res, err) })
 	}()
 }
--- a/internal/node/runtime_test.go
+++ b/internal/node/runtime_test.go
@@ -43,12 +43,12 @@
 	written := 0
 	for class := range store.Priorities {
 		for range 3 * tuning.StateWrites {
-			r.State(store.Call{Op: store.OpTransaction, Priority: store.Priority(class), Transaction: wire.Transaction{Writes: []wire.Write{store.Delete("a")}}},
+			r.CallState(store.Call{Op: store.OpTransaction, Priority: store.Priority(class), Transaction: wire.Transaction{Writes: []wire.Write{store.Delete("a")}}},
 				func(time.Time, store.Result) { written++ })
 		}
 	}
 	read := false
-	r.State(store.Call{Op: store.OpWatch, Priority: store.PriorityUser, Prefix: "q/"}, func(_ time.Time, res store.Result) { read = res.OK() })
+	r.CallState(store.Call{Op: store.OpWatch, Priority: store.PriorityUser, Prefix: "q/"}, func(_ time.Time, res store.Result) { read = res.OK() })
 	for !read {
 		(<-r.events)(time.Now())
 	}
@@ -75,12 +75,12 @@
 	r := effects(t, "127.0.0.1:1")
 	later := time.Now().Add(time.Hour)
 	hung := 0
-	for range 2 * r.pools.do {
-		r.Do(hangs.Addr().String(), wire.DirectCommands{Commands: []wire.Command{}}, later, func(time.Time, int, *wire.Heartbeat) { hung++ })
+	for range 2 * r.connections.commands {
+		r.SendCommands(hangs.Addr().String(), wire.DirectCommands{Commands: []wire.Command{}}, later, func(time.Time, int, *wire.Heartbeat) { hung++ })
 	}
 	status := map[string]int{}
 	for name, by := range map[string]time.Time{"in time": later, "too late": time.Now()} {
-		r.Do(srv.Listener.Addr().String(), wire.DirectCommands{Commands: []wire.Command{{Verb: wire.VerbRun, Task: name}}}, by,
+		r.SendCommands(srv.Listener.Addr().String(), wire.DirectCommands{Commands: []wire.Command{{Verb: wire.VerbRun, Task: name}}}, by,
 			func(_ time.Time, s int, _ *wire.Heartbeat) { status[name] = s })
 	}
 	for len(status) < 2 {
@@ -93,7 +93,7 @@
 		t.Errorf("%d questions to hanging machines came first", hung)
 	}
 	if n := threads(t); n > 200 {
-		t.Errorf("%d threads with %d connections hanging", n, 2*r.pools.do)
+		t.Errorf("%d threads with %d connections hanging", n, 2*r.connections.commands)
 	}
 }
 
@@ -127,11 +127,11 @@
 	deadline := r.clock.Now().Add(10 * time.Second)
 	answered := map[string]int{}
 	call := func() {
-		r.Cloud(fleet.Call{Op: fleet.OpDelete, Hosts: []string{"i-1"}, By: deadline}, func(_ time.Time, res fleet.Result) { answered["cloud"] = res.Status })
+		r.CallCloud(fleet.Call{Op: fleet.OpDelete, Hosts: []string{"i-1"}, By: deadline}, func(_ time.Time, res fleet.Result) { answered["cloud"] = res.Status })
 		(<-r.events)(r.clock.Now())
 	}
 	command := func() {
-		r.Do(address, wire.DirectCommands{Commands: []wire.Command{{Verb: wire.VerbRun}}}, deadline, func(_ time.Time, status int, _ *wire.Heartbeat) { answered["worker"] = status })
+		r.SendCommands(address, wire.DirectCommands{Commands: []wire.Command{{Verb: wire.VerbRun}}}, deadline, func(_ time.Time, status int, _ *wire.Heartbeat) { answered["worker"] = status })
 		(<-r.events)(r.clock.Now())
 	}
 	call()
@@ -148,7 +148,7 @@
 		t.Errorf("after: %v, %d calls", answered, len(asked))
 	}
 	told := time.Duration(0)
-	r.carry("event", func(time.Time) { told = r.moved })
+	r.runEvent("event", func(time.Time) { told = r.suspendedFor })
 	if told < time.Minute {
 		t.Errorf("the owner was told of %v", told)
 	}
@@ -159,8 +159,8 @@
 	now := time.Unix(1000, 0)
 	cfg := facts([]string{"a"}, []config.Team{{Name: "red"}}, 1.5, 10)
 	held := &heldState{}
-	core := NewCore(cfg, Options{Blocks: 2}, held, rand.New(rand.NewPCG(1, 1)), func() time.Time { return now }, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	core.rentals.Tick(now)
+	core := NewController(cfg, Options{Blocks: 2}, held, rand.New(rand.NewPCG(1, 1)), func() time.Time { return now }, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	core.provisionRequests.Tick(now)
 	held.then(now, store.Result{Status: 200, SentAt: now, Revision: 5, KeyValues: []wire.KeyValue{
 		{Key: "h/1/b1-2-1", Value: []byte(`{"Number":1,"Hosts":["i-1"]}`), Version: 4}}})
 	for _, c := range []struct {
@@ -172,7 +172,7 @@
 		{"named by none", "i-2", now.Add(-time.Minute), false},
 		{"there after the rentals were read", "i-2", now.Add(time.Second), true},
 	} {
-		if got := core.foreign(0, c.host, c.there); got != c.want {
+		if got := core.mayBelongToOtherShard(0, c.host, c.there); got != c.want {
 			t.Errorf("%s: foreign %v", c.name, got)
 		}
 	}
@@ -180,7 +180,7 @@
 
 // heldState is an Env that keeps the newest call of the state service.
 type heldState struct {
-	Env
+	Effects
 	then func(now time.Time, r store.Result)
 }
 
--- a/internal/node/simulation_checks_test.go
+++ b/internal/node/simulation_checks_test.go
@@ -19,22 +19,22 @@
 		if !n.alive {
 			continue
 		}
-		for _, t := range n.core.tenures {
-			if t.state != tenureLoading && t.state != tenureOver {
+		for _, t := range n.controller.terms {
+			if t.state != termLoading && t.state != termEnded {
 				sim.checkHorizon(n, t)
 			}
 		}
 	}
 }
 
-func (sim *simulation) checkHorizon(n *simulatedNode, t *tenure) {
+func (sim *simulation) checkHorizon(n *simulatedNode, t *term) {
 	now := sim.clk.Now()
-	at := t.knows(now)
+	at := t.cancellationsKnownUntil(now)
 	if at.After(now) {
 		sim.fail("%s: horizon %v ahead of its clock", n.name, at.Sub(now))
 	}
 	for _, j := range sim.cluster.Order {
-		if j.Told == wire.JobCancelled && j.CancelledAt.Before(at) && t.board.Job(j.Spec.ID) != nil {
+		if j.Told == wire.JobCancelled && j.CancelledAt.Before(at) && t.scheduler.Job(j.Spec.ID) != nil {
 			sim.fail("%s does not know that %s was cancelled at %v, with its horizon at %v",
 				n.name, j.Spec.ID, j.CancelledAt.Sub(standin.Epoch), at.Sub(standin.Epoch))
 		}
--- a/internal/node/simulation_env_test.go
+++ b/internal/node/simulation_env_test.go
@@ -29,17 +29,17 @@
 // addressPrefix stands before a machine's name in its address.
 const addressPrefix = "addr-"
 
-// simulatedEnv carries out the effects of one process.
-type simulatedEnv struct {
+// simulatedEffects carries out the effects of one process.
+type simulatedEffects struct {
 	node       *simulatedNode
 	generation int
 }
 
-func (e *simulatedEnv) live() bool { return e.node.alive && e.node.generation == e.generation }
+func (e *simulatedEffects) live() bool { return e.node.alive && e.node.generation == e.generation }
 
 // frozen tells whether the process stands still just before an effect; again carries it
 // out afterwards.
-func (e *simulatedEnv) frozen(at effect, again func()) bool {
+func (e *simulatedEffects) frozen(at effect, again func()) bool {
 	n := e.node
 	now := n.sim.clk.Now()
 	if n.freezeFor > 0 && (n.freezeAt == anyEffect || n.freezeAt == at) {
@@ -53,15 +53,15 @@
 }
 
 // checkEntitled checks that whatever changes a machine's tasks is done with the lease.
-func (e *simulatedEnv) checkEntitled(what string) {
-	if l := e.node.core.leader; !l.LeaseValid(e.node.sim.clk.Now()) {
+func (e *simulatedEffects) checkEntitled(what string) {
+	if l := e.node.controller.membership; !l.LeaseValid(e.node.sim.clk.Now()) {
 		e.node.sim.fail("%s: %s past its lease's end at %v", e.node.name, what, l.LeaseDeadline().Sub(standin.Epoch))
 	}
 }
 
-// State is part of Env.
-func (e *simulatedEnv) State(c store.Call, then func(now time.Time, r store.Result)) {
-	if e.frozen(stateEffect, func() { e.State(c, then) }) {
+// CallState is part of Env.
+func (e *simulatedEffects) CallState(c store.Call, then func(now time.Time, r store.Result)) {
+	if e.frozen(stateEffect, func() { e.CallState(c, then) }) {
 		return
 	}
 	sim := e.node.sim
@@ -88,12 +88,12 @@
 
 // checkStored checks that what the new version writes fits the limits to come from the
 // start, whenever they come; an old process's late transaction may not.
-func (e *simulatedEnv) checkStored(c store.Call) {
+func (e *simulatedEffects) checkStored(c store.Call) {
 	sim := e.node.sim
 	if !sim.startsOld || !e.node.upgraded {
 		return
 	}
-	limits := e.node.core.cfg.Platform.State.StoredLimits()
+	limits := e.node.controller.config.Platform.State.StoredLimits()
 	for _, x := range c.Transaction.Writes {
 		if len(x.Value) > int(limits.ValueKB*1024) || len(c.Transaction.Writes) > limits.TxnOps {
 			sim.fail("%s writes %s with %d bytes, %d changes at once", e.node.name, x.Put, len(x.Value), len(c.Transaction.Writes))
@@ -102,7 +102,7 @@
 }
 
 // stateArrives executes a call that has reached the state service.
-func (e *simulatedEnv) stateArrives(c store.Call, finish func(store.Result)) {
+func (e *simulatedEffects) stateArrives(c store.Call, finish func(store.Result)) {
 	sim, n := e.node.sim, e.node
 	if n.stateRefused && (c.Op != store.OpWatch || c.WatchWaitMs == 0) {
 		sim.clk.In(sim.lag(), func() { finish(store.Result{Status: 503}) })
@@ -129,7 +129,7 @@
 }
 
 // sendState lets a call arrive, with whatever faults happen to it on its way.
-func (e *simulatedEnv) sendState(c store.Call, arrive func()) {
+func (e *simulatedEffects) sendState(c store.Call, arrive func()) {
 	sim, n := e.node.sim, e.node
 	roll := sim.rng.IntN(1000)
 	fault := sim.rng.Float64()
@@ -157,13 +157,13 @@
 	}
 }
 
-// Cloud is part of Env.
-func (e *simulatedEnv) Cloud(c fleet.Call, then func(now time.Time, r fleet.Result)) {
+// CallCloud is part of Env.
+func (e *simulatedEffects) CallCloud(c fleet.Call, then func(now time.Time, r fleet.Result)) {
 	at := cloudEffect
 	if c.Op == fleet.OpDelete {
 		at = returnEffect
 	}
-	if e.frozen(at, func() { e.Cloud(c, then) }) {
+	if e.frozen(at, func() { e.CallCloud(c, then) }) {
 		return
 	}
 	sim := e.node.sim
@@ -200,13 +200,13 @@
 	}
 }
 
-// Do is part of Env.
-func (e *simulatedEnv) Do(addr string, d wire.DirectCommands, by time.Time, then func(now time.Time, status int, rep *wire.Heartbeat)) {
+// SendCommands is part of Env.
+func (e *simulatedEffects) SendCommands(addr string, d wire.DirectCommands, by time.Time, then func(now time.Time, status int, rep *wire.Heartbeat)) {
 	at := questionEffect
 	if len(d.Commands) > 0 {
 		at = commandEffect
 	}
-	if e.frozen(at, func() { e.Do(addr, d, by, then) }) {
+	if e.frozen(at, func() { e.SendCommands(addr, d, by, then) }) {
 		return
 	}
 	sim := e.node.sim
@@ -251,7 +251,7 @@
 }
 
 // commandArrives executes a direct command that has reached its machine.
-func (e *simulatedEnv) commandArrives(m *machine, d wire.DirectCommands, there, back time.Duration, finish func(int, *wire.Heartbeat)) {
+func (e *simulatedEffects) commandArrives(m *machine, d wire.DirectCommands, there, back time.Duration, finish func(int, *wire.Heartbeat)) {
 	sim := e.node.sim
 	if m.Dead {
 		return
@@ -279,7 +279,7 @@
 var errUnreachable = errors.New("peer cannot be reached")
 
 // callPeer carries a call to another controller, or its failure.
-func callPeer[T any](e *simulatedEnv, member string, call func(o *simulatedNode) *T, then func(now time.Time, r *T, err error)) {
+func callPeer[T any](e *simulatedEffects, member string, call func(o *simulatedNode) *T, then func(now time.Time, r *T, err error)) {
 	sim := e.node.sim
 	finish := func(r *T, err error) {
 		if e.live() {
@@ -302,28 +302,28 @@
 	})
 }
 
-// Pulse is part of Env.
-func (e *simulatedEnv) Pulse(member string, m *peerpb.PeerHeartbeat, then func(now time.Time, r *peerpb.PeerHeartbeat, err error)) {
+// SendHeartbeat is part of Env.
+func (e *simulatedEffects) SendHeartbeat(member string, m *peerpb.PeerHeartbeat, then func(now time.Time, r *peerpb.PeerHeartbeat, err error)) {
 	e.node.sim.recordPeerCall(e.node.name, member, "pulse", m)
 	callPeer(e, member, func(o *simulatedNode) *peerpb.PeerHeartbeat {
-		answer := o.core.Pulse(e.node.sim.clk.Now(), m)
+		answer := o.controller.HandlePeerHeartbeat(e.node.sim.clk.Now(), m)
 		e.node.sim.recordPeerAnswer(o.name, "pulse", answer)
 		return answer
 	}, then)
 }
 
-// Progress is part of Env.
-func (e *simulatedEnv) Progress(member string, m *peerpb.ProgressRequest, then func(now time.Time, r *peerpb.ProgressReply, err error)) {
+// AskProgress is part of Env.
+func (e *simulatedEffects) AskProgress(member string, m *peerpb.ProgressRequest, then func(now time.Time, r *peerpb.ProgressReply, err error)) {
 	e.node.sim.recordPeerCall(e.node.name, member, "progress", m)
 	callPeer(e, member, func(o *simulatedNode) *peerpb.ProgressReply {
-		answer := o.core.Progress(m)
+		answer := o.controller.HandleProgress(m)
 		e.node.sim.recordPeerAnswer(o.name, "progress", answer)
 		return answer
 	}, then)
 }
 
-// Probe is part of Env.
-func (e *simulatedEnv) Probe(member string, m *peerpb.ProbeRequest, then func(now time.Time, r *peerpb.ProbeReply, err error)) {
+// ProbeWorkers is part of Env.
+func (e *simulatedEffects) ProbeWorkers(member string, m *peerpb.ProbeRequest, then func(now time.Time, r *peerpb.ProbeReply, err error)) {
 	e.node.sim.recordPeerCall(e.node.name, member, "probe", m)
 	callPeer(e, member, func(o *simulatedNode) *peerpb.ProbeReply {
 		r := &peerpb.ProbeReply{}
--- a/internal/node/simulation_network_test.go
+++ b/internal/node/simulation_network_test.go
@@ -71,7 +71,7 @@
 			}
 			return
 		}
-		n.whenRunning(func() { n.core.Report(sim.clk.Now(), report, reply) })
+		n.whenRunning(func() { n.controller.HandleHeartbeat(sim.clk.Now(), report, reply) })
 	})
 	sim.copyReports(report)
 }
@@ -104,7 +104,7 @@
 func (sim *simulation) deliverCopy(n *simulatedNode, report *wire.Heartbeat) {
 	if n.alive {
 		n.whenRunning(func() {
-			n.core.Report(sim.clk.Now(), report, func(status int, body any) {
+			n.controller.HandleHeartbeat(sim.clk.Now(), report, func(status int, body any) {
 				sim.recordWorkerAnswer(n.name, report.Host, status, body)
 			})
 		})
@@ -118,7 +118,7 @@
 		if !n.alive {
 			continue
 		}
-		for _, t := range n.core.tenures {
+		for _, t := range n.controller.terms {
 			if t.Token <= sim.highestToken {
 				continue
 			}
--- a/internal/node/simulation_test.go
+++ b/internal/node/simulation_test.go
@@ -206,7 +206,7 @@
 // holder is the node that holds the block and knows where all tasks are.
 func (sim *simulation) holder() *simulatedNode {
 	for _, n := range sim.nodes {
-		if t := n.core.tenures[0]; n.alive && t != nil && t.state == tenureOpen && n.core.leader.LeaseValid(sim.clk.Now()) {
+		if t := n.controller.terms[0]; n.alive && t != nil && t.state == termOpen && n.controller.membership.LeaseValid(sim.clk.Now()) {
 			return n
 		}
 	}
@@ -227,7 +227,7 @@
 	sim        *simulation
 	name       string
 	zone       string
-	core       *Core
+	controller *Controller
 	alive      bool
 	generation int  // of its process
 	upgraded   bool // it has the new version
@@ -257,12 +257,12 @@
 		cfg.Platform.State.Next = nil // it knows nothing of limits to come, and fills its pages
 	}
 	rng := rand.New(rand.NewPCG(n.sim.rng.Uint64(), 1))
-	n.core = NewCore(&cfg, n.options(), &simulatedEnv{node: n, generation: generation}, rng, n.sim.clk.Now, n.sim.logger(n.name))
+	n.controller = NewController(&cfg, n.options(), &simulatedEffects{node: n, generation: generation}, rng, n.sim.clk.Now, n.sim.logger(n.name))
 	var tick func()
 	tick = func() {
 		if n.alive && n.generation == generation {
 			n.whenRunning(func() {
-				n.core.Tick(n.sim.clk.Now())
+				n.controller.Tick(n.sim.clk.Now())
 				n.sim.clk.In(tuning.TickEvery, tick)
 			})
 		}
--- a/internal/node/tally_test.go
+++ b/internal/node/tally_test.go
@@ -96,15 +96,15 @@
 		t.Run(c.name, func(t *testing.T) {
 			spec := wire.JobSpec{ID: "job-1", Shape: wire.ShapeBatch, Tasks: c.tasks}
 			s := &tallyStore{t: t, now: time.Unix(100, 0), limit: c.limit, keys: map[string]wire.KeyValue{}, refused: map[string]int{}}
-			newTenure := func() (*tallies, *placement.Board, *placement.Job) {
+			newTenure := func() (*completionBitmaps, *placement.Board, *placement.Job) {
 				board, j := tallyBoard(spec)
 				pages := store.NewPages("t/0/", 2, time.Second, store.PriorityCompletion, store.VersionEquals("c/b/0", 1), s.call,
 					slog.New(slog.NewTextHandler(io.Discard, nil)), func(time.Time) { t.Error("lost") })
-				tl := newTallies(pages, 8)
+				tl := newCompletionBitmaps(pages, 8)
 				tl.load(slices.Collect(maps.Values(s.keys)), board.Job)
 				return tl, board, j
 			}
-			run := func(tl *tallies) {
+			run := func(tl *completionBitmaps) {
 				for range 20 {
 					s.now = s.now.Add(2 * time.Second)
 					tl.pages.Tick(s.now)
@@ -129,7 +129,7 @@
 			if want := (c.tasks + 6) / 7; again.Done() != want {
 				t.Errorf("%d completions are found, want %d", again.Done(), want)
 			}
-			tl.drop("job-1")
+			tl.forget("job-1")
 			run(tl)
 			if len(s.keys) != 0 {
 				t.Errorf("%d pages are left", len(s.keys))
--- a/internal/node/tenure.go
+++ b/internal/node/tenure.go
@@ -16,172 +16,174 @@
 	"juniperchute/internal/worker"
 )
 
-type tenureState int
+type termState int
 
 const (
-	// tenureLoading: jobs, tallies and rentals are being read.
-	tenureLoading tenureState = iota
-	// tenureFencing: machines that an earlier tenure used are being heard.
-	tenureFencing
-	// tenureOpen: every machine the block may have is heard or surely gone.
-	tenureOpen
-	// tenureOver: the block is another's, or about to be.
-	tenureOver
+	// termLoading: jobs, tallies and rentals are being read.
+	termLoading termState = iota
+	// termFencing: machines that an earlier tenure used are being heard.
+	termFencing
+	// termOpen: every machine the block may have is heard or surely gone.
+	termOpen
+	// termEnded: the block is another's, or about to be.
+	termEnded
 )
 
-func (s tenureState) String() string {
+func (s termState) String() string {
 	return [...]string{"loading", "fencing", "open", "over"}[s]
 }
 
-// tenure is the time in which this process holds one block.
-type tenure struct {
+// term is the time in which this process holds one block.
+type term struct {
 	leader.Term
-	c     *Core
-	inc   uint64
-	state tenureState
-	since time.Time
-	log   *slog.Logger
-	reg   *worker.Registry
-	book  *quota.Book
-	board *placement.Board
-	fleet *fleet.Slice
-	// duties is the log of what is asked of the cloud; clean is call, with removals of
+	controller  *Controller
+	incarnation uint64
+	state       termState
+	startedAt   time.Time
+	log         *slog.Logger
+	workers     *worker.Registry
+	ledger      *quota.Book
+	scheduler   *placement.Board
+	autoscaler  *fleet.Slice
+	// intents is the log of what is asked of the cloud; clean is call, with removals of
 	// records looked after by the same.
-	duties *duty.Log
-	clean  store.Caller
-
-	outcomes  *outcomes
-	begun     *store.Pages // jobs that may have tasks on machines
-	records   records
-	fencing   fencing
-	cancelled *cancellations
-	countDue  time.Time // when the counters of copies are logged
+	intents          *duty.Log
+	guardedStateCall store.Caller
+
+	completions        *jobCompletions
+	startMarkers       *store.Pages // jobs that may have tasks on machines
+	predecessorRecords predecessorRecords
+	fencing            fencing
+	cancellations      *cancellations
+	countersAt         time.Time // when the counters of copies are logged
 }
 
-func newTenure(now time.Time, c *Core, l leader.Term, inc uint64) *tenure {
-	t := &tenure{Term: l, c: c, inc: inc, since: now, log: c.log.With("block", l.Shard, "token", l.Token),
-		fencing:   fencing{due: map[string]time.Time{}, sessions: map[string]uint64{}},
-		cancelled: newCancellations(c.cfg)}
-	t.reg = worker.NewRegistry(c.cfg.Platform.Workers, t.log)
-	t.book = quota.NewBook(c.cfg.Platform.Teams, l.Shard, c.blocks)
-	t.board = placement.NewBoard(c.cfg.Platform, l.Token, t.book, t.reg, c.rng, t.log,
-		func(now time.Time, j *placement.Job) { t.outcomes.taskCompleted(now, j) })
-	t.duties = duty.NewLog(duty.Options{Shard: l.Shard, Token: l.Token, TermCompare: t.cond(), ValueKB: c.cfg.Platform.State.StoredLimits().ValueKB,
-		StateCall: t.call, WallClock: c.wall, Log: t.log, OnTermLost: t.lost, Tracer: c.opt.Tracer})
-	t.clean = t.duties.GuardRemovals(t.call, fleet.Rentals(l.Shard), fleet.UsedUnder(l.Shard), begunUnder(l.Shard), tallyUnder(l.Shard))
-	t.fleet = fleet.New(now, fleet.Options{Block: l.Shard, Token: l.Token, Tenure: t.cond(), Facts: c.cfg.Platform, Cloud: t.cloud, State: t.clean,
-		Log: t.log, Machines: t.reg, Board: t.board, Duties: t.duties, Lost: t.lost, Gone: t.board.Forget,
-		Foreign: func(host string, there time.Time) bool { return c.foreign(l.Shard, host, there) }})
-	t.outcomes = newOutcomes(t, newTallies(t.pages(tallyUnder(l.Shard), tuning.TallyEvery, store.PriorityCompletion), c.cfg.Platform.State.ValueKB))
-	t.begun = t.pages(begunUnder(l.Shard), tuning.BegunEvery, store.PriorityTerm)
-	t.board.Begin = t.markBegun
+func newTerm(now time.Time, c *Controller, l leader.Term, inc uint64) *term {
+	t := &term{Term: l, controller: c, incarnation: inc, startedAt: now, log: c.log.With("block", l.Shard, "token", l.Token),
+		fencing:       fencing{askAt: map[string]time.Time{}, incarnations: map[string]uint64{}},
+		cancellations: newCancellations(c.config)}
+	t.workers = worker.NewRegistry(c.config.Platform.Workers, t.log)
+	t.ledger = quota.NewBook(c.config.Platform.Teams, l.Shard, c.shards)
+	t.scheduler = placement.NewBoard(c.config.Platform, l.Token, t.ledger, t.workers, c.rng, t.log,
+		func(now time.Time, j *placement.Job) { t.completions.taskCompleted(now, j) })
+	t.intents = duty.NewLog(duty.Options{Shard: l.Shard, Token: l.Token, TermCompare: t.termCompare(), ValueKB: c.config.Platform.State.StoredLimits().ValueKB,
+		StateCall: t.callState, WallClock: c.wallClock, Log: t.log, OnTermLost: t.onTermLost, Tracer: c.options.Tracer})
+	t.guardedStateCall = t.intents.GuardRemovals(t.callState, fleet.Rentals(l.Shard), fleet.UsedUnder(l.Shard), startMarkerPrefix(l.Shard), completionPrefix(l.Shard))
+	t.autoscaler = fleet.New(now, fleet.Options{Block: l.Shard, Token: l.Token, Tenure: t.termCompare(), Facts: c.config.Platform, Cloud: t.callCloud, State: t.guardedStateCall,
+		Log: t.log, Machines: t.workers, Board: t.scheduler, Duties: t.intents, Lost: t.onTermLost, Gone: t.scheduler.Forget,
+		Foreign: func(host string, there time.Time) bool { return c.mayBelongToOtherShard(l.Shard, host, there) }})
+	t.completions = newJobCompletions(t, newCompletionBitmaps(t.pages(completionPrefix(l.Shard), tuning.TallyEvery, store.PriorityCompletion), c.config.Platform.State.ValueKB))
+	t.startMarkers = t.pages(startMarkerPrefix(l.Shard), tuning.BegunEvery, store.PriorityTerm)
+	t.scheduler.Begin = t.writeStartMarker
 	t.log.Info("tenure begins", "ended", l.PredecessorEnded)
 	for name, f := range c.machineTypes {
-		t.fleet.MachineType(f, c.machineTypeRaw[name])
+		t.autoscaler.MachineType(f, c.machineTypeRecords[name])
 	}
-	t.configure()
-	t.load(now)
+	t.applySettings()
+	t.readRecords(now)
 	return t
 }
 
 // pages makes pages under a prefix that only this tenure may write.
-func (t *tenure) pages(under string, every time.Duration, class store.Priority) *store.Pages {
-	valueKB := t.c.cfg.Platform.State.StoredLimits().ValueKB
-	return store.NewPages(under, valueKB, every, class, t.cond(), t.clean, t.log, t.lost)
+func (t *term) pages(under string, every time.Duration, class store.Priority) *store.Pages {
+	valueKB := t.controller.config.Platform.State.StoredLimits().ValueKB
+	return store.NewPages(under, valueKB, every, class, t.termCompare(), t.guardedStateCall, t.log, t.onTermLost)
 }
 
-// markBegun enters a job as one that may have tasks on machines, and lets them start once
+// writeStartMarker enters a job as one that may have tasks on machines, and lets them start once
 // that is durable.
-func (t *tenure) markBegun(now time.Time, j *placement.Job) {
-	t.begun.Put(j.Spec.ID, 1, func(now time.Time) {
-		t.board.Begun(j)
-		t.settle(now)
+func (t *term) writeStartMarker(now time.Time, j *placement.Job) {
+	t.startMarkers.Put(j.Spec.ID, 1, func(now time.Time) {
+		t.scheduler.Begun(j)
+		t.scheduleNow(now)
 	})
-	t.begun.Tick(now)
+	t.startMarkers.Tick(now)
 }
 
-// cond is the condition of every write: the block's record is as this tenure began.
-func (t *tenure) cond() wire.Compare { return store.VersionEquals(leader.ShardKey(t.Shard), t.Version) }
+// termCompare is the condition of every write: the block's record is as this tenure began.
+func (t *term) termCompare() wire.Compare {
+	return store.VersionEquals(leader.ShardKey(t.Shard), t.Version)
+}
 
-// call passes a call on and drops its answer once the tenure is over.
-func (t *tenure) call(c store.Call, then func(time.Time, store.Result)) {
-	t.c.env.State(c, func(now time.Time, r store.Result) {
-		if t.state != tenureOver {
+// callState passes a call on and drops its answer once the tenure is over.
+func (t *term) callState(c store.Call, then func(time.Time, store.Result)) {
+	t.controller.effects.CallState(c, func(now time.Time, r store.Result) {
+		if t.state != termEnded {
 			then(now, r)
-			t.c.after(now)
+			t.controller.reconcileTerms(now)
 		}
 	})
 }
 
-// cloud passes a call on, to be made only while this process surely holds the block.
-func (t *tenure) cloud(c fleet.Call, then func(now time.Time, r fleet.Result)) {
-	c.By = t.c.leader.LeaseDeadline()
-	t.c.env.Cloud(c, then)
+// callCloud passes a call on, to be made only while this process surely holds the block.
+func (t *term) callCloud(c fleet.Call, then func(now time.Time, r fleet.Result)) {
+	c.By = t.controller.membership.LeaseDeadline()
+	t.controller.effects.CallCloud(c, then)
 }
 
-func (t *tenure) set(now time.Time, s tenureState, why string) {
+func (t *term) setState(now time.Time, s termState, why string) {
 	if t.state == s {
 		return
 	}
-	t.log.Info("tenure", "from", t.state.String(), "to", s.String(), "why", why, "after", now.Sub(t.since))
+	t.log.Info("tenure", "from", t.state.String(), "to", s.String(), "why", why, "after", now.Sub(t.startedAt))
 	t.state = s
 }
 
-func (t *tenure) end(now time.Time, why string) {
-	t.set(now, tenureOver, why)
+func (t *term) end(now time.Time, why string) {
+	t.setState(now, termEnded, why)
 }
 
-// lost is told when a write finds the block's record changed.
-func (t *tenure) lost(now time.Time) { t.end(now, "the block's record has changed") }
+// onTermLost is told when a write finds the block's record changed.
+func (t *term) onTermLost(now time.Time) { t.end(now, "the block's record has changed") }
 
-func (t *tenure) configure() {
-	s := t.c.settings
-	t.board.Set = placement.Settings{DropThreshold: s.DropThreshold}
-	t.fleet.Set = fleet.Settings{MaxMachines: s.MaxMachines, Paused: s.ScaleOutPaused, IdleReturn: s.IdleTimeout}
+func (t *term) applySettings() {
+	s := t.controller.settings
+	t.scheduler.Set = placement.Settings{DropThreshold: s.DropThreshold}
+	t.autoscaler.Set = fleet.Settings{MaxMachines: s.MaxMachines, Paused: s.ScaleOutPaused, IdleReturn: s.IdleTimeout}
 }
 
-// switchOn has the log of duties kept from now on if that is switched on here and in
+// enableIntentLog has the log of duties kept from now on if that is switched on here and in
 // force. It goes on to the tenure's end, as it does no harm beside members that keep none.
-func (t *tenure) switchOn() {
-	if t.c.opt.Switches.IntentLog && t.c.leader.FeatureInForce(switches.IntentLogFeature) && !t.duties.Durable() {
+func (t *term) enableIntentLog() {
+	if t.controller.options.Switches.IntentLog && t.controller.membership.FeatureInForce(switches.IntentLogFeature) && !t.intents.Durable() {
 		t.log.Info("duties are entered in the log from now on")
-		t.duties.EnableDurability()
+		t.intents.EnableDurability()
 	}
 }
 
 // Tick starts what is due.
-func (t *tenure) Tick(now time.Time) {
-	if t.state == tenureOver {
+func (t *term) Tick(now time.Time) {
+	if t.state == termEnded {
 		return
 	}
-	if t.board.AttemptsUsedUp {
+	if t.scheduler.AttemptsUsedUp {
 		t.end(now, "the attempt numbers of its token are used up")
 		return
 	}
-	for _, m := range t.reg.Quiet(now, t.unheardUntil()) {
-		t.board.Lost(now, m, "lease surely over")
+	for _, m := range t.workers.Quiet(now, t.unreconciledLeaseEnd()) {
+		t.scheduler.Lost(now, m, "lease surely over")
 	}
-	if t.state == tenureLoading || !t.c.leader.LeaseValid(now) {
+	if t.state == termLoading || !t.controller.membership.LeaseValid(now) {
 		return
 	}
-	t.switchOn()
-	t.fence(now)
-	t.listen(now)
-	t.outcomes.save(now)
-	t.begun.Tick(now)
-	t.fleet.Unreachable = t.fencing.unreachable
-	t.fleet.Tick(now)
-	t.settle(now)
+	t.enableIntentLog()
+	t.fenceWorkers(now)
+	t.detectIsolation(now)
+	t.completions.flush(now)
+	t.startMarkers.Tick(now)
+	t.autoscaler.Unreachable = t.fencing.unreachable
+	t.autoscaler.Tick(now)
+	t.scheduleNow(now)
 	t.logCounters(now)
 }
 
 // logCounters tells now and then what became of the copies.
-func (t *tenure) logCounters(now time.Time) {
-	if now.Before(t.countDue) {
+func (t *term) logCounters(now time.Time) {
+	if now.Before(t.countersAt) {
 		return
 	}
-	t.countDue = now.Add(tuning.CountEvery)
-	n := t.board.Count
+	t.countersAt = now.Add(tuning.CountEvery)
+	n := t.scheduler.Count
 	t.log.Info("copies so far", "mains", n.MainsStarted, "spares", n.SparesStarted, "spares_finished", n.SparesFinished,
 		"spares_yielded", n.SparesYielded, "spares_dropped", n.SparesDropped, "redrawn", n.Redrawn, "gangs", n.GangsPlaced,
 		"preempted", n.Preempted, "moved", n.Moved, "failed", n.Failed)
--- a/internal/node/tenure_reports.go
+++ b/internal/node/tenure_reports.go
@@ -13,40 +13,40 @@
 	"juniperchute/internal/worker"
 )
 
-// absorb takes in a machine's account of itself and tells whether it was news.
-func (t *tenure) absorb(now time.Time, m *worker.Machine, rep *wire.Heartbeat, checkin bool) bool {
-	v := t.reg.Absorb(now, m, rep, checkin)
+// applyHeartbeat takes in a machine's account of itself and tells whether it was news.
+func (t *term) applyHeartbeat(now time.Time, m *worker.Machine, rep *wire.Heartbeat, checkin bool) bool {
+	v := t.workers.Absorb(now, m, rep, checkin)
 	if v == worker.Stale {
 		return false
 	}
-	t.fleet.Reporting(now, m)
-	if t.state != tenureLoading {
+	t.autoscaler.Reporting(now, m)
+	if t.state != termLoading {
 		was := m.Stranger
-		if t.board.Reported(now, m, v, checkin); m.Stranger && !was {
-			t.account() // before anything is drawn
+		if t.scheduler.Reported(now, m, v, checkin); m.Stranger && !was {
+			t.reserveUnknown() // before anything is drawn
 		}
 	}
 	return true
 }
 
-// Report answers a worker's report.
-func (t *tenure) Report(now time.Time, rep *wire.Heartbeat, reply func(status int, body any)) {
+// HandleHeartbeat answers a worker's report.
+func (t *term) HandleHeartbeat(now time.Time, rep *wire.Heartbeat, reply func(status int, body any)) {
 	if rep.Token > t.Token {
 		// A machine that this block does not have may belong to another one
 		// whose record of it has not arrived here yet.
-		if m := t.reg.Get(rep.Host); m != nil && m.Used {
+		if m := t.workers.Get(rep.Host); m != nil && m.Used {
 			t.end(now, "a report shows a higher token")
 		}
-		t.c.redirect(t.Shard, reply)
+		t.controller.redirect(t.Shard, reply)
 		return
 	}
-	commands, err := t.answerReport(now, rep)
+	commands, err := t.answerHeartbeat(now, rep)
 	if err != nil {
 		reply(http.StatusServiceUnavailable, submission.Problem{Error: err.Error()})
 		return
 	}
 	reply(http.StatusOK, wire.HeartbeatResponse{Token: t.Token, Commands: commands})
-	if rep.Token == t.Token && t.c.leader.LeaseValid(now) {
+	if rep.Token == t.Token && t.controller.membership.LeaseValid(now) {
 		t.sendUrgent(now)
 	}
 }
@@ -54,87 +54,87 @@
 // Reasons why a report gets no answer that would renew its worker's lease.
 var (
 	errCancellationsUnknown = errors.New("what is cancelled is not known")
-	errLoading              = errors.New("jobs are being read")
-	errStaleReport          = errors.New("a newer report has been handled")
+	errJobsLoading          = errors.New("jobs are being read")
+	errStaleHeartbeat       = errors.New("a newer report has been handled")
 	errStartOutstanding     = errors.New("a start of a cancelled task is not accounted for")
 )
 
-// answerReport takes a report in and gives the commands of its answer, which renews the
+// answerHeartbeat takes a report in and gives the commands of its answer, which renews the
 // worker's lease.
-func (t *tenure) answerReport(now time.Time, rep *wire.Heartbeat) ([]wire.Command, error) {
-	if now.After(t.knows(now).Add(t.renewBound())) {
+func (t *term) answerHeartbeat(now time.Time, rep *wire.Heartbeat) ([]wire.Command, error) {
+	if now.After(t.cancellationsKnownUntil(now).Add(t.renewalBound())) {
 		// A worker's lease counts from when it sent its report: however late this
 		// answer is, no lease that it renews ends later than one renewed now.
 		return nil, errCancellationsUnknown
 	}
-	if t.state == tenureLoading && t.unread(rep) {
-		return nil, errLoading
+	if t.state == termLoading && t.hasUnreadJob(rep) {
+		return nil, errJobsLoading
 	}
-	if t.reg.IsGone(rep.Host) {
-		return nil, errStaleReport // a late copy: the machine was returned
+	if t.workers.IsGone(rep.Host) {
+		return nil, errStaleHeartbeat // a late copy: the machine was returned
 	}
 	if rep.Token < t.Token {
-		return t.answerBeforeToken(now, rep)
+		return t.answerUnderOldToken(now, rep)
 	}
-	m := t.reg.Get(rep.Host)
+	m := t.workers.Get(rep.Host)
 	if m == nil {
-		m = t.reg.Add(now, rep.Host, worker.Booting)
+		m = t.workers.Add(now, rep.Host, worker.Booting)
 		m.IdleFrom = now
 		m.Type, m.Zone, m.Spot = rep.Type, rep.Zone, rep.Spot
 	}
-	if !t.absorb(now, m, rep, true) {
-		return nil, errStaleReport
+	if !t.applyHeartbeat(now, m, rep, true) {
+		return nil, errStaleHeartbeat
 	}
-	if t.board.Overdue(m, now.Add(t.reg.Expiry()+tuning.RenewMargin)) {
+	if t.scheduler.Overdue(m, now.Add(t.workers.Expiry()+tuning.RenewMargin)) {
 		// A cancelled job's start may still be on its way to the machine, and no
 		// stop can reach it before: only the end of the session voids it.
 		return nil, errStartOutstanding
 	}
 	commands := []wire.Command{}
 	switch {
-	case t.state == tenureLoading:
-	case t.c.leader.LeaseValid(now):
-		t.board.Draw(now)
-		commands = append(commands, t.board.Commands(now, m, placement.InAnswer)...)
+	case t.state == termLoading:
+	case t.controller.membership.LeaseValid(now):
+		t.scheduler.Draw(now)
+		commands = append(commands, t.scheduler.Commands(now, m, placement.InAnswer)...)
 	default:
 		// past the lease's end nothing starts, but what is over still stops: under a
 		// superseded token that has no effect
-		commands = append(commands, t.board.Halts(m.Tasks)...)
+		commands = append(commands, t.scheduler.Halts(m.Tasks)...)
 	}
 	m.Answered = now
 	return commands, nil
 }
 
-// answerBeforeToken answers a machine that has not seen this tenure's token. What it says
+// answerUnderOldToken answers a machine that has not seen this tenure's token. What it says
 // may be minutes old, a copy from a machine long gone: nothing is concluded from it. If it
 // is there, the answer renews its lease and it reports again at once.
-func (t *tenure) answerBeforeToken(now time.Time, rep *wire.Heartbeat) ([]wire.Command, error) {
-	if m := t.reg.Get(rep.Host); m != nil {
+func (t *term) answerUnderOldToken(now time.Time, rep *wire.Heartbeat) ([]wire.Command, error) {
+	if m := t.workers.Get(rep.Host); m != nil {
 		if !m.Glimpse(rep) {
-			return nil, errStaleReport
+			return nil, errStaleHeartbeat
 		}
 		m.Answered = now
-		t.fleet.Entering(now, m, rep)
+		t.autoscaler.Entering(now, m, rep)
 	}
 	commands := []wire.Command{}
-	if t.state != tenureLoading {
+	if t.state != termLoading {
 		// What is over may be stopped whatever has happened since: the answer
 		// that renews a cancelled task's lease must not leave it running.
-		commands = append(commands, t.board.Halts(rep.Tasks)...)
+		commands = append(commands, t.scheduler.Halts(rep.Tasks)...)
 	}
 	return commands, nil
 }
 
-// unread tells whether a report shows a task of a job that this node has not read as
+// hasUnreadJob tells whether a report shows a task of a job that this node has not read as
 // open. While the records are being read it cannot be stopped, so its lease is not
 // renewed: the job may have been called off long ago.
-func (t *tenure) unread(rep *wire.Heartbeat) bool {
+func (t *term) hasUnreadJob(rep *wire.Heartbeat) bool {
 	return slices.ContainsFunc(rep.Tasks, func(p wire.TaskStatus) bool {
 		id, _, ok := wire.ParseTask(p.Name)
 		if !ok || p.State == wire.TaskExited {
 			return false
 		}
-		_, open := t.c.open.Get(submission.OpenKey(id))
+		_, open := t.controller.openJobs.Get(submission.OpenKey(id))
 		return !open
 	})
 }
