--- a/cmd/juniperchute/main.go
+++ b/cmd/juniperchute/main.go
@@ -18,8 +18,8 @@
 	"juniperchute/internal/admin"
 	"juniperchute/internal/clock"
 	"juniperchute/internal/config"
-	"juniperchute/internal/node"
-	"juniperchute/internal/switches"
+	"juniperchute/internal/controller"
+	"juniperchute/internal/featuregate"
 )
 
 func main() {
@@ -65,7 +65,7 @@
 				return err
 			}
 			if switchFile != "" {
-				if _, err := switches.Load(switchFile); err != nil {
+				if _, err := featuregate.Load(switchFile); err != nil {
 					return err
 				}
 			}
@@ -106,13 +106,13 @@
 	for _, why := range cfg.Platform.MachineLimits.BelowMeasured() {
 		log.Warn("a small machine", "why", why)
 	}
-	var on switches.Gates
+	var on featuregate.Gates
 	if switchFile != "" {
-		if on, err = switches.Load(switchFile); err != nil {
+		if on, err = featuregate.Load(switchFile); err != nil {
 			return err
 		}
 	}
-	node.LimitProcess(cfg.Platform.MachineLimits)
+	controller.LimitProcess(cfg.Platform.MachineLimits)
 	var seed [16]byte
 	if _, err := crand.Read(seed[:]); err != nil {
 		return err
@@ -122,12 +122,12 @@
 	if on.IntentLog {
 		steady = clock.New(clock.TimeSuspended)
 	}
-	options, finish, err := node.NewOptions(on, cfg.Member, rng)
+	options, finish, err := controller.NewOptions(on, cfg.Member, rng)
 	if err != nil {
 		return err
 	}
 	defer finish()
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	return node.NewRuntime(cfg, options, steady, log.With("member", cfg.Member), rng).Run(ctx)
+	return controller.NewRuntime(cfg, options, steady, log.With("member", cfg.Member), rng).Run(ctx)
 }
--- a/cmd/juniperchute/trace.go
+++ b/cmd/juniperchute/trace.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"juniperchute/internal/duty"
+	"juniperchute/internal/intentlog"
 	"juniperchute/internal/tracing"
 )
 
@@ -19,7 +19,7 @@
 	unsettled bool
 }
 
-func (f traceFilter) shows(h duty.History) bool {
+func (f traceFilter) shows(h intentlog.History) bool {
 	return (f.target == "" || f.target == h.Target) && (!f.takenOver || h.FailedOver) && (!f.unsettled || !h.Completed)
 }
 
@@ -36,7 +36,7 @@
 			if err != nil {
 				return err
 			}
-			return printTrace(cmd.OutOrStdout(), duty.Histories(spans), filter)
+			return printTrace(cmd.OutOrStdout(), intentlog.Histories(spans), filter)
 		},
 	}
 	cmd.Flags().StringVar(&filter.target, "target", "", "show one rental or machine only")
@@ -45,7 +45,7 @@
 	return cmd
 }
 
-func printTrace(out io.Writer, histories []duty.History, filter traceFilter) error {
+func printTrace(out io.Writer, histories []intentlog.History, filter traceFilter) error {
 	shown := 0
 	for _, h := range histories {
 		if !filter.shows(h) {
@@ -62,7 +62,7 @@
 	return nil
 }
 
-func printHistory(out io.Writer, h duty.History) {
+func printHistory(out io.Writer, h intentlog.History) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	defer w.Flush()
 	end := "not settled in these traces"
--- a/internal/node/core.go
+++ b/internal/controller/controller.go
@@ -1,8 +1,8 @@
-// Package node wires the slices together. Core is the state that one
+// Package controller wires the slices together. Core is the state that one
 // goroutine owns; it takes events, decides without any I/O and asks an Env for
 // effects, whose results come back as events. Runtime is that goroutine and
 // the Env of a real process.
-package node
+package controller
 
 import (
 	"encoding/json"
--- a/internal/node/duties.go
+++ b/internal/controller/intents.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"cmp"
@@ -9,18 +9,18 @@
 	"strings"
 	"time"
 
-	"juniperchute/internal/duty"
+	"juniperchute/internal/featuregate"
 	"juniperchute/internal/fleet"
+	"juniperchute/internal/intentlog"
 	"juniperchute/internal/peer/peerpb"
 	"juniperchute/internal/store"
-	"juniperchute/internal/switches"
 	"juniperchute/internal/tuning"
 	"juniperchute/internal/wire"
 )
 
 // storedIntents are the logs of all blocks as this node last read them.
 type storedIntents struct {
-	entries    map[int][]duty.Entry
+	entries    map[int][]intentlog.Entry
 	unreadable map[int]int // pages that cannot be read
 	readAt     time.Time   // when they were read; zero: never
 }
@@ -55,7 +55,7 @@
 		reply(nil, errRecordsNotRead)
 		return
 	}
-	read := storedIntents{entries: map[int][]duty.Entry{}, unreadable: map[int]int{}, readAt: now}
+	read := storedIntents{entries: map[int][]intentlog.Entry{}, unreadable: map[int]int{}, readAt: now}
 	c.readIntentLogs(read, "", func(now time.Time, ok bool) {
 		if ok {
 			c.intentLogs = read
@@ -66,7 +66,7 @@
 
 // readIntentLogs reads the pages of all blocks' logs.
 func (c *Controller) readIntentLogs(into storedIntents, after string, then func(now time.Time, ok bool)) {
-	c.callState(store.Call{Op: store.OpList, Priority: store.PriorityUser, Prefix: duty.Prefix, After: after, PageSize: tuning.ListPage}, func(now time.Time, r store.Result) {
+	c.callState(store.Call{Op: store.OpList, Priority: store.PriorityUser, Prefix: intentlog.Prefix, After: after, PageSize: tuning.ListPage}, func(now time.Time, r store.Result) {
 		if !r.OK() {
 			then(now, false)
 			return
@@ -83,12 +83,12 @@
 }
 
 func (l *storedIntents) add(it wire.KeyValue) {
-	number, _, _ := strings.Cut(strings.TrimPrefix(it.Key, duty.Prefix), "/")
+	number, _, _ := strings.Cut(strings.TrimPrefix(it.Key, intentlog.Prefix), "/")
 	block, err := strconv.Atoi(number)
 	if err != nil {
 		return
 	}
-	entries, err := duty.ReadPage(it.Value)
+	entries, err := intentlog.ReadPage(it.Value)
 	if err != nil {
 		l.unreadable[block]++
 		return
@@ -105,7 +105,7 @@
 }
 
 func (c *Controller) intentsReply(now time.Time) *peerpb.IntentsReply {
-	out := &peerpb.IntentsReply{Member: c.config.Member, InForce: c.membership.FeatureInForce(switches.IntentLogFeature),
+	out := &peerpb.IntentsReply{Member: c.config.Member, InForce: c.membership.FeatureInForce(featuregate.IntentLogFeature),
 		HoldersAgeMs: ageMs(now, c.membership.LastContact()), EntriesAgeMs: ageMs(now, c.intentLogs.readAt)}
 	for b := range c.shards {
 		out.Shards = append(out.Shards, c.shardIntents(b))
@@ -134,27 +134,27 @@
 
 // recordedIntents tells of a block's duties what is stored: the entries of its log, and
 // the rentals that name no machines yet.
-func (c *Controller) recordedIntents(block int) []duty.OperationStatus {
-	actions := map[duty.Operation][]duty.IntentStatus{}
+func (c *Controller) recordedIntents(block int) []intentlog.OperationStatus {
+	actions := map[intentlog.Operation][]intentlog.IntentStatus{}
 	for _, e := range c.intentLogs.entries[block] {
-		actions[e.Operation] = append(actions[e.Operation], duty.IntentStatus{Operation: e.Operation, Target: e.Target, Token: e.Token, State: duty.Recorded, DecidedAt: e.DecidedAt})
+		actions[e.Operation] = append(actions[e.Operation], intentlog.IntentStatus{Operation: e.Operation, Target: e.Target, Token: e.Token, State: intentlog.Recorded, DecidedAt: e.DecidedAt})
 	}
 	c.provisionRequests.Each(func(it wire.KeyValue) {
 		if name, token, open := fleet.Unanswered(it, block); open {
-			actions[duty.Provision] = append(actions[duty.Provision], duty.IntentStatus{Operation: duty.Provision, Target: name, Token: token, State: duty.Recorded})
+			actions[intentlog.Provision] = append(actions[intentlog.Provision], intentlog.IntentStatus{Operation: intentlog.Provision, Target: name, Token: token, State: intentlog.Recorded})
 		}
 	})
-	var out []duty.OperationStatus
-	for _, d := range duty.Operations() {
-		out = append(out, duty.OperationStatus{Operation: d, Intents: actions[d]})
+	var out []intentlog.OperationStatus
+	for _, d := range intentlog.Operations() {
+		out = append(out, intentlog.OperationStatus{Operation: d, Intents: actions[d]})
 	}
 	return out
 }
 
 // operationStatus tells of one duty, the oldest actions first.
-func (c *Controller) operationStatus(s duty.OperationStatus) *peerpb.OperationStatus {
+func (c *Controller) operationStatus(s intentlog.OperationStatus) *peerpb.OperationStatus {
 	out := &peerpb.OperationStatus{Operation: string(s.Operation), Pending: int32(len(s.Intents)), RemovalsInFlight: int32(s.RemovalsInFlight), RemovalsDone: int64(s.RemovalsDone)}
-	slices.SortStableFunc(s.Intents, func(a, b duty.IntentStatus) int {
+	slices.SortStableFunc(s.Intents, func(a, b intentlog.IntentStatus) int {
 		return cmp.Or(a.DecidedAt.Compare(b.DecidedAt), cmp.Compare(a.Target, b.Target))
 	})
 	for _, a := range s.Intents[:min(len(s.Intents), tuning.DutyEntriesShown)] {
--- a/internal/node/duties_test.go
+++ b/internal/controller/intents_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"juniperchute/internal/duty"
 	"juniperchute/internal/fleet"
+	"juniperchute/internal/intentlog"
 	"juniperchute/internal/peer/peerpb"
 	"juniperchute/internal/standin"
 	"juniperchute/internal/store"
@@ -24,8 +24,8 @@
 // entries are the targets in a block's log as it is stored.
 func (sim *simulation) entries() (out []string) {
 	for key, it := range sim.state.Keys {
-		if strings.HasPrefix(key, duty.Prefix) {
-			entries, err := duty.ReadPage(it.Value)
+		if strings.HasPrefix(key, intentlog.Prefix) {
+			entries, err := intentlog.ReadPage(it.Value)
 			if err != nil {
 				sim.fail("%s: %v", key, err)
 			}
@@ -157,7 +157,7 @@
 		sim.state.Call(store.Call{Op: store.OpTransaction, Transaction: wire.Transaction{Writes: []wire.Write{store.Put(key, value, 0)}}}, func(store.Result) {})
 	}
 	type entry struct {
-		Duty  duty.Operation
+		Duty  intentlog.Operation
 		Token uint64
 		At    int64
 	}
@@ -167,13 +167,13 @@
 		host := wire.Machine{ID: id, Address: addressPrefix + id, Type: smallType.Name, Zone: "a", State: wire.MachineRunning}
 		sim.cloud.Hosts[id] = &standin.CloudHost{Born: sim.clk.Now(), Machine: host}
 		sim.booted(sim.cloud.Hosts[id])
-		page[id], names = entry{duty.Deprovision, 0, sim.clk.Now().UnixMilli()}, append(names, id)
+		page[id], names = entry{intentlog.Deprovision, 0, sim.clk.Now().UnixMilli()}, append(names, id)
 		if len(names) == perRental {
 			put(fmt.Sprintf("%sb0-0-%d", fleet.Rentals(0), i), fleet.RentalRec{Type: smallType.Name, Zone: "a", Number: perRental, Hosts: names})
 			names = nil
 		}
 		if len(page) == perPage {
-			put(fmt.Sprintf("%s%d", duty.LogPrefix(0), i/perPage), page)
+			put(fmt.Sprintf("%s%d", intentlog.LogPrefix(0), i/perPage), page)
 			page = map[string]entry{}
 		}
 	}
@@ -216,7 +216,7 @@
 	if left := len(sim.entries()); left > 0 {
 		t.Errorf("%d entries are left after %v", left, sim.clk.Now().Sub(standin.Epoch))
 	}
-	if n := sim.actions.Effects[duty.Deprovision]; n < largeFleet {
+	if n := sim.actions.Effects[intentlog.Deprovision]; n < largeFleet {
 		t.Errorf("%d deletions", n)
 	}
 	t.Logf("%d entries completed and forgotten after %v; %d calls of the state service were refused", largeFleet, sim.clk.Now().Sub(standin.Epoch), refused)
--- a/internal/node/options.go
+++ b/internal/controller/options.go
@@ -1,11 +1,11 @@
-package node
+package controller
 
 import (
 	"math/rand/v2"
 	"time"
 
-	"juniperchute/internal/duty"
-	"juniperchute/internal/switches"
+	"juniperchute/internal/featuregate"
+	"juniperchute/internal/intentlog"
 	"juniperchute/internal/tracing"
 	"juniperchute/internal/tuning"
 )
@@ -13,13 +13,13 @@
 // Options are what a controller is started with beside the platform's settings.
 type Options struct {
 	Blocks   int
-	Switches switches.Gates
-	Tracer   duty.Tracer // nil: no spans are made
+	Switches featuregate.Gates
+	Tracer   intentlog.Tracer // nil: no spans are made
 }
 
 // NewOptions makes the options of a member that has some switches on. finish writes what
 // is left of its trace.
-func NewOptions(s switches.Gates, member string, rng *rand.Rand) (o Options, finish func(), err error) {
+func NewOptions(s featuregate.Gates, member string, rng *rand.Rand) (o Options, finish func(), err error) {
 	o = Options{Blocks: tuning.Blocks, Switches: s}
 	if s.Trace.File == "" {
 		return o, func() {}, nil
--- a/internal/node/loading.go
+++ b/internal/controller/recovery.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"encoding/json"
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"juniperchute/internal/duty"
 	"juniperchute/internal/fleet"
+	"juniperchute/internal/intentlog"
 	"juniperchute/internal/store"
 	"juniperchute/internal/submission"
 	"juniperchute/internal/tuning"
@@ -29,7 +29,7 @@
 	t.listKeys(now, completionPrefix(t.Shard), "", &t.predecessorRecords.completions)
 	t.listKeys(now, fleet.UsedUnder(t.Shard), "", &t.predecessorRecords.usedMachines)
 	t.listKeys(now, startMarkerPrefix(t.Shard), "", &t.predecessorRecords.startMarkers)
-	t.listKeys(now, duty.LogPrefix(t.Shard), "", &t.predecessorRecords.intents)
+	t.listKeys(now, intentlog.LogPrefix(t.Shard), "", &t.predecessorRecords.intents)
 	t.predecessorRecords.readsInFlight = 6
 }
 
--- a/internal/node/simulation_checks_test.go
+++ b/internal/controller/simulation_checks_test.go
@@ -1,9 +1,9 @@
-package node
+package controller
 
 import (
 	"time"
 
-	"juniperchute/internal/duty"
+	"juniperchute/internal/intentlog"
 	"juniperchute/internal/standin"
 	"juniperchute/internal/tuning"
 	"juniperchute/internal/wire"
@@ -126,7 +126,7 @@
 func (sim *simulation) requireActions() {
 	sim.t.Helper()
 	sim.t.Logf("carried out: %v, %d writes of the log", sim.actions.Effects, sim.actions.EntryWrites)
-	for _, d := range []duty.Operation{duty.Provision, duty.Deprovision} {
+	for _, d := range []intentlog.Operation{intentlog.Provision, intentlog.Deprovision} {
 		if sim.actions.Effects[d] == 0 {
 			sim.t.Errorf("nothing was carried out for %s: this tests nothing", d)
 		}
--- a/internal/node/tenure.go
+++ b/internal/controller/term.go
@@ -1,16 +1,16 @@
-package node
+package controller
 
 import (
 	"log/slog"
 	"time"
 
-	"juniperchute/internal/duty"
+	"juniperchute/internal/featuregate"
 	"juniperchute/internal/fleet"
+	"juniperchute/internal/intentlog"
 	"juniperchute/internal/leader"
 	"juniperchute/internal/placement"
 	"juniperchute/internal/quota"
 	"juniperchute/internal/store"
-	"juniperchute/internal/switches"
 	"juniperchute/internal/tuning"
 	"juniperchute/internal/wire"
 	"juniperchute/internal/worker"
@@ -47,7 +47,7 @@
 	autoscaler  *fleet.Slice
 	// intents is the log of what is asked of the cloud; clean is call, with removals of
 	// records looked after by the same.
-	intents          *duty.Log
+	intents          *intentlog.Log
 	guardedStateCall store.Caller
 
 	completions        *jobCompletions
@@ -66,7 +66,7 @@
 	t.ledger = quota.NewBook(c.config.Platform.Teams, l.Shard, c.shards)
 	t.scheduler = placement.NewBoard(c.config.Platform, l.Token, t.ledger, t.workers, c.rng, t.log,
 		func(now time.Time, j *placement.Job) { t.completions.taskCompleted(now, j) })
-	t.intents = duty.NewLog(duty.Options{Shard: l.Shard, Token: l.Token, TermCompare: t.termCompare(), ValueKB: c.config.Platform.State.StoredLimits().ValueKB,
+	t.intents = intentlog.NewLog(intentlog.Options{Shard: l.Shard, Token: l.Token, TermCompare: t.termCompare(), ValueKB: c.config.Platform.State.StoredLimits().ValueKB,
 		StateCall: t.callState, WallClock: c.wallClock, Log: t.log, OnTermLost: t.onTermLost, Tracer: c.options.Tracer})
 	t.guardedStateCall = t.intents.GuardRemovals(t.callState, fleet.Rentals(l.Shard), fleet.UsedUnder(l.Shard), startMarkerPrefix(l.Shard), completionPrefix(l.Shard))
 	t.autoscaler = fleet.New(now, fleet.Options{Block: l.Shard, Token: l.Token, Tenure: t.termCompare(), Facts: c.config.Platform, Cloud: t.callCloud, State: t.guardedStateCall,
@@ -145,7 +145,7 @@
 // enableIntentLog has the log of duties kept from now on if that is switched on here and in
 // force. It goes on to the tenure's end, as it does no harm beside members that keep none.
 func (t *term) enableIntentLog() {
-	if t.controller.options.Switches.IntentLog && t.controller.membership.FeatureInForce(switches.IntentLogFeature) && !t.intents.Durable() {
+	if t.controller.options.Switches.IntentLog && t.controller.membership.FeatureInForce(featuregate.IntentLogFeature) && !t.intents.Durable() {
 		t.log.Info("duties are entered in the log from now on")
 		t.intents.EnableDurability()
 	}
--- a/internal/switches/switches.go
+++ b/internal/featuregate/featuregate.go
@@ -1,6 +1,6 @@
-// Package switches reads the file that tells what a controller may do beyond what all
+// Package featuregate reads the file that tells what a controller may do beyond what all
 // versions do. Everything in it is off unless it is switched on there.
-package switches
+package featuregate
 
 import (
 	"bytes"
--- a/internal/switches/switches_test.go
+++ b/internal/featuregate/featuregate_test.go
@@ -1,4 +1,4 @@
-package switches
+package featuregate
 
 import (
 	"os"
--- a/internal/fleet/cloud.go
+++ b/internal/fleet/cloud.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"time"
 
-	"juniperchute/internal/duty"
+	"juniperchute/internal/intentlog"
 	"juniperchute/internal/tuning"
 	"juniperchute/internal/wire"
 )
@@ -48,14 +48,14 @@
 }
 
 // outcome is what came of a call that changes something.
-func (r Result) outcome() duty.Outcome {
+func (r Result) outcome() intentlog.Outcome {
 	switch r.Status {
 	case http.StatusOK:
-		return duty.Done
+		return intentlog.Done
 	case 0:
-		return duty.Unknown
+		return intentlog.Unknown
 	}
-	return duty.NotExecuted
+	return intentlog.NotExecuted
 }
 
 // NoCapacity is the cloud's word for a refusal that says: none available.
--- a/internal/fleet/duties_test.go
+++ b/internal/fleet/duties_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"juniperchute/internal/duty"
+	"juniperchute/internal/intentlog"
 	"juniperchute/internal/store"
 	"juniperchute/internal/tuning"
 	"juniperchute/internal/wire"
@@ -22,7 +22,7 @@
 }
 
 // entryPage is a page of the log with one entry.
-func entryPage(host string, d duty.Operation, token uint64) wire.KeyValue {
+func entryPage(host string, d intentlog.Operation, token uint64) wire.KeyValue {
 	return wire.KeyValue{Key: "d/0/0", Value: fmt.Appendf(nil, `{%q:{"Duty":%q,"Token":%d,"At":0}}`, host, d, token), Version: 5}
 }
 
@@ -83,7 +83,7 @@
 		{"no rental names it: it is gone", 6, `{"Build":"g2","Yard":"a","Number":1,"Hosts":["i-8"]}`, nil, false, -1, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			y := logged(t, entryPage("i-1", duty.Deprovision, c.token))
+			y := logged(t, entryPage("i-1", intentlog.Deprovision, c.token))
 			y.taken(c.rental)
 			if c.play != nil {
 				c.play(y)
@@ -95,7 +95,7 @@
 			if m := y.reg.Get("i-1"); m == nil && c.state >= 0 || m != nil && m.State != c.state {
 				t.Errorf("machine %+v, want it %v", m, c.state)
 			}
-			if kept := y.duties.Get(duty.Deprovision, "i-1") != nil; kept != c.kept {
+			if kept := y.duties.Get(intentlog.Deprovision, "i-1") != nil; kept != c.kept {
 				t.Errorf("entry kept: %v", kept)
 			}
 		})
@@ -104,7 +104,7 @@
 
 // A rental that turns out to name an entered machine brings none: it gets no work.
 func TestEnteredMachineOfALateAnswer(t *testing.T) {
-	y := logged(t, entryPage("i-1", duty.Deprovision, 4))
+	y := logged(t, entryPage("i-1", intentlog.Deprovision, 4))
 	y.taken(`{"Build":"g2","Yard":"a","Number":2}`)
 	y.pass(time.Second)
 	y.take(OpRent, Result{Status: 200, Hosts: []string{"i-1", "i-2"}})
@@ -119,16 +119,16 @@
 // The entry of a deletion stays until the rental's record does not name the machine: a
 // successor that found the machine there and no entry would wait for it.
 func TestEntryOutlivesTheRecord(t *testing.T) {
-	y := logged(t, entryPage("i-1", duty.Deprovision, 6))
+	y := logged(t, entryPage("i-1", intentlog.Deprovision, 6))
 	y.taken(`{"Build":"g2","Yard":"a","Number":2,"Hosts":["i-1","i-2"]}`)
 	y.pass(time.Second)
 	y.take(OpDelete, Result{Status: 200})
-	if a := y.duties.Get(duty.Deprovision, "i-1"); a == nil || a.State() != duty.Completed {
+	if a := y.duties.Get(intentlog.Deprovision, "i-1"); a == nil || a.State() != intentlog.Completed {
 		t.Fatalf("%+v", a)
 	}
 	y.pass(time.Second)
 	y.durable()
-	if y.duties.Get(duty.Deprovision, "i-1") != nil {
+	if y.duties.Get(intentlog.Deprovision, "i-1") != nil {
 		t.Error("kept although the record is durable")
 	}
 }
@@ -152,7 +152,7 @@
 	if len(older) == 0 {
 		t.Fatal("the record is not written")
 	}
-	y.duties.Record(y.now, duty.Deprovision, "i-2", "idle")
+	y.duties.Record(y.now, intentlog.Deprovision, "i-2", "idle")
 	y.s.strike(y.now, "i-2")
 	for _, then := range older {
 		then(y.now, store.Result{Status: 200, Revision: 20})
@@ -236,7 +236,7 @@
 func TestNoRoomInTheLog(t *testing.T) {
 	y := logged(t)
 	for i := range tuning.EntriesMost {
-		y.duties.Record(y.now, duty.Reclaim, fmt.Sprintf("x-%d", i), "")
+		y.duties.Record(y.now, intentlog.Reclaim, fmt.Sprintf("x-%d", i), "")
 	}
 	m := y.reg.Add(y.now, "i-1", worker.Up)
 	m.Session, m.Heard, m.IdleFrom = 1, y.now, y.now.Add(-time.Hour)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -13,7 +13,7 @@
 	"golang.org/x/time/rate"
 
 	"juniperchute/internal/config"
-	"juniperchute/internal/duty"
+	"juniperchute/internal/intentlog"
 	"juniperchute/internal/placement"
 	"juniperchute/internal/quota"
 	"juniperchute/internal/store"
@@ -67,7 +67,7 @@
 	log          *slog.Logger
 	reg          *worker.Registry
 	board        *placement.Board
-	duties       *duty.Log
+	duties       *intentlog.Log
 	lost         func(now time.Time)
 	gone         func(now time.Time, m *worker.Machine)
 	foreign      func(host string, there time.Time) bool
@@ -109,7 +109,7 @@
 	Machines *worker.Registry
 	Board    *placement.Board
 	// Duties is the log of what is asked of the cloud.
-	Duties *duty.Log
+	Duties *intentlog.Log
 	// Lost is told when the tenure is over, Gone when a machine's deletion was answered.
 	Lost func(now time.Time)
 	Gone func(now time.Time, m *worker.Machine)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -12,7 +12,7 @@
 	"golang.org/x/time/rate"
 
 	"juniperchute/internal/config"
-	"juniperchute/internal/duty"
+	"juniperchute/internal/intentlog"
 	"juniperchute/internal/placement"
 	"juniperchute/internal/quota"
 	"juniperchute/internal/store"
@@ -35,7 +35,7 @@
 	gone  []string
 
 	tenure wire.Compare
-	duties *duty.Log
+	duties *intentlog.Log
 }
 
 func newZone(t *testing.T) *zone {
@@ -51,7 +51,7 @@
 		y.kv, y.kvs = append(y.kv, c), append(y.kvs, then)
 	}
 	y.tenure = store.VersionEquals("c/b/0", 3)
-	y.duties = duty.NewLog(duty.Options{Token: token, TermCompare: y.tenure, ValueKB: valueKB, StateCall: state, WallClock: func() time.Time { return y.now }, Log: quiet, OnTermLost: func(time.Time) {}})
+	y.duties = intentlog.NewLog(intentlog.Options{Token: token, TermCompare: y.tenure, ValueKB: valueKB, StateCall: state, WallClock: func() time.Time { return y.now }, Log: quiet, OnTermLost: func(time.Time) {}})
 	y.s = New(y.now, Options{Token: token, Tenure: y.tenure, Facts: facts,
 		Cloud: func(c Call, then func(time.Time, Result)) {
 			y.cloud, y.reply = append(y.cloud, c), append(y.reply, then)
--- a/internal/fleet/rental.go
+++ b/internal/fleet/rental.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"juniperchute/internal/duty"
+	"juniperchute/internal/intentlog"
 	"juniperchute/internal/placement"
 	"juniperchute/internal/quota"
 	"juniperchute/internal/store"
@@ -52,7 +52,7 @@
 	retry time.Time
 	kept  bool // its record names its machines durably
 	// action is the intended rental; the record is its entry.
-	action *duty.Intent
+	action *intentlog.Intent
 	asked  time.Time     // when the cloud last answered
 	gone   []goneMachine // whose removal from the record is not durable yet
 }
@@ -145,7 +145,7 @@
 
 // forget forgets the settled action that ended a machine.
 func (s *Slice) forget(host string) {
-	for _, d := range []duty.Operation{duty.Deprovision, duty.Reclaim} {
+	for _, d := range []intentlog.Operation{intentlog.Deprovision, intentlog.Reclaim} {
 		if a := s.duties.Get(d, host); a != nil {
 			s.duties.Forget(a)
 		}
@@ -179,7 +179,7 @@
 	if len(rec.Hosts) == 0 {
 		// The earlier holder did not get to write the answer down. Asking
 		// again by the same name tells it, or rents the machines now.
-		h.action = s.duties.RecoverElsewhere(now, duty.Provision, name, tokenOf(name))
+		h.action = s.duties.RecoverElsewhere(now, intentlog.Provision, name, tokenOf(name))
 		s.set(h, rentalAsking, "taken over without an answer")
 		return
 	}
@@ -401,7 +401,7 @@
 func (s *Slice) rental(now time.Time, rec RentalRec) *rental {
 	s.seq++
 	h := &rental{name: s.rentalName(), rec: rec}
-	h.action = s.duties.RecordElsewhere(now, duty.Provision, h.name, "waiting work")
+	h.action = s.duties.RecordElsewhere(now, intentlog.Provision, h.name, "waiting work")
 	s.file(h, 0)
 	s.rentals[h.name] = h
 	s.log.Info("renting", "name", h.name, "type", rec.Type, "zone", rec.Zone, "spot", rec.Spot, "number", rec.Number)
--- a/internal/fleet/returns.go
+++ b/internal/fleet/returns.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"juniperchute/internal/config"
-	"juniperchute/internal/duty"
+	"juniperchute/internal/intentlog"
 	"juniperchute/internal/quota"
 	"juniperchute/internal/tuning"
 	"juniperchute/internal/wire"
@@ -14,13 +14,13 @@
 
 // ending is why a machine is given up, and by which duty; without one it is kept.
 type ending struct {
-	duty duty.Operation
+	duty intentlog.Operation
 	why  string
 }
 
 func keep() ending                { return ending{} }
-func returned(why string) ending  { return ending{duty.Deprovision, why} }
-func reclaimed(why string) ending { return ending{duty.Reclaim, why} }
+func returned(why string) ending  { return ending{intentlog.Deprovision, why} }
+func reclaimed(why string) ending { return ending{intentlog.Reclaim, why} }
 
 // returns looks for machines to give back.
 func (s *Slice) returns(now time.Time) {
@@ -129,7 +129,7 @@
 // takeOverEndings goes on with the machines that earlier tenures entered as given up:
 // they get no work, and are deleted, again if need be.
 func (s *Slice) takeOverEndings(now time.Time) {
-	for _, a := range s.duties.Recovered(duty.Deprovision, duty.Reclaim) {
+	for _, a := range s.duties.Recovered(intentlog.Deprovision, intentlog.Reclaim) {
 		if m := s.reg.Get(a.Target); m != nil {
 			s.heedEntry(now, m)
 		}
@@ -141,17 +141,17 @@
 	if m.State == worker.Deleting {
 		return
 	}
-	for _, d := range []duty.Operation{duty.Deprovision, duty.Reclaim} {
-		if a := s.duties.Get(d, m.Host); a != nil && a.Recovered && a.State() != duty.Completed {
+	for _, d := range []intentlog.Operation{intentlog.Deprovision, intentlog.Reclaim} {
+		if a := s.duties.Get(d, m.Host); a != nil && a.Recovered && a.State() != intentlog.Completed {
 			s.reg.Set(now, m, worker.Deleting, "entered by an earlier tenure")
 		}
 	}
 }
 
 // next lists the machines that may be deleted now, as many as one call takes.
-func (s *Slice) next(now time.Time) []*duty.Intent {
-	var out []*duty.Intent
-	for _, a := range s.duties.Ready(duty.Deprovision, duty.Reclaim) {
+func (s *Slice) next(now time.Time) []*intentlog.Intent {
+	var out []*intentlog.Intent
+	for _, a := range s.duties.Ready(intentlog.Deprovision, intentlog.Reclaim) {
 		if a.Recovered && !s.confirmed(now, a) {
 			continue
 		}
@@ -166,7 +166,7 @@
 // have held the block since: it reads no log, and may have given the machine work. If no
 // other token lies between it cannot; otherwise the machine is heard first, or its lease
 // is surely over. The entry of one that has work of a later tenure than its own is void.
-func (s *Slice) confirmed(now time.Time, a *duty.Intent) bool {
+func (s *Slice) confirmed(now time.Time, a *intentlog.Intent) bool {
 	m := s.reg.Get(a.Target)
 	if m == nil && !s.unsettled() && s.unread == 0 {
 		// no rental names it: it is gone, and that is written down
--- a/internal/integration/benchmark_test.go
+++ b/internal/integration/benchmark_test.go
@@ -17,9 +17,9 @@
 
 	"juniperchute/internal/clock"
 	"juniperchute/internal/config"
-	"juniperchute/internal/node"
+	"juniperchute/internal/controller"
+	"juniperchute/internal/featuregate"
 	"juniperchute/internal/standin"
-	"juniperchute/internal/switches"
 )
 
 // Variables of the environment of benchmarks.
@@ -38,7 +38,7 @@
 	if err != nil {
 		return err
 	}
-	node.LimitProcess(cfg.Platform.MachineLimits)
+	controller.LimitProcess(cfg.Platform.MachineLimits)
 	if prefix := os.Getenv(profileVariable); prefix != "" {
 		stop, err := profile(prefix + "-" + cfg.Member)
 		if err != nil {
@@ -47,13 +47,13 @@
 		defer stop()
 	}
 	rng := rand.New(rand.NewPCG(1, uint64(os.Getpid())))
-	var on switches.Gates
+	var on featuregate.Gates
 	if file := os.Getenv(switchesVariable); file != "" {
-		if on, err = switches.Load(file); err != nil {
+		if on, err = featuregate.Load(file); err != nil {
 			return err
 		}
 	}
-	options, finish, err := node.NewOptions(on, cfg.Member, rng)
+	options, finish, err := controller.NewOptions(on, cfg.Member, rng)
 	if err != nil {
 		return err
 	}
@@ -61,7 +61,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("member", cfg.Member)
-	return node.NewRuntime(cfg, options, jumpingClock(), log, rng).Run(ctx)
+	return controller.NewRuntime(cfg, options, jumpingClock(), log, rng).Run(ctx)
 }
 
 // jumpingClock is a clock that a signal moves forward, as if the machine had slept.
--- a/internal/integration/duties_command_test.go
+++ b/internal/integration/duties_command_test.go
@@ -7,7 +7,7 @@
 	"syscall"
 	"testing"
 
-	"juniperchute/internal/duty"
+	"juniperchute/internal/intentlog"
 )
 
 // The command that shows the duties, asked of the holder, of another controller while the
@@ -33,7 +33,7 @@
 		}
 		return out
 	}
-	held := f.gate.hold(onTheWay, callsCloud(duty.Deprovision))
+	held := f.gate.hold(onTheWay, callsCloud(intentlog.Deprovision))
 	if !held.wait(waitLimit) {
 		t.Fatal("no deletion")
 	}
--- a/internal/integration/duties_test.go
+++ b/internal/integration/duties_test.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"juniperchute/internal/config"
-	"juniperchute/internal/duty"
 	"juniperchute/internal/fleet"
+	"juniperchute/internal/intentlog"
 	"juniperchute/internal/standin"
 	"juniperchute/internal/store"
 	"juniperchute/internal/tuning"
@@ -101,23 +101,23 @@
 }
 
 // writesEntry tells whether a call enters an action of a duty.
-func writesEntry(d duty.Operation) func(call any) bool {
+func writesEntry(d intentlog.Operation) func(call any) bool {
 	return func(call any) bool {
 		c, ok := call.(store.Call)
 		return ok && slices.ContainsFunc(c.Transaction.Writes, func(w wire.Write) bool {
-			if d == duty.Provision {
+			if d == intentlog.Provision {
 				return strings.HasPrefix(w.Put, fleet.UnderRentals) && !strings.Contains(string(w.Value), "Hosts")
 			}
-			return strings.HasPrefix(w.Put, duty.Prefix) && strings.Contains(string(w.Value), string(duty.Deprovision))
+			return strings.HasPrefix(w.Put, intentlog.Prefix) && strings.Contains(string(w.Value), string(intentlog.Deprovision))
 		})
 	}
 }
 
 // callsCloud tells whether a call is one of a duty's.
-func callsCloud(d duty.Operation) func(call any) bool {
+func callsCloud(d intentlog.Operation) func(call any) bool {
 	return func(call any) bool {
 		c, ok := call.(fleet.Call)
-		return ok && (d == duty.Provision && c.Op == fleet.OpRent || d == duty.Deprovision && c.Op == fleet.OpDelete)
+		return ok && (d == intentlog.Provision && c.Op == fleet.OpRent || d == intentlog.Deprovision && c.Op == fleet.OpDelete)
 	}
 }
 
@@ -125,7 +125,7 @@
 type step struct {
 	name string
 	at   moment
-	want func(d duty.Operation) func(call any) bool
+	want func(d intentlog.Operation) func(call any) bool
 }
 
 var steps = []step{
@@ -149,7 +149,7 @@
 
 // stall holds the holder's next call of a step and stalls the holder. Once the next tenure
 // has acted, the call and the holder go on.
-func (f *freezes) stall(s step, d duty.Operation, kind stallKind) {
+func (f *freezes) stall(s step, d intentlog.Operation, kind stallKind) {
 	f.t.Helper()
 	held := f.gate.hold(s.at, s.want(d))
 	if !held.wait(waitLimit) {
@@ -225,7 +225,7 @@
 // stand-in cloud carried out is compared with the log: nothing is carried out twice, late
 // with an effect, or on a machine that has work.
 func TestStalledHolder(t *testing.T) {
-	for _, d := range []duty.Operation{duty.Provision, duty.Deprovision} {
+	for _, d := range []intentlog.Operation{intentlog.Provision, intentlog.Deprovision} {
 		for _, s := range steps {
 			for _, kind := range stallKinds {
 				t.Run(fmt.Sprintf("%s/%s/%s", d, s.name, kind.name), func(t *testing.T) {
--- a/internal/integration/request_test.go
+++ b/internal/integration/request_test.go
@@ -14,7 +14,7 @@
 	"testing"
 
 	"juniperchute/internal/clock"
-	"juniperchute/internal/node"
+	"juniperchute/internal/controller"
 	"juniperchute/internal/peer"
 	"juniperchute/internal/peer/peerpb"
 	"juniperchute/internal/standin"
@@ -30,7 +30,7 @@
 	load.Nodes = 1
 	d := newDeployment(b, load.Facts(), standin.LargeType(), load.Machines)
 	cfg := &d.nodes[0].cfg
-	r := node.NewRuntime(cfg, node.Options{Blocks: tuning.Blocks}, clock.New(nil), slog.New(slog.NewTextHandler(io.Discard, nil)), rand.New(rand.NewPCG(1, 1)))
+	r := controller.NewRuntime(cfg, controller.Options{Blocks: tuning.Blocks}, clock.New(nil), slog.New(slog.NewTextHandler(io.Discard, nil)), rand.New(rand.NewPCG(1, 1)))
 	ctx, stop := context.WithCancel(b.Context())
 	over := make(chan error)
 	go func() { over <- r.Run(ctx) }()
--- a/internal/integration/trace_test.go
+++ b/internal/integration/trace_test.go
@@ -1,7 +1,7 @@
 package integration
 
 import (
-	"juniperchute/internal/duty"
+	"juniperchute/internal/intentlog"
 	"juniperchute/internal/tracing"
 )
 
@@ -13,9 +13,9 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	for _, h := range duty.Histories(spans) {
+	for _, h := range intentlog.Histories(spans) {
 		first, last := h.Steps[0], h.Steps[len(h.Steps)-1]
-		if h.Operation == string(duty.Deprovision) && h.FailedOver && h.Completed && first.Member != last.Member && first.Token != last.Token {
+		if h.Operation == string(intentlog.Deprovision) && h.FailedOver && h.Completed && first.Member != last.Member && first.Token != last.Token {
 			for _, s := range h.Steps {
 				f.t.Logf("%s: %s under token %s %s", h.Target, s.Member, s.Token, s.Text)
 			}
--- a/internal/duty/history_test.go
+++ b/internal/intentlog/history_test.go
@@ -1,4 +1,4 @@
-package duty_test
+package intentlog_test
 
 import (
 	"math"
--- a/internal/duty/duty.go
+++ b/internal/intentlog/intent.go
@@ -1,11 +1,11 @@
-// Package duty keeps a durable log of what a block's holder intends to do where nobody
+// Package intentlog keeps a durable log of what a block's holder intends to do where nobody
 // checks its token: renting, returning and reclaiming machines. An action is entered
 // under the holder's token before it is sent. An entered action is never taken back: a
 // successor completes it, and plans as if it were done, so that a late call of a replaced
 // holder only repeats what was decided. Removals from the state service, which compares
 // versions, pass through here as well, and are refused unless they are conditioned on the
 // tenure.
-package duty
+package intentlog
 
 import (
 	"time"
--- a/internal/duty/log.go
+++ b/internal/intentlog/log.go
@@ -1,4 +1,4 @@
-package duty
+package intentlog
 
 import (
 	"encoding/json"
--- a/internal/duty/model_holder_test.go
+++ b/internal/intentlog/model_holder_test.go
@@ -1,10 +1,10 @@
-package duty_test
+package intentlog_test
 
 import (
 	"math"
 	"time"
 
-	"juniperchute/internal/duty"
+	"juniperchute/internal/intentlog"
 	"juniperchute/internal/store"
 	"juniperchute/internal/wire"
 )
@@ -14,7 +14,7 @@
 	model    *model
 	token    uint64
 	tenure   wire.Compare
-	log      *duty.Log
+	log      *intentlog.Log
 	loaded   bool
 	lost     bool // it knows that it was replaced
 	began    int64
@@ -61,7 +61,7 @@
 func (h *modelHolder) load() {
 	m := h.model
 	var items []wire.KeyValue
-	m.state.Call(store.Call{Op: store.OpList, Prefix: duty.LogPrefix(0)}, func(r store.Result) { items = r.KeyValues })
+	m.state.Call(store.Call{Op: store.OpList, Prefix: intentlog.LogPrefix(0)}, func(r store.Result) { items = r.KeyValues })
 	h.loaded = true
 	found := m.stored()
 	for _, host := range m.hosts {
@@ -75,7 +75,7 @@
 		items = nil
 	}
 	h.log.Load(m.now(), items)
-	for _, a := range h.log.Recovered(duty.Deprovision) {
+	for _, a := range h.log.Recovered(intentlog.Deprovision) {
 		if !m.machines[a.Target].exists {
 			h.log.Complete(m.now(), a, "gone already")
 			h.forget(a)
@@ -97,10 +97,10 @@
 
 func (h *modelHolder) enter(host string) {
 	m := h.model
-	if h.log.Get(duty.Deprovision, host) != nil || !h.reaches(host) || m.machines[host].work != 0 {
+	if h.log.Get(intentlog.Deprovision, host) != nil || !h.reaches(host) || m.machines[host].work != 0 {
 		return
 	}
-	h.log.Record(m.now(), duty.Deprovision, host, "idle")
+	h.log.Record(m.now(), intentlog.Deprovision, host, "idle")
 	h.entering = append(h.entering, &enterOperation{host, m.step, true})
 	if m.fault == sendsEarly {
 		m.deletes = append(m.deletes, &deleteCall{host: host})
@@ -110,7 +110,7 @@
 // giveWork starts work on a machine that is not given up.
 func (h *modelHolder) giveWork(host string) {
 	machine := h.model.machines[host]
-	if h.log.Get(duty.Deprovision, host) != nil || !h.reaches(host) || machine.work != 0 {
+	if h.log.Get(intentlog.Deprovision, host) != nil || !h.reaches(host) || machine.work != 0 {
 		return
 	}
 	machine.work = h.token
@@ -121,25 +121,25 @@
 
 // send calls the cloud for what is ready.
 func (h *modelHolder) send() {
-	for _, a := range h.log.Ready(duty.Deprovision) {
+	for _, a := range h.log.Ready(intentlog.Deprovision) {
 		if h.log.StartCall(h.model.now(), a) {
 			h.model.deletes = append(h.model.deletes, &deleteCall{h, a, a.Target})
 		}
 	}
 }
 
-func (h *modelHolder) answered(a *duty.Intent, o duty.Outcome) {
+func (h *modelHolder) answered(a *intentlog.Intent, o intentlog.Outcome) {
 	h.log.FinishCall(h.model.now(), a, o)
-	if o == duty.Unknown && h.model.fault == forgetsUnanswered {
+	if o == intentlog.Unknown && h.model.fault == forgetsUnanswered {
 		h.log.Complete(h.model.now(), a, "not answered")
 		h.forget(a)
 	}
-	if a.State() == duty.Completed {
+	if a.State() == intentlog.Completed {
 		h.forget(a)
 	}
 }
 
-func (h *modelHolder) forget(a *duty.Intent) {
+func (h *modelHolder) forget(a *intentlog.Intent) {
 	h.model.record(a.Target, h.model.step, math.MaxInt64, operation{settle, h.token, a.Target}, outcome{})
 	h.log.Forget(a)
 }
--- a/internal/duty/model_test.go
+++ b/internal/intentlog/model_test.go
@@ -1,4 +1,4 @@
-package duty_test
+package intentlog_test
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"juniperchute/internal/duty"
+	"juniperchute/internal/intentlog"
 	"juniperchute/internal/standin"
 	"juniperchute/internal/store"
 )
@@ -71,7 +71,7 @@
 
 type deleteCall struct {
 	holder *modelHolder // nil: nobody waits for the answer any more
-	action *duty.Intent
+	action *intentlog.Intent
 	host   string
 }
 
@@ -99,8 +99,8 @@
 func (m *model) stored() map[string]uint64 {
 	out := map[string]uint64{}
 	for key, it := range m.state.Keys {
-		if len(key) > len(duty.Prefix) && key[:len(duty.Prefix)] == duty.Prefix {
-			entries, err := duty.ReadPage(it.Value)
+		if len(key) > len(intentlog.Prefix) && key[:len(intentlog.Prefix)] == intentlog.Prefix {
+			entries, err := intentlog.ReadPage(it.Value)
 			if err != nil {
 				m.breaks("page %s: %v", key, err)
 			}
@@ -121,7 +121,7 @@
 	if m.fault == writesUnfenced {
 		h.tenure = store.VersionEquals(otherKey, m.state.Keys[otherKey].Version)
 	}
-	h.log = duty.NewLog(duty.Options{Token: token, TermCompare: h.tenure, ValueKB: 1, StateCall: h.call, WallClock: m.now,
+	h.log = intentlog.NewLog(intentlog.Options{Token: token, TermCompare: h.tenure, ValueKB: 1, StateCall: h.call, WallClock: m.now,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), OnTermLost: func(time.Time) { h.lost = true }})
 	h.log.EnableDurability()
 	m.holders = append(m.holders, h)
@@ -164,29 +164,29 @@
 	c := m.deletes[i]
 	m.deletes = slices.Delete(m.deletes, i, i+1)
 	late := &deleteCall{host: c.host}
-	answer := func(o duty.Outcome) {
+	answer := func(o intentlog.Outcome) {
 		if c.holder != nil {
 			c.holder.answered(c.action, o)
 		}
 	}
 	switch fate {
 	case 0:
-		answer(duty.NotExecuted)
+		answer(intentlog.NotExecuted)
 	case 1: // lost
-		answer(duty.Unknown)
+		answer(intentlog.Unknown)
 	case 2: // the answer is lost
 		m.execute(c.host)
-		answer(duty.Unknown)
+		answer(intentlog.Unknown)
 	case 3: // it comes late
 		m.deletes = append(m.deletes, late)
-		answer(duty.Unknown)
+		answer(intentlog.Unknown)
 	case 4: // it is carried out, and a repeat comes late
 		m.execute(c.host)
 		m.deletes = append(m.deletes, late)
-		answer(duty.Done)
+		answer(intentlog.Done)
 	default:
 		m.execute(c.host)
-		answer(duty.Done)
+		answer(intentlog.Done)
 	}
 }
 
@@ -237,7 +237,7 @@
 func (m *model) observe() {
 	for _, h := range m.holders {
 		for _, o := range h.entering {
-			if a := h.log.Get(duty.Deprovision, o.host); o.open && a != nil && a.State() != duty.Recording {
+			if a := h.log.Get(intentlog.Deprovision, o.host); o.open && a != nil && a.State() != intentlog.Recording {
 				o.open = false
 				m.record(o.host, o.at, m.step, operation{enter, h.token, o.host}, known)
 			}
@@ -265,7 +265,7 @@
 			h.load()
 		}
 		h.tick()
-		for len(h.log.Ready(duty.Deprovision)) > 0 {
+		for len(h.log.Ready(intentlog.Deprovision)) > 0 {
 			h.send()
 		}
 		m.observe()
--- a/internal/duty/property_test.go
+++ b/internal/intentlog/property_test.go
@@ -1,4 +1,4 @@
-package duty_test
+package intentlog_test
 
 import (
 	"math/rand/v2"
@@ -7,7 +7,7 @@
 	"github.com/anishathalye/porcupine"
 	"pgregory.net/rapid"
 
-	"juniperchute/internal/duty"
+	"juniperchute/internal/intentlog"
 )
 
 // play has a number of things happen to a model, and tells what was broken.
@@ -120,7 +120,7 @@
 	h.load()
 	h.enter("i-0")
 	m.finish()
-	if len(m.broken) > 0 || m.machines["i-0"].exists || h.log.Get(duty.Deprovision, "i-0") != nil {
+	if len(m.broken) > 0 || m.machines["i-0"].exists || h.log.Get(intentlog.Deprovision, "i-0") != nil {
 		t.Errorf("%v, machine there: %v", m.broken, m.machines["i-0"].exists)
 	}
 }
--- a/internal/standin/actions.go
+++ b/internal/standin/actions.go
@@ -5,8 +5,8 @@
 	"strings"
 	"time"
 
-	"juniperchute/internal/duty"
 	"juniperchute/internal/fleet"
+	"juniperchute/internal/intentlog"
 	"juniperchute/internal/store"
 	"juniperchute/internal/tuning"
 )
@@ -28,7 +28,7 @@
 // service stores it. It knows what no controller does: what was carried out late.
 type ActionCheck struct {
 	// Effects counts the actions that were carried out, by duty.
-	Effects map[duty.Operation]int
+	Effects map[intentlog.Operation]int
 	// EntryWrites counts the successful writes of pages of the log.
 	EntryWrites int
 	// Grace is how long after the log came in force calls that were made before may be
@@ -36,7 +36,7 @@
 	Grace   time.Duration
 	cluster *Cluster
 	state   *StateService
-	entered map[string]duty.Entry      // whatever was ever entered, by target
+	entered map[string]intentlog.Entry // whatever was ever entered, by target
 	pages   map[string]map[string]bool // the targets in each page of the log as stored now
 	inForce time.Time                  // since when the log has been; zero: it has not
 }
@@ -46,7 +46,7 @@
 
 // NewActionCheck makes a checker and has it watch the stand-ins.
 func NewActionCheck(cluster *Cluster, state *StateService, cloud *Cloud) *ActionCheck {
-	c := &ActionCheck{Effects: map[duty.Operation]int{}, cluster: cluster, state: state, entered: map[string]duty.Entry{}, pages: map[string]map[string]bool{}}
+	c := &ActionCheck{Effects: map[intentlog.Operation]int{}, cluster: cluster, state: state, entered: map[string]intentlog.Entry{}, pages: map[string]map[string]bool{}}
 	before := state.OnCall
 	state.OnCall = func(call store.Call, status int) {
 		if before != nil {
@@ -69,20 +69,20 @@
 			if c.inForce.IsZero() && strings.Contains(string(w.Value), `"duties"`) {
 				c.inForce = c.cluster.Clock.Now()
 			}
-		case strings.HasPrefix(w.Put, duty.Prefix):
+		case strings.HasPrefix(w.Put, intentlog.Prefix):
 			c.EntryWrites++
 			c.storedPage(w.Put, w.Value)
-		case strings.HasPrefix(w.Delete, duty.Prefix):
+		case strings.HasPrefix(w.Delete, intentlog.Prefix):
 			delete(c.pages, w.Delete)
 		case strings.HasPrefix(w.Put, fleet.UnderRentals):
 			name := w.Put[strings.LastIndex(w.Put, "/")+1:]
-			c.entered[name] = duty.Entry{Operation: duty.Provision, Target: name}
+			c.entered[name] = intentlog.Entry{Operation: intentlog.Provision, Target: name}
 		}
 	}
 }
 
 func (c *ActionCheck) storedPage(key string, value json.RawMessage) {
-	entries, err := duty.ReadPage(value)
+	entries, err := intentlog.ReadPage(value)
 	if err != nil {
 		c.cluster.Break(Expectation, "a page of the log of duties cannot be read: %v", err)
 		return
@@ -133,7 +133,7 @@
 	if !c.active() {
 		return
 	}
-	c.Effects[duty.Provision]++
+	c.Effects[intentlog.Provision]++
 	if _, ok := c.entered[name]; !ok {
 		c.cluster.Break(NotEntered, "rental %s", name)
 	} else if !c.recorded(name) {
@@ -160,7 +160,7 @@
 		return // it is still booting
 	}
 	for _, t := range w.Tasks {
-		if t.OnMachine() && (e.Operation == duty.Deprovision || tokenOf(t) > e.Token) {
+		if t.OnMachine() && (e.Operation == intentlog.Deprovision || tokenOf(t) > e.Token) {
 			c.cluster.Break(WorkReturned, "%s is deleted with attempt %d of %s on it, entered for %s under token %d", host, t.Attempt, t.Job.Spec.ID, e.Operation, e.Token)
 		}
 	}
