--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -49,14 +49,14 @@
 	}
 }
 
-// heldCalls is an Env that keeps the calls for progress.
+// heldCalls is an Effects that keeps the calls for progress.
 type heldCalls struct {
 	Effects
 	asked []*peerpb.ProgressRequest
 	then  []func(now time.Time, r *peerpb.ProgressReply, err error)
 }
 
-func (e *heldCalls) Progress(_ string, m *peerpb.ProgressRequest, then func(now time.Time, r *peerpb.ProgressReply, err error)) {
+func (e *heldCalls) AskProgress(_ string, m *peerpb.ProgressRequest, then func(now time.Time, r *peerpb.ProgressReply, err error)) {
 	e.asked, e.then = append(e.asked, m), append(e.then, then)
 }
 
--- a/internal/controller/runtime_test.go
+++ b/internal/controller/runtime_test.go
@@ -178,10 +178,10 @@
 	}
 }
 
-// heldState is an Env that keeps the newest call of the state service.
+// heldState is an Effects that keeps the newest call of the state service.
 type heldState struct {
 	Effects
 	then func(now time.Time, r store.Result)
 }
 
-func (e *heldState) State(_ store.Call, then func(now time.Time, r store.Result)) { e.then = then }
+func (e *heldState) CallState(_ store.Call, then func(now time.Time, r store.Result)) { e.then = then }
