--- a/internal/controller/cancellation_loading_test.go
+++ b/internal/controller/cancellation_loading_test.go
@@ -108,8 +108,8 @@
 			for te.state == termLoading {
 				sim.clk.Step()
 			}
-			if te.state != termFencing || te.scheduler.Job(id) != nil || te.scheduler.Job(sim.cluster.Order[4].Spec.ID) == nil {
-				t.Errorf("%v: the job that was called off is open: %v", te.state, te.scheduler.Job(id) != nil)
+			if te.state != termFencing || te.scheduler.OpenJob(id) != nil || te.scheduler.OpenJob(sim.cluster.Order[4].Spec.ID) == nil {
+				t.Errorf("%v: the job that was called off is open: %v", te.state, te.scheduler.OpenJob(id) != nil)
 			}
 			return
 		}
@@ -134,8 +134,8 @@
 			Vcpus: 4, Gpus: 1, MemGb: 20, Image: "img", ImageGb: 2, AnyType: true, EstimatedRunTimeS: 5}, 5*time.Second)
 	}
 	sim.runFor(2 * time.Second)
-	if b := n.controller.terms[0].scheduler; b.Job("job-900") != nil || b.Job("job-901") == nil {
-		t.Errorf("called off and open: %v; another open: %v", b.Job("job-900") != nil, b.Job("job-901") != nil)
+	if b := n.controller.terms[0].scheduler; b.OpenJob("job-900") != nil || b.OpenJob("job-901") == nil {
+		t.Errorf("called off and open: %v; another open: %v", b.OpenJob("job-900") != nil, b.OpenJob("job-901") != nil)
 	}
 }
 
@@ -156,7 +156,7 @@
 		sim.clk.Step()
 		for _, n := range sim.nodes {
 			if te := n.controller.terms[0]; n.alive && te != nil && te.state == termFencing {
-				all := quota.Room{GPUs: 12}
+				all := quota.Resources{GPUs: 12}
 				if te.ledger.Admits("red", all, false) {
 					t.Error("the whole limit may be used, though no machine has been heard")
 				}
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -72,8 +72,8 @@
 	if !t.cancellations.add(now, id) {
 		return
 	}
-	t.scheduler.SetUnreadable(id, false)
-	if t.scheduler.Job(id) != nil {
+	t.scheduler.SetJobUnreadable(id, false)
+	if t.scheduler.OpenJob(id) != nil {
 		t.closeJob(now, id)
 	}
 }
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -29,7 +29,7 @@
 // handleCommandResult takes in what came of a direct command.
 func (t *term) handleCommandResult(now time.Time, m *worker.Machine, command wire.DirectCommands, status int, rep *wire.Heartbeat) {
 	if status == NotSent {
-		t.scheduler.Answered(m, command.Commands)
+		t.scheduler.SettleDirectCommands(m, command.Commands)
 		return
 	}
 	if status != http.StatusOK && status != http.StatusConflict || rep == nil || rep.Host != m.Host {
@@ -38,7 +38,7 @@
 		}
 		return
 	}
-	t.scheduler.Answered(m, command.Commands)
+	t.scheduler.SettleDirectCommands(m, command.Commands)
 	switch {
 	case rep.Token > t.Token:
 		t.end(now, "a machine has seen a higher token")
@@ -57,7 +57,7 @@
 	if t.state == termLoading || t.state == termEnded || !t.controller.membership.LeaseValid(now) {
 		return
 	}
-	t.scheduler.Draw(now)
+	t.scheduler.Schedule(now)
 	t.sendUrgent(now)
 }
 
@@ -66,8 +66,8 @@
 	if t.state == termLoading || t.state == termEnded {
 		return
 	}
-	for _, m := range t.scheduler.Urgent(now) {
-		if commands := t.scheduler.Commands(now, m, placement.Direct); len(commands) > 0 {
+	for _, m := range t.scheduler.UrgentMachines(now) {
+		if commands := t.scheduler.Commands(now, m, placement.DirectCommand); len(commands) > 0 {
 			t.sendCommands(now, m, commands)
 		}
 	}
--- a/internal/controller/completion_bitmaps.go
+++ b/internal/controller/completion_bitmaps.go
@@ -119,7 +119,7 @@
 	for i, b := range bits {
 		for k := range 8 {
 			if b&(1<<k) != 0 {
-				j.Recover(first + i*8 + k)
+				j.RestoreCompleted(first + i*8 + k)
 			}
 		}
 	}
@@ -184,14 +184,14 @@
 func (t *completionBitmaps) save(j *placement.Job, job func(id string) *placement.Job) {
 	id := j.Spec.ID
 	for _, e := range t.layout(id, j.Spec.Tasks) {
-		fresh, bits := j.Unsaved(e.first, e.next)
+		fresh, bits := j.UnsavedCompletions(e.first, e.next)
 		if len(fresh) == 0 {
 			continue
 		}
 		t.put(bitmapKey{id, e.key, e.first}, bits, func(time.Time) {
 			if j := job(id); j != nil {
 				for _, n := range fresh {
-					j.Durable(n)
+					j.MarkDurable(n)
 				}
 			}
 		})
--- a/internal/controller/completions.go
+++ b/internal/controller/completions.go
@@ -36,7 +36,7 @@
 func (o *jobCompletions) taskCompleted(now time.Time, j *placement.Job) {
 	id := j.Spec.ID
 	o.unsavedJobs[id] = j
-	if j.Complete() && o.completedAt[id].IsZero() {
+	if j.IsComplete() && o.completedAt[id].IsZero() {
 		o.completedAt[id] = now
 	}
 }
@@ -44,7 +44,7 @@
 // recoverCompleted takes up the jobs that an earlier tenure did not get to end.
 func (o *jobCompletions) recoverCompleted(now time.Time, jobs []*placement.Job) {
 	for _, j := range jobs {
-		if j.Complete() {
+		if j.IsComplete() {
 			o.taskCompleted(now, j)
 		}
 	}
@@ -61,8 +61,8 @@
 	if !now.Before(o.flushAt) {
 		o.flushAt = now.Add(tuning.TallyEvery)
 		for _, id := range slices.Sorted(maps.Keys(o.unsavedJobs)) {
-			if j := o.unsavedJobs[id]; !j.Complete() {
-				o.bitmaps.save(j, o.term.scheduler.Job)
+			if j := o.unsavedJobs[id]; !j.IsComplete() {
+				o.bitmaps.save(j, o.term.scheduler.OpenJob)
 				delete(o.unsavedJobs, id)
 			}
 		}
@@ -102,7 +102,7 @@
 		delete(o.endsInFlight, id)
 		switch {
 		case r.OK():
-			t.log.Info("job done", "job", id, "class", j.Spec.Class, "took", t.controller.wallClock().Sub(j.At), "written_after", now.Sub(o.completedAt[id]))
+			t.log.Info("job done", "job", id, "class", j.Spec.Class, "took", t.controller.wallClock().Sub(j.AcceptedAt), "written_after", now.Sub(o.completedAt[id]))
 			t.closeJob(now, id)
 		case r.Status == http.StatusConflict && slices.Contains(r.FailedKeys, leader.ShardKey(t.Shard)):
 			t.onTermLost(now)
@@ -121,7 +121,7 @@
 	o.term.callState(store.Call{Op: store.OpGet, Priority: store.PriorityJobEnd, Key: submission.OpenKey(id)}, func(now time.Time, r store.Result) {
 		delete(o.endsInFlight, id)
 		o.retryAt[id] = now.Add(tuning.RecordRetry)
-		switch j := o.term.scheduler.Job(id); {
+		switch j := o.term.scheduler.OpenJob(id); {
 		case r.Status == http.StatusNotFound:
 			o.term.closeJob(now, id)
 		case r.OK() && j != nil:
--- a/internal/controller/completions_test.go
+++ b/internal/controller/completions_test.go
@@ -18,7 +18,7 @@
 	o := newJobCompletions(nil, nil)
 	add := func(id, priority string, ago time.Duration) {
 		j := board.AddJob(now, wire.JobSpec{ID: id, Shape: wire.ShapeBatch, Priority: priority, Tasks: 1}, now, 1, false)
-		j.Recover(0)
+		j.RestoreCompleted(0)
 		o.taskCompleted(now.Add(-ago), j)
 	}
 	add("job-1", "low", 3*time.Second)
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -209,8 +209,8 @@
 					if !n.alive || n == before || t == nil || t.state != termFencing {
 						continue
 					}
-					for _, j := range t.scheduler.Jobs() {
-						if j.Early && j.Located() > 0 && !strings.Contains(marked, `"`+j.Spec.ID+`"`) {
+					for _, j := range t.scheduler.OpenJobs() {
+						if j.FromEarlierTerm && j.AssignedTasks() > 0 && !strings.Contains(marked, `"`+j.Spec.ID+`"`) {
 							began++
 						}
 					}
--- a/internal/controller/fencing.go
+++ b/internal/controller/fencing.go
@@ -43,7 +43,7 @@
 	}
 	if t.reserveUnknown() == 0 && t.state == termFencing {
 		t.setState(now, termOpen, "every machine heard or gone")
-		t.scheduler.Open(now)
+		t.scheduler.MarkReconciled(now)
 	}
 }
 
@@ -57,7 +57,7 @@
 // reserveUnknown has the whole room of machines whose tasks are not known count against every
 // limited team, and tells how many have not been heard.
 func (t *term) reserveUnknown() (unheard int) {
-	var blocked quota.Room
+	var blocked quota.Resources
 	for _, m := range t.workers.All() {
 		if t.unreconciled(m) {
 			unheard++
@@ -66,7 +66,7 @@
 			blocked = blocked.Add(m.Cap)
 		}
 	}
-	t.ledger.Block(blocked)
+	t.ledger.SetUnknownUsage(blocked)
 	return unheard
 }
 
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -67,7 +67,7 @@
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
 	cfg := facts([]string{"a"}, nil, 1.5, 10)
 	reg := worker.NewRegistry(cfg.Platform.Workers, quiet)
-	board := placement.NewBoard(cfg.Platform, 1, quota.NewBook(nil, 0, 1), reg, nil, quiet, func(time.Time, *placement.Job) {})
+	board := placement.NewScheduler(cfg.Platform, 1, quota.NewLedger(nil, 0, 1), reg, nil, quiet, func(time.Time, *placement.Job) {})
 	add := func(id string, tasks int) *placement.Job {
 		return board.AddJob(now, wire.JobSpec{ID: id, Shape: wire.ShapeBatch, Tasks: tasks}, now, 1, true)
 	}
@@ -126,7 +126,7 @@
 				for _, it := range kv {
 					all = append(all, it)
 				}
-				tl.load(all, board.Job)
+				tl.load(all, board.OpenJob)
 				for range 8 {
 					now = now.Add(2 * time.Second)
 					tl.pages.Tick(now)
@@ -135,7 +135,7 @@
 			}
 			for round := range 2 { // and what was written is read again
 				_, j := tenure()
-				fresh, bits := j.Unsaved(0, c.tasks)
+				fresh, bits := j.UnsavedCompletions(0, c.tasks)
 				got := 0
 				for n := range c.tasks {
 					if bits[n/8]&(1<<(n%8)) != 0 {
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -22,7 +22,7 @@
 	t.autoscaler.Reporting(now, m)
 	if t.state != termLoading {
 		was := m.Stranger
-		if t.scheduler.Reported(now, m, v, checkin); m.Stranger && !was {
+		if t.scheduler.ReconcileHeartbeat(now, m, v, checkin); m.Stranger && !was {
 			t.reserveUnknown() // before anything is drawn
 		}
 	}
@@ -85,7 +85,7 @@
 	if !t.applyHeartbeat(now, m, rep, true) {
 		return nil, errStaleHeartbeat
 	}
-	if t.scheduler.Overdue(m, now.Add(t.workers.Expiry()+tuning.RenewMargin)) {
+	if t.scheduler.MayStartAfterClose(m, now.Add(t.workers.Expiry()+tuning.RenewMargin)) {
 		// A cancelled job's start may still be on its way to the machine, and no
 		// stop can reach it before: only the end of the session voids it.
 		return nil, errStartOutstanding
@@ -94,12 +94,12 @@
 	switch {
 	case t.state == termLoading:
 	case t.controller.membership.LeaseValid(now):
-		t.scheduler.Draw(now)
-		commands = append(commands, t.scheduler.Commands(now, m, placement.InAnswer)...)
+		t.scheduler.Schedule(now)
+		commands = append(commands, t.scheduler.Commands(now, m, placement.HeartbeatReply)...)
 	default:
 		// past the lease's end nothing starts, but what is over still stops: under a
 		// superseded token that has no effect
-		commands = append(commands, t.scheduler.Halts(m.Tasks)...)
+		commands = append(commands, t.scheduler.StopCommandsForClosedJobs(m.Tasks)...)
 	}
 	m.Answered = now
 	return commands, nil
@@ -120,7 +120,7 @@
 	if t.state != termLoading {
 		// What is over may be stopped whatever has happened since: the answer
 		// that renews a cancelled task's lease must not leave it running.
-		commands = append(commands, t.scheduler.Halts(rep.Tasks)...)
+		commands = append(commands, t.scheduler.StopCommandsForClosedJobs(rep.Tasks)...)
 	}
 	return commands, nil
 }
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -81,9 +81,9 @@
 }
 
 func (t *term) progress(id string) submission.Progress {
-	j := t.scheduler.Job(id)
+	j := t.scheduler.OpenJob(id)
 	if j == nil {
 		return submission.Progress{}
 	}
-	return submission.Progress{Known: true, Done: j.Done(), Running: j.Running()}
+	return submission.Progress{Known: true, Done: j.CompletedTasks(), Running: j.RunningTasks()}
 }
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -85,11 +85,11 @@
 	})
 	t.intents.Load(now, t.predecessorRecords.intents)
 	t.autoscaler.LoadUsed(now, t.predecessorRecords.usedMachines)
-	t.completions.bitmaps.load(t.predecessorRecords.completions, t.scheduler.Job)
+	t.completions.bitmaps.load(t.predecessorRecords.completions, t.scheduler.OpenJob)
 	t.startMarkers.Load(t.predecessorRecords.startMarkers, func(id string, _ json.RawMessage) {
-		if j := t.scheduler.Job(id); j != nil {
-			j.Before = true
-			t.scheduler.Begun(j)
+		if j := t.scheduler.OpenJob(id); j != nil {
+			j.StartedInEarlierTerm = true
+			t.scheduler.StartMarkerWritten(j)
 		} else {
 			t.startMarkers.Delete(id)
 		}
@@ -98,11 +98,11 @@
 		t.assumeStarted()
 	}
 	t.predecessorRecords = predecessorRecords{}
-	t.completions.recoverCompleted(now, t.scheduler.Jobs())
+	t.completions.recoverCompleted(now, t.scheduler.OpenJobs())
 	t.setState(now, termFencing, "records read")
 	for _, m := range slices.Clone(t.workers.All()) {
 		if m.State == worker.Up {
-			t.scheduler.Reported(now, m, worker.Fresh, false)
+			t.scheduler.ReconcileHeartbeat(now, m, worker.Fresh, false)
 		}
 	}
 	t.reserveUnknown() // a report may come, and a task be drawn, before the next tick
@@ -111,8 +111,8 @@
 // assumeStarted takes all jobs for ones that may have tasks on machines: pages that name
 // those that do cannot be read.
 func (t *term) assumeStarted() {
-	for _, j := range t.scheduler.Jobs() {
-		j.Before = true
+	for _, j := range t.scheduler.OpenJobs() {
+		j.StartedInEarlierTerm = true
 	}
 }
 
@@ -120,15 +120,15 @@
 func (t *term) applyOpenJob(now time.Time, it wire.KeyValue, gone bool) {
 	id := strings.TrimPrefix(it.Key, submission.OpenUnder)
 	if gone {
-		t.scheduler.SetUnreadable(id, false)
-		if t.scheduler.Job(id) != nil {
+		t.scheduler.SetJobUnreadable(id, false)
+		if t.scheduler.OpenJob(id) != nil {
 			t.closeJob(now, id)
 		}
 		return
 	}
 	off := t.cancellations.contains(id)
 	rec, err := submission.ReadOpen(it)
-	t.scheduler.SetUnreadable(id, err != nil && !off)
+	t.scheduler.SetJobUnreadable(id, err != nil && !off)
 	if err != nil {
 		t.log.Error("job entry cannot be read", "key", it.Key, "error", err)
 		return
@@ -140,5 +140,5 @@
 	// before the block's record changed: younger jobs are on no machine.
 	at := time.UnixMilli(rec.At)
 	j := t.scheduler.AddJob(now, rec.Spec, at, it.Version, it.Version < t.Version)
-	j.Since = now.Add(-max(0, t.controller.wallClock().Sub(at)))
+	j.KnownSince = now.Add(-max(0, t.controller.wallClock().Sub(at)))
 }
--- a/internal/controller/simulation_checks_test.go
+++ b/internal/controller/simulation_checks_test.go
@@ -34,7 +34,7 @@
 		sim.fail("%s: horizon %v ahead of its clock", n.name, at.Sub(now))
 	}
 	for _, j := range sim.cluster.Order {
-		if j.Told == wire.JobCancelled && j.CancelledAt.Before(at) && t.scheduler.Job(j.Spec.ID) != nil {
+		if j.Told == wire.JobCancelled && j.CancelledAt.Before(at) && t.scheduler.OpenJob(j.Spec.ID) != nil {
 			sim.fail("%s does not know that %s was cancelled at %v, with its horizon at %v",
 				n.name, j.Spec.ID, j.CancelledAt.Sub(standin.Epoch), at.Sub(standin.Epoch))
 		}
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -115,7 +115,7 @@
 	f := sim.cloud.MachineTypes[slices.IndexFunc(sim.cloud.MachineTypes, func(f wire.MachineType) bool { return f.Name == h.Type })]
 	m := &machine{}
 	sim.machines[h.ID] = m
-	m.Worker = sim.cluster.AddWorker(h.Machine, quota.Room{CPUs: f.Vcpus, GPUs: f.Gpus, MemGB: f.MemGb})
+	m.Worker = sim.cluster.AddWorker(h.Machine, quota.Resources{CPUs: f.Vcpus, GPUs: f.Gpus, MemGB: f.MemGb})
 	m.Faulty = sim.rng.Float64() < faultyShare
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -66,7 +66,7 @@
 	state        store.Caller
 	log          *slog.Logger
 	reg          *worker.Registry
-	board        *placement.Board
+	board        *placement.Scheduler
 	duties       *intentlog.Log
 	lost         func(now time.Time)
 	gone         func(now time.Time, m *worker.Machine)
@@ -107,7 +107,7 @@
 	State    store.Caller
 	Log      *slog.Logger
 	Machines *worker.Registry
-	Board    *placement.Board
+	Board    *placement.Scheduler
 	// Duties is the log of what is asked of the cloud.
 	Duties *intentlog.Log
 	// Lost is told when the tenure is over, Gone when a machine's deletion was answered.
@@ -186,7 +186,7 @@
 func (s *Slice) addUnrecorded(now time.Time, host string) *worker.Machine {
 	m := s.addMachine(now, host, worker.Booting, "", "", false)
 	for _, f := range s.machineTypes {
-		m.Cap = m.Cap.Max(quota.Room{CPUs: f.Vcpus, GPUs: f.Gpus, MemGB: f.MemGb})
+		m.Cap = m.Cap.Max(quota.Resources{CPUs: f.Vcpus, GPUs: f.Gpus, MemGB: f.MemGb})
 	}
 	return m
 }
@@ -206,9 +206,9 @@
 
 func (s *Slice) size(m *worker.Machine) {
 	if f, ok := s.machineTypes[m.Type]; ok {
-		if room := (quota.Room{CPUs: f.Vcpus, GPUs: f.Gpus, MemGB: f.MemGb}); m.Cap != room {
+		if room := (quota.Resources{CPUs: f.Vcpus, GPUs: f.Gpus, MemGB: f.MemGb}); m.Cap != room {
 			m.Cap, m.Fetch = room, f.FetchGbPerS
-			s.board.NoteChange(m)
+			s.board.MarkMachineChanged(m)
 		}
 	}
 }
@@ -254,7 +254,7 @@
 	s.entered[m.Host] = true
 	s.used.Put(m.Host, m.Address, func(now time.Time) {
 		m.Used = true
-		s.board.NoteChange(m)
+		s.board.MarkMachineChanged(m)
 	})
 	s.used.Tick(now)
 }
@@ -296,7 +296,7 @@
 	s.list(now)
 	// Machines that this tenure has not heard yet look like none: hiring then
 	// would replace the whole fleet at each takeover.
-	if len(s.machineTypes) > 0 && !now.Before(s.demandDue) && (s.board.IsOpen() || now.Sub(s.born) > tuning.FenceDemand) {
+	if len(s.machineTypes) > 0 && !now.Before(s.demandDue) && (s.board.Reconciled() || now.Sub(s.born) > tuning.FenceDemand) {
 		s.demandDue = now.Add(tuning.DemandEvery)
 		s.demand(now)
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -27,7 +27,7 @@
 	now   time.Time
 	s     *Slice
 	reg   *worker.Registry
-	board *placement.Board
+	board *placement.Scheduler
 	cloud []Call
 	reply []func(time.Time, Result)
 	kv    []store.Call
@@ -45,8 +45,8 @@
 		Workers: config.Workers{HeartbeatS: 1.5, LeaseS: 10}}
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
 	y.reg = worker.NewRegistry(facts.Workers, quiet)
-	y.board = placement.NewBoard(facts, 7, quota.NewBook(facts.Teams, 0, 1), y.reg, rand.New(rand.NewPCG(1, 1)), quiet, func(time.Time, *placement.Job) {})
-	y.board.Open(y.now)
+	y.board = placement.NewScheduler(facts, 7, quota.NewLedger(facts.Teams, 0, 1), y.reg, rand.New(rand.NewPCG(1, 1)), quiet, func(time.Time, *placement.Job) {})
+	y.board.MarkReconciled(y.now)
 	state := func(c store.Call, then func(time.Time, store.Result)) {
 		y.kv, y.kvs = append(y.kv, c), append(y.kvs, then)
 	}
@@ -230,7 +230,7 @@
 		{"working", worker.Up, func(m *worker.Machine, _ time.Time) { m.Busy = 1 }, time.Hour, false},
 		{"working and faulty", worker.Up, func(m *worker.Machine, _ time.Time) { m.Busy, m.Faulty = 1, true }, time.Hour, false},
 		{"faulty", worker.Up, func(m *worker.Machine, _ time.Time) { m.Faulty = true }, time.Second, true},
-		{"promised", worker.Up, func(m *worker.Machine, _ time.Time) { m.Promised = quota.Room{CPUs: 1} }, time.Minute, false},
+		{"promised", worker.Up, func(m *worker.Machine, _ time.Time) { m.Promised = quota.Resources{CPUs: 1} }, time.Minute, false},
 		{"an unanswered command, nothing else", worker.Up, func(m *worker.Machine, _ time.Time) { m.OpenDo = 1 }, time.Second, true},
 		{"no answer reaches it", worker.Up, unreached, 2*10*time.Second + time.Second, true},
 		{"no answer reached it for a lease", worker.Up, unreached, 12 * time.Second, false},
--- a/internal/fleet/rental.go
+++ b/internal/fleet/rental.go
@@ -329,13 +329,13 @@
 		f := s.machineTypes[name]
 		for _, zone := range f.Zones {
 			for _, spot := range []bool{true, false} {
-				o := placement.Offer{Type: f.Name, Zone: zone, Spot: spot, Price: f.Price, BootS: f.BootTimeS, Left: left,
-					Cap: quota.Room{CPUs: f.Vcpus, GPUs: f.Gpus, MemGB: f.MemGb}}
+				o := placement.Offer{Type: f.Name, Zone: zone, Spot: spot, Price: f.Price, BootSeconds: f.BootTimeS, Available: left,
+					Capacity: quota.Resources{CPUs: f.Vcpus, GPUs: f.Gpus, MemGB: f.MemGb}}
 				if spot {
 					o.Price = f.SpotPrice
 				}
 				if now.Before(s.noneUntil[kindOf(f.Name, zone, spot)]) || s.Set.Paused || room == 0 {
-					o.Left = 0
+					o.Available = 0
 				}
 				offers = append(offers, o)
 			}
@@ -352,7 +352,7 @@
 			}
 		}
 	}
-	need := s.board.Demand(now, offers, coming)
+	need := s.board.ProvisioningDemand(now, offers, coming)
 	for i, n := range need {
 		if n <= 0 {
 			continue
--- a/internal/fleet/returns.go
+++ b/internal/fleet/returns.go
@@ -88,7 +88,7 @@
 	if m.Mute(now, tuning.MuteLeases*lease) && m.Busy == 0 {
 		return reclaimed("no answer reaches it")
 	}
-	if m.OpenDo > 0 && s.board.InDoubt(m) {
+	if m.OpenDo > 0 && s.board.OnlyUnconfirmedStops(m) {
 		// A direct command that was never answered may still start its
 		// task there, minutes from now: only this machine's end settles it.
 		return reclaimed("a command was never answered")
@@ -100,7 +100,7 @@
 		return returned("faulty")
 	case m.Closing:
 		return returned("its work went elsewhere")
-	case !m.Wanted && m.Promised == (quota.Room{}) && now.Sub(m.IdleFrom) > s.Set.IdleReturn:
+	case !m.Wanted && m.Promised == (quota.Resources{}) && now.Sub(m.IdleFrom) > s.Set.IdleReturn:
 		return returned("idle")
 	}
 	return keep()
@@ -187,7 +187,7 @@
 		s.duties.Complete(now, a, "a later tenure gave the machine work")
 		s.duties.Forget(a)
 		s.reg.Set(now, m, worker.Up, "a later tenure gave it work")
-		s.board.NoteChange(m)
+		s.board.MarkMachineChanged(m)
 		return false
 	}
 	return true
--- a/internal/integration/deployment_test.go
+++ b/internal/integration/deployment_test.go
@@ -163,7 +163,7 @@
 func (d *deployment) booted(h *standin.CloudHost) {
 	f := d.cloud.MachineTypes[0]
 	d.clients[h.ID] = &http.Client{Timeout: answerLimit, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
-	d.byAddress[h.Address] = d.cluster.AddWorker(h.Machine, quota.Room{CPUs: f.Vcpus, GPUs: f.Gpus, MemGB: f.MemGb})
+	d.byAddress[h.Address] = d.cluster.AddWorker(h.Machine, quota.Resources{CPUs: f.Vcpus, GPUs: f.Gpus, MemGB: f.MemGb})
 }
 
 func (d *deployment) ended(h *standin.CloudHost) {
--- a/internal/standin/cluster.go
+++ b/internal/standin/cluster.go
@@ -50,8 +50,8 @@
 
 func isFinal(stage string) bool { return stage == wire.JobDone || stage == wire.JobCancelled }
 
-func (j *Job) need() quota.Room {
-	return quota.Room{CPUs: j.Spec.Vcpus, GPUs: j.Spec.Gpus, MemGB: j.Spec.MemGb}
+func (j *Job) need() quota.Resources {
+	return quota.Resources{CPUs: j.Spec.Vcpus, GPUs: j.Spec.Gpus, MemGB: j.Spec.MemGb}
 }
 
 // AnswerFunc takes the answer to a report: the status and, with 200, the commands, with
--- a/internal/standin/rules.go
+++ b/internal/standin/rules.go
@@ -98,8 +98,8 @@
 }
 
 // Used is what each team's tasks use, with the tasks on machines by job.
-func (c *Cluster) Used() (teams map[string]quota.Room, jobs map[*Job]int) {
-	teams, jobs = map[string]quota.Room{}, map[*Job]int{}
+func (c *Cluster) Used() (teams map[string]quota.Resources, jobs map[*Job]int) {
+	teams, jobs = map[string]quota.Resources{}, map[*Job]int{}
 	for _, w := range c.Workers {
 		for _, t := range w.Tasks {
 			if t.OnMachine() {
@@ -115,7 +115,7 @@
 // Check checks the rules that hold at every moment. It is called after each step, so it
 // looks at each task once.
 func (c *Cluster) Check() {
-	used := make([]quota.Room, len(c.Facts.Teams))
+	used := make([]quota.Resources, len(c.Facts.Teams))
 	for _, w := range c.Workers {
 		for _, t := range w.Tasks {
 			if !t.OnMachine() {
@@ -192,7 +192,7 @@
 
 // Fits tells whether a job, or one task of an array, could start now on machines that
 // usable approves of, while its team uses what is given.
-func (c *Cluster) Fits(j *Job, used quota.Room, usable func(w *Worker) bool) bool {
+func (c *Cluster) Fits(j *Job, used quota.Resources, usable func(w *Worker) bool) bool {
 	s := &j.Spec
 	need := 1
 	if s.Shape != wire.ShapeBatch {
@@ -209,7 +209,7 @@
 		if w.Hung || w.Faulty || w.Dead || !w.Recall.IsZero() || wrongType || s.Zone != "" && s.Zone != w.Host.Zone || w.Host.Spot && !s.Spot || !usable(w) {
 			continue
 		}
-		places[w.Host.Zone] += w.Free().Count(j.need(), s.Tasks)
+		places[w.Host.Zone] += w.Free().FitCount(j.need(), s.Tasks)
 	}
 	total, most := 0, 0
 	for _, n := range places {
--- a/internal/standin/rules_test.go
+++ b/internal/standin/rules_test.go
@@ -25,7 +25,7 @@
 		{ID: "a1", Type: "g", Zone: "a"}, {ID: "a2", Type: "g", Zone: "a", Spot: true},
 		{ID: "b1", Type: "g", Zone: "b"}, {ID: "b2", Type: "h", Zone: "b"},
 	} {
-		c.AddWorker(h, quota.Room{CPUs: 16, GPUs: 8, MemGB: 64})
+		c.AddWorker(h, quota.Resources{CPUs: 16, GPUs: 8, MemGB: 64})
 	}
 	return c
 }
@@ -189,16 +189,16 @@
 	for _, c := range []struct {
 		name   string
 		change func(s *wire.JobSpec)
-		used   quota.Room
+		used   quota.Resources
 		want   bool
 	}{
-		{"an array needs room for one task", func(s *wire.JobSpec) { s.Gpus = 8 }, quota.Room{}, true},
-		{"a gang needs room for all", func(s *wire.JobSpec) { s.Shape, s.Gpus, s.Tasks = wire.ShapeGang, 8, 4 }, quota.Room{}, false},
-		{"a gang that fits", func(s *wire.JobSpec) { s.Shape, s.Gpus = wire.ShapeGang, 8 }, quota.Room{}, true},
-		{"a gang in one zone that has too little", func(s *wire.JobSpec) { s.Shape, s.Gpus, s.SameZone = wire.ShapeGang, 8, true }, quota.Room{}, false},
-		{"a gang spread over zones", func(s *wire.JobSpec) { s.Shape, s.Gpus, s.SpreadAcrossZones = wire.ShapeGang, 8, true }, quota.Room{}, true},
-		{"a team at its limit", func(s *wire.JobSpec) { s.Team = "red" }, quota.Room{GPUs: 4}, false},
-		{"a task larger than any machine", func(s *wire.JobSpec) { s.MemGb = 65 }, quota.Room{}, false},
+		{"an array needs room for one task", func(s *wire.JobSpec) { s.Gpus = 8 }, quota.Resources{}, true},
+		{"a gang needs room for all", func(s *wire.JobSpec) { s.Shape, s.Gpus, s.Tasks = wire.ShapeGang, 8, 4 }, quota.Resources{}, false},
+		{"a gang that fits", func(s *wire.JobSpec) { s.Shape, s.Gpus = wire.ShapeGang, 8 }, quota.Resources{}, true},
+		{"a gang in one zone that has too little", func(s *wire.JobSpec) { s.Shape, s.Gpus, s.SameZone = wire.ShapeGang, 8, true }, quota.Resources{}, false},
+		{"a gang spread over zones", func(s *wire.JobSpec) { s.Shape, s.Gpus, s.SpreadAcrossZones = wire.ShapeGang, 8, true }, quota.Resources{}, true},
+		{"a team at its limit", func(s *wire.JobSpec) { s.Team = "red" }, quota.Resources{GPUs: 4}, false},
+		{"a task larger than any machine", func(s *wire.JobSpec) { s.MemGb = 65 }, quota.Resources{}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cluster := testCluster()
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -37,7 +37,7 @@
 // Worker is a stand-in for a machine's worker, by the protocol.
 type Worker struct {
 	Host    wire.Machine
-	Cap     quota.Room
+	Cap     quota.Resources
 	Fetch   time.Duration // that an image takes
 	Dead    bool          // the machine is gone
 	Hung    bool          // it executes nothing, and may go on later
@@ -60,7 +60,7 @@
 
 // AddWorker starts the worker of a machine that has booted. It reports from the next
 // event of the clock on.
-func (c *Cluster) AddWorker(host wire.Machine, capacity quota.Room) *Worker {
+func (c *Cluster) AddWorker(host wire.Machine, capacity quota.Resources) *Worker {
 	w := &Worker{Host: host, Cap: capacity, Fetch: DefaultFetch, Session: 1, Images: map[string]bool{},
 		Node: c.rng.IntN(c.network.Nodes()), cluster: c, leased: c.Clock.Now(), changed: true}
 	c.Workers[host.ID] = w
@@ -80,7 +80,7 @@
 }
 
 // Free is the room that no task takes.
-func (w *Worker) Free() quota.Room {
+func (w *Worker) Free() quota.Resources {
 	free := w.Cap
 	for _, t := range w.Tasks {
 		if t.OnMachine() {
--- a/internal/submission/submission.go
+++ b/internal/submission/submission.go
@@ -83,8 +83,8 @@
 
 // block chooses the block of a new job.
 func (s *Slice) block(spec *wire.JobSpec) int {
-	if quota.Limited(s.facts.Teams, spec.Team) {
-		return quota.Home(s.facts.Teams, spec.Team, s.blocks)
+	if quota.HasLimit(s.facts.Teams, spec.Team) {
+		return quota.HomeShard(s.facts.Teams, spec.Team, s.blocks)
 	}
 	n := 0
 	for _, c := range spec.ID {
@@ -112,13 +112,13 @@
 	if len(machineTypes) == 0 {
 		return "", true
 	}
-	need := quota.Room{CPUs: spec.Vcpus, GPUs: spec.Gpus, MemGB: spec.MemGb}
+	need := quota.Resources{CPUs: spec.Vcpus, GPUs: spec.Gpus, MemGB: spec.MemGb}
 	zones := map[string]bool{}
 	for _, f := range machineTypes {
 		if !spec.AnyType && !slices.Contains(spec.Types, f.Name) {
 			continue
 		}
-		if !(quota.Room{CPUs: f.Vcpus, GPUs: f.Gpus, MemGB: f.MemGb}).Fits(need) {
+		if !(quota.Resources{CPUs: f.Vcpus, GPUs: f.Gpus, MemGB: f.MemGb}).Fits(need) {
 			continue
 		}
 		for _, y := range f.Zones {
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -46,7 +46,7 @@
 	Type    string
 	Zone    string
 	Spot    bool
-	Cap     quota.Room
+	Cap     quota.Resources
 	Fetch   float64 // GB of images a second, 0: not known
 
 	State   State
@@ -78,10 +78,10 @@
 	IdleFrom             time.Time
 
 	// The account of what may be on it, kept by placement.
-	Taken    quota.Room // by copies handed out, until they are known gone
-	Spares   quota.Room // the part of Taken that spares have
-	Promised quota.Room // to queued mains
-	Busy     int        // copies handed out and not known gone
+	Taken    quota.Resources // by copies handed out, until they are known gone
+	Spares   quota.Resources // the part of Taken that spares have
+	Promised quota.Resources // to queued mains
+	Busy     int             // copies handed out and not known gone
 	Images   map[string]time.Time
 	Blames   map[string]int // failures by job
 	DoBusy   bool           // a direct command is under way
@@ -102,10 +102,10 @@
 }
 
 // Free is the room not taken.
-func (m *Machine) Free() quota.Room { return m.Cap.Sub(m.Taken) }
+func (m *Machine) Free() quota.Resources { return m.Cap.Sub(m.Taken) }
 
 // FreeForMain is the room a main may claim: spares give way to it.
-func (m *Machine) FreeForMain() quota.Room {
+func (m *Machine) FreeForMain() quota.Resources {
 	return m.Cap.Sub(m.Taken).Add(m.Spares).Sub(m.Promised)
 }
 
