--- a/internal/controller/admin.go
+++ b/internal/controller/admin.go
@@ -30,23 +30,8 @@
 
 // HandleProbe is part of peer.Handler. It needs no state of the owner's.
 func (r *Runtime) HandleProbe(ctx context.Context, m *peerpb.ProbeRequest) (*peerpb.ProbeReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, tuning.ProbeTimeout)
-	defer cancel()
-	answered := make(chan bool, tuning.ProbeWorkers)
-	addrs := m.Addresses[:min(len(m.Addresses), tuning.ProbeWorkers)]
-	for _, addr := range addrs {
-		go func() {
-			defer acquire(r.fencingSlots)()
-			answered <- probeWorker(ctx, r.workers, addr)
-		}()
-	}
-	out := &peerpb.ProbeReply{}
-	for range addrs {
-		if <-answered {
-			out.Answered++
-		}
-	}
-	return out, nil
+	addresses := m.Addresses[:min(len(m.Addresses), tuning.ProbeWorkers)]
+	return &peerpb.ProbeReply{Answered: int32(r.effects.probe(ctx, addresses))}, nil
 }
 
 // HandleStatus is part of peer.Handler.
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -1,7 +1,7 @@
 package controller
 
 import (
-	"net/http"
+	"errors"
 	"time"
 
 	"juniperchute/internal/placement"
@@ -17,22 +17,22 @@
 	}
 	m.DoBusy = true
 	command := wire.DirectCommands{Token: t.Token, Incarnation: session, Commands: commands}
-	t.controller.effects.SendCommands(m.Address, command, t.controller.membership.LeaseDeadline(), func(now time.Time, status int, rep *wire.Heartbeat) {
+	t.controller.effects.SendCommands(m.Address, command, t.controller.membership.LeaseDeadline(), func(now time.Time, heartbeat *wire.Heartbeat, err error) {
 		if t.state == termEnded {
 			return
 		}
 		m.DoBusy = false
-		t.handleCommandResult(now, m, command, status, rep)
+		t.handleCommandResult(now, m, command, heartbeat, err)
 	})
 }
 
 // handleCommandResult takes in what came of a direct command.
-func (t *term) handleCommandResult(now time.Time, m *worker.Machine, command wire.DirectCommands, status int, rep *wire.Heartbeat) {
-	if status == NotSent {
+func (t *term) handleCommandResult(now time.Time, m *worker.Machine, command wire.DirectCommands, heartbeat *wire.Heartbeat, err error) {
+	if errors.Is(err, ErrDeadlinePassed) {
 		t.scheduler.SettleDirectCommands(m, command.Commands)
 		return
 	}
-	if status != http.StatusOK && status != http.StatusConflict || rep == nil || rep.Host != m.Host {
+	if err != nil || heartbeat.Host != m.Host {
 		if m.Session == command.Incarnation && len(command.Commands) > 0 {
 			m.OpenDo++
 		}
@@ -40,14 +40,14 @@
 	}
 	t.scheduler.SettleDirectCommands(m, command.Commands)
 	switch {
-	case rep.Token > t.Token:
+	case heartbeat.Token > t.Token:
 		t.end(now, "a machine has seen a higher token")
-	case rep.Token < t.Token:
+	case heartbeat.Token < t.Token:
 		// refused for its session: now that is known
-		t.fencing.incarnations[m.Host] = rep.Incarnation
+		t.fencing.incarnations[m.Host] = heartbeat.Incarnation
 		t.fencing.askAt[m.Host] = now
 	default:
-		t.applyHeartbeat(now, m, rep, false)
+		t.applyHeartbeat(now, m, heartbeat, false)
 		t.scheduleNow(now)
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -22,23 +22,6 @@
 	"juniperchute/internal/wire"
 )
 
-// Effects carries out effects. Each brings its result back to the goroutine that
-// owns the Core.
-type Effects interface {
-	CallState(c store.Call, then func(now time.Time, r store.Result))
-	CallCloud(c fleet.Call, then func(now time.Time, r fleet.Result))
-	// SendCommands sends a direct command unless that is only possible after a time: a
-	// process that stood still must not act on what it believed before. Status 0
-	// means that no answer came, NotSent that nothing was sent.
-	SendCommands(addr string, d wire.DirectCommands, by time.Time, then func(now time.Time, status int, rep *wire.Heartbeat))
-	SendHeartbeat(member string, m *peerpb.PeerHeartbeat, then func(now time.Time, r *peerpb.PeerHeartbeat, err error))
-	AskProgress(member string, m *peerpb.ProgressRequest, then func(now time.Time, r *peerpb.ProgressReply, err error))
-	ProbeWorkers(member string, m *peerpb.ProbeRequest, then func(now time.Time, r *peerpb.ProbeReply, err error))
-}
-
-// NotSent is the status of a direct command that was too late to be sent.
-const NotSent = -1
-
 // Controller is all state of one controller.
 type Controller struct {
 	config    *config.Config
@@ -51,8 +34,8 @@
 
 	membership         *leader.Membership
 	submissions        *submission.Slice
-	openJobs           *store.WatchCache // openJobs jobs of all blocks
-	provisionRequests  *store.WatchCache // provisionRequests of all blocks
+	openJobs           *store.WatchCache // open jobs of all shards
+	provisionRequests  *store.WatchCache // of all shards
 	shardOfMachine     map[string]int    // machines by the rentals that name them
 	terms              map[int]*term
 	machineTypes       map[string]wire.MachineType
@@ -273,5 +256,17 @@
 	}
 }
 
-// Submissions is the slice that answers users.
-func (c *Controller) Submissions() *submission.Slice { return c.submissions }
+// Submit answers a user who submits a job.
+func (c *Controller) Submit(now time.Time, spec wire.JobSpec, reply func(submission.Response)) {
+	c.submissions.Submit(now, spec, reply)
+}
+
+// Query answers a user who asks for a job's state.
+func (c *Controller) Query(now time.Time, job string, reply func(submission.Response)) {
+	c.submissions.Query(now, job, reply)
+}
+
+// Cancel answers a user who cancels a job.
+func (c *Controller) Cancel(now time.Time, job string, reply func(submission.Response)) {
+	c.submissions.Cancel(now, job, reply)
+}
--- /dev/null
+++ b/internal/controller/worker_client.go
@@ -0,0 +1,60 @@
+package controller
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+
+	"juniperchute/internal/tuning"
+	"juniperchute/internal/wire"
+)
+
+// workerClient sends requests straight to workers.
+type workerClient struct{ http *http.Client }
+
+// probe tells whether a worker answers.
+func (c workerClient) probe(ctx context.Context, address string) bool {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/show", nil)
+	if err != nil {
+		return false
+	}
+	resp, err := c.http.Do(req)
+	if err != nil {
+		return false
+	}
+	defer resp.Body.Close()
+	_, err = io.Copy(io.Discard, io.LimitReader(resp.Body, tuning.WorkerAnswerBytes))
+	return err == nil && resp.StatusCode == http.StatusOK
+}
+
+// send sends commands straight to a worker and returns the worker's state after them. The
+// worker executes all of them or, under an old token or for another incarnation, none: its
+// state tells which.
+func (c workerClient) send(ctx context.Context, address string, commands wire.DirectCommands) (*wire.Heartbeat, error) {
+	raw, err := json.Marshal(commands)
+	if err != nil {
+		return nil, fmt.Errorf("encode commands for %s: %w", address, err)
+	}
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/do", bytes.NewReader(raw))
+	if err != nil {
+		return nil, fmt.Errorf("send commands to %s: %w", address, err)
+	}
+	req.Header.Set("Content-Type", "application/json")
+	resp, err := c.http.Do(req)
+	if err != nil {
+		return nil, fmt.Errorf("send commands to %s: %w: %w", address, ErrNoReply, err)
+	}
+	defer resp.Body.Close()
+	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusConflict {
+		return nil, fmt.Errorf("send commands to %s: status %d", address, resp.StatusCode)
+	}
+	var heartbeat wire.Heartbeat
+	answer := io.LimitReader(resp.Body, tuning.WorkerAnswerBytes)
+	if err := json.NewDecoder(answer).Decode(&heartbeat); err != nil {
+		return nil, fmt.Errorf("read the answer of %s: %w", address, err)
+	}
+	return &heartbeat, nil
+}
--- a/internal/controller/listener.go
+++ b/internal/httpapi/listener.go
@@ -1,4 +1,4 @@
-package controller
+package httpapi
 
 import (
 	"context"
@@ -7,33 +7,9 @@
 	"sync"
 	"time"
 
-	"juniperchute/internal/config"
-	"juniperchute/internal/store"
 	"juniperchute/internal/tuning"
 )
 
-// connectionLimits are how many of a controller's own connections may be under way at once,
-// by what they are for, within the machine's limit of sockets.
-type connectionLimits struct {
-	commands int // direct commands, and as many again that only ask for an account
-	clients  int // connections of workers, users and health checks
-}
-
-// newConnectionLimits divides the sockets. Commands get a part that grows with the limit, as
-// a fifth of the machines may hang at once; clients get whatever the controller itself
-// does not need. Where that is fewer than the machines, workers take turns.
-func newConnectionLimits(l config.MachineLimits, peers int) connectionLimits {
-	p := connectionLimits{commands: max(tuning.DoCalls, int(float64(l.Sockets)*tuning.DoShare))}
-	own := 2*p.commands + stateConnections() + tuning.CloudCalls + 2*peers + tuning.OwnSockets
-	p.clients = max(tuning.ClientsLeast, l.Sockets-own)
-	return p
-}
-
-// stateConnections is how many connections to the state service there may be.
-func stateConnections() int {
-	return tuning.StateReads + store.Priorities*tuning.StateWrites + tuning.StateExtra
-}
-
 // limitedListener is the listener for workers, users and health checks. It keeps their
 // connections within a limit. When that is reached, a new one takes the place of the
 // user's connection that has been idle longest, so that users push no worker out and a
@@ -166,10 +142,3 @@
 	c.listener.lock.Unlock()
 	return c.listener.crowded()
 }
-
-// idleTimeout is after how long without a request a client's connection is closed:
-// a worker reports, and a user asks, several times within it, so one that does not
-// is dead, and after a cut there would be one of them for each machine.
-func idleTimeout(w config.Workers) time.Duration {
-	return max(tuning.IdleLeast, config.Seconds(w.HeartbeatS*tuning.IdleReports))
-}
