--- a/internal/controller/connection_limits.go
+++ b/internal/controller/connection_limits.go
@@ -17,13 +17,13 @@
 // a fifth of the machines may hang at once; clients get whatever the controller itself
 // does not need. Where that is fewer than the machines, workers take turns.
 func newConnectionLimits(l config.MachineLimits, peers int) connectionLimits {
-	p := connectionLimits{commands: max(tuning.DoCalls, int(float64(l.Sockets)*tuning.DoShare))}
-	own := 2*p.commands + stateConnections() + tuning.CloudCalls + 2*peers + tuning.OwnSockets
-	p.clients = max(tuning.ClientsLeast, l.Sockets-own)
+	p := connectionLimits{commands: max(tuning.CommandsInFlight, int(float64(l.Sockets)*tuning.CommandSocketShare))}
+	own := 2*p.commands + stateConnections() + tuning.CloudCallsInFlight + 2*peers + tuning.ReservedSockets
+	p.clients = max(tuning.MinClientConnections, l.Sockets-own)
 	return p
 }
 
 // stateConnections is how many connections to the state service there may be.
 func stateConnections() int {
-	return tuning.StateReads + store.Priorities*tuning.StateWrites + tuning.StateExtra
+	return tuning.StoreReadsInFlight + store.Priorities*tuning.StoreWritesInFlight + tuning.StoreExtraInFlight
 }
--- a/internal/controller/process_effects.go
+++ b/internal/controller/process_effects.go
@@ -38,7 +38,7 @@
 	post      func(event func(now time.Time))
 
 	state   *store.Client
-	cloud   *fleet.Client
+	cloud   *fleet.CloudClient
 	workers workerClient
 	peers   *peer.Clients
 
@@ -58,18 +58,18 @@
 	e := &processEffects{
 		ctx: context.Background(), clock: steady, log: log, latencies: latencies, post: post,
 		state:        store.NewClient(cfg.External.State, transport(stateConnections(), tuning.DialTimeout), steady.Now),
-		cloud:        fleet.NewClient(cfg.External.Cloud, transport(tuning.CloudCalls, tuning.DialTimeout)),
-		workers:      workerClient{&http.Client{Transport: transport(tuning.DoIdle, tuning.WorkerDial)}},
+		cloud:        fleet.NewCloudClient(cfg.External.Cloud, transport(tuning.CloudCallsInFlight, tuning.DialTimeout)),
+		workers:      workerClient{&http.Client{Transport: transport(tuning.CommandIdleConnections, tuning.WorkerDialTimeout)}},
 		peers:        peer.NewClients(cfg.Peers),
 		rateLimiter:  store.NewRateLimiter(cfg.Platform.State, len(cfg.Peers)+1),
-		readSlots:    make(slots, tuning.StateReads),
-		cloudSlots:   make(slots, tuning.CloudCalls),
+		readSlots:    make(slots, tuning.StoreReadsInFlight),
+		cloudSlots:   make(slots, tuning.CloudCallsInFlight),
 		commandSlots: make(slots, connections.commands),
 		fencingSlots: make(slots, connections.commands),
-		peerSlots:    make(slots, tuning.PeerCalls),
+		peerSlots:    make(slots, tuning.PeerCallsInFlight),
 	}
 	for i := range e.writeSlots {
-		e.writeSlots[i] = make(slots, tuning.StateWrites)
+		e.writeSlots[i] = make(slots, tuning.StoreWritesInFlight)
 	}
 	return e
 }
@@ -136,12 +136,12 @@
 }
 
 // CallCloud is part of Effects.
-func (e *processEffects) CallCloud(call fleet.Call, then func(now time.Time, result fleet.Result)) {
+func (e *processEffects) CallCloud(call fleet.CloudCall, then func(now time.Time, result fleet.CloudResult)) {
 	go func() {
 		defer e.cloudSlots.acquire()()
 		start := time.Now()
-		if !call.By.IsZero() && !e.clock.Advance().Before(call.By) {
-			e.post(func(now time.Time) { then(now, fleet.Result{}) })
+		if !call.Deadline.IsZero() && !e.clock.Advance().Before(call.Deadline) {
+			e.post(func(now time.Time) { then(now, fleet.CloudResult{}) })
 			return
 		}
 		result := e.cloud.Do(e.ctx, call)
@@ -165,7 +165,7 @@
 			e.post(func(now time.Time) { then(now, nil, ErrDeadlinePassed) })
 			return
 		}
-		ctx, cancel := context.WithTimeout(e.ctx, tuning.DoTimeout)
+		ctx, cancel := context.WithTimeout(e.ctx, tuning.CommandTimeout)
 		defer cancel()
 		heartbeat, err := e.workers.send(ctx, address, commands)
 		e.post(func(now time.Time) { then(now, heartbeat, err) })
@@ -176,7 +176,7 @@
 func (e *processEffects) SendHeartbeat(member string, heartbeat *peerpb.PeerHeartbeat,
 	then func(now time.Time, answer *peerpb.PeerHeartbeat, err error)) {
 	go func() { // one a second and peer: no slot, so that it waits behind nothing
-		ctx, cancel := context.WithTimeout(e.ctx, tuning.PulseTimeout)
+		ctx, cancel := context.WithTimeout(e.ctx, tuning.PeerHeartbeatTimeout)
 		defer cancel()
 		answer, err := e.peers.Peer(member).Pulse(ctx, heartbeat)
 		e.post(func(now time.Time) { then(now, answer, err) })
--- a/internal/controller/runtime.go
+++ b/internal/controller/runtime.go
@@ -23,7 +23,7 @@
 func LimitProcess(l config.MachineLimits) {
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(tuning.GCPercent)
-	debug.SetMemoryLimit(int64(l.MemoryMB * (1 << 20) * tuning.MemoryShare))
+	debug.SetMemoryLimit(int64(l.MemoryMB * (1 << 20) * tuning.HeapMemoryShare))
 }
 
 // queue holds events for the goroutine that owns all state.
@@ -67,9 +67,9 @@
 	r := &Runtime{
 		config: cfg, log: log, clock: steady,
 		latencies:  newLatencyRecorder(),
-		events:     make(queue, tuning.EventBuffer),
-		heartbeats: make(queue, tuning.EventBuffer),
-		requests:   make(queue, tuning.EventBuffer),
+		events:     make(queue, tuning.EventQueueSize),
+		heartbeats: make(queue, tuning.EventQueueSize),
+		requests:   make(queue, tuning.EventQueueSize),
 		done:       make(chan struct{}),
 	}
 	r.effects = newProcessEffects(cfg, connections, steady, log, &r.latencies, r.post)
@@ -119,12 +119,12 @@
 // neither behind a thousand heartbeats nor behind the results of all that the shard needs:
 // ticks go first, then results, then heartbeats and requests in turn.
 func (r *Runtime) runLoop(ctx context.Context, failed <-chan error) error {
-	ticker := time.NewTicker(tuning.TickEvery)
+	ticker := time.NewTicker(tuning.TickInterval)
 	defer ticker.Stop()
 	lastTick := r.clock.Now()
 	tick := func(time.Time) {
 		now := r.clock.Advance() // leases may have ended while the machine was suspended
-		r.logLateTick(now.Sub(lastTick) - tuning.TickEvery)
+		r.logLateTick(now.Sub(lastTick) - tuning.TickInterval)
 		lastTick = now
 		r.controller.Tick(now)
 		r.healthy.Store(r.controller.Healthy(now))
@@ -162,7 +162,7 @@
 
 // logLateTick warns of a tick that came late: leases and heartbeats are next.
 func (r *Runtime) logLateTick(late time.Duration) {
-	if late > tuning.LateTick {
+	if late > tuning.LateTickThreshold {
 		r.log.Warn("tick late for lack of processor time", "late", late, "goroutines", runtime.NumGoroutine(),
 			"events", len(r.events), "heartbeats", len(r.heartbeats), "requests", len(r.requests))
 	}
@@ -178,7 +178,7 @@
 		r.controller.EndTermsAfterSuspension(start)
 	}
 	event(start)
-	if took := r.clock.Now().Sub(start); took > tuning.SlowTurn {
+	if took := r.clock.Now().Sub(start); took > tuning.SlowEventThreshold {
 		r.log.Warn("event took long", "kind", kind, "took", took,
 			"events", len(r.events), "heartbeats", len(r.heartbeats), "requests", len(r.requests))
 	}
--- a/internal/controller/runtime_test.go
+++ b/internal/controller/runtime_test.go
@@ -29,7 +29,7 @@
 	cfg.External = config.External{Cloud: "127.0.0.1:1", State: state}
 	cfg.Platform.State.WriteRPS = 0.1
 	cfg.Platform.MachineLimits.Sockets = 2179
-	r := NewRuntime(cfg, Options{Blocks: tuning.Blocks}, clock.New(nil), slog.New(slog.NewTextHandler(io.Discard, nil)), rand.New(rand.NewPCG(1, 1)))
+	r := NewRuntime(cfg, Options{Blocks: tuning.Shards}, clock.New(nil), slog.New(slog.NewTextHandler(io.Discard, nil)), rand.New(rand.NewPCG(1, 1)))
 	r.effects.ctx = t.Context()
 	t.Cleanup(func() { close(r.done) })
 	return r
@@ -43,7 +43,7 @@
 	r := effects(t, srv.Listener.Addr().String())
 	written := 0
 	for class := range store.Priorities {
-		for range 3 * tuning.StateWrites {
+		for range 3 * tuning.StoreWritesInFlight {
 			r.effects.CallState(store.Call{Op: store.OpTransaction, Priority: store.Priority(class), Transaction: wire.Transaction{Writes: []wire.Write{store.Delete("a")}}},
 				func(time.Time, store.Result) { written++ })
 		}
@@ -53,7 +53,7 @@
 	for !read {
 		(<-r.events)(time.Now())
 	}
-	if written >= store.Priorities*tuning.StateWrites {
+	if written >= store.Priorities*tuning.StoreWritesInFlight {
 		t.Errorf("%d writes came first", written)
 	}
 }
@@ -122,13 +122,13 @@
 	defer srv.Close()
 	address := srv.Listener.Addr().String()
 	r := effects(t, "127.0.0.1:1")
-	r.effects.cloud = fleet.NewClient(address, http.DefaultTransport)
+	r.effects.cloud = fleet.NewCloudClient(address, http.DefaultTransport)
 	var suspended atomic.Int64
 	r.effects.clock = clock.New(func() (time.Duration, error) { return time.Duration(suspended.Load()), nil })
 	deadline := r.effects.clock.Now().Add(10 * time.Second)
 	cloudStatus, commandError := 0, error(nil)
 	call := func() {
-		r.effects.CallCloud(fleet.Call{Op: fleet.OpDelete, Hosts: []string{"i-1"}, By: deadline}, func(_ time.Time, res fleet.Result) { cloudStatus = res.Status })
+		r.effects.CallCloud(fleet.CloudCall{Operation: fleet.DeleteMachines, Hosts: []string{"i-1"}, Deadline: deadline}, func(_ time.Time, res fleet.CloudResult) { cloudStatus = res.Status })
 		(<-r.events)(r.effects.clock.Now())
 	}
 	command := func() {
--- a/internal/controller/worker_client.go
+++ b/internal/controller/worker_client.go
@@ -26,7 +26,7 @@
 		return false
 	}
 	defer resp.Body.Close()
-	_, err = io.Copy(io.Discard, io.LimitReader(resp.Body, tuning.WorkerAnswerBytes))
+	_, err = io.Copy(io.Discard, io.LimitReader(resp.Body, tuning.MaxWorkerResponseBytes))
 	return err == nil && resp.StatusCode == http.StatusOK
 }
 
@@ -52,7 +52,7 @@
 		return nil, fmt.Errorf("send commands to %s: status %d", address, resp.StatusCode)
 	}
 	var heartbeat wire.Heartbeat
-	answer := io.LimitReader(resp.Body, tuning.WorkerAnswerBytes)
+	answer := io.LimitReader(resp.Body, tuning.MaxWorkerResponseBytes)
 	if err := json.NewDecoder(answer).Decode(&heartbeat); err != nil {
 		return nil, fmt.Errorf("read the answer of %s: %w", address, err)
 	}
--- a/internal/httpapi/body.go
+++ b/internal/httpapi/body.go
@@ -21,10 +21,10 @@
 // larger is refused unread, and a small one that says its size is read into just that: what
 // a client only claims to send takes no memory.
 func readBody(w http.ResponseWriter, req *http.Request) ([]byte, error) {
-	if req.ContentLength > tuning.BodyBytes {
+	if req.ContentLength > tuning.MaxBodyBytes {
 		return nil, errBodyTooLarge
 	}
-	raw, err := readAll(http.MaxBytesReader(w, req.Body, tuning.BodyBytes), req.ContentLength)
+	raw, err := readAll(http.MaxBytesReader(w, req.Body, tuning.MaxBodyBytes), req.ContentLength)
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
@@ -37,7 +37,7 @@
 
 // readAll reads a body of the given length; -1: it is not known.
 func readAll(body io.Reader, length int64) ([]byte, error) {
-	if length < 0 || length > tuning.BodyAtOnce {
+	if length < 0 || length > tuning.BodyPreallocateBytes {
 		return io.ReadAll(body)
 	}
 	raw := make([]byte, length)
@@ -66,5 +66,5 @@
 }
 
 func writeError(w http.ResponseWriter, status int, text string) {
-	writeJSON(w, status, submission.Problem{Error: text}, 0)
+	writeJSON(w, status, submission.ErrorBody{Error: text}, 0)
 }
--- a/internal/httpapi/handlers.go
+++ b/internal/httpapi/handlers.go
@@ -29,12 +29,12 @@
 		writeJSON(w, http.StatusOK, struct{}{}, 0)
 		return
 	}
-	writeResponse(w, submission.Unable("cannot take requests"))
+	writeResponse(w, submission.UnavailableResponse("cannot take requests"))
 }
 
 func (s *Server) handleSubmit(w http.ResponseWriter, req *http.Request) {
 	if len(s.options.Requests) == cap(s.options.Requests) {
-		writeResponse(w, submission.Busy()) // before the work of reading it
+		writeResponse(w, submission.BusyResponse()) // before the work of reading it
 		return
 	}
 	raw, err := readBody(w, req)
@@ -83,7 +83,7 @@
 	answered := make(chan submission.Response, 1)
 	reply := func(response submission.Response) { answered <- response }
 	if !tryPost(s.options.Requests, func(now time.Time) { ask(now, reply) }) {
-		writeResponse(w, submission.Busy())
+		writeResponse(w, submission.BusyResponse())
 		return
 	}
 	select {
@@ -142,13 +142,13 @@
 // in hand, so it waits for its turn: refused, it would go to another node, be sent back and
 // ask again, when there is most to do.
 func (s *Server) waitForTurn(w http.ResponseWriter, req *http.Request, event func(now time.Time)) bool {
-	timeout := time.NewTimer(tuning.ReportWait)
+	timeout := time.NewTimer(tuning.HeartbeatQueueTimeout)
 	defer timeout.Stop()
 	select {
 	case s.options.Heartbeats <- event:
 		return true
 	case <-timeout.C:
-		writeResponse(w, submission.Unable("too many reports at once"))
+		writeResponse(w, submission.UnavailableResponse("too many reports at once"))
 	case <-req.Context().Done():
 	}
 	return false
--- a/internal/httpapi/listener.go
+++ b/internal/httpapi/listener.go
@@ -27,7 +27,7 @@
 }
 
 func newLimitedListener(l net.Listener, limit int, clock func() time.Time) *limitedListener {
-	return &limitedListener{Listener: l, limit: limit, sharedFrom: int(float64(limit) * tuning.SharedClients), clock: clock, open: map[*clientConnection]bool{}}
+	return &limitedListener{Listener: l, limit: limit, sharedFrom: int(float64(limit) * tuning.KeepAliveConnectionShare), clock: clock, open: map[*clientConnection]bool{}}
 }
 
 // clientConnection is one connection.
@@ -75,7 +75,7 @@
 	for c := range l.open {
 		switch {
 		case c.idleSince.IsZero():
-		case !c.hadRequest && now.Sub(c.idleSince) < tuning.FirstRequest:
+		case !c.hadRequest && now.Sub(c.idleSince) < tuning.FirstRequestTimeout:
 			// its first request is on its way: in a burst of new connections each
 			// would take the place of the one before
 		case c.isWorker:
--- a/internal/httpapi/server.go
+++ b/internal/httpapi/server.go
@@ -99,5 +99,5 @@
 // sends heartbeats, and a user asks, several times within it, so one that does not is dead,
 // and after a network partition there would be one of them for each machine.
 func idleTimeout(w config.Workers) time.Duration {
-	return max(tuning.IdleLeast, config.Seconds(w.HeartbeatS*tuning.IdleReports))
+	return max(tuning.MinConnectionIdleTimeout, config.Seconds(w.HeartbeatS*tuning.IdleConnectionHeartbeats))
 }
