--- a/internal/controller/admin.go
+++ b/internal/controller/admin.go
@@ -106,7 +106,7 @@
 		case res.OK():
 			c.log.Info("operators' setting changed", "name", name, "value", value)
 			reply(next, nil)
-		case res.Status == 409:
+		case errors.Is(res.Err, store.ErrConflict):
 			reply(c.settings, status.Error(codes.Aborted, "the settings were changed by somebody else just now; look at them again"))
 		default:
 			reply(c.settings, errors.New("the state service does not answer"))
--- a/internal/controller/completion_bitmaps_test.go
+++ b/internal/controller/completion_bitmaps_test.go
@@ -30,7 +30,7 @@
 	for _, w := range c.Transaction.Writes {
 		if len(w.Value) > s.limit {
 			s.refused[w.Put+string(w.Value)]++
-			then(s.now, store.Result{Status: 400})
+			then(s.now, store.Result{Err: store.ErrInvalid})
 			return
 		}
 	}
@@ -41,7 +41,7 @@
 			s.keys[w.Put] = wire.KeyValue{Key: w.Put, Value: w.Value, Version: s.revision}
 		}
 	}
-	then(s.now, store.Result{Status: 200, Revision: s.revision})
+	then(s.now, store.Result{Revision: s.revision})
 }
 
 // entries are the stored entries' names.
--- a/internal/controller/completions.go
+++ b/internal/controller/completions.go
@@ -2,8 +2,8 @@
 
 import (
 	"cmp"
+	"errors"
 	"maps"
-	"net/http"
 	"slices"
 	"time"
 
@@ -104,9 +104,9 @@
 		case r.OK():
 			t.log.Info("job done", "job", id, "class", j.Spec.Class, "took", t.controller.wallClock().Sub(j.AcceptedAt), "written_after", now.Sub(o.completedAt[id]))
 			t.closeJob(now, id)
-		case r.Status == http.StatusConflict && slices.Contains(r.FailedKeys, leader.ShardKey(t.Shard)):
+		case r.ConflictsOn(leader.ShardKey(t.Shard)):
 			t.onTermLost(now)
-		case r.Status == http.StatusConflict:
+		case errors.Is(r.Err, store.ErrConflict):
 			o.resolveConflict(now, id)
 		default:
 			o.retryAt[id] = now.Add(tuning.RecordRetry)
@@ -122,7 +122,7 @@
 		delete(o.endsInFlight, id)
 		o.retryAt[id] = now.Add(tuning.RecordRetry)
 		switch j := o.term.scheduler.OpenJob(id); {
-		case r.Status == http.StatusNotFound:
+		case errors.Is(r.Err, store.ErrNotFound):
 			o.term.closeJob(now, id)
 		case r.OK() && j != nil:
 			j.Version = r.KeyValue.Version
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -116,7 +116,7 @@
 						kv[w.Put] = wire.KeyValue{Key: w.Put, Value: w.Value, Version: revision}
 					}
 				}
-				then(now, store.Result{Status: 200, Revision: revision})
+				then(now, store.Result{Revision: revision})
 			}
 			tenure := func() (*completionBitmaps, *placement.Job) {
 				board.CloseJob(now, id, now)
--- a/internal/controller/intents_test.go
+++ b/internal/controller/intents_test.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"errors"
 	"fmt"
 	"strings"
 	"testing"
@@ -198,9 +199,9 @@
 	sim.state.Limits = standin.StateLimits{ValueBytes: 4 << 10, TxnOps: 8, Writes: writesPerS, Requests: 200}
 	refused := 0
 	check := sim.state.OnCall
-	sim.state.OnCall = func(c store.Call, status int) {
-		check(c, status)
-		if status == 429 {
+	sim.state.OnCall = func(c store.Call, err error) {
+		check(c, err)
+		if errors.Is(err, store.ErrThrottled) {
 			refused++
 		}
 	}
--- a/internal/controller/runtime.go
+++ b/internal/controller/runtime.go
@@ -266,10 +266,10 @@
 		start := time.Now()
 		res := r.state.Execute(r.ctx, c)
 		r.rateLimiterLock.Lock()
-		lowered := r.rateLimiter.Observe(r.clock.Now(), c, res.Status)
+		lowered := r.rateLimiter.Observe(r.clock.Now(), c, res.Err)
 		r.rateLimiterLock.Unlock()
 		if lowered {
-			r.log.Warn("the state service has lowered its limits", "status", res.Status)
+			r.log.Warn("the state service has lowered its limits", "error", res.Err)
 		}
 		if c.Op != store.OpWatch {
 			r.latencies.record(latencyState, time.Since(start))
--- a/internal/controller/runtime_test.go
+++ b/internal/controller/runtime_test.go
@@ -161,7 +161,7 @@
 	held := &heldState{}
 	core := NewController(cfg, Options{Blocks: 2}, held, rand.New(rand.NewPCG(1, 1)), func() time.Time { return now }, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	core.provisionRequests.Tick(now)
-	held.then(now, store.Result{Status: 200, SentAt: now, Revision: 5, KeyValues: []wire.KeyValue{
+	held.then(now, store.Result{SentAt: now, Revision: 5, KeyValues: []wire.KeyValue{
 		{Key: "h/1/b1-2-1", Value: []byte(`{"Number":1,"Hosts":["i-1"]}`), Version: 4}}})
 	for _, c := range []struct {
 		name, host string
--- a/internal/controller/simulation_effects_test.go
+++ b/internal/controller/simulation_effects_test.go
@@ -77,7 +77,7 @@
 		r.SentAt = sent
 		e.node.whenRunning(func() { then(sim.clk.Now(), r) })
 	}
-	sim.clk.In(c.Timeout(), func() { finish(store.Result{}) })
+	sim.clk.In(c.Timeout(), func() { finish(store.Result{Err: store.ErrNoResponse}) })
 	arrive := func() { e.stateArrives(c, finish) }
 	if sim.rates.slowState > 0 {
 		sooner, lag := arrive, time.Duration(sim.rng.Int64N(int64(sim.rates.slowState)))
@@ -105,7 +105,7 @@
 func (e *simulatedEffects) stateArrives(c store.Call, finish func(store.Result)) {
 	sim, n := e.node.sim, e.node
 	if n.stateRefused && (c.Op != store.OpWatch || c.WatchWaitMs == 0) {
-		sim.clk.In(sim.lag(), func() { finish(store.Result{Status: 503}) })
+		sim.clk.In(sim.lag(), func() { finish(store.Result{Err: store.ErrUnavailable}) })
 		return
 	}
 	if c.Op == store.OpWatch && n.silentWatches != "" && c.Prefix == n.silentWatches {
--- a/internal/controller/unreadable_test.go
+++ b/internal/controller/unreadable_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"strings"
 	"testing"
 	"time"
@@ -144,9 +145,9 @@
 		sim.cloud.Room[standin.RoomKey(smallType.Name, "a", false)] = 80
 		sim.state.Limits.ValueBytes = bytes
 		refused := map[string]int{}
-		sim.state.OnCall = func(c store.Call, status int) {
+		sim.state.OnCall = func(c store.Call, err error) {
 			for _, w := range c.Transaction.Writes {
-				if status == 400 && w.Lease == 0 {
+				if errors.Is(err, store.ErrInvalid) && w.Lease == 0 {
 					refused[w.Put+string(w.Value)]++
 				}
 			}
--- a/internal/fleet/duties_test.go
+++ b/internal/fleet/duties_test.go
@@ -155,7 +155,7 @@
 	y.duties.Record(y.now, intentlog.Deprovision, "i-2", "idle")
 	y.s.strike(y.now, "i-2")
 	for _, then := range older {
-		then(y.now, store.Result{Status: 200, Revision: 20})
+		then(y.now, store.Result{Revision: 20})
 	}
 	h := y.s.by["i-3"]
 	if len(h.gone) != 1 || h.gone[0].host != "i-2" {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -68,7 +68,7 @@
 	for len(y.kvs) > 0 {
 		then := y.kvs[0]
 		y.kv, y.kvs = y.kv[1:], y.kvs[1:]
-		then(y.now, store.Result{Status: 200, Revision: 9})
+		then(y.now, store.Result{Revision: 9})
 	}
 }
 
--- a/internal/integration/http_test.go
+++ b/internal/integration/http_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"io"
 	"net"
 	"net/http"
@@ -49,6 +50,27 @@
 	return c
 }
 
+// stateStatuses are the HTTP statuses of the state service's errors.
+var stateStatuses = map[error]int{
+	store.ErrInvalid:     http.StatusBadRequest,
+	store.ErrNotFound:    http.StatusNotFound,
+	store.ErrCompacted:   http.StatusGone,
+	store.ErrThrottled:   http.StatusTooManyRequests,
+	store.ErrUnavailable: http.StatusServiceUnavailable,
+}
+
+// stateStatus is the HTTP status of a call's result, and the failed keys of a conflict.
+func stateStatus(err error) (status int, failedKeys []string) {
+	if err == nil {
+		return http.StatusOK, nil
+	}
+	var conflict *store.ConflictError
+	if errors.As(err, &conflict) {
+		return http.StatusConflict, conflict.FailedKeys
+	}
+	return stateStatuses[err], nil
+}
+
 func (d *deployment) serveState(w http.ResponseWriter, req *http.Request) {
 	c := stateCall(req)
 	ch := make(chan store.Result, 1)
@@ -57,11 +79,12 @@
 	select {
 	case r := <-ch:
 		d.gate.pass(answered, c)
-		if c.Op == store.OpGet && r.Status == http.StatusOK {
-			reply(w, r.Status, r.KeyValue)
+		status, failedKeys := stateStatus(r.Err)
+		if c.Op == store.OpGet && status == http.StatusOK {
+			reply(w, status, r.KeyValue)
 			return
 		}
-		reply(w, r.Status, map[string]any{"Items": r.KeyValues, "More": r.More, "Epoch": r.Revision, "failed": r.FailedKeys, "Hold": r.Lease, "Events": r.Events})
+		reply(w, status, map[string]any{"Items": r.KeyValues, "More": r.More, "Epoch": r.Revision, "failed": failedKeys, "Hold": r.Lease, "Events": r.Events})
 	case <-req.Context().Done():
 	}
 }
--- a/internal/integration/upgrade_test.go
+++ b/internal/integration/upgrade_test.go
@@ -107,7 +107,7 @@
 
 // checkWrites checks that nothing is written beyond the limits once they have fallen.
 // From then on all writers are the new version.
-func (r *rollout) checkWrites(c store.Call, _ int) {
+func (r *rollout) checkWrites(c store.Call, _ error) {
 	if !r.fallen {
 		return
 	}
--- a/internal/intentlog/log_test.go
+++ b/internal/intentlog/log_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -50,7 +51,7 @@
 
 // An action goes from entry to settlement in this order only, whatever is asked of it.
 func TestStages(t *testing.T) {
-	taken := store.Result{Status: 200, Revision: 9}
+	taken := store.Result{Revision: 9}
 	enter := func(x *testLog) { x.Record(now, Deprovision, "i-1", "idle") }
 	entered := func(x *testLog) { enter(x); x.answer(taken) }
 	sent := func(x *testLog) { entered(x); x.StartCall(now, x.action("i-1")) }
@@ -61,9 +62,12 @@
 		send bool // a call may be made
 	}{
 		{"decided", enter, Recording, false},
-		{"its entry is refused", func(x *testLog) { enter(x); x.answer(store.Result{Status: 503}) }, Recording, false},
-		{"its entry is not answered", func(x *testLog) { enter(x); x.answer(store.Result{}) }, Recording, false},
-		{"the tenure is over", func(x *testLog) { enter(x); x.answer(store.Result{Status: 409, FailedKeys: []string{"c/b/0"}}) }, Recording, false},
+		{"its entry is refused", func(x *testLog) { enter(x); x.answer(store.Result{Err: store.ErrUnavailable}) }, Recording, false},
+		{"its entry is not answered", func(x *testLog) { enter(x); x.answer(store.Result{Err: store.ErrNoResponse}) }, Recording, false},
+		{"the tenure is over", func(x *testLog) {
+			enter(x)
+			x.answer(store.Result{Err: &store.ConflictError{FailedKeys: []string{"c/b/0"}}})
+		}, Recording, false},
 		{"entered", entered, Recorded, true},
 		{"sent", sent, InFlight, false},
 		{"the call was refused", func(x *testLog) { sent(x); x.FinishCall(now, x.action("i-1"), NotExecuted) }, Recorded, true},
@@ -121,7 +125,7 @@
 	if first.Compares[0] != store.VersionEquals("c/b/0", 3) || first.Compares[1] != store.VersionEquals("d/0/0", 0) {
 		t.Errorf("conditions: %v", first.Compares)
 	}
-	x.answer(store.Result{Status: 200, Revision: 9})
+	x.answer(store.Result{Revision: 9})
 	if ready := len(x.Ready(Deprovision)); ready != 1 {
 		t.Errorf("%d are ready after the first write, which had one", ready)
 	}
@@ -133,7 +137,7 @@
 	if entries, err := ReadPage(x.sent[0].Transaction.Writes[0].Value); err != nil || len(entries) != 5 || entries[0].Token != 7 {
 		t.Errorf("%v, %v", entries, err)
 	}
-	x.answer(store.Result{Status: 200, Revision: 10})
+	x.answer(store.Result{Revision: 10})
 	if ready := len(x.Ready(Deprovision)); ready != 5 {
 		t.Errorf("%d are ready", ready)
 	}
@@ -228,8 +232,8 @@
 				t.Fatalf("passes: %v", passes)
 			}
 			if !c.passes {
-				if got.Status != 409 {
-					t.Errorf("answered %d", got.Status)
+				if !errors.Is(got.Err, store.ErrConflict) {
+					t.Errorf("answered %v", got.Err)
 				}
 				return
 			}
@@ -237,7 +241,7 @@
 			if s := status(); s.Operation != Cleanup || s.RemovalsInFlight != c.counts || s.OldestRemovalSentAt.IsZero() != (c.counts == 0) {
 				t.Errorf("%+v", s)
 			}
-			x.answer(store.Result{Status: 200})
+			x.answer(store.Result{})
 			if s := status(); s.RemovalsInFlight != 0 || s.RemovalsDone != c.counts {
 				t.Errorf("%+v", s)
 			}
--- a/internal/intentlog/model_test.go
+++ b/internal/intentlog/model_test.go
@@ -145,14 +145,14 @@
 	nobody := func(store.Result) {}
 	switch fate {
 	case 0:
-		answer(store.Result{Status: 429})
+		answer(store.Result{Err: store.ErrThrottled})
 	case 1: // lost
-		answer(store.Result{})
+		answer(store.Result{Err: store.ErrNoResponse})
 	case 2: // the answer is lost
 		execute(nobody)
-		answer(store.Result{})
+		answer(store.Result{Err: store.ErrNoResponse})
 	case 3: // it comes late, when nobody waits for it
-		answer(store.Result{})
+		answer(store.Result{Err: store.ErrNoResponse})
 		m.calls = append(m.calls, &stateCall{call: c.call})
 	default:
 		execute(answer)
--- a/internal/intentlog/removals.go
+++ b/internal/intentlog/removals.go
@@ -1,7 +1,6 @@
 package intentlog
 
 import (
-	"net/http"
 	"slices"
 	"strings"
 	"time"
@@ -30,7 +29,7 @@
 		}
 		if !slices.Contains(c.Transaction.Compares, l.options.TermCompare) {
 			l.options.Log.Error("duty: a removal that is not conditioned on the tenure is refused", "removals", removed)
-			then(l.options.WallClock(), store.Result{Status: http.StatusConflict, FailedKeys: []string{l.options.TermCompare.Key}})
+			then(l.options.WallClock(), store.Result{Err: &store.ConflictError{FailedKeys: []string{l.options.TermCompare.Key}}})
 			return
 		}
 		if l.removals.inFlight == 0 {
--- a/internal/leader/lease.go
+++ b/internal/leader/lease.go
@@ -1,6 +1,7 @@
 package leader
 
 import (
+	"errors"
 	"time"
 
 	"juniperchute/internal/store"
@@ -50,7 +51,7 @@
 			if d := leaseDeadlineAfter(r.SentAt); d.After(s.leaseDeadline) {
 				s.leaseDeadline = d
 			}
-		case r.Status == 404:
+		case errors.Is(r.Err, store.ErrNotFound):
 			s.dropLease("lease ended")
 		default:
 			s.renewAt = now.Add(tuning.MemberRetry)
@@ -76,9 +77,9 @@
 			s.setState(memberJoined, "record written")
 			s.retryAt = now
 			s.Tick(now)
-		case r.Status == 400:
+		case errors.Is(r.Err, store.ErrInvalid):
 			s.dropLease("lease ended while joining")
-		case r.Status == 0 || r.Status == 409:
+		case errors.Is(r.Err, store.ErrNoResponse) || errors.Is(r.Err, store.ErrConflict):
 			// perhaps written after all: the mirror will tell
 			if m, ok := s.members[s.self]; ok && m.value.Incarnation == lease {
 				s.setState(memberJoined, "record found")
--- a/internal/leader/membership_test.go
+++ b/internal/leader/membership_test.go
@@ -54,14 +54,14 @@
 // join makes the node a member beside what the records already hold.
 func (e *elect) join(t *testing.T, items ...wire.KeyValue) {
 	e.s.Tick(e.now)
-	e.answer(t, store.OpList, store.Result{Status: 200, Revision: 50, KeyValues: items})
-	e.answer(t, store.OpGrantLease, store.Result{Status: 200, Lease: 7})
-	e.answer(t, store.OpTransaction, store.Result{Status: 200, Revision: 60})
+	e.answer(t, store.OpList, store.Result{Revision: 50, KeyValues: items})
+	e.answer(t, store.OpGrantLease, store.Result{Lease: 7})
+	e.answer(t, store.OpTransaction, store.Result{Revision: 60})
 	var changes []wire.Event
 	for _, it := range []wire.KeyValue{put("c/m/n0", MemberRecord{Member: "n0", Incarnation: 7}, 60)} {
 		changes = append(changes, wire.Event{Put: it.Key, Value: it.Value, Version: it.Version})
 	}
-	e.answer(t, store.OpWatch, store.Result{Status: 200, Revision: 60, Events: changes})
+	e.answer(t, store.OpWatch, store.Result{Revision: 60, Events: changes})
 	e.now = e.now.Add(time.Millisecond)
 	e.s.Tick(e.now)
 }
@@ -167,19 +167,19 @@
 	}
 	e.now = start.Add(tuning.MemberTouch)
 	e.s.Tick(e.now)
-	e.answer(t, store.OpRenewLease, store.Result{Status: 503})
+	e.answer(t, store.OpRenewLease, store.Result{Err: store.ErrUnavailable})
 	if at(tuning.MemberLease) {
 		t.Error("a refused renewal counts as one")
 	}
 	e.now = start.Add(2 * tuning.MemberTouch)
 	e.s.Tick(e.now)
-	e.answer(t, store.OpRenewLease, store.Result{Status: 200})
+	e.answer(t, store.OpRenewLease, store.Result{})
 	if !at(tuning.MemberLease) {
 		t.Error("a renewal does not count")
 	}
 	e.now = start.Add(4 * tuning.MemberTouch)
 	e.s.Tick(e.now)
-	e.answer(t, store.OpRenewLease, store.Result{Status: 404})
+	e.answer(t, store.OpRenewLease, store.Result{Err: store.ErrNotFound})
 	if e.s.LeaseValid(e.now) || e.s.Incarnation() != 0 || len(e.s.Terms()) != 0 {
 		t.Error("acts for a lease that has ended")
 	}
@@ -210,12 +210,12 @@
 	}
 	// the second was sent 2 s after the grant and is answered first
 	at, then := sent.Add(2*tuning.MemberTouch), e.then[len(e.then)-2]
-	then(e.now, store.Result{Status: 200, SentAt: at})
+	then(e.now, store.Result{SentAt: at})
 	if got := e.s.LeaseDeadline(); !got.Equal(leaseDeadlineAfter(at)) {
 		t.Errorf("the lease stands until %v after the renewal, want %v", got.Sub(at), leaseDeadlineAfter(at).Sub(at))
 	}
 	// an earlier one's answer does not shorten it
-	e.then[len(e.then)-3](e.now, store.Result{Status: 200, SentAt: sent.Add(tuning.MemberTouch)})
+	e.then[len(e.then)-3](e.now, store.Result{SentAt: sent.Add(tuning.MemberTouch)})
 	if got := e.s.LeaseDeadline(); !got.Equal(leaseDeadlineAfter(at)) {
 		t.Errorf("an earlier answer moved the end to %v", got.Sub(at))
 	}
--- a/internal/standin/actions.go
+++ b/internal/standin/actions.go
@@ -48,19 +48,19 @@
 func NewActionCheck(cluster *Cluster, state *StateService, cloud *Cloud) *ActionCheck {
 	c := &ActionCheck{Effects: map[intentlog.Operation]int{}, cluster: cluster, state: state, entered: map[string]intentlog.Entry{}, pages: map[string]map[string]bool{}}
 	before := state.OnCall
-	state.OnCall = func(call store.Call, status int) {
+	state.OnCall = func(call store.Call, err error) {
 		if before != nil {
-			before(call, status)
+			before(call, err)
 		}
-		c.stored(call, status)
+		c.stored(call, err)
 	}
 	cloud.OnRent, cloud.OnDelete, cluster.Started = c.rented, c.deleted, c.started
 	return c
 }
 
 // stored takes note of entries that have just become durable.
-func (c *ActionCheck) stored(call store.Call, status int) {
-	if status != 200 {
+func (c *ActionCheck) stored(call store.Call, err error) {
+	if err != nil {
 		return
 	}
 	for _, w := range call.Transaction.Writes {
--- a/internal/standin/actions_test.go
+++ b/internal/standin/actions_test.go
@@ -42,7 +42,7 @@
 	}
 	x.state.Call(store.Call{Op: store.OpTransaction, Transaction: wire.Transaction{Writes: []wire.Write{w}}}, func(r store.Result) {
 		if !r.OK() {
-			t.Fatalf("write of %s: %d", key, r.Status)
+			t.Fatalf("write of %s: %v", key, r.Err)
 		}
 	})
 }
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -49,7 +49,7 @@
 	Page     int // keys that a list shows at most
 	Kept     int // changes that are remembered
 	// OnCall is told of each call that has been decided, before its reply; nil: nobody.
-	OnCall func(c store.Call, status int)
+	OnCall func(c store.Call, err error)
 
 	clk         *Clock
 	rng         *rand.Rand
@@ -168,9 +168,9 @@
 
 func (s *StateService) changes(under string, since uint64) (store.Result, bool) {
 	if since < s.oldest {
-		return store.Result{Status: 410}, true
+		return store.Result{Err: store.ErrCompacted}, true
 	}
-	r := store.Result{Status: 200, Revision: s.Revision}
+	r := store.Result{Revision: s.Revision}
 	for _, c := range s.log {
 		if c.Version > since && strings.HasPrefix(c.Put+c.Delete, under) {
 			r.Events = append(r.Events, c)
@@ -184,39 +184,39 @@
 	if s.OnCall != nil {
 		then := reply
 		reply = func(r store.Result) {
-			s.OnCall(c, r.Status)
+			s.OnCall(c, r.Err)
 			then(r)
 		}
 	}
 	if s.down && (c.Op != store.OpWatch || c.WatchWaitMs == 0) {
-		reply(store.Result{Status: 503})
+		reply(store.Result{Err: store.ErrUnavailable})
 		return
 	}
 	if !s.requestRate.take(s.clk.Now(), s.Limits.Requests, 1) {
-		reply(store.Result{Status: 429})
+		reply(store.Result{Err: store.ErrThrottled})
 		return
 	}
 	switch c.Op {
 	case store.OpGet:
 		if it, ok := s.Keys[c.Key]; ok {
-			reply(store.Result{Status: 200, KeyValue: it})
+			reply(store.Result{KeyValue: it})
 		} else {
-			reply(store.Result{Status: 404, Revision: s.Revision})
+			reply(store.Result{Err: store.ErrNotFound, Revision: s.Revision})
 		}
 	case store.OpList:
 		reply(s.list(c))
 	case store.OpGrantLease:
 		s.nextLease++
 		s.leases[s.nextLease] = &lease{c.LeaseTTL, s.clk.Now().Add(c.LeaseTTL)}
-		reply(store.Result{Status: 200, Lease: s.nextLease})
+		reply(store.Result{Lease: s.nextLease})
 	case store.OpRenewLease:
 		h := s.leases[c.Lease]
 		if h == nil {
-			reply(store.Result{Status: 404})
+			reply(store.Result{Err: store.ErrNotFound})
 			return
 		}
 		h.ends = s.clk.Now().Add(h.life)
-		reply(store.Result{Status: 200, Lease: c.Lease})
+		reply(store.Result{Lease: c.Lease})
 	case store.OpTransaction:
 		reply(s.multi(c.Transaction))
 	case store.OpWatch:
@@ -233,7 +233,7 @@
 		}
 	}
 	sort.Strings(keys)
-	r := store.Result{Status: 200, Revision: s.Revision}
+	r := store.Result{Revision: s.Revision}
 	for _, k := range keys {
 		if len(r.KeyValues) == s.Page {
 			r.More = true
@@ -259,7 +259,7 @@
 		}
 		s.watches = slices.Delete(s.watches, i, i+1)
 		if !s.down {
-			reply(store.Result{Status: 200, Revision: s.Revision})
+			reply(store.Result{Revision: s.Revision})
 		}
 	})
 }
@@ -267,10 +267,10 @@
 // multi executes a transaction.
 func (s *StateService) multi(m wire.Transaction) store.Result {
 	if !s.allowed(m) {
-		return store.Result{Status: 400}
+		return store.Result{Err: store.ErrInvalid}
 	}
 	if n := float64(len(m.Writes)); n > 0 && !s.writeRate.take(s.clk.Now(), s.Limits.Writes, n) {
-		return store.Result{Status: 429}
+		return store.Result{Err: store.ErrThrottled}
 	}
 	var failed []string
 	for _, c := range m.Compares {
@@ -279,7 +279,7 @@
 		}
 	}
 	if len(failed) > 0 {
-		return store.Result{Status: 409, FailedKeys: failed, Revision: s.Revision}
+		return store.Result{Err: &store.ConflictError{FailedKeys: failed}, Revision: s.Revision}
 	}
 	if len(m.Writes) > 0 {
 		s.Revision++
@@ -288,7 +288,7 @@
 		}
 		s.wake()
 	}
-	return store.Result{Status: 200, Revision: s.Revision}
+	return store.Result{Revision: s.Revision}
 }
 
 // allowed tells whether a transaction is within the limits of size and names no lease
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"context"
 	"encoding/json"
+	"fmt"
 	"io"
 	"net/http"
 	"net/url"
@@ -34,7 +35,7 @@
 	method, path, body := call.request()
 	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, bytes.NewReader(body))
 	if err != nil {
-		return Result{SentAt: c.now()}
+		return Result{Err: noResponse(err), SentAt: c.now()}
 	}
 	if body != nil {
 		req.Header.Set("Content-Type", "application/json")
@@ -42,17 +43,19 @@
 	res := Result{SentAt: c.now()}
 	resp, err := c.http.Do(req)
 	if err != nil {
+		res.Err = noResponse(err)
 		return res
 	}
 	defer resp.Body.Close()
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, tuning.StateAnswerBytes+1))
 	if err != nil {
+		res.Err = noResponse(err)
 		return res
 	}
 	if len(raw) > tuning.StateAnswerBytes && call.Op == OpWatch {
 		// Asked again the same changes would come, and more: the keys have to be read
 		// anew, a page at a time.
-		res.Status = http.StatusGone
+		res.Err = ErrCompacted
 		return res
 	}
 	var out struct {
@@ -65,14 +68,18 @@
 	}
 	if err := json.Unmarshal(raw, &out); err != nil && resp.StatusCode == http.StatusOK {
 		// an answer that cannot be read is as good as none
+		res.Err = noResponse(err)
 		return res
 	}
-	res.Status = resp.StatusCode
+	res.Err = statusError(resp.StatusCode, out.Failed)
 	res.KeyValue, res.KeyValues, res.More = out.KeyValue, out.Items, out.More
-	res.Revision, res.FailedKeys, res.Lease, res.Events = out.Revision, out.Failed, out.Lease, out.Events
+	res.Revision, res.Lease, res.Events = out.Revision, out.Lease, out.Events
 	return res
 }
 
+// noResponse is ErrNoResponse with its cause.
+func noResponse(cause error) error { return fmt.Errorf("%w: %w", ErrNoResponse, cause) }
+
 func (c Call) request() (method, path string, body []byte) {
 	switch c.Op {
 	case OpGet:
--- a/internal/store/desired_value.go
+++ b/internal/store/desired_value.go
@@ -2,7 +2,7 @@
 
 import (
 	"encoding/json"
-	"slices"
+	"errors"
 	"time"
 
 	"juniperchute/internal/tuning"
@@ -99,13 +99,13 @@
 				r.version = 0
 			}
 			r.markDurable(now, ver)
-		case res.Status == 409 && slices.Contains(res.FailedKeys, r.termCompare.Key):
+		case res.ConflictsOn(r.termCompare.Key):
 			r.setState(valueDirty)
 			r.retryAt = now.Add(tuning.RecordRetry)
 			r.onTermLost(now)
-		case res.Status == 409:
+		case errors.Is(res.Err, ErrConflict):
 			r.readVersion(now)
-		case res.Status == 400:
+		case errors.Is(res.Err, ErrInvalid):
 			r.handleTooLarge(now, ver)
 		default:
 			r.setState(valueDirty)
@@ -147,10 +147,10 @@
 	r.setState(valueReadingVersion)
 	r.stateCall(Call{Op: OpGet, Priority: r.priority, Key: r.Key}, func(now time.Time, res Result) {
 		r.setState(valueDirty)
-		switch res.Status {
-		case 200:
+		switch {
+		case res.OK():
 			r.version = res.KeyValue.Version
-		case 404:
+		case errors.Is(res.Err, ErrNotFound):
 			r.version = 0
 		default:
 			r.retryAt = now.Add(tuning.RecordRetry)
--- a/internal/store/pages_test.go
+++ b/internal/store/pages_test.go
@@ -22,7 +22,7 @@
 	call := func(c Call, then func(time.Time, Result)) {
 		for _, cond := range c.Transaction.Compares {
 			if cond.Key != "c/b/0" && kv[cond.Key].Version != cond.Version {
-				then(now, Result{Status: 409, FailedKeys: []string{cond.Key}})
+				then(now, Result{Err: &ConflictError{FailedKeys: []string{cond.Key}}})
 				return
 			}
 		}
@@ -36,7 +36,7 @@
 				kv[w.Put] = wire.KeyValue{Key: w.Put, Value: w.Value, Version: revision}
 			}
 		}
-		then(now, Result{Status: 200, Revision: revision})
+		then(now, Result{Revision: revision})
 	}
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
 	open := func() *Pages {
@@ -154,7 +154,7 @@
 			}
 			then := calls[i].then
 			calls = append(calls[:i:i], calls[i+1:]...)
-			then(now, Result{Status: 200, Revision: revision})
+			then(now, Result{Revision: revision})
 		}
 	}
 	delete(want, "i-000003")
@@ -266,14 +266,14 @@
 	now := s.now
 	for _, cond := range c.Transaction.Compares {
 		if cond.Key != "c/b/0" && s.keys[cond.Key].Version != cond.Version {
-			then(now, Result{Status: 409, FailedKeys: []string{cond.Key}})
+			then(now, Result{Err: &ConflictError{FailedKeys: []string{cond.Key}}})
 			return
 		}
 	}
 	for _, w := range c.Transaction.Writes {
 		if len(w.Value) > s.limit {
 			s.refused = append(s.refused, w.Put+string(w.Value))
-			then(now, Result{Status: 400})
+			then(now, Result{Err: ErrInvalid})
 			return
 		}
 	}
@@ -284,5 +284,5 @@
 			s.keys[w.Put] = wire.KeyValue{Key: w.Put, Value: w.Value, Version: s.revision}
 		}
 	}
-	then(now, Result{Status: 200, Revision: s.revision})
+	then(now, Result{Revision: s.revision})
 }
--- a/internal/store/rate_limiter.go
+++ b/internal/store/rate_limiter.go
@@ -1,7 +1,7 @@
 package store
 
 import (
-	"net/http"
+	"errors"
 	"slices"
 	"time"
 
@@ -130,11 +130,11 @@
 // beyond what the nodes' uneven shares explain, or one for a value's or transaction's
 // size. A burst of other nodes looks the same, so the present rate is tried again later,
 // at growing intervals.
-func (b *RateLimiter) Observe(now time.Time, c Call, status int) (lowered bool) {
+func (b *RateLimiter) Observe(now time.Time, c Call, err error) (lowered bool) {
 	switch {
-	case rejectedForSize(c, status):
+	case rejectedForSize(c, err):
 		b.rejections = tuning.LowerAfter
-	case status == http.StatusTooManyRequests:
+	case errors.Is(err, ErrThrottled):
 		b.setShare(now, b.minShare())
 		b.shareReviewAt = now.Add(tuning.SharePause)
 		b.drainBucket(now, c)
@@ -151,9 +151,9 @@
 
 // rejectedForSize tells whether a write was refused for a limit of size: the only other
 // cause is a lease that has ended.
-func rejectedForSize(c Call, status int) bool {
+func rejectedForSize(c Call, err error) bool {
 	leased := slices.ContainsFunc(c.Transaction.Writes, func(w wire.Write) bool { return w.Lease != 0 })
-	return status == http.StatusBadRequest && len(c.Transaction.Writes) > 0 && !leased
+	return errors.Is(err, ErrInvalid) && len(c.Transaction.Writes) > 0 && !leased
 }
 
 // drainBucket empties the bucket of the rate that was refused: other nodes have used it up. As
--- a/internal/store/rate_limiter_test.go
+++ b/internal/store/rate_limiter_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"math/rand/v2"
-	"net/http"
 	"testing"
 	"time"
 
@@ -45,22 +44,22 @@
 	write := Call{Op: OpTransaction, Priority: PriorityUser, Transaction: wire.Transaction{Writes: []wire.Write{Delete("a")}}}
 	leased := Call{Op: OpTransaction, Transaction: wire.Transaction{Writes: []wire.Write{{Put: "c/leader", Lease: 7}}}}
 	for _, c := range []struct {
-		name   string
-		call   Call
-		status int
-		every  time.Duration
-		n      int
-		want   bool
+		name  string
+		call  Call
+		err   error
+		every time.Duration
+		n     int
+		want  bool
 	}{
-		{"answers as usual", write, 200, time.Millisecond, 100, false},
-		{"conflicts", write, 409, time.Millisecond, 100, false},
-		{"an outage", write, 503, time.Millisecond, 100, false},
-		{"a few refusals in a burst", write, 429, 100 * time.Millisecond, 8, false},
-		{"refusals now and then", write, 429, 2 * time.Second, 60, false},
-		{"a rate of refusals", write, 429, 300 * time.Millisecond, 20, true},
-		{"one for a size", write, 400, 0, 1, true},
-		{"a lease that has ended", leased, 400, 0, 3, false},
-		{"a malformed question", Call{Op: OpGet}, 400, 0, 3, false},
+		{"answers as usual", write, nil, time.Millisecond, 100, false},
+		{"conflicts", write, &ConflictError{}, time.Millisecond, 100, false},
+		{"an outage", write, ErrUnavailable, time.Millisecond, 100, false},
+		{"a few refusals in a burst", write, ErrThrottled, 100 * time.Millisecond, 8, false},
+		{"refusals now and then", write, ErrThrottled, 2 * time.Second, 60, false},
+		{"a rate of refusals", write, ErrThrottled, 300 * time.Millisecond, 20, true},
+		{"one for a size", write, ErrInvalid, 0, 1, true},
+		{"a lease that has ended", leased, ErrInvalid, 0, 3, false},
+		{"a malformed question", Call{Op: OpGet}, ErrInvalid, 0, 3, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Unix(100, 0)
@@ -68,7 +67,7 @@
 			lowered := false
 			for range c.n {
 				now = now.Add(c.every)
-				lowered = b.Observe(now, c.call, c.status) || lowered
+				lowered = b.Observe(now, c.call, c.err) || lowered
 			}
 			now = now.Add(time.Minute)
 			n := 0
@@ -105,7 +104,7 @@
 			now := start
 			for range tuning.LowerAfter {
 				now = now.Add(100 * time.Millisecond)
-				b.Observe(now, write, http.StatusTooManyRequests)
+				b.Observe(now, write, ErrThrottled)
 			}
 			if b.level != limitsLowered {
 				t.Fatalf("level %v", b.level)
@@ -118,7 +117,7 @@
 				}
 				if c.fallen && service < 1 {
 					refused++
-					b.Observe(now, write, http.StatusTooManyRequests)
+					b.Observe(now, write, ErrThrottled)
 					continue
 				}
 				service--
@@ -179,11 +178,11 @@
 							continue
 						}
 						if service < 1 {
-							b.Observe(now, write(class), http.StatusTooManyRequests)
+							b.Observe(now, write(class), ErrThrottled)
 							continue
 						}
 						service--
-						b.Observe(now, write(class), http.StatusOK)
+						b.Observe(now, write(class), nil)
 						if class == PriorityUser {
 							longest[i] = max(longest[i], now.Sub(lastUser[i]))
 							lastUser[i] = now
@@ -233,14 +232,14 @@
 					}
 					owed--
 					if c.refused && now.Nanosecond() == 0 {
-						b.Observe(now, write, http.StatusTooManyRequests)
+						b.Observe(now, write, ErrThrottled)
 					}
 					if end.Sub(now) <= 10*time.Second {
 						written++
 					}
 				}
 				if c.refused && now.Nanosecond() < 1e7 {
-					b.Observe(now, write, http.StatusTooManyRequests)
+					b.Observe(now, write, ErrThrottled)
 				}
 			}
 			if written < c.least || written > c.most || b.share != c.finalShare {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -4,6 +4,8 @@
 
 import (
 	"encoding/json"
+	"errors"
+	"slices"
 	"time"
 
 	"juniperchute/internal/tuning"
@@ -67,22 +69,25 @@
 
 // Result is what came of a call.
 type Result struct {
-	Status     int // the HTTP status; 0 when no response came
-	SentAt     time.Time
-	KeyValue   wire.KeyValue
-	KeyValues  []wire.KeyValue
-	More       bool
-	Revision   uint64
-	FailedKeys []string
-	Lease      uint64
-	Events     []wire.Event
+	Err       error // nil when the call was executed as asked
+	SentAt    time.Time
+	KeyValue  wire.KeyValue
+	KeyValues []wire.KeyValue
+	More      bool
+	Revision  uint64
+	Lease     uint64
+	Events    []wire.Event
 }
 
 // OK tells whether the call was executed as asked.
-func (r Result) OK() bool { return r.Status == 200 }
+func (r Result) OK() bool { return r.Err == nil }
 
-// Refused tells whether the call surely was not executed, and may be tried again.
-func (r Result) Refused() bool { return r.Status == 429 || r.Status == 503 }
+// ConflictsOn tells whether the transaction failed as the key has another version than
+// its compare names.
+func (r Result) ConflictsOn(key string) bool {
+	var conflict *ConflictError
+	return errors.As(r.Err, &conflict) && slices.Contains(conflict.FailedKeys, key)
+}
 
 // Put is a write of a value.
 func Put(key string, value any, lease uint64) wire.Write {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"io"
 	"net/http"
 	"net/http/httptest"
@@ -38,18 +39,18 @@
 			func(r Result) bool {
 				return r.OK() && r.KeyValue.Version == 412 && string(r.KeyValue.Value) == `{"x":1}`
 			}},
-		{"get nothing", Call{Op: OpGet, Key: "a"}, 404, `{"Epoch":431}`, "GET /kv/a ", func(r Result) bool { return r.Status == 404 }},
+		{"get nothing", Call{Op: OpGet, Key: "a"}, 404, `{"Epoch":431}`, "GET /kv/a ", func(r Result) bool { return errors.Is(r.Err, ErrNotFound) }},
 		{"list", Call{Op: OpList, Prefix: "q/0/", After: "q/0/x", PageSize: 10}, 200, `{"Items":[{"Path":"q/0/y","Value":1,"Stamp":2}],"More":true,"Epoch":9}`,
 			"GET /kv?Under=q%2F0%2F&After=q%2F0%2Fx&Page=10 ", func(r Result) bool { return len(r.KeyValues) == 1 && r.More && r.Revision == 9 }},
 		{"transaction", Call{Op: OpTransaction, Transaction: wire.Transaction{Compares: []wire.Compare{VersionEquals("a", 0)}, Writes: []wire.Write{Put("a", 1, 7), Delete("b")}}}, 409,
 			`{"failed":["a"],"Epoch":4}`, `POST /multi {"When":[{"Path":"a","Stamp":0}],"Writes":[{"Write":"a","Value":1,"Hold":7},{"Remove":"b"}]}`,
-			func(r Result) bool { return r.Status == 409 && r.FailedKeys[0] == "a" }},
+			func(r Result) bool { return errors.Is(r.Err, ErrConflict) && r.ConflictsOn("a") }},
 		{"grant", Call{Op: OpGrantLease, LeaseTTL: 3500 * time.Millisecond}, 200, `{"Hold":7}`, `POST /grants {"LifeMs":3500}`, func(r Result) bool { return r.Lease == 7 }},
-		{"touch", Call{Op: OpRenewLease, Lease: 7}, 404, ``, `POST /grants/7/touch {}`, func(r Result) bool { return r.Status == 404 }},
+		{"touch", Call{Op: OpRenewLease, Lease: 7}, 404, ``, `POST /grants/7/touch {}`, func(r Result) bool { return errors.Is(r.Err, ErrNotFound) }},
 		{"watch", Call{Op: OpWatch, Prefix: "c/", SinceRevision: 5, WatchWaitMs: 10}, 200, `{"Epoch":6,"Events":[{"Remove":"c/d","Stamp":6}]}`,
 			"GET /changes?Under=c%2F&After=5&WaitMs=10 ", func(r Result) bool { return r.Events[0].Delete == "c/d" }},
-		{"an answer that cannot be read is none", Call{Op: OpGet, Key: "a"}, 200, `{"Path"`, "GET /kv/a ", func(r Result) bool { return r.Status == 0 }},
-		{"a refusal that cannot be read is one", Call{Op: OpGet, Key: "a"}, 503, `oops`, "GET /kv/a ", func(r Result) bool { return r.Refused() }},
+		{"an answer that cannot be read is none", Call{Op: OpGet, Key: "a"}, 200, `{"Path"`, "GET /kv/a ", func(r Result) bool { return errors.Is(r.Err, ErrNoResponse) }},
+		{"a refusal that cannot be read is one", Call{Op: OpGet, Key: "a"}, 503, `oops`, "GET /kv/a ", func(r Result) bool { return errors.Is(r.Err, ErrUnavailable) }},
 	} {
 		t.Run(k.name, func(t *testing.T) {
 			status, answer = k.status, k.answer
@@ -99,17 +100,17 @@
 	}
 	now := time.Unix(0, 0)
 	m.Tick(now)
-	f.answer(t, Result{Status: 200, Revision: 10, More: true, KeyValues: []wire.KeyValue{item("q/a", "1", 3)}})
-	f.answer(t, Result{Status: 200, Revision: 12, KeyValues: []wire.KeyValue{item("q/b", "2", 12)}})
+	f.answer(t, Result{Revision: 10, More: true, KeyValues: []wire.KeyValue{item("q/a", "1", 3)}})
+	f.answer(t, Result{Revision: 12, KeyValues: []wire.KeyValue{item("q/b", "2", 12)}})
 	if c := f.calls[0]; c.Op != OpWatch || c.SinceRevision != 10 {
 		t.Fatalf("follows from %d, want the first page's revision", c.SinceRevision)
 	}
 	// what the list already showed, and what is older than it, comes again
-	f.answer(t, Result{Status: 200, Revision: 13, Events: []wire.Event{
+	f.answer(t, Result{Revision: 13, Events: []wire.Event{
 		{Delete: "q/b", Version: 11}, {Put: "q/b", Value: json.RawMessage("2"), Version: 12}, {Delete: "q/a", Version: 13}}})
 	// fallen too far behind: everything is read again
-	f.answer(t, Result{Status: 410})
-	f.answer(t, Result{Status: 200, Revision: 900, KeyValues: []wire.KeyValue{item("q/c", "3", 700)}})
+	f.answer(t, Result{Err: ErrCompacted})
+	f.answer(t, Result{Revision: 900, KeyValues: []wire.KeyValue{item("q/c", "3", 700)}})
 	if want := "q/a1 q/b2 -q/a1 q/c3 -q/b2 "; seen != want {
 		t.Errorf("told of %q, want %q", seen, want)
 	}
@@ -124,11 +125,11 @@
 		lost    bool
 		version uint64 // condition of the last write
 	}{
-		{"written", []Result{{Status: 200, Revision: 5}}, true, false, 3},
-		{"refused, then written", []Result{{Status: 503}, {Status: 200, Revision: 5}}, true, false, 3},
-		{"no answer, and it had been written", []Result{{}, {Status: 409, FailedKeys: []string{"k"}}, {Status: 200, KeyValue: wire.KeyValue{Version: 4}}, {Status: 200, Revision: 5}}, true, false, 4},
-		{"conflict, and the key is gone", []Result{{Status: 409, FailedKeys: []string{"k"}}, {Status: 404}, {Status: 200, Revision: 5}}, true, false, 0},
-		{"the tenure is over", []Result{{Status: 409, FailedKeys: []string{"c/b/0"}}}, false, true, 3},
+		{"written", []Result{{Revision: 5}}, true, false, 3},
+		{"refused, then written", []Result{{Err: ErrUnavailable}, {Revision: 5}}, true, false, 3},
+		{"no answer, and it had been written", []Result{{Err: ErrNoResponse}, {Err: &ConflictError{FailedKeys: []string{"k"}}}, {KeyValue: wire.KeyValue{Version: 4}}, {Revision: 5}}, true, false, 4},
+		{"conflict, and the key is gone", []Result{{Err: &ConflictError{FailedKeys: []string{"k"}}}, {Err: ErrNotFound}, {Revision: 5}}, true, false, 0},
+		{"the tenure is over", []Result{{Err: &ConflictError{FailedKeys: []string{"c/b/0"}}}}, false, true, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := &fake{}
@@ -160,14 +161,14 @@
 	defer srv.Close()
 	c := NewClient(strings.TrimPrefix(srv.URL, "http://"), http.DefaultTransport, time.Now)
 	r := c.Execute(t.Context(), Call{Op: OpWatch, Prefix: "c/", WatchWaitMs: 1})
-	if r.Status != http.StatusGone {
-		t.Fatalf("status %d", r.Status)
+	if !errors.Is(r.Err, ErrCompacted) {
+		t.Fatalf("error %v", r.Err)
 	}
 	f := &fake{}
 	m := NewWatchCache("c/", f.call, func(time.Time, string, wire.KeyValue, bool) {})
 	now := time.Unix(100, 0)
 	m.Tick(now)
-	f.answer(t, Result{Status: 200, Revision: 5})
+	f.answer(t, Result{Revision: 5})
 	f.answer(t, r)
 	if len(f.calls) == 0 || f.calls[0].Op != OpList {
 		t.Errorf("the keys are not listed again: %+v", f.calls)
--- a/internal/store/watch_cache.go
+++ b/internal/store/watch_cache.go
@@ -1,6 +1,7 @@
 package store
 
 import (
+	"errors"
 	"maps"
 	"slices"
 	"time"
@@ -218,7 +219,7 @@
 			return
 		}
 		switch {
-		case r.Status == 410:
+		case errors.Is(r.Err, ErrCompacted):
 			// too far behind: read all keys again
 			m.synced = false
 			m.setState(watchIdle)
--- a/internal/submission/cancel.go
+++ b/internal/submission/cancel.go
@@ -1,6 +1,7 @@
 package submission
 
 import (
+	"errors"
 	"time"
 
 	"juniperchute/internal/store"
@@ -54,10 +55,10 @@
 				s.log.Debug("job cancelled", "job", id)
 				s.final(now, wire.JobState{ID: id, State: wire.JobCancelled})
 				reply(Response{Status: 200, Body: wire.JobAccepted{ID: id, State: wire.JobCancelled}})
-			case (r.Status == 409 || r.Status == 0) && tries < tuning.CancelTries:
+			case (errors.Is(r.Err, store.ErrConflict) || errors.Is(r.Err, store.ErrNoResponse)) && tries < tuning.CancelTries:
 				// changed under us, or perhaps written: look again
 				s.cancel(now, id, tries+1, reply)
-			case r.Status == 429:
+			case errors.Is(r.Err, store.ErrThrottled):
 				reply(Busy())
 			default:
 				reply(Unable("state service does not answer"))
--- a/internal/submission/cancellation_log_test.go
+++ b/internal/submission/cancellation_log_test.go
@@ -88,7 +88,7 @@
 
 // Whichever way a node comes to tell a user of a cancellation, it notes that first.
 func TestTellsOfCancellation(t *testing.T) {
-	read := store.Result{Status: 200, Revision: 11}
+	read := store.Result{Revision: 11}
 	for _, c := range []struct {
 		name    string
 		ask     func(d *desk, reply func(Response))
--- a/internal/submission/query_test.go
+++ b/internal/submission/query_test.go
@@ -27,9 +27,9 @@
 			d.s.progress = func(_ time.Time, _ int, _ string, then func(time.Time, Progress)) { told = then }
 			var got *Response
 			d.s.Query(now, "job-1", func(r Response) { got = &r })
-			d.answer(store.Result{Status: 200, Revision: 12, Events: []wire.Event{{Put: OpenKey("job-1"), Value: rec(wire.JobPending).KeyValue.Value, Version: 12}}})
+			d.answer(store.Result{Revision: 12, Events: []wire.Event{{Put: OpenKey("job-1"), Value: rec(wire.JobPending).KeyValue.Value, Version: 12}}})
 			d.open.WaitCurrent(now, 0, func(time.Time, bool) {})
-			d.answer(store.Result{Status: 200, Revision: 13, Events: c.meets})
+			d.answer(store.Result{Revision: 13, Events: c.meets})
 			told(now, Progress{Known: true, Running: 1})
 			for _, a := range c.answers {
 				d.answer(a)
--- a/internal/submission/submission.go
+++ b/internal/submission/submission.go
@@ -4,6 +4,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"log/slog"
 	"slices"
 	"time"
@@ -197,7 +198,7 @@
 func (s *Slice) find(now time.Time, id string, then func(f found)) {
 	s.call(store.Call{Op: store.OpGet, Priority: store.PriorityUser, Key: OpenKey(id)}, func(now time.Time, r store.Result) {
 		switch {
-		case r.Status == 404:
+		case errors.Is(r.Err, store.ErrNotFound):
 			s.end(now, id, then)
 			return
 		case !r.OK():
@@ -219,7 +220,7 @@
 	s.call(store.Call{Op: store.OpGet, Priority: store.PriorityUser, Key: JobKey(id)}, func(now time.Time, r store.Result) {
 		var rec JobRec
 		switch {
-		case r.Status == 404:
+		case errors.Is(r.Err, store.ErrNotFound):
 			then(found{sure: true})
 		case !r.OK():
 			then(found{})
@@ -243,7 +244,7 @@
 		case r.OK():
 			s.log.Debug("job accepted", "job", id, "class", rec.Spec.Class, "block", rec.Block)
 			reply(Response{Status: 201, Body: wire.JobAccepted{ID: id, State: wire.JobPending}})
-		case r.Status == 409:
+		case errors.Is(r.Err, store.ErrConflict):
 			s.find(now, id, func(f found) {
 				if f.stage == "" {
 					reply(Unable("state service does not answer"))
@@ -251,12 +252,12 @@
 				}
 				reply(Response{Status: 200, Body: wire.JobAccepted{ID: id, State: f.stage}})
 			})
-		case r.Status == 0 && tries == 0:
+		case errors.Is(r.Err, store.ErrNoResponse) && tries == 0:
 			// perhaps written: the same transaction then finds the key there
 			s.write(now, rec, tries+1, reply)
-		case r.Status == 429:
+		case errors.Is(r.Err, store.ErrThrottled):
 			reply(Busy())
-		case r.Status == 400:
+		case errors.Is(r.Err, store.ErrInvalid):
 			// too large by a limit that nobody announced; accepted before that, perhaps
 			s.refuseUnlessKnown(now, id, 400, tooLarge, reply)
 		default:
--- a/internal/submission/submission_test.go
+++ b/internal/submission/submission_test.go
@@ -32,7 +32,7 @@
 	}
 	d.open = store.NewWatchCache(OpenUnder, call, func(time.Time, string, wire.KeyValue, bool) {})
 	d.open.Tick(now)
-	d.answer(store.Result{Status: 200, Revision: 10})
+	d.answer(store.Result{Revision: 10})
 	d.answer(none) // no watch beside the questions
 	d.s = New(facts, 1, func() time.Time { return now }, call, slog.New(slog.NewTextHandler(io.Discard, nil)), func() map[string]wire.MachineType { return machineTypes }, d.open,
 		func(now time.Time, _ int, _ string, then func(time.Time, Progress)) {
@@ -53,16 +53,16 @@
 	if stage == wire.JobPending {
 		raw, _ = json.Marshal(OpenRec{Spec: job(nil)})
 	}
-	return store.Result{Status: 200, KeyValue: wire.KeyValue{Value: raw, Version: 5}}
+	return store.Result{KeyValue: wire.KeyValue{Value: raw, Version: 5}}
 }
 
 var (
-	none     = store.Result{}
-	ok       = store.Result{Status: 200}
-	missing  = store.Result{Status: 404}
-	conflict = store.Result{Status: 409}
-	outage   = store.Result{Status: 503}
-	limited  = store.Result{Status: 429}
+	none     = store.Result{Err: store.ErrNoResponse}
+	ok       = store.Result{}
+	missing  = store.Result{Err: store.ErrNotFound}
+	conflict = store.Result{Err: &store.ConflictError{}}
+	outage   = store.Result{Err: store.ErrUnavailable}
+	limited  = store.Result{Err: store.ErrThrottled}
 	types    = map[string]wire.MachineType{"g8": {Name: "g8", Vcpus: 96, Gpus: 8, MemGb: 768, Zones: []string{"a", "b"}}, "c1": {Name: "c1", Vcpus: 4, MemGb: 8, Zones: []string{"a"}}}
 )
 
@@ -108,10 +108,10 @@
 		{"a service apart in one zone", func(s *wire.JobSpec) { s.Shape, s.SpreadAcrossZones, s.Zone = wire.ShapeService, true, "a" }, types, []store.Result{missing, missing}, 422, ""},
 		{"a service together and apart", func(s *wire.JobSpec) { s.Shape, s.SameZone, s.SpreadAcrossZones = wire.ShapeService, true, true }, types, []store.Result{missing, missing}, 422, ""},
 		{"a service while types are not known", func(s *wire.JobSpec) { s.Shape = wire.ShapeService }, nil, []store.Result{missing, missing}, 503, ""},
-		{"refused for its size by the state service", nil, types, []store.Result{{Status: 400}, missing, missing}, 400, ""},
-		{"refused for its size, but accepted once", nil, types, []store.Result{{Status: 400}, rec(wire.JobPending)}, 200, wire.JobPending},
-		{"a record that cannot be read", nil, types, []store.Result{conflict, {Status: 200, KeyValue: wire.KeyValue{Value: json.RawMessage(`{"Spec":{"Id":"job-1","Shape":"swarm","Pieces":1}}`)}}}, 503, ""},
-		{"an end that cannot be read", nil, types, []store.Result{conflict, missing, {Status: 200, KeyValue: wire.KeyValue{Value: json.RawMessage(`{"Stage":"paused"}`)}}}, 503, ""},
+		{"refused for its size by the state service", nil, types, []store.Result{{Err: store.ErrInvalid}, missing, missing}, 400, ""},
+		{"refused for its size, but accepted once", nil, types, []store.Result{{Err: store.ErrInvalid}, rec(wire.JobPending)}, 200, wire.JobPending},
+		{"a record that cannot be read", nil, types, []store.Result{conflict, {KeyValue: wire.KeyValue{Value: json.RawMessage(`{"Spec":{"Id":"job-1","Shape":"swarm","Pieces":1}}`)}}}, 503, ""},
+		{"an end that cannot be read", nil, types, []store.Result{conflict, missing, {KeyValue: wire.KeyValue{Value: json.RawMessage(`{"Stage":"paused"}`)}}}, 503, ""},
 		{"types not known yet", nil, nil, []store.Result{missing, missing}, 503, ""},
 		{"types not known yet, but accepted once", nil, nil, []store.Result{rec(wire.JobPending)}, 200, wire.JobPending},
 		{"too large to be kept", func(s *wire.JobSpec) { s.Image = strings.Repeat("x", 5000) }, types, []store.Result{missing, missing}, 400, ""},
@@ -197,7 +197,7 @@
 	if len(d.calls) != 1 || d.calls[0].Op != store.OpWatch || d.calls[0].WatchWaitMs != 0 {
 		t.Fatalf("under way: %+v, want one look at the changes", d.calls)
 	}
-	d.answer(store.Result{Status: 200, Revision: 11}) // the job was submitted after this look
+	d.answer(store.Result{Revision: 11}) // the job was submitted after this look
 	if len(d.calls) != 2 || d.calls[0].Key != JobKey("job-1") {
 		t.Fatalf("under way: %+v, want how the job ended, and another look", d.calls)
 	}
@@ -205,14 +205,14 @@
 	if len(got) != 1 || got[0] != 404 {
 		t.Fatalf("answers %v", got)
 	}
-	d.answer(store.Result{Status: 200, Revision: 12, Events: []wire.Event{{Put: OpenKey("job-1"), Value: rec(wire.JobPending).KeyValue.Value, Version: 12}}})
+	d.answer(store.Result{Revision: 12, Events: []wire.Event{{Put: OpenKey("job-1"), Value: rec(wire.JobPending).KeyValue.Value, Version: 12}}})
 	if len(got) != 3 || got[1] != 200 || got[2] != 200 || len(d.calls) != 0 {
 		t.Fatalf("answers %v, under way %+v", got, d.calls)
 	}
 	// looks are spaced while questions keep coming
 	d.s.gap = time.Second
 	ask()
-	d.answer(store.Result{Status: 200, Revision: 12})
+	d.answer(store.Result{Revision: 12})
 	ask()
 	if len(d.calls) != 0 {
 		t.Fatal("a look too soon after another")
