--- a/internal/controller/process_effects.go
+++ b/internal/controller/process_effects.go
@@ -128,10 +128,10 @@
 // observeRate tells the rate limiter what came of a call.
 func (e *processEffects) observeRate(call store.Call, result store.Result) {
 	e.rateLimiterLock.Lock()
-	lowered := e.rateLimiter.Observe(e.clock.Now(), call, result.Status)
+	lowered := e.rateLimiter.Observe(e.clock.Now(), call, result.Err)
 	e.rateLimiterLock.Unlock()
 	if lowered {
-		e.log.Warn("state service has lowered its limits", "status", result.Status)
+		e.log.Warn("state service has lowered its limits", "error", result.Err)
 	}
 }
 
--- a/internal/fleet/autoscaler_test.go
+++ b/internal/fleet/autoscaler_test.go
@@ -68,7 +68,7 @@
 	for len(f.storeReplies) > 0 {
 		callback := f.storeReplies[0]
 		f.storeCalls, f.storeReplies = f.storeCalls[1:], f.storeReplies[1:]
-		callback(f.now, store.Result{Status: 200, Revision: 9})
+		callback(f.now, store.Result{Revision: 9})
 	}
 }
 
--- a/internal/fleet/intents_test.go
+++ b/internal/fleet/intents_test.go
@@ -155,7 +155,7 @@
 	f.intents.Record(f.now, intentlog.Deprovision, "i-2", "idle")
 	f.autoscaler.removeFromRecord(f.now, "i-2")
 	for _, callback := range older {
-		callback(f.now, store.Result{Status: 200, Revision: 20})
+		callback(f.now, store.Result{Revision: 20})
 	}
 	request := f.autoscaler.requestByHost["i-3"]
 	if len(request.deletedMachines) != 1 || request.deletedMachines[0].host != "i-2" {
--- a/internal/integration/http_test.go
+++ b/internal/integration/http_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"io"
 	"net"
 	"net/http"
@@ -49,6 +50,27 @@
 	return call
 }
 
+// stateStatuses are the HTTP statuses of the state service's errors.
+var stateStatuses = map[error]int{
+	store.ErrInvalid:     http.StatusBadRequest,
+	store.ErrNotFound:    http.StatusNotFound,
+	store.ErrCompacted:   http.StatusGone,
+	store.ErrThrottled:   http.StatusTooManyRequests,
+	store.ErrUnavailable: http.StatusServiceUnavailable,
+}
+
+// stateStatus is the HTTP status of a call's result, and the failed keys of a conflict.
+func stateStatus(err error) (status int, failedKeys []string) {
+	if err == nil {
+		return http.StatusOK, nil
+	}
+	var conflict *store.ConflictError
+	if errors.As(err, &conflict) {
+		return http.StatusConflict, conflict.FailedKeys
+	}
+	return stateStatuses[err], nil
+}
+
 func (d *deployment) serveStore(w http.ResponseWriter, request *http.Request) {
 	call := parseStoreCall(request)
 	results := make(chan store.Result, 1)
@@ -57,11 +79,12 @@
 	select {
 	case result := <-results:
 		d.gate.pass(afterCall, call)
-		if call.Op == store.OpGet && result.Status == http.StatusOK {
-			writeReply(w, result.Status, result.KeyValue)
+		status, failedKeys := stateStatus(result.Err)
+		if call.Op == store.OpGet && status == http.StatusOK {
+			writeReply(w, status, result.KeyValue)
 			return
 		}
-		writeReply(w, result.Status, map[string]any{"Items": result.KeyValues, "More": result.More, "Epoch": result.Revision, "failed": result.FailedKeys, "Hold": result.Lease, "Events": result.Events})
+		writeReply(w, status, map[string]any{"Items": result.KeyValues, "More": result.More, "Epoch": result.Revision, "failed": failedKeys, "Hold": result.Lease, "Events": result.Events})
 	case <-request.Context().Done():
 	}
 }
--- a/internal/integration/upgrade_test.go
+++ b/internal/integration/upgrade_test.go
@@ -107,7 +107,7 @@
 
 // checkWrites checks that nothing is written beyond the limits once they have fallen.
 // From then on all writers are the new version.
-func (u *upgradeTest) checkWrites(call store.Call, _ int) {
+func (u *upgradeTest) checkWrites(call store.Call, _ error) {
 	if !u.limitsLowered {
 		return
 	}
--- a/internal/standin/intent_checker.go
+++ b/internal/standin/intent_checker.go
@@ -48,19 +48,19 @@
 func NewIntentChecker(cluster *Cluster, stateService *StateService, cloud *Cloud) *IntentChecker {
 	checker := &IntentChecker{Effects: map[intentlog.Operation]int{}, cluster: cluster, store: stateService, recordedIntents: map[string]intentlog.Entry{}, pages: map[string]map[string]bool{}}
 	before := stateService.OnCall
-	stateService.OnCall = func(call store.Call, status int) {
+	stateService.OnCall = func(call store.Call, err error) {
 		if before != nil {
-			before(call, status)
+			before(call, err)
 		}
-		checker.observeWrite(call, status)
+		checker.observeWrite(call, err)
 	}
 	cloud.OnCreate, cloud.OnDelete, cluster.OnTaskStart = checker.checkCreation, checker.checkDeletion, checker.checkStart
 	return checker
 }
 
 // observeWrite takes note of entries that have just become durable.
-func (c *IntentChecker) observeWrite(call store.Call, status int) {
-	if status != 200 {
+func (c *IntentChecker) observeWrite(call store.Call, err error) {
+	if err != nil {
 		return
 	}
 	for _, write := range call.Transaction.Writes {
--- a/internal/standin/intent_checker_test.go
+++ b/internal/standin/intent_checker_test.go
@@ -42,7 +42,7 @@
 	}
 	f.store.Call(store.Call{Op: store.OpTransaction, Transaction: wire.Transaction{Writes: []wire.Write{w}}}, func(r store.Result) {
 		if !r.OK() {
-			t.Fatalf("write of %s: %d", key, r.Status)
+			t.Fatalf("write of %s: %v", key, r.Err)
 		}
 	})
 }
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -49,7 +49,7 @@
 	PageSize   int // keys that a list shows at most
 	MaxHistory int // changes that are remembered
 	// OnCall is told of each call that has been decided, before its reply; nil: nobody.
-	OnCall func(c store.Call, status int)
+	OnCall func(c store.Call, err error)
 
 	clock             *Clock
 	rng               *rand.Rand
@@ -168,9 +168,9 @@
 
 func (s *StateService) eventsSince(prefix string, since uint64) (store.Result, bool) {
 	if since < s.compactedRevision {
-		return store.Result{Status: 410}, true
+		return store.Result{Err: store.ErrCompacted}, true
 	}
-	result := store.Result{Status: 200, Revision: s.Revision}
+	result := store.Result{Revision: s.Revision}
 	for _, change := range s.history {
 		if change.Version > since && strings.HasPrefix(change.Put+change.Delete, prefix) {
 			result.Events = append(result.Events, change)
@@ -184,39 +184,39 @@
 	if s.OnCall != nil {
 		next := reply
 		reply = func(r store.Result) {
-			s.OnCall(call, r.Status)
+			s.OnCall(call, r.Err)
 			next(r)
 		}
 	}
 	if s.unavailable && (call.Op != store.OpWatch || call.WatchWaitMs == 0) {
-		reply(store.Result{Status: 503})
+		reply(store.Result{Err: store.ErrUnavailable})
 		return
 	}
 	if !s.requestBucket.take(s.clock.Now(), s.Limits.RequestsPerS, 1) {
-		reply(store.Result{Status: 429})
+		reply(store.Result{Err: store.ErrThrottled})
 		return
 	}
 	switch call.Op {
 	case store.OpGet:
 		if item, ok := s.Keys[call.Key]; ok {
-			reply(store.Result{Status: 200, KeyValue: item})
+			reply(store.Result{KeyValue: item})
 		} else {
-			reply(store.Result{Status: 404, Revision: s.Revision})
+			reply(store.Result{Err: store.ErrNotFound, Revision: s.Revision})
 		}
 	case store.OpList:
 		reply(s.list(call))
 	case store.OpGrantLease:
 		s.lastLease++
 		s.leases[s.lastLease] = &lease{call.LeaseTTL, s.clock.Now().Add(call.LeaseTTL)}
-		reply(store.Result{Status: 200, Lease: s.lastLease})
+		reply(store.Result{Lease: s.lastLease})
 	case store.OpRenewLease:
 		held := s.leases[call.Lease]
 		if held == nil {
-			reply(store.Result{Status: 404})
+			reply(store.Result{Err: store.ErrNotFound})
 			return
 		}
 		held.expiresAt = s.clock.Now().Add(held.ttl)
-		reply(store.Result{Status: 200, Lease: call.Lease})
+		reply(store.Result{Lease: call.Lease})
 	case store.OpTransaction:
 		reply(s.transact(call.Transaction))
 	case store.OpWatch:
@@ -233,7 +233,7 @@
 		}
 	}
 	sort.Strings(keys)
-	result := store.Result{Status: 200, Revision: s.Revision}
+	result := store.Result{Revision: s.Revision}
 	for _, key := range keys {
 		if len(result.KeyValues) == s.PageSize {
 			result.More = true
@@ -259,7 +259,7 @@
 		}
 		s.watches = slices.Delete(s.watches, i, i+1)
 		if !s.unavailable {
-			reply(store.Result{Status: 200, Revision: s.Revision})
+			reply(store.Result{Revision: s.Revision})
 		}
 	})
 }
@@ -267,10 +267,10 @@
 // transact executes a transaction.
 func (s *StateService) transact(transaction wire.Transaction) store.Result {
 	if !s.allowed(transaction) {
-		return store.Result{Status: 400}
+		return store.Result{Err: store.ErrInvalid}
 	}
 	if n := float64(len(transaction.Writes)); n > 0 && !s.writeBucket.take(s.clock.Now(), s.Limits.WritesPerS, n) {
-		return store.Result{Status: 429}
+		return store.Result{Err: store.ErrThrottled}
 	}
 	var failed []string
 	for _, compare := range transaction.Compares {
@@ -279,7 +279,7 @@
 		}
 	}
 	if len(failed) > 0 {
-		return store.Result{Status: 409, FailedKeys: failed, Revision: s.Revision}
+		return store.Result{Err: &store.ConflictError{FailedKeys: failed}, Revision: s.Revision}
 	}
 	if len(transaction.Writes) > 0 {
 		s.Revision++
@@ -288,7 +288,7 @@
 		}
 		s.notifyWatches()
 	}
-	return store.Result{Status: 200, Revision: s.Revision}
+	return store.Result{Revision: s.Revision}
 }
 
 // allowed tells whether a transaction is within the limits of size and names no lease
--- a/internal/submission/cancel.go
+++ b/internal/submission/cancel.go
@@ -1,6 +1,7 @@
 package submission
 
 import (
+	"errors"
 	"time"
 
 	"juniperchute/internal/store"
@@ -54,10 +55,10 @@
 				s.log.Debug("job cancelled", "job", id)
 				s.rememberEnd(now, wire.JobState{ID: id, State: wire.JobCancelled})
 				reply(Response{Status: 200, Body: wire.JobAccepted{ID: id, State: wire.JobCancelled}})
-			case (result.Status == 409 || result.Status == 0) && attempt < tuning.MaxCancelTries:
+			case (errors.Is(result.Err, store.ErrConflict) || errors.Is(result.Err, store.ErrNoResponse)) && attempt < tuning.MaxCancelTries:
 				// changed under us, or perhaps written: look again
 				s.cancel(now, id, attempt+1, reply)
-			case result.Status == 429:
+			case errors.Is(result.Err, store.ErrThrottled):
 				reply(BusyResponse())
 			default:
 				reply(UnavailableResponse("state service does not answer"))
--- a/internal/submission/cancellation_log_test.go
+++ b/internal/submission/cancellation_log_test.go
@@ -88,7 +88,7 @@
 
 // Whichever way a node comes to tell a user of a cancellation, it notes that first.
 func TestCancellationRecordedFirst(t *testing.T) {
-	read := store.Result{Status: 200, Revision: 11}
+	read := store.Result{Revision: 11}
 	for _, test := range []struct {
 		name    string
 		ask     func(f *fixture, reply func(Response))
--- a/internal/submission/query_test.go
+++ b/internal/submission/query_test.go
@@ -27,9 +27,9 @@
 			f.service.queryProgress = func(_ time.Time, _ int, _ string, callback func(time.Time, Progress)) { answerProgress = callback }
 			var got *Response
 			f.service.Query(startTime, "job-1", func(r Response) { got = &r })
-			f.answer(store.Result{Status: 200, Revision: 12, Events: []wire.Event{{Put: OpenJobKey("job-1"), Value: jobResult(wire.JobPending).KeyValue.Value, Version: 12}}})
+			f.answer(store.Result{Revision: 12, Events: []wire.Event{{Put: OpenJobKey("job-1"), Value: jobResult(wire.JobPending).KeyValue.Value, Version: 12}}})
 			f.openJobs.WaitCurrent(startTime, 0, func(time.Time, bool) {})
-			f.answer(store.Result{Status: 200, Revision: 13, Events: test.meets})
+			f.answer(store.Result{Revision: 13, Events: test.meets})
 			answerProgress(startTime, Progress{Known: true, Running: 1})
 			for _, answer := range test.answers {
 				f.answer(answer)
--- a/internal/submission/service.go
+++ b/internal/submission/service.go
@@ -4,6 +4,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"log/slog"
 	"slices"
 	"time"
@@ -197,7 +198,7 @@
 func (s *Service) lookUp(now time.Time, id string, callback func(lookup jobLookup)) {
 	s.callStore(store.Call{Op: store.OpGet, Priority: store.PriorityUser, Key: OpenJobKey(id)}, func(now time.Time, result store.Result) {
 		switch {
-		case result.Status == 404:
+		case errors.Is(result.Err, store.ErrNotFound):
 			s.lookUpEnd(now, id, callback)
 			return
 		case !result.OK():
@@ -219,7 +220,7 @@
 	s.callStore(store.Call{Op: store.OpGet, Priority: store.PriorityUser, Key: JobEndKey(id)}, func(now time.Time, result store.Result) {
 		var record JobEndRecord
 		switch {
-		case result.Status == 404:
+		case errors.Is(result.Err, store.ErrNotFound):
 			callback(jobLookup{certain: true})
 		case !result.OK():
 			callback(jobLookup{})
@@ -243,7 +244,7 @@
 		case result.OK():
 			s.log.Debug("job accepted", "job", id, "class", record.Spec.Class, "block", record.Shard)
 			reply(Response{Status: 201, Body: wire.JobAccepted{ID: id, State: wire.JobPending}})
-		case result.Status == 409:
+		case errors.Is(result.Err, store.ErrConflict):
 			s.lookUp(now, id, func(lookup jobLookup) {
 				if lookup.stage == "" {
 					reply(UnavailableResponse("state service does not answer"))
@@ -251,12 +252,12 @@
 				}
 				reply(Response{Status: 200, Body: wire.JobAccepted{ID: id, State: lookup.stage}})
 			})
-		case result.Status == 0 && attempt == 0:
+		case errors.Is(result.Err, store.ErrNoResponse) && attempt == 0:
 			// perhaps written: the same transaction then finds the key there
 			s.create(now, record, attempt+1, reply)
-		case result.Status == 429:
+		case errors.Is(result.Err, store.ErrThrottled):
 			reply(BusyResponse())
-		case result.Status == 400:
+		case errors.Is(result.Err, store.ErrInvalid):
 			// too large by a limit that nobody announced; accepted before that, perhaps
 			s.refuseUnlessAccepted(now, id, 400, reasonTooLarge, reply)
 		default:
--- a/internal/submission/service_test.go
+++ b/internal/submission/service_test.go
@@ -32,7 +32,7 @@
 	}
 	f.openJobs = store.NewWatchCache(OpenJobPrefix, callStore, func(time.Time, string, wire.KeyValue, bool) {})
 	f.openJobs.Tick(startTime)
-	f.answer(store.Result{Status: 200, Revision: 10})
+	f.answer(store.Result{Revision: 10})
 	f.answer(noAnswer) // no watch beside the questions
 	f.service = New(deployment, 1, func() time.Time { return startTime }, callStore, slog.New(slog.NewTextHandler(io.Discard, nil)), func() map[string]wire.MachineType { return machineTypes }, f.openJobs,
 		func(now time.Time, _ int, _ string, callback func(time.Time, Progress)) {
@@ -53,16 +53,16 @@
 	if stage == wire.JobPending {
 		raw, _ = json.Marshal(OpenJobRecord{Spec: newSubmission(nil)})
 	}
-	return store.Result{Status: 200, KeyValue: wire.KeyValue{Value: raw, Version: 5}}
+	return store.Result{KeyValue: wire.KeyValue{Value: raw, Version: 5}}
 }
 
 var (
-	noAnswer         = store.Result{}
-	success          = store.Result{Status: 200}
-	notFound         = store.Result{Status: 404}
-	conflict         = store.Result{Status: 409}
-	outage           = store.Result{Status: 503}
-	limited          = store.Result{Status: 429}
+	noAnswer         = store.Result{Err: store.ErrNoResponse}
+	success          = store.Result{}
+	notFound         = store.Result{Err: store.ErrNotFound}
+	conflict         = store.Result{Err: &store.ConflictError{}}
+	outage           = store.Result{Err: store.ErrUnavailable}
+	limited          = store.Result{Err: store.ErrThrottled}
 	testMachineTypes = map[string]wire.MachineType{"g8": {Name: "g8", Vcpus: 96, Gpus: 8, MemGb: 768, Zones: []string{"a", "b"}}, "c1": {Name: "c1", Vcpus: 4, MemGb: 8, Zones: []string{"a"}}}
 )
 
@@ -108,10 +108,10 @@
 		{"a service apart in one zone", func(s *wire.JobSpec) { s.Shape, s.SpreadAcrossZones, s.Zone = wire.ShapeService, true, "a" }, testMachineTypes, []store.Result{notFound, notFound}, 422, ""},
 		{"a service together and apart", func(s *wire.JobSpec) { s.Shape, s.SameZone, s.SpreadAcrossZones = wire.ShapeService, true, true }, testMachineTypes, []store.Result{notFound, notFound}, 422, ""},
 		{"a service while types are not known", func(s *wire.JobSpec) { s.Shape = wire.ShapeService }, nil, []store.Result{notFound, notFound}, 503, ""},
-		{"refused for its size by the state service", nil, testMachineTypes, []store.Result{{Status: 400}, notFound, notFound}, 400, ""},
-		{"refused for its size, but accepted once", nil, testMachineTypes, []store.Result{{Status: 400}, jobResult(wire.JobPending)}, 200, wire.JobPending},
-		{"a record that cannot be read", nil, testMachineTypes, []store.Result{conflict, {Status: 200, KeyValue: wire.KeyValue{Value: json.RawMessage(`{"Spec":{"Id":"job-1","Shape":"swarm","Pieces":1}}`)}}}, 503, ""},
-		{"an end that cannot be read", nil, testMachineTypes, []store.Result{conflict, notFound, {Status: 200, KeyValue: wire.KeyValue{Value: json.RawMessage(`{"Stage":"paused"}`)}}}, 503, ""},
+		{"refused for its size by the state service", nil, testMachineTypes, []store.Result{{Err: store.ErrInvalid}, notFound, notFound}, 400, ""},
+		{"refused for its size, but accepted once", nil, testMachineTypes, []store.Result{{Err: store.ErrInvalid}, jobResult(wire.JobPending)}, 200, wire.JobPending},
+		{"a record that cannot be read", nil, testMachineTypes, []store.Result{conflict, {KeyValue: wire.KeyValue{Value: json.RawMessage(`{"Spec":{"Id":"job-1","Shape":"swarm","Pieces":1}}`)}}}, 503, ""},
+		{"an end that cannot be read", nil, testMachineTypes, []store.Result{conflict, notFound, {KeyValue: wire.KeyValue{Value: json.RawMessage(`{"Stage":"paused"}`)}}}, 503, ""},
 		{"types not known yet", nil, nil, []store.Result{notFound, notFound}, 503, ""},
 		{"types not known yet, but accepted once", nil, nil, []store.Result{jobResult(wire.JobPending)}, 200, wire.JobPending},
 		{"too large to be kept", func(s *wire.JobSpec) { s.Image = strings.Repeat("x", 5000) }, testMachineTypes, []store.Result{notFound, notFound}, 400, ""},
@@ -197,7 +197,7 @@
 	if len(f.calls) != 1 || f.calls[0].Op != store.OpWatch || f.calls[0].WatchWaitMs != 0 {
 		t.Fatalf("under way: %+v, want one look at the changes", f.calls)
 	}
-	f.answer(store.Result{Status: 200, Revision: 11}) // the job was submitted after this look
+	f.answer(store.Result{Revision: 11}) // the job was submitted after this look
 	if len(f.calls) != 2 || f.calls[0].Key != JobEndKey("job-1") {
 		t.Fatalf("under way: %+v, want how the job ended, and another look", f.calls)
 	}
@@ -205,14 +205,14 @@
 	if len(got) != 1 || got[0] != 404 {
 		t.Fatalf("answers %v", got)
 	}
-	f.answer(store.Result{Status: 200, Revision: 12, Events: []wire.Event{{Put: OpenJobKey("job-1"), Value: jobResult(wire.JobPending).KeyValue.Value, Version: 12}}})
+	f.answer(store.Result{Revision: 12, Events: []wire.Event{{Put: OpenJobKey("job-1"), Value: jobResult(wire.JobPending).KeyValue.Value, Version: 12}}})
 	if len(got) != 3 || got[1] != 200 || got[2] != 200 || len(f.calls) != 0 {
 		t.Fatalf("answers %v, under way %+v", got, f.calls)
 	}
 	// looks are spaced while questions keep coming
 	f.service.refreshInterval = time.Second
 	query()
-	f.answer(store.Result{Status: 200, Revision: 12})
+	f.answer(store.Result{Revision: 12})
 	query()
 	if len(f.calls) != 0 {
 		t.Fatal("a look too soon after another")
