--- a/internal/controller/cancellation_loading_test.go
+++ b/internal/controller/cancellation_loading_test.go
@@ -10,6 +10,7 @@
 	"juniperchute/internal/quota"
 	"juniperchute/internal/standin"
 	"juniperchute/internal/submission"
+	"juniperchute/internal/term"
 	"juniperchute/internal/wire"
 )
 
@@ -32,7 +33,7 @@
 		h.crash(time.Hour)
 		loading := func() bool {
 			for _, n := range sim.nodes {
-				if t := n.controller.terms[0]; n.alive && t != nil && t.state == termLoading {
+				if t := n.controller.terms[0]; n.alive && t != nil && t.State() == term.Loading {
 					return true
 				}
 			}
@@ -47,7 +48,7 @@
 		sim.state.SetUnavailable(true)
 		renewed := map[bool]int{} // by whether the job was called off
 		for _, n := range sim.nodes {
-			if t := n.controller.terms[0]; n.alive && t != nil && t.state == termLoading {
+			if t := n.controller.terms[0]; n.alive && t != nil && t.State() == term.Loading {
 				for _, id := range sim.hosts() {
 					rep := sim.machines[id].Heartbeat()
 					for _, p := range rep.Tasks {
@@ -88,7 +89,7 @@
 		sim.clk.Step()
 		for _, n := range sim.nodes {
 			te := n.controller.terms[0]
-			if !n.alive || te == nil || te.state != termLoading {
+			if !n.alive || te == nil || te.State() != term.Loading {
 				continue
 			}
 			id := sim.cluster.Submitted[3].Spec.ID
@@ -105,11 +106,11 @@
 			if !slices.Contains(r.AcknowledgedCancelled, id) {
 				t.Fatal("it does not say that it has it")
 			}
-			for te.state == termLoading {
+			for te.State() == term.Loading {
 				sim.clk.Step()
 			}
-			if te.state != termFencing || te.scheduler.OpenJob(id) != nil || te.scheduler.OpenJob(sim.cluster.Submitted[4].Spec.ID) == nil {
-				t.Errorf("%v: the job that was called off is open: %v", te.state, te.scheduler.OpenJob(id) != nil)
+			if te.State() != term.Fencing || te.Scheduler().OpenJob(id) != nil || te.Scheduler().OpenJob(sim.cluster.Submitted[4].Spec.ID) == nil {
+				t.Errorf("%v: the job that was called off is open: %v", te.State(), te.Scheduler().OpenJob(id) != nil)
 			}
 			return
 		}
@@ -134,7 +135,7 @@
 			Vcpus: 4, Gpus: 1, MemGb: 20, Image: "img", ImageGb: 2, AnyType: true, EstimatedRunTimeS: 5}, 5*time.Second)
 	}
 	sim.runFor(2 * time.Second)
-	if b := n.controller.terms[0].scheduler; b.OpenJob("job-900") != nil || b.OpenJob("job-901") == nil {
+	if b := n.controller.terms[0].Scheduler(); b.OpenJob("job-900") != nil || b.OpenJob("job-901") == nil {
 		t.Errorf("called off and open: %v; another open: %v", b.OpenJob("job-900") != nil, b.OpenJob("job-901") != nil)
 	}
 }
@@ -155,9 +156,9 @@
 	for range 100000 {
 		sim.clk.Step()
 		for _, n := range sim.nodes {
-			if te := n.controller.terms[0]; n.alive && te != nil && te.state == termFencing {
+			if te := n.controller.terms[0]; n.alive && te != nil && te.State() == term.Fencing {
 				all := quota.Resources{GPUs: 12}
-				if te.ledger.Admits("red", all, false) {
+				if te.Ledger().Admits("red", all, false) {
 					t.Error("the whole limit may be used, though no machine has been heard")
 				}
 				return
@@ -186,11 +187,11 @@
 	h := sim.holder()
 	h.crash(time.Hour)
 	sim.cancel(long)
-	var next *term
+	var next *term.Term
 	for range 200 {
 		sim.runFor(50 * time.Millisecond)
 		for _, n := range sim.nodes {
-			if t := n.controller.terms[0]; n.alive && t != nil && t.state == termFencing {
+			if t := n.controller.terms[0]; n.alive && t != nil && t.State() == term.Fencing {
 				next = t
 			}
 		}
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -180,7 +180,7 @@
 			m.Process, m.UpMs, m.ClockNs, m.EchoProcess, m.EchoNs, m.CancellationsComplete = 0, 0, 0, 0, 0, false
 		}, false},
 		{"peers that were replaced since the holder's last read", func(_ *simulatedNode, m *peerpb.PeerHeartbeat) { m.Process++; m.UpMs = 100 }, false},
-		{"nobody's while the records are being read: what is called off cannot be stopped yet", func(h *simulatedNode, _ *peerpb.PeerHeartbeat) { h.controller.terms[0].state = termLoading }, false},
+		{"nobody's while the records are being read: what is called off cannot be stopped yet", func(h *simulatedNode, _ *peerpb.PeerHeartbeat) { h.startsTermAnew() }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			sim := steadySimulation(t, 6, 8)
@@ -196,15 +196,15 @@
 				}
 				n.peersCut = true
 			}
-			h.controller.terms[0].cancellationsKnownUntil(sim.clk.Now())
-			before := h.controller.terms[0].cancellationsKnownUntil(sim.clk.Now())
+			h.controller.terms[0].CancellationsKnownUntil(sim.clk.Now())
+			before := h.controller.terms[0].CancellationsKnownUntil(sim.clk.Now())
 			sim.runFor(200 * time.Millisecond)
 			for _, m := range words {
 				m.ClockNs += int64(time.Second)
 				m.EchoNs += int64(time.Second) / 10
 				h.controller.HandlePeerHeartbeat(sim.clk.Now(), m)
 			}
-			after := h.controller.terms[0].cancellationsKnownUntil(sim.clk.Now())
+			after := h.controller.terms[0].CancellationsKnownUntil(sim.clk.Now())
 			if moved := after.After(before); moved != c.moves || after.After(sim.clk.Now()) {
 				t.Errorf("horizon moved by %v, want %v", after.Sub(before), c.moves)
 			}
@@ -218,7 +218,7 @@
 		if n := sim.holder(); n != h {
 			t.Fatal("it is not the holder any more")
 		}
-		if at := h.controller.terms[0].cancellationsKnownUntil(sim.clk.Now()); sim.clk.Now().Sub(at) < 4*time.Second {
+		if at := h.controller.terms[0].CancellationsKnownUntil(sim.clk.Now()); sim.clk.Now().Sub(at) < 4*time.Second {
 			t.Errorf("it believes to know all up to %v ago, and may have lost the block since", sim.clk.Now().Sub(at))
 		}
 	})
@@ -240,7 +240,7 @@
 		Vcpus: 4, Gpus: 1, MemGb: 20, Image: "img", ImageGb: 2, AnyType: true, EstimatedRunTimeS: 10}, 10*time.Second)
 	sent := func() int {
 		n := 0
-		for _, m := range sim.holder().controller.terms[0].workers.All() {
+		for _, m := range sim.holder().controller.terms[0].Workers().All() {
 			if m.CommandInFlight {
 				n++
 			}
--- a/internal/controller/completions_test.go
+++ b/internal/controller/completions_test.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"slices"
 	"testing"
 	"time"
 
@@ -10,34 +9,6 @@
 	"juniperchute/internal/wire"
 )
 
-// In which order the ends of jobs are written when the rate of writes is short: an
-// important job's end must not wait behind hundreds of others that completed before it.
-func TestOrderOfEnds(t *testing.T) {
-	now := time.Unix(1000, 0)
-	board, _ := tallyBoard(wire.JobSpec{ID: "job-9", Shape: wire.ShapeBatch, Tasks: 1})
-	o := newJobCompletions(nil, nil)
-	add := func(id, priority string, ago time.Duration) {
-		j := board.AddJob(now, wire.JobSpec{ID: id, Shape: wire.ShapeBatch, Priority: priority, Tasks: 1}, now, 1, false)
-		j.RestoreCompleted(0)
-		o.taskCompleted(now.Add(-ago), j)
-	}
-	add("job-1", "low", 3*time.Second)
-	add("job-2", "low", 5*time.Second)
-	add("job-3", "high", 1*time.Second)
-	add("job-4", "normal", 9*time.Second)
-	add("job-5", "critical", 0)
-	add("job-6", "low", 5*time.Second)
-	o.endsInFlight["job-5"] = true
-	o.retryAt["job-4"] = now.Add(time.Second)
-	var got []string
-	for _, j := range o.jobsToEnd(now) {
-		got = append(got, j.Spec.ID)
-	}
-	if want := []string{"job-3", "job-2", "job-6", "job-1"}; !slices.Equal(got, want) {
-		t.Errorf("ends are written in the order %v, want %v", got, want)
-	}
-}
-
 // While the state service takes few writes, the ends of jobs that matter more are told
 // first, and no more than a few are asked for at once.
 func TestEndsUnderAShortRate(t *testing.T) {
@@ -58,8 +29,8 @@
 	for range 120 {
 		sim.runFor(500 * time.Millisecond)
 		for _, n := range sim.nodes {
-			if te := n.controller.terms[0]; te != nil && len(te.completions.endsInFlight) > tuning.MaxJobEndsInFlight {
-				t.Fatalf("%d ends are under way", len(te.completions.endsInFlight))
+			if te := n.controller.terms[0]; te != nil && te.EndsInFlight() > tuning.MaxJobEndsInFlight {
+				t.Fatalf("%d ends are under way", te.EndsInFlight())
 			}
 		}
 		for j, at := range completed {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,7 +1,9 @@
-// Package controller wires the slices together. Core is the state that one
-// goroutine owns; it takes events, decides without any I/O and asks an Env for
-// effects, whose results come back as events. Runtime is that goroutine and
-// the Env of a real process.
+// Package controller is one controller of a deployment: it elects, routes, and runs the terms
+// of the shards that it owns.
+//
+// A Controller is the state that one goroutine owns. It takes events, decides without any
+// I/O, and asks its Effects for what is to be done; their results come back as events. A
+// Runtime is that goroutine in a real process, with servers and connections.
 package controller
 
 import (
@@ -18,6 +20,7 @@
 	"juniperchute/internal/peer/peerpb"
 	"juniperchute/internal/store"
 	"juniperchute/internal/submission"
+	"juniperchute/internal/term"
 	"juniperchute/internal/tuning"
 	"juniperchute/internal/wire"
 )
@@ -26,162 +29,157 @@
 type Controller struct {
 	config    *config.Config
 	options   Options
-	shards    int
 	effects   Effects
-	rng       *rand.Rand
+	rand      *rand.Rand
 	wallClock func() time.Time
 	log       *slog.Logger
 
-	membership         *leader.Membership
-	submissions        *submission.Service
-	openJobs           *store.WatchCache // open jobs of all shards
-	provisionRequests  *store.WatchCache // of all shards
-	shardOfMachine     map[string]int    // machines by the rentals that name them
-	terms              map[int]*term
-	machineTypes       map[string]wire.MachineType
-	machineTypeRecords map[string]string
-	machineTypeCount   int // how many machine types there are
-	settings           admin.Settings
-	peers              map[string]*peerStatus
-	leaseClaims        map[int]*peerpb.LeaseClaim // the highest token that peers know of each block
-	progressQueries    map[int]*progressQueue
-	heartbeatAt        time.Time
-	processID          uint64    // drawn at the start: tells this process from others of its name
-	startedAt          time.Time // of its first tick
-	cancellationLog    *submission.CancellationLog
-	forwardingTo       map[string]bool // holders that a cancellation is being passed to
-	timers             []timer
-	intentLogs         storedIntents // as last read for an operator
+	processID uint64    // drawn at the start: tells this process from others of its name
+	startedAt time.Time // of its first tick
+	timers    []timer
+
+	membership  *leader.Membership
+	submissions *submission.Service
+	terms       map[int]*term.Term // by shard; ended ones until the records show that
+	settings    admin.Settings
+	machines    machineTypes
+	storedLogs  storedIntents // as last read for an operator
+
+	// Watch caches of all shards' records.
+	openJobs          *store.WatchCache
+	provisionRequests *store.WatchCache
+	shardOfMachine    map[string]int // by the provision requests that name the machines
+
+	peers           map[string]*peerStatus
+	peerHeartbeatAt time.Time                  // when the next exchange begins
+	leaseClaims     map[int]*peerpb.LeaseClaim // the highest token that peers know of each shard
+	progressQueries map[int]*progressQueue
+	cancellationLog *submission.CancellationLog
+	forwardingTo    map[string]bool // members that cancellations are being forwarded to
 }
 
+// timer is a function to run on the owner goroutine at some time.
 type timer struct {
 	at  time.Time
 	run func(now time.Time)
 }
 
-// NewController makes the state of one controller. wall is the time of day.
-func NewController(cfg *config.Config, opt Options, env Effects, rng *rand.Rand, wall func() time.Time, log *slog.Logger) *Controller {
-	blocks := opt.Blocks
-	c := &Controller{config: cfg, options: opt, shards: blocks, effects: env, rng: rng, wallClock: wall, log: log,
-		terms: map[int]*term{}, machineTypes: map[string]wire.MachineType{}, machineTypeRecords: map[string]string{},
-		settings: admin.Defaults(), peers: map[string]*peerStatus{}, leaseClaims: map[int]*peerpb.LeaseClaim{}, shardOfMachine: map[string]int{}, progressQueries: map[int]*progressQueue{},
-		processID: rng.Uint64() | 1, cancellationLog: submission.NewCancellationLog(blocks, config.Seconds(cfg.Platform.Workers.CancelS), cfg.Platform.State.WriteRPS), forwardingTo: map[string]bool{}}
-	c.membership = leader.New(cfg.Member, blocks, opt.Switches.Announced(), wall, c.callState, log, c.applyControlRecord)
-	c.openJobs = store.NewWatchCache(submission.OpenJobPrefix, c.callState, func(now time.Time, _ string, it wire.KeyValue, gone bool) {
-		for _, t := range c.terms {
-			if t.state != termEnded && t.predecessorRecords.readsInFlight == 0 {
-				t.applyOpenJob(now, it, gone)
-			}
-		}
-	})
-	c.provisionRequests = store.NewWatchCache(fleet.ProvisioningPrefix, c.callState, c.applyProvisionRecord)
-	c.submissions = submission.New(cfg.Platform, blocks, wall, c.callState, log,
+// machineTypes are the cloud's machine types as the control records have them.
+type machineTypes struct {
+	byName  map[string]wire.MachineType
+	records map[string]string // as stored
+	total   int               // how many there are, known or not
+}
+
+// NewController makes the state of one controller. wallClock is the time of day.
+func NewController(cfg *config.Config, options Options, effects Effects, rng *rand.Rand,
+	wallClock func() time.Time, log *slog.Logger) *Controller {
+	c := &Controller{
+		config: cfg, options: options, effects: effects, rand: rng, wallClock: wallClock, log: log,
+		processID:       rng.Uint64() | 1,
+		terms:           map[int]*term.Term{},
+		settings:        admin.Defaults(),
+		machines:        machineTypes{byName: map[string]wire.MachineType{}, records: map[string]string{}},
+		shardOfMachine:  map[string]int{},
+		peers:           map[string]*peerStatus{},
+		leaseClaims:     map[int]*peerpb.LeaseClaim{},
+		progressQueries: map[int]*progressQueue{},
+		forwardingTo:    map[string]bool{},
+	}
+	c.cancellationLog = submission.NewCancellationLog(options.Shards,
+		config.Seconds(cfg.Platform.Workers.CancelS), cfg.Platform.State.WriteRPS)
+	c.membership = leader.New(cfg.Member, options.Shards, options.Features.Announced(), wallClock,
+		c.callState, log, c.applyControlRecord)
+	c.openJobs = store.NewWatchCache(submission.OpenJobPrefix, c.callState, c.applyOpenJob)
+	c.provisionRequests = store.NewWatchCache(fleet.ProvisioningPrefix, c.callState, c.applyProvisionRequest)
+	c.submissions = submission.New(cfg.Platform, options.Shards, wallClock, c.callState, log,
 		c.allMachineTypes, c.openJobs, c.jobProgress, c.recordCancellation)
-	for _, k := range cfg.Peers {
-		c.peers[k.Member] = &peerStatus{}
+	for _, peer := range cfg.Peers {
+		c.peers[peer.Member] = &peerStatus{}
 	}
 	return c
 }
 
-// callState passes a call on, and looks after the tenures when its answer has
+// callState sends a call of the state service, and reconciles the terms when its result has
 // been handled.
 func (c *Controller) callState(call store.Call, then func(time.Time, store.Result)) {
-	c.effects.CallState(call, func(now time.Time, r store.Result) {
-		then(now, r)
-		c.reconcileTerms(now)
+	c.effects.CallState(call, func(now time.Time, result store.Result) {
+		then(now, result)
+		c.ReconcileTerms(now)
 	})
 }
 
-func (c *Controller) schedule(now time.Time, d time.Duration, f func(now time.Time)) {
-	c.timers = append(c.timers, timer{now.Add(d), f})
+// Schedule runs a function on the owner goroutine after a delay, at the precision of ticks.
+func (c *Controller) Schedule(now time.Time, delay time.Duration, run func(now time.Time)) {
+	c.timers = append(c.timers, timer{now.Add(delay), run})
 }
 
-// applyControlRecord handles control records that are not the leader slice's.
-func (c *Controller) applyControlRecord(now time.Time, key string, it wire.KeyValue, gone bool) {
-	if key == admin.Key {
-		c.settings = admin.Defaults()
-		if !gone {
-			c.settings = admin.Decode(it.Value, c.log)
-		}
-		for _, t := range c.terms {
-			t.applySettings()
+// runTimers runs the timers that are due.
+func (c *Controller) runTimers(now time.Time) {
+	for i := 0; i < len(c.timers); {
+		due := c.timers[i]
+		if now.Before(due.at) {
+			i++
+			continue
 		}
-		return
+		c.timers = slices.Delete(c.timers, i, i+1)
+		due.run(now)
 	}
-	name, ok := fleet.MachineTypeName(key)
-	if !ok {
-		return
-	}
-	delete(c.machineTypes, name)
-	delete(c.machineTypeRecords, name)
-	if gone {
-		return
+}
+
+// applyOpenJob takes note of a change of an open job's record.
+func (c *Controller) applyOpenJob(now time.Time, _ string, kv wire.KeyValue, deleted bool) {
+	for _, t := range c.terms {
+		t.ApplyOpenJob(now, kv, deleted)
 	}
-	var f fleet.MachineTypeRecord
-	if err := json.Unmarshal(it.Value, &f); err != nil {
-		c.log.Error("machine type's record cannot be read", "key", key, "error", err)
+}
+
+// applyControlRecord takes note of a change of a control record that is not of the membership.
+func (c *Controller) applyControlRecord(_ time.Time, key string, kv wire.KeyValue, deleted bool) {
+	if key == admin.Key {
+		c.applySettings(kv, deleted)
 		return
 	}
-	c.machineTypes[name], c.machineTypeRecords[name], c.machineTypeCount = f.MachineType, string(it.Value), f.Total
-	for _, t := range c.terms {
-		t.autoscaler.ApplyMachineType(f.MachineType, string(it.Value))
+	if name, ok := fleet.MachineTypeName(key); ok {
+		c.applyMachineType(name, kv, deleted)
 	}
 }
 
-// allMachineTypes are the machine types, none until all of them are known.
-func (c *Controller) allMachineTypes() map[string]wire.MachineType {
-	if len(c.machineTypes) < c.machineTypeCount {
-		return nil
+func (c *Controller) applySettings(kv wire.KeyValue, deleted bool) {
+	c.settings = admin.Defaults()
+	if !deleted {
+		c.settings = admin.Decode(kv.Value, c.log)
+	}
+	for _, t := range c.terms {
+		t.ApplySettings(c.settings)
 	}
-	return c.machineTypes
 }
 
-// reconcileTerms begins and ends tenures as the records say.
-func (c *Controller) reconcileTerms(now time.Time) {
-	mine := c.membership.Terms()
-	for b := range c.shards {
-		t := c.terms[b]
-		if t == nil {
-			continue
-		}
-		inc := c.membership.Incarnation()
-		_, token, known := c.membership.Holder(b)
-		switch {
-		case t.state == termEnded:
-		case inc != 0 && inc != t.incarnation:
-			// a new lease: nothing of the old one's may be used beside it
-			t.end(now, "this process has a new lease")
-		case known && token > t.Token:
-			t.end(now, "the block was given away")
-		}
-		if t.state != termEnded {
-			continue
-		}
-		if slices.ContainsFunc(mine, func(l leader.Term) bool { return l.Shard == b && l.Token == t.Token }) {
-			// Ended on somebody's word while the records still name us: left
-			// alone, the block would have no holder for good.
-			c.membership.Resign(now, t.Term, t.fencing.unreachable)
-			continue
-		}
-		delete(c.terms, b)
+func (c *Controller) applyMachineType(name string, kv wire.KeyValue, deleted bool) {
+	delete(c.machines.byName, name)
+	delete(c.machines.records, name)
+	if deleted {
+		return
 	}
-	for _, l := range mine {
-		if c.terms[l.Shard] == nil && c.membership.LeaseValid(now) {
-			c.terms[l.Shard] = newTerm(now, c, l, c.membership.Incarnation())
-		}
+	var record fleet.MachineTypeRecord
+	if err := json.Unmarshal(kv.Value, &record); err != nil {
+		c.log.Error("machine type's record unreadable", "key", kv.Key, "error", err)
+		return
+	}
+	c.machines.byName[name] = record.MachineType
+	c.machines.records[name] = string(kv.Value)
+	c.machines.total = record.Total
+	for _, t := range c.terms {
+		t.ApplyMachineType(record.MachineType, string(kv.Value))
 	}
 }
 
-// EndTermsAfterSuspension is told that the clock was moved forward. This process's own lease may have
-// ended by it, which is safe. That a worker's lease is over must not be concluded from time
-// that may not have passed: all tenures end, and whoever holds the blocks next waits for
-// leases from its own beginning.
-func (c *Controller) EndTermsAfterSuspension(now time.Time) {
-	for _, t := range c.terms {
-		if t.state != termEnded {
-			t.end(now, "the clock was moved forward")
-		}
+// allMachineTypes are the machine types, none until all of them are known.
+func (c *Controller) allMachineTypes() map[string]wire.MachineType {
+	if len(c.machines.byName) < c.machines.total {
+		return nil
 	}
+	return c.machines.byName
 }
 
 // Tick starts what is due.
@@ -190,36 +188,29 @@
 		c.startedAt = now
 	}
 	c.membership.Tick(now)
-	for i := 0; i < len(c.timers); {
-		if tm := c.timers[i]; !now.Before(tm.at) {
-			c.timers = slices.Delete(c.timers, i, i+1)
-			tm.run(now)
-			continue
-		}
-		i++
-	}
-	c.reconcileTerms(now)
-	c.openJobs.MinWatchInterval, c.provisionRequests.MinWatchInterval = tuning.FollowerWatchInterval, tuning.FollowerWatchInterval
+	c.runTimers(now)
+	c.ReconcileTerms(now)
+	c.openJobs.MinWatchInterval = tuning.FollowerWatchInterval
+	c.provisionRequests.MinWatchInterval = tuning.FollowerWatchInterval
 	if len(c.terms) > 0 {
 		c.openJobs.MinWatchInterval = tuning.OwnerWatchInterval
 	}
 	c.openJobs.Tick(now)
 	c.provisionRequests.Tick(now)
-	for b := range c.shards {
-		if t := c.terms[b]; t != nil {
+	for shard := range c.options.Shards {
+		if t := c.terms[shard]; t != nil {
 			t.Tick(now)
 		}
 	}
-	if !now.Before(c.heartbeatAt) {
-		c.heartbeatAt = now.Add(tuning.PeerHeartbeatInterval)
+	if !now.Before(c.peerHeartbeatAt) {
+		c.peerHeartbeatAt = now.Add(tuning.PeerHeartbeatInterval)
 		c.sendHeartbeats(now)
 	}
 }
 
-// Healthy tells whether this node can take requests. A node that alone lost
-// the state service, or that hears neither it nor any peer, says no, so that
-// users go to the others; in an outage all stay, as they would be slow to come
-// back.
+// Healthy tells whether this controller can take requests. One that alone lost the state
+// service, or that hears neither it nor any peer, says no, so that users go to the others; in
+// an outage all stay, as they would be slow to come back.
 func (c *Controller) Healthy(now time.Time) bool {
 	if !c.membership.Synced() || !c.openJobs.Synced() || len(c.allMachineTypes()) == 0 {
 		return false
@@ -228,31 +219,32 @@
 		return true
 	}
 	alone := len(c.peers) > 0
-	for _, p := range c.peers {
-		if now.Sub(p.lastHeartbeat) < 3*tuning.PeerHeartbeatInterval {
-			alone = false
-			if p.stateUnreachableFor < tuning.IsolatedAfter {
-				return false
-			}
+	for _, peer := range c.peers {
+		if !peer.live(now) {
+			continue
+		}
+		alone = false
+		if peer.stateUnreachableFor < tuning.IsolatedAfter {
+			return false
 		}
 	}
 	return !alone
 }
 
-// HandleHeartbeat answers a worker's report.
-func (c *Controller) HandleHeartbeat(now time.Time, rep *wire.Heartbeat, reply func(status int, body any)) {
-	b := c.shardOf(rep.Host)
-	if t := c.terms[b]; t != nil && t.state != termEnded {
-		t.HandleHeartbeat(now, rep, reply)
+// HandleHeartbeat answers a worker's heartbeat, or redirects it to its shard's lease holder.
+func (c *Controller) HandleHeartbeat(now time.Time, heartbeat *wire.Heartbeat, reply func(status int, body any)) {
+	shard := c.shardOf(heartbeat.Host)
+	if t := c.liveTerm(shard); t != nil {
+		t.HandleHeartbeat(now, heartbeat, reply)
 		return
 	}
-	c.redirect(b, reply)
+	c.Redirect(shard, reply)
 }
 
-// ObserveQueueDelay tells how long the next report has waited for its turn.
-func (c *Controller) ObserveQueueDelay(d time.Duration) {
+// ObserveQueueDelay takes note of how long the next heartbeat has waited for its turn.
+func (c *Controller) ObserveQueueDelay(delay time.Duration) {
 	for _, t := range c.terms {
-		t.workers.HeartbeatDelay = d
+		t.ObserveQueueDelay(delay)
 	}
 }
 
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -36,7 +36,7 @@
 			cfg := facts([]string{"a"}, []config.Team{{Name: "red"}}, 1.5, 10)
 			cfg.Member = "n0"
 			cfg.Peers = []config.Peer{{Member: "n1"}, {Member: "n2"}}
-			core := NewController(cfg, Options{Blocks: 1}, nil, rand.New(rand.NewPCG(1, 1)), func() time.Time { return now }, slog.New(slog.NewTextHandler(io.Discard, nil)))
+			core := NewController(cfg, Options{Shards: 1}, nil, rand.New(rand.NewPCG(1, 1)), func() time.Time { return now }, slog.New(slog.NewTextHandler(io.Discard, nil)))
 			for _, h := range c.heard {
 				core.HandlePeerHeartbeat(now, &peerpb.PeerHeartbeat{Member: "n1", Claims: []*peerpb.LeaseClaim{h}})
 			}
@@ -67,7 +67,7 @@
 	cfg := facts([]string{"a"}, []config.Team{{Name: "red"}}, 1.5, 10)
 	cfg.Member, cfg.Peers = "n0", []config.Peer{{Member: "n1"}}
 	env := &heldCalls{}
-	core := NewController(cfg, Options{Blocks: 1}, env, rand.New(rand.NewPCG(1, 1)), func() time.Time { return now }, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	core := NewController(cfg, Options{Shards: 1}, env, rand.New(rand.NewPCG(1, 1)), func() time.Time { return now }, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	core.HandlePeerHeartbeat(now, &peerpb.PeerHeartbeat{Member: "n1", Claims: []*peerpb.LeaseClaim{{Token: 4, Holder: "n1"}}})
 	const questions = 90
 	got := map[int]submission.Progress{}
--- a/internal/controller/fault_scenario_test.go
+++ b/internal/controller/fault_scenario_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"juniperchute/internal/standin"
+	"juniperchute/internal/term"
 	"juniperchute/internal/wire"
 )
 
@@ -48,7 +49,7 @@
 // leader is whoever holds the block or is about to, or any node.
 func (m *faultScenario) leader() *simulatedNode {
 	for _, n := range m.nodes {
-		if t := n.controller.terms[0]; n.alive && t != nil && t.state != termEnded && n.controller.membership.LeaseValid(m.clk.Now()) {
+		if t := n.controller.terms[0]; n.alive && t != nil && t.State() != term.Ended && n.controller.membership.LeaseValid(m.clk.Now()) {
 			return n
 		}
 	}
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -8,6 +8,7 @@
 
 	"juniperchute/internal/config"
 	"juniperchute/internal/standin"
+	"juniperchute/internal/term"
 	"juniperchute/internal/tuning"
 	"juniperchute/internal/wire"
 	"juniperchute/internal/worker"
@@ -94,7 +95,7 @@
 				}
 			}
 			copies()
-			if m := n.controller.terms[0].workers.Get(h.Host.ID); m != nil {
+			if m := n.controller.terms[0].Workers().Get(h.Host.ID); m != nil {
 				sim.fail("%s is back: %v", h.Host.ID, m.State)
 			}
 			// the same to a successor, which never heard that machine
@@ -105,13 +106,13 @@
 				return
 			}
 			copies()
-			if m := n.controller.terms[0].workers.Get(h.Host.ID); m != nil {
+			if m := n.controller.terms[0].Workers().Get(h.Host.ID); m != nil {
 				sim.fail("%s is back at the successor: %v", h.Host.ID, m.State)
 			}
 		}},
 		{"a silent machine's late reports: what its old session says is over", func(sim *simulation) {
 			n := sim.holder()
-			reg := n.controller.terms[0].workers
+			reg := n.controller.terms[0].Workers()
 			h := sim.someMachine()
 			rep := h.Heartbeat()
 			h.partitioned, h.Hung = true, true
@@ -206,10 +207,10 @@
 				sim.runFor(time.Second)
 				for _, n := range sim.nodes {
 					t := n.controller.terms[0]
-					if !n.alive || n == before || t == nil || t.state != termFencing {
+					if !n.alive || n == before || t == nil || t.State() != term.Fencing {
 						continue
 					}
-					for _, j := range t.scheduler.OpenJobs() {
+					for _, j := range t.Scheduler().OpenJobs() {
 						if j.FromEarlierTerm && j.AssignedTasks() > 0 && !strings.Contains(marked, `"`+j.Spec.ID+`"`) {
 							began++
 						}
--- a/internal/controller/fleet_limits_test.go
+++ b/internal/controller/fleet_limits_test.go
@@ -66,7 +66,7 @@
 func TestAttemptNumbersUsedUp(t *testing.T) {
 	sim := steadySimulation(t, 6, 8)
 	tenure := sim.holder().controller.terms[0]
-	tenure.scheduler.AttemptNumbersExhausted = true
+	tenure.Scheduler().AttemptNumbersExhausted = true
 	sim.runFor(10 * time.Second)
 	next := sim.holder()
 	if next == nil || next.controller.terms[0].Token <= tenure.Token {
--- a/internal/controller/http_test.go
+++ b/internal/controller/http_test.go
@@ -20,7 +20,7 @@
 func front(tb testing.TB, owner bool) *Runtime {
 	cfg := facts([]string{"a"}, []config.Team{{Name: "red"}}, 1.5, 10)
 	cfg.External = config.External{Cloud: "127.0.0.1:1", State: "127.0.0.1:1"}
-	r := NewRuntime(cfg, Options{Blocks: tuning.Shards}, clock.New(nil), slog.New(slog.NewTextHandler(io.Discard, nil)), rand.New(rand.NewPCG(1, 1)))
+	r := NewRuntime(cfg, Options{Shards: tuning.Shards}, clock.New(nil), slog.New(slog.NewTextHandler(io.Discard, nil)), rand.New(rand.NewPCG(1, 1)))
 	r.effects.ctx = tb.Context()
 	if owner {
 		go func() {
--- a/internal/controller/intents.go
+++ b/internal/controller/intents.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"context"
 	"errors"
 	"slices"
 	"strconv"
@@ -28,26 +27,6 @@
 // errRecordsNotRead tells that this node has not read what it is asked for yet.
 var errRecordsNotRead = errors.New("the control records have not been read yet")
 
-// HandleIntents is part of peer.Handler.
-func (r *Runtime) HandleIntents(ctx context.Context) (*peerpb.IntentsReply, error) {
-	type result struct {
-		reply *peerpb.IntentsReply
-		err   error
-	}
-	ch := make(chan result, 1)
-	if err := r.Ask(ctx, func(now time.Time) {
-		r.controller.Intents(now, func(reply *peerpb.IntentsReply, err error) { ch <- result{reply, err} })
-	}); err != nil {
-		return nil, err
-	}
-	select {
-	case res := <-ch:
-		return res.reply, res.err
-	case <-ctx.Done():
-		return nil, ctx.Err()
-	}
-}
-
 // Intents tells who carries out the duties and what is not settled. The logs are read
 // anew; if the state service does not answer, what was read last is told with its age.
 func (c *Controller) Intents(now time.Time, reply func(*peerpb.IntentsReply, error)) {
@@ -58,7 +37,7 @@
 	read := storedIntents{entries: map[int][]intentlog.Entry{}, unreadable: map[int]int{}, readAt: now}
 	c.readIntentLogs(read, "", func(now time.Time, ok bool) {
 		if ok {
-			c.intentLogs = read
+			c.storedLogs = read
 		}
 		reply(c.intentsReply(now), nil)
 	})
@@ -106,8 +85,8 @@
 
 func (c *Controller) intentsReply(now time.Time) *peerpb.IntentsReply {
 	out := &peerpb.IntentsReply{Member: c.config.Member, InForce: c.membership.FeatureInForce(featuregate.IntentLogFeature),
-		HoldersAgeMs: ageMs(now, c.membership.LastContact()), EntriesAgeMs: ageMs(now, c.intentLogs.readAt)}
-	for b := range c.shards {
+		HoldersAgeMs: ageMs(now, c.membership.LastContact()), EntriesAgeMs: ageMs(now, c.storedLogs.readAt)}
+	for b := range c.options.Shards {
 		out.Shards = append(out.Shards, c.shardIntents(b))
 	}
 	return out
@@ -115,15 +94,15 @@
 
 func (c *Controller) shardIntents(block int) *peerpb.ShardIntents {
 	holder, token, live := c.membership.Holder(block)
-	out := &peerpb.ShardIntents{Shard: int32(block), Holder: holder, Token: token, Live: live, UnreadablePages: int32(c.intentLogs.unreadable[block])}
+	out := &peerpb.ShardIntents{Shard: int32(block), Holder: holder, Token: token, Live: live, UnreadablePages: int32(c.storedLogs.unreadable[block])}
 	if since := c.membership.ShardAssignedAt(block); !since.IsZero() {
 		out.SinceMs = since.UnixMilli()
 	}
 	statuses := c.recordedIntents(block)
-	if t := c.terms[block]; t != nil && t.state != termEnded {
-		out.State = t.state.String()
-		if t.state != termLoading {
-			statuses = t.intents.Status()
+	if t := c.liveTerm(block); t != nil {
+		out.State = t.State().String()
+		if known, ok := t.Operations(); ok {
+			statuses = known
 		}
 	}
 	for _, s := range statuses {
@@ -136,7 +115,7 @@
 // the rentals that name no machines yet.
 func (c *Controller) recordedIntents(block int) []intentlog.OperationStatus {
 	actions := map[intentlog.Operation][]intentlog.IntentStatus{}
-	for _, e := range c.intentLogs.entries[block] {
+	for _, e := range c.storedLogs.entries[block] {
 		actions[e.Operation] = append(actions[e.Operation], intentlog.IntentStatus{Operation: e.Operation, Target: e.Target, Token: e.Token, State: intentlog.Recorded, DecidedAt: e.DecidedAt})
 	}
 	c.provisionRequests.Each(func(it wire.KeyValue) {
--- a/internal/controller/intents_test.go
+++ b/internal/controller/intents_test.go
@@ -12,6 +12,7 @@
 	"juniperchute/internal/peer/peerpb"
 	"juniperchute/internal/standin"
 	"juniperchute/internal/store"
+	"juniperchute/internal/term"
 	"juniperchute/internal/tuning"
 	"juniperchute/internal/wire"
 	"juniperchute/internal/worker"
@@ -78,7 +79,7 @@
 			holder.crash(500 * time.Millisecond)
 			sim.runUntil("a successor", 20*time.Second, func() bool {
 				for _, n := range sim.nodes {
-					if t := n.controller.terms[0]; n.alive && n != holder && t != nil && t.state != termEnded {
+					if t := n.controller.terms[0]; n.alive && n != holder && t != nil && t.State() != term.Ended {
 						n.crash(300 * time.Millisecond)
 						return true
 					}
@@ -125,11 +126,11 @@
 	}
 	cut.partitioned = true
 	sim.holder().crash(time.Hour)
-	var tenure *term
+	var tenure *term.Term
 	sim.runUntil("a tenure that deletes the machine", 20*time.Second, func() bool {
 		for _, n := range sim.nodes {
-			if o := n.controller.terms[0]; n.alive && o != nil && o.state == termFencing {
-				if m := o.workers.Get(cut.Host.ID); m != nil && m.State == worker.Deleting {
+			if o := n.controller.terms[0]; n.alive && o != nil && o.State() == term.Fencing {
+				if m := o.Workers().Get(cut.Host.ID); m != nil && m.State == worker.Deleting {
 					tenure = o
 					return true
 				}
@@ -139,12 +140,12 @@
 	})
 	old := cut.Heartbeat()
 	tenure.HandleHeartbeat(sim.clk.Now(), old, func(int, any) {})
-	if m := tenure.workers.Get(cut.Host.ID); m.LeaseRenewedAt.IsZero() {
+	if m := tenure.Workers().Get(cut.Host.ID); m.LeaseRenewedAt.IsZero() {
 		t.Fatal("the older report was not answered: this tests nothing")
 	}
 	sim.runFor(500 * time.Millisecond)
-	if tenure.state != termFencing {
-		t.Errorf("%v although it is not known what is on %s", tenure.state, cut.Host.ID)
+	if tenure.State() != term.Fencing {
+		t.Errorf("%v although it is not known what is on %s", tenure.State(), cut.Host.ID)
 	}
 	sim.cloud.Unavailable, cut.partitioned = false, false
 	sim.release(cut)
@@ -303,8 +304,8 @@
 	holder := sim.holder()
 	before := holder.controller.terms[0]
 	holder.controller.EndTermsAfterSuspension(sim.clk.Now())
-	if before.state != termEnded {
-		t.Fatalf("the tenure is %v", before.state)
+	if before.State() != term.Ended {
+		t.Fatalf("the tenure is %v", before.State())
 	}
 	sim.runFor(10 * time.Second)
 	if next := sim.holder(); next == nil || next.controller.terms[0].Token <= before.Token {
--- a/internal/controller/options.go
+++ b/internal/controller/options.go
@@ -12,15 +12,15 @@
 
 // Options are what a controller is started with beside the platform's settings.
 type Options struct {
-	Blocks   int
-	Switches featuregate.Gates
+	Shards   int
+	Features featuregate.Gates
 	Tracer   intentlog.Tracer // nil: no spans are made
 }
 
 // NewOptions makes the options of a member that has some switches on. finish writes what
 // is left of its trace.
 func NewOptions(s featuregate.Gates, member string, rng *rand.Rand) (o Options, finish func(), err error) {
-	o = Options{Blocks: tuning.Shards, Switches: s}
+	o = Options{Shards: tuning.Shards, Features: s}
 	if s.Trace.File == "" {
 		return o, func() {}, nil
 	}
--- a/internal/controller/peer_heartbeat.go
+++ b/internal/controller/peer_heartbeat.go
@@ -5,19 +5,36 @@
 
 	"juniperchute/internal/admin"
 	"juniperchute/internal/peer/peerpb"
+	"juniperchute/internal/term"
 	"juniperchute/internal/tuning"
 )
 
+// peerStatus is what this controller knows of another one.
 type peerStatus struct {
-	lastHeartbeat       time.Time     // when it last said so
-	stateUnreachableFor time.Duration // since the state service answered it
-	processID           uint64        // of its newest message
-	version             string        // as it told
-	clockNs             int64         // its clock's in that message
-	unacknowledged      []string      // cancellations that it passed on and has not been told of having
+	lastHeartbeat       time.Time     // when it arrived
+	stateUnreachableFor time.Duration // by the peer's own account
+	processID           uint64        // of the newest heartbeat
+	clockNs             int64         // the peer's clock in that heartbeat
+	version             string
+	// unacknowledged are cancellations that the peer forwarded and that the next heartbeat to
+	// it acknowledges.
+	unacknowledged []string
 }
 
-// stateUnreachableFor is how long the state service has not answered this node; never
+// live tells whether the peer's heartbeats arrive.
+func (p *peerStatus) live(now time.Time) bool {
+	return now.Sub(p.lastHeartbeat) < 3*tuning.PeerHeartbeatInterval
+}
+
+// peerNames are the other members of the deployment.
+func (c *Controller) peerNames() (names []string) {
+	for _, peer := range c.config.Peers {
+		names = append(names, peer.Member)
+	}
+	return names
+}
+
+// stateUnreachableFor is how long the state service has not answered this controller; never
 // answered counts as a very long time.
 func (c *Controller) stateUnreachableFor(now time.Time) time.Duration {
 	if c.membership.LastContact().IsZero() {
@@ -26,140 +43,132 @@
 	return now.Sub(c.membership.LastContact())
 }
 
-// tokens are the highest fencing tokens known, by block.
+// tokens are the highest fencing tokens known, by shard.
 func (c *Controller) tokens() []uint64 {
-	out := make([]uint64, c.shards)
-	for b := range out {
-		_, out[b], _ = c.holderOf(b)
+	tokens := make([]uint64, c.options.Shards)
+	for shard := range tokens {
+		_, tokens[shard], _ = c.holderOf(shard)
 	}
-	return out
+	return tokens
 }
 
-// leaseClaimList tells who holds the blocks, as far as this node knows.
-func (c *Controller) leaseClaimList() (out []*peerpb.LeaseClaim) {
-	for b := range c.shards {
-		if holder, token, _ := c.holderOf(b); token > 0 {
-			out = append(out, &peerpb.LeaseClaim{Shard: int32(b), Token: token, Holder: holder})
+// claims lists the shards' lease holders, as far as this controller knows.
+func (c *Controller) claims() (out []*peerpb.LeaseClaim) {
+	for shard := range c.options.Shards {
+		if holder, token, _ := c.holderOf(shard); token > 0 {
+			out = append(out, &peerpb.LeaseClaim{Shard: int32(shard), Token: token, Holder: holder})
 		}
 	}
 	return out
 }
 
-// peerHeartbeat is what a peer is told.
+// peerHeartbeat makes the heartbeat for another controller.
 func (c *Controller) peerHeartbeat(now time.Time, to string) *peerpb.PeerHeartbeat {
-	m := &peerpb.PeerHeartbeat{Member: c.config.Member, StateUnreachableMs: c.stateUnreachableFor(now).Milliseconds(), Process: c.processID, Version: admin.Version()}
+	heartbeat := &peerpb.PeerHeartbeat{
+		Member:             c.config.Member,
+		StateUnreachableMs: c.stateUnreachableFor(now).Milliseconds(),
+		Process:            c.processID,
+		Version:            admin.Version(),
+		Claims:             c.claims(),
+	}
 	if !c.startedAt.IsZero() {
 		up := now.Sub(c.startedAt)
-		m.UpMs, m.ClockNs = up.Milliseconds(), int64(up)
+		heartbeat.UpMs, heartbeat.ClockNs = up.Milliseconds(), int64(up)
 	}
-	m.Claims = c.leaseClaimList()
-	m.Cancelled, m.CancellationsComplete = c.cancellationLog.Pending(now, c.tokens())
-	if p := c.peers[to]; p != nil {
-		m.EchoProcess, m.EchoNs, m.AcknowledgedCancelled = p.processID, p.clockNs, p.unacknowledged
-		p.unacknowledged = nil
+	heartbeat.Cancelled, heartbeat.CancellationsComplete = c.cancellationLog.Pending(now, c.tokens())
+	if peer := c.peers[to]; peer != nil {
+		heartbeat.EchoProcess, heartbeat.EchoNs = peer.processID, peer.clockNs
+		heartbeat.AcknowledgedCancelled = peer.unacknowledged
+		peer.unacknowledged = nil
 	}
-	return m
+	return heartbeat
 }
 
 func (c *Controller) sendHeartbeats(now time.Time) {
-	for _, k := range c.config.Peers {
-		if k.Member < c.config.Member {
-			continue // it asks: one exchange tells both all there is to tell
+	for _, peer := range c.config.Peers {
+		if peer.Member < c.config.Member {
+			continue // it asks: one exchange brings both all there is to know
 		}
-		c.exchange(now, k.Member, func(time.Time) {})
+		c.exchange(now, peer.Member, func(time.Time) {})
 	}
 }
 
-// exchange tells a peer what this node knows and hears the same of it.
+// exchange sends a heartbeat to another controller and applies its answer.
 func (c *Controller) exchange(now time.Time, member string, then func(now time.Time)) {
-	c.effects.SendHeartbeat(member, c.peerHeartbeat(now, member), func(now time.Time, r *peerpb.PeerHeartbeat, err error) {
-		if err == nil {
-			c.applyPeerHeartbeat(now, member, r)
-		}
-		then(now)
-	})
+	c.effects.SendHeartbeat(member, c.peerHeartbeat(now, member),
+		func(now time.Time, answer *peerpb.PeerHeartbeat, err error) {
+			if err == nil {
+				c.applyPeerHeartbeat(now, member, answer)
+			}
+			then(now)
+		})
 }
 
-// recordCancellation takes note of a cancellation that a user is about to be told of, and passes it
-// to the block's holder at once: one that cannot read it in the state service would go
-// on renewing the leases of its tasks' machines. The user's answer does not wait.
-func (c *Controller) recordCancellation(now time.Time, id string) {
-	c.cancellationLog.Add(now, id)
-	for b := range c.shards {
-		if t := c.terms[b]; t != nil && t.state != termEnded {
-			t.cancelJob(now, id)
-			c.cancellationLog.Acknowledge([]string{id}, b, t.Token)
-		}
-		if holder, _, live := c.holderOf(b); live {
-			c.forwardCancellations(now, holder)
+// HandlePeerHeartbeat answers another controller's heartbeat.
+func (c *Controller) HandlePeerHeartbeat(now time.Time, heartbeat *peerpb.PeerHeartbeat) *peerpb.PeerHeartbeat {
+	c.applyPeerHeartbeat(now, heartbeat.Member, heartbeat)
+	return c.peerHeartbeat(now, heartbeat.Member)
+}
+
+func (c *Controller) applyPeerHeartbeat(now time.Time, member string, heartbeat *peerpb.PeerHeartbeat) {
+	if peer := c.peers[member]; peer != nil {
+		peer.apply(now, heartbeat)
+	}
+	for _, t := range c.terms {
+		for _, id := range heartbeat.Cancelled {
+			t.CancelJob(now, id)
 		}
 	}
+	for _, claim := range heartbeat.Claims {
+		c.applyLeaseClaim(now, member, claim, heartbeat)
+	}
 }
 
-// forwardCancellations sends a holder what it has not said it has. One message at a time: what comes
-// up meanwhile goes with the next.
-func (c *Controller) forwardCancellations(now time.Time, holder string) {
-	if c.peers[holder] == nil || c.forwardingTo[holder] {
-		return
-	}
-	before, _ := c.cancellationLog.Pending(now, c.tokens())
-	if len(before) == 0 {
-		return
+// apply takes note of what a peer says of itself, and of cancellations to acknowledge.
+func (p *peerStatus) apply(now time.Time, heartbeat *peerpb.PeerHeartbeat) {
+	p.lastHeartbeat = now
+	p.stateUnreachableFor = time.Duration(heartbeat.StateUnreachableMs) * time.Millisecond
+	p.version = heartbeat.Version
+	if p.processID != heartbeat.Process || heartbeat.ClockNs > p.clockNs {
+		p.processID, p.clockNs = heartbeat.Process, heartbeat.ClockNs
 	}
-	c.forwardingTo[holder] = true
-	c.exchange(now, holder, func(now time.Time) {
-		c.forwardingTo[holder] = false
-		if left, _ := c.cancellationLog.Pending(now, c.tokens()); len(left) > 0 && left[len(left)-1] != before[len(before)-1] {
-			c.forwardCancellations(now, holder)
-		}
-	})
+	p.unacknowledged = append(p.unacknowledged, heartbeat.Cancelled...)
+	p.unacknowledged = p.unacknowledged[max(0, len(p.unacknowledged)-tuning.MaxCancellationsPerMessage):]
 }
 
-func (c *Controller) applyPeerHeartbeat(now time.Time, name string, m *peerpb.PeerHeartbeat) {
-	p := c.peers[name]
-	if p != nil {
-		p.lastHeartbeat, p.stateUnreachableFor = now, time.Duration(m.StateUnreachableMs)*time.Millisecond
-		p.version = m.Version
-		if p.processID != m.Process || m.ClockNs > p.clockNs {
-			p.processID, p.clockNs = m.Process, m.ClockNs
-		}
-		p.unacknowledged = append(p.unacknowledged, m.Cancelled...)
-		p.unacknowledged = p.unacknowledged[max(0, len(p.unacknowledged)-tuning.MaxCancellationsPerMessage):]
+// applyLeaseClaim takes note of who owns a shard by a peer's account. A higher token than this
+// process's own ends its term.
+func (c *Controller) applyLeaseClaim(now time.Time, member string, claim *peerpb.LeaseClaim,
+	heartbeat *peerpb.PeerHeartbeat) {
+	shard := int(claim.Shard)
+	if claim.Holder == heartbeat.Member {
+		c.cancellationLog.Acknowledge(heartbeat.AcknowledgedCancelled, shard, claim.Token)
 	}
-	for _, t := range c.terms {
-		for _, id := range m.Cancelled {
-			if t.state != termEnded {
-				t.cancelJob(now, id)
-			}
-		}
+	if old := c.leaseClaims[shard]; old == nil || claim.Token > old.Token {
+		c.leaseClaims[shard] = claim
 	}
-	for _, h := range m.Claims {
-		if h.Holder == m.Member {
-			c.cancellationLog.Acknowledge(m.AcknowledgedCancelled, int(h.Shard), h.Token)
-		}
-		if old := c.leaseClaims[int(h.Shard)]; old == nil || h.Token > old.Token {
-			c.leaseClaims[int(h.Shard)] = h
-		}
-		t := c.terms[int(h.Shard)]
-		if t == nil || t.state == termEnded {
-			continue
-		}
-		if h.Token > t.Token {
-			t.end(now, "a peer knows a higher token")
-			continue
-		}
-		// A peer that knows of another holder passes on what that one lacks. One that
-		// echoes what this process sent has made its message after that was sent;
-		// any other message may have been held back.
-		if p != nil && h.Token == t.Token && m.CancellationsComplete && m.EchoProcess == c.processID && t.state != termLoading {
-			up := time.Duration(m.UpMs) * time.Millisecond
-			t.cancellations.watermark.Acknowledge(name, m.Process, now.Add(-up+time.Duration(float64(up)*2*tuning.MaxClockDrift)), c.startedAt.Add(time.Duration(m.EchoNs)))
-		}
+	t := c.liveTerm(shard)
+	switch {
+	case t == nil:
+	case claim.Token > t.Token:
+		t.End(now, "a peer knows a higher token")
+	case claim.Token == t.Token:
+		c.acknowledgeCancellations(now, t, member, heartbeat)
 	}
 }
 
-// HandlePeerHeartbeat answers a peer's pulse.
-func (c *Controller) HandlePeerHeartbeat(now time.Time, m *peerpb.PeerHeartbeat) *peerpb.PeerHeartbeat {
-	c.applyPeerHeartbeat(now, m.Member, m)
-	return c.peerHeartbeat(now, m.Member)
+// acknowledgeCancellations passes a peer's acknowledgement on to a term: that the term knows
+// every cancellation that the peer has confirmed. A peer that knows of another lease holder
+// forwards what that one lacks. One that echoes what this process sent has made its heartbeat
+// after that was sent; any other heartbeat may have been held back.
+func (c *Controller) acknowledgeCancellations(now time.Time, t *term.Term, member string,
+	heartbeat *peerpb.PeerHeartbeat) {
+	echoes := heartbeat.EchoProcess == c.processID
+	if c.peers[member] == nil || !heartbeat.CancellationsComplete || !echoes {
+		return
+	}
+	up := time.Duration(heartbeat.UpMs) * time.Millisecond
+	drift := time.Duration(float64(up) * 2 * tuning.MaxClockDrift)
+	until := c.startedAt.Add(time.Duration(heartbeat.EchoNs))
+	t.AcknowledgeCancellations(member, heartbeat.Process, now.Add(-up+drift), until)
 }
--- a/internal/controller/process_effects.go
+++ b/internal/controller/process_effects.go
@@ -14,6 +14,7 @@
 	"juniperchute/internal/peer"
 	"juniperchute/internal/peer/peerpb"
 	"juniperchute/internal/store"
+	"juniperchute/internal/term"
 	"juniperchute/internal/tuning"
 	"juniperchute/internal/wire"
 )
@@ -162,7 +163,7 @@
 		}
 		defer slots.acquire()()
 		if !e.clock.Advance().Before(deadline) {
-			e.post(func(now time.Time) { then(now, nil, ErrDeadlinePassed) })
+			e.post(func(now time.Time) { then(now, nil, term.ErrDeadlinePassed) })
 			return
 		}
 		ctx, cancel := context.WithTimeout(e.ctx, tuning.CommandTimeout)
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -8,82 +8,86 @@
 	"juniperchute/internal/tuning"
 )
 
-// jobProgress finds out how far a job is, from its block's holder.
-func (c *Controller) jobProgress(now time.Time, block int, id string, then func(now time.Time, p submission.Progress)) {
-	if t := c.terms[block]; t != nil && t.state != termEnded {
-		then(now, t.progress(id))
-		return
-	}
-	holder, _, ok := c.holderOf(block)
-	if !ok || c.peers[holder] == nil {
-		then(now, submission.Progress{})
-		return
-	}
-	a := c.progressQueries[block]
-	if a == nil {
-		a = &progressQueue{}
-		c.progressQueries[block] = a
-	}
-	a.queries = append(a.queries, progressQuery{id, then})
-	c.sendProgressQueries(now, block, a)
-}
-
-// progressQueue is the questions about a block's jobs that its holder has to be asked. One
-// call at a time carries all that have come by then: thousands of jobs are asked
-// about every few seconds, at every node.
+// progressQueue holds the queries about a shard's jobs that its lease holder has to be asked.
+// One call at a time carries all that have come by then: users ask about thousands of jobs
+// every few seconds, at every controller.
 type progressQueue struct {
 	inFlight bool
 	queries  []progressQuery
 }
 
+// progressQuery asks for the progress of one job.
 type progressQuery struct {
 	job   string
-	reply func(now time.Time, p submission.Progress)
+	reply func(now time.Time, progress submission.Progress)
+}
+
+// jobProgress finds out how far a job is, from its shard's lease holder. Where none is known
+// or it does not answer, the reply's progress is not known.
+func (c *Controller) jobProgress(now time.Time, shard int, job string,
+	reply func(now time.Time, progress submission.Progress)) {
+	if t := c.liveTerm(shard); t != nil {
+		reply(now, t.JobProgress(job))
+		return
+	}
+	holder, _, live := c.holderOf(shard)
+	if !live || c.peers[holder] == nil {
+		reply(now, submission.Progress{})
+		return
+	}
+	if c.progressQueries[shard] == nil {
+		c.progressQueries[shard] = &progressQueue{}
+	}
+	queue := c.progressQueries[shard]
+	queue.queries = append(queue.queries, progressQuery{job, reply})
+	c.sendProgressQueries(shard, queue)
 }
 
-func (c *Controller) sendProgressQueries(now time.Time, block int, a *progressQueue) {
-	if a.inFlight || len(a.queries) == 0 {
+// sendProgressQueries sends the queries that wait, unless a call is under way.
+func (c *Controller) sendProgressQueries(shard int, queue *progressQueue) {
+	if queue.inFlight || len(queue.queries) == 0 {
 		return
 	}
-	n := min(len(a.queries), tuning.MaxProgressJobs)
-	batch := a.queries[:n:n]
-	a.queries = a.queries[n:]
-	m := &peerpb.ProgressRequest{Shard: int32(block)}
-	for _, q := range batch {
-		m.Jobs = append(m.Jobs, q.job)
+	n := min(len(queue.queries), tuning.MaxProgressJobs)
+	batch := queue.queries[:n:n]
+	queue.queries = queue.queries[n:]
+	request := &peerpb.ProgressRequest{Shard: int32(shard)}
+	for _, query := range batch {
+		request.Jobs = append(request.Jobs, query.job)
 	}
-	holder, _, _ := c.holderOf(block)
-	a.inFlight = true
-	c.effects.AskProgress(holder, m, func(now time.Time, r *peerpb.ProgressReply, err error) {
-		a.inFlight = false
-		for i, q := range batch {
-			p := submission.Progress{}
-			if err == nil && len(r.Jobs) == n {
-				j := r.Jobs[i]
-				p = submission.Progress{Known: j.Known, Done: int(j.Done), Running: int(j.Running)}
-			}
-			q.reply(now, p)
-		}
-		c.sendProgressQueries(now, block, a)
+	holder, _, _ := c.holderOf(shard)
+	queue.inFlight = true
+	c.effects.AskProgress(holder, request, func(now time.Time, reply *peerpb.ProgressReply, err error) {
+		queue.inFlight = false
+		answerQueries(now, batch, reply, err)
+		c.sendProgressQueries(shard, queue)
 	})
 }
 
-// HandleProgress answers a peer's question.
-func (c *Controller) HandleProgress(m *peerpb.ProgressRequest) *peerpb.ProgressReply {
-	out := &peerpb.ProgressReply{}
-	if t := c.terms[int(m.Shard)]; t != nil && t.state != termEnded {
-		for _, id := range m.Jobs {
-			p := t.progress(id)
-			out.Jobs = append(out.Jobs, &peerpb.JobProgress{Known: p.Known, Done: int64(p.Done), Running: int64(p.Running)})
+// answerQueries answers a batch of queries with the lease holder's reply.
+func answerQueries(now time.Time, batch []progressQuery, reply *peerpb.ProgressReply, err error) {
+	for i, query := range batch {
+		progress := submission.Progress{}
+		if err == nil && len(reply.Jobs) == len(batch) {
+			job := reply.Jobs[i]
+			progress = submission.Progress{Known: job.Known, Done: int(job.Done), Running: int(job.Running)}
 		}
+		query.reply(now, progress)
 	}
-	return out
 }
 
-func (t *term) progress(id string) submission.Progress {
-	j := t.scheduler.OpenJob(id)
-	if j == nil {
-		return submission.Progress{}
+// HandleProgress answers another controller's queries.
+func (c *Controller) HandleProgress(request *peerpb.ProgressRequest) *peerpb.ProgressReply {
+	reply := &peerpb.ProgressReply{}
+	t := c.liveTerm(int(request.Shard))
+	if t == nil {
+		return reply
+	}
+	for _, id := range request.Jobs {
+		progress := t.JobProgress(id)
+		reply.Jobs = append(reply.Jobs, &peerpb.JobProgress{
+			Known: progress.Known, Done: int64(progress.Done), Running: int64(progress.Running),
+		})
 	}
-	return submission.Progress{Known: true, Done: j.CompletedTasks(), Running: j.RunningTasks()}
+	return reply
 }
--- a/internal/controller/routing.go
+++ b/internal/controller/routing.go
@@ -8,68 +8,68 @@
 	"juniperchute/internal/wire"
 )
 
-// shardOf finds the block of a machine: the one whose rental records name it;
-// machines that nobody expected go to the first block.
-func (c *Controller) shardOf(host string) int {
-	if c.shards == 1 {
+// shardOf finds the shard of a machine: the one whose provision requests name it. Machines
+// that nobody expected go to the first shard.
+func (c *Controller) shardOf(machine string) int {
+	if c.options.Shards == 1 {
 		return 0
 	}
-	for b, t := range c.terms {
-		if t.state != termEnded && t.workers.Get(host) != nil {
-			return b
+	for shard, t := range c.terms {
+		if t.Live() && t.Workers().Get(machine) != nil {
+			return shard
 		}
 	}
-	return c.shardOfMachine[host]
+	return c.shardOfMachine[machine]
 }
 
-// applyProvisionRecord takes note of a rental's record.
-func (c *Controller) applyProvisionRecord(_ time.Time, _ string, it wire.KeyValue, gone bool) {
-	block, hosts := fleet.RecordedHosts(it)
-	for _, h := range hosts {
-		if gone {
-			delete(c.shardOfMachine, h)
+// applyProvisionRequest takes note of a change of a provision request's record.
+func (c *Controller) applyProvisionRequest(_ time.Time, _ string, kv wire.KeyValue, deleted bool) {
+	shard, machines := fleet.RecordedHosts(kv)
+	for _, machine := range machines {
+		if deleted {
+			delete(c.shardOfMachine, machine)
 		} else {
-			c.shardOfMachine[h] = block
+			c.shardOfMachine[machine] = shard
 		}
 	}
 }
 
-// mayBelongToOtherShard tells whether a machine, which was there at some time, is, or may turn out to be,
-// of another block than the given one. Records read before then say nothing: the rental
-// that brought it may be younger.
-func (c *Controller) mayBelongToOtherShard(block int, host string, there time.Time) bool {
-	if c.shards == 1 {
+// MayBelongToOtherShard tells whether a machine, which existed at some time, belongs, or may
+// turn out to belong, to another shard than the given one. Records read before then say
+// nothing: the provision request that brought it may be younger.
+func (c *Controller) MayBelongToOtherShard(shard int, machine string, existedAt time.Time) bool {
+	if c.options.Shards == 1 {
 		return false
 	}
-	if !c.provisionRequests.CurrentAsOf().After(there) {
+	if !c.provisionRequests.CurrentAsOf().After(existedAt) {
 		return true
 	}
-	if b, ok := c.shardOfMachine[host]; ok {
-		return b != block
+	if recorded, ok := c.shardOfMachine[machine]; ok {
+		return recorded != shard
 	}
-	waiting := false
-	c.provisionRequests.Each(func(it wire.KeyValue) {
-		b, hosts := fleet.RecordedHosts(it)
-		waiting = waiting || b != block && len(hosts) == 0
+	unanswered := false // a request of another shard that names no machines yet
+	c.provisionRequests.Each(func(kv wire.KeyValue) {
+		requester, machines := fleet.RecordedHosts(kv)
+		unanswered = unanswered || requester != shard && len(machines) == 0
 	})
-	return waiting
+	return unanswered
 }
 
-// holderOf names a block's holder: as the records say, or a peer that has seen
-// newer ones. A node cut off from the state service would otherwise send
-// workers to a holder that is none any more, and two such nodes to each other,
-// until their leases are over.
-func (c *Controller) holderOf(block int) (member string, token uint64, live bool) {
-	member, token, live = c.membership.Holder(block)
-	if h := c.leaseClaims[block]; h != nil && h.Token > token {
-		return h.Holder, h.Token, h.Holder != ""
+// holderOf names a shard's lease holder and its token: as the records say, or a peer that has
+// seen newer ones. A controller cut off from the state service would otherwise redirect
+// workers to a former lease holder, and two such controllers to each other, until their
+// leases end.
+func (c *Controller) holderOf(shard int) (member string, token uint64, live bool) {
+	member, token, live = c.membership.Holder(shard)
+	if claim := c.leaseClaims[shard]; claim != nil && claim.Token > token {
+		return claim.Holder, claim.Token, claim.Holder != ""
 	}
 	return member, token, live
 }
 
-// redirect sends a worker to its block's holder.
-func (c *Controller) redirect(block int, reply func(status int, body any)) {
-	holder, _, live := c.holderOf(block)
+// Redirect sends a worker to its shard's lease holder.
+func (c *Controller) Redirect(shard int, reply func(status int, body any)) {
+	holder, _, live := c.holderOf(shard)
 	if !live || holder == c.config.Member {
 		holder = ""
 	}
--- /dev/null
+++ b/internal/controller/rpc_handlers.go
@@ -0,0 +1,80 @@
+package controller
+
+import (
+	"context"
+	"time"
+
+	"juniperchute/internal/admin"
+	"juniperchute/internal/peer/peerpb"
+	"juniperchute/internal/tuning"
+)
+
+// HandleHeartbeat is part of peer.Handler.
+func (r *Runtime) HandleHeartbeat(ctx context.Context, heartbeat *peerpb.PeerHeartbeat) (answer *peerpb.PeerHeartbeat, err error) {
+	err = r.Ask(ctx, func(now time.Time) { answer = r.controller.HandlePeerHeartbeat(now, heartbeat) })
+	return answer, err
+}
+
+// HandleProgress is part of peer.Handler.
+func (r *Runtime) HandleProgress(ctx context.Context, request *peerpb.ProgressRequest) (reply *peerpb.ProgressReply, err error) {
+	err = r.Ask(ctx, func(time.Time) { reply = r.controller.HandleProgress(request) })
+	return reply, err
+}
+
+// HandleProbe is part of peer.Handler. It needs no state of the owner's.
+func (r *Runtime) HandleProbe(ctx context.Context, request *peerpb.ProbeRequest) (*peerpb.ProbeReply, error) {
+	addresses := request.Addresses[:min(len(request.Addresses), tuning.ProbeWorkers)]
+	return &peerpb.ProbeReply{Answered: int32(r.effects.probe(ctx, addresses))}, nil
+}
+
+// HandleStatus is part of peer.Handler.
+func (r *Runtime) HandleStatus(ctx context.Context) (reply *peerpb.StatusReply, err error) {
+	latencies := r.latencies.values()
+	err = r.Ask(ctx, func(now time.Time) { reply = r.controller.Status(now, latencies) })
+	return reply, err
+}
+
+// HandleSettings is part of peer.Handler.
+func (r *Runtime) HandleSettings(ctx context.Context) (settings *peerpb.Settings, err error) {
+	err = r.Ask(ctx, func(time.Time) { settings = settingsMessage(r.controller.settings) })
+	return settings, err
+}
+
+// HandleSetSetting is part of peer.Handler.
+func (r *Runtime) HandleSetSetting(ctx context.Context, name, value string) (*peerpb.Settings, error) {
+	return askLater(ctx, r, func(now time.Time, reply func(*peerpb.Settings, error)) {
+		r.controller.SetSetting(now, name, value, func(settings admin.Settings, err error) {
+			reply(settingsMessage(settings), err)
+		})
+	})
+}
+
+// HandleIntents is part of peer.Handler.
+func (r *Runtime) HandleIntents(ctx context.Context) (*peerpb.IntentsReply, error) {
+	return askLater(ctx, r, r.controller.Intents)
+}
+
+func settingsMessage(settings admin.Settings) *peerpb.Settings {
+	return &peerpb.Settings{Values: settings.Values()}
+}
+
+// askLater runs a function on the owner goroutine that replies then or later, and waits for
+// its reply.
+func askLater[T any](ctx context.Context, r *Runtime, ask func(now time.Time, reply func(T, error))) (T, error) {
+	type result struct {
+		value T
+		err   error
+	}
+	var none T
+	replied := make(chan result, 1)
+	reply := func(value T, err error) { replied <- result{value, err} }
+	if err := r.Ask(ctx, func(now time.Time) { ask(now, reply) }); err != nil {
+		return none, err
+	}
+	select {
+	case r := <-replied:
+		return r.value, r.err
+	case <-ctx.Done():
+		return none, ctx.Err()
+	}
+}
--- a/internal/controller/runtime_test.go
+++ b/internal/controller/runtime_test.go
@@ -19,6 +19,7 @@
 	"juniperchute/internal/config"
 	"juniperchute/internal/fleet"
 	"juniperchute/internal/store"
+	"juniperchute/internal/term"
 	"juniperchute/internal/tuning"
 	"juniperchute/internal/wire"
 )
@@ -29,7 +30,7 @@
 	cfg.External = config.External{Cloud: "127.0.0.1:1", State: state}
 	cfg.Platform.State.WriteRPS = 0.1
 	cfg.Platform.MachineLimits.Sockets = 2179
-	r := NewRuntime(cfg, Options{Blocks: tuning.Shards}, clock.New(nil), slog.New(slog.NewTextHandler(io.Discard, nil)), rand.New(rand.NewPCG(1, 1)))
+	r := NewRuntime(cfg, Options{Shards: tuning.Shards}, clock.New(nil), slog.New(slog.NewTextHandler(io.Discard, nil)), rand.New(rand.NewPCG(1, 1)))
 	r.effects.ctx = t.Context()
 	t.Cleanup(func() { close(r.done) })
 	return r
@@ -87,7 +88,7 @@
 	for len(results) < 2 {
 		(<-r.events)(time.Now())
 	}
-	if results["in time"] != nil || !errors.Is(results["too late"], ErrDeadlinePassed) || len(asked) != 1 || !strings.Contains(asked[0], "in time") {
+	if results["in time"] != nil || !errors.Is(results["too late"], term.ErrDeadlinePassed) || len(asked) != 1 || !strings.Contains(asked[0], "in time") {
 		t.Errorf("%v, asked %v", results, asked)
 	}
 	if hung > 0 {
@@ -145,7 +146,7 @@
 	r.effects.clock = clock.New(func() (time.Duration, error) { return time.Duration(suspended.Load()), nil })
 	suspended.Store(int64(2 * time.Minute)) // the command has to look for itself
 	command()
-	if len(asked) != 2 || cloudStatus != 0 || !errors.Is(commandError, ErrDeadlinePassed) {
+	if len(asked) != 2 || cloudStatus != 0 || !errors.Is(commandError, term.ErrDeadlinePassed) {
 		t.Errorf("after: cloud %d, worker %v, %d calls", cloudStatus, commandError, len(asked))
 	}
 	r.clock = r.effects.clock
@@ -161,7 +162,7 @@
 	now := time.Unix(1000, 0)
 	cfg := facts([]string{"a"}, []config.Team{{Name: "red"}}, 1.5, 10)
 	held := &heldState{}
-	core := NewController(cfg, Options{Blocks: 2}, held, rand.New(rand.NewPCG(1, 1)), func() time.Time { return now }, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	core := NewController(cfg, Options{Shards: 2}, held, rand.New(rand.NewPCG(1, 1)), func() time.Time { return now }, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	core.provisionRequests.Tick(now)
 	held.then(now, store.Result{SentAt: now, Revision: 5, KeyValues: []wire.KeyValue{
 		{Key: "h/1/b1-2-1", Value: []byte(`{"Number":1,"Hosts":["i-1"]}`), Version: 4}}})
@@ -174,7 +175,7 @@
 		{"named by none", "i-2", now.Add(-time.Minute), false},
 		{"there after the rentals were read", "i-2", now.Add(time.Second), true},
 	} {
-		if got := core.mayBelongToOtherShard(0, c.host, c.there); got != c.want {
+		if got := core.MayBelongToOtherShard(0, c.host, c.there); got != c.want {
 			t.Errorf("%s: foreign %v", c.name, got)
 		}
 	}
--- a/internal/controller/simulation_checks_test.go
+++ b/internal/controller/simulation_checks_test.go
@@ -5,6 +5,7 @@
 
 	"juniperchute/internal/intentlog"
 	"juniperchute/internal/standin"
+	"juniperchute/internal/term"
 	"juniperchute/internal/tuning"
 	"juniperchute/internal/wire"
 )
@@ -20,21 +21,21 @@
 			continue
 		}
 		for _, t := range n.controller.terms {
-			if t.state != termLoading && t.state != termEnded {
+			if t.State() != term.Loading && t.State() != term.Ended {
 				sim.checkHorizon(n, t)
 			}
 		}
 	}
 }
 
-func (sim *simulation) checkHorizon(n *simulatedNode, t *term) {
+func (sim *simulation) checkHorizon(n *simulatedNode, t *term.Term) {
 	now := sim.clk.Now()
-	at := t.cancellationsKnownUntil(now)
+	at := t.CancellationsKnownUntil(now)
 	if at.After(now) {
 		sim.fail("%s: horizon %v ahead of its clock", n.name, at.Sub(now))
 	}
 	for _, j := range sim.cluster.Submitted {
-		if j.KnownState == wire.JobCancelled && j.CancelledAt.Before(at) && t.scheduler.OpenJob(j.Spec.ID) != nil {
+		if j.KnownState == wire.JobCancelled && j.CancelledAt.Before(at) && t.Scheduler().OpenJob(j.Spec.ID) != nil {
 			sim.fail("%s does not know that %s was cancelled at %v, with its horizon at %v",
 				n.name, j.Spec.ID, j.CancelledAt.Sub(standin.Epoch), at.Sub(standin.Epoch))
 		}
--- a/internal/controller/simulation_effects_test.go
+++ b/internal/controller/simulation_effects_test.go
@@ -10,6 +10,7 @@
 	"juniperchute/internal/peer/peerpb"
 	"juniperchute/internal/standin"
 	"juniperchute/internal/store"
+	"juniperchute/internal/term"
 	"juniperchute/internal/tuning"
 	"juniperchute/internal/wire"
 )
@@ -219,13 +220,13 @@
 		}
 	}
 	if !sim.clk.Now().Before(by) {
-		sim.clk.Schedule(0, func() { finish(nil, ErrDeadlinePassed) })
+		sim.clk.Schedule(0, func() { finish(nil, term.ErrDeadlinePassed) })
 		return
 	}
 	if len(d.Commands) > 0 {
 		e.checkEntitled("a command")
 	}
-	sim.clk.Schedule(tuning.CommandTimeout, func() { finish(nil, ErrNoReply) })
+	sim.clk.Schedule(tuning.CommandTimeout, func() { finish(nil, term.ErrNoReply) })
 	m := sim.machines[strings.TrimPrefix(addr, addressPrefix)]
 	if m == nil || m.inboundCut {
 		return
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -14,6 +14,7 @@
 	"juniperchute/internal/config"
 	"juniperchute/internal/quota"
 	"juniperchute/internal/standin"
+	"juniperchute/internal/term"
 	"juniperchute/internal/tuning"
 	"juniperchute/internal/wire"
 )
@@ -206,7 +207,7 @@
 // holder is the node that holds the block and knows where all tasks are.
 func (sim *simulation) holder() *simulatedNode {
 	for _, n := range sim.nodes {
-		if t := n.controller.terms[0]; n.alive && t != nil && t.state == termOpen && n.controller.membership.LeaseValid(sim.clk.Now()) {
+		if t := n.controller.terms[0]; n.alive && t != nil && t.State() == term.Open && n.controller.membership.LeaseValid(sim.clk.Now()) {
 			return n
 		}
 	}
@@ -270,10 +271,17 @@
 	n.sim.clk.Schedule(time.Duration(n.sim.rng.IntN(100))*time.Millisecond, tick)
 }
 
+// startsTermAnew has the node begin its term of the first shard once more: it is loading until
+// the state service answers.
+func (n *simulatedNode) startsTermAnew() {
+	c := n.controller
+	c.terms[0] = c.startTerm(n.sim.clk.Now(), c.terms[0].Term)
+}
+
 // options are what the node's process is started with.
 func (n *simulatedNode) options() Options {
-	o := Options{Blocks: n.sim.blocks}
-	o.Switches.IntentLog = n.sim.duties && (n.upgraded || !n.sim.startsOld)
+	o := Options{Shards: n.sim.blocks}
+	o.Features.IntentLog = n.sim.duties && (n.upgraded || !n.sim.startsOld)
 	return o
 }
 
--- /dev/null
+++ b/internal/controller/status.go
@@ -0,0 +1,35 @@
+package controller
+
+import (
+	"maps"
+	"time"
+
+	"juniperchute/internal/admin"
+	"juniperchute/internal/peer/peerpb"
+)
+
+// Status is what operators are shown of this controller and the shards that it owns.
+// latencies are added to each shard's counters.
+func (c *Controller) Status(now time.Time, latencies map[string]int64) *peerpb.StatusReply {
+	members, leader := c.membership.Members()
+	out := &peerpb.StatusReply{
+		Member:   c.config.Member,
+		Leader:   leader,
+		Members:  members,
+		Claims:   c.claims(),
+		Versions: map[string]string{c.config.Member: admin.Version()},
+	}
+	for name, peer := range c.peers {
+		if peer.live(now) {
+			out.Versions[name] = peer.version
+		}
+	}
+	for shard := range c.options.Shards {
+		if t := c.terms[shard]; t != nil {
+			status := t.Status()
+			maps.Copy(status.Counters, latencies)
+			out.Shards = append(out.Shards, status)
+		}
+	}
+	return out
+}
--- a/internal/integration/request_test.go
+++ b/internal/integration/request_test.go
@@ -30,7 +30,7 @@
 	load.Nodes = 1
 	deployment := newDeployment(b, load.Config(), standin.LargeMachineType(), load.Machines)
 	settings := &deployment.controllers[0].config
-	runtime := controller.NewRuntime(settings, controller.Options{Blocks: tuning.Shards}, clock.New(nil), slog.New(slog.NewTextHandler(io.Discard, nil)), rand.New(rand.NewPCG(1, 1)))
+	runtime := controller.NewRuntime(settings, controller.Options{Shards: tuning.Shards}, clock.New(nil), slog.New(slog.NewTextHandler(io.Discard, nil)), rand.New(rand.NewPCG(1, 1)))
 	ctx, stop := context.WithCancel(b.Context())
 	finished := make(chan error)
 	go func() { finished <- runtime.Run(ctx) }()
--- a/internal/controller/completion_bitmaps.go
+++ b/internal/term/completion_bitmaps.go
@@ -1,4 +1,4 @@
-package controller
+package term
 
 import (
 	"cmp"
--- a/internal/controller/completion_bitmaps_test.go
+++ b/internal/term/completion_bitmaps_test.go
@@ -1,4 +1,4 @@
-package controller
+package term
 
 import (
 	"encoding/json"
@@ -11,6 +11,7 @@
 
 	"juniperchute/internal/placement"
 	"juniperchute/internal/quota"
+	"juniperchute/internal/standin"
 	"juniperchute/internal/store"
 	"juniperchute/internal/wire"
 	"juniperchute/internal/worker"
@@ -71,9 +72,9 @@
 // tallyBoard is a board with one job.
 func tallyBoard(spec wire.JobSpec) (*placement.Scheduler, *placement.Job) {
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
-	cfg := facts([]string{"a"}, nil, 1.5, 10)
-	reg := worker.NewRegistry(cfg.Platform.Workers, quiet)
-	board := placement.NewScheduler(cfg.Platform, 1, quota.NewLedger(nil, 0, 1), reg, nil, quiet, func(time.Time, *placement.Job) {})
+	platform := standin.DeploymentConfig([]string{"a"}, nil, 1.5, 10)
+	reg := worker.NewRegistry(platform.Workers, quiet)
+	board := placement.NewScheduler(platform, 1, quota.NewLedger(nil, 0, 1), reg, nil, quiet, func(time.Time, *placement.Job) {})
 	return board, board.AddJob(time.Unix(0, 0), spec, time.Unix(0, 0), 1, true)
 }
 
