--- a/internal/controller/intents.go
+++ b/internal/controller/intents.go
@@ -158,7 +158,23 @@
 		return cmp.Or(a.DecidedAt.Compare(b.DecidedAt), cmp.Compare(a.Target, b.Target))
 	})
 	for _, a := range s.Intents[:min(len(s.Intents), tuning.MaxIntentsShown)] {
-		out.Intents = append(out.Intents, &peerpb.IntentStatus{Target: a.Target, Token: a.Token, State: a.State.String(), AgeMs: ageMs(c.wallClock(), a.DecidedAt)})
+		out.Intents = append(out.Intents, &peerpb.IntentStatus{Target: a.Target, Token: a.Token, State: adminIntentState(a.State), AgeMs: ageMs(c.wallClock(), a.DecidedAt)})
 	}
 	return out
 }
+
+// adminIntentState is the name of an intent's state in the administration API. Commands of all
+// versions show these names, so they stay as they are.
+func adminIntentState(state intentlog.State) string {
+	switch state {
+	case intentlog.Recording:
+		return "entering"
+	case intentlog.Recorded:
+		return "entered"
+	case intentlog.InFlight:
+		return "sent"
+	case intentlog.Completed:
+		return "settled"
+	}
+	return state.String()
+}
--- a/internal/intentlog/intent.go
+++ b/internal/intentlog/intent.go
@@ -1,56 +1,63 @@
-// Package intentlog keeps a durable log of what a block's holder intends to do where nobody
-// checks its token: renting, returning and reclaiming machines. An action is entered
-// under the holder's token before it is sent. An entered action is never taken back: a
-// successor completes it, and plans as if it were done, so that a late call of a replaced
-// holder only repeats what was decided. Removals from the state service, which compares
-// versions, pass through here as well, and are refused unless they are conditioned on the
-// tenure.
+// Package intentlog is the write-ahead log of what a shard's owner intends to do in the cloud:
+// provisioning, deprovisioning and reclaiming machines.
+//
+// The cloud compares no fencing tokens, so a call that a superseded owner sent may be executed
+// at any later time. An intent is therefore recorded under its owner's token before the call is
+// sent, and is never withdrawn: the next owner recovers it, plans as if it were executed, and
+// completes it. A late call then only repeats what was decided.
+//
+// Deletions of records from the state service need no intent, since the state service compares
+// versions. They pass through the log as well, which rejects those not conditioned on the term.
 package intentlog
 
 import (
+	"slices"
 	"time"
 
 	"go.opentelemetry.io/otel/trace"
 )
 
-// Operation is a kind of action that one holder at a time carries out for a block.
+// Operation is a kind of operation that one controller at a time carries out for a shard.
 type Operation string
 
-// The duties. Their names are stored.
+// The operations. Their values are stored, and shown to operators.
 const (
-	// Provision asks the cloud for machines.
+	// Provision requests machines from the cloud.
 	Provision Operation = "rent"
-	// Deprovision gives back machines that are known to have no work.
+	// Deprovision returns machines that are known to have no work.
 	Deprovision Operation = "return"
-	// Reclaim takes back machines that are lost: silent, stuck, taken or failed.
+	// Reclaim deletes machines that are lost: unresponsive, stuck, preempted or failed.
 	Reclaim Operation = "reclaim"
-	// Cleanup removes records that nothing needs any more.
+	// Cleanup deletes records that nothing needs any more.
 	Cleanup Operation = "clean-up"
 )
 
-// Operations lists the duties.
+// Operations lists all operations.
 func Operations() []Operation { return []Operation{Provision, Deprovision, Reclaim, Cleanup} }
 
-// State is how far an action is.
+// known tells whether this version has the operation; entries of other versions may name others.
+func (o Operation) known() bool { return slices.Contains(Operations(), o) }
+
+// State is how far an intent has come.
 type State int
 
-// The stages of an action.
+// The states of an intent.
 const (
-	// Recording: its entry is being made durable.
+	// Recording: the entry is being written and is not known to be durable.
 	Recording State = iota
-	// Recorded: its entry is durable, and no call is under way.
+	// Recorded: the entry is durable, and no call is in flight.
 	Recorded
-	// InFlight: a call is under way.
+	// InFlight: a call has been sent and not been answered.
 	InFlight
-	// Completed: what came of it is known.
+	// Completed: the outcome is known.
 	Completed
 )
 
 func (s State) String() string {
-	return [...]string{"entering", "entered", "sent", "settled"}[s]
+	return [...]string{"recording", "recorded", "in flight", "completed"}[s]
 }
 
-// follows tells whether an action may go from one stage to another.
+// follows tells whether an intent may change from one state to this one.
 func (s State) follows(from State) bool {
 	switch s {
 	case Recorded:
@@ -63,24 +70,23 @@
 	return false
 }
 
-// Intent is one intended action of a duty.
+// Intent is one intended operation. Its state is changed by the Log that it belongs to.
 type Intent struct {
 	Operation Operation
-	// Target is the rental's name or the machine's; neither is ever used again.
+	// Target names the machine, or the provisioning request. Neither name is ever reused.
 	Target string
-	// Token is the token of the tenure that entered it.
+	// Token is the fencing token of the term that recorded the intent.
 	Token uint64
-	// DecidedAt is when it was decided, by the deciding controller's time of day.
+	// DecidedAt is when it was decided, by the deciding controller's wall clock; zero: not known.
 	DecidedAt time.Time
-	// Recovered: an earlier tenure entered it.
+	// Recovered: an earlier term recorded it.
 	Recovered bool
 
-	state             State
-	since             time.Time // of the stage
-	calls             int       // made in this tenure
-	recordedElsewhere bool      // another record is its entry
-	span              trace.Span
+	state              State
+	calls              int  // calls made in this term
+	recordedExternally bool // a record outside the log is its entry
+	span               trace.Span
 }
 
-// State is how far the action is.
-func (a *Intent) State() State { return a.state }
+// State is how far the intent has come.
+func (i *Intent) State() State { return i.state }
--- a/internal/intentlog/record.go
+++ b/internal/intentlog/record.go
@@ -2,40 +2,69 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"time"
 )
 
-// Prefix is the key prefix of all blocks' logs.
+// Prefix is the key prefix of the logs of all shards.
 const Prefix = "d/"
 
-// LogPrefix is the key prefix of the pages of a block's log.
-func LogPrefix(block int) string { return fmt.Sprintf("%s%d/", Prefix, block) }
+// LogPrefix is the key prefix of the pages of a shard's log.
+func LogPrefix(shard int) string { return fmt.Sprintf("%s%d/", Prefix, shard) }
 
-// entryRecord is a log entry as stored; its key is the action's target.
+var errUnknownOperation = errors.New("unknown operation")
+
+// entryRecord is a log entry as stored in a page, under the intent's target.
 type entryRecord struct {
 	Operation   Operation `json:"Duty"`
 	Token       uint64
-	DecidedAtMs int64 `json:"At"` // when it was decided, ms of the time of day
+	DecidedAtMs int64 `json:"At"` // milliseconds of Unix time
+}
+
+func newEntryRecord(intent *Intent) entryRecord {
+	return entryRecord{Operation: intent.Operation, Token: intent.Token, DecidedAtMs: intent.DecidedAt.UnixMilli()}
+}
+
+func (r entryRecord) decidedAt() time.Time { return time.UnixMilli(r.DecidedAtMs) }
+
+// decodeEntry reads an entry of one of this version's operations.
+func decodeEntry(value json.RawMessage) (entryRecord, error) {
+	var record entryRecord
+	if err := json.Unmarshal(value, &record); err != nil {
+		return entryRecord{}, fmt.Errorf("decode intent log entry: %w", err)
+	}
+	if !record.Operation.known() {
+		return entryRecord{}, fmt.Errorf("%w %q", errUnknownOperation, record.Operation)
+	}
+	return record, nil
 }
 
 // Entry is an entry of a log as read from its pages.
 type Entry struct {
 	Operation Operation
-	Target    string
-	Token     uint64
+	// Target is what Intent.Target is.
+	Target string
+	// Token is the fencing token of the term that recorded the entry.
+	Token uint64
+	// DecidedAt is when it was decided, by the deciding controller's wall clock.
 	DecidedAt time.Time
 }
 
-// ReadPage reads the entries of a page of a log.
+// ReadPage decodes the entries of a page of a log, in no particular order.
 func ReadPage(value json.RawMessage) ([]Entry, error) {
-	recs := map[string]entryRecord{}
-	if err := json.Unmarshal(value, &recs); err != nil {
-		return nil, err
+	records := map[string]entryRecord{}
+	if err := json.Unmarshal(value, &records); err != nil {
+		return nil, fmt.Errorf("decode intent log page: %w", err)
 	}
-	var out []Entry
-	for target, rec := range recs {
-		out = append(out, Entry{Operation: rec.Operation, Target: target, Token: rec.Token, DecidedAt: time.UnixMilli(rec.DecidedAtMs)})
+	var entries []Entry
+	for target, record := range records {
+		entries = append(entries, Entry{
+			Operation: record.Operation,
+			Target:    target,
+			Token:     record.Token,
+			DecidedAt: record.decidedAt(),
+		})
 	}
-	return out, nil
+	return entries, nil
 }
--- /dev/null
+++ b/internal/intentlog/record_test.go
@@ -0,0 +1,69 @@
+package intentlog
+
+import (
+	"fmt"
+	"testing"
+
+	"juniperchute/internal/store"
+	"juniperchute/internal/tuning"
+)
+
+// Several intents share one write, and each waits for the write that holds it.
+func TestEntriesShareWrites(t *testing.T) {
+	log := newDurableTestLog()
+	for i := range 5 {
+		log.Record(testTime, Deprovision, fmt.Sprintf("i-%d", i), "idle")
+	}
+	if len(log.calls) != 1 {
+		t.Fatalf("%d writes in flight", len(log.calls))
+	}
+	first := log.calls[0].Transaction
+	if first.Compares[0] != termCompare || first.Compares[1] != store.VersionEquals("d/0/0", 0) {
+		t.Errorf("conditions: %v", first.Compares)
+	}
+	log.answerAll(store.Result{Revision: 9})
+	if ready := log.readyCount(Deprovision); ready != 1 {
+		t.Errorf("%d are ready after the first write, which had one", ready)
+	}
+	log.Tick(testTime.Add(tuning.IntentWriteInterval))
+	if len(log.calls) != 1 {
+		t.Fatalf("%d writes for the others", len(log.calls))
+	}
+	entries, err := ReadPage(log.calls[0].Transaction.Writes[0].Value)
+	if err != nil || len(entries) != 5 || entries[0].Token != testToken {
+		t.Errorf("%v, %v", entries, err)
+	}
+	log.answerAll(store.Result{Revision: 10})
+	if ready := log.readyCount(Deprovision); ready != 5 {
+		t.Errorf("%d are ready", ready)
+	}
+}
+
+// A full log refuses intents until some are completed, and a refusal changes nothing.
+func TestFullLog(t *testing.T) {
+	log := newTestLog()
+	for i := range tuning.MaxOpenIntents {
+		if !log.Record(testTime, Deprovision, fmt.Sprintf("i-%d", i), "idle") {
+			t.Fatalf("no room for intent %d", i)
+		}
+	}
+	if log.Record(testTime, Deprovision, "i-more", "idle") || log.Get(Deprovision, "i-more") != nil {
+		t.Fatal("recorded although the log is full")
+	}
+	intent := log.Get(Deprovision, "i-3")
+	log.StartCall(testTime, intent)
+	log.FinishCall(testTime, intent, Done)
+	log.Forget(intent)
+	if !log.Record(testTime, Deprovision, "i-more", "idle") {
+		t.Error("no room after one was completed")
+	}
+}
+
+// Without durability nothing is written, and calls may be made at once.
+func TestRecordWithoutDurability(t *testing.T) {
+	log := newTestLog()
+	log.Record(testTime, Reclaim, testTarget, "unresponsive")
+	if len(log.calls) != 0 || log.readyCount(Reclaim) != 1 {
+		t.Errorf("%d writes, %d ready", len(log.calls), log.readyCount(Reclaim))
+	}
+}
--- /dev/null
+++ b/internal/intentlog/removals_test.go
@@ -0,0 +1,81 @@
+package intentlog
+
+import (
+	"errors"
+	"testing"
+	"time"
+
+	"juniperchute/internal/store"
+	"juniperchute/internal/wire"
+)
+
+type removalCase struct {
+	name     string
+	compares []wire.Compare
+	key      string
+	passes   bool
+	counted  int
+}
+
+var removalCases = []removalCase{
+	{
+		name:     "conditioned on the term",
+		compares: []wire.Compare{termCompare, store.VersionEquals("h/0/x", 4)},
+		key:      "h/0/x",
+		passes:   true,
+		counted:  1,
+	},
+	{
+		name:     "conditioned on another term",
+		compares: []wire.Compare{store.VersionEquals(termKey, 2), store.VersionEquals("h/0/x", 4)},
+		key:      "h/0/x",
+	},
+	{
+		name: "not conditioned",
+		key:  "h/0/x",
+	},
+	{
+		name:   "record outside the guarded prefixes",
+		key:    "q/job-1",
+		passes: true,
+	},
+}
+
+// Removals pass only if they are conditioned on the term, and are counted.
+func TestGuardRemovals(t *testing.T) {
+	for _, c := range removalCases {
+		t.Run(c.name, func(t *testing.T) {
+			log := newDurableTestLog()
+			var got store.Result
+			guarded := log.GuardRemovals(log.holdCall, "h/0/", "u/0/")
+			guarded(deleteCall(c.key, c.compares), func(_ time.Time, result store.Result) { got = result })
+			if passes := len(log.calls) == 1; passes != c.passes {
+				t.Fatalf("passes: %v", passes)
+			}
+			if !c.passes {
+				if !errors.Is(got.Err, store.ErrConflict) {
+					t.Errorf("answered %v", got.Err)
+				}
+				return
+			}
+			status := cleanupStatus(t, log)
+			if status.RemovalsInFlight != c.counted || status.OldestRemovalSentAt.IsZero() != (c.counted == 0) {
+				t.Errorf("in flight: %+v", status)
+			}
+			log.answerAll(store.Result{})
+			status = cleanupStatus(t, log)
+			if status.RemovalsInFlight != 0 || status.RemovalsDone != c.counted {
+				t.Errorf("answered: %+v", status)
+			}
+		})
+	}
+}
+
+func cleanupStatus(t *testing.T, log *testLog) OperationStatus {
+	t.Helper()
+	status := log.Status()[len(Operations())-1]
+	if status.Operation != Cleanup {
+		t.Errorf("the last status is of %q", status.Operation)
+	}
+	return status
+}
--- a/internal/intentlog/spans.go
+++ b/internal/intentlog/spans.go
@@ -7,68 +7,85 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// Tracer makes the spans of actions. All controllers that handle an action put its spans
-// into one trace, which its identity names.
+// Names of spans and of their attributes. They are stored, and read by other versions.
+const (
+	spanDecision   = "decision"
+	spanRecording  = "entry"
+	spanCall       = "call"
+	spanRecovery   = "takeover"
+	spanCompletion = "settlement"
+
+	attributeOperation     = "duty"
+	attributeTarget        = "target"
+	attributeShard         = "block"
+	attributeToken         = "token"
+	attributeRecordedToken = "entered_token"
+	attributeRecovered     = "inherited"
+	attributeOutcome       = "outcome"
+	attributeCalls         = "calls"
+	attributeReason        = "why"
+)
+
+// Tracer makes the spans of intents. All controllers that handle an intent put its spans into
+// one trace, which is found by the intent's identity.
 type Tracer interface {
-	// Begin begins a span of the trace that the identity names.
+	// Begin starts a span of the identity's trace. The caller ends it.
 	Begin(identity, name string, attributes ...attribute.KeyValue) trace.Span
-	// Event makes a span that is over at once.
+	// Event makes a span that ends at once.
 	Event(identity, name string, attributes ...attribute.KeyValue)
 }
 
-// identity names an action among all of a deployment's.
-func (l *Log) identity(a *Intent) string {
-	return LogPrefix(l.options.Shard) + string(a.Operation) + "/" + a.Target
+// identity names an intent among all those of a deployment.
+func (l *Log) identity(intent *Intent) string {
+	return LogPrefix(l.options.Shard) + string(intent.Operation) + "/" + intent.Target
 }
 
-func (l *Log) attributes(a *Intent) []attribute.KeyValue {
+func (l *Log) attributes(intent *Intent) []attribute.KeyValue {
 	return []attribute.KeyValue{
-		attribute.String(attributeOperation, string(a.Operation)), attribute.String(attributeTarget, a.Target), attribute.Int(attributeShard, l.options.Shard),
-		attribute.String(attributeToken, strconv.FormatUint(l.options.Token, 10)), attribute.String(attributeRecordedToken, strconv.FormatUint(a.Token, 10)),
-		attribute.Bool(attributeRecovered, a.Recovered),
+		attribute.String(attributeOperation, string(intent.Operation)),
+		attribute.String(attributeTarget, intent.Target),
+		attribute.Int(attributeShard, l.options.Shard),
+		attribute.String(attributeToken, strconv.FormatUint(l.options.Token, 10)),
+		attribute.String(attributeRecordedToken, strconv.FormatUint(intent.Token, 10)),
+		attribute.Bool(attributeRecovered, intent.Recovered),
 	}
 }
 
-// event makes a span of an action's that is over at once.
-func (l *Log) event(a *Intent, name string, more ...attribute.KeyValue) {
+// traceEvent makes a span of an intent that ends at once.
+func (l *Log) traceEvent(intent *Intent, name string, more ...attribute.KeyValue) {
 	if l.options.Tracer != nil {
-		l.options.Tracer.Event(l.identity(a), name, append(l.attributes(a), more...)...)
+		l.options.Tracer.Event(l.identity(intent), name, append(l.attributes(intent), more...)...)
 	}
 }
 
-// begin begins a span of an action's; end ends it.
-func (l *Log) begin(a *Intent, name string) {
+// startSpan starts a span of an intent, which endSpan ends.
+func (l *Log) startSpan(intent *Intent, name string) {
 	if l.options.Tracer != nil {
-		a.span = l.options.Tracer.Begin(l.identity(a), name, l.attributes(a)...)
+		intent.span = l.options.Tracer.Begin(l.identity(intent), name, l.attributes(intent)...)
 	}
 }
 
-func (a *Intent) end(attributes ...attribute.KeyValue) {
-	if a.span != nil {
-		a.span.SetAttributes(attributes...)
-		a.span.End()
-		a.span = nil
+func (i *Intent) endSpan(attributes ...attribute.KeyValue) {
+	if i.span != nil {
+		i.span.SetAttributes(attributes...)
+		i.span.End()
+		i.span = nil
 	}
 }
 
-func (l *Log) traceDecision(a *Intent, why string) {
-	if l.options.Tracer == nil {
-		return
-	}
-	l.event(a, spanDecision, attribute.String(attributeWhy, why))
-	l.begin(a, spanRecording)
+func (l *Log) traceDecision(intent *Intent, reason string) {
+	l.traceEvent(intent, spanDecision, attribute.String(attributeReason, reason))
+	l.startSpan(intent, spanRecording)
 }
 
-func (l *Log) traceRecorded(a *Intent) { a.end() }
+func (l *Log) traceRecorded(intent *Intent) { intent.endSpan() }
 
-func (l *Log) traceRecovered(a *Intent) { l.event(a, spanRecovery) }
+func (l *Log) traceRecovered(intent *Intent) { l.traceEvent(intent, spanRecovery) }
 
-func (l *Log) traceCall(a *Intent) { l.begin(a, spanCall) }
+func (l *Log) traceCallStarted(intent *Intent) { l.startSpan(intent, spanCall) }
 
-func (l *Log) traceAnswer(a *Intent, o Outcome) {
-	if a.span != nil {
-		a.end(attribute.String(attributeOutcome, o.String()), attribute.Int(attributeCalls, a.calls))
-	}
+func (l *Log) traceCallFinished(intent *Intent, outcome Outcome) {
+	intent.endSpan(attribute.String(attributeOutcome, outcome.String()), attribute.Int(attributeCalls, intent.calls))
 }
 
-func (l *Log) traceCompleted(a *Intent) { l.event(a, spanCompletion) }
+func (l *Log) traceForgotten(intent *Intent) { l.traceEvent(intent, spanCompletion) }
--- a/internal/intentlog/status.go
+++ b/internal/intentlog/status.go
@@ -2,40 +2,59 @@
 
 import "time"
 
-// IntentStatus is what is told of an action that is not settled.
+// IntentStatus describes an intent that is not completed.
 type IntentStatus struct {
 	Operation Operation
 	Target    string
 	Token     uint64
 	State     State
-	DecidedAt time.Time // zero: not known
+	// DecidedAt is zero if it is not known.
+	DecidedAt time.Time
 	Recovered bool
 }
 
-// OperationStatus is what is told of one duty.
+// OperationStatus describes one operation.
 type OperationStatus struct {
 	Operation Operation
-	Intents   []IntentStatus // those that are not settled, by target
-	// RemovalsInFlight and Removed count removals, of clean-up only.
+	// Intents are those that are not completed, by target.
+	Intents []IntentStatus
+	// RemovalsInFlight and RemovalsDone count the deletions of records in this term, for Cleanup only.
 	RemovalsInFlight, RemovalsDone int
-	OldestRemovalSentAt            time.Time // when the oldest removal under way was sent
+	// OldestRemovalSentAt is when the oldest removal in flight was sent, by the wall clock; zero: there is none.
+	OldestRemovalSentAt time.Time
 }
 
-// Status tells of all duties.
+// Status describes all operations, in the order of Operations.
 func (l *Log) Status() []OperationStatus {
-	var out []OperationStatus
-	for _, d := range Operations() {
-		s := OperationStatus{Operation: d}
-		for _, a := range l.list(func(a *Intent) bool { return a.state != Completed }, []Operation{d}) {
-			s.Intents = append(s.Intents, IntentStatus{Operation: d, Target: a.Target, Token: a.Token, State: a.state, DecidedAt: a.DecidedAt, Recovered: a.Recovered})
-		}
-		if d == Cleanup {
-			s.RemovalsInFlight, s.RemovalsDone = l.removals.inFlight, l.removals.done
-			if s.RemovalsInFlight > 0 {
-				s.OldestRemovalSentAt = l.removals.oldest
-			}
+	var statuses []OperationStatus
+	for _, operation := range Operations() {
+		statuses = append(statuses, l.operationStatus(operation))
+	}
+	return statuses
+}
+
+func (l *Log) operationStatus(operation Operation) OperationStatus {
+	status := OperationStatus{Operation: operation}
+	pending := func(intent *Intent) bool { return intent.state != Completed }
+	for _, intent := range l.filter([]Operation{operation}, pending) {
+		status.Intents = append(status.Intents, intent.status())
+	}
+	if operation == Cleanup {
+		status.RemovalsInFlight, status.RemovalsDone = l.removals.inFlight, l.removals.done
+		if status.RemovalsInFlight > 0 {
+			status.OldestRemovalSentAt = l.removals.oldestSentAt
 		}
-		out = append(out, s)
 	}
-	return out
+	return status
+}
+
+func (i *Intent) status() IntentStatus {
+	return IntentStatus{
+		Operation: i.Operation,
+		Target:    i.Target,
+		Token:     i.Token,
+		State:     i.state,
+		DecidedAt: i.DecidedAt,
+		Recovered: i.Recovered,
+	}
 }
