--- a/internal/intentlog/history.go
+++ b/internal/intentlog/history.go
@@ -21,9 +21,9 @@
 type History struct {
 	Operation, Target, Shard string
 	Steps                    []Step
-	// FailedOver tells whether a successor recovered it.
+	// FailedOver: whether a successor recovered it.
 	FailedOver bool
-	// Completed tells whether its end is in the traces.
+	// Completed: whether its end is in the traces.
 	Completed bool
 }
 
--- a/internal/intentlog/intent.go
+++ b/internal/intentlog/intent.go
@@ -35,7 +35,7 @@
 // Operations lists all operations.
 func Operations() []Operation { return []Operation{Provision, Deprovision, Reclaim, Cleanup} }
 
-// known tells whether this version has the operation; entries of other versions may name others.
+// known reports whether this version has the operation; entries of other versions may name others.
 func (o Operation) known() bool { return slices.Contains(Operations(), o) }
 
 // State is how far an intent has come.
@@ -57,7 +57,7 @@
 	return [...]string{"recording", "recorded", "in flight", "completed"}[s]
 }
 
-// follows tells whether an intent may change from one state to this one.
+// follows reports whether an intent may change from one state to this one.
 func (s State) follows(from State) bool {
 	switch s {
 	case Recorded:
--- a/internal/intentlog/log.go
+++ b/internal/intentlog/log.go
@@ -54,7 +54,7 @@
 // EnableDurability has intents recorded durably from now on, until the term ends.
 func (l *Log) EnableDurability() { l.durable = true }
 
-// Durable tells whether intents are recorded durably.
+// Durable reports whether intents are recorded durably.
 func (l *Log) Durable() bool { return l.durable }
 
 // Tick starts the writes that are due.
@@ -66,7 +66,7 @@
 // Pending is the number of intents that are not completed.
 func (l *Log) Pending() int { return l.pending }
 
-// Full tells whether Record refuses new intents until some are completed.
+// Full reports whether Record refuses new intents until some are completed.
 func (l *Log) Full() bool { return l.pending >= tuning.MaxOpenIntents }
 
 // Recovered lists the intents of some operations that earlier terms recorded.
@@ -92,7 +92,7 @@
 	return matching
 }
 
-// hasTarget tells whether any operation has an intent for a target.
+// hasTarget reports whether any operation has an intent for a target.
 func (l *Log) hasTarget(target string) bool {
 	return slices.ContainsFunc(Operations(), func(operation Operation) bool { return l.intents[operation][target] != nil })
 }
--- a/internal/intentlog/model_owner_test.go
+++ b/internal/intentlog/model_owner_test.go
@@ -17,7 +17,7 @@
 	token      uint64
 	log        *intentlog.Log
 	loaded     bool
-	superseded bool // it knows that a later term has begun
+	superseded bool // it knows that a later term has started
 	startedAt  int64
 	recording  []*pendingRecord
 }
@@ -112,8 +112,8 @@
 	}
 }
 
-// contact sends a command to a machine under the owner's token, and tells whether the machine
-// executed it. One that has seen a higher token rejects it, which tells the owner that it was
+// contact sends a command to a machine under the owner's token, and reports whether the machine
+// executed it. One that has seen a higher token rejects it, which shows the owner that it was
 // superseded.
 func (o *modelOwner) contact(machineID string) bool {
 	machine := o.model.machines[machineID]
--- a/internal/intentlog/transitions.go
+++ b/internal/intentlog/transitions.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// StartCall tells whether a call may be made for an intent now, and marks it as in flight if so.
+// StartCall reports whether a call may be made for an intent now, and marks it as in flight if so.
 func (l *Log) StartCall(now time.Time, intent *Intent) bool {
 	if intent.state != Recorded {
 		return false
