--- a/internal/tracing/read.go
+++ b/internal/tracing/read.go
@@ -12,22 +12,23 @@
 	"time"
 )
 
-// maxLineBytes is the longest line of a trace that is read: spans are some hundred bytes long.
+// maxLineBytes bounds the lines that are read, far above the some hundred bytes of a span.
 const maxLineBytes = 1 << 20
 
-// Span is a span as read from a trace.
+// Span is a span as read from a file.
 type Span struct {
-	TraceID    string // the number of the trace that it belongs to
-	Name       string
-	Member     string // the controller that made it
+	TraceID string
+	Name    string
+	// Member is the controller that made it.
+	Member     string
 	Start, End time.Time
 	attributes map[string]string
 }
 
-// Attribute is one of the span's attributes, "" if it has none of that name.
+// Attribute returns an attribute as text, "" if the span has none of that name.
 func (s Span) Attribute(name string) string { return s.attributes[name] }
 
-// storedSpan is a span in the form in which the exporter writes it.
+// storedSpan is a span as stdouttrace writes it.
 type storedSpan struct {
 	Name        string
 	SpanContext struct{ TraceID string }
@@ -42,46 +43,54 @@
 	Value struct{ Value any }
 }
 
-// span is the stored span in the form in which it is used.
 func (s storedSpan) span() Span {
-	out := Span{TraceID: s.SpanContext.TraceID, Name: s.Name, Start: s.StartTime, End: s.EndTime, attributes: map[string]string{}}
-	for _, a := range s.Attributes {
-		out.attributes[a.Key] = attributeText(a.Value.Value)
+	span := Span{
+		TraceID:    s.SpanContext.TraceID,
+		Name:       s.Name,
+		Start:      s.StartTime,
+		End:        s.EndTime,
+		attributes: map[string]string{},
 	}
-	for _, a := range s.Resource {
-		if a.Key == memberAttribute {
-			out.Member = attributeText(a.Value.Value)
+	for _, attribute := range s.Attributes {
+		span.attributes[attribute.Key] = attribute.text()
+	}
+	for _, attribute := range s.Resource {
+		if attribute.Key == memberAttribute {
+			span.Member = attribute.text()
 		}
 	}
-	return out
+	return span
 }
 
-// attributeText is an attribute's value in words; JSON numbers are whole ones here.
-func attributeText(value any) string {
-	if n, ok := value.(float64); ok {
-		return strconv.FormatFloat(n, 'f', -1, 64)
+// text is the attribute's value as text. JSON numbers are formatted without an exponent: all of
+// the spans' numbers are whole.
+func (a storedAttribute) text() string {
+	if number, ok := a.Value.Value.(float64); ok {
+		return strconv.FormatFloat(number, 'f', -1, 64)
 	}
-	return fmt.Sprint(value)
+	return fmt.Sprint(a.Value.Value)
 }
 
-// Read reads the spans of several files, each with the one before it if there is one, in the
-// order of their beginnings. A last line that is cut off, as its writer has ended, is left
-// out.
+// Read reads the spans of several recorders' files, each with the one before it if there is one,
+// in the order of their starts. A last line that cannot be read is left out, since a process that
+// is killed may cut it off; any other is an error.
 func Read(files ...string) ([]Span, error) {
-	var out []Span
+	var all []Span
 	for _, file := range files {
 		spans, err := readFile(file)
 		if err != nil {
 			return nil, err
 		}
-		earlier, err := readFile(file + previousSuffix)
+		previous, err := readFile(file + previousSuffix)
 		if err != nil && !errors.Is(err, os.ErrNotExist) {
 			return nil, err
 		}
-		out = append(append(out, earlier...), spans...)
+		all = append(append(all, previous...), spans...)
 	}
-	slices.SortStableFunc(out, func(a, b Span) int { return cmp.Or(a.Start.Compare(b.Start), a.End.Compare(b.End)) })
-	return out, nil
+	slices.SortStableFunc(all, func(a, b Span) int {
+		return cmp.Or(a.Start.Compare(b.Start), a.End.Compare(b.End))
+	})
+	return all, nil
 }
 
 func readFile(file string) ([]Span, error) {
@@ -90,8 +99,8 @@
 		return nil, err
 	}
 	defer input.Close()
-	var out []Span
-	var unreadable error
+	var spans []Span
+	var unreadable error // of the line before
 	lines := bufio.NewScanner(input)
 	lines.Buffer(nil, maxLineBytes)
 	for number := 1; lines.Scan(); number++ {
@@ -103,26 +112,26 @@
 			unreadable = fmt.Errorf("%s: line %d is no span: %w", file, number, err)
 			continue
 		}
-		out = append(out, stored.span())
+		spans = append(spans, stored.span())
 	}
 	if err := lines.Err(); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	return out, nil
+	return spans, nil
 }
 
-// GroupByTrace groups spans by their traces, in the order in which these begin.
+// GroupByTrace groups spans by their traces, in the order of each trace's first span.
 func GroupByTrace(spans []Span) [][]Span {
-	var out [][]Span
-	index := map[string]int{}
-	for _, s := range spans {
-		i, known := index[s.TraceID]
+	var groups [][]Span
+	groupOf := map[string]int{}
+	for _, span := range spans {
+		i, known := groupOf[span.TraceID]
 		if !known {
-			i = len(out)
-			index[s.TraceID] = i
-			out = append(out, nil)
+			i = len(groups)
+			groupOf[span.TraceID] = i
+			groups = append(groups, nil)
 		}
-		out[i] = append(out[i], s)
+		groups[i] = append(groups[i], span)
 	}
-	return out
+	return groups
 }
--- a/internal/tracing/rotating_file.go
+++ b/internal/tracing/rotating_file.go
@@ -7,17 +7,18 @@
 	"sync"
 )
 
-// previousSuffix is that of the file before the present one.
+// previousSuffix is the suffix of the file before the present one.
 const previousSuffix = ".1"
 
-// rotatingFile is a file that is begun anew when it has taken half of what is allowed; the
-// one before it is kept.
+// rotatingFile is a file that is replaced by an empty one when it has grown to half of the size
+// allowed. The one before it is kept, so that both together keep to that size.
 type rotatingFile struct {
-	mutex   sync.Mutex
 	name    string
-	maxSize int64
-	file    *os.File
-	size    int64
+	maxSize int64 // in bytes, of each of the two files
+
+	mutex sync.Mutex // guards the fields below
+	file  *os.File
+	size  int64
 }
 
 func openRotating(name string, maxBytes int64) (*rotatingFile, error) {
@@ -32,42 +33,42 @@
 	return &rotatingFile{name: name, maxSize: max(1, maxBytes/2), file: file, size: info.Size()}, nil
 }
 
-// Write is part of io.Writer. A span that alone is larger than the file may be is dropped.
-func (b *rotatingFile) Write(p []byte) (int, error) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if int64(len(p)) > b.maxSize {
-		return len(p), nil
+// Write is part of io.Writer. Data larger than a file may be is dropped.
+func (f *rotatingFile) Write(data []byte) (int, error) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	if int64(len(data)) > f.maxSize {
+		return len(data), nil
 	}
-	if b.size+int64(len(p)) > b.maxSize {
-		if err := b.rotate(); err != nil {
+	if f.size+int64(len(data)) > f.maxSize {
+		if err := f.rotate(); err != nil {
 			return 0, err
 		}
 	}
-	n, err := b.file.Write(p)
-	b.size += int64(n)
-	return n, err
+	written, err := f.file.Write(data)
+	f.size += int64(written)
+	return written, err
 }
 
-// rotate keeps the present file as the earlier one and begins another.
-func (b *rotatingFile) rotate() error {
-	if err := b.file.Close(); err != nil {
+// rotate keeps the present file as the one before, and opens an empty one.
+func (f *rotatingFile) rotate() error {
+	if err := f.file.Close(); err != nil {
 		return err
 	}
-	if err := os.Rename(b.name, b.name+previousSuffix); err != nil {
+	if err := os.Rename(f.name, f.name+previousSuffix); err != nil {
 		return err
 	}
-	file, err := os.OpenFile(b.name, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
+	file, err := os.OpenFile(f.name, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
 	}
-	b.file, b.size = file, 0
+	f.file, f.size = file, 0
 	return nil
 }
 
 // Close closes the file.
-func (b *rotatingFile) Close() {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	_ = b.file.Close()
+func (f *rotatingFile) Close() {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	_ = f.file.Close()
 }
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -1,13 +1,13 @@
-// Package tracing writes OpenTelemetry spans to a file of bounded size. Spans that
-// belong to one thing, whichever controllers make them, are put into one trace: its
-// number follows from the thing's name, so that nothing has to be passed on.
+// Package tracing writes OpenTelemetry spans to a file of bounded size, and reads them.
+//
+// Spans of the same identity are put into one trace, whichever controllers make them: the trace
+// ID is a hash of the identity, so that no context has to be passed between controllers.
 package tracing
 
 import (
 	"context"
-	"crypto/sha256"
+	"fmt"
 	"math/rand/v2"
-	"sync"
 	"time"
 
 	"go.opentelemetry.io/otel/attribute"
@@ -19,10 +19,12 @@
 	"juniperchute/internal/tuning"
 )
 
-// memberAttribute names the attribute that tells whose a trace is.
-const memberAttribute = "member"
+const (
+	serviceName     = "juniperchute"
+	memberAttribute = "member" // the attribute that names the controller whose spans they are
+)
 
-// Recorder makes spans and writes them to a file. It is safe for use by several goroutines.
+// Recorder makes spans and writes them to a file. It is safe for concurrent use.
 type Recorder struct {
 	provider  *sdktrace.TracerProvider
 	tracer    trace.Tracer
@@ -30,78 +32,47 @@
 	wallClock func() time.Time
 }
 
-// Open makes a recorder of one controller's spans. The file and the one before it,
-// which has the suffix ".1", together take no more than mostBytes.
+// Open makes a recorder of one member's spans, which the caller closes. The file and the one
+// before it, which has the suffix ".1", together take at most maxBytes.
 func Open(file string, maxBytes int64, member string, wallClock func() time.Time, rng *rand.Rand) (*Recorder, error) {
-	out, err := openRotating(file, maxBytes)
+	output, err := openRotating(file, maxBytes)
 	if err != nil {
 		return nil, err
 	}
-	exporter, err := stdouttrace.New(stdouttrace.WithWriter(out))
+	exporter, err := stdouttrace.New(stdouttrace.WithWriter(output))
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("make trace exporter: %w", err)
 	}
 	provider := sdktrace.NewTracerProvider(
-		sdktrace.WithBatcher(exporter, sdktrace.WithMaxQueueSize(tuning.TraceQueueSize), sdktrace.WithBatchTimeout(tuning.TraceWriteInterval)),
+		sdktrace.WithBatcher(exporter,
+			sdktrace.WithMaxQueueSize(tuning.TraceQueueSize),
+			sdktrace.WithBatchTimeout(tuning.TraceWriteInterval)),
 		sdktrace.WithIDGenerator(&idGenerator{rng: rng}),
 		sdktrace.WithSampler(sdktrace.AlwaysSample()),
-		sdktrace.WithResource(resource.NewSchemaless(attribute.String("service.name", "juniperchute"), attribute.String(memberAttribute, member))),
+		sdktrace.WithResource(resource.NewSchemaless(
+			attribute.String("service.name", serviceName),
+			attribute.String(memberAttribute, member))),
 	)
-	return &Recorder{provider: provider, tracer: provider.Tracer("juniperchute"), file: out, wallClock: wallClock}, nil
+	return &Recorder{provider: provider, tracer: provider.Tracer(serviceName), file: output, wallClock: wallClock}, nil
 }
 
-// Close writes what is left and closes the file.
+// Close writes the spans that are left and closes the file. Spans that cannot be written within
+// tuning.TraceWriteInterval are lost.
 func (r *Recorder) Close() {
 	ctx, cancel := context.WithTimeout(context.Background(), tuning.TraceWriteInterval)
 	defer cancel()
-	_ = r.provider.Shutdown(ctx) // spans that cannot be written are lost: nothing depends on them
+	_ = r.provider.Shutdown(ctx) // nothing depends on the spans
 	r.file.Close()
 }
 
-// Begin begins a span of the trace that the identity names.
+// Begin starts a span of the identity's trace. The caller ends it.
 func (r *Recorder) Begin(identity, name string, attributes ...attribute.KeyValue) trace.Span {
-	parent := trace.ContextWithRemoteSpanContext(context.Background(), SpanContext(identity))
+	parent := trace.ContextWithRemoteSpanContext(context.Background(), rootSpanContext(identity))
 	_, span := r.tracer.Start(parent, name, trace.WithTimestamp(r.wallClock()), trace.WithAttributes(attributes...))
 	return span
 }
 
-// Event makes a span that is over at once.
+// Event makes a span that ends at once.
 func (r *Recorder) Event(identity, name string, attributes ...attribute.KeyValue) {
 	r.Begin(identity, name, attributes...).End(trace.WithTimestamp(r.wallClock()))
 }
-
-// SpanContext is the parent that all spans of one thing have, in whichever controller.
-func SpanContext(identity string) trace.SpanContext {
-	sum := sha256.Sum256([]byte(identity))
-	c := trace.SpanContextConfig{TraceFlags: trace.FlagsSampled, Remote: true}
-	copy(c.TraceID[:], sum[:])
-	copy(c.SpanID[:], sum[len(c.TraceID):])
-	return trace.NewSpanContext(c)
-}
-
-// idGenerator draws the numbers of spans from the randomness passed in.
-type idGenerator struct {
-	mutex sync.Mutex
-	rng   *rand.Rand
-}
-
-// NewIDs is part of sdktrace.IDGenerator.
-func (g *idGenerator) NewIDs(ctx context.Context) (id trace.TraceID, span trace.SpanID) {
-	g.mutex.Lock()
-	for i := range id {
-		id[i] = byte(g.rng.Uint32())
-	}
-	g.mutex.Unlock()
-	return id, g.NewSpanID(ctx, id)
-}
-
-// NewSpanID is part of sdktrace.IDGenerator.
-func (g *idGenerator) NewSpanID(context.Context, trace.TraceID) (span trace.SpanID) {
-	g.mutex.Lock()
-	defer g.mutex.Unlock()
-	for i := range span {
-		span[i] = byte(g.rng.Uint32())
-	}
-	span[0] |= 1 // all zeros is no number
-	return span
-}
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -11,14 +11,18 @@
 	"go.opentelemetry.io/otel/attribute"
 )
 
-// Two controllers' spans of one action are in one trace, another action's in another, and
-// each tells whose it is.
+func openTest(file string, maxBytes int64, member string, seed uint64) (*Recorder, error) {
+	return Open(file, maxBytes, member, time.Now, rand.New(rand.NewPCG(seed, 1)))
+}
+
+// Two members' spans of one identity are in one trace, those of another in another, and each
+// names its member.
 func TestSpansShareTrace(t *testing.T) {
 	dir := t.TempDir()
 	var files []string
 	for i, member := range []string{"one", "two"} {
 		file := filepath.Join(dir, member)
-		recorder, err := Open(file, 1<<20, member, time.Now, rand.New(rand.NewPCG(uint64(i), 1)))
+		recorder, err := openTest(file, 1<<20, member, uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -38,39 +42,55 @@
 	if len(traces) != 2 || len(traces[0]) != 2 || len(traces[1]) != 2 {
 		t.Fatalf("%d traces: %+v", len(traces), traces)
 	}
-	if one, other := traces[0][0], traces[0][1]; one.Member != "one" || other.Member != "two" || one.Attribute("target") != "i-7" || one.Name != "call" {
-		t.Errorf("%+v, %+v", one, other)
+	first, second := traces[0][0], traces[0][1]
+	if first.Member != "one" || second.Member != "two" {
+		t.Errorf("members: %+v, %+v", first, second)
+	}
+	if first.Attribute("target") != "i-7" || first.Name != "call" {
+		t.Errorf("%+v", first)
 	}
 }
 
-// A file whose writer has ended in a line is read up to it, any other damage is told.
+// A file whose last line is cut off is read up to it; any other damage is an error.
 func TestReadDamaged(t *testing.T) {
 	const line = `{"Name":"call","SpanContext":{"TraceID":"1"}}` + "\n"
 	for _, test := range []struct {
-		name, file string
-		spans      int
-		fault      bool
+		name    string
+		content string
+		spans   int
+		fails   bool
 	}{
-		{"whole", line + line, 2, false},
-		{"cut off in the last line", line + line[:20], 1, false},
-		{"damaged before", line[:20] + "\n" + line, 0, true},
+		{
+			name:    "whole",
+			content: line + line,
+			spans:   2,
+		},
+		{
+			name:    "last line cut off",
+			content: line + line[:20],
+			spans:   1,
+		},
+		{
+			name:    "earlier line damaged",
+			content: line[:20] + "\n" + line,
+			fails:   true,
+		},
 	} {
 		file := filepath.Join(t.TempDir(), "trace")
-		if err := os.WriteFile(file, []byte(test.file), 0o600); err != nil {
+		if err := os.WriteFile(file, []byte(test.content), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if spans, err := Read(file); len(spans) != test.spans || (err != nil) != test.fault {
+		if spans, err := Read(file); len(spans) != test.spans || (err != nil) != test.fails {
 			t.Errorf("%s: %d spans, %v", test.name, len(spans), err)
 		}
 	}
 }
 
-// However many spans there are, the files take no more than allowed, and the newest are
-// there.
+// However many spans there are, the files keep to the size allowed, and have the newest span.
 func TestRotation(t *testing.T) {
-	const most, spans = 20_000, 400
+	const maxBytes, spans = 20_000, 400
 	file := filepath.Join(t.TempDir(), "trace")
-	recorder, err := Open(file, most, "one", time.Now, rand.New(rand.NewPCG(1, 1)))
+	recorder, err := openTest(file, maxBytes, "one", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -81,25 +101,27 @@
 		}
 	}
 	recorder.Close()
-	var size int64
-	for _, f := range []string{file, file + previousSuffix} {
-		info, err := os.Stat(f)
-		if err != nil {
-			t.Fatal(err)
-		}
-		size += info.Size()
+	if size := fileSize(t, file) + fileSize(t, file+previousSuffix); size > maxBytes {
+		t.Errorf("%d bytes of %d", size, maxBytes)
 	}
-	if size > most {
-		t.Errorf("%d bytes of %d", size, most)
-	}
-	raw, err := os.ReadFile(file)
-	if err != nil || !strings.Contains(string(raw), `"Value":399`) {
+	content, err := os.ReadFile(file)
+	if err != nil || !strings.Contains(string(content), `"Value":399`) {
 		t.Errorf("the newest span is not there: %v", err)
 	}
 }
 
+func fileSize(t *testing.T, file string) int64 {
+	t.Helper()
+	info, err := os.Stat(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return info.Size()
+}
+
 func TestOpenFails(t *testing.T) {
-	if _, err := Open(filepath.Join(t.TempDir(), "no", "such"), 1000, "one", time.Now, rand.New(rand.NewPCG(1, 1))); err == nil || !strings.Contains(err.Error(), "trace.file") {
+	_, err := openTest(filepath.Join(t.TempDir(), "no", "such"), 1000, "one", 1)
+	if err == nil || !strings.Contains(err.Error(), "trace.file") {
 		t.Errorf("%v", err)
 	}
 }
