--- a/internal/controller/admin.go
+++ b/internal/controller/admin.go
@@ -129,7 +129,7 @@
 	}
 	for _, m := range t.workers.All() {
 		out.Machines = append(out.Machines, &peerpb.Machine{Host: m.Host, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
-			State: m.State.String(), Tasks: int32(m.ActiveCopies), Quarantined: m.Quarantined, PreemptionNotice: !m.PreemptionTime.IsZero()})
+			State: m.State.ListingName(), Tasks: int32(m.ActiveCopies), Quarantined: m.Quarantined, PreemptionNotice: !m.PreemptionTime.IsZero()})
 	}
 	for _, u := range t.ledger.TeamUsages() {
 		out.Teams = append(out.Teams, &peerpb.Team{Name: u.Team, CpusUsed: u.Used.CPUs, GpusUsed: u.Used.GPUs, CpusMax: u.Limit.CPUs, GpusMax: u.Limit.GPUs})
--- a/internal/controller/completion_bitmaps_test.go
+++ b/internal/controller/completion_bitmaps_test.go
@@ -61,7 +61,8 @@
 
 // reportDone has a machine report that every nth task of a job has completed.
 func reportDone(board *placement.Scheduler, j *placement.Job, nth int) {
-	m := &worker.Machine{Host: "i-1", State: worker.Up, Images: map[string]time.Time{}}
+	m := &worker.Machine{Identity: worker.Identity{Host: "i-1"}, Lifecycle: worker.Lifecycle{State: worker.Up},
+		ImageCache: worker.ImageCache{Images: map[string]time.Time{}}}
 	for n := 0; n < j.Spec.Tasks; n += nth {
 		m.Tasks = append(m.Tasks, wire.TaskStatus{Name: wire.TaskName(j.Spec.ID, n), Attempt: 1, State: wire.TaskExited, ExitReason: wire.ExitDone})
 	}
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -15,7 +15,7 @@
 
 // applyHeartbeat takes in a machine's account of itself and tells whether it was news.
 func (t *term) applyHeartbeat(now time.Time, m *worker.Machine, rep *wire.Heartbeat, checkin bool) bool {
-	v := t.workers.ApplyHeartbeat(now, m, rep, checkin)
+	v := t.workers.ApplyHeartbeat(now, m, rep, worker.StatusSource(checkin))
 	if v == worker.HeartbeatStale {
 		return false
 	}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -265,7 +265,7 @@
 			}
 			h.scheduler.CloseJob(h.now, job.Spec.ID, h.now.Add(time.Minute))
 			heartbeat := &wire.Heartbeat{Host: machine.Host, Type: "g2", Zone: "a", Incarnation: 1, Sequence: machine.Sequence + 1}
-			h.scheduler.ReconcileHeartbeat(h.now, machine, h.registry.ApplyHeartbeat(h.now, machine, heartbeat, c.checkin), c.checkin)
+			h.scheduler.ReconcileHeartbeat(h.now, machine, h.registry.ApplyHeartbeat(h.now, machine, heartbeat, worker.StatusSource(c.checkin)), c.checkin)
 			if got := machine.ActiveCopies == 0; got != c.gone {
 				t.Errorf("gone: %t, want %t", got, c.gone)
 			}
