--- a/internal/term/commands.go
+++ b/internal/term/commands.go
@@ -51,7 +51,7 @@
 		t.fencing.incarnations[machine.Host] = heartbeat.Incarnation
 		t.fencing.askAt[machine.Host] = now
 	default:
-		t.applyHeartbeat(now, machine, heartbeat, false)
+		t.applyHeartbeat(now, machine, heartbeat, worker.FromCommandReply)
 		t.schedule(now)
 	}
 }
--- a/internal/term/heartbeats.go
+++ b/internal/term/heartbeats.go
@@ -65,7 +65,7 @@
 		return t.answerUnderOldToken(now, heartbeat)
 	}
 	machine := t.machineOf(now, heartbeat)
-	if !t.applyHeartbeat(now, machine, heartbeat, true) {
+	if !t.applyHeartbeat(now, machine, heartbeat, worker.FromHeartbeat) {
 		return nil, errStaleHeartbeat
 	}
 	leaseEnd := now.Add(t.workers.LeaseExpiry() + tuning.CancellationRenewMargin)
@@ -106,9 +106,10 @@
 }
 
 // applyHeartbeat reconciles a machine's own account of itself with what is known of it and
-// tells whether it was news. renewsLease tells a heartbeat from the answer to a command.
-func (t *Term) applyHeartbeat(now time.Time, machine *worker.Machine, heartbeat *wire.Heartbeat, renewsLease bool) bool {
-	verdict := t.workers.ApplyHeartbeat(now, machine, heartbeat, renewsLease)
+// tells whether it was news.
+func (t *Term) applyHeartbeat(now time.Time, machine *worker.Machine, heartbeat *wire.Heartbeat,
+	source worker.StatusSource) bool {
+	verdict := t.workers.ApplyHeartbeat(now, machine, heartbeat, source)
 	if verdict == worker.HeartbeatStale {
 		return false
 	}
@@ -117,7 +118,7 @@
 		return true
 	}
 	hadUnknownTasks := machine.HasUnknownTasks
-	t.scheduler.ReconcileHeartbeat(now, machine, verdict, renewsLease)
+	t.scheduler.ReconcileHeartbeat(now, machine, verdict, source == worker.FromHeartbeat)
 	if machine.HasUnknownTasks && !hadUnknownTasks {
 		t.reserveUnknown() // before anything is scheduled
 	}
