--- a/internal/controller/cancellation_loading_test.go
+++ b/internal/controller/cancellation_loading_test.go
@@ -157,7 +157,7 @@
 		for _, n := range sim.nodes {
 			if te := n.controller.terms[0]; n.alive && te != nil && te.state == termFencing {
 				all := quota.Resources{GPUs: 12}
-				if te.ledger.Admits("red", all, false) {
+				if te.ledger.AdmitsStart("red", all) {
 					t.Error("the whole limit may be used, though no machine has been heard")
 				}
 				return
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -63,7 +63,7 @@
 		fencing:       fencing{askAt: map[string]time.Time{}, incarnations: map[string]uint64{}},
 		cancellations: newCancellations(c.config)}
 	t.workers = worker.NewRegistry(c.config.Platform.Workers, t.log)
-	t.ledger = quota.NewLedger(c.config.Platform.Teams, l.Shard, c.shards)
+	t.ledger = quota.NewLedger(c.config.Platform.Teams, c.shards)
 	t.scheduler = placement.NewScheduler(c.config.Platform, l.Token, t.ledger, t.workers, c.rng, t.log,
 		func(now time.Time, j *placement.Job) { t.completions.taskCompleted(now, j) })
 	t.intents = intentlog.NewLog(intentlog.Options{Shard: l.Shard, Token: l.Token, TermCompare: t.termCompare(), ValueKB: c.config.Platform.State.StoredLimits().ValueKB,
--- a/internal/placement/array.go
+++ b/internal/placement/array.go
@@ -87,7 +87,7 @@
 		return false // it has begun; the rest waits for its turn
 	case p.filter.guaranteedOnly && !s.ledger.WithinGuarantee(job.Spec.Team, job.need):
 		return false
-	case !s.ledger.Admits(job.Spec.Team, job.need, true):
+	case !s.ledger.AdmitsReservation(job.Spec.Team, job.need):
 		s.setPendingReason(job, "team's limit")
 		return false
 	}
--- a/internal/placement/commands.go
+++ b/internal/placement/commands.go
@@ -56,7 +56,7 @@
 				s.Counters.BackupsPreempted++
 				s.stop(now, task, job.stopGrace(), "its main is at the head")
 			}
-		case !s.ledger.Admits(job.Spec.Team, job.need, false) || !job.zoneAllowed(machine.Zone, job.tasksByZone(false)):
+		case !s.ledger.AdmitsStart(job.Spec.Team, job.need) || !job.zoneAllowed(machine.Zone, job.tasksByZone(false)):
 		case free.Fits(job.need):
 			s.Counters.PrimariesStarted++
 			s.withdrawCopies(task)
@@ -75,7 +75,7 @@
 		if task.backup != machine || task.phase != Unassigned || task.primary == nil || now.Sub(task.primaryQueuedAt) < stuckAfter || !free.Fits(job.need) ||
 			// a main that can start at its next report would stop it at once
 			task.primary.Schedulable(now) && task.primary.Available().Fits(job.need) ||
-			!s.ledger.Admits(job.Spec.Team, job.need, true) || !job.zoneAllowed(machine.Zone, job.tasksByZone(false)) {
+			!s.ledger.AdmitsReservation(job.Spec.Team, job.need) || !job.zoneAllowed(machine.Zone, job.tasksByZone(false)) {
 			continue
 		}
 		s.Counters.BackupsStarted++
--- a/internal/placement/demand.go
+++ b/internal/placement/demand.go
@@ -157,7 +157,7 @@
 // what it does not needs no machine.
 func (p *demandPlan) admit(job *Job, resources quota.Resources) bool {
 	sum := p.admitted[job.Spec.Team].Add(resources)
-	if !p.scheduler.ledger.Admits(job.Spec.Team, sum, true) {
+	if !p.scheduler.ledger.AdmitsReservation(job.Spec.Team, sum) {
 		return false
 	}
 	p.admitted[job.Spec.Team] = sum
--- a/internal/placement/fair_share_test.go
+++ b/internal/placement/fair_share_test.go
@@ -49,7 +49,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t, 4)
-			h.scheduler.ledger = quota.NewLedger([]config.Team{{Name: "blue"}}, 0, 1)
+			h.scheduler.ledger = quota.NewLedger([]config.Team{{Name: "blue"}}, 1)
 			for range 8 {
 				c.burst(h)
 			}
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -47,7 +47,7 @@
 	switch {
 	case guaranteed && !s.ledger.WithinGuarantee(job.Spec.Team, all):
 		return false
-	case !s.ledger.Admits(job.Spec.Team, all, true):
+	case !s.ledger.AdmitsReservation(job.Spec.Team, all):
 		s.setPendingReason(job, "team's limit")
 		return false
 	case s.blockingGang != nil && s.blockingGang != job:
@@ -332,7 +332,7 @@
 		}
 		freeByMachine[task.primary] = free.Sub(job.need)
 	}
-	if !s.ledger.Admits(job.Spec.Team, job.need.Times(float64(job.Spec.Tasks)), false) {
+	if !s.ledger.AdmitsStart(job.Spec.Team, job.need.Times(float64(job.Spec.Tasks))) {
 		return
 	}
 	job.attempt = s.nextAttemptID(job)
--- a/internal/placement/lifecycle.go
+++ b/internal/placement/lifecycle.go
@@ -30,7 +30,7 @@
 			machine.BackupAllocated = machine.BackupAllocated.Add(task.Job.need)
 		}
 		machine.ActiveCopies++
-		s.ledger.AddUsed(task.Job.Spec.Team, task.Job.need, 1)
+		s.ledger.AddUsed(task.Job.Spec.Team, task.Job.need)
 		task.Job.assigned++
 		info.assigned = append(info.assigned, task)
 		task.dispatchedAt, task.runningSince, task.stage = now, time.Time{}, ""
@@ -44,7 +44,7 @@
 			machine.IdleSince = now
 			machine.Allocated, machine.BackupAllocated = quota.Resources{}, quota.Resources{}
 		}
-		s.ledger.AddUsed(task.Job.Spec.Team, task.Job.need, -1)
+		s.ledger.RemoveUsed(task.Job.Spec.Team, task.Job.need)
 		task.Job.assigned--
 		if i := slices.Index(info.assigned, task); i >= 0 {
 			info.assigned = slices.Delete(info.assigned, i, i+1)
--- a/internal/placement/queues.go
+++ b/internal/placement/queues.go
@@ -52,7 +52,7 @@
 	if !machine.AvailableToPrimary().Fits(s.capacity.smallestNeed) {
 		s.capacity.setFree(info, false)
 	}
-	s.ledger.AddReserved(task.Job.Spec.Team, task.Job.need, 1)
+	s.ledger.AddReserved(task.Job.Spec.Team, task.Job.need)
 }
 
 func (s *Scheduler) withdrawPrimary(task *Task) {
@@ -69,7 +69,7 @@
 	if len(info.primaryQueue) == 0 {
 		machine.Reserved = quota.Resources{}
 	}
-	s.ledger.AddReserved(task.Job.Spec.Team, task.Job.need, -1)
+	s.ledger.RemoveReserved(task.Job.Spec.Team, task.Job.need)
 	task.primary = nil
 }
 
--- a/internal/placement/service.go
+++ b/internal/placement/service.go
@@ -31,7 +31,7 @@
 		if guaranteed && !s.ledger.WithinGuarantee(job.Spec.Team, job.need) {
 			return
 		}
-		if !s.ledger.Admits(job.Spec.Team, job.need, true) && !s.preemptForQuota(now, job) {
+		if !s.ledger.AdmitsReservation(job.Spec.Team, job.need) && !s.preemptForQuota(now, job) {
 			s.setPendingReason(job, "team's limit")
 			return
 		}
@@ -82,7 +82,7 @@
 		return other.Spec.Team == job.Spec.Team && other.priority < job.priority && !other.closed
 	}
 	releasing := quota.Resources{} // what is stopping already will give back
-	admits := func() bool { return s.ledger.Admits(job.Spec.Team, job.need.Sub(releasing), true) }
+	admits := func() bool { return s.ledger.AdmitsReservation(job.Spec.Team, job.need.Sub(releasing)) }
 	var running []*Task
 	for _, machine := range s.registry.All() {
 		info := s.machineInfo(machine)
