--- a/internal/term/term.go
+++ b/internal/term/term.go
@@ -82,7 +82,7 @@
 	}
 	platform := options.Platform
 	t.workers = worker.NewRegistry(platform.Workers, t.log)
-	t.ledger = quota.NewLedger(platform.Teams, t.Shard, options.Shards)
+	t.ledger = quota.NewLedger(platform.Teams, options.Shards)
 	t.scheduler = placement.NewScheduler(platform, t.Token, t.ledger, t.workers, options.Rand, t.log,
 		func(now time.Time, job *placement.Job) { t.completions.taskCompleted(now, job) })
 	t.intents = t.newIntentLog()
