--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -75,8 +75,11 @@
 		}
 	})
 	c.provisionRequests = store.NewWatchCache(fleet.ProvisioningPrefix, c.callState, c.applyProvisionRecord)
-	c.submissions = submission.New(cfg.Platform, blocks, wall, c.callState, log,
-		c.allMachineTypes, c.openJobs, c.jobProgress, c.recordCancellation)
+	c.submissions = submission.New(submission.Options{
+		Platform: cfg.Platform, Shards: blocks, WallClock: wall, CallStore: c.callState, Log: log,
+		MachineTypes: c.allMachineTypes, OpenJobs: c.openJobs,
+		QueryProgress: c.jobProgress, RecordCancellation: c.recordCancellation,
+	})
 	for _, k := range cfg.Peers {
 		c.peers[k.Member] = &peerStatus{}
 	}
--- a/internal/submission/cancel.go
+++ b/internal/submission/cancel.go
@@ -9,14 +9,14 @@
 	"juniperchute/internal/wire"
 )
 
-// Cancel withdraws a job unless it is done already.
-func (s *Service) Cancel(now time.Time, id string, reply func(Response)) {
+// Cancel cancels a job unless it has ended. Cancellations are idempotent.
+func (s *Service) Cancel(_ time.Time, id string, reply func(Response)) {
 	if !wire.ValidID(id) {
-		reply(errorResponse(404, "no such job", 0))
+		reply(notFoundResponse())
 		return
 	}
-	if ended, ok := s.endedJobs.byID[id]; ok {
-		reply(Response{Status: 200, Body: wire.JobAccepted{ID: id, State: ended.State}})
+	if ended, ok := s.endedJobs.get(id); ok {
+		reply(stateResponse(id, ended.State))
 		return
 	}
 	if s.writesInFlight >= tuning.MaxSubmissionsInFlight {
@@ -24,45 +24,55 @@
 		return
 	}
 	s.writesInFlight++
-	s.cancel(now, id, 0, func(r Response) {
+	s.tryCancel(id, 0, func(response Response) {
 		s.writesInFlight--
-		reply(r)
+		reply(response)
 	})
 }
 
-func (s *Service) cancel(now time.Time, id string, attempt int, reply func(Response)) {
-	s.lookUp(now, id, func(lookup jobLookup) {
+// tryCancel reads a job's records and, if it is open, writes its end; it starts over when
+// the record was changed in between.
+func (s *Service) tryCancel(id string, attempt int, reply func(Response)) {
+	s.lookUp(id, func(found jobStatus, err error) {
 		switch {
-		case !lookup.certain:
-			reply(UnavailableResponse("state service does not answer"))
-			return
-		case lookup.stage == "":
-			reply(errorResponse(404, "no such job", 0))
-			return
-		case lookup.stage != wire.JobPending:
-			reply(Response{Status: 200, Body: wire.JobAccepted{ID: id, State: lookup.stage}})
-			return
+		case errors.Is(err, errJobNotFound):
+			reply(notFoundResponse())
+		case err != nil:
+			reply(UnavailableResponse(reasonStoreUnavailable))
+		case found.state != wire.JobPending:
+			reply(stateResponse(id, found.state))
+		default:
+			s.writeCancellation(id, found.version, attempt, reply)
 		}
-		s.callStore(store.Call{Op: store.OpTransaction, Priority: store.PriorityUser, Transaction: wire.Transaction{
-			Compares: []wire.Compare{store.VersionEquals(OpenJobKey(id), lookup.version)},
-			Writes: []wire.Write{
-				store.Put(JobEndKey(id), JobEndRecord{Stage: wire.JobCancelled}, 0),
-				store.Delete(OpenJobKey(id)),
-			},
-		}}, func(now time.Time, result store.Result) {
-			switch {
-			case result.OK():
-				s.log.Debug("job cancelled", "job", id)
-				s.rememberEnd(now, wire.JobState{ID: id, State: wire.JobCancelled})
-				reply(Response{Status: 200, Body: wire.JobAccepted{ID: id, State: wire.JobCancelled}})
-			case (errors.Is(result.Err, store.ErrConflict) || errors.Is(result.Err, store.ErrNoResponse)) && attempt < tuning.MaxCancelTries:
-				// changed under us, or perhaps written: look again
-				s.cancel(now, id, attempt+1, reply)
-			case errors.Is(result.Err, store.ErrThrottled):
-				reply(BusyResponse())
-			default:
-				reply(UnavailableResponse("state service does not answer"))
-			}
-		})
 	})
 }
+
+// writeCancellation ends an open job whose record has the version given.
+func (s *Service) writeCancellation(id string, version uint64, attempt int, reply func(Response)) {
+	s.options.CallStore(store.Call{Op: store.OpTransaction, Priority: store.PriorityUser, Transaction: wire.Transaction{
+		Compares: []wire.Compare{store.VersionEquals(OpenJobKey(id), version)},
+		Writes: []wire.Write{
+			store.Put(JobEndKey(id), JobEndRecord{Stage: wire.JobCancelled}, 0),
+			store.Delete(OpenJobKey(id)),
+		},
+	}}, func(now time.Time, result store.Result) {
+		switch {
+		case result.OK():
+			s.options.Log.Debug("job cancelled", "job", id)
+			s.rememberEnd(now, wire.JobState{ID: id, State: wire.JobCancelled})
+			reply(stateResponse(id, wire.JobCancelled))
+		case mayHaveChanged(result.Err) && attempt < tuning.MaxCancelTries:
+			s.tryCancel(id, attempt+1, reply)
+		case errors.Is(result.Err, store.ErrThrottled):
+			reply(BusyResponse())
+		default:
+			reply(UnavailableResponse(reasonStoreUnavailable))
+		}
+	})
+}
+
+// mayHaveChanged reports whether a transaction's error leaves open what the records say
+// now: they changed before it, or it was executed without a response.
+func mayHaveChanged(err error) bool {
+	return errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrNoResponse)
+}
--- a/internal/submission/cancellation_log.go
+++ b/internal/submission/cancellation_log.go
@@ -7,34 +7,41 @@
 	"juniperchute/internal/tuning"
 )
 
-// CancellationLog is the cancellations that this process has told users of. A holder cut off
-// from the state service cannot read them there, and goes on renewing workers'
-// leases: it has to hear of them from whoever told.
+// CancellationLog lists the cancellations that this process has reported to users. The owner
+// of a shard that is cut off from the state service cannot read them there, yet it goes on
+// renewing its workers' leases: it has to learn of them from the process that reported them.
 type CancellationLog struct {
 	shards    int
-	retention time.Duration        // past it the job's tasks are gone, whoever holds its block
-	capacity  int                  // how many are noted
-	entries   []*cancellationEntry // in the order in which they were noted
+	retention time.Duration        // after it the job's tasks have been killed, whoever owns their shard
+	capacity  int                  // in entries
+	entries   []*cancellationEntry // in the order of recordedAt
 	byID      map[string]*cancellationEntry
-	droppedAt time.Time // when the last one was left out for want of room; zero: never
+	droppedAt time.Time // when an entry was last dropped for lack of capacity; zero: not within retention
 }
 
 type cancellationEntry struct {
-	id           string
-	toldAt       time.Time
-	acknowledged []uint64 // for each block, the highest token under which its holder said it has it
+	id         string
+	recordedAt time.Time
+	// acknowledged holds for each shard the highest token under which its owner has
+	// acknowledged the cancellation.
+	acknowledged []uint64
 }
 
-// NewCancellationLog makes an empty list for a deployment in which cancelled jobs' tasks are
-// gone within cancel and the state service takes so many changes a second: it has room for
-// as many cancellations as can be written in the time for which they are kept.
+// NewCancellationLog returns an empty log. All tasks of a cancelled job are killed within
+// cancelTime; the state service takes writesPerS writes a second. The log has room for all
+// cancellations that can be written while an entry is kept.
 func NewCancellationLog(shards int, cancelTime time.Duration, writesPerS float64) *CancellationLog {
 	retention := cancelTime * tuning.CancellationRetentionFactor
 	written := int(retention.Seconds() * writesPerS / tuning.WritesPerCancellation)
-	return &CancellationLog{shards: shards, retention: retention, capacity: max(tuning.MinCancellationsKept, written), byID: map[string]*cancellationEntry{}}
+	return &CancellationLog{
+		shards:    shards,
+		retention: retention,
+		capacity:  max(tuning.MinCancellationsKept, written),
+		byID:      map[string]*cancellationEntry{},
+	}
 }
 
-// Add enters a cancellation, before its user is told.
+// Add records a cancellation. It must be called before the user is told of it.
 func (l *CancellationLog) Add(now time.Time, id string) {
 	l.prune(now)
 	if l.byID[id] != nil {
@@ -44,42 +51,54 @@
 		l.droppedAt = now
 		return
 	}
-	entry := &cancellationEntry{id: id, toldAt: now, acknowledged: make([]uint64, l.shards)}
+	entry := &cancellationEntry{id: id, recordedAt: now, acknowledged: make([]uint64, l.shards)}
 	l.entries = append(l.entries, entry)
 	l.byID[id] = entry
 }
 
-// Acknowledge notes that the holder of a block under a token knows of cancellations. A later
-// holder may not: what it read last may be older.
+// Acknowledge records that the owner of a shard under a token knows of cancellations. Its
+// successor, under a higher token, may not: what it read last may be older.
 func (l *CancellationLog) Acknowledge(ids []string, shard int, token uint64) {
+	if shard < 0 || shard >= l.shards {
+		return // from a controller with more shards
+	}
 	for _, id := range ids {
-		if entry := l.byID[id]; entry != nil && shard >= 0 && shard < l.shards {
+		if entry := l.byID[id]; entry != nil {
 			entry.acknowledged[shard] = max(entry.acknowledged[shard], token)
 		}
 	}
 }
 
-// Pending lists the cancellations that some holder of these tokens, by block, has not
-// said it has, and tells whether they are all there are.
+// Pending returns the cancellations that some shard's owner has not acknowledged, given the
+// owners' tokens by shard, 0 for a shard without an owner. It returns at most
+// tuning.MaxCancellationsPerMessage; complete reports whether these are all.
 func (l *CancellationLog) Pending(now time.Time, tokens []uint64) (ids []string, complete bool) {
 	l.prune(now)
 	for _, entry := range l.entries {
-		for shard, token := range tokens {
-			if entry.acknowledged[shard] < token || token == 0 {
-				ids = append(ids, entry.id)
-				break
-			}
+		if entry.acknowledgedBy(tokens) {
+			continue
 		}
-		if len(ids) > tuning.MaxCancellationsPerMessage {
-			return ids[:tuning.MaxCancellationsPerMessage], false
+		if len(ids) == tuning.MaxCancellationsPerMessage {
+			return ids, false
 		}
+		ids = append(ids, entry.id)
 	}
 	return ids, l.droppedAt.IsZero()
 }
 
+// acknowledgedBy reports whether the owners of all shards have acknowledged the cancellation.
+func (e *cancellationEntry) acknowledgedBy(tokens []uint64) bool {
+	for shard, token := range tokens {
+		if token == 0 || e.acknowledged[shard] < token {
+			return false
+		}
+	}
+	return true
+}
+
 func (l *CancellationLog) prune(now time.Time) {
 	expired := 0
-	for expired < len(l.entries) && now.Sub(l.entries[expired].toldAt) > l.retention {
+	for expired < len(l.entries) && now.Sub(l.entries[expired].recordedAt) > l.retention {
 		delete(l.byID, l.entries[expired].id)
 		expired++
 	}
--- a/internal/submission/query.go
+++ b/internal/submission/query.go
@@ -1,20 +1,22 @@
 package submission
 
 import (
+	"errors"
+	"net/http"
 	"time"
 
 	"juniperchute/internal/tuning"
 	"juniperchute/internal/wire"
 )
 
-// Query tells a job's state.
+// Query reports a job's state.
 func (s *Service) Query(now time.Time, id string, reply func(Response)) {
 	if !wire.ValidID(id) {
-		reply(errorResponse(404, "no such job", 0))
+		reply(notFoundResponse())
 		return
 	}
-	if ended, ok := s.endedJobs.byID[id]; ok {
-		reply(Response{Status: 200, Body: ended})
+	if ended, ok := s.endedJobs.get(id); ok {
+		reply(Response{Status: http.StatusOK, Body: ended})
 		return
 	}
 	if s.queriesInFlight >= tuning.MaxQueriesInFlight {
@@ -22,58 +24,59 @@
 		return
 	}
 	s.queriesInFlight++
-	answer := func(r Response) {
+	finish := func(response Response) {
 		s.queriesInFlight--
-		reply(r)
+		reply(response)
 	}
-	// One look at what has changed among the open jobs answers all questions
-	// that came before it.
-	s.openJobs.WaitCurrent(now, s.refreshInterval, func(now time.Time, ok bool) {
+	// One refresh of the open jobs serves all queries that came before it.
+	s.options.OpenJobs.WaitCurrent(now, s.refreshInterval, func(now time.Time, ok bool) {
 		if !ok {
-			answer(UnavailableResponse("state service does not answer"))
+			finish(UnavailableResponse(reasonStoreUnavailable))
 			return
 		}
-		s.answerOpen(now, id, answer)
+		s.queryCurrent(now, id, finish)
 	})
 }
 
-// answerOpen tells a job's state as the records have it that were just read.
-func (s *Service) answerOpen(now time.Time, id string, answer func(Response)) {
-	item, open := s.openJobs.Get(OpenJobKey(id))
+// queryCurrent reports a job's state from open jobs that have just been refreshed.
+func (s *Service) queryCurrent(now time.Time, id string, reply func(Response)) {
+	item, open := s.options.OpenJobs.Get(OpenJobKey(id))
 	if !open {
-		s.answerEnded(now, id, answer)
+		s.queryEnded(id, reply)
 		return
 	}
 	record, err := ParseOpenJob(item)
 	if err != nil {
-		s.log.Error("job entry cannot be read", "key", item.Key, "error", err)
-		answer(UnavailableResponse("the job's record cannot be read"))
+		s.options.Log.Error("job entry cannot be read", "key", item.Key, "error", err)
+		reply(UnavailableResponse("the job's record cannot be read"))
 		return
 	}
-	s.queryProgress(now, record.Shard, id, func(now time.Time, progress Progress) {
-		if _, open := s.openJobs.Get(OpenJobKey(id)); !open {
-			// it ended while its holder was asked, and somebody may have been told
-			s.answerEnded(now, id, answer)
+	s.options.QueryProgress(now, record.Shard, id, func(_ time.Time, progress Progress) {
+		if _, open := s.options.OpenJobs.Get(OpenJobKey(id)); !open {
+			// The job ended while the shard's owner was asked, and another controller may
+			// have told a user so by now.
+			s.queryEnded(id, reply)
 			return
 		}
 		state := wire.JobState{ID: id, State: wire.JobPending, Done: progress.Done, Running: progress.Running}
 		if progress.Running > 0 {
 			state.State = wire.JobRunning
 		}
-		answer(Response{Status: 200, Body: state})
+		reply(Response{Status: http.StatusOK, Body: state})
 	})
 }
 
-// answerEnded tells how a job that is not open ended, if there was one.
-func (s *Service) answerEnded(now time.Time, id string, answer func(Response)) {
-	s.lookUpEnd(now, id, func(lookup jobLookup) {
+// queryEnded reports how a job ended that is not open.
+func (s *Service) queryEnded(id string, reply func(Response)) {
+	s.lookUpEnd(id, func(found jobStatus, err error) {
 		switch {
-		case !lookup.certain:
-			answer(UnavailableResponse("state service does not answer"))
-		case lookup.stage == "":
-			answer(errorResponse(404, "no such job", 0))
+		case errors.Is(err, errJobNotFound):
+			reply(notFoundResponse())
+		case err != nil:
+			reply(UnavailableResponse(reasonStoreUnavailable))
 		default:
-			answer(Response{Status: 200, Body: wire.JobState{ID: id, State: lookup.stage, Done: lookup.done}})
+			state := wire.JobState{ID: id, State: found.state, Done: found.done}
+			reply(Response{Status: http.StatusOK, Body: state})
 		}
 	})
 }
--- a/internal/submission/query_test.go
+++ b/internal/submission/query_test.go
@@ -24,7 +24,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(testMachineTypes)
 			var answerProgress func(time.Time, Progress)
-			f.service.queryProgress = func(_ time.Time, _ int, _ string, callback func(time.Time, Progress)) { answerProgress = callback }
+			f.service.options.QueryProgress = func(_ time.Time, _ int, _ string, callback func(time.Time, Progress)) { answerProgress = callback }
 			var got *Response
 			f.service.Query(startTime, "job-1", func(r Response) { got = &r })
 			f.answer(store.Result{Revision: 12, Events: []wire.Event{{Put: OpenJobKey("job-1"), Value: jobResult(wire.JobPending).KeyValue.Value, Version: 12}}})
--- a/internal/submission/service_test.go
+++ b/internal/submission/service_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"io"
 	"log/slog"
 	"strings"
 	"testing"
@@ -34,10 +33,16 @@
 	f.openJobs.Tick(startTime)
 	f.answer(store.Result{Revision: 10})
 	f.answer(noAnswer) // no watch beside the questions
-	f.service = New(deployment, 1, func() time.Time { return startTime }, callStore, slog.New(slog.NewTextHandler(io.Discard, nil)), func() map[string]wire.MachineType { return machineTypes }, f.openJobs,
-		func(now time.Time, _ int, _ string, callback func(time.Time, Progress)) {
+	f.service = New(Options{
+		Platform: deployment, Shards: 1, WallClock: func() time.Time { return startTime }, CallStore: callStore,
+		Log:          slog.New(slog.DiscardHandler),
+		MachineTypes: func() map[string]wire.MachineType { return machineTypes },
+		OpenJobs:     f.openJobs,
+		QueryProgress: func(now time.Time, _ int, _ string, callback func(time.Time, Progress)) {
 			callback(now, Progress{Known: true, Done: 3, Running: 2})
-		}, func(_ time.Time, id string) { f.cancelled = append(f.cancelled, id) })
+		},
+		RecordCancellation: func(_ time.Time, id string) { f.cancelled = append(f.cancelled, id) },
+	})
 	return f
 }
 
--- /dev/null
+++ b/internal/submission/submit.go
@@ -0,0 +1,148 @@
+package submission
+
+import (
+	"encoding/json"
+	"errors"
+	"net/http"
+	"slices"
+	"time"
+
+	"juniperchute/internal/quota"
+	"juniperchute/internal/store"
+	"juniperchute/internal/tuning"
+	"juniperchute/internal/wire"
+)
+
+// The hash that spreads jobs over the shards. All controllers have to agree on it.
+const (
+	shardHashFactor  = 31
+	shardHashModulus = 1000003
+)
+
+// Submit accepts or rejects a job whose form is valid. Submissions are idempotent: one of
+// a job that exists gets the job's state, even if it would be rejected now.
+func (s *Service) Submit(_ time.Time, spec wire.JobSpec, reply func(Response)) {
+	if job, ok := s.endedJobs.get(spec.ID); ok {
+		reply(stateResponse(job.ID, job.State))
+		return
+	}
+	if s.writesInFlight >= tuning.MaxSubmissionsInFlight {
+		reply(BusyResponse())
+		return
+	}
+	s.writesInFlight++
+	finish := func(response Response) {
+		s.writesInFlight--
+		reply(response)
+	}
+	record, err := s.newRecord(spec)
+	if err != nil {
+		s.rejectUnlessAccepted(spec.ID, err, finish)
+		return
+	}
+	s.create(record, 0, finish)
+}
+
+// newRecord returns the record of a new job, or why it cannot be accepted.
+func (s *Service) newRecord(spec wire.JobSpec) (OpenJobRecord, error) {
+	machineTypes := s.options.MachineTypes()
+	if err := checkFeasible(&spec, s.options.Platform.Teams, machineTypes); err != nil {
+		return OpenJobRecord{}, err
+	}
+	if !spec.AnyType {
+		// names of no type would only take room in the record
+		spec.Types = slices.DeleteFunc(slices.Clone(spec.Types), func(name string) bool {
+			_, ok := machineTypes[name]
+			return !ok
+		})
+	}
+	record := OpenJobRecord{
+		Spec:       spec,
+		AcceptedAt: s.options.WallClock().UnixMilli(),
+		Shard:      s.chooseShard(&spec),
+	}
+	if !s.fitsStore(record) {
+		return OpenJobRecord{}, errRecordTooLarge
+	}
+	return record, nil
+}
+
+// chooseShard returns the shard of a new job. All jobs of a team with a limit belong to one
+// shard, whose owner then can enforce the limit alone.
+func (s *Service) chooseShard(spec *wire.JobSpec) int {
+	teams, shards := s.options.Platform.Teams, s.options.Shards
+	if quota.HasLimit(teams, spec.Team) {
+		return quota.HomeShard(teams, spec.Team, shards)
+	}
+	hash := 0
+	for _, letter := range spec.ID {
+		hash = (hash*shardHashFactor + int(letter)) % shardHashModulus
+	}
+	return hash % shards
+}
+
+// fitsStore reports whether the state service takes a record, now and after its announced limits apply.
+func (s *Service) fitsStore(record OpenJobRecord) bool {
+	raw, err := json.Marshal(record)
+	if err != nil {
+		return false
+	}
+	limits := s.options.Platform.State
+	if limits.ValueKB <= 0 {
+		return true
+	}
+	return len(raw) <= int(limits.StoredLimits().ValueKB*1024*tuning.PageFillShare)
+}
+
+// create writes the record of a new job, unless there is one.
+func (s *Service) create(record OpenJobRecord, attempt int, reply func(Response)) {
+	id := record.Spec.ID
+	s.options.CallStore(store.Call{Op: store.OpTransaction, Priority: store.PriorityUser, Transaction: wire.Transaction{
+		Compares: []wire.Compare{store.VersionEquals(OpenJobKey(id), 0), store.VersionEquals(JobEndKey(id), 0)},
+		Writes:   []wire.Write{store.Put(OpenJobKey(id), record, 0)},
+	}}, func(_ time.Time, result store.Result) {
+		switch {
+		case result.OK():
+			s.options.Log.Debug("job accepted", "job", id, "class", record.Spec.Class, "shard", record.Shard)
+			reply(Response{Status: http.StatusCreated, Body: wire.JobAccepted{ID: id, State: wire.JobPending}})
+		case errors.Is(result.Err, store.ErrConflict):
+			s.replyExisting(id, reply)
+		case errors.Is(result.Err, store.ErrNoResponse) && attempt == 0:
+			// perhaps written: then the same transaction conflicts with the first
+			s.create(record, attempt+1, reply)
+		case errors.Is(result.Err, store.ErrThrottled):
+			reply(BusyResponse())
+		case errors.Is(result.Err, store.ErrInvalid):
+			// too large by a limit that was not announced; the job may have been accepted before it applied
+			s.rejectUnlessAccepted(id, errRecordTooLarge, reply)
+		default:
+			reply(UnavailableResponse(reasonStoreUnavailable))
+		}
+	})
+}
+
+// replyExisting replies with the state of a job of which a record is known to exist.
+func (s *Service) replyExisting(id string, reply func(Response)) {
+	s.lookUp(id, func(found jobStatus, err error) {
+		if err != nil {
+			reply(UnavailableResponse(reasonStoreUnavailable))
+			return
+		}
+		reply(stateResponse(id, found.state))
+	})
+}
+
+// rejectUnlessAccepted replies with the reason for a rejection, unless the job was accepted
+// before: it stays accepted, whatever has become of the settings, the limits or the machine types.
+func (s *Service) rejectUnlessAccepted(id string, reason error, reply func(Response)) {
+	s.lookUp(id, func(found jobStatus, err error) {
+		switch {
+		case err == nil:
+			reply(stateResponse(id, found.state))
+		case errors.Is(err, errJobNotFound):
+			reply(rejectionResponse(reason))
+		default:
+			reply(UnavailableResponse(reasonUndecided))
+		}
+	})
+}
