--- a/internal/submission/cancel.go
+++ b/internal/submission/cancel.go
@@ -49,13 +49,15 @@
 
 // writeCancellation ends an open job whose record has the version given.
 func (s *Service) writeCancellation(id string, version uint64, attempt int, reply func(Response)) {
-	s.options.CallStore(store.Call{Op: store.OpTransaction, Priority: store.PriorityUser, Transaction: wire.Transaction{
+	transaction := wire.Transaction{
 		Compares: []wire.Compare{store.VersionEquals(OpenJobKey(id), version)},
 		Writes: []wire.Write{
 			store.Put(JobEndKey(id), JobEndRecord{Stage: wire.JobCancelled}, 0),
 			store.Delete(OpenJobKey(id)),
 		},
-	}}, func(now time.Time, result store.Result) {
+	}
+	call := store.Call{Op: store.OpTransaction, Priority: store.PriorityUser, Transaction: transaction}
+	s.options.CallStore(call, func(now time.Time, result store.Result) {
 		switch {
 		case result.OK():
 			s.options.Log.Debug("job cancelled", "job", id)
--- a/internal/submission/cancellation_log.go
+++ b/internal/submission/cancellation_log.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// Add records a cancellation. It must be called before the user is told of it.
+// Add records a cancellation. It must be called before it is reported to the user.
 func (l *CancellationLog) Add(now time.Time, id string) {
 	l.prune(now)
 	if l.byID[id] != nil {
--- a/internal/submission/cancellation_log_test.go
+++ b/internal/submission/cancellation_log_test.go
@@ -11,110 +11,254 @@
 	"juniperchute/internal/wire"
 )
 
-// A deployment whose state service takes many changes can have more cancellations than the
-// least number noted: there is room for all that can be written while they are kept.
-func TestCancellationLogSize(t *testing.T) {
-	const cancel, writesPerS, written = 40 * time.Second, 200, 8000
-	log := NewCancellationLog(1, cancel, writesPerS)
-	for i := range written {
+func addCancellations(log *CancellationLog, count int) {
+	for i := range count {
 		log.Add(startTime, fmt.Sprintf("job-%d", i))
-		log.Acknowledge([]string{fmt.Sprintf("job-%d", i)}, 0, 4)
 	}
+}
+
+func acknowledgeCancellations(log *CancellationLog, count int, token uint64) {
+	for i := range count {
+		log.Acknowledge([]string{fmt.Sprintf("job-%d", i)}, 0, token)
+	}
+}
+
+// When the state service takes many writes, more cancellations are possible than the least
+// capacity holds: there is room for all that can be written while they are kept.
+func TestCancellationLogSize(t *testing.T) {
+	const (
+		cancelTime = 40 * time.Second
+		writesPerS = 200
+		written    = 8000
+	)
+	log := NewCancellationLog(1, cancelTime, writesPerS)
+	addCancellations(log, written)
+	acknowledgeCancellations(log, written, 4)
 	if _, complete := log.Pending(startTime, []uint64{4}); !complete {
-		t.Error("a cancellation that could be written was left out")
+		t.Error("a cancellation that can be written was dropped")
 	}
 	log.Add(startTime, "job-last")
 	if _, complete := log.Pending(startTime, []uint64{4}); complete {
-		t.Error("vouches although one was left out")
+		t.Error("complete although a cancellation was dropped")
 	}
 }
 
-// What a node has to pass on of what it told, and when it cannot vouch for that.
-func TestPendingCancellations(t *testing.T) {
-	const cancel = 35 * time.Second
-	at := func(s float64) time.Time { return startTime.Add(time.Duration(s * float64(time.Second))) }
-	for _, test := range []struct {
-		name   string
-		play   func(log *CancellationLog)
-		when   float64
-		tokens []uint64
-		want   []string
-		whole  bool
-	}{
-		{"told, and no holder has it", func(log *CancellationLog) { log.Add(startTime, "job-1") }, 1, []uint64{4}, []string{"job-1"}, true},
-		{"the holder has it", func(log *CancellationLog) { log.Add(startTime, "job-1"); log.Acknowledge([]string{"job-1"}, 0, 4) }, 1, []uint64{4}, nil, true},
-		{"a later holder may not have it", func(log *CancellationLog) { log.Add(startTime, "job-1"); log.Acknowledge([]string{"job-1"}, 0, 4) }, 1, []uint64{5}, []string{"job-1"}, true},
-		{"an earlier holder's word changes nothing", func(log *CancellationLog) {
-			log.Add(startTime, "job-1")
+// secondsAfterStart is a moment of the tests of the cancellation log.
+func secondsAfterStart(s float64) time.Time {
+	return startTime.Add(time.Duration(s * float64(time.Second)))
+}
+
+func addOne(log *CancellationLog) { log.Add(startTime, "job-1") }
+
+// pendingTest is what was recorded in a log, and what is pending for the shard owners' tokens.
+type pendingTest struct {
+	name         string
+	record       func(log *CancellationLog)
+	atSeconds    float64
+	tokens       []uint64
+	wantIDs      []string
+	wantComplete bool
+}
+
+var pendingTests = []pendingTest{
+	{
+		name:         "not acknowledged",
+		record:       addOne,
+		atSeconds:    1,
+		tokens:       []uint64{4},
+		wantIDs:      []string{"job-1"},
+		wantComplete: true,
+	},
+	{
+		name: "acknowledged",
+		record: func(log *CancellationLog) {
+			addOne(log)
+			log.Acknowledge([]string{"job-1"}, 0, 4)
+		},
+		atSeconds:    1,
+		tokens:       []uint64{4},
+		wantComplete: true,
+	},
+	{
+		name: "acknowledged by the predecessor",
+		record: func(log *CancellationLog) {
+			addOne(log)
+			log.Acknowledge([]string{"job-1"}, 0, 4)
+		},
+		atSeconds:    1,
+		tokens:       []uint64{5},
+		wantIDs:      []string{"job-1"},
+		wantComplete: true,
+	},
+	{
+		name: "late acknowledgement of the predecessor",
+		record: func(log *CancellationLog) {
+			addOne(log)
 			log.Acknowledge([]string{"job-1"}, 0, 5)
 			log.Acknowledge([]string{"job-1"}, 0, 4)
-		}, 1, []uint64{5}, nil, true},
-		{"one block's holder has it, the other's not", func(log *CancellationLog) { log.Add(startTime, "job-1"); log.Acknowledge([]string{"job-1"}, 0, 4) }, 1, []uint64{4, 7}, []string{"job-1"}, true},
-		{"no holder is known", func(log *CancellationLog) { log.Add(startTime, "job-1") }, 1, []uint64{0}, []string{"job-1"}, true},
-		{"told twice", func(log *CancellationLog) { log.Add(startTime, "job-1"); log.Add(at(1), "job-1") }, 2, []uint64{4}, []string{"job-1"}, true},
-		{"within the time its tasks have, still kept", func(log *CancellationLog) { log.Add(startTime, "job-1") }, 69, []uint64{4}, []string{"job-1"}, true},
-		{"long told", func(log *CancellationLog) { log.Add(startTime, "job-1"); log.Add(at(20), "job-2") }, 71, []uint64{4}, []string{"job-2"}, true},
-		{"no room for one: no vouching until its tasks are gone", func(log *CancellationLog) {
-			for i := range tuning.MinCancellationsKept + 1 {
-				log.Add(startTime, fmt.Sprintf("job-%d", i))
-			}
-			for i := range tuning.MinCancellationsKept {
-				log.Acknowledge([]string{fmt.Sprintf("job-%d", i)}, 0, 4)
-			}
-		}, 60, []uint64{4}, nil, false},
-		{"and after that again", func(log *CancellationLog) {
-			for i := range tuning.MinCancellationsKept + 1 {
-				log.Add(startTime, fmt.Sprintf("job-%d", i))
-			}
-		}, 71, []uint64{4}, nil, true},
-	} {
+		},
+		atSeconds:    1,
+		tokens:       []uint64{5},
+		wantComplete: true,
+	},
+	{
+		name: "acknowledged by the owner of one of two shards",
+		record: func(log *CancellationLog) {
+			addOne(log)
+			log.Acknowledge([]string{"job-1"}, 0, 4)
+		},
+		atSeconds:    1,
+		tokens:       []uint64{4, 7},
+		wantIDs:      []string{"job-1"},
+		wantComplete: true,
+	},
+	{
+		name:         "shard without an owner",
+		record:       addOne,
+		atSeconds:    1,
+		tokens:       []uint64{0},
+		wantIDs:      []string{"job-1"},
+		wantComplete: true,
+	},
+	{
+		name: "added twice",
+		record: func(log *CancellationLog) {
+			addOne(log)
+			log.Add(secondsAfterStart(1), "job-1")
+		},
+		atSeconds:    2,
+		tokens:       []uint64{4},
+		wantIDs:      []string{"job-1"},
+		wantComplete: true,
+	},
+	{
+		name:         "within the retention",
+		record:       addOne,
+		atSeconds:    69,
+		tokens:       []uint64{4},
+		wantIDs:      []string{"job-1"},
+		wantComplete: true,
+	},
+	{
+		name: "past the retention",
+		record: func(log *CancellationLog) {
+			addOne(log)
+			log.Add(secondsAfterStart(20), "job-2")
+		},
+		atSeconds:    71,
+		tokens:       []uint64{4},
+		wantIDs:      []string{"job-2"},
+		wantComplete: true,
+	},
+	{
+		name: "one dropped within the retention",
+		record: func(log *CancellationLog) {
+			addCancellations(log, tuning.MinCancellationsKept+1)
+			acknowledgeCancellations(log, tuning.MinCancellationsKept, 4)
+		},
+		atSeconds: 60,
+		tokens:    []uint64{4},
+	},
+	{
+		name: "one dropped past the retention",
+		record: func(log *CancellationLog) {
+			addCancellations(log, tuning.MinCancellationsKept+1)
+		},
+		atSeconds:    71,
+		tokens:       []uint64{4},
+		wantComplete: true,
+	},
+}
+
+func TestPendingCancellations(t *testing.T) {
+	const cancelTime = 35 * time.Second // half of the retention
+	for _, test := range pendingTests {
 		t.Run(test.name, func(t *testing.T) {
-			log := NewCancellationLog(2, cancel, 0)
-			test.play(log)
-			got, complete := log.Pending(at(test.when), test.tokens)
-			if !slices.Equal(got, test.want) || complete != test.whole {
-				t.Errorf("pending %v, all %v; want %v, %v", got, complete, test.want, test.whole)
+			log := NewCancellationLog(2, cancelTime, 0)
+			test.record(log)
+			got, complete := log.Pending(secondsAfterStart(test.atSeconds), test.tokens)
+			if !slices.Equal(got, test.wantIDs) || complete != test.wantComplete {
+				t.Errorf("pending %v, complete %v; want %v, %v", got, complete, test.wantIDs, test.wantComplete)
 			}
 		})
 	}
-	log := NewCancellationLog(1, cancel, 0)
-	for i := range tuning.MaxCancellationsPerMessage + 1 {
-		log.Add(startTime, fmt.Sprintf("job-%d", i))
-	}
-	if got, complete := log.Pending(startTime, []uint64{1}); len(got) != tuning.MaxCancellationsPerMessage || complete {
-		t.Errorf("more than fit one message: %d passed on, all %v", len(got), complete)
+	log := NewCancellationLog(1, cancelTime, 0)
+	addCancellations(log, tuning.MaxCancellationsPerMessage+1)
+	got, complete := log.Pending(startTime, []uint64{1})
+	if len(got) != tuning.MaxCancellationsPerMessage || complete {
+		t.Errorf("more than fit one message: %d pending, complete %v", len(got), complete)
 	}
 }
 
-// Whichever way a node comes to tell a user of a cancellation, it notes that first.
+// recordedFirstTest is a request of which the user may learn that job-1 is cancelled.
+type recordedFirstTest struct {
+	name     string
+	request  func(f *fixture, reply func(Response))
+	results  []store.Result
+	recorded int // cancellations
+}
+
+var recordedFirstTests = []recordedFirstTest{
+	{
+		name:     "cancellation",
+		request:  (*fixture).cancel,
+		results:  []store.Result{storedJob(wire.JobPending), success},
+		recorded: 1,
+	},
+	{
+		name:     "cancellation without a response but written",
+		request:  (*fixture).cancel,
+		results:  []store.Result{storedJob(wire.JobPending), noResponse, notFound, storedJob(wire.JobCancelled)},
+		recorded: 1,
+	},
+	{
+		name:     "cancelled before by another controller",
+		request:  (*fixture).cancel,
+		results:  []store.Result{notFound, storedJob(wire.JobCancelled)},
+		recorded: 1,
+	},
+	{
+		name:     "query",
+		request:  (*fixture).query,
+		results:  []store.Result{{Revision: 11}, storedJob(wire.JobCancelled)},
+		recorded: 1,
+	},
+	{
+		name:     "repeated submission",
+		request:  func(f *fixture, reply func(Response)) { f.submit(newSpec(nil), reply) },
+		results:  []store.Result{conflict, notFound, storedJob(wire.JobCancelled)},
+		recorded: 1,
+	},
+	{
+		name: "repeated submission that would be rejected now",
+		request: func(f *fixture, reply func(Response)) {
+			f.submit(newSpec(func(spec *wire.JobSpec) { spec.Team = "green" }), reply)
+		},
+		results:  []store.Result{notFound, storedJob(wire.JobCancelled)},
+		recorded: 1,
+	},
+	{
+		name:    "query of a finished job",
+		request: (*fixture).query,
+		results: []store.Result{{Revision: 11}, storedJob(wire.JobDone)},
+	},
+	{
+		name:    "cancellation during an outage",
+		request: (*fixture).cancel,
+		results: []store.Result{storedJob(wire.JobPending), outage},
+	},
+}
+
+// A cancellation is recorded before it is reported to a user, whatever the request.
 func TestCancellationRecordedFirst(t *testing.T) {
-	read := store.Result{Revision: 11}
-	for _, test := range []struct {
-		name    string
-		ask     func(f *fixture, reply func(Response))
-		answers []store.Result
-		told    bool
-	}{
-		{"its own cancellation", func(f *fixture, reply func(Response)) { f.service.Cancel(startTime, "job-1", reply) }, []store.Result{jobResult(wire.JobPending), success}, true},
-		{"found after a lost answer", func(f *fixture, reply func(Response)) { f.service.Cancel(startTime, "job-1", reply) }, []store.Result{jobResult(wire.JobPending), noAnswer, notFound, jobResult(wire.JobCancelled)}, true},
-		{"cancelled before, by another node", func(f *fixture, reply func(Response)) { f.service.Cancel(startTime, "job-1", reply) }, []store.Result{notFound, jobResult(wire.JobCancelled)}, true},
-		{"a question", func(f *fixture, reply func(Response)) { f.service.Query(startTime, "job-1", reply) }, []store.Result{read, jobResult(wire.JobCancelled)}, true},
-		{"a repeated submission", func(f *fixture, reply func(Response)) { f.service.Submit(startTime, newSubmission(nil), reply) }, []store.Result{conflict, notFound, jobResult(wire.JobCancelled)}, true},
-		{"a repeat of one that would be refused now", func(f *fixture, reply func(Response)) {
-			f.service.Submit(startTime, newSubmission(func(s *wire.JobSpec) { s.Team = "green" }), reply)
-		}, []store.Result{notFound, jobResult(wire.JobCancelled)}, true},
-		{"a job that is done", func(f *fixture, reply func(Response)) { f.service.Query(startTime, "job-1", reply) }, []store.Result{read, jobResult(wire.JobDone)}, false},
-		{"no answer", func(f *fixture, reply func(Response)) { f.service.Cancel(startTime, "job-1", reply) }, []store.Result{jobResult(wire.JobPending), outage}, false},
-	} {
+	for _, test := range recordedFirstTests {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(testMachineTypes)
-			answered, noted := false, 0
-			test.ask(f, func(Response) { answered, noted = true, len(f.cancelled) })
-			for _, answer := range test.answers {
-				f.answer(answer)
-			}
-			if want := map[bool]int{true: 1}[test.told]; !answered || noted != want {
-				t.Errorf("answered %v with %d noted, want %d", answered, noted, want)
+			replied, recorded := false, 0
+			test.request(f, func(Response) { replied, recorded = true, len(f.cancelled) })
+			f.completeAll(test.results)
+			if !replied || recorded != test.recorded {
+				t.Errorf("replied %v with %d cancellations recorded, want %d", replied, recorded, test.recorded)
 			}
 		})
 	}
--- /dev/null
+++ b/internal/submission/fixture_test.go
@@ -0,0 +1,127 @@
+package submission
+
+import (
+	"encoding/json"
+	"log/slog"
+	"testing"
+	"time"
+
+	"juniperchute/internal/config"
+	"juniperchute/internal/store"
+	"juniperchute/internal/wire"
+)
+
+var (
+	startTime        = time.Unix(1000, 0)
+	testMachineTypes = map[string]wire.MachineType{
+		"g8": {Name: "g8", Vcpus: 96, Gpus: 8, MemGb: 768, Zones: []string{"a", "b"}},
+		"c1": {Name: "c1", Vcpus: 4, MemGb: 8, Zones: []string{"a"}},
+	}
+)
+
+// Results of the state service.
+var (
+	noResponse = store.Result{Err: store.ErrNoResponse}
+	success    = store.Result{}
+	notFound   = store.Result{Err: store.ErrNotFound}
+	conflict   = store.Result{Err: &store.ConflictError{}}
+	outage     = store.Result{Err: store.ErrUnavailable}
+	throttled  = store.Result{Err: store.ErrThrottled}
+	invalid    = store.Result{Err: store.ErrInvalid}
+)
+
+// fixture is a service whose calls of the state service get the results that a test gives.
+type fixture struct {
+	service   *Service
+	openJobs  *store.WatchCache
+	calls     []store.Call // in flight
+	callbacks []func(time.Time, store.Result)
+	cancelled []string // jobs passed to RecordCancellation
+}
+
+func newFixture(machineTypes map[string]wire.MachineType) *fixture {
+	f := &fixture{}
+	f.openJobs = store.NewWatchCache(OpenJobPrefix, f.callStore, func(time.Time, string, wire.KeyValue, bool) {})
+	f.openJobs.Tick(startTime)
+	f.complete(store.Result{Revision: 10})
+	f.complete(noResponse) // the watch ends: only queries refresh the cache
+	f.service = New(Options{
+		Platform: config.Platform{
+			Zones: []string{"a", "b"},
+			State: config.StateLimits{ValueKB: 4},
+			Teams: []config.Team{{Name: "red", GPUsMax: 8}, {Name: "free"}},
+		},
+		Shards:       1,
+		WallClock:    func() time.Time { return startTime },
+		CallStore:    f.callStore,
+		Log:          slog.New(slog.DiscardHandler),
+		MachineTypes: func() map[string]wire.MachineType { return machineTypes },
+		OpenJobs:     f.openJobs,
+		QueryProgress: func(now time.Time, _ int, _ string, callback func(time.Time, Progress)) {
+			callback(now, Progress{Known: true, Done: 3, Running: 2})
+		},
+		RecordCancellation: func(_ time.Time, id string) { f.cancelled = append(f.cancelled, id) },
+	})
+	return f
+}
+
+func (f *fixture) callStore(call store.Call, callback func(time.Time, store.Result)) {
+	f.calls = append(f.calls, call)
+	f.callbacks = append(f.callbacks, callback)
+}
+
+// complete completes the oldest call in flight.
+func (f *fixture) complete(result store.Result) {
+	callback := f.callbacks[0]
+	f.calls, f.callbacks = f.calls[1:], f.callbacks[1:]
+	callback(startTime, result)
+}
+
+// completeAll completes the calls in flight, and those that follow from them, in order.
+func (f *fixture) completeAll(results []store.Result) {
+	for _, result := range results {
+		f.complete(result)
+	}
+}
+
+func (f *fixture) submit(spec wire.JobSpec, reply func(Response)) {
+	f.service.Submit(startTime, spec, reply)
+}
+
+func (f *fixture) cancel(reply func(Response)) { f.service.Cancel(startTime, "job-1", reply) }
+
+func (f *fixture) query(reply func(Response)) { f.service.Query(startTime, "job-1", reply) }
+
+// storedJob is the record of job-1 as it is read: of the open job, or of its end.
+func storedJob(state string) store.Result {
+	var record any = JobEndRecord{Stage: state}
+	if state == wire.JobPending {
+		record = OpenJobRecord{Spec: newSpec(nil)}
+	}
+	raw, _ := json.Marshal(record)
+	return storedValue(string(raw))
+}
+
+func storedValue(value string) store.Result {
+	return store.Result{KeyValue: wire.KeyValue{Value: json.RawMessage(value), Version: 5}}
+}
+
+// newSpec is a gang of two tasks that can be accepted, with a change.
+func newSpec(change func(spec *wire.JobSpec)) wire.JobSpec {
+	spec := wire.JobSpec{
+		ID: "job-1", Team: "red", Class: "l", Shape: wire.ShapeGang, Priority: "low",
+		Tasks: 2, Vcpus: 8, Gpus: 1, MemGb: 10, AnyType: true,
+	}
+	if change != nil {
+		change(&spec)
+	}
+	return spec
+}
+
+// checkState checks the state that the response to a submission or cancellation reports.
+func checkState(t *testing.T, response *Response, want string) {
+	t.Helper()
+	if body, ok := response.Body.(wire.JobAccepted); !ok || body.State != want {
+		t.Errorf("body %+v, want state %s", response.Body, want)
+	}
+}
--- a/internal/submission/query.go
+++ b/internal/submission/query.go
@@ -54,7 +54,7 @@
 	s.options.QueryProgress(now, record.Shard, id, func(_ time.Time, progress Progress) {
 		if _, open := s.options.OpenJobs.Get(OpenJobKey(id)); !open {
 			// The job ended while the shard's owner was asked, and another controller may
-			// have told a user so by now.
+			// have reported that to a user by now.
 			s.queryEnded(id, reply)
 			return
 		}
--- a/internal/submission/query_test.go
+++ b/internal/submission/query_test.go
@@ -1,6 +1,8 @@
 package submission
 
 import (
+	"net/http"
+	"slices"
 	"testing"
 	"time"
 
@@ -8,35 +10,100 @@
 	"juniperchute/internal/wire"
 )
 
-// A job that ends while its holder is asked how far it is: whoever ended it may have told
-// a user by now, so the answer is not what the look before said.
+// openJobEvent is the event of job-1's submission.
+func openJobEvent() wire.Event {
+	return wire.Event{Put: OpenJobKey("job-1"), Value: storedJob(wire.JobPending).KeyValue.Value, Version: 12}
+}
+
+// A job ends while its shard's owner is asked for its progress: another controller may have
+// reported that to a user by now, so the response must not be what the cache said before.
 func TestJobEndsDuringQuery(t *testing.T) {
+	jobDeleted := []wire.Event{{Delete: OpenJobKey("job-1"), Version: 13}}
 	for _, test := range []struct {
-		name    string
-		meets   []wire.Event
-		answers []store.Result
-		stage   string
+		name      string
+		events    []wire.Event // while the owner is asked
+		results   []store.Result
+		wantState string
 	}{
-		{"it goes on", nil, nil, wire.JobRunning},
-		{"it was called off", []wire.Event{{Delete: OpenJobKey("job-1"), Version: 13}}, []store.Result{jobResult(wire.JobCancelled)}, wire.JobCancelled},
-		{"it is done", []wire.Event{{Delete: OpenJobKey("job-1"), Version: 13}}, []store.Result{jobResult(wire.JobDone)}, wire.JobDone},
+		{
+			name:      "still running",
+			wantState: wire.JobRunning,
+		},
+		{
+			name:      "cancelled",
+			events:    jobDeleted,
+			results:   []store.Result{storedJob(wire.JobCancelled)},
+			wantState: wire.JobCancelled,
+		},
+		{
+			name:      "done",
+			events:    jobDeleted,
+			results:   []store.Result{storedJob(wire.JobDone)},
+			wantState: wire.JobDone,
+		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(testMachineTypes)
-			var answerProgress func(time.Time, Progress)
-			f.service.options.QueryProgress = func(_ time.Time, _ int, _ string, callback func(time.Time, Progress)) { answerProgress = callback }
+			var reportProgress func(time.Time, Progress)
+			f.service.options.QueryProgress = func(_ time.Time, _ int, _ string, callback func(time.Time, Progress)) {
+				reportProgress = callback
+			}
 			var got *Response
-			f.service.Query(startTime, "job-1", func(r Response) { got = &r })
-			f.answer(store.Result{Revision: 12, Events: []wire.Event{{Put: OpenJobKey("job-1"), Value: jobResult(wire.JobPending).KeyValue.Value, Version: 12}}})
+			f.query(func(response Response) { got = &response })
+			f.complete(store.Result{Revision: 12, Events: []wire.Event{openJobEvent()}})
 			f.openJobs.WaitCurrent(startTime, 0, func(time.Time, bool) {})
-			f.answer(store.Result{Revision: 13, Events: test.meets})
-			answerProgress(startTime, Progress{Known: true, Running: 1})
-			for _, answer := range test.answers {
-				f.answer(answer)
-			}
-			if got == nil || got.Status != 200 || got.Body.(wire.JobState).State != test.stage {
-				t.Errorf("answered %+v, want %s", got, test.stage)
+			f.complete(store.Result{Revision: 13, Events: test.events})
+			reportProgress(startTime, Progress{Known: true, Running: 1})
+			f.completeAll(test.results)
+			if got == nil || got.Status != http.StatusOK || got.Body.(wire.JobState).State != test.wantState {
+				t.Errorf("got %+v, want state %s", got, test.wantState)
 			}
 		})
 	}
 }
+
+// A query must not be answered from a refresh that was sent before it: in between, another
+// controller may have reported something newer to the same user.
+func TestQueriesShareOneRefresh(t *testing.T) {
+	f := newFixture(testMachineTypes)
+	var got []int
+	query := func() { f.query(func(response Response) { got = append(got, response.Status) }) }
+	checkStatuses := func(want ...int) {
+		t.Helper()
+		if !slices.Equal(got, want) {
+			t.Fatalf("statuses %v, want %v", got, want)
+		}
+	}
+	query()
+	query()
+	query()
+	if len(f.calls) != 1 || f.calls[0].Op != store.OpWatch || f.calls[0].WatchWaitMs != 0 {
+		t.Fatalf("in flight %+v, want one watch that does not wait", f.calls)
+	}
+	f.complete(store.Result{Revision: 11}) // the job was submitted after this refresh
+	if len(f.calls) != 2 || f.calls[0].Key != JobEndKey("job-1") {
+		t.Fatalf("in flight %+v, want the look-up of the end and another refresh", f.calls)
+	}
+	f.complete(notFound)
+	checkStatuses(http.StatusNotFound)
+	f.complete(store.Result{Revision: 12, Events: []wire.Event{openJobEvent()}})
+	checkStatuses(http.StatusNotFound, http.StatusOK, http.StatusOK)
+	if len(f.calls) != 0 {
+		t.Fatalf("in flight %+v, want no call", f.calls)
+	}
+	// while queries keep coming, refreshes are an interval apart
+	f.service.refreshInterval = time.Second
+	query()
+	f.complete(store.Result{Revision: 12})
+	query()
+	if len(f.calls) != 0 {
+		t.Fatalf("in flight %+v within the interval, want no call", f.calls)
+	}
+	f.openJobs.Tick(startTime.Add(2 * time.Second))
+	checkStatuses(http.StatusNotFound, http.StatusOK, http.StatusOK, http.StatusOK)
+	if len(f.calls) == 0 {
+		t.Fatal("no refresh after the interval")
+	}
+	f.complete(outage)
+	checkStatuses(http.StatusNotFound, http.StatusOK, http.StatusOK, http.StatusOK, http.StatusServiceUnavailable)
+}
--- a/internal/submission/service.go
+++ b/internal/submission/service.go
@@ -38,9 +38,9 @@
 	// OpenJobs is the watch cache of the keys below OpenJobPrefix.
 	OpenJobs      *store.WatchCache
 	QueryProgress ProgressQuery
-	// RecordCancellation is called before a user is told for the first time that a job is
-	// cancelled: the owner of a shard that has lost the state service learns of it from
-	// the controller that told the user.
+	// RecordCancellation is called before this controller first reports to a user that a
+	// job is cancelled: the owner of a shard that has lost the state service can learn of
+	// it only from the controller that reported it.
 	RecordCancellation func(now time.Time, id string)
 }
 
@@ -73,7 +73,7 @@
 	return time.Duration(controllers / (platform.State.RPS * tuning.QueryRateShare) * float64(time.Second))
 }
 
-// rememberEnd remembers how a job ended. It must run before any user is told of it.
+// rememberEnd remembers how a job ended. It must run before that is reported to a user.
 func (s *Service) rememberEnd(now time.Time, job wire.JobState) {
 	if job.State == wire.JobCancelled {
 		s.options.RecordCancellation(now, job.ID)
--- a/internal/submission/submit.go
+++ b/internal/submission/submit.go
@@ -13,7 +13,7 @@
 	"juniperchute/internal/wire"
 )
 
-// The hash that spreads jobs over the shards. All controllers have to agree on it.
+// The hash that spreads jobs over the shards. Its result is stored in the job's record.
 const (
 	shardHashFactor  = 31
 	shardHashModulus = 1000003
@@ -81,7 +81,8 @@
 	return hash % shards
 }
 
-// fitsStore reports whether the state service takes a record, now and after its announced limits apply.
+// fitsStore reports whether the state service takes a record, now and once its announced
+// limits apply.
 func (s *Service) fitsStore(record OpenJobRecord) bool {
 	raw, err := json.Marshal(record)
 	if err != nil {
@@ -97,10 +98,12 @@
 // create writes the record of a new job, unless there is one.
 func (s *Service) create(record OpenJobRecord, attempt int, reply func(Response)) {
 	id := record.Spec.ID
-	s.options.CallStore(store.Call{Op: store.OpTransaction, Priority: store.PriorityUser, Transaction: wire.Transaction{
+	transaction := wire.Transaction{
 		Compares: []wire.Compare{store.VersionEquals(OpenJobKey(id), 0), store.VersionEquals(JobEndKey(id), 0)},
 		Writes:   []wire.Write{store.Put(OpenJobKey(id), record, 0)},
-	}}, func(_ time.Time, result store.Result) {
+	}
+	call := store.Call{Op: store.OpTransaction, Priority: store.PriorityUser, Transaction: transaction}
+	s.options.CallStore(call, func(_ time.Time, result store.Result) {
 		switch {
 		case result.OK():
 			s.options.Log.Debug("job accepted", "job", id, "class", record.Spec.Class, "shard", record.Shard)
@@ -113,7 +116,7 @@
 		case errors.Is(result.Err, store.ErrThrottled):
 			reply(BusyResponse())
 		case errors.Is(result.Err, store.ErrInvalid):
-			// too large by a limit that was not announced; the job may have been accepted before it applied
+			// too large by a limit that was not announced, and that may be newer than the job
 			s.rejectUnlessAccepted(id, errRecordTooLarge, reply)
 		default:
 			reply(UnavailableResponse(reasonStoreUnavailable))
--- /dev/null
+++ b/internal/submission/submit_cases_test.go
@@ -0,0 +1,274 @@
+package submission
+
+import (
+	"net/http"
+	"strings"
+
+	"juniperchute/internal/store"
+	"juniperchute/internal/wire"
+)
+
+// submitTest is a submission of newSpec(change), the results of the calls of the state
+// service that it leads to, and the response to it.
+type submitTest struct {
+	name                string
+	change              func(spec *wire.JobSpec)
+	machineTypesUnknown bool
+	results             []store.Result
+	wantStatus          int
+	wantState           string // "" when the response reports an error
+}
+
+var submitTests = []submitTest{
+	{
+		name:       "new job",
+		results:    []store.Result{success},
+		wantStatus: http.StatusCreated,
+		wantState:  wire.JobPending,
+	},
+	{
+		name:       "open job",
+		results:    []store.Result{conflict, storedJob(wire.JobPending)},
+		wantStatus: http.StatusOK,
+		wantState:  wire.JobPending,
+	},
+	{
+		name:       "finished job",
+		results:    []store.Result{conflict, notFound, storedJob(wire.JobDone)},
+		wantStatus: http.StatusOK,
+		wantState:  wire.JobDone,
+	},
+	{
+		name:       "no response but written",
+		results:    []store.Result{noResponse, conflict, storedJob(wire.JobPending)},
+		wantStatus: http.StatusOK,
+		wantState:  wire.JobPending,
+	},
+	{
+		name:       "no response twice",
+		results:    []store.Result{noResponse, noResponse},
+		wantStatus: http.StatusServiceUnavailable,
+	},
+	{
+		name:       "outage",
+		results:    []store.Result{outage},
+		wantStatus: http.StatusServiceUnavailable,
+	},
+	{
+		name:       "rate limit exceeded",
+		results:    []store.Result{throttled},
+		wantStatus: http.StatusServiceUnavailable,
+	},
+	{
+		name:       "unknown team",
+		change:     func(spec *wire.JobSpec) { spec.Team = "green" },
+		results:    []store.Result{notFound, notFound},
+		wantStatus: http.StatusUnprocessableEntity,
+	},
+	{
+		name:       "unknown team but accepted before",
+		change:     func(spec *wire.JobSpec) { spec.Team = "green" },
+		results:    []store.Result{storedJob(wire.JobPending)},
+		wantStatus: http.StatusOK,
+		wantState:  wire.JobPending,
+	},
+	{
+		name:       "gang over the team's limit",
+		change:     func(spec *wire.JobSpec) { spec.Tasks = 9 },
+		results:    []store.Result{notFound, notFound},
+		wantStatus: http.StatusUnprocessableEntity,
+	},
+	{
+		name: "array over the team's limit in total",
+		change: func(spec *wire.JobSpec) {
+			spec.Tasks = 9
+			spec.Shape = wire.ShapeBatch
+		},
+		results:    []store.Result{success},
+		wantStatus: http.StatusCreated,
+		wantState:  wire.JobPending,
+	},
+	{
+		name:       "task too large for any machine type",
+		change:     func(spec *wire.JobSpec) { spec.MemGb = 800 },
+		results:    []store.Result{notFound, notFound},
+		wantStatus: http.StatusUnprocessableEntity,
+	},
+	{
+		name: "only unknown machine types",
+		change: func(spec *wire.JobSpec) {
+			spec.AnyType = false
+			spec.Types = []string{"x"}
+		},
+		results:    []store.Result{notFound, notFound},
+		wantStatus: http.StatusUnprocessableEntity,
+	},
+	{
+		name:       "no machine type allowed",
+		change:     func(spec *wire.JobSpec) { spec.AnyType = false },
+		results:    []store.Result{notFound, notFound},
+		wantStatus: http.StatusUnprocessableEntity,
+	},
+	{
+		name:       "unknown zone",
+		change:     func(spec *wire.JobSpec) { spec.Zone = "z" },
+		results:    []store.Result{notFound, notFound},
+		wantStatus: http.StatusUnprocessableEntity,
+	},
+	{
+		name: "gang in one zone and spread",
+		change: func(spec *wire.JobSpec) {
+			spec.SameZone = true
+			spec.SpreadAcrossZones = true
+		},
+		results:    []store.Result{notFound, notFound},
+		wantStatus: http.StatusUnprocessableEntity,
+	},
+	{
+		name: "single task in one zone and spread",
+		change: func(spec *wire.JobSpec) {
+			spec.SameZone = true
+			spec.SpreadAcrossZones = true
+			spec.Tasks = 1
+		},
+		results:    []store.Result{success},
+		wantStatus: http.StatusCreated,
+		wantState:  wire.JobPending,
+	},
+	{
+		name: "service within the team's limit",
+		change: func(spec *wire.JobSpec) {
+			spec.Shape = wire.ShapeService
+			spec.Tasks = 8
+			spec.EstimatedRunTimeS = 0
+		},
+		results:    []store.Result{success},
+		wantStatus: http.StatusCreated,
+		wantState:  wire.JobPending,
+	},
+	{
+		name: "service over the team's limit",
+		change: func(spec *wire.JobSpec) {
+			spec.Shape = wire.ShapeService
+			spec.Tasks = 9
+		},
+		results:    []store.Result{notFound, notFound},
+		wantStatus: http.StatusUnprocessableEntity,
+	},
+	{
+		name: "service over the team's limit but accepted before",
+		change: func(spec *wire.JobSpec) {
+			spec.Shape = wire.ShapeService
+			spec.Tasks = 9
+		},
+		results:    []store.Result{storedJob(wire.JobPending)},
+		wantStatus: http.StatusOK,
+		wantState:  wire.JobPending,
+	},
+	{
+		name: "service over the team's limit but accepted and cancelled before",
+		change: func(spec *wire.JobSpec) {
+			spec.Shape = wire.ShapeService
+			spec.Tasks = 9
+		},
+		results:    []store.Result{notFound, storedJob(wire.JobCancelled)},
+		wantStatus: http.StatusOK,
+		wantState:  wire.JobCancelled,
+	},
+	{
+		name: "service that fits no allowed machine type",
+		change: func(spec *wire.JobSpec) {
+			spec.Shape = wire.ShapeService
+			spec.AnyType = false
+			spec.Types = []string{"c1"}
+		},
+		results:    []store.Result{notFound, notFound},
+		wantStatus: http.StatusUnprocessableEntity,
+	},
+	{
+		name: "service spread in one zone",
+		change: func(spec *wire.JobSpec) {
+			spec.Shape = wire.ShapeService
+			spec.SpreadAcrossZones = true
+			spec.Zone = "a"
+		},
+		results:    []store.Result{notFound, notFound},
+		wantStatus: http.StatusUnprocessableEntity,
+	},
+	{
+		name: "service in one zone and spread",
+		change: func(spec *wire.JobSpec) {
+			spec.Shape = wire.ShapeService
+			spec.SameZone = true
+			spec.SpreadAcrossZones = true
+		},
+		results:    []store.Result{notFound, notFound},
+		wantStatus: http.StatusUnprocessableEntity,
+	},
+	{
+		name:                "service while machine types are unknown",
+		change:              func(spec *wire.JobSpec) { spec.Shape = wire.ShapeService },
+		machineTypesUnknown: true,
+		results:             []store.Result{notFound, notFound},
+		wantStatus:          http.StatusServiceUnavailable,
+	},
+	{
+		name:       "size rejected by the state service",
+		results:    []store.Result{invalid, notFound, notFound},
+		wantStatus: http.StatusBadRequest,
+	},
+	{
+		name:       "size rejected by the state service but accepted before",
+		results:    []store.Result{invalid, storedJob(wire.JobPending)},
+		wantStatus: http.StatusOK,
+		wantState:  wire.JobPending,
+	},
+	{
+		name:       "unreadable record of an open job",
+		results:    []store.Result{conflict, storedValue(`{"Spec":{"Id":"job-1","Shape":"swarm","Pieces":1}}`)},
+		wantStatus: http.StatusServiceUnavailable,
+	},
+	{
+		name:       "unreadable record of an end",
+		results:    []store.Result{conflict, notFound, storedValue(`{"Stage":"paused"}`)},
+		wantStatus: http.StatusServiceUnavailable,
+	},
+	{
+		name:                "machine types unknown",
+		machineTypesUnknown: true,
+		results:             []store.Result{notFound, notFound},
+		wantStatus:          http.StatusServiceUnavailable,
+	},
+	{
+		name:                "machine types unknown but accepted before",
+		machineTypesUnknown: true,
+		results:             []store.Result{storedJob(wire.JobPending)},
+		wantStatus:          http.StatusOK,
+		wantState:           wire.JobPending,
+	},
+	{
+		name:       "record too large",
+		change:     func(spec *wire.JobSpec) { spec.Image = strings.Repeat("x", 5000) },
+		results:    []store.Result{notFound, notFound},
+		wantStatus: http.StatusBadRequest,
+	},
+	{
+		name:       "record too large but accepted before",
+		change:     func(spec *wire.JobSpec) { spec.Image = strings.Repeat("x", 5000) },
+		results:    []store.Result{storedJob(wire.JobPending)},
+		wantStatus: http.StatusOK,
+		wantState:  wire.JobPending,
+	},
+	{
+		name:       "record too large during an outage",
+		change:     func(spec *wire.JobSpec) { spec.Image = strings.Repeat("x", 5000) },
+		results:    []store.Result{outage},
+		wantStatus: http.StatusServiceUnavailable,
+	},
+	{
+		name:       "infeasible during an outage",
+		change:     func(spec *wire.JobSpec) { spec.Team = "green" },
+		results:    []store.Result{outage},
+		wantStatus: http.StatusServiceUnavailable,
+	},
+}
