--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -92,8 +92,17 @@
 		c.callState, log, c.applyControlRecord)
 	c.openJobs = store.NewWatchCache(submission.OpenJobPrefix, c.callState, c.applyOpenJob)
 	c.provisionRequests = store.NewWatchCache(fleet.ProvisioningPrefix, c.callState, c.applyProvisionRequest)
-	c.submissions = submission.New(cfg.Platform, options.Shards, wallClock, c.callState, log,
-		c.allMachineTypes, c.openJobs, c.jobProgress, c.recordCancellation)
+	c.submissions = submission.New(submission.Options{
+		Platform:           cfg.Platform,
+		Shards:             options.Shards,
+		WallClock:          wallClock,
+		CallStore:          c.callState,
+		Log:                log,
+		MachineTypes:       c.allMachineTypes,
+		OpenJobs:           c.openJobs,
+		QueryProgress:      c.jobProgress,
+		RecordCancellation: c.recordCancellation,
+	})
 	for _, peer := range cfg.Peers {
 		c.peers[peer.Member] = &peerStatus{}
 	}
