--- a/internal/controller/admin.go
+++ b/internal/controller/admin.go
@@ -120,7 +120,7 @@
 	out := &peerpb.StatusReply{Member: c.config.Member, Leader: lead, Members: names, Claims: c.leaseClaimList(),
 		Versions: map[string]string{c.config.Member: admin.Version()}}
 	for name, p := range c.peers {
-		if now.Sub(p.lastHeartbeat) < 3*tuning.PulseEvery {
+		if now.Sub(p.lastHeartbeat) < 3*tuning.PeerHeartbeatInterval {
 			out.Versions[name] = p.version
 		}
 	}
@@ -144,13 +144,13 @@
 	}
 	for _, m := range t.workers.All() {
 		out.Machines = append(out.Machines, &peerpb.Machine{Host: m.Host, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
-			State: m.State.String(), Tasks: int32(m.Busy), Quarantined: m.Faulty, PreemptionNotice: !m.Recall.IsZero()})
+			State: m.State.String(), Tasks: int32(m.ActiveCopies), Quarantined: m.Quarantined, PreemptionNotice: !m.PreemptionTime.IsZero()})
 	}
 	for _, u := range t.ledger.TeamUsages() {
 		out.Teams = append(out.Teams, &peerpb.Team{Name: u.Team, CpusUsed: u.Used.CPUs, GpusUsed: u.Used.GPUs, CpusMax: u.Limit.CPUs, GpusMax: u.Limit.GPUs})
 	}
 	for i, j := range t.scheduler.OpenJobs() {
-		if i == tuning.StatusJobs {
+		if i == tuning.MaxStatusJobs {
 			break
 		}
 		out.Jobs = append(out.Jobs, &peerpb.Job{Id: j.Spec.ID, Class: j.Spec.Class, Team: j.Spec.Team, Priority: j.Spec.Priority,
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -11,17 +11,17 @@
 
 // sendCommands sends a direct command.
 func (t *term) sendCommands(now time.Time, m *worker.Machine, commands []wire.Command) {
-	session := m.Session
+	session := m.Incarnation
 	if session == 0 {
 		session = max(1, t.fencing.incarnations[m.Host])
 	}
-	m.DoBusy = true
+	m.CommandInFlight = true
 	command := wire.DirectCommands{Token: t.Token, Incarnation: session, Commands: commands}
 	t.controller.effects.SendCommands(m.Address, command, t.controller.membership.LeaseDeadline(), func(now time.Time, status int, rep *wire.Heartbeat) {
 		if t.state == termEnded {
 			return
 		}
-		m.DoBusy = false
+		m.CommandInFlight = false
 		t.handleCommandResult(now, m, command, status, rep)
 	})
 }
@@ -33,8 +33,8 @@
 		return
 	}
 	if status != http.StatusOK && status != http.StatusConflict || rep == nil || rep.Host != m.Host {
-		if m.Session == command.Incarnation && len(command.Commands) > 0 {
-			m.OpenDo++
+		if m.Incarnation == command.Incarnation && len(command.Commands) > 0 {
+			m.UnansweredCommands++
 		}
 		return
 	}
--- a/internal/controller/completion_bitmaps.go
+++ b/internal/controller/completion_bitmaps.go
@@ -38,7 +38,7 @@
 
 // newCompletionBitmaps makes an empty record; valueKB is the present limit for a value.
 func newCompletionBitmaps(pages *store.Pages, valueKB float64) *completionBitmaps {
-	t := &completionBitmaps{pages: pages, chunkTasks: int(valueKB*1024) * tuning.TallyBits, entries: map[string]map[string][]byte{}}
+	t := &completionBitmaps{pages: pages, chunkTasks: int(valueKB*1024) * tuning.CompletionBitsPerByte, entries: map[string]map[string][]byte{}}
 	t.entryTasks = tasksPerEntry(pages.MaxEntryBytes())
 	pages.OnLimitLowered = t.splitLargeEntries
 	return t
@@ -46,7 +46,7 @@
 
 // tasksPerEntry is how many tasks an entry may hold that takes a page's size at most. Base64
 // takes four bytes for three.
-func tasksPerEntry(size int) int { return max(1, (size-tuning.TallyName)*3/4) * 8 }
+func tasksPerEntry(size int) int { return max(1, (size-tuning.CompletionNameBytes)*3/4) * 8 }
 
 func completionPrefix(block int) string { return "t/" + strconv.Itoa(block) + "/" }
 
--- a/internal/controller/completion_bitmaps_test.go
+++ b/internal/controller/completion_bitmaps_test.go
@@ -65,7 +65,7 @@
 	for n := 0; n < j.Spec.Tasks; n += nth {
 		m.Tasks = append(m.Tasks, wire.TaskStatus{Name: wire.TaskName(j.Spec.ID, n), Attempt: 1, State: wire.TaskExited, ExitReason: wire.ExitDone})
 	}
-	board.ReconcileHeartbeat(time.Unix(0, 0), m, worker.Fresh, true)
+	board.ReconcileHeartbeat(time.Unix(0, 0), m, worker.HeartbeatCurrent, true)
 }
 
 // tallyBoard is a board with one job.
--- a/internal/controller/completions.go
+++ b/internal/controller/completions.go
@@ -53,13 +53,13 @@
 // flush writes completions down: the ends of jobs at once, the rest in batches.
 func (o *jobCompletions) flush(now time.Time) {
 	for _, j := range o.jobsToEnd(now) {
-		if len(o.endsInFlight) == tuning.EndsAtOnce {
+		if len(o.endsInFlight) == tuning.MaxJobEndsInFlight {
 			break
 		}
 		o.writeEnd(j)
 	}
 	if !now.Before(o.flushAt) {
-		o.flushAt = now.Add(tuning.TallyEvery)
+		o.flushAt = now.Add(tuning.CompletionWriteInterval)
 		for _, id := range slices.Sorted(maps.Keys(o.unsavedJobs)) {
 			if j := o.unsavedJobs[id]; !j.IsComplete() {
 				o.bitmaps.save(j, o.term.scheduler.OpenJob)
@@ -93,10 +93,10 @@
 	id, t := j.Spec.ID, o.term
 	o.endsInFlight[id] = true
 	t.callState(store.Call{Op: store.OpTransaction, Priority: store.PriorityJobEnd, Transaction: wire.Transaction{
-		Compares: []wire.Compare{t.termCompare(), store.VersionEquals(submission.OpenKey(id), j.Version)},
+		Compares: []wire.Compare{t.termCompare(), store.VersionEquals(submission.OpenJobKey(id), j.Version)},
 		Writes: []wire.Write{
-			store.Put(submission.JobKey(id), submission.JobRec{Stage: wire.JobDone, Done: j.Spec.Tasks}, 0),
-			store.Delete(submission.OpenKey(id)),
+			store.Put(submission.JobEndKey(id), submission.JobEndRecord{Stage: wire.JobDone, Done: j.Spec.Tasks}, 0),
+			store.Delete(submission.OpenJobKey(id)),
 		},
 	}}, func(now time.Time, r store.Result) {
 		delete(o.endsInFlight, id)
@@ -109,7 +109,7 @@
 		case errors.Is(r.Err, store.ErrConflict):
 			o.resolveConflict(now, id)
 		default:
-			o.retryAt[id] = now.Add(tuning.RecordRetry)
+			o.retryAt[id] = now.Add(tuning.WriterRetryInitial)
 		}
 	})
 }
@@ -118,9 +118,9 @@
 // ours was applied after all.
 func (o *jobCompletions) resolveConflict(now time.Time, id string) {
 	o.endsInFlight[id] = true
-	o.term.callState(store.Call{Op: store.OpGet, Priority: store.PriorityJobEnd, Key: submission.OpenKey(id)}, func(now time.Time, r store.Result) {
+	o.term.callState(store.Call{Op: store.OpGet, Priority: store.PriorityJobEnd, Key: submission.OpenJobKey(id)}, func(now time.Time, r store.Result) {
 		delete(o.endsInFlight, id)
-		o.retryAt[id] = now.Add(tuning.RecordRetry)
+		o.retryAt[id] = now.Add(tuning.WriterRetryInitial)
 		switch j := o.term.scheduler.OpenJob(id); {
 		case errors.Is(r.Err, store.ErrNotFound):
 			o.term.closeJob(now, id)
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -45,7 +45,7 @@
 	if a.inFlight || len(a.queries) == 0 {
 		return
 	}
-	n := min(len(a.queries), tuning.ProgressJobs)
+	n := min(len(a.queries), tuning.MaxProgressJobs)
 	batch := a.queries[:n:n]
 	a.queries = a.queries[n:]
 	m := &peerpb.ProgressRequest{Shard: int32(block)}
--- a/internal/placement/array.go
+++ b/internal/placement/array.go
@@ -54,7 +54,7 @@
 
 // fits tells whether one more task may be queued at a machine.
 func (p *arrayPlacement) fits(machine *worker.Machine) bool {
-	return machine.FreeForMain().Fits(p.job.need) && (p.tasksByZone == nil || p.job.zoneAllowed(machine.Zone, p.tasksByZone)) &&
+	return machine.AvailableToPrimary().Fits(p.job.need) && (p.tasksByZone == nil || p.job.zoneAllowed(machine.Zone, p.tasksByZone)) &&
 		(!p.imageOnly || p.scheduler.hasImage(machine, p.job.Spec.Image))
 }
 
@@ -67,7 +67,7 @@
 	for _, info := range p.scheduler.capacity.freeMachines {
 		machine := info.machine
 		switch {
-		case info.gainRevision < noRoomRevision || !machine.Usable(now) || !p.fits(machine) || !job.allows(machine.Type, machine.Zone, machine.Spot) || job.avoids(machine):
+		case info.gainRevision < noRoomRevision || !machine.Schedulable(now) || !p.fits(machine) || !job.allows(machine.Type, machine.Zone, machine.Spot) || job.avoids(machine):
 		case p.scheduler.reservedForGang(now, job, machine):
 			p.reservedForGang = true
 		default:
@@ -80,10 +80,10 @@
 func (p *arrayPlacement) mayPlace(placed int) bool {
 	s, job := p.scheduler, p.job
 	switch {
-	case s.arrayTasksQueued == tuning.DrawTasks:
+	case s.arrayTasksQueued == tuning.MaxTasksPerPass:
 		s.capacity.requestFullPass() // what else there is to do goes first
 		return false
-	case job.effectivePriority >= wire.Priorities+job.priority && placed == tuning.BeginTasks:
+	case job.effectivePriority >= wire.Priorities+job.priority && placed == tuning.FirstStartTasks:
 		return false // it has begun; the rest waits for its turn
 	case p.filter.guaranteedOnly && !s.ledger.WithinGuarantee(job.Spec.Team, job.need):
 		return false
@@ -144,12 +144,12 @@
 func (s *Scheduler) machineRank(job *Job, machine *worker.Machine) int {
 	rank := 0
 	if job.Spec.Spot && !machine.Spot {
-		rank += 4 * tuning.FillSteps
+		rank += 4 * tuning.FillLevels
 	}
 	if !s.hasImage(machine, job.Spec.Image) {
-		rank += 2 * tuning.FillSteps
+		rank += 2 * tuning.FillLevels
 	}
-	return rank + int(tuning.FillSteps*machine.FreeForMain().DominantShare(machine.Cap))
+	return rank + int(tuning.FillLevels*machine.AvailableToPrimary().DominantShare(machine.Capacity))
 }
 
 // hasImage tells whether a machine has an image, or some task there will have
@@ -192,10 +192,10 @@
 func (s *Scheduler) placeBackup(now time.Time, task *Task) {
 	job := task.Job
 	machines := s.registry.All()
-	for range min(tuning.SpareDraws, 2*len(machines)) {
+	for range min(tuning.BackupSamples, 2*len(machines)) {
 		machine := machines[s.rng.IntN(len(machines))]
-		if machine != task.primary && machine.Usable(now) && job.allows(machine.Type, machine.Zone, machine.Spot) && machine.Cap.Fits(job.need) &&
-			len(s.machineInfo(machine).backupQueue) < tuning.LowDepth && !job.avoids(machine) {
+		if machine != task.primary && machine.Schedulable(now) && job.allows(machine.Type, machine.Zone, machine.Spot) && machine.Capacity.Fits(job.need) &&
+			len(s.machineInfo(machine).backupQueue) < tuning.MaxBackupsPerWorker && !job.avoids(machine) {
 			s.queueBackup(task, machine)
 			return
 		}
--- a/internal/placement/capacity_index.go
+++ b/internal/placement/capacity_index.go
@@ -74,7 +74,7 @@
 	}
 	index.smallestNeed = smallestNeed
 	for _, machine := range s.registry.All() {
-		index.setFree(s.machineInfo(machine), machine.Usable(now) && machine.FreeForMain().Fits(smallestNeed))
+		index.setFree(s.machineInfo(machine), machine.Schedulable(now) && machine.AvailableToPrimary().Fits(smallestNeed))
 	}
 }
 
@@ -109,7 +109,7 @@
 	for _, info := range index.dirtyMachines {
 		info.dirty = false
 		machine := info.machine
-		snapshot := capacitySnapshot{machine.Usable(now), machine.FreeForMain(), len(machine.Images), len(info.assigned) + len(info.primaryQueue)}
+		snapshot := capacitySnapshot{machine.Schedulable(now), machine.AvailableToPrimary(), len(machine.Images), len(info.assigned) + len(info.primaryQueue)}
 		if snapshot.offersMoreThan(info.lastSnapshot) {
 			gained = true
 			index.revision++
@@ -175,10 +175,10 @@
 // feasibleSlots is how many tasks of a kind of gang a machine could take if all that
 // may gives way; at least as many as there turn out to be.
 func (s *Scheduler) feasibleSlots(now time.Time, class equivalenceClass, machine *worker.Machine) int {
-	if !machine.Usable(now) || !class.allows(machine) {
+	if !machine.Schedulable(now) || !class.allows(machine) {
 		return 0
 	}
-	free := machine.FreeForMain()
+	free := machine.AvailableToPrimary()
 	if !free.Fits(class.need) {
 		for _, task := range s.machineInfo(machine).assigned {
 			if s.preemptible(now, task, class) {
@@ -195,7 +195,7 @@
 	class := job.equivalenceClass(guaranteed)
 	slots := s.capacity.slotsByClass[class]
 	if slots == nil {
-		if len(s.capacity.slotsByClass) >= tuning.GangKinds {
+		if len(s.capacity.slotsByClass) >= tuning.MaxGangKinds {
 			clear(s.capacity.slotsByClass)
 		}
 		slots = &slotCounts{byMachine: map[*worker.Machine]int{}, byZone: map[string]int{}}
--- a/internal/placement/commands.go
+++ b/internal/placement/commands.go
@@ -35,10 +35,10 @@
 // spares only while no main waits.
 func (s *Scheduler) dispatchQueueHeads(now time.Time, machine *worker.Machine) {
 	info := s.machineInfo(machine)
-	if len(info.primaryQueue)+len(info.backupQueue) == 0 || !machine.Usable(now) {
+	if len(info.primaryQueue)+len(info.backupQueue) == 0 || !machine.Schedulable(now) {
 		return
 	}
-	free := machine.Free()
+	free := machine.Available()
 	for _, task := range slices.Clone(info.primaryQueue) {
 		job := task.Job
 		if task.primary != machine {
@@ -69,12 +69,12 @@
 	if len(info.primaryQueue) > 0 {
 		return
 	}
-	stuckAfter := config.Seconds(s.platform.Workers.HeartbeatS * tuning.SpareReports)
+	stuckAfter := config.Seconds(s.platform.Workers.HeartbeatS * tuning.BackupStartHeartbeats)
 	for _, task := range slices.Clone(info.backupQueue) {
 		job := task.Job
 		if task.backup != machine || task.phase != Unassigned || task.primary == nil || now.Sub(task.primaryQueuedAt) < stuckAfter || !free.Fits(job.need) ||
 			// a main that can start at its next report would stop it at once
-			task.primary.Usable(now) && task.primary.Free().Fits(job.need) ||
+			task.primary.Schedulable(now) && task.primary.Available().Fits(job.need) ||
 			!s.ledger.Admits(job.Spec.Team, job.need, true) || !job.zoneAllowed(machine.Zone, job.tasksByZone(false)) {
 			continue
 		}
@@ -98,13 +98,13 @@
 	s.dispatchQueueHeads(now, machine)
 	var commands []wire.Command
 	for i := range machine.Tasks {
-		if len(commands) == tuning.CommandsMost {
+		if len(commands) == tuning.MaxCommandsPerReply {
 			return commands
 		}
 		commands = append(commands, s.commandsForReported(machine, &machine.Tasks[i])...)
 	}
 	for _, task := range s.machineInfo(machine).assigned {
-		if len(commands) == tuning.CommandsMost {
+		if len(commands) == tuning.MaxCommandsPerReply {
 			return commands
 		}
 		commands = append(commands, s.commandsForDispatched(machine, task, channel)...)
@@ -157,10 +157,10 @@
 func (s *Scheduler) commandsForDispatched(machine *worker.Machine, task *Task, channel Channel) []wire.Command {
 	info := s.machineInfo(machine)
 	switch {
-	case task.phase == Dispatched && channel == DirectCommand && len(info.directAttempts) >= tuning.DirectMost:
+	case task.phase == Dispatched && channel == DirectCommand && len(info.directAttempts) >= tuning.MaxDirectStarts:
 		// goes out with the answer to the next report
 	case task.phase == Dispatched:
-		task.commandSent, task.incarnation = true, machine.Session
+		task.commandSent, task.incarnation = true, machine.Incarnation
 		if channel == DirectCommand {
 			if info.directAttempts == nil {
 				info.directAttempts = map[attemptKey]bool{}
@@ -168,7 +168,7 @@
 			info.directAttempts[attemptKey{task.Name(), task.attempt}] = true
 			task.unansweredCommands++
 		} else {
-			task.commandSeq = machine.Seq
+			task.commandSeq = machine.Sequence
 		}
 		return []wire.Command{{Verb: wire.VerbRun, Task: task.Name(), Attempt: task.attempt}}
 	case task.phase == Stopping && !task.reported && task.commandSent:
@@ -189,7 +189,7 @@
 	var commands []wire.Command
 	for _, reported := range tasks {
 		id, _, ok := wire.ParseTask(reported.Name)
-		if !ok || reported.State == wire.TaskExited || s.unreadableJobs[id] || len(commands) == tuning.CommandsMost {
+		if !ok || reported.State == wire.TaskExited || s.unreadableJobs[id] || len(commands) == tuning.MaxCommandsPerReply {
 			continue
 		}
 		if job := s.jobs[id]; job == nil || job.closed {
@@ -238,13 +238,13 @@
 		pending, ready := false, false
 		for _, task := range info.assigned {
 			switch {
-			case task.phase == Dispatched && !task.commandSent && (task.Job.IsGang() || task.Job.IsService()) && len(info.directAttempts) < tuning.DirectMost:
+			case task.phase == Dispatched && !task.commandSent && (task.Job.IsGang() || task.Job.IsService()) && len(info.directAttempts) < tuning.MaxDirectStarts:
 				pending, ready = true, true
 			case task.phase == Stopping && task.stopPending && !task.Job.closed:
 				pending, ready = true, ready || task.commandSent
 			}
 		}
-		if info.urgent = pending; ready && info.machine.State == worker.Up && !info.machine.DoBusy && info.machine.Used {
+		if info.urgent = pending; ready && info.machine.State == worker.Up && !info.machine.CommandInFlight && info.machine.Registered {
 			machines = append(machines, info.machine)
 		}
 		return !pending
--- a/internal/placement/consolidation.go
+++ b/internal/placement/consolidation.go
@@ -18,21 +18,21 @@
 	if !s.reconciled || now.Before(s.nextConsolidation) || s.arrayTasksPending(now) {
 		return
 	}
-	s.nextConsolidation = now.Add(tuning.CloseEvery)
+	s.nextConsolidation = now.Add(tuning.ConsolidationInterval)
 	var sources, targets []*worker.Machine
 	inUse := 0
 	for _, machine := range s.registry.All() {
-		if machine.Busy == 0 || !machine.Usable(now) {
+		if machine.ActiveCopies == 0 || !machine.Schedulable(now) {
 			continue
 		}
-		if inUse++; machine.FreeForMain().DominantShare(machine.Cap) > tuning.CloseRoom {
+		if inUse++; machine.AvailableToPrimary().DominantShare(machine.Capacity) > tuning.ConsolidationMinFree {
 			targets = append(targets, machine)
 		}
 		if s.canRelocate(machine) {
 			sources = append(sources, machine)
 		}
 	}
-	share := func(machine *worker.Machine) float64 { return machine.Taken.DominantShare(machine.Cap) }
+	share := func(machine *worker.Machine) float64 { return machine.Allocated.DominantShare(machine.Capacity) }
 	slices.SortStableFunc(sources, func(a, b *worker.Machine) int {
 		if a.Spot != b.Spot {
 			if b.Spot {
@@ -43,19 +43,19 @@
 		return cmp.Compare(share(a), share(b))
 	})
 	slices.SortStableFunc(targets, func(a, b *worker.Machine) int { return cmp.Compare(share(b), share(a)) })
-	limit := max(1, inUse/tuning.ClosePart)
+	limit := max(1, inUse/tuning.ConsolidationDivisor)
 	planned := map[*worker.Machine]quota.Resources{} // room on machines that take tasks
 	cordoned := 0
 	for i, machine := range sources {
-		if cordoned == limit || i == tuning.CloseTries*limit {
+		if cordoned == limit || i == tuning.ConsolidationTries*limit {
 			break
 		}
 		if _, isTarget := planned[machine]; isTarget || !s.fitsElsewhere(now, machine, targets, planned) {
 			continue
 		}
 		cordoned++
-		s.log.Info("closing a machine", "host", machine.Host, "tasks", machine.Busy)
-		machine.Closing = true
+		s.log.Info("closing a machine", "host", machine.Host, "tasks", machine.ActiveCopies)
+		machine.Cordoned = true
 		for _, task := range slices.Clone(s.machineInfo(machine).assigned) {
 			s.Counters.Relocated++
 			s.preempt(now, task, "its machine is to be returned")
@@ -93,7 +93,7 @@
 		job := task.Job
 		i := slices.IndexFunc(targets, func(other *worker.Machine) bool {
 			// most have no room at all: that is asked first
-			if !other.FreeForMain().Fits(job.need) || other == machine || other.Closing || !other.FreeForMain().Sub(planned[other]).Sub(added[other]).Fits(job.need) || !job.allows(other.Type, other.Zone, other.Spot) || job.avoids(other) {
+			if !other.AvailableToPrimary().Fits(job.need) || other == machine || other.Cordoned || !other.AvailableToPrimary().Sub(planned[other]).Sub(added[other]).Fits(job.need) || !job.allows(other.Type, other.Zone, other.Spot) || job.avoids(other) {
 				return false
 			}
 			_, ok := other.Images[job.Spec.Image]
@@ -113,8 +113,8 @@
 // uncordonAll makes closing machines that are not empty yet usable again.
 func (s *Scheduler) uncordonAll() {
 	for _, machine := range s.registry.All() {
-		if machine.Closing {
-			machine.Closing = false
+		if machine.Cordoned {
+			machine.Cordoned = false
 			s.markDirty(s.machineInfo(machine))
 		}
 	}
--- a/internal/placement/demand.go
+++ b/internal/placement/demand.go
@@ -39,7 +39,7 @@
 // markWanted marks a machine that is there as one that waiting work will use.
 func (b *bin) markWanted() {
 	if b.machine != nil {
-		b.machine.Wanted = true
+		b.machine.Needed = true
 	}
 }
 
@@ -53,9 +53,9 @@
 		}
 	}
 	if horizon == 0 {
-		horizon = tuning.DefaultAim.Seconds()
+		horizon = tuning.DefaultObjective.Seconds()
 	}
-	return horizon * tuning.HorizonShare
+	return horizon * tuning.BacklogObjectiveShare
 }
 
 // EstimateRunTime estimates a task's run time in seconds.
@@ -64,7 +64,7 @@
 	if ratio, ok := s.runTimeRatio[job.Spec.Class]; ok {
 		estimate *= ratio
 	}
-	return max(estimate, tuning.LeastRun.Seconds())
+	return max(estimate, tuning.MinRunTime.Seconds())
 }
 
 // demandPlan is one packing of all waiting work onto the machines there are and onto ones to
@@ -109,12 +109,12 @@
 func (p *demandPlan) addMachineBins() {
 	lease := config.Seconds(p.scheduler.platform.Workers.LeaseS)
 	for _, machine := range p.scheduler.registry.All() {
-		machine.Wanted = machine.Busy > 0
-		if machine.Faulty || machine.Mute(p.now, lease) || machine.Closing || !machine.Recall.IsZero() || machine.State != worker.Up && machine.State != worker.Booting && machine.State != worker.Silent {
+		machine.Needed = machine.ActiveCopies > 0
+		if machine.Quarantined || machine.Unreachable(p.now, lease) || machine.Cordoned || !machine.PreemptionTime.IsZero() || machine.State != worker.Up && machine.State != worker.Booting && machine.State != worker.Unresponsive {
 			continue
 		}
-		b := &bin{machine: machine, machineType: machine.Type, committed: p.scheduler.committedWork(p.now, machine), zone: machine.Zone, spot: machine.Spot, capacity: machine.Cap, free: machine.FreeForMain()}
-		if machine.State == worker.Silent {
+		b := &bin{machine: machine, machineType: machine.Type, committed: p.scheduler.committedWork(p.now, machine), zone: machine.Zone, spot: machine.Spot, capacity: machine.Capacity, free: machine.AvailableToPrimary()}
+		if machine.State == worker.Unresponsive {
 			// takes nothing now, but is not replaced while its lease may stand:
 			// after a cut of the holder all of them are silent for a while
 			b.free = quota.Resources{}
@@ -169,7 +169,7 @@
 	sum := 0.0
 	for _, task := range s.machineInfo(machine).assigned {
 		remaining := s.EstimateRunTime(task.Job) - now.Sub(task.dispatchedAt).Seconds()
-		sum += max(remaining, tuning.LeastRun.Seconds()) * task.Job.need.DominantShare(machine.Cap)
+		sum += max(remaining, tuning.MinRunTime.Seconds()) * task.Job.need.DominantShare(machine.Capacity)
 	}
 	return sum
 }
--- a/internal/placement/demand_arrays.go
+++ b/internal/placement/demand_arrays.go
@@ -67,7 +67,7 @@
 	for _, spot := range []bool{true, false} {
 		p.packIntoGroup(binGroup{load.job.Spec.Class, spot}, work)
 	}
-	for work.tasks > tuning.RentalRest && p.plan.admit(load.job, load.job.need) {
+	for work.tasks > tuning.NegligibleBacklog && p.plan.admit(load.job, load.job.need) {
 		b := p.plan.openBin(load.job, "")
 		if b == nil {
 			return
--- a/internal/placement/demand_gangs_services.go
+++ b/internal/placement/demand_gangs_services.go
@@ -155,6 +155,6 @@
 	if a.spot != b.spot {
 		return a.spot != service
 	}
-	aInUse, bInUse := a.machine != nil && a.machine.Busy > 0, b.machine != nil && b.machine.Busy > 0
+	aInUse, bInUse := a.machine != nil && a.machine.ActiveCopies > 0, b.machine != nil && b.machine.ActiveCopies > 0
 	return aInUse && !bInUse
 }
--- a/internal/placement/fair_share.go
+++ b/internal/placement/fair_share.go
@@ -27,7 +27,7 @@
 
 // priorityTiers lists the open jobs by priority and turn, as of a moment ago.
 func (s *Scheduler) priorityTiers(now time.Time) []priorityTier {
-	if since := now.Sub(s.sortedAt); since < tuning.TurnsEvery && (!s.orderStale || since < tuning.TurnsSoon) {
+	if since := now.Sub(s.sortedAt); since < tuning.FairShareInterval && (!s.orderStale || since < tuning.FairShareMinInterval) {
 		return s.tiers
 	}
 	s.sortedAt, s.orderStale = now, false
@@ -50,11 +50,11 @@
 		earliest, waiting := math.Inf(1), 0
 		for _, job := range jobs {
 			if job.pendingTasks() > 0 && !job.IsGang() && !job.IsService() {
-				if waiting++; waiting <= tuning.BeginAhead && s.safeToStart(job) {
+				if waiting++; waiting <= tuning.StartMarkersAhead && s.safeToStart(job) {
 					s.ensureStartMarker(now, job) // so that a free place need not wait for the mark
 				}
 				earliest = min(earliest, job.fairSharePosition)
-				job.pastImagePatience = job.fairSharePosition > earliest+tuning.ImagePatience.Seconds()
+				job.pastImagePatience = job.fairSharePosition > earliest+tuning.ImageLocalityPatience.Seconds()
 				job.needsMoreImages = float64(images[job.Spec.Image]) < float64(job.pendingTasks())*job.machineShare(s.registry)
 			}
 		}
@@ -87,8 +87,8 @@
 		return wire.Priorities
 	}
 	boost := min(job.effectivePriority-job.priority, wire.Priorities-1)
-	if overdue := now.Sub(job.KnownSince) - tuning.StarveAfter; overdue >= 0 && (job.pendingTasks() > 0 || len(job.tasks) > job.assigned) {
-		boost = max(boost, 1+min(int(overdue/tuning.StarveStep), wire.Priorities-2))
+	if overdue := now.Sub(job.KnownSince) - tuning.StarvationTimeout; overdue >= 0 && (job.pendingTasks() > 0 || len(job.tasks) > job.assigned) {
+		boost = max(boost, 1+min(int(overdue/tuning.StarvationStep), wire.Priorities-2))
 	} else if boost == wire.Priorities-1 {
 		boost = 0 // it has begun
 	}
@@ -98,7 +98,7 @@
 // starving tells whether nothing of a job has come to an end although it has
 // waited for long: what it has begun is left alone.
 func (j *Job) starving(now time.Time) bool {
-	return !j.IsService() && j.completed.count == 0 && now.Sub(j.KnownSince) > tuning.BeginBy
+	return !j.IsService() && j.completed.count == 0 && now.Sub(j.KnownSince) > tuning.FirstStartDeadline
 }
 
 // fairShareOrder orders jobs of one priority by age. Gangs go a while before arrays, and
@@ -120,9 +120,9 @@
 		job.fairSharePosition = float64(job.AcceptedAt.UnixMilli()) / 1000
 		switch work := waitingWork[job]; {
 		case job.IsGang() || job.IsService():
-			job.fairSharePosition -= tuning.GangsAhead.Seconds()
+			job.fairSharePosition -= tuning.GangHeadStart.Seconds()
 		case work > 0:
-			job.fairSharePosition += tuning.TurnMost.Seconds() * work / (work + average)
+			job.fairSharePosition += tuning.MaxBacklogPenalty.Seconds() * work / (work + average)
 		}
 	}
 	slices.SortStableFunc(ordered, func(a, b *Job) int { return cmp.Compare(a.fairSharePosition, b.fairSharePosition) })
@@ -133,8 +133,8 @@
 // is no machine to tell.
 func (j *Job) machineShare(registry *worker.Registry) float64 {
 	for _, machine := range registry.All() {
-		if machine.Cap.Fits(j.need) && j.allows(machine.Type, machine.Zone, machine.Spot) {
-			return 1 / float64(max(1, machine.Cap.FitCount(j.need, wire.MaxTasksPerJob)))
+		if machine.Capacity.Fits(j.need) && j.allows(machine.Type, machine.Zone, machine.Spot) {
+			return 1 / float64(max(1, machine.Capacity.FitCount(j.need, wire.MaxTasksPerJob)))
 		}
 	}
 	return 1
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -53,13 +53,13 @@
 	case s.blockingGang != nil && s.blockingGang != job:
 		s.setPendingReason(job, "an older gang goes first")
 		return false
-	case s.gangsWithoutRoom >= tuning.GangsTried:
+	case s.gangsWithoutRoom >= tuning.MaxGangAttempts:
 		return false // there is no room for so many before it
 	case !s.mayFit(now, job, guaranteed):
 		s.gangsWithoutRoom++
 		s.recordNoRoom(now, job)
 		return false
-	case s.gangsPlaced == tuning.DrawGangs:
+	case s.gangsPlaced == tuning.MaxGangsPerPass:
 		s.capacity.requestFullPass() // what else there is to do goes first
 		return false
 	}
@@ -124,8 +124,8 @@
 	}
 	class, slots := job.equivalenceClass(false), 0
 	for _, machine := range s.registry.All() {
-		if machine.Usable(now) && class.allows(machine) {
-			slots += machine.Cap.FitCount(job.need, maxTasksPerMachine)
+		if machine.Schedulable(now) && class.allows(machine) {
+			slots += machine.Capacity.FitCount(job.need, maxTasksPerMachine)
 		}
 	}
 	if slots >= job.Spec.Tasks {
@@ -137,7 +137,7 @@
 // tasks would not give way to.
 func (s *Scheduler) reservedForGang(now time.Time, job *Job, machine *worker.Machine) bool {
 	gang := s.blockingGang
-	return gang != nil && gang.starving(now) && !job.starving(now) && job.priority >= gang.priority && gang.allows(machine.Type, machine.Zone, machine.Spot) && machine.Cap.Fits(gang.need)
+	return gang != nil && gang.starving(now) && !job.starving(now) && job.priority >= gang.priority && gang.allows(machine.Type, machine.Zone, machine.Spot) && machine.Capacity.Fits(gang.need)
 }
 
 // gangCandidate is a machine that may have places for a gang, and what one there costs; at
@@ -156,10 +156,10 @@
 	class := job.equivalenceClass(guaranteed)
 	slotsByMachine := s.capacity.slotsByClass[class].byMachine // as counted when the gang was found reachable
 	for _, machine := range s.registry.All() {
-		if slotsByMachine[machine] == 0 || !machine.Usable(now) || !job.allows(machine.Type, machine.Zone, machine.Spot) || zone != "" && machine.Zone != zone || job.avoids(machine) {
+		if slotsByMachine[machine] == 0 || !machine.Schedulable(now) || !job.allows(machine.Type, machine.Zone, machine.Spot) || zone != "" && machine.Zone != zone || job.avoids(machine) {
 			continue
 		}
-		c := &gangCandidate{gangSlot: gangSlot{machine: machine}, free: machine.FreeForMain()}
+		c := &gangCandidate{gangSlot: gangSlot{machine: machine}, free: machine.AvailableToPrimary()}
 		if c.exact = c.free.Fits(job.need); !c.exact {
 			c.cost = tuning.ScorePreempt
 		}
@@ -167,7 +167,7 @@
 			c.cost += s.imageFetchCost(job, machine)
 		}
 		if job.Spec.Spot && !machine.Spot {
-			c.cost += tuning.ScoreOrdinary
+			c.cost += tuning.ScoreOnDemand
 		}
 		candidates = append(candidates, c)
 	}
@@ -225,19 +225,19 @@
 
 // imageFetchTime estimates how many seconds a machine takes to fetch a job's image.
 func (j *Job) imageFetchTime(machine *worker.Machine) float64 {
-	if _, ok := machine.Images[j.Spec.Image]; ok || machine.Fetch <= 0 {
+	if _, ok := machine.Images[j.Spec.Image]; ok || machine.ImagePullGBPerS <= 0 {
 		return 0
 	}
-	return j.Spec.ImageGb / machine.Fetch
+	return j.Spec.ImageGb / machine.ImagePullGBPerS
 }
 
 // imageFetchCost is what it costs a gang that its image is not on a machine: little
 // if it can be fetched within a time in which its class should have started.
 func (s *Scheduler) imageFetchCost(job *Job, machine *worker.Machine) float64 {
 	for _, objective := range s.platform.Objectives {
-		if objective.Kind == "wait" && objective.Class == job.Spec.Class && machine.Fetch > 0 &&
-			job.imageFetchTime(machine)*tuning.FetchSlack+s.platform.Workers.HeartbeatS < objective.WithinS {
-			return tuning.ScoreQuickImage
+		if objective.Kind == "wait" && objective.Class == job.Spec.Class && machine.ImagePullGBPerS > 0 &&
+			job.imageFetchTime(machine)*tuning.ImagePullSlack+s.platform.Workers.HeartbeatS < objective.WithinS {
+			return tuning.ScoreImageInTime
 		}
 	}
 	return tuning.ScoreNoImage
@@ -254,7 +254,7 @@
 			save = max(save, victim.Job.stopGrace())
 		}
 	}
-	ready := now.Sub(job.KnownSince).Seconds() + fetch + tuning.StartTime.Seconds()
+	ready := now.Sub(job.KnownSince).Seconds() + fetch + tuning.GangStartOverhead.Seconds()
 	return slices.ContainsFunc(s.platform.Objectives, func(objective config.Objective) bool {
 		return objective.Kind == "wait" && objective.Class == job.Spec.Class && ready <= objective.WithinS && ready+save > objective.WithinS
 	})
@@ -308,7 +308,7 @@
 	if task.Job.Spec.CheckpointIntervalS > 0 {
 		lost = task.Job.Spec.CheckpointSaveTimeS
 	}
-	return lost * task.Job.need.DominantShare(task.machine.Cap)
+	return lost * task.Job.need.DominantShare(task.machine.Capacity)
 }
 
 // dispatchGang hands out a placed gang once the room of each task is free.
@@ -324,7 +324,7 @@
 		}
 		free, ok := freeByMachine[task.primary]
 		if !ok {
-			free = task.primary.Free()
+			free = task.primary.Available()
 		}
 		if !free.Fits(job.need) {
 			s.preemptBackups(now, task.primary, job.need.Sub(free))
--- a/internal/placement/harness_test.go
+++ b/internal/placement/harness_test.go
@@ -36,8 +36,8 @@
 	h.scheduler.MarkReconciled(h.now)
 	for i := range machines {
 		machine := h.registry.Add(h.now, fmt.Sprintf("i-%d", i), worker.Booting)
-		machine.Cap = quota.Resources{CPUs: 12, GPUs: 2, MemGB: 96}
-		machine.Used, machine.Type, machine.Zone = true, "g2", "a"
+		machine.Capacity = quota.Resources{CPUs: 12, GPUs: 2, MemGB: 96}
+		machine.Registered, machine.Type, machine.Zone = true, "g2", "a"
 		h.heartbeat(machine)
 	}
 	return h
@@ -47,9 +47,9 @@
 // it returns the commands of the answer.
 func (h *testHarness) heartbeat(machine *worker.Machine, extra ...wire.TaskStatus) []wire.Command {
 	h.t.Helper()
-	heartbeat := &wire.Heartbeat{Host: machine.Host, Type: "g2", Zone: machine.Zone, Spot: machine.Spot, Incarnation: 1, Sequence: machine.Seq + 1}
-	if !machine.Recall.IsZero() {
-		left := machine.Recall.Sub(h.now).Seconds()
+	heartbeat := &wire.Heartbeat{Host: machine.Host, Type: "g2", Zone: machine.Zone, Spot: machine.Spot, Incarnation: 1, Sequence: machine.Sequence + 1}
+	if !machine.PreemptionTime.IsZero() {
+		left := machine.PreemptionTime.Sub(h.now).Seconds()
 		heartbeat.PreemptionNoticeS = &left
 	}
 	for _, task := range h.scheduler.machineInfo(machine).assigned {
@@ -64,7 +64,7 @@
 			heartbeat.Tasks = append(heartbeat.Tasks, reported)
 		}
 	}
-	verdict := h.registry.Absorb(h.now, machine, heartbeat, true)
+	verdict := h.registry.ApplyHeartbeat(h.now, machine, heartbeat, true)
 	h.scheduler.ReconcileHeartbeat(h.now, machine, verdict, true)
 	h.scheduler.Schedule(h.now)
 	return h.scheduler.Commands(h.now, machine, HeartbeatReply)
@@ -72,7 +72,7 @@
 
 func (h *testHarness) addJob(team, shape, priority string, tasks int, gpus float64) *Job {
 	h.lastJob++
-	h.now = h.now.Add(tuning.TurnsSoon)
+	h.now = h.now.Add(tuning.FairShareMinInterval)
 	return h.scheduler.AddJob(h.now, wire.JobSpec{ID: fmt.Sprintf("job-%d", h.lastJob), Team: team, Class: "l", Shape: shape, Priority: priority, Tasks: tasks,
 		Vcpus: 5, Gpus: gpus, MemGb: 30, Image: "img", AnyType: true, EstimatedRunTimeS: 60}, h.now, uint64(h.lastJob), false)
 }
--- a/internal/placement/lifecycle.go
+++ b/internal/placement/lifecycle.go
@@ -25,24 +25,24 @@
 	}
 	switch {
 	case !wasAssigned && isAssigned:
-		machine.Taken = machine.Taken.Add(task.Job.need)
+		machine.Allocated = machine.Allocated.Add(task.Job.need)
 		if task.isBackup {
-			machine.Spares = machine.Spares.Add(task.Job.need)
+			machine.BackupAllocated = machine.BackupAllocated.Add(task.Job.need)
 		}
-		machine.Busy++
+		machine.ActiveCopies++
 		s.ledger.AddUsed(task.Job.Spec.Team, task.Job.need, 1)
 		task.Job.assigned++
 		info.assigned = append(info.assigned, task)
 		task.dispatchedAt, task.runningSince, task.stage = now, time.Time{}, ""
 	case wasAssigned && !isAssigned:
-		machine.Taken = machine.Taken.Sub(task.Job.need)
+		machine.Allocated = machine.Allocated.Sub(task.Job.need)
 		if task.isBackup {
-			machine.Spares = machine.Spares.Sub(task.Job.need)
+			machine.BackupAllocated = machine.BackupAllocated.Sub(task.Job.need)
 		}
-		machine.Busy--
-		if machine.Busy == 0 {
-			machine.IdleFrom = now
-			machine.Taken, machine.Spares = quota.Resources{}, quota.Resources{}
+		machine.ActiveCopies--
+		if machine.ActiveCopies == 0 {
+			machine.IdleSince = now
+			machine.Allocated, machine.BackupAllocated = quota.Resources{}, quota.Resources{}
 		}
 		s.ledger.AddUsed(task.Job.Spec.Team, task.Job.need, -1)
 		task.Job.assigned--
@@ -69,7 +69,7 @@
 // tenure's token is in the high bits, so it grows without a write.
 func (s *Scheduler) nextAttemptID(job *Job) uint64 {
 	job.attemptSequence++
-	if job.attemptSequence >= 1<<tuning.AttemptBits-tuning.AttemptsLeft {
+	if job.attemptSequence >= 1<<tuning.AttemptBits-tuning.AttemptReserve {
 		s.AttemptNumbersExhausted = true
 	}
 	return s.token<<tuning.AttemptBits | job.attemptSequence&(1<<tuning.AttemptBits-1)
@@ -90,7 +90,7 @@
 	if j.Spec.CheckpointIntervalS <= 0 {
 		return 0
 	}
-	return j.Spec.CheckpointSaveTimeS + tuning.SaveGrace.Seconds()
+	return j.Spec.CheckpointSaveTimeS + tuning.CheckpointGrace.Seconds()
 }
 
 // preempt stops a task so that it can go on later; a gang stops as a whole.
@@ -172,7 +172,7 @@
 			if !ok {
 				previous = 1
 			}
-			s.runTimeRatio[job.Spec.Class] = previous + (ratio-previous)*tuning.PaceWeight
+			s.runTimeRatio[job.Spec.Class] = previous + (ratio-previous)*tuning.RunTimeAverageWeight
 		}
 		s.setPhase(now, task, Completed, "done")
 	} else {
@@ -193,7 +193,7 @@
 		s.releaseTask(now, info.assigned[0], 0, reason)
 	}
 	delete(s.strayTasks, machine)
-	machine.Stranger = false
+	machine.HasUnknownTasks = false
 }
 
 // RemoveMachine drops a machine that is gone.
--- a/internal/placement/machine_loss_test.go
+++ b/internal/placement/machine_loss_test.go
@@ -32,8 +32,8 @@
 					h.scheduler.recordFailure(h.now, h.registry.All()[i], &Task{Job: job})
 				}
 			}
-			if h.registry.All()[0].Faulty != c.faulty {
-				t.Errorf("faulty: %t", h.registry.All()[0].Faulty)
+			if h.registry.All()[0].Quarantined != c.faulty {
+				t.Errorf("faulty: %t", h.registry.All()[0].Quarantined)
 			}
 			if got := jobs[0].notBefore.After(h.now); got != c.waits {
 				t.Errorf("kept back: %t", got)
@@ -55,7 +55,7 @@
 	before := g.attempt
 	low := h.addJob("blue", wire.ShapeBatch, "low", 8, 1)
 	h.scheduler.ReleaseMachine(h.now, m0, "lease surely over")
-	h.registry.Set(h.now, m0, worker.Lapsed, "test")
+	h.registry.SetState(h.now, m0, worker.LeaseExpired, "test")
 	member := h.scheduler.machineInfo(m1).assigned[0]
 	if o := h.describe(h.heartbeat(m1)); o != "stop "+member.Name()+";" {
 		t.Fatalf("its mate is told: %s", o)
@@ -66,7 +66,7 @@
 		t.Fatalf("%d of the gang and %d of the rest run on the machine left", g.assigned, low.assigned)
 	}
 	m2 := h.registry.Add(h.now, "i-2", worker.Booting)
-	m2.Cap, m2.Used, m2.Type, m2.Zone = m0.Cap, true, "g2", "a"
+	m2.Capacity, m2.Registered, m2.Type, m2.Zone = m0.Capacity, true, "g2", "a"
 	h.heartbeat(m2)
 	if len(g.tasks) != 2 || g.assigned != 0 || low.assigned != 2 {
 		t.Fatalf("the gang has %d places, %d of it run beside %d", len(g.tasks), g.assigned, low.assigned)
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -56,7 +56,7 @@
 			return ""
 		}},
 		{"the main reaches its head", 0, func(h *testHarness, _ *Task, home, _ *worker.Machine) {
-			home.Taken = quota.Resources{} // what was in its way has gone
+			home.Allocated = quota.Resources{} // what was in its way has gone
 			h.heartbeat(home)
 		}, func(h *testHarness, task *Task, home, away *worker.Machine) string {
 			if task.phase != Stopping || task.machine != away {
@@ -74,8 +74,8 @@
 			}
 			return ""
 		}},
-		{"stopped too often", tuning.DropThreshold - 1, func(h *testHarness, task *Task, home, away *worker.Machine) {
-			home.Taken = quota.Resources{}
+		{"stopped too often", tuning.BackupWithdrawThreshold - 1, func(h *testHarness, task *Task, home, away *worker.Machine) {
+			home.Allocated = quota.Resources{}
 			h.heartbeat(home)
 			h.heartbeat(away, wire.TaskStatus{Name: task.Name(), State: wire.TaskExited, ExitReason: wire.ExitStopped})
 		}, func(h *testHarness, task *Task, home, away *worker.Machine) string {
@@ -113,21 +113,21 @@
 			job.tasks[0] = task
 			h.scheduler.queuePrimary(h.now, task, home)
 			h.scheduler.queueBackup(task, away)
-			home.Taken = home.Cap // stuck behind something
+			home.Allocated = home.Capacity // stuck behind something
 			if o := h.describe(h.heartbeat(away)); o != "" {
 				t.Fatalf("the spare starts while its main has only just been queued: %s", o)
 			}
-			away.Recall = h.now.Add(time.Hour) // keeps the main from being redrawn there
+			away.PreemptionTime = h.now.Add(time.Hour) // keeps the main from being redrawn there
 			h.now = h.now.Add(3 * time.Second)
-			away.Recall = time.Time{}
+			away.PreemptionTime = time.Time{}
 			h.scheduler.dispatchQueueHeads(h.now, away)
 			if task.phase != Dispatched || !task.isBackup {
 				t.Fatalf("the spare does not start: %v", task.phase)
 			}
 			h.scheduler.Commands(h.now, away, HeartbeatReply)
-			h.registry.Absorb(h.now, away, &wire.Heartbeat{Host: away.Host, Type: "g2", Zone: "a", Incarnation: 1, Sequence: away.Seq + 1,
+			h.registry.ApplyHeartbeat(h.now, away, &wire.Heartbeat{Host: away.Host, Type: "g2", Zone: "a", Incarnation: 1, Sequence: away.Sequence + 1,
 				Tasks: []wire.TaskStatus{{Name: task.Name(), Attempt: task.attempt, State: wire.TaskRunning}}}, true)
-			h.scheduler.ReconcileHeartbeat(h.now, away, worker.Fresh, true)
+			h.scheduler.ReconcileHeartbeat(h.now, away, worker.HeartbeatCurrent, true)
 			c.after(h, task, home, away)
 			if problem := c.check(h, task, home, away); problem != "" {
 				t.Error(problem)
@@ -264,9 +264,9 @@
 				h.scheduler.SettleDirectCommands(machine, commands)
 			}
 			h.scheduler.CloseJob(h.now, job.Spec.ID, h.now.Add(time.Minute))
-			heartbeat := &wire.Heartbeat{Host: machine.Host, Type: "g2", Zone: "a", Incarnation: 1, Sequence: machine.Seq + 1}
-			h.scheduler.ReconcileHeartbeat(h.now, machine, h.registry.Absorb(h.now, machine, heartbeat, c.checkin), c.checkin)
-			if got := machine.Busy == 0; got != c.gone {
+			heartbeat := &wire.Heartbeat{Host: machine.Host, Type: "g2", Zone: "a", Incarnation: 1, Sequence: machine.Sequence + 1}
+			h.scheduler.ReconcileHeartbeat(h.now, machine, h.registry.ApplyHeartbeat(h.now, machine, heartbeat, c.checkin), c.checkin)
+			if got := machine.ActiveCopies == 0; got != c.gone {
 				t.Errorf("gone: %t, want %t", got, c.gone)
 			}
 			// what is not settled so is settled by the machine's return
--- a/internal/placement/preemption_notice_test.go
+++ b/internal/placement/preemption_notice_test.go
@@ -45,12 +45,12 @@
 			}
 			for i, machine := range h.registry.All() {
 				if i < c.recalled {
-					machine.Recall = h.now.Add(12 * time.Second)
+					machine.PreemptionTime = h.now.Add(12 * time.Second)
 				}
 			}
 			for i := range c.machines {
 				machine := h.registry.Add(h.now, fmt.Sprintf("i-9%d", i), worker.Booting)
-				machine.Cap, machine.Used, machine.Type, machine.Zone = quota.Resources{CPUs: 12, GPUs: 2, MemGB: 96}, true, "g2", "a"
+				machine.Capacity, machine.Registered, machine.Type, machine.Zone = quota.Resources{CPUs: 12, GPUs: 2, MemGB: 96}, true, "g2", "a"
 				h.heartbeat(machine)
 			}
 			h.scheduler.seenClasses["l"] = true
--- a/internal/placement/queues.go
+++ b/internal/placement/queues.go
@@ -48,8 +48,8 @@
 	info := s.machineInfo(machine)
 	info.primaryQueue = append(info.primaryQueue, task)
 	s.markDirty(info)
-	machine.Promised = machine.Promised.Add(task.Job.need)
-	if !machine.FreeForMain().Fits(s.capacity.smallestNeed) {
+	machine.Reserved = machine.Reserved.Add(task.Job.need)
+	if !machine.AvailableToPrimary().Fits(s.capacity.smallestNeed) {
 		s.capacity.setFree(info, false)
 	}
 	s.ledger.AddReserved(task.Job.Spec.Team, task.Job.need, 1)
@@ -65,9 +65,9 @@
 	if i := slices.Index(info.primaryQueue, task); i >= 0 {
 		info.primaryQueue = slices.Delete(info.primaryQueue, i, i+1)
 	}
-	machine.Promised = machine.Promised.Sub(task.Job.need)
+	machine.Reserved = machine.Reserved.Sub(task.Job.need)
 	if len(info.primaryQueue) == 0 {
-		machine.Promised = quota.Resources{}
+		machine.Reserved = quota.Resources{}
 	}
 	s.ledger.AddReserved(task.Job.Spec.Team, task.Job.need, -1)
 	task.primary = nil
--- a/internal/placement/reconciliation.go
+++ b/internal/placement/reconciliation.go
@@ -10,10 +10,10 @@
 )
 
 // ReconcileHeartbeat brings the board up to date with a machine's newest account.
-func (s *Scheduler) ReconcileHeartbeat(now time.Time, machine *worker.Machine, verdict worker.Verdict, fromHeartbeat bool) {
+func (s *Scheduler) ReconcileHeartbeat(now time.Time, machine *worker.Machine, verdict worker.HeartbeatResult, fromHeartbeat bool) {
 	info := s.machineInfo(machine)
 	s.markDirty(info)
-	if verdict == worker.Renewed {
+	if verdict == worker.HeartbeatNewIncarnation {
 		s.ReleaseMachine(now, machine, "worker's session is a new one")
 		info.directAttempts = nil // commands of an earlier session are void
 		machine.Images = map[string]time.Time{}
@@ -38,7 +38,7 @@
 		// or in a direct command that nobody answered.
 		if task.reported {
 			s.releaseTask(now, task, 0, "no longer reported")
-		} else if task.phase == Stopping && task.unansweredCommands == 0 && (!task.commandSent || fromHeartbeat && (task.commandSeq == 0 || machine.Seq > task.commandSeq)) {
+		} else if task.phase == Stopping && task.unansweredCommands == 0 && (!task.commandSent || fromHeartbeat && (task.commandSeq == 0 || machine.Sequence > task.commandSeq)) {
 			s.releaseTask(now, task, 0, "never started")
 		}
 	}
@@ -79,10 +79,10 @@
 		}
 	case wire.ExitError:
 		s.recordFailure(now, machine, task)
-		s.releaseTask(now, task, tuning.RetryPause, reported.ExitReason)
+		s.releaseTask(now, task, tuning.RetryInitial, reported.ExitReason)
 	case wire.ExitInsufficientResources, wire.ExitOtherAttemptPresent, wire.ExitUnknownTask:
 		s.log.Info("start refused", "task", reported.Name, "host", machine.Host, "cause", reported.ExitReason)
-		s.releaseTask(now, task, tuning.RefusedPause, reported.ExitReason)
+		s.releaseTask(now, task, tuning.RefusedStartPause, reported.ExitReason)
 	default:
 		s.releaseTask(now, task, 0, reported.ExitReason)
 	}
@@ -115,25 +115,25 @@
 	job.failures++
 	job.failedOn[machine.Host]++
 	job.noRoomRevisions = [2]uint64{}
-	machine.Blames[job.Spec.ID]++
+	machine.FailuresByJob[job.Spec.ID]++
 	succeededElsewhere := false
 	for host := range job.succeededOn {
 		succeededElsewhere = succeededElsewhere || host != machine.Host
 	}
 	jobs := 0
-	for id := range machine.Blames {
-		if other := s.jobs[id]; other == nil || len(other.failedOn) < tuning.BadJobMachines || len(other.succeededOn) > 0 {
+	for id := range machine.FailuresByJob {
+		if other := s.jobs[id]; other == nil || len(other.failedOn) < tuning.FailingJobMachines || len(other.succeededOn) > 0 {
 			jobs++
 		}
 	}
-	if jobs >= tuning.FaultyJobs || succeededElsewhere && machine.Blames[job.Spec.ID] >= tuning.FaultyErrors {
-		if !machine.Faulty {
+	if jobs >= tuning.QuarantineJobs || succeededElsewhere && machine.FailuresByJob[job.Spec.ID] >= tuning.QuarantineErrors {
+		if !machine.Quarantined {
 			s.log.Info("machine is faulty", "host", machine.Host, "jobs", jobs)
 		}
-		machine.Faulty = true
+		machine.Quarantined = true
 	}
-	if len(job.failedOn) >= tuning.BadJobMachines && len(job.succeededOn) == 0 {
-		pause := tuning.RetryPause << min(job.failures, tuning.RetryDoublings)
+	if len(job.failedOn) >= tuning.FailingJobMachines && len(job.succeededOn) == 0 {
+		pause := tuning.RetryInitial << min(job.failures, tuning.RetryDoublings)
 		job.notBefore = now.Add(pause)
 		s.log.Info("job fails everywhere", "job", job.Spec.ID, "pause", pause)
 	}
@@ -144,7 +144,7 @@
 // are over.
 func (s *Scheduler) reconcileUnexpected(now time.Time, machine *worker.Machine, reportedTasks map[string]*wire.TaskStatus) {
 	delete(s.strayTasks, machine)
-	machine.Stranger = false
+	machine.HasUnknownTasks = false
 	for _, reported := range machine.Tasks {
 		id, index, ok := wire.ParseTask(reported.Name)
 		var job *Job
@@ -172,7 +172,7 @@
 		}
 		s.log.Info("stray task", "task", reported.Name, "attempt", reported.Attempt, "host", machine.Host)
 		s.strayTasks[machine] = append(s.strayTasks[machine], reported)
-		machine.Stranger = machine.Stranger || job == nil
+		machine.HasUnknownTasks = machine.HasUnknownTasks || job == nil
 	}
 }
 
--- a/internal/placement/scheduler.go
+++ b/internal/placement/scheduler.go
@@ -90,7 +90,7 @@
 func NewScheduler(platform config.Platform, token uint64, ledger *quota.Ledger, registry *worker.Registry, rng *rand.Rand,
 	log *slog.Logger, onTaskCompleted func(now time.Time, job *Job)) *Scheduler {
 	return &Scheduler{
-		Settings: Settings{DropThreshold: tuning.DropThreshold}, platform: platform, token: token, ledger: ledger, registry: registry, rng: rng, log: log,
+		Settings: Settings{DropThreshold: tuning.BackupWithdrawThreshold}, platform: platform, token: token, ledger: ledger, registry: registry, rng: rng, log: log,
 		jobs: map[string]*Job{}, machines: map[*worker.Machine]*machineInfo{}, capacity: newCapacityIndex(),
 		strayTasks: map[*worker.Machine][]wire.TaskStatus{}, runTimeRatio: map[string]float64{}, seenClasses: map[string]bool{}, unreadableJobs: map[string]bool{}, onTaskCompleted: onTaskCompleted,
 	}
--- a/internal/placement/scheduling_pass.go
+++ b/internal/placement/scheduling_pass.go
@@ -25,7 +25,7 @@
 // avoids tells whether the job has failed on a machine, and not so widely that
 // the job itself must be at fault.
 func (j *Job) avoids(machine *worker.Machine) bool {
-	return len(j.failedOn) > 0 && j.failedOn[machine.Host] > 0 && (len(j.failedOn) < tuning.BadJobMachines || j.IsService() && len(j.succeededOn) > 0)
+	return len(j.failedOn) > 0 && j.failedOn[machine.Host] > 0 && (len(j.failedOn) < tuning.FailingJobMachines || j.IsService() && len(j.succeededOn) > 0)
 }
 
 // yards counts a job's tasks by zone: those on machines, and with queued also
@@ -69,7 +69,7 @@
 func (s *Scheduler) Schedule(now time.Time) {
 	due := !now.Before(s.nextPassDue)
 	if due {
-		s.nextPassDue = now.Add(tuning.DrawEvery)
+		s.nextPassDue = now.Add(tuning.PassInterval)
 		s.handlePreemptionNotices(now)
 		s.rescheduleStuck(now)
 	}
@@ -150,20 +150,20 @@
 func (s *Scheduler) handlePreemptionNotices(now time.Time) {
 	for _, machine := range s.registry.All() {
 		info := s.machineInfo(machine)
-		if len(info.primaryQueue)+len(info.backupQueue) > 0 && !machine.Usable(now) {
+		if len(info.primaryQueue)+len(info.backupQueue) > 0 && !machine.Schedulable(now) {
 			s.clearQueues(now, machine)
 		}
-		if machine.Recall.IsZero() {
+		if machine.PreemptionTime.IsZero() {
 			continue
 		}
-		margin := config.Seconds(s.platform.Workers.HeartbeatS*tuning.RecallReports) + tuning.SaveGrace
+		margin := config.Seconds(s.platform.Workers.HeartbeatS*tuning.PreemptionHeartbeats) + tuning.CheckpointGrace
 		for _, task := range slices.Clone(info.assigned) {
 			if task.phase == Active && task.Job.IsService() {
-				s.migrateReplica(now, task, now.Add(margin).After(machine.Recall))
+				s.migrateReplica(now, task, now.Add(margin).After(machine.PreemptionTime))
 				continue
 			}
 			if task.phase == Active && task.Job.Spec.CheckpointIntervalS > 0 && task.stage != wire.TaskFetching &&
-				now.Add(config.Seconds(task.Job.Spec.CheckpointSaveTimeS)+margin).After(machine.Recall) {
+				now.Add(config.Seconds(task.Job.Spec.CheckpointSaveTimeS)+margin).After(machine.PreemptionTime) {
 				s.preempt(now, task, "machine is recalled")
 			}
 		}
@@ -173,7 +173,7 @@
 // rescheduleStuck moves mains that have been stuck past a report round while another
 // machine would take them now.
 func (s *Scheduler) rescheduleStuck(now time.Time) {
-	stuckAfter := config.Seconds(s.platform.Workers.HeartbeatS * tuning.RedrawReports)
+	stuckAfter := config.Seconds(s.platform.Workers.HeartbeatS * tuning.RescheduleHeartbeats)
 	for _, machine := range s.registry.All() {
 		info := s.machineInfo(machine)
 		if len(info.primaryQueue) == 0 {
@@ -184,12 +184,12 @@
 			if job.IsGang() || task.phase != Unassigned || now.Sub(task.primaryQueuedAt) < stuckAfter {
 				continue
 			}
-			if machine.Usable(now) && machine.Free().Fits(job.need) {
+			if machine.Schedulable(now) && machine.Available().Fits(job.need) {
 				continue // not stuck: it starts with the next report
 			}
 			if slices.ContainsFunc(s.registry.All(), func(other *worker.Machine) bool {
-				return other != machine && other.Usable(now) && job.allows(other.Type, other.Zone, other.Spot) && !job.avoids(other) &&
-					other.Free().Sub(other.Promised).Fits(job.need)
+				return other != machine && other.Schedulable(now) && job.allows(other.Type, other.Zone, other.Spot) && !job.avoids(other) &&
+					other.Available().Sub(other.Reserved).Fits(job.need)
 			}) {
 				s.Counters.Rescheduled++
 				s.requeue(now, task)
--- a/internal/placement/scheduling_pass_test.go
+++ b/internal/placement/scheduling_pass_test.go
@@ -12,7 +12,7 @@
 // although nothing has changed in between: a draw that placed all of a burst kept a
 // starved holder from its lease for a second.
 func TestPassesAreBounded(t *testing.T) {
-	const machines = 3 * tuning.DrawTasks
+	const machines = 3 * tuning.MaxTasksPerPass
 	for _, c := range []struct {
 		name  string
 		jobs  int
@@ -21,9 +21,9 @@
 		gpus  float64
 		most  int // tasks in one go
 	}{
-		{"a large array", 1, wire.ShapeBatch, 2 * machines, 0, tuning.DrawTasks},
-		{"many arrays", machines, wire.ShapeBatch, 2, 0, tuning.DrawTasks},
-		{"many gangs", 3 * tuning.DrawGangs, wire.ShapeGang, 2, 0, 2 * tuning.DrawGangs},
+		{"a large array", 1, wire.ShapeBatch, 2 * machines, 0, tuning.MaxTasksPerPass},
+		{"many arrays", machines, wire.ShapeBatch, 2, 0, tuning.MaxTasksPerPass},
+		{"many gangs", 3 * tuning.MaxGangsPerPass, wire.ShapeGang, 2, 0, 2 * tuning.MaxGangsPerPass},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t, machines)
--- a/internal/placement/service.go
+++ b/internal/placement/service.go
@@ -60,7 +60,7 @@
 	job.pendingReason = ""
 	task := &Task{Job: job, Index: index}
 	job.tasks[index] = task
-	if len(victims) == 0 && machine.Free().Sub(machine.Promised).Fits(job.need) {
+	if len(victims) == 0 && machine.Available().Sub(machine.Reserved).Fits(job.need) {
 		s.Counters.PrimariesStarted++
 		s.dispatch(now, task, machine, s.nextAttemptID(job), false, "replica starts")
 		return true
@@ -151,7 +151,7 @@
 	var best []*worker.Machine
 	lowest := 0
 	for _, machine := range s.registry.All() {
-		if !machine.Usable(now) || !machine.FreeForMain().Fits(job.need) || !job.allows(machine.Type, machine.Zone, machine.Spot) || job.avoids(machine) ||
+		if !machine.Schedulable(now) || !machine.AvailableToPrimary().Fits(job.need) || !job.allows(machine.Type, machine.Zone, machine.Spot) || job.avoids(machine) ||
 			tasksByZone != nil && !job.zoneAllowed(machine.Zone, tasksByZone) {
 			continue
 		}
@@ -190,13 +190,13 @@
 // fuller ones.
 func (s *Scheduler) replicaRank(job *Job, machine *worker.Machine) int {
 	const (
-		step     = 2 * tuning.FillSteps // more than any fill
-		alone    = 1 * step             // no service there
+		step     = 2 * tuning.FillLevels // more than any fill
+		alone    = 1 * step              // no service there
 		noImage  = 2 * step
 		onSpot   = 4 * step
 		siblings = 8 * step // each
 	)
-	rank := int(tuning.FillSteps*machine.FreeForMain().DominantShare(machine.Cap)) + siblings*s.replicasOn(job, machine)
+	rank := int(tuning.FillLevels*machine.AvailableToPrimary().DominantShare(machine.Capacity)) + siblings*s.replicasOn(job, machine)
 	if !s.hostsService(machine) {
 		rank += alone
 	}
@@ -221,7 +221,7 @@
 		if s.feasibleSlots(now, class, machine) == 0 || job.avoids(machine) || tasksByZone != nil && !job.zoneAllowed(machine.Zone, tasksByZone) {
 			continue
 		}
-		candidates, free, cost := s.selectVictims(now, class, machine, machine.FreeForMain())
+		candidates, free, cost := s.selectVictims(now, class, machine, machine.AvailableToPrimary())
 		if !free.Fits(job.need) {
 			continue
 		}
@@ -235,7 +235,7 @@
 // recordServiceSuccess notes that a replica has run for a while: what fails later elsewhere is
 // that machine's fault, not the service's.
 func (j *Job) recordServiceSuccess(now time.Time, task *Task) {
-	if j.IsService() && !task.runningSince.IsZero() && now.Sub(task.runningSince) >= tuning.ServiceWell {
+	if j.IsService() && !task.runningSince.IsZero() && now.Sub(task.runningSince) >= tuning.ServiceHealthyAfter {
 		j.succeededOn[task.machine.Host] = true
 		j.failures, j.shortRuns = 0, 0
 	}
@@ -245,10 +245,10 @@
 // not at all, unless it ended as soon as it had begun. While none of the service's replicas
 // lasts, the pause doubles.
 func (j *Job) restartPause(now time.Time, task *Task) time.Duration {
-	if j.recordServiceSuccess(now, task); !task.runningSince.IsZero() && now.Sub(task.runningSince) >= tuning.ServiceWell {
+	if j.recordServiceSuccess(now, task); !task.runningSince.IsZero() && now.Sub(task.runningSince) >= tuning.ServiceHealthyAfter {
 		return 0
 	}
-	pause := tuning.RetryPause << min(j.shortRuns, tuning.RetryDoublings)
+	pause := tuning.RetryInitial << min(j.shortRuns, tuning.RetryDoublings)
 	j.shortRuns++
 	return pause
 }
@@ -265,7 +265,7 @@
 
 // mustLeave tells whether a replica has to leave its machine, which the cloud takes back.
 func (t *Task) mustLeave() bool {
-	return t.Job.IsService() && t.phase == Active && !t.machine.Recall.IsZero()
+	return t.Job.IsService() && t.phase == Active && !t.machine.PreemptionTime.IsZero()
 }
 
 // replacementsNeeded is how many of a service's replicas have to leave their machines: each needs
--- a/internal/placement/service_reserve.go
+++ b/internal/placement/service_reserve.go
@@ -19,7 +19,7 @@
 	// machines that are in use anyway come first: an idle one costs as much
 	for _, busy := range []bool{true, false} {
 		for _, b := range p.bins {
-			if (b.machine != nil && b.machine.Busy > 0) != busy || missing <= 0 && machines >= tuning.ReserveMachines {
+			if (b.machine != nil && b.machine.ActiveCopies > 0) != busy || missing <= 0 && machines >= tuning.ReserveMachines {
 				continue
 			}
 			if n := p.replicaSlots(job, b); n > 0 {
@@ -62,7 +62,7 @@
 	}
 	free := b.capacity
 	if b.machine != nil {
-		if b.machine.State == worker.Silent || job.avoids(b.machine) {
+		if b.machine.State == worker.Unresponsive || job.avoids(b.machine) {
 			return 0
 		}
 		for _, task := range p.scheduler.machineInfo(b.machine).assigned {
@@ -92,7 +92,7 @@
 		}
 	}
 	for _, o := range p.scheduler.platform.Objectives {
-		if o.Kind != "wait" || o.WithinS <= 0 || o.WithinS*tuning.UnseenBoots > boot || p.scheduler.seenClasses[o.Class] {
+		if o.Kind != "wait" || o.WithinS <= 0 || o.WithinS*tuning.WarmPoolBootFactor > boot || p.scheduler.seenClasses[o.Class] {
 			continue
 		}
 		for _, b := range p.bins {
--- a/internal/placement/service_reserve_test.go
+++ b/internal/placement/service_reserve_test.go
@@ -43,7 +43,7 @@
 				h.deliverDirect()
 				job.Spec.Spot = false
 			}
-			offers := []Offer{{Type: "g2", Zone: "a", Spot: true, Capacity: h.registry.All()[0].Cap, Price: 1, BootSeconds: c.boot, Available: 50}, {Type: "g2", Zone: "a", Capacity: h.registry.All()[0].Cap, Price: 3, BootSeconds: c.boot, Available: 50}}
+			offers := []Offer{{Type: "g2", Zone: "a", Spot: true, Capacity: h.registry.All()[0].Capacity, Price: 1, BootSeconds: c.boot, Available: 50}, {Type: "g2", Zone: "a", Capacity: h.registry.All()[0].Capacity, Price: 3, BootSeconds: c.boot, Available: 50}}
 			got := h.scheduler.ProvisioningDemand(h.now, offers, []int{0, 0})
 			if got[0] != c.want[0] || got[1] != c.want[1] {
 				t.Errorf("to be rented: %v, want %v", got, c.want)
--- a/internal/placement/service_test.go
+++ b/internal/placement/service_test.go
@@ -14,7 +14,7 @@
 // deliverDirect lets the board send what does not wait for reports, and the machines answer.
 func (h *testHarness) deliverDirect() string {
 	h.t.Helper()
-	h.now = h.now.Add(tuning.DrawEvery)
+	h.now = h.now.Add(tuning.PassInterval)
 	h.scheduler.Schedule(h.now)
 	sent := ""
 	for _, machine := range h.scheduler.UrgentMachines(h.now) {
@@ -89,7 +89,7 @@
 			job := service(h, 1)
 			h.deliverDirect()
 			machine := h.registry.All()[0]
-			h.now = h.now.Add(tuning.ServiceWell + time.Second)
+			h.now = h.now.Add(tuning.ServiceHealthyAfter + time.Second)
 			h.heartbeat(machine, wire.TaskStatus{Name: job.Spec.ID + "/0", State: wire.TaskExited, ExitReason: wire.ExitDone})
 			if sent := h.deliverDirect(); job.CompletedTasks() != 0 || !strings.Contains(sent, "run ") && job.AssignedTasks() != 1 {
 				return "not started again: " + sent
@@ -103,7 +103,7 @@
 			if h.deliverDirect(); job.AssignedTasks() != 0 {
 				return "started again at once"
 			}
-			h.now = h.now.Add(tuning.RetryPause + time.Second)
+			h.now = h.now.Add(tuning.RetryInitial + time.Second)
 			if h.deliverDirect(); job.AssignedTasks() != 1 {
 				return "not started again"
 			}
@@ -142,7 +142,7 @@
 				other = h.registry.All()[1]
 			}
 			delete(other.Images, "img")
-			from.machine.Recall = h.now.Add(30 * time.Second)
+			from.machine.PreemptionTime = h.now.Add(30 * time.Second)
 			h.now = h.now.Add(time.Second)
 			if sent := h.deliverDirect(); strings.Contains(sent, "stop") {
 				return "stopped before its image is anywhere else"
@@ -168,7 +168,7 @@
 					delete(machine.Images, "img")
 				}
 			}
-			from.Recall = h.now.Add(30 * time.Second)
+			from.PreemptionTime = h.now.Add(30 * time.Second)
 			h.now = h.now.Add(28 * time.Second)
 			if sent := h.deliverDirect(); !strings.Contains(sent, "stop") {
 				return "left to go with its machine"
@@ -189,7 +189,7 @@
 				h.now = h.now.Add(time.Second)
 			}
 			for _, machine := range h.registry.All() {
-				if machine.Faulty {
+				if machine.Quarantined {
 					return "blamed " + machine.Host
 				}
 			}
@@ -201,7 +201,7 @@
 		{"one that served well and then fails on some machines is not at fault", 5, func(h *testHarness) string {
 			job := service(h, 1)
 			h.deliverDirect()
-			h.now = h.now.Add(tuning.ServiceWell + time.Second)
+			h.now = h.now.Add(tuning.ServiceHealthyAfter + time.Second)
 			for range 4 {
 				for _, machine := range h.registry.All() {
 					if h.machinesOf(job)[machine.Host] > 0 {
@@ -210,7 +210,7 @@
 						break
 					}
 				}
-				h.now = h.now.Add(tuning.RetryPause + 100*time.Millisecond)
+				h.now = h.now.Add(tuning.RetryInitial + 100*time.Millisecond)
 				if h.deliverDirect(); job.AssignedTasks() != 1 {
 					return "held back"
 				}
@@ -219,7 +219,7 @@
 		}},
 		{"its age raises it over nobody", 1, func(h *testHarness) string {
 			old := h.addJob("blue", wire.ShapeService, "low", 9, 0)
-			h.now = h.now.Add(tuning.StarveAfter + time.Hour)
+			h.now = h.now.Add(tuning.StarvationTimeout + time.Hour)
 			young := h.addJob("blue", wire.ShapeBatch, "normal", 1, 1)
 			h.scheduler.Schedule(h.now)
 			if old.starving(h.now) || h.scheduler.starvationBoost(h.now, old) != 0 || old.effectivePriority > young.effectivePriority {
@@ -233,7 +233,7 @@
 			h.now = h.now.Add(time.Minute)
 			h.scheduler.Consolidate(h.now)
 			for _, machine := range h.registry.All() {
-				if machine.Closing {
+				if machine.Cordoned {
 					return "emptied " + machine.Host
 				}
 			}
@@ -261,13 +261,13 @@
 			job := service(h, 1)
 			h.deliverDirect()
 			at := job.tasks[0].machine
-			h.registry.Set(h.now, at, worker.Silent, "test")
+			h.registry.SetState(h.now, at, worker.Unresponsive, "test")
 			for range 50 {
 				if sent := h.deliverDirect(); strings.Contains(sent, "run ") {
 					return "started beside the one that hangs"
 				}
 			}
-			h.registry.Set(h.now, at, worker.Lapsed, "test")
+			h.registry.SetState(h.now, at, worker.LeaseExpired, "test")
 			h.scheduler.ReleaseMachine(h.now, at, "test")
 			if h.deliverDirect(); job.AssignedTasks() != 1 || h.machinesOf(job)[at.Host] != 0 {
 				return "not started elsewhere"
@@ -278,7 +278,7 @@
 			job := service(h, 1)
 			h.deliverDirect()
 			from := job.tasks[0].machine
-			from.Recall = h.now.Add(30 * time.Second)
+			from.PreemptionTime = h.now.Add(30 * time.Second)
 			h.now = h.now.Add(time.Second)
 			if sent := h.deliverDirect(); !strings.Contains(sent, "stop") {
 				return "does not move"
@@ -306,10 +306,10 @@
 			from := job.tasks[0].machine
 			for _, machine := range h.registry.All() {
 				if machine.Zone != from.Zone && h.machinesOf(job)[machine.Host] == 0 {
-					machine.Faulty = true // only a machine of the same zone is left
+					machine.Quarantined = true // only a machine of the same zone is left
 				}
 			}
-			from.Recall = h.now.Add(30 * time.Second)
+			from.PreemptionTime = h.now.Add(30 * time.Second)
 			h.now = h.now.Add(time.Second)
 			if sent := h.deliverDirect(); !strings.Contains(sent, "stop") {
 				return "does not move while there is a place"
@@ -329,7 +329,7 @@
 			h.deliverDirect()
 			zone := job.tasks[1].machine.Zone
 			lost := job.tasks[0].machine
-			h.registry.Set(h.now, lost, worker.Lapsed, "test")
+			h.registry.SetState(h.now, lost, worker.LeaseExpired, "test")
 			h.scheduler.ReleaseMachine(h.now, lost, "test")
 			h.deliverDirect()
 			if at := job.tasks[0].machine; at == nil || at.Zone != zone {
@@ -409,7 +409,7 @@
 			job := service(h, 1)
 			h.deliverDirect()
 			at := job.tasks[0].machine
-			h.registry.Set(h.now, at, worker.Lapsed, "test")
+			h.registry.SetState(h.now, at, worker.LeaseExpired, "test")
 			h.scheduler.ReleaseMachine(h.now, at, "test")
 			if sent := h.deliverDirect(); !strings.Contains(sent, "run ") || h.machinesOf(job)[at.Host] != 0 {
 				return "sent " + sent
--- a/internal/placement/start_marker.go
+++ b/internal/placement/start_marker.go
@@ -19,7 +19,7 @@
 // may wait for theirs after a takeover: no room is looked for until then.
 func (s *Scheduler) canRequestStartMarker(job *Job) bool {
 	return s.RequestStartMarker == nil || job.startMarker == startMarkerDurable ||
-		job.startMarker == startMarkerAbsent && (s.pendingStartMarkers < tuning.BeginAhead || job.IsGang() && s.pendingStartMarkers < tuning.BeginGangs)
+		job.startMarker == startMarkerAbsent && (s.pendingStartMarkers < tuning.StartMarkersAhead || job.IsGang() && s.pendingStartMarkers < tuning.MaxGangStartMarkers)
 }
 
 // ensureStartMarker tells whether a job's tasks may be handed out, and sees to its mark.
