--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"context"
 	"encoding/json"
-	"fmt"
 	"io"
 	"net/http"
 	"net/url"
@@ -15,90 +14,131 @@
 	"juniperchute/internal/wire"
 )
 
-// Client speaks to the state service over HTTP.
+// Client sends calls to the state service over HTTP. It is safe for concurrent use.
 type Client struct {
 	baseURL string
 	http    *http.Client
 	now     func() time.Time
 }
 
-// NewClient makes a client of the service at addr.
+// NewClient makes a client of the service at an address, host:port. now is the clock
+// that Result.SentAt is read from.
 func NewClient(address string, transport http.RoundTripper, now func() time.Time) *Client {
 	return &Client{baseURL: "http://" + address, http: &http.Client{Transport: transport}, now: now}
 }
 
-// Execute carries out a call. It blocks until the answer or the call's time limit.
+// Execute sends a call. It blocks until the response has come or the call's timeout has
+// passed, and reports failures in the result.
 func (c *Client) Execute(ctx context.Context, call Call) Result {
-	limit := call.Timeout()
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, call.Timeout())
 	defer cancel()
-	method, path, body := call.request()
-	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, bytes.NewReader(body))
+	request, err := c.newRequest(ctx, call)
+	sentAt := c.now()
 	if err != nil {
-		return Result{Err: noResponse(err), SentAt: c.now()}
+		return Result{Err: noResponse(err), SentAt: sentAt}
 	}
-	if body != nil {
-		req.Header.Set("Content-Type", "application/json")
+	status, body, err := c.exchange(request)
+	if err != nil {
+		return Result{Err: noResponse(err), SentAt: sentAt}
 	}
-	res := Result{SentAt: c.now()}
-	resp, err := c.http.Do(req)
+	result := decodeResult(call.Op, status, body)
+	result.SentAt = sentAt
+	return result
+}
+
+func (c *Client) newRequest(ctx context.Context, call Call) (*http.Request, error) {
+	encoded := encodeCall(call)
+	address := c.baseURL + encoded.path
+	request, err := http.NewRequestWithContext(ctx, encoded.method, address, bytes.NewReader(encoded.body))
 	if err != nil {
-		res.Err = noResponse(err)
-		return res
+		return nil, err
+	}
+	if encoded.body != nil {
+		request.Header.Set("Content-Type", "application/json")
 	}
-	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, tuning.StateAnswerBytes+1))
+	return request, nil
+}
+
+// exchange sends a request and reads the response, of its body at most one byte more
+// than tuning.StateAnswerBytes.
+func (c *Client) exchange(request *http.Request) (status int, body []byte, err error) {
+	response, err := c.http.Do(request)
 	if err != nil {
-		res.Err = noResponse(err)
-		return res
+		return 0, nil, err
 	}
-	if len(raw) > tuning.StateAnswerBytes && call.Op == OpWatch {
-		// Asked again the same changes would come, and more: the keys have to be read
-		// anew, a page at a time.
-		res.Err = ErrCompacted
-		return res
+	defer response.Body.Close()
+	body, err = io.ReadAll(io.LimitReader(response.Body, tuning.StateAnswerBytes+1))
+	return response.StatusCode, body, err
+}
+
+// responseBody has the fields of all responses of the service.
+type responseBody struct {
+	wire.KeyValue
+	Items    []wire.KeyValue
+	More     bool
+	Revision uint64   `json:"Epoch"`
+	Failed   []string `json:"failed"`
+	Events   []wire.Event
+}
+
+func decodeResult(op Op, status int, raw []byte) Result {
+	if len(raw) > tuning.StateAnswerBytes && op == OpWatch {
+		// A second watch would return the same changes and more: the keys have to be
+		// listed again, a page at a time.
+		return Result{Err: ErrCompacted}
 	}
-	var out struct {
-		wire.KeyValue
-		Items    []wire.KeyValue
-		More     bool
-		Revision uint64   `json:"Epoch"`
-		Failed   []string `json:"failed"`
-		Events   []wire.Event
+	var body responseBody
+	if err := json.Unmarshal(raw, &body); err != nil && status == http.StatusOK {
+		return Result{Err: noResponse(err)}
 	}
-	if err := json.Unmarshal(raw, &out); err != nil && resp.StatusCode == http.StatusOK {
-		// an answer that cannot be read is as good as none
-		res.Err = noResponse(err)
-		return res
+	return Result{
+		Err:       statusError(status, body.Failed),
+		KeyValue:  body.KeyValue,
+		KeyValues: body.Items,
+		More:      body.More,
+		Revision:  body.Revision,
+		Lease:     body.Lease,
+		Events:    body.Events,
 	}
-	res.Err = statusError(resp.StatusCode, out.Failed)
-	res.KeyValue, res.KeyValues, res.More = out.KeyValue, out.Items, out.More
-	res.Revision, res.Lease, res.Events = out.Revision, out.Lease, out.Events
-	return res
 }
 
-// noResponse is ErrNoResponse with its cause.
-func noResponse(cause error) error { return fmt.Errorf("%w: %w", ErrNoResponse, cause) }
+// encodedCall is the HTTP form of a call.
+type encodedCall struct {
+	method string
+	path   string // with the query
+	body   []byte // nil: none
+}
 
-func (c Call) request() (method, path string, body []byte) {
-	switch c.Op {
+func encodeCall(call Call) encodedCall {
+	switch call.Op {
 	case OpGet:
-		return http.MethodGet, "/kv/" + (&url.URL{Path: c.Key}).EscapedPath(), nil
+		key := &url.URL{Path: call.Key}
+		return encodedCall{method: http.MethodGet, path: "/kv/" + key.EscapedPath()}
 	case OpList:
-		q := "/kv?Under=" + url.QueryEscape(c.Prefix)
-		if c.After != "" {
-			q += "&After=" + url.QueryEscape(c.After)
-		}
-		return http.MethodGet, q + "&Page=" + strconv.Itoa(c.PageSize), nil
+		return encodedCall{method: http.MethodGet, path: listPath(call)}
 	case OpWatch:
-		return http.MethodGet, "/changes?Under=" + url.QueryEscape(c.Prefix) +
-			"&After=" + strconv.FormatUint(c.SinceRevision, 10) + "&WaitMs=" + strconv.Itoa(c.WatchWaitMs), nil
+		return encodedCall{method: http.MethodGet, path: watchPath(call)}
 	case OpGrantLease:
-		b, _ := json.Marshal(struct{ LifeMs int64 }{c.LeaseTTL.Milliseconds()})
-		return http.MethodPost, "/grants", b
+		body, _ := json.Marshal(struct{ LifeMs int64 }{call.LeaseTTL.Milliseconds()})
+		return encodedCall{method: http.MethodPost, path: "/grants", body: body}
 	case OpRenewLease:
-		return http.MethodPost, "/grants/" + strconv.FormatUint(c.Lease, 10) + "/touch", []byte("{}")
+		path := "/grants/" + strconv.FormatUint(call.Lease, 10) + "/touch"
+		return encodedCall{method: http.MethodPost, path: path, body: []byte("{}")}
+	}
+	body, _ := json.Marshal(call.Transaction)
+	return encodedCall{method: http.MethodPost, path: "/multi", body: body}
+}
+
+func listPath(call Call) string {
+	path := "/kv?Under=" + url.QueryEscape(call.Prefix)
+	if call.After != "" {
+		path += "&After=" + url.QueryEscape(call.After)
 	}
-	b, _ := json.Marshal(c.Transaction)
-	return http.MethodPost, "/multi", b
+	return path + "&Page=" + strconv.Itoa(call.PageSize)
+}
+
+func watchPath(call Call) string {
+	return "/changes?Under=" + url.QueryEscape(call.Prefix) +
+		"&After=" + strconv.FormatUint(call.SinceRevision, 10) +
+		"&WaitMs=" + strconv.Itoa(call.WatchWaitMs)
 }
--- /dev/null
+++ b/internal/store/desired_value_test.go
@@ -0,0 +1,84 @@
+package store
+
+import (
+	"testing"
+	"time"
+
+	"juniperchute/internal/wire"
+)
+
+type desiredValueCase struct {
+	name         string
+	results      []Result // of the calls, in order
+	wantDurable  bool
+	wantTermLost bool
+	wantVersion  uint64 // that the last write compares
+}
+
+var desiredValueCases = []desiredValueCase{
+	{
+		name:        "written",
+		results:     []Result{{Revision: 5}},
+		wantDurable: true,
+		wantVersion: 3,
+	},
+	{
+		name:        "unavailable, then written",
+		results:     []Result{{Err: ErrUnavailable}, {Revision: 5}},
+		wantDurable: true,
+		wantVersion: 3,
+	},
+	{
+		name: "no response, and it had been written",
+		results: []Result{
+			{Err: ErrNoResponse},
+			{Err: &ConflictError{FailedKeys: []string{"k"}}},
+			{KeyValue: wire.KeyValue{Version: 4}},
+			{Revision: 5},
+		},
+		wantDurable: true,
+		wantVersion: 4,
+	},
+	{
+		name: "conflict, and the key is deleted",
+		results: []Result{
+			{Err: &ConflictError{FailedKeys: []string{"k"}}},
+			{Err: ErrNotFound},
+			{Revision: 5},
+		},
+		wantDurable: true,
+		wantVersion: 0,
+	},
+	{
+		name:         "the term has ended",
+		results:      []Result{{Err: &ConflictError{FailedKeys: []string{"c/b/0"}}}},
+		wantTermLost: true,
+		wantVersion:  3,
+	},
+}
+
+func TestDesiredValue(t *testing.T) {
+	for _, c := range desiredValueCases {
+		t.Run(c.name, func(t *testing.T) {
+			service := &heldCalls{}
+			termLost := false
+			value := NewDesiredValue("k", 3, PriorityCompletion, VersionEquals("c/b/0", 2), service.call,
+				func(time.Time, int) {}, func(time.Time) { termLost = true })
+			value.Set(1)
+			var lastWrite Call
+			for i, result := range c.results {
+				value.Tick(time.Unix(0, 0).Add(time.Duration(i) * time.Hour))
+				if call := service.reply(t, result); call.Op == OpTransaction {
+					lastWrite = call
+				}
+			}
+			if value.Durable() != c.wantDurable || termLost != c.wantTermLost {
+				t.Errorf("durable %t, term lost %t", value.Durable(), termLost)
+			}
+			compares := lastWrite.Transaction.Compares
+			if compares[0] != VersionEquals("c/b/0", 2) || compares[1] != VersionEquals("k", c.wantVersion) {
+				t.Errorf("compares %v", compares)
+			}
+		})
+	}
+}
--- a/internal/store/errors.go
+++ b/internal/store/errors.go
@@ -43,6 +43,9 @@
 // Unwrap returns ErrConflict.
 func (e *ConflictError) Unwrap() error { return ErrConflict }
 
+// noResponse is ErrNoResponse with its cause.
+func noResponse(cause error) error { return fmt.Errorf("%w: %w", ErrNoResponse, cause) }
+
 // statusError is the error that an HTTP status stands for, nil for 200. The failed keys
 // are those that the response to a transaction names.
 func statusError(status int, failedKeys []string) error {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,9 +1,13 @@
-// Package store is the client of the state service: its calls, its results,
-// and the share of the service's rate that this node may use.
+// Package store is the client of the state service, the consensus-backed key-value store
+// that holds everything the controllers must not lose. It offers single calls (Client), a
+// cache of the keys under a prefix (WatchCache), writers of single keys (DesiredValue) and
+// of many small entries (Pages), and the member's share of the service's rates (RateLimiter).
+//
+// But for Client none of the types is safe for concurrent use: a member's event loop owns
+// them, and calls report back to it through a Caller.
 package store
 
 import (
-	"encoding/json"
 	"errors"
 	"slices"
 	"time"
@@ -30,14 +34,19 @@
 
 // Priorities of calls, in the order in which they may spend the rate.
 const (
+	// PriorityLease is for leases, elections and watches.
 	PriorityLease Priority = iota
-	// PriorityTerm: what a holder has to write down before it can go on: rentals,
-	// used machines, begun jobs.
+	// PriorityTerm is for what a lease holder has to write before it can go on:
+	// provisioning requests, used workers, start markers.
 	PriorityTerm
+	// PriorityUser is for what a user waits for.
 	PriorityUser
+	// PriorityJobEnd is for the ends of jobs.
 	PriorityJobEnd
+	// PriorityCompletion is for completed tasks of jobs that go on.
 	PriorityCompletion
 
+	// Priorities is the number of priorities.
 	Priorities = int(PriorityCompletion) + 1
 )
 
@@ -45,15 +54,15 @@
 type Call struct {
 	Op            Op
 	Priority      Priority
-	Key           string // OpGet
-	Prefix        string // OpList, OpChanges
-	After         string // OpList
-	SinceRevision uint64 // OpChanges
-	PageSize      int    // OpList
-	Transaction   wire.Transaction
-	Lease         uint64        // OpTouch
-	LeaseTTL      time.Duration // OpGrant
-	WatchWaitMs   int           // OpChanges
+	Key           string           // OpGet
+	Prefix        string           // OpList, OpWatch
+	After         string           // OpList: the last key of the page before, "" for the first page
+	PageSize      int              // OpList
+	SinceRevision uint64           // OpWatch: changes after this revision
+	WatchWaitMs   int              // OpWatch: how long to wait for a change
+	Transaction   wire.Transaction // OpTransaction
+	Lease         uint64           // OpRenewLease
+	LeaseTTL      time.Duration    // OpGrantLease
 }
 
 // Timeout is how long a call may take.
@@ -67,16 +76,18 @@
 	return tuning.StateTimeout
 }
 
-// Result is what came of a call.
+// Result is the outcome of a call. Without a response only Err and SentAt are set.
 type Result struct {
-	Err       error // nil when the call was executed as asked
+	// Err is nil when the call was executed as asked, else one of this package's errors.
+	Err error
+	// SentAt is when the call was sent: the response holds whatever was written before.
 	SentAt    time.Time
-	KeyValue  wire.KeyValue
-	KeyValues []wire.KeyValue
-	More      bool
-	Revision  uint64
-	Lease     uint64
-	Events    []wire.Event
+	KeyValue  wire.KeyValue   // OpGet
+	KeyValues []wire.KeyValue // OpList
+	More      bool            // OpList: a further page exists
+	Revision  uint64          // of the service, at the time of the response
+	Lease     uint64          // OpGrantLease, OpRenewLease
+	Events    []wire.Event    // OpWatch
 }
 
 // OK tells whether the call was executed as asked.
@@ -89,19 +100,6 @@
 	return errors.As(r.Err, &conflict) && slices.Contains(conflict.FailedKeys, key)
 }
 
-// Put is a write of a value.
-func Put(key string, value any, lease uint64) wire.Write {
-	raw, err := json.Marshal(value)
-	if err != nil {
-		panic("store: value of " + key + " cannot be written as JSON: " + err.Error())
-	}
-	return wire.Write{Put: key, Value: raw, Lease: lease}
-}
-
-// Delete is the removal of a key.
-func Delete(key string) wire.Write { return wire.Write{Delete: key} }
-
-// VersionEquals is the condition that a key has a version; 0: that it does not exist.
-func VersionEquals(key string, version uint64) wire.Compare {
-	return wire.Compare{Key: key, Version: version}
-}
+// Caller executes a call in the background and passes the result to done, exactly once,
+// on the goroutine that owns all state. now is the time at which done runs.
+type Caller func(call Call, done func(now time.Time, result Result))
--- a/internal/store/watch_cache.go
+++ b/internal/store/watch_cache.go
@@ -10,10 +10,6 @@
 	"juniperchute/internal/wire"
 )
 
-// Caller carries out a call elsewhere and brings the result back to the
-// goroutine that owns all state.
-type Caller func(Call, func(now time.Time, r Result))
-
 type watchState int
 
 const (
