--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -84,14 +84,18 @@
 		settings: admin.Defaults(), peers: map[string]*peerStatus{}, leaseClaims: map[int]*peerpb.LeaseClaim{}, shardOfMachine: map[string]int{}, progressQueries: map[int]*progressQueue{},
 		processID: rng.Uint64() | 1, cancellationLog: submission.NewCancellationLog(blocks, config.Seconds(cfg.Platform.Workers.CancelS), cfg.Platform.State.WriteRPS), forwardingTo: map[string]bool{}}
 	c.membership = leader.New(cfg.Member, blocks, opt.Switches.Announced(), wall, c.callState, log, c.applyControlRecord)
-	c.openJobs = store.NewWatchCache(submission.OpenUnder, c.callState, func(now time.Time, _ string, it wire.KeyValue, gone bool) {
+	openJobs := store.WatchCacheOptions{Prefix: submission.OpenUnder, StateCall: c.callState}
+	openJobs.OnChange = func(now time.Time, _ string, it wire.KeyValue, gone bool) {
 		for _, t := range c.terms {
 			if t.state != termEnded && t.predecessorRecords.readsInFlight == 0 {
 				t.applyOpenJob(now, it, gone)
 			}
 		}
+	}
+	c.openJobs = store.NewWatchCache(openJobs)
+	c.provisionRequests = store.NewWatchCache(store.WatchCacheOptions{
+		Prefix: fleet.UnderRentals, StateCall: c.callState, OnChange: c.applyProvisionRecord,
 	})
-	c.provisionRequests = store.NewWatchCache(fleet.UnderRentals, c.callState, c.applyProvisionRecord)
 	c.submissions = submission.New(cfg.Platform, blocks, wall, c.callState, log,
 		c.allMachineTypes, c.openJobs, c.jobProgress, c.recordCancellation)
 	for _, k := range cfg.Peers {
--- a/internal/leader/membership.go
+++ b/internal/leader/membership.go
@@ -126,7 +126,7 @@
 	other func(now time.Time, key string, it wire.KeyValue, gone bool)) *Membership {
 	s := &Membership{self: self, shards: blocks, announcedFeatures: announced, wallClock: wall, stateCall: call, log: log, onOtherRecord: other,
 		members: map[string]versioned[MemberRecord]{}, shardRecords: map[int]versioned[ShardRecord]{}}
-	s.cache = store.NewWatchCache(ControlPrefix, call, s.applyRecord)
+	s.cache = store.NewWatchCache(store.WatchCacheOptions{Prefix: ControlPrefix, StateCall: call, OnChange: s.applyRecord})
 	return s
 }
 
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -142,7 +142,11 @@
 		t.Fatalf("error %v", result.Err)
 	}
 	service := &heldCalls{}
-	cache := NewWatchCache("c/", service.call, func(time.Time, string, wire.KeyValue, bool) {})
+	cache := NewWatchCache(WatchCacheOptions{
+		Prefix:    "c/",
+		StateCall: service.call,
+		OnChange:  func(time.Time, string, wire.KeyValue, bool) {},
+	})
 	cache.Tick(time.Unix(100, 0))
 	service.reply(t, Result{Revision: 5})
 	service.reply(t, result)
--- a/internal/store/watch_cache.go
+++ b/internal/store/watch_cache.go
@@ -10,238 +10,233 @@
 	"juniperchute/internal/wire"
 )
 
+// WatchCacheOptions are what a WatchCache is made of.
+type WatchCacheOptions struct {
+	Prefix    string // of the keys
+	StateCall Caller
+	// OnChange is called for each change, in order, once the cache holds it. A deleted
+	// key comes with its last value.
+	OnChange func(now time.Time, key string, item wire.KeyValue, deleted bool)
+}
+
+// WatchCache keeps a copy of all keys with a prefix. It lists them, then watches for
+// changes, and lists them again when it has fallen too far behind.
+//
+//	idle -> listing -> watching -> watching ...
+//	          |  ^        |
+//	          |  +--------+   the revision is compacted
+//	          +-> idle <--+   a call has failed, or the next watch has to wait
+//
+// Except when idle exactly one list or watch is in flight. A catch-up, for those who wait
+// for a current cache, goes on beside them.
+type WatchCache struct {
+	// MinWatchInterval is the least time between two watches, so that a busy prefix does
+	// not cost a call for each change. WaitCurrent does not wait for it.
+	MinWatchInterval time.Duration
+
+	options WatchCacheOptions
+	state   watchState
+	retryAt time.Time // when an idle cache makes its next call
+
+	items       map[string]wire.KeyValue
+	revision    uint64 // up to which all changes have been applied
+	synced      bool
+	lastContact time.Time
+	currentAsOf time.Time
+
+	list    listProgress
+	catchUp catchUp
+}
+
 type watchState int
 
 const (
-	watchIdle      watchState = iota // nothing under way
-	watchListing                     // reading all keys
-	watchFollowing                   // waiting for changes
+	watchIdle     watchState = iota // nothing in flight
+	watchListing                    // a page of the list is in flight
+	watchWatching                   // a watch is in flight
 )
 
-// WatchCache keeps a copy of all keys with a prefix. It lists them, then follows
-// their changes, and lists again when it has fallen too far behind.
-type WatchCache struct {
-	// MinWatchInterval is the least time between two watches, so that a busy prefix does
-	// not cost a request for each change. Sync does not wait for it.
-	MinWatchInterval time.Duration
-	prefix           string
-	stateCall        Caller
-	onChange         func(now time.Time, key string, it wire.KeyValue, gone bool)
-
-	state        watchState
-	round        int // tells answers of an abandoned round apart
-	listCount    int // counts the lists begun
-	synced       bool
-	revision     uint64
-	lastContact  time.Time
-	currentAsOf  time.Time // all that was written by then has been taken in
-	listSentAt   time.Time // when the first call of the list under way was sent
-	retryAt      time.Time
-	items        map[string]wire.KeyValue
-	listedKeys   map[string]bool // keys listed in this round
-	listRevision uint64          // the revision that this round's list began at
-
-	catchingUp  bool
-	catchUpAt   time.Time
-	waiters     []func(now time.Time, ok bool) // for the sync under way
-	nextWaiters []func(now time.Time, ok bool) // for the one after it
-}
-
-// NewWatchCache makes a mirror of the keys under a prefix; change is told of each
-// change, in order.
-func NewWatchCache(under string, call Caller,
-	change func(now time.Time, key string, it wire.KeyValue, gone bool)) *WatchCache {
-	return &WatchCache{prefix: under, stateCall: call, onChange: change, items: map[string]wire.KeyValue{}}
-}
-
-// Synced tells whether all keys have been read at least once.
-func (m *WatchCache) Synced() bool { return m.synced }
-
-// LastContact is when the state service last answered this mirror.
-func (m *WatchCache) LastContact() time.Time { return m.lastContact }
-
-// CurrentAsOf is the moment up to which all changes have surely been taken in.
-func (m *WatchCache) CurrentAsOf() time.Time { return m.currentAsOf }
-
-// WaitCurrent brings the mirror up to whatever the service holds by now and then tells
-// so. Calls that come while one is under way share the next one: the one under
-// way may be older than they are. Two begin no sooner than gap after each other.
-func (m *WatchCache) WaitCurrent(now time.Time, gap time.Duration, then func(now time.Time, ok bool)) {
-	m.nextWaiters = append(m.nextWaiters, then)
-	m.catchUp(now, gap)
-}
-
-func (m *WatchCache) catchUp(now time.Time, gap time.Duration) {
-	if m.catchingUp || len(m.nextWaiters) == 0 || now.Before(m.catchUpAt) {
-		return
-	}
-	m.waiters, m.nextWaiters = m.nextWaiters, nil
-	m.catchingUp, m.catchUpAt = true, now.Add(gap)
-	finish := func(now time.Time, ok bool) {
-		m.catchingUp = false
-		done := m.waiters
-		m.waiters = nil
-		for _, f := range done {
-			f(now, ok)
-		}
-		m.catchUp(now, gap)
-	}
-	if !m.synced {
-		finish(now, false)
-		return
-	}
-	round := m.listCount
-	m.stateCall(Call{Op: OpWatch, Priority: PriorityUser, Prefix: m.prefix, SinceRevision: m.revision}, func(now time.Time, r Result) {
-		if !r.OK() || m.listCount != round {
-			finish(now, false) // a list under way tells what it finds in its own time
-			return
-		}
-		m.lastContact = now
-		m.applyEvents(now, r)
-		finish(now, true)
-	})
+// listProgress is how far a list of all keys has got.
+type listProgress struct {
+	number   int             // tells the lists of a cache apart
+	revision uint64          // of the first page: changes after it are still to be watched; 0: no page yet
+	sentAt   time.Time       // when the first page was asked for
+	listed   map[string]bool // the keys on the pages so far
 }
 
-// applyEvents takes in the changes up to a revision.
-func (m *WatchCache) applyEvents(now time.Time, r Result) {
-	defer func() {
-		if r.SentAt.After(m.currentAsOf) {
-			m.currentAsOf = r.SentAt
-		}
-	}()
-	if r.Revision <= m.revision {
-		return // another answer, sent later, was here first
-	}
-	for _, ev := range r.Events {
-		if ev.Version > m.revision {
-			m.applyEvent(now, ev)
-		}
-	}
-	m.revision = r.Revision
+// NewWatchCache makes an empty cache. It makes no call before the first Tick.
+func NewWatchCache(options WatchCacheOptions) *WatchCache {
+	return &WatchCache{options: options, items: map[string]wire.KeyValue{}}
 }
 
-// Each calls f for every key, in key order.
-func (m *WatchCache) Each(f func(it wire.KeyValue)) {
-	for _, k := range slices.Sorted(maps.Keys(m.items)) {
-		f(m.items[k])
+// Synced tells whether the cache holds all keys: they have been listed, and the changes
+// since then can be watched.
+func (c *WatchCache) Synced() bool { return c.synced }
+
+// LastContact is when the state service last replied to this cache.
+func (c *WatchCache) LastContact() time.Time { return c.lastContact }
+
+// CurrentAsOf is the time up to which all changes have surely been applied.
+func (c *WatchCache) CurrentAsOf() time.Time { return c.currentAsOf }
+
+// Each calls visit for every key, in key order.
+func (c *WatchCache) Each(visit func(item wire.KeyValue)) {
+	for _, key := range slices.Sorted(maps.Keys(c.items)) {
+		visit(c.items[key])
 	}
 }
 
-// Get returns a key.
-func (m *WatchCache) Get(key string) (wire.KeyValue, bool) {
-	it, ok := m.items[key]
-	return it, ok
+// Get returns a key, and whether it exists.
+func (c *WatchCache) Get(key string) (wire.KeyValue, bool) {
+	item, ok := c.items[key]
+	return item, ok
 }
 
 // Version returns a key's version, 0 when it does not exist.
-func (m *WatchCache) Version(key string) uint64 { return m.items[key].Version }
+func (c *WatchCache) Version(key string) uint64 { return c.items[key].Version }
 
-func (m *WatchCache) setState(s watchState) { m.state = s }
+// Tick makes the calls that are due.
+func (c *WatchCache) Tick(now time.Time) {
+	c.startCatchUp(now, 0)
+	if c.state != watchIdle || now.Before(c.retryAt) {
+		return
+	}
+	if c.synced {
+		c.startWatch()
+	} else {
+		c.startList()
+	}
+}
 
-// Tick starts what is due.
-func (m *WatchCache) Tick(now time.Time) {
-	m.catchUp(now, 0)
-	if m.state != watchIdle || now.Before(m.retryAt) {
+// pause makes the cache idle for some time.
+func (c *WatchCache) pause(now time.Time, interval time.Duration) {
+	c.state = watchIdle
+	c.retryAt = now.Add(interval)
+}
+
+func (c *WatchCache) startList() {
+	c.list = listProgress{number: c.list.number + 1, listed: map[string]bool{}}
+	c.requestPage("")
+}
+
+// requestPage asks for the keys after another one.
+func (c *WatchCache) requestPage(after string) {
+	c.state = watchListing
+	call := Call{
+		Op:       OpList,
+		Priority: PriorityLease,
+		Prefix:   c.options.Prefix,
+		After:    after,
+		PageSize: tuning.ListPage,
+	}
+	c.options.StateCall(call, func(now time.Time, page Result) { c.applyPage(now, after, page) })
+}
+
+func (c *WatchCache) applyPage(now time.Time, after string, page Result) {
+	if !page.OK() {
+		c.pause(now, tuning.MirrorRetry)
 		return
 	}
-	if m.synced {
-		m.watch(now)
+	c.lastContact = now
+	if c.list.revision == 0 {
+		c.list.revision, c.list.sentAt = page.Revision, page.SentAt
+	}
+	last := after
+	for _, item := range page.KeyValues {
+		c.list.listed[item.Key] = true
+		c.put(now, item)
+		last = item.Key
+	}
+	if page.More && last != after {
+		c.requestPage(last)
 		return
 	}
-	m.round++
-	m.listCount++
-	m.listedKeys, m.listRevision = map[string]bool{}, 0
-	m.list(now, "")
+	c.finishList(now)
 }
 
-func (m *WatchCache) backOff(now time.Time) {
-	m.setState(watchIdle)
-	m.retryAt = now.Add(tuning.MirrorRetry)
+// finishList removes what was not listed and goes on with the changes since the first page.
+func (c *WatchCache) finishList(now time.Time) {
+	for _, key := range slices.Sorted(maps.Keys(c.items)) {
+		if !c.list.listed[key] {
+			c.remove(now, key)
+		}
+	}
+	c.list.listed = nil
+	c.revision, c.synced = c.list.revision, true
+	c.currentAsOf = latest(c.currentAsOf, c.list.sentAt)
+	c.startWatch()
 }
 
-func (m *WatchCache) list(now time.Time, after string) {
-	m.setState(watchListing)
-	round := m.round
-	m.stateCall(Call{Op: OpList, Priority: PriorityLease, Prefix: m.prefix, After: after, PageSize: tuning.ListPage}, func(now time.Time, r Result) {
-		if m.round != round {
-			return
-		}
-		if !r.OK() {
-			m.backOff(now)
-			return
-		}
-		m.lastContact = now
-		if m.listRevision == 0 {
-			m.listRevision, m.listSentAt = r.Revision, r.SentAt
-		}
-		last := after
-		for _, it := range r.KeyValues {
-			m.listedKeys[it.Key] = true
-			m.put(now, it)
-			last = it.Key
-		}
-		if r.More && last != after {
-			m.list(now, last)
-			return
-		}
-		for _, k := range slices.Sorted(maps.Keys(m.items)) {
-			if it := m.items[k]; !m.listedKeys[k] {
-				delete(m.items, k)
-				m.onChange(now, k, it, true)
-			}
-		}
-		m.listedKeys, m.revision, m.synced = nil, m.listRevision, true
-		if m.listSentAt.After(m.currentAsOf) {
-			m.currentAsOf = m.listSentAt
-		}
-		m.watch(now)
-	})
+func (c *WatchCache) startWatch() {
+	c.state = watchWatching
+	c.options.StateCall(c.watchCall(PriorityLease, tuning.WatchWait), c.applyWatch)
 }
 
-func (m *WatchCache) put(now time.Time, it wire.KeyValue) {
-	if old, ok := m.items[it.Key]; ok && old.Version >= it.Version {
-		return
+// watchCall asks for the changes since the cache's revision.
+func (c *WatchCache) watchCall(priority Priority, wait time.Duration) Call {
+	return Call{
+		Op:            OpWatch,
+		Priority:      priority,
+		Prefix:        c.options.Prefix,
+		SinceRevision: c.revision,
+		WatchWaitMs:   int(wait.Milliseconds()),
 	}
-	m.items[it.Key] = it
-	m.onChange(now, it.Key, it, false)
 }
 
-func (m *WatchCache) watch(now time.Time) {
-	m.setState(watchFollowing)
-	m.round++
-	round := m.round
-	m.stateCall(Call{Op: OpWatch, Priority: PriorityLease, Prefix: m.prefix, SinceRevision: m.revision, WatchWaitMs: int(tuning.WatchWait.Milliseconds())}, func(now time.Time, r Result) {
-		if m.round != round {
+func (c *WatchCache) applyWatch(now time.Time, result Result) {
+	switch {
+	case errors.Is(result.Err, ErrCompacted):
+		c.synced = false
+		c.state = watchIdle
+		c.Tick(now)
+	case !result.OK():
+		c.pause(now, tuning.MirrorRetry)
+	default:
+		c.lastContact = now
+		c.applyEvents(now, result)
+		if len(result.Events) > 0 && c.MinWatchInterval > 0 {
+			c.pause(now, c.MinWatchInterval)
 			return
 		}
-		switch {
-		case errors.Is(r.Err, ErrCompacted):
-			// too far behind: read all keys again
-			m.synced = false
-			m.setState(watchIdle)
-			m.Tick(now)
-		case !r.OK():
-			m.backOff(now)
-		default:
-			m.lastContact = now
-			m.applyEvents(now, r)
-			if len(r.Events) > 0 && m.MinWatchInterval > 0 {
-				m.setState(watchIdle)
-				m.retryAt = now.Add(m.MinWatchInterval)
-				return
+		c.startWatch()
+	}
+}
+
+// applyEvents applies the changes up to the result's revision.
+func (c *WatchCache) applyEvents(now time.Time, result Result) {
+	if result.Revision > c.revision { // else a later watch or catch-up was faster
+		for _, event := range result.Events {
+			if event.Version > c.revision {
+				c.applyEvent(now, event)
 			}
-			m.watch(now)
 		}
-	})
+		c.revision = result.Revision
+	}
+	c.currentAsOf = latest(c.currentAsOf, result.SentAt)
 }
 
-func (m *WatchCache) applyEvent(now time.Time, ev wire.Event) {
-	if ev.Put != "" {
-		m.put(now, wire.KeyValue{Key: ev.Put, Value: ev.Value, Version: ev.Version})
+func (c *WatchCache) applyEvent(now time.Time, event wire.Event) {
+	if event.Put != "" {
+		c.put(now, wire.KeyValue{Key: event.Put, Value: event.Value, Version: event.Version})
 		return
 	}
-	if it, ok := m.items[ev.Delete]; ok && it.Version < ev.Version {
-		delete(m.items, ev.Delete)
-		m.onChange(now, ev.Delete, it, true)
+	if item, ok := c.items[event.Delete]; ok && item.Version < event.Version {
+		c.remove(now, event.Delete)
+	}
+}
+
+// put sets a key unless the cache holds this version or a newer one: a list may already
+// have shown what a watch reports.
+func (c *WatchCache) put(now time.Time, item wire.KeyValue) {
+	if old, ok := c.items[item.Key]; ok && old.Version >= item.Version {
+		return
 	}
+	c.items[item.Key] = item
+	c.options.OnChange(now, item.Key, item, false)
+}
+
+func (c *WatchCache) remove(now time.Time, key string) {
+	item := c.items[key]
+	delete(c.items, key)
+	c.options.OnChange(now, key, item, true)
 }
--- a/internal/store/watch_cache_test.go
+++ b/internal/store/watch_cache_test.go
@@ -11,12 +11,13 @@
 func TestWatchCache(t *testing.T) {
 	service := &heldCalls{}
 	changes := ""
-	cache := NewWatchCache("q/", service.call, func(_ time.Time, key string, item wire.KeyValue, deleted bool) {
+	onChange := func(_ time.Time, key string, item wire.KeyValue, deleted bool) {
 		if deleted {
 			changes += "-"
 		}
 		changes += key + string(item.Value) + " "
-	})
+	}
+	cache := NewWatchCache(WatchCacheOptions{Prefix: "q/", StateCall: service.call, OnChange: onChange})
 	item := func(key, value string, version uint64) wire.KeyValue {
 		return wire.KeyValue{Key: key, Value: json.RawMessage(value), Version: version}
 	}
--- a/internal/submission/submission_test.go
+++ b/internal/submission/submission_test.go
@@ -30,7 +30,11 @@
 	call := func(c store.Call, then func(time.Time, store.Result)) {
 		d.calls, d.then = append(d.calls, c), append(d.then, then)
 	}
-	d.open = store.NewWatchCache(OpenUnder, call, func(time.Time, string, wire.KeyValue, bool) {})
+	d.open = store.NewWatchCache(store.WatchCacheOptions{
+		Prefix:    OpenUnder,
+		StateCall: call,
+		OnChange:  func(time.Time, string, wire.KeyValue, bool) {},
+	})
 	d.open.Tick(now)
 	d.answer(store.Result{Revision: 10})
 	d.answer(none) // no watch beside the questions
