--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -324,7 +324,14 @@
 				continue
 			}
 			s.known[f.Name] = string(raw)
-			rec := store.NewDesiredValue(underMachineTypes+f.Name, 0, store.PriorityTerm, s.tenure, s.state, func(time.Time, int) {}, s.lost)
+			rec := store.NewDesiredValue(store.DesiredValueOptions{
+				Key:         underMachineTypes + f.Name,
+				Priority:    store.PriorityTerm,
+				TermCompare: s.tenure,
+				StateCall:   s.state,
+				OnDurable:   func(time.Time, int) {},
+				OnTermLost:  s.lost,
+			})
 			rec.Set(all)
 			s.files = append(s.files, rec)
 			rec.Tick(now)
--- a/internal/fleet/rental.go
+++ b/internal/fleet/rental.go
@@ -77,7 +77,9 @@
 }
 
 func (s *Slice) file(h *rental, version uint64) {
-	h.file = store.NewDesiredValue(Rentals(s.block)+h.name, version, store.PriorityTerm, s.tenure, s.state, func(now time.Time, ver int) {
+	file := store.DesiredValueOptions{Key: Rentals(s.block) + h.name, KeyVersion: version, Priority: store.PriorityTerm,
+		TermCompare: s.tenure, StateCall: s.state, OnTermLost: s.lost}
+	file.OnDurable = func(now time.Time, ver int) {
 		s.forgetGone(h, ver)
 		switch h.state {
 		case rentalRecording:
@@ -95,8 +97,9 @@
 				delete(s.rentals, h.name)
 			}
 		}
-	}, s.lost)
-	h.file.OnTooLarge = func(now time.Time) bool { return s.divide(now, h) }
+	}
+	file.OnTooLarge = func(now time.Time) bool { return s.divide(now, h) }
+	h.file = store.NewDesiredValue(file)
 }
 
 // divide gives half of a rental's machines a record of their own: the service has refused
--- a/internal/store/desired_value.go
+++ b/internal/store/desired_value.go
@@ -9,151 +9,183 @@
 	"juniperchute/internal/wire"
 )
 
-type desiredValueState int
-
-const (
-	valueClean          desiredValueState = iota // the service has what is wanted
-	valueDirty                                   // something newer is wanted
-	valueWriting                                 // a write is under way
-	valueReadingVersion                          // the key's version is being read again
-	valueTooLarge                                // the wanted value was refused for its size; a smaller one is awaited
-)
-
-func (s desiredValueState) String() string {
-	return [...]string{"clean", "dirty", "writing", "reading", "refused"}[s]
-}
-
-// DesiredValue keeps one key at a wanted value, through refusals, lost answers and
-// late transactions: each write is conditioned on the version before it and on
-// the tenure, so that a late one fails.
-type DesiredValue struct {
-	Key string
-	// OnTooLarge is told when the service has refused the wanted value for its size and
-	// tells whether its owner will set a smaller one. Without it the value is written
+// DesiredValueOptions are what a DesiredValue is made of.
+type DesiredValueOptions struct {
+	Key         string
+	KeyVersion  uint64 // of the key as it is stored now; 0: it does not exist
+	Priority    Priority
+	TermCompare wire.Compare // holds while the writer's term goes on
+	StateCall   Caller
+	// OnDurable is called with each version of the wanted value that has become durable.
+	OnDurable func(now time.Time, version int)
+	// OnTermLost is called when a write has shown that the term is over.
+	OnTermLost func(now time.Time)
+	// OnTooLarge is called when the service has rejected the wanted value for its size,
+	// and tells whether the owner will set a smaller one. Without it the value is written
 	// again after growing pauses.
 	OnTooLarge func(now time.Time) bool
+}
 
-	priority       Priority
-	termCompare    wire.Compare
-	stateCall      Caller
-	version        uint64
+// DesiredValue keeps one key at a wanted value, through rejections, lost responses and
+// late transactions: each write compares the version before it and the term, so that a
+// late one fails.
+//
+//	clean            Set        -> dirty
+//	dirty            Tick       -> writing; clean when there is no key to delete
+//	writing          written    -> clean; dirty when another value is wanted by now
+//	writing          conflict   -> reading version
+//	writing          too large  -> too large; dirty when the owner sets no smaller value
+//	writing          other      -> dirty, to be tried again after a pause
+//	reading version  any result -> dirty
+//	too large        Set        -> dirty
+type DesiredValue struct {
+	options        DesiredValueOptions
 	state          desiredValueState
+	keyVersion     uint64
 	wanted         json.RawMessage // nil: no key
-	wantedVersion  int             // of what is wanted
-	durableVersion int             // newest version that is durable
+	wantedVersion  int
+	durableVersion int // the newest version of the wanted value that is durable
 	retryAt        time.Time
-	sizeRetryPause time.Duration // after a refusal for the size
-	onDurable      func(now time.Time, ver int)
-	onTermLost     func(now time.Time)
+	sizeRetryPause time.Duration // after the last rejection for the size; 0: there was none
 }
 
-// NewDesiredValue makes the record of a key that now has the given version. done is
-// told of each version that has become durable, lost when the tenure is over.
-func NewDesiredValue(key string, version uint64, priority Priority, termCompare wire.Compare, stateCall Caller,
-	onDurable func(now time.Time, ver int), onTermLost func(now time.Time)) *DesiredValue {
-	return &DesiredValue{Key: key, version: version, priority: priority, termCompare: termCompare, stateCall: stateCall, onDurable: onDurable, onTermLost: onTermLost}
+type desiredValueState int
+
+const (
+	valueClean          desiredValueState = iota // the service has what is wanted
+	valueDirty                                   // a write is due
+	valueWriting                                 // a write is in flight
+	valueReadingVersion                          // the key's version is being read again
+	valueTooLarge                                // the owner is to set a smaller value
+)
+
+// NewDesiredValue makes the writer of a key. Nothing is wanted before the first Set.
+func NewDesiredValue(options DesiredValueOptions) *DesiredValue {
+	return &DesiredValue{options: options, keyVersion: options.KeyVersion}
 }
 
-// Set wants a new value, nil for no key, and returns its version.
-func (r *DesiredValue) Set(value any) int {
-	r.wanted = nil
+// Key is the key that is written.
+func (v *DesiredValue) Key() string { return v.options.Key }
+
+// Set wants another value, nil for no key, and returns its version. The next Tick writes it.
+func (v *DesiredValue) Set(value any) int {
+	v.wanted = nil
 	if value != nil {
-		r.wanted = Put(r.Key, value, 0).Value
+		v.wanted = Put(v.options.Key, value, 0).Value
 	}
-	r.wantedVersion++
-	if r.state == valueClean || r.state == valueTooLarge {
-		r.setState(valueDirty)
+	v.wantedVersion++
+	if v.state == valueClean || v.state == valueTooLarge {
+		v.state = valueDirty
 	}
-	return r.wantedVersion
+	return v.wantedVersion
 }
 
 // WantedVersion is the version of the newest wanted value.
-func (r *DesiredValue) WantedVersion() int { return r.wantedVersion }
+func (v *DesiredValue) WantedVersion() int { return v.wantedVersion }
 
 // Durable tells whether the newest wanted value is durable.
-func (r *DesiredValue) Durable() bool { return r.durableVersion == r.wantedVersion }
-
-func (r *DesiredValue) setState(s desiredValueState) { r.state = s }
+func (v *DesiredValue) Durable() bool { return v.durableVersion == v.wantedVersion }
 
-// Tick starts what is due.
-func (r *DesiredValue) Tick(now time.Time) {
-	if r.state != valueDirty || now.Before(r.retryAt) {
+// Tick makes the write that is due.
+func (v *DesiredValue) Tick(now time.Time) {
+	if v.state != valueDirty || now.Before(v.retryAt) {
 		return
 	}
-	ver, want := r.wantedVersion, r.wanted
-	w := Delete(r.Key)
-	if want != nil {
-		w = wire.Write{Put: r.Key, Value: want}
-	} else if r.version == 0 {
-		r.markDurable(now, ver)
+	if v.wanted == nil && v.keyVersion == 0 {
+		v.markDurable(now, v.wantedVersion)
 		return
 	}
-	r.setState(valueWriting)
-	r.stateCall(Call{Op: OpTransaction, Priority: r.priority, Transaction: wire.Transaction{
-		Compares: []wire.Compare{r.termCompare, VersionEquals(r.Key, r.version)}, Writes: []wire.Write{w},
-	}}, func(now time.Time, res Result) {
-		switch {
-		case res.OK():
-			r.version = res.Revision
-			if want == nil {
-				r.version = 0
-			}
-			r.markDurable(now, ver)
-		case res.ConflictsOn(r.termCompare.Key):
-			r.setState(valueDirty)
-			r.retryAt = now.Add(tuning.RecordRetry)
-			r.onTermLost(now)
-		case errors.Is(res.Err, ErrConflict):
-			r.readVersion(now)
-		case errors.Is(res.Err, ErrInvalid):
-			r.handleTooLarge(now, ver)
-		default:
-			r.setState(valueDirty)
-			r.retryAt = now.Add(tuning.RecordRetry)
-		}
-	})
+	v.startWrite()
+}
+
+// desiredWrite is a write in flight: the wanted value may change meanwhile.
+type desiredWrite struct {
+	version int // of the wanted value
+	deletes bool
 }
 
-// handleTooLarge handles a refusal for the size, by a limit that nobody announced: the same
-// value is not written again and again.
-func (r *DesiredValue) handleTooLarge(now time.Time, ver int) {
-	r.setState(valueDirty)
-	if r.wantedVersion != ver {
-		return // another value is wanted by now
+func (v *DesiredValue) startWrite() {
+	write := desiredWrite{version: v.wantedVersion, deletes: v.wanted == nil}
+	change := wire.Write{Put: v.options.Key, Value: v.wanted}
+	if write.deletes {
+		change = Delete(v.options.Key)
 	}
-	if r.OnTooLarge != nil {
-		r.setState(valueTooLarge)
-		if r.OnTooLarge(now) {
-			return
+	v.state = valueWriting
+	call := Call{Op: OpTransaction, Priority: v.options.Priority, Transaction: wire.Transaction{
+		Compares: []wire.Compare{v.options.TermCompare, VersionEquals(v.options.Key, v.keyVersion)},
+		Writes:   []wire.Write{change},
+	}}
+	v.options.StateCall(call, func(now time.Time, result Result) { v.finishWrite(now, write, result) })
+}
+
+func (v *DesiredValue) finishWrite(now time.Time, write desiredWrite, result Result) {
+	switch {
+	case result.OK():
+		v.keyVersion = result.Revision
+		if write.deletes {
+			v.keyVersion = 0
 		}
-		r.setState(valueDirty)
+		v.markDurable(now, write.version)
+	case result.ConflictsOn(v.options.TermCompare.Key):
+		v.retryAfter(now, tuning.RecordRetry)
+		v.options.OnTermLost(now)
+	case errors.Is(result.Err, ErrConflict):
+		v.readVersion()
+	case errors.Is(result.Err, ErrInvalid):
+		v.handleTooLarge(now, write.version)
+	default:
+		v.retryAfter(now, tuning.RecordRetry)
 	}
-	r.sizeRetryPause = min(max(2*r.sizeRetryPause, tuning.RecordRetry), tuning.RecordRetryMost)
-	r.retryAt = now.Add(r.sizeRetryPause)
 }
 
-func (r *DesiredValue) markDurable(now time.Time, ver int) {
-	r.durableVersion, r.sizeRetryPause = ver, 0
-	r.setState(valueClean)
-	if r.wantedVersion != ver {
-		r.setState(valueDirty)
+func (v *DesiredValue) retryAfter(now time.Time, pause time.Duration) {
+	v.state = valueDirty
+	v.retryAt = now.Add(pause)
+}
+
+func (v *DesiredValue) markDurable(now time.Time, version int) {
+	v.durableVersion, v.sizeRetryPause = version, 0
+	v.state = valueClean
+	if v.wantedVersion != version {
+		v.state = valueDirty
 	}
-	r.onDurable(now, ver)
+	v.options.OnDurable(now, version)
 }
 
-// readVersion learns the key's version after a conflict: an earlier write of ours,
-// thought lost, was applied.
-func (r *DesiredValue) readVersion(now time.Time) {
-	r.setState(valueReadingVersion)
-	r.stateCall(Call{Op: OpGet, Priority: r.priority, Key: r.Key}, func(now time.Time, res Result) {
-		r.setState(valueDirty)
-		switch {
-		case res.OK():
-			r.version = res.KeyValue.Version
-		case errors.Is(res.Err, ErrNotFound):
-			r.version = 0
-		default:
-			r.retryAt = now.Add(tuning.RecordRetry)
+// handleTooLarge handles a rejection for the size, by a limit that nobody announced: the
+// same value is not written again and again.
+func (v *DesiredValue) handleTooLarge(now time.Time, version int) {
+	if v.wantedVersion != version {
+		v.state = valueDirty // another value is wanted by now
+		return
+	}
+	if v.options.OnTooLarge != nil {
+		v.state = valueTooLarge
+		if v.options.OnTooLarge(now) {
+			return
 		}
-	})
+	}
+	v.sizeRetryPause = min(max(2*v.sizeRetryPause, tuning.RecordRetry), tuning.RecordRetryMost)
+	v.retryAfter(now, v.sizeRetryPause)
+}
+
+// readVersion reads the key's version after a conflict: an earlier write, of which no
+// response came, was executed.
+func (v *DesiredValue) readVersion() {
+	v.state = valueReadingVersion
+	call := Call{Op: OpGet, Priority: v.options.Priority, Key: v.options.Key}
+	v.options.StateCall(call, v.finishReadVersion)
+}
+
+func (v *DesiredValue) finishReadVersion(now time.Time, result Result) {
+	switch {
+	case result.OK():
+		v.state = valueDirty
+		v.keyVersion = result.KeyValue.Version
+	case errors.Is(result.Err, ErrNotFound):
+		v.state = valueDirty
+		v.keyVersion = 0
+	default:
+		v.retryAfter(now, tuning.RecordRetry)
+	}
 }
--- a/internal/store/desired_value_test.go
+++ b/internal/store/desired_value_test.go
@@ -62,8 +62,15 @@
 		t.Run(c.name, func(t *testing.T) {
 			service := &heldCalls{}
 			termLost := false
-			value := NewDesiredValue("k", 3, PriorityCompletion, VersionEquals("c/b/0", 2), service.call,
-				func(time.Time, int) {}, func(time.Time) { termLost = true })
+			value := NewDesiredValue(DesiredValueOptions{
+				Key:         "k",
+				KeyVersion:  3,
+				Priority:    PriorityCompletion,
+				TermCompare: VersionEquals("c/b/0", 2),
+				StateCall:   service.call,
+				OnDurable:   func(time.Time, int) {},
+				OnTermLost:  func(time.Time) { termLost = true },
+			})
 			value.Set(1)
 			var lastWrite Call
 			for i, result := range c.results {
--- a/internal/store/pages.go
+++ b/internal/store/pages.go
@@ -63,7 +63,7 @@
 
 func (p *Pages) addPage(n int, version uint64) *page {
 	g := &page{entries: map[string]json.RawMessage{}}
-	g.value = NewDesiredValue(p.prefix+strconv.Itoa(n), version, p.priority, p.termCompare, p.stateCall, func(now time.Time, ver int) {
+	g.value = NewDesiredValue(DesiredValueOptions{Key: p.prefix + strconv.Itoa(n), KeyVersion: version, Priority: p.priority, TermCompare: p.termCompare, StateCall: p.stateCall, OnDurable: func(now time.Time, ver int) {
 		due := g.waiters
 		g.waiters = nil
 		for _, w := range due {
@@ -73,8 +73,7 @@
 				g.waiters = append(g.waiters, w)
 			}
 		}
-	}, p.onTermLost)
-	g.value.OnTooLarge = func(time.Time) bool { return p.lowerLimit(g) }
+	}, OnTermLost: p.onTermLost, OnTooLarge: func(time.Time) bool { return p.lowerLimit(g) }})
 	for len(p.pages) <= n {
 		p.pages = append(p.pages, nil)
 	}
@@ -86,11 +85,11 @@
 // and tells whether it could be.
 func (p *Pages) lowerLimit(g *page) bool {
 	if p.maxPageBytes <= tuning.PageLeast {
-		p.log.Error("the state service refuses even a small page", "key", g.value.Key, "bytes", g.size)
+		p.log.Error("the state service refuses even a small page", "key", g.value.Key(), "bytes", g.size)
 		return false
 	}
 	p.maxPageBytes = max(tuning.PageLeast, min(p.maxPageBytes, g.size)/2)
-	p.log.Warn("the state service has refused a page for its size", "key", g.value.Key, "bytes", g.size, "limit", p.maxPageBytes)
+	p.log.Warn("the state service has refused a page for its size", "key", g.value.Key(), "bytes", g.size, "limit", p.maxPageBytes)
 	g.dirty = true
 	if p.OnLimitLowered != nil {
 		p.OnLimitLowered()
--- a/internal/store/watch_cache.go
+++ b/internal/store/watch_cache.go
@@ -22,10 +22,11 @@
 // WatchCache keeps a copy of all keys with a prefix. It lists them, then watches for
 // changes, and lists them again when it has fallen too far behind.
 //
-//	idle -> listing -> watching -> watching ...
-//	          |  ^        |
-//	          |  +--------+   the revision is compacted
-//	          +-> idle <--+   a call has failed, or the next watch has to wait
+//	idle               Tick       -> watching; listing while not synced
+//	listing            page       -> listing the next one; watching after the last
+//	watching           changes    -> watching; idle until the next watch may be made
+//	watching           compacted  -> listing
+//	listing, watching  failed     -> idle until the retry
 //
 // Except when idle exactly one list or watch is in flight. A catch-up, for those who wait
 // for a current cache, goes on beside them.
