--- a/internal/store/rate_limiter.go
+++ b/internal/store/rate_limiter.go
@@ -5,229 +5,107 @@
 	"slices"
 	"time"
 
-	"golang.org/x/time/rate"
-
 	"juniperchute/internal/config"
 	"juniperchute/internal/tuning"
 	"juniperchute/internal/wire"
 )
 
-// limitLevel tells which of the service's rates a budget keeps to.
-type limitLevel int
-
-const (
-	limitsCurrent limitLevel = iota // the rate that the settings give
-	limitsLowered                   // the rate to come: refusals have shown it
-	limitsTrial                     // the present rate again, to see whether it is refused
-)
-
-func (l limitLevel) String() string {
-	return [...]string{"present", "lowered", "trial"}[l]
-}
-
-// RateLimiter is this node's share of the state service's rates. The nodes do not
-// speak to each other about it: each keeps to a share that together stays
-// near the limit, and the service's own 429 corrects the rest.
+// RateLimiter is this member's share of the state service's rates. The members do not
+// coordinate it: each keeps to a share that together stays near the limit, and the
+// service's own rejections correct the rest.
 type RateLimiter struct {
-	calls  *rate.Limiter
-	writes *rate.Limiter
-	// kept back, in writes, from each class for the classes before it
-	reservedWrites [Priorities]float64
-
-	nodes           int
-	share           float64   // of the rates that this node uses
-	writesWaited    bool      // a write has waited for the share since it was last reviewed
-	shareReviewAt   time.Time // when the share is reviewed
-	currentLimits   config.StateLimits
-	upcomingLimits  config.StateLimits
-	level           limitLevel
-	rejections      int       // counted since refusedSince
-	rejectionsSince time.Time // when the first refusal counted came
-	levelChangeAt   time.Time // when a lowered rate is tried again, or a trial has passed
-	loweredFor      time.Duration
-}
-
-// NewRateLimiter makes the budget of one of n nodes.
-func NewRateLimiter(limits config.StateLimits, n int) *RateLimiter {
-	b := &RateLimiter{nodes: max(1, n), currentLimits: limits, upcomingLimits: limits.Upcoming(), loweredFor: tuning.RaiseAfter}
-	b.share = b.minShare()
-	b.applyLimits(limits)
-	return b
-}
-
-// minShare is the part of the rates that a node uses whatever the others do.
-func (b *RateLimiter) minShare() float64 {
-	if b.nodes == 1 {
-		return 1
-	}
-	return tuning.StateShare
+	buckets rateBuckets
+	share   rateShare
+	limits  serviceLimits
 }
 
-// growShare lets the node use more of the rates while its writes wait and the service
-// refuses nothing: the others then need less than their parts.
-func (b *RateLimiter) growShare(now time.Time) {
-	if now.Before(b.shareReviewAt) {
-		return
-	}
-	b.shareReviewAt = now.Add(tuning.ShareEvery)
-	if !b.writesWaited {
-		return
-	}
-	b.writesWaited = false
-	b.setShare(now, min(1, b.share+tuning.ShareStep))
-}
-
-// setShare changes the rates to another share, without a new burst.
-func (b *RateLimiter) setShare(now time.Time, share float64) {
-	if share == b.share {
-		return
-	}
-	b.share = share
-	limits := b.currentLimits
-	if b.level == limitsLowered {
-		limits = b.upcomingLimits
-	}
-	calls, writes := limits.RPS*share, limits.WriteRPS*share
-	b.calls.SetLimitAt(now, rate.Limit(calls))
-	b.calls.SetBurstAt(now, max(1, int(calls)))
-	b.writes.SetLimitAt(now, rate.Limit(writes))
-	b.writes.SetBurstAt(now, max(1, int(writes)))
-	b.reserveWrites(writes)
+// NewRateLimiter makes the rate limiter of one of some members.
+func NewRateLimiter(limits config.StateLimits, members int) *RateLimiter {
+	l := &RateLimiter{share: newRateShare(members), limits: newServiceLimits(limits)}
+	l.buckets = newRateBuckets(l.rates())
+	return l
 }
 
-// reserveWrites sets what each class leaves of a bucket for the classes before it.
-func (b *RateLimiter) reserveWrites(writes float64) {
-	for c := range b.reservedWrites {
-		b.reservedWrites[c] = writes * tuning.WriteReserve[c]
+// Take spends the rate for a call, or tells how long to wait before asking again.
+func (l *RateLimiter) Take(now time.Time, call Call) (wait time.Duration, ok bool) {
+	l.reviewLevel(now)
+	l.setShare(now, l.share.review(now))
+	if !l.buckets.allowCall(now) {
+		return tuning.BudgetRetry, false
 	}
-}
-
-// applyLimits sets the rates to this node's share of some limits.
-func (b *RateLimiter) applyLimits(limits config.StateLimits) {
-	calls, writes := limits.RPS*b.share, limits.WriteRPS*b.share
-	b.calls = rate.NewLimiter(rate.Limit(calls), max(1, int(calls)))
-	b.writes = rate.NewLimiter(rate.Limit(writes), max(1, int(writes)))
-	b.reserveWrites(writes)
-}
-
-// setLevel is the one place that changes the level.
-func (b *RateLimiter) setLevel(now time.Time, level limitLevel) {
-	b.level = level
-	b.rejections = 0
-	switch level {
-	case limitsLowered:
-		b.levelChangeAt = now.Add(b.loweredFor)
-		b.loweredFor = min(2*b.loweredFor, tuning.RaiseAfterMost)
-		b.applyLimits(b.upcomingLimits)
-	case limitsTrial:
-		b.levelChangeAt = now.Add(tuning.LowerWithin)
-		b.applyLimits(b.currentLimits)
+	if !l.buckets.allowWrites(now, call) {
+		l.share.writesWaited = true
+		return tuning.BudgetRetry, false
 	}
+	l.buckets.spend(now, call)
+	return 0, true
 }
 
-// Observe takes in what came of a call and tells whether it has just shown that the service
-// lowered its limits to the ones to come, which nobody announces: refusals for the rate
-// beyond what the nodes' uneven shares explain, or one for a value's or transaction's
-// size. A burst of other nodes looks the same, so the present rate is tried again later,
-// at growing intervals.
-func (b *RateLimiter) Observe(now time.Time, c Call, err error) (lowered bool) {
+// Observe takes in the outcome of a call, Result.Err, and tells whether it has just shown
+// that the service has lowered its limits to the upcoming ones, which nobody announces:
+// more rejections for the rate than the members' uneven shares explain, or one for the
+// size of a value or transaction. A burst of other members looks the same, so the current
+// limits are tried again later, at growing intervals.
+func (l *RateLimiter) Observe(now time.Time, call Call, err error) (lowered bool) {
 	switch {
-	case rejectedForSize(c, err):
-		b.rejections = tuning.LowerAfter
+	case rejectedForSize(call, err):
+		l.limits.countSizeRejection()
 	case errors.Is(err, ErrThrottled):
-		b.setShare(now, b.minShare())
-		b.shareReviewAt = now.Add(tuning.SharePause)
-		b.drainBucket(now, c)
-		b.countRejection(now)
+		l.setShare(now, l.share.least())
+		l.share.reviewAt = now.Add(tuning.SharePause)
+		l.buckets.drain(now, call)
+		l.limits.countRateRejection(now)
 	default:
 		return false
 	}
-	if b.level == limitsLowered || b.rejections < b.rejectionsToLower() {
+	if !l.limits.lowerDue() {
 		return false
 	}
-	b.setLevel(now, limitsLowered)
+	l.setLevel(now, limitsLowered)
 	return true
 }
 
-// rejectedForSize tells whether a write was refused for a limit of size: the only other
-// cause is a lease that has ended.
-func rejectedForSize(c Call, err error) bool {
-	leased := slices.ContainsFunc(c.Transaction.Writes, func(w wire.Write) bool { return w.Lease != 0 })
-	return errors.Is(err, ErrInvalid) && len(c.Transaction.Writes) > 0 && !leased
+// rejectedForSize tells whether a write was rejected for a limit of size: the only other
+// cause is a lease that has expired.
+func rejectedForSize(call Call, err error) bool {
+	writes := call.Transaction.Writes
+	leased := slices.ContainsFunc(writes, func(w wire.Write) bool { return w.Lease != 0 })
+	return errors.Is(err, ErrInvalid) && len(writes) > 0 && !leased
 }
 
-// drainBucket empties the bucket of the rate that was refused: other nodes have used it up. As
-// it fills again the most urgent classes may spend it first.
-func (b *RateLimiter) drainBucket(now time.Time, c Call) {
-	bucket := b.calls
-	if len(c.Transaction.Writes) > 0 {
-		bucket = b.writes
-	}
-	if n := int(bucket.TokensAt(now)); n > 0 {
-		bucket.AllowN(now, n)
-	}
+// rates are the rates that the member may use, each second.
+type rates struct {
+	calls  float64
+	writes float64
 }
 
-func (b *RateLimiter) countRejection(now time.Time) {
-	if now.Sub(b.rejectionsSince) > tuning.LowerWithin {
-		b.rejections, b.rejectionsSince = 0, now
-	}
-	b.rejections++
-	if b.level == limitsLowered {
-		// even the lowered rate is refused: others have not noticed yet
-		b.levelChangeAt = latest(b.levelChangeAt, now.Add(tuning.RaiseAfter))
-	}
+func (l *RateLimiter) rates() rates {
+	limits := l.limits.inForce()
+	return rates{calls: limits.RPS * l.share.part, writes: limits.WriteRPS * l.share.part}
 }
 
-func latest(a, b time.Time) time.Time {
-	if a.After(b) {
-		return a
-	}
-	return b
-}
-
-// rejectionsToLower is how many refusals within LowerWithin lower the rate.
-func (b *RateLimiter) rejectionsToLower() int {
-	if b.level == limitsTrial {
-		return tuning.LowerAfterTrial
+// setShare changes the rates to another share, without a new burst.
+func (l *RateLimiter) setShare(now time.Time, part float64) {
+	if part == l.share.part {
+		return
 	}
-	return tuning.LowerAfter
+	l.share.part = part
+	l.buckets.setRates(now, l.rates())
 }
 
-// reviewLevel moves on to a trial of the present rate, or back to it for good, when it is time.
-func (b *RateLimiter) reviewLevel(now time.Time) {
-	if now.Before(b.levelChangeAt) {
-		return
-	}
-	switch b.level {
-	case limitsLowered:
-		b.setLevel(now, limitsTrial)
-	case limitsTrial:
-		b.setLevel(now, limitsCurrent)
+// reviewLevel goes on to a trial of the current limits, or back to them for good, when it
+// is time.
+func (l *RateLimiter) reviewLevel(now time.Time) {
+	if level := l.limits.levelDue(now); level != l.limits.level {
+		l.setLevel(now, level)
 	}
 }
 
-// Take spends the rate for a call, or tells how long to wait before asking
-// again.
-func (b *RateLimiter) Take(now time.Time, c Call) (wait time.Duration, ok bool) {
-	b.reviewLevel(now)
-	b.growShare(now)
-	if b.calls.TokensAt(now) < 1 {
-		return tuning.BudgetRetry, false
+// setLevel goes on to another level, with full buckets of its limits. After a trial the
+// buckets already are those of the current limits.
+func (l *RateLimiter) setLevel(now time.Time, level limitLevel) {
+	l.limits.setLevel(now, level)
+	if level != limitsCurrent {
+		l.buckets = newRateBuckets(l.rates())
 	}
-	if n := len(c.Transaction.Writes); n > 0 {
-		need := float64(n)
-		// a transaction larger than the bucket waits for a full bucket and
-		// leaves a debt behind
-		if most := float64(b.writes.Burst()); need+b.reservedWrites[c.Priority] > most {
-			need = most - b.reservedWrites[c.Priority]
-		}
-		if b.writes.TokensAt(now) < need+b.reservedWrites[c.Priority] {
-			b.writesWaited = true
-			return tuning.BudgetRetry, false
-		}
-		b.writes.AllowN(now, min(n, b.writes.Burst()))
-	}
-	b.calls.AllowN(now, 1)
-	return 0, true
 }
--- a/internal/store/rate_limiter_test.go
+++ b/internal/store/rate_limiter_test.go
@@ -10,240 +10,336 @@
 	"juniperchute/internal/wire"
 )
 
-func TestBudgetOrder(t *testing.T) {
+// oneWrite is a transaction with one write.
+func oneWrite(priority Priority) Call {
+	return Call{Op: OpTransaction, Priority: priority, Transaction: wire.Transaction{Writes: []wire.Write{Delete("a")}}}
+}
+
+// fallingLimits are 20 writes a second now and 10 later.
+func fallingLimits(callsPerSecond float64) config.StateLimits {
+	return config.StateLimits{RPS: callsPerSecond, WriteRPS: 20, Next: config.UpcomingLimits{"write_rps": 10.0}}
+}
+
+func TestRateLimiterPriorities(t *testing.T) {
 	now := time.Unix(100, 0)
-	write := func(c Priority) Call {
-		return Call{Op: OpTransaction, Priority: c, Transaction: wire.Transaction{Writes: []wire.Write{Delete("a")}}}
-	}
-	b := NewRateLimiter(config.StateLimits{RPS: 200, WriteRPS: 20}, 1)
-	spend := func(c Priority) (n int) {
+	limiter := NewRateLimiter(config.StateLimits{RPS: 200, WriteRPS: 20}, 1)
+	spend := func(priority Priority) (writes int) {
 		for {
-			if _, ok := b.Take(now, write(c)); !ok {
-				return n
+			if _, ok := limiter.Take(now, oneWrite(priority)); !ok {
+				return writes
 			}
-			n++
+			writes++
 		}
 	}
-	// each class leaves something for the ones before it
-	tallies, finals, users, leases := spend(PriorityCompletion), spend(PriorityJobEnd), spend(PriorityUser), spend(PriorityLease)
-	if tallies != 12 || finals != 4 || users != 2 || leases != 2 {
-		t.Errorf("tallies %d, finals %d, users %d, leases %d of a bucket of 20", tallies, finals, users, leases)
+	// each priority leaves something for the ones before it
+	for _, c := range []struct {
+		name     string
+		priority Priority
+		want     int
+	}{
+		{name: "completions", priority: PriorityCompletion, want: 12},
+		{name: "ends of jobs", priority: PriorityJobEnd, want: 4},
+		{name: "users", priority: PriorityUser, want: 2},
+		{name: "leases", priority: PriorityLease, want: 2},
+	} {
+		if got := spend(c.priority); got != c.want {
+			t.Errorf("%s: %d writes of a bucket of 20, want %d", c.name, got, c.want)
+		}
 	}
-	if _, ok := b.Take(now, Call{Op: OpGet}); !ok {
+	if _, ok := limiter.Take(now, Call{Op: OpGet}); !ok {
 		t.Error("a read was held back by writes")
 	}
 	now = now.Add(time.Second)
-	if _, ok := b.Take(now, write(PriorityCompletion)); !ok {
+	if _, ok := limiter.Take(now, oneWrite(PriorityCompletion)); !ok {
 		t.Error("the bucket did not fill again")
 	}
 }
 
-// Nobody tells when the limits fall: refusals beyond what uneven shares explain do, or
-// one for a size. Until then the present rate is used.
-func TestBudgetLowers(t *testing.T) {
-	write := Call{Op: OpTransaction, Priority: PriorityUser, Transaction: wire.Transaction{Writes: []wire.Write{Delete("a")}}}
-	leased := Call{Op: OpTransaction, Transaction: wire.Transaction{Writes: []wire.Write{{Put: "c/leader", Lease: 7}}}}
-	for _, c := range []struct {
-		name  string
-		call  Call
-		err   error
-		every time.Duration
-		n     int
-		want  bool
-	}{
-		{"answers as usual", write, nil, time.Millisecond, 100, false},
-		{"conflicts", write, &ConflictError{}, time.Millisecond, 100, false},
-		{"an outage", write, ErrUnavailable, time.Millisecond, 100, false},
-		{"a few refusals in a burst", write, ErrThrottled, 100 * time.Millisecond, 8, false},
-		{"refusals now and then", write, ErrThrottled, 2 * time.Second, 60, false},
-		{"a rate of refusals", write, ErrThrottled, 300 * time.Millisecond, 20, true},
-		{"one for a size", write, ErrInvalid, 0, 1, true},
-		{"a lease that has ended", leased, ErrInvalid, 0, 3, false},
-		{"a malformed question", Call{Op: OpGet}, ErrInvalid, 0, 3, false},
-	} {
+type lowerCase struct {
+	name     string
+	call     Call
+	err      error
+	interval time.Duration
+	count    int
+	want     bool
+}
+
+var lowerCases = []lowerCase{
+	{
+		name: "responses as usual", call: oneWrite(PriorityUser), err: nil,
+		interval: time.Millisecond, count: 100, want: false,
+	},
+	{
+		name: "conflicts", call: oneWrite(PriorityUser), err: &ConflictError{},
+		interval: time.Millisecond, count: 100, want: false,
+	},
+	{
+		name: "an outage", call: oneWrite(PriorityUser), err: ErrUnavailable,
+		interval: time.Millisecond, count: 100, want: false,
+	},
+	{
+		name: "a few rejections in a burst", call: oneWrite(PriorityUser), err: ErrThrottled,
+		interval: 100 * time.Millisecond, count: 8, want: false,
+	},
+	{
+		name: "rejections now and then", call: oneWrite(PriorityUser), err: ErrThrottled,
+		interval: 2 * time.Second, count: 60, want: false,
+	},
+	{
+		name: "a rate of rejections", call: oneWrite(PriorityUser), err: ErrThrottled,
+		interval: 300 * time.Millisecond, count: 20, want: true,
+	},
+	{
+		name: "one for a size", call: oneWrite(PriorityUser), err: ErrInvalid,
+		interval: 0, count: 1, want: true,
+	},
+	{
+		name: "an expired lease",
+		call: Call{Op: OpTransaction, Transaction: wire.Transaction{Writes: []wire.Write{{Put: "c/leader", Lease: 7}}}},
+		err:  ErrInvalid, interval: 0, count: 3, want: false,
+	},
+	{
+		name: "a malformed read", call: Call{Op: OpGet}, err: ErrInvalid,
+		interval: 0, count: 3, want: false,
+	},
+}
+
+// Nobody announces when the limits fall: rejections beyond what uneven shares explain do,
+// or one for a size. Until then the current rate is used.
+func TestRateLimiterLowers(t *testing.T) {
+	for _, c := range lowerCases {
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Unix(100, 0)
-			b := NewRateLimiter(config.StateLimits{RPS: 100, WriteRPS: 20, Next: config.UpcomingLimits{"write_rps": 10.0}}, 1)
+			limiter := NewRateLimiter(fallingLimits(100), 1)
 			lowered := false
-			for range c.n {
-				now = now.Add(c.every)
-				lowered = b.Observe(now, c.call, c.err) || lowered
+			for range c.count {
+				now = now.Add(c.interval)
+				lowered = limiter.Observe(now, c.call, c.err) || lowered
 			}
 			now = now.Add(time.Minute)
-			n := 0
+			writes := 0
 			for end := now.Add(10 * time.Second); now.Before(end); now = now.Add(10 * time.Millisecond) {
-				if _, ok := b.Take(now, write); ok {
-					n++
+				if _, ok := limiter.Take(now, oneWrite(PriorityUser)); ok {
+					writes++
 				}
 			}
-			if low := n < 150; lowered != c.want || low != c.want {
-				t.Errorf("lowered %v, %d writes in 10 s", lowered, n)
+			if low := writes < 150; lowered != c.want || low != c.want {
+				t.Errorf("lowered %v, %d writes in 10 s", lowered, writes)
 			}
 		})
 	}
 }
 
-// A lowered rate is tried again after a while, as a burst of other nodes looks like a
-// change of the limits; where the limits have fallen, a trial costs few refusals and the
-// next one comes later.
-func TestBudgetTriesAgain(t *testing.T) {
-	write := Call{Op: OpTransaction, Priority: PriorityUser, Transaction: wire.Transaction{Writes: []wire.Write{Delete("a")}}}
+type trialCase struct {
+	name           string
+	fallen         bool
+	leastRejected  int
+	mostRejected   int
+	leastPerSecond int // writes, at the end
+	mostPerSecond  int
+}
+
+var trialCases = []trialCase{
+	{
+		name: "a burst passes", fallen: false,
+		leastRejected: 0, mostRejected: 0,
+		leastPerSecond: 18, mostPerSecond: 21,
+	},
+	{
+		name: "the limits have fallen", fallen: true,
+		leastRejected: 1, mostRejected: 60,
+		leastPerSecond: 8, mostPerSecond: 11,
+	},
+}
+
+// A lowered rate is tried again after a while, as a burst of other members looks like a
+// change of the limits; where the limits have fallen, a trial costs few rejections and
+// the next one comes later.
+func TestRateLimiterTrial(t *testing.T) {
 	const hours = 2
-	for _, c := range []struct {
-		name        string
-		fallen      bool
-		wantRefused [2]int // in all, least and most
-		wantWrites  [2]int // a second, at the end
-	}{
-		{"a burst passes", false, [2]int{0, 0}, [2]int{18, 21}},
-		{"the limits have fallen", true, [2]int{1, 60}, [2]int{8, 11}},
-	} {
+	for _, c := range trialCases {
 		t.Run(c.name, func(t *testing.T) {
-			b := NewRateLimiter(config.StateLimits{RPS: 100, WriteRPS: 20, Next: config.UpcomingLimits{"write_rps": 10.0}}, 1)
+			limiter := NewRateLimiter(fallingLimits(100), 1)
 			start := time.Unix(100, 0)
 			now := start
 			for range tuning.LowerAfter {
 				now = now.Add(100 * time.Millisecond)
-				b.Observe(now, write, ErrThrottled)
+				limiter.Observe(now, oneWrite(PriorityUser), ErrThrottled)
 			}
-			if b.level != limitsLowered {
-				t.Fatalf("level %v", b.level)
+			if limiter.limits.level != limitsLowered {
+				t.Fatalf("level %v", limiter.limits.level)
 			}
-			service, refused, last := 10.0, 0, 0
+			tokens, rejected, last := 10.0, 0, 0
 			for end := start.Add(hours * time.Hour); now.Before(end); now = now.Add(20 * time.Millisecond) {
-				service = min(10, service+0.2) // ten a second, with bursts of a second
-				if _, ok := b.Take(now, write); !ok {
+				tokens = min(10, tokens+0.2) // ten a second, with bursts of a second
+				if _, ok := limiter.Take(now, oneWrite(PriorityUser)); !ok {
 					continue
 				}
-				if c.fallen && service < 1 {
-					refused++
-					b.Observe(now, write, ErrThrottled)
+				if c.fallen && tokens < 1 {
+					rejected++
+					limiter.Observe(now, oneWrite(PriorityUser), ErrThrottled)
 					continue
 				}
-				service--
+				tokens--
 				if end.Sub(now) <= 10*time.Second {
 					last++
 				}
 			}
-			if refused < c.wantRefused[0] || refused > c.wantRefused[1] {
-				t.Errorf("%d refusals in %d hours", refused, hours)
+			if rejected < c.leastRejected || rejected > c.mostRejected {
+				t.Errorf("%d rejections in %d hours", rejected, hours)
 			}
-			if last < 10*c.wantWrites[0] || last > 10*c.wantWrites[1] {
+			if last < 10*c.leastPerSecond || last > 10*c.mostPerSecond {
 				t.Errorf("%d writes in the last 10 s", last)
 			}
 		})
 	}
 }
 
-// Nodes that share the rate, some of which have noticed that it fell: each notices, and
+// Members that share the rate, some of which have noticed that it fell: each notices, and
 // each goes on getting its most urgent writes through.
-func TestBudgetsShareALoweredRate(t *testing.T) {
+func TestRateLimitersShareLoweredRate(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		nodes   int
+		members int
 		noticed int // of them, at the beginning
 	}{
-		{"nobody has noticed", 3, 0}, {"one has noticed", 3, 1}, {"all but one have noticed", 3, 2}, {"seven nodes, half of them", 7, 3},
+		{name: "nobody has noticed", members: 3, noticed: 0},
+		{name: "one has noticed", members: 3, noticed: 1},
+		{name: "all but one have noticed", members: 3, noticed: 2},
+		{name: "seven members, half of them", members: 7, noticed: 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			limits := config.StateLimits{RPS: 1000, WriteRPS: 20, Next: config.UpcomingLimits{"write_rps": 10.0}}
-			now := time.Unix(100, 0)
-			start := now
-			var budgets []*RateLimiter
-			for i := range c.nodes {
-				b := NewRateLimiter(limits, c.nodes)
-				if i < c.noticed {
-					b.setLevel(now, limitsLowered)
+			shared := newSharedRate(c.members, c.noticed)
+			shared.run(60 * time.Second)
+			for i, limiter := range shared.limiters {
+				if limiter.limits.level != limitsLowered {
+					t.Errorf("member %d has not noticed: %v", i, limiter.limits.level)
 				}
-				budgets = append(budgets, b)
-			}
-			write := func(class Priority) Call {
-				return Call{Op: OpTransaction, Priority: class, Transaction: wire.Transaction{Writes: []wire.Write{Delete("a")}}}
-			}
-			rng := rand.New(rand.NewPCG(1, 1))
-			service := 10.0
-			longest := make([]time.Duration, c.nodes) // between two users' writes
-			lastUser := make([]time.Time, c.nodes)
-			for i := range lastUser {
-				lastUser[i] = now
-			}
-			for now.Sub(start) < 60*time.Second {
-				now = now.Add(20 * time.Millisecond)
-				service = min(10, service+0.2)
-				for _, i := range rng.Perm(c.nodes) {
-					b := budgets[i]
-					// all have more of each class than may be written
-					for _, class := range []Priority{PriorityUser, PriorityCompletion} {
-						if _, ok := b.Take(now, write(class)); !ok {
-							continue
-						}
-						if service < 1 {
-							b.Observe(now, write(class), ErrThrottled)
-							continue
-						}
-						service--
-						b.Observe(now, write(class), nil)
-						if class == PriorityUser {
-							longest[i] = max(longest[i], now.Sub(lastUser[i]))
-							lastUser[i] = now
-						}
-					}
-				}
-			}
-			for i, b := range budgets {
-				if b.level != limitsLowered {
-					t.Errorf("node %d has not noticed: %v", i, b.level)
-				}
-				// all nodes ask for several times the rate all the time
-				if longest[i] > 10*time.Second || now.Sub(lastUser[i]) > 10*time.Second {
-					t.Errorf("node %d waited %v for a user's write", i, longest[i])
+				// all members ask for several times the rate all the time
+				sinceLast := shared.now.Sub(shared.lastUserWrite[i])
+				if shared.longestWait[i] > 10*time.Second || sinceLast > 10*time.Second {
+					t.Errorf("member %d waited %v for a user's write", i, shared.longestWait[i])
 				}
 			}
 		})
 	}
 }
 
-// A node whose writes wait while the others leave theirs uses more than its part, and no
-// more than that once the service refuses something.
-func TestBudgetGrows(t *testing.T) {
-	write := Call{Op: OpTransaction, Priority: PriorityJobEnd, Transaction: wire.Transaction{Writes: []wire.Write{Delete("a")}}}
-	for _, c := range []struct {
-		name       string
-		wanted     int // writes a second
-		refused    bool
-		least      int // written in the last ten seconds
-		most       int
-		finalShare float64
-	}{
-		{"more than its part is wanted, and there is room", 30, false, 180, 201, 1},
-		{"less than its part is wanted", 5, false, 49, 51, tuning.StateShare},
-		{"the others use theirs: refusals", 30, true, 0, 125, tuning.StateShare},
-	} {
+// sharedRate is a service of ten writes a second that several members use.
+type sharedRate struct {
+	now           time.Time
+	rng           *rand.Rand
+	tokens        float64
+	limiters      []*RateLimiter
+	longestWait   []time.Duration // of each member, between two users' writes
+	lastUserWrite []time.Time
+}
+
+func newSharedRate(members, noticed int) *sharedRate {
+	s := &sharedRate{
+		now:           time.Unix(100, 0),
+		rng:           rand.New(rand.NewPCG(1, 1)),
+		tokens:        10,
+		longestWait:   make([]time.Duration, members),
+		lastUserWrite: make([]time.Time, members),
+	}
+	for i := range members {
+		limiter := NewRateLimiter(fallingLimits(1000), members)
+		if i < noticed {
+			limiter.setLevel(s.now, limitsLowered)
+		}
+		s.limiters = append(s.limiters, limiter)
+		s.lastUserWrite[i] = s.now
+	}
+	return s
+}
+
+// run lets all members write for some time. Each has more of each priority than may be
+// written.
+func (s *sharedRate) run(duration time.Duration) {
+	for start := s.now; s.now.Sub(start) < duration; {
+		s.now = s.now.Add(20 * time.Millisecond)
+		s.tokens = min(10, s.tokens+0.2)
+		for _, member := range s.rng.Perm(len(s.limiters)) {
+			for _, priority := range []Priority{PriorityUser, PriorityCompletion} {
+				s.write(member, priority)
+			}
+		}
+	}
+}
+
+// write has a member write once if its rate limiter lets it.
+func (s *sharedRate) write(member int, priority Priority) {
+	limiter, call := s.limiters[member], oneWrite(priority)
+	if _, ok := limiter.Take(s.now, call); !ok {
+		return
+	}
+	if s.tokens < 1 {
+		limiter.Observe(s.now, call, ErrThrottled)
+		return
+	}
+	s.tokens--
+	limiter.Observe(s.now, call, nil)
+	if priority == PriorityUser {
+		s.longestWait[member] = max(s.longestWait[member], s.now.Sub(s.lastUserWrite[member]))
+		s.lastUserWrite[member] = s.now
+	}
+}
+
+type shareCase struct {
+	name      string
+	perSecond int  // writes that are wanted
+	rejected  bool // by the service, once a second
+	least     int  // written in the last ten seconds
+	most      int
+	wantShare float64
+}
+
+var shareCases = []shareCase{
+	{
+		name: "more than its part is wanted, and there is room", perSecond: 30, rejected: false,
+		least: 180, most: 201, wantShare: 1,
+	},
+	{
+		name: "less than its part is wanted", perSecond: 5, rejected: false,
+		least: 49, most: 51, wantShare: tuning.StateShare,
+	},
+	{
+		name: "the others use theirs: rejections", perSecond: 30, rejected: true,
+		least: 0, most: 125, wantShare: tuning.StateShare,
+	},
+}
+
+// A member whose writes wait while the others leave theirs uses more than its part, and
+// no more than that once the service rejects something.
+func TestRateLimiterShareGrows(t *testing.T) {
+	const seconds = 60
+	call := oneWrite(PriorityJobEnd)
+	for _, c := range shareCases {
 		t.Run(c.name, func(t *testing.T) {
-			b := NewRateLimiter(config.StateLimits{RPS: 1000, WriteRPS: 20}, 3)
+			limiter := NewRateLimiter(config.StateLimits{RPS: 1000, WriteRPS: 20}, 3)
 			now := time.Unix(100, 0)
-			written, owed := 0, 0.0
-			const seconds = 60
+			written, wanted := 0, 0.0
 			for end := now.Add(seconds * time.Second); now.Before(end); now = now.Add(10 * time.Millisecond) {
-				owed = min(owed+float64(c.wanted)/100, 50)
-				for owed >= 1 {
-					if _, ok := b.Take(now, write); !ok {
+				wanted = min(wanted+float64(c.perSecond)/100, 50)
+				for wanted >= 1 {
+					if _, ok := limiter.Take(now, call); !ok {
 						break
 					}
-					owed--
-					if c.refused && now.Nanosecond() == 0 {
-						b.Observe(now, write, ErrThrottled)
+					wanted--
+					if c.rejected && now.Nanosecond() == 0 {
+						limiter.Observe(now, call, ErrThrottled)
 					}
 					if end.Sub(now) <= 10*time.Second {
 						written++
 					}
 				}
-				if c.refused && now.Nanosecond() < 1e7 {
-					b.Observe(now, write, ErrThrottled)
+				if c.rejected && now.Nanosecond() < 1e7 {
+					limiter.Observe(now, call, ErrThrottled)
 				}
 			}
-			if written < c.least || written > c.most || b.share != c.finalShare {
-				t.Errorf("%d writes in the last 10 s, share %g", written, b.share)
+			if written < c.least || written > c.most || limiter.share.part != c.wantShare {
+				t.Errorf("%d writes in the last 10 s, share %g", written, limiter.share.part)
 			}
 		})
 	}
