--- a/internal/controller/completion_bitmaps_test.go
+++ b/internal/controller/completion_bitmaps_test.go
@@ -98,8 +98,16 @@
 			s := &tallyStore{t: t, now: time.Unix(100, 0), limit: c.limit, keys: map[string]wire.KeyValue{}, refused: map[string]int{}}
 			newTenure := func() (*completionBitmaps, *placement.Scheduler, *placement.Job) {
 				board, j := tallyBoard(spec)
-				pages := store.NewPages("t/0/", 2, time.Second, store.PriorityCompletion, store.VersionEquals("c/b/0", 1), s.call,
-					slog.New(slog.NewTextHandler(io.Discard, nil)), func(time.Time) { t.Error("lost") })
+				pages := store.NewPages(store.PagesOptions{
+					Prefix:        "t/0/",
+					ValueKB:       2,
+					WriteInterval: time.Second,
+					Priority:      store.PriorityCompletion,
+					TermCompare:   store.VersionEquals("c/b/0", 1),
+					StateCall:     s.call,
+					Log:           slog.New(slog.NewTextHandler(io.Discard, nil)),
+					OnTermLost:    func(time.Time) { t.Error("lost") },
+				})
 				tl := newCompletionBitmaps(pages, 8)
 				tl.load(slices.Collect(maps.Values(s.keys)), board.OpenJob)
 				return tl, board, j
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -121,7 +121,16 @@
 			tenure := func() (*completionBitmaps, *placement.Job) {
 				board.CloseJob(now, id, now)
 				j := add(id, c.tasks)
-				tl := newCompletionBitmaps(store.NewPages("t/0/", limitKB, time.Second, store.PriorityCompletion, store.VersionEquals("c/b/0", 1), call, quiet, func(time.Time) { t.Error("lost") }), presentKB)
+				tl := newCompletionBitmaps(store.NewPages(store.PagesOptions{
+					Prefix:        "t/0/",
+					ValueKB:       limitKB,
+					WriteInterval: time.Second,
+					Priority:      store.PriorityCompletion,
+					TermCompare:   store.VersionEquals("c/b/0", 1),
+					StateCall:     call,
+					Log:           quiet,
+					OnTermLost:    func(time.Time) { t.Error("lost") },
+				}), presentKB)
 				var all []wire.KeyValue
 				for _, it := range kv {
 					all = append(all, it)
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -87,7 +87,16 @@
 // pages makes pages under a prefix that only this tenure may write.
 func (t *term) pages(under string, every time.Duration, class store.Priority) *store.Pages {
 	valueKB := t.controller.config.Platform.State.StoredLimits().ValueKB
-	return store.NewPages(under, valueKB, every, class, t.termCompare(), t.guardedStateCall, t.log, t.onTermLost)
+	return store.NewPages(store.PagesOptions{
+		Prefix:        under,
+		ValueKB:       valueKB,
+		WriteInterval: every,
+		Priority:      class,
+		TermCompare:   t.termCompare(),
+		StateCall:     t.guardedStateCall,
+		Log:           t.log,
+		OnTermLost:    t.onTermLost,
+	})
 }
 
 // writeStartMarker enters a job as one that may have tasks on machines, and lets them start once
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -134,7 +134,16 @@
 		rentals: map[string]*rental{}, by: map[string]*rental{}, noneUntil: map[string]time.Time{},
 		listed: map[string]bool{}, missing: map[string]int{}, entered: map[string]bool{},
 	}
-	s.used = store.NewPages(UsedUnder(o.Block), o.Facts.State.StoredLimits().ValueKB, tuning.UsedEvery, store.PriorityTerm, o.Tenure, o.State, o.Log, o.Lost)
+	s.used = store.NewPages(store.PagesOptions{
+		Prefix:        UsedUnder(o.Block),
+		ValueKB:       o.Facts.State.StoredLimits().ValueKB,
+		WriteInterval: tuning.UsedEvery,
+		Priority:      store.PriorityTerm,
+		TermCompare:   o.Tenure,
+		StateCall:     o.State,
+		Log:           o.Log,
+		OnTermLost:    o.Lost,
+	})
 	return s
 }
 
--- a/internal/intentlog/log.go
+++ b/internal/intentlog/log.go
@@ -44,7 +44,16 @@
 	for _, d := range Operations() {
 		l.intents[d] = map[string]*Intent{}
 	}
-	l.pages = store.NewPages(LogPrefix(options.Shard), options.ValueKB, tuning.EntriesEvery, store.PriorityTerm, options.TermCompare, options.StateCall, options.Log, options.OnTermLost)
+	l.pages = store.NewPages(store.PagesOptions{
+		Prefix:        LogPrefix(options.Shard),
+		ValueKB:       options.ValueKB,
+		WriteInterval: tuning.EntriesEvery,
+		Priority:      store.PriorityTerm,
+		TermCompare:   options.TermCompare,
+		StateCall:     options.StateCall,
+		Log:           options.Log,
+		OnTermLost:    options.OnTermLost,
+	})
 	return l
 }
 
--- /dev/null
+++ b/internal/store/pages_load.go
@@ -0,0 +1,81 @@
+package store
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+	"strconv"
+	"strings"
+
+	"juniperchute/internal/tuning"
+	"juniperchute/internal/wire"
+)
+
+// Load takes over the pages of earlier terms and calls visit for each entry, in key order
+// within a page. A page that cannot be read keeps its place and is never written.
+func (p *Pages) Load(items []wire.KeyValue, visit func(key string, value json.RawMessage)) {
+	for _, item := range items {
+		if err := p.loadPage(item, visit); err != nil {
+			p.options.Log.Error("page cannot be read", "key", item.Key, "error", err)
+			p.unreadable++
+		}
+	}
+}
+
+// Unreadable is how many pages could not be read: their entries are not known.
+func (p *Pages) Unreadable() int { return p.unreadable }
+
+func (p *Pages) loadPage(item wire.KeyValue, visit func(key string, value json.RawMessage)) error {
+	number, err := p.pageNumber(item.Key)
+	if err != nil {
+		return err
+	}
+	loaded := p.addPage(number, item.Version)
+	entries, err := decodeEntries(item.Value)
+	if err != nil {
+		loaded.unreadable = true
+		return err
+	}
+	for _, key := range slices.Sorted(maps.Keys(entries)) {
+		p.loadEntry(loaded, key, entries[key])
+		visit(key, entries[key])
+	}
+	return nil
+}
+
+func (p *Pages) loadEntry(loaded *page, key string, value json.RawMessage) {
+	if other := p.pageOf[key]; other != nil {
+		// the earlier term ended while the entry moved: which copy is newer is not known
+		p.stalePagesOf[key] = append(p.stalePagesOf[key], other)
+	}
+	loaded.load(key, value)
+	p.pageOf[key] = loaded
+}
+
+// pageNumber is the number in a page's key.
+func (p *Pages) pageNumber(key string) (int, error) {
+	number, err := strconv.Atoi(strings.TrimPrefix(key, p.options.Prefix))
+	if err != nil {
+		return 0, fmt.Errorf("parse page number: %w", err)
+	}
+	if number < 0 || number > tuning.PagesMost {
+		return 0, fmt.Errorf("parse page number: %d is out of range", number)
+	}
+	return number, nil
+}
+
+// errNoEntries is the error of a page whose value is null.
+var errNoEntries = errors.New("decode page: no entries")
+
+func decodeEntries(raw json.RawMessage) (map[string]json.RawMessage, error) {
+	var entries map[string]json.RawMessage
+	if err := json.Unmarshal(raw, &entries); err != nil {
+		return nil, fmt.Errorf("decode page: %w", err)
+	}
+	if entries == nil {
+		return nil, errNoEntries
+	}
+	return entries, nil
+}
