--- a/internal/store/desired_value_test.go
+++ b/internal/store/desired_value_test.go
@@ -51,7 +51,7 @@
 	},
 	{
 		name:         "the term has ended",
-		results:      []Result{{Err: &ConflictError{FailedKeys: []string{"c/b/0"}}}},
+		results:      []Result{{Err: &ConflictError{FailedKeys: []string{termKey}}}},
 		wantTermLost: true,
 		wantVersion:  3,
 	},
@@ -66,7 +66,7 @@
 				Key:         "k",
 				KeyVersion:  3,
 				Priority:    PriorityCompletion,
-				TermCompare: VersionEquals("c/b/0", 2),
+				TermCompare: VersionEquals(termKey, 2),
 				StateCall:   service.call,
 				OnDurable:   func(time.Time, int) {},
 				OnTermLost:  func(time.Time) { termLost = true },
@@ -83,7 +83,7 @@
 				t.Errorf("durable %t, term lost %t", value.Durable(), termLost)
 			}
 			compares := lastWrite.Transaction.Compares
-			if compares[0] != VersionEquals("c/b/0", 2) || compares[1] != VersionEquals("k", c.wantVersion) {
+			if compares[0] != VersionEquals(termKey, 2) || compares[1] != VersionEquals("k", c.wantVersion) {
 				t.Errorf("compares %v", compares)
 			}
 		})
--- a/internal/store/watch_cache.go
+++ b/internal/store/watch_cache.go
@@ -36,7 +36,7 @@
 	MinWatchInterval time.Duration
 
 	options WatchCacheOptions
-	state   watchState
+	state   watchCacheState
 	retryAt time.Time // when an idle cache makes its next call
 
 	items       map[string]wire.KeyValue
@@ -49,12 +49,12 @@
 	catchUp catchUp
 }
 
-type watchState int
+type watchCacheState int
 
 const (
-	watchIdle     watchState = iota // nothing in flight
-	watchListing                    // a page of the list is in flight
-	watchWatching                   // a watch is in flight
+	cacheIdle     watchCacheState = iota // nothing in flight
+	cacheListing                         // a page of the list is in flight
+	cacheWatching                        // a watch is in flight
 )
 
 // listProgress is how far a list of all keys has got.
@@ -99,7 +99,7 @@
 // Tick makes the calls that are due.
 func (c *WatchCache) Tick(now time.Time) {
 	c.startCatchUp(now, 0)
-	if c.state != watchIdle || now.Before(c.retryAt) {
+	if c.state != cacheIdle || now.Before(c.retryAt) {
 		return
 	}
 	if c.synced {
@@ -111,7 +111,7 @@
 
 // pause makes the cache idle for some time.
 func (c *WatchCache) pause(now time.Time, interval time.Duration) {
-	c.state = watchIdle
+	c.state = cacheIdle
 	c.retryAt = now.Add(interval)
 }
 
@@ -122,7 +122,7 @@
 
 // requestPage asks for the keys after another one.
 func (c *WatchCache) requestPage(after string) {
-	c.state = watchListing
+	c.state = cacheListing
 	call := Call{
 		Op:       OpList,
 		Priority: PriorityLease,
@@ -169,7 +169,7 @@
 }
 
 func (c *WatchCache) startWatch() {
-	c.state = watchWatching
+	c.state = cacheWatching
 	c.options.StateCall(c.watchCall(PriorityLease, tuning.WatchWait), c.applyWatch)
 }
 
@@ -188,7 +188,7 @@
 	switch {
 	case errors.Is(result.Err, ErrCompacted):
 		c.synced = false
-		c.state = watchIdle
+		c.state = cacheIdle
 		c.Tick(now)
 	case !result.OK():
 		c.pause(now, tuning.MirrorRetry)
--- a/internal/store/watch_cache_catch_up.go
+++ b/internal/store/watch_cache_catch_up.go
@@ -11,7 +11,7 @@
 	nextWaiters []catchUpWaiter // for the one after it
 }
 
-// catchUpWaiter is told whether the cache is current.
+// catchUpWaiter is called with whether the cache is current.
 type catchUpWaiter func(now time.Time, ok bool)
 
 // WaitCurrent brings the cache up to whatever the service holds by now and then calls
