--- a/internal/intentlog/log.go
+++ b/internal/intentlog/log.go
@@ -47,7 +47,7 @@
 	l.pages = store.NewPages(store.PagesOptions{
 		Prefix:        LogPrefix(options.Shard),
 		ValueKB:       options.ValueKB,
-		WriteInterval: tuning.EntriesEvery,
+		WriteInterval: tuning.IntentWriteInterval,
 		Priority:      store.PriorityTerm,
 		TermCompare:   options.TermCompare,
 		StateCall:     options.StateCall,
@@ -140,7 +140,7 @@
 func (l *Log) Pending() int { return l.pending }
 
 // Full tells whether the log takes no more actions until some are settled.
-func (l *Log) Full() bool { return l.pending >= tuning.EntriesMost }
+func (l *Log) Full() bool { return l.pending >= tuning.MaxOpenIntents }
 
 // Record decides on an action: it may be sent once its entry is durable. It tells false,
 // and changes nothing, if the log is full; an action that is there already stays as it is.
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -67,7 +67,7 @@
 		return 0, nil, err
 	}
 	defer response.Body.Close()
-	body, err = io.ReadAll(io.LimitReader(response.Body, tuning.StateAnswerBytes+1))
+	body, err = io.ReadAll(io.LimitReader(response.Body, tuning.MaxStoreResponseBytes+1))
 	return response.StatusCode, body, err
 }
 
@@ -82,7 +82,7 @@
 }
 
 func decodeResult(op Op, status int, raw []byte) Result {
-	if len(raw) > tuning.StateAnswerBytes && op == OpWatch {
+	if len(raw) > tuning.MaxStoreResponseBytes && op == OpWatch {
 		// A second watch would return the same changes and more: the keys have to be
 		// listed again, a page at a time.
 		return Result{Err: ErrCompacted}
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -135,7 +135,7 @@
 // A response to a watch that is longer than a member reads: a second watch would return
 // as much, so the cache lists the keys again.
 func TestOversizedWatchResponse(t *testing.T) {
-	long := `{"Epoch":9,"Events":[{"Remove":"` + strings.Repeat("x", tuning.StateAnswerBytes) + `"}]}`
+	long := `{"Epoch":9,"Events":[{"Remove":"` + strings.Repeat("x", tuning.MaxStoreResponseBytes) + `"}]}`
 	client := testClient(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, long) })
 	result := client.Execute(t.Context(), Call{Op: OpWatch, Prefix: "c/", WatchWaitMs: 1})
 	if !errors.Is(result.Err, ErrCompacted) {
--- a/internal/store/page.go
+++ b/internal/store/page.go
@@ -87,7 +87,7 @@
 // schedulePrune sets when a pruned page is written if no change comes first.
 func (p *page) schedulePrune(now time.Time) {
 	if p.pruned && p.pruneAt.IsZero() {
-		p.pruneAt = now.Add(tuning.PruneEvery)
+		p.pruneAt = now.Add(tuning.PageRemovalInterval)
 	}
 }
 
--- a/internal/store/pages.go
+++ b/internal/store/pages.go
@@ -50,7 +50,7 @@
 func NewPages(options PagesOptions) *Pages {
 	return &Pages{
 		options:      options,
-		maxPageBytes: int(options.ValueKB * 1024 * tuning.PageFill),
+		maxPageBytes: int(options.ValueKB * 1024 * tuning.PageFillShare),
 		pageOf:       map[string]*page{},
 		stalePagesOf: map[string][]*page{},
 	}
--- a/internal/store/pages_load.go
+++ b/internal/store/pages_load.go
@@ -60,7 +60,7 @@
 	if err != nil {
 		return 0, fmt.Errorf("parse page number: %w", err)
 	}
-	if number < 0 || number > tuning.PagesMost {
+	if number < 0 || number > tuning.MaxPages {
 		return 0, fmt.Errorf("parse page number: %d is out of range", number)
 	}
 	return number, nil
--- a/internal/store/pages_split.go
+++ b/internal/store/pages_split.go
@@ -11,11 +11,11 @@
 // lowerLimit makes the limit of all pages smaller, as the service has rejected one of
 // them for its size, and tells whether it could be: then the rejected page is split.
 func (p *Pages) lowerLimit(rejected *page) bool {
-	if p.maxPageBytes <= tuning.PageLeast {
+	if p.maxPageBytes <= tuning.MinPageBytes {
 		p.options.Log.Error("state service rejects even a small page", "key", rejected.value.Key(), "bytes", rejected.size)
 		return false
 	}
-	p.maxPageBytes = max(tuning.PageLeast, min(p.maxPageBytes, rejected.size)/2)
+	p.maxPageBytes = max(tuning.MinPageBytes, min(p.maxPageBytes, rejected.size)/2)
 	p.options.Log.Warn("page rejected for its size", "key", rejected.value.Key(), "bytes", rejected.size,
 		"limit", p.maxPageBytes)
 	rejected.changed = true
--- a/internal/store/pages_test.go
+++ b/internal/store/pages_test.go
@@ -70,7 +70,7 @@
 	if service.writes != before {
 		t.Errorf("%d writes for removals", service.writes-before)
 	}
-	pages.Tick(service.now.Add(tuning.PruneEvery))
+	pages.Tick(service.now.Add(tuning.PageRemovalInterval))
 	if len(service.keys) != 0 {
 		t.Errorf("%d empty pages are left", len(service.keys))
 	}
@@ -181,7 +181,7 @@
 					t.Errorf("rejected again: %.40s", value)
 				}
 			}
-			most := seconds / int(tuning.RecordRetryMost.Seconds()) * (len(times) + 1)
+			most := seconds / int(tuning.WriterRetryMax.Seconds()) * (len(times) + 1)
 			if len(service.rejected) > most {
 				t.Errorf("%d rejections in an hour, %d values", len(service.rejected), len(times))
 			}
--- a/internal/store/rate_limiter_test.go
+++ b/internal/store/rate_limiter_test.go
@@ -161,7 +161,7 @@
 			limiter := NewRateLimiter(fallingLimits(100), 1)
 			start := time.Unix(100, 0)
 			now := start
-			for range tuning.LowerAfter {
+			for range tuning.RateLowerRefusals {
 				now = now.Add(100 * time.Millisecond)
 				limiter.Observe(now, oneWrite(PriorityUser), ErrThrottled)
 			}
@@ -210,11 +210,11 @@
 	},
 	{
 		name: "less than its part is wanted", perSecond: 5, rejected: false,
-		least: 49, most: 51, wantShare: tuning.StateShare,
+		least: 49, most: 51, wantShare: tuning.StoreRateShare,
 	},
 	{
 		name: "the others use theirs: rejections", perSecond: 30, rejected: true,
-		least: 0, most: 125, wantShare: tuning.StateShare,
+		least: 0, most: 125, wantShare: tuning.StoreRateShare,
 	},
 }
 
--- a/internal/store/rate_limits.go
+++ b/internal/store/rate_limits.go
@@ -37,7 +37,7 @@
 }
 
 func newServiceLimits(limits config.StateLimits) serviceLimits {
-	return serviceLimits{current: limits, upcoming: limits.Upcoming(), lowerFor: tuning.RaiseAfter}
+	return serviceLimits{current: limits, upcoming: limits.Upcoming(), lowerFor: tuning.RateRaiseInitial}
 }
 
 // inForce are the limits to keep to.
@@ -49,16 +49,16 @@
 }
 
 // countSizeRejection counts a rejection for a size, of which one is enough.
-func (s *serviceLimits) countSizeRejection() { s.rejections = tuning.LowerAfter }
+func (s *serviceLimits) countSizeRejection() { s.rejections = tuning.RateLowerRefusals }
 
 func (s *serviceLimits) countRateRejection(now time.Time) {
-	if now.Sub(s.rejectionsSince) > tuning.LowerWithin {
+	if now.Sub(s.rejectionsSince) > tuning.RateLowerWindow {
 		s.rejections, s.rejectionsSince = 0, now
 	}
 	s.rejections++
 	if s.level == limitsLowered {
 		// even the lowered rate is rejected: other members have not noticed yet
-		s.levelReviewAt = latest(s.levelReviewAt, now.Add(tuning.RaiseAfter))
+		s.levelReviewAt = latest(s.levelReviewAt, now.Add(tuning.RateRaiseInitial))
 	}
 }
 
@@ -68,9 +68,9 @@
 	case limitsLowered:
 		return false
 	case limitsTrial:
-		return s.rejections >= tuning.LowerAfterTrial
+		return s.rejections >= tuning.RateTrialRefusals
 	}
-	return s.rejections >= tuning.LowerAfter
+	return s.rejections >= tuning.RateLowerRefusals
 }
 
 // levelDue is the level that time alone leads to.
@@ -90,9 +90,9 @@
 	switch level {
 	case limitsLowered:
 		s.levelReviewAt = now.Add(s.lowerFor)
-		s.lowerFor = min(2*s.lowerFor, tuning.RaiseAfterMost)
+		s.lowerFor = min(2*s.lowerFor, tuning.RateRaiseMax)
 	case limitsTrial:
-		s.levelReviewAt = now.Add(tuning.LowerWithin)
+		s.levelReviewAt = now.Add(tuning.RateLowerWindow)
 	}
 }
 
--- a/internal/store/rate_share.go
+++ b/internal/store/rate_share.go
@@ -27,7 +27,7 @@
 	if s.members == 1 {
 		return 1
 	}
-	return tuning.StateShare
+	return tuning.StoreRateShare
 }
 
 // review returns the part to be used from now on.
@@ -35,10 +35,10 @@
 	if now.Before(s.reviewAt) {
 		return s.part
 	}
-	s.reviewAt = now.Add(tuning.ShareEvery)
+	s.reviewAt = now.Add(tuning.RateShareInterval)
 	if !s.writesWaited {
 		return s.part
 	}
 	s.writesWaited = false
-	return min(1, s.part+tuning.ShareStep)
+	return min(1, s.part+tuning.RateShareStep)
 }
--- a/internal/store/watch_cache.go
+++ b/internal/store/watch_cache.go
@@ -128,14 +128,14 @@
 		Priority: PriorityLease,
 		Prefix:   c.options.Prefix,
 		After:    after,
-		PageSize: tuning.ListPage,
+		PageSize: tuning.ListPageSize,
 	}
 	c.options.StateCall(call, func(now time.Time, page Result) { c.applyPage(now, after, page) })
 }
 
 func (c *WatchCache) applyPage(now time.Time, after string, page Result) {
 	if !page.OK() {
-		c.pause(now, tuning.MirrorRetry)
+		c.pause(now, tuning.WatchCacheRetry)
 		return
 	}
 	c.lastContact = now
@@ -170,7 +170,7 @@
 
 func (c *WatchCache) startWatch() {
 	c.state = cacheWatching
-	c.options.StateCall(c.watchCall(PriorityLease, tuning.WatchWait), c.applyWatch)
+	c.options.StateCall(c.watchCall(PriorityLease, tuning.WatchTimeout), c.applyWatch)
 }
 
 // watchCall asks for the changes since the cache's revision.
@@ -191,7 +191,7 @@
 		c.state = cacheIdle
 		c.Tick(now)
 	case !result.OK():
-		c.pause(now, tuning.MirrorRetry)
+		c.pause(now, tuning.WatchCacheRetry)
 	default:
 		c.lastContact = now
 		c.applyEvents(now, result)
