--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -97,8 +97,16 @@
 		Log:           log,
 		OnOtherRecord: c.applyControlRecord,
 	})
-	c.openJobs = store.NewWatchCache(submission.OpenJobPrefix, c.callState, c.applyOpenJob)
-	c.provisionRequests = store.NewWatchCache(fleet.ProvisioningPrefix, c.callState, c.applyProvisionRequest)
+	c.openJobs = store.NewWatchCache(store.WatchCacheOptions{
+		Prefix:    submission.OpenJobPrefix,
+		StateCall: c.callState,
+		OnChange:  c.applyOpenJob,
+	})
+	c.provisionRequests = store.NewWatchCache(store.WatchCacheOptions{
+		Prefix:    fleet.ProvisioningPrefix,
+		StateCall: c.callState,
+		OnChange:  c.applyProvisionRequest,
+	})
 	c.submissions = submission.New(submission.Options{
 		Platform:           cfg.Platform,
 		Shards:             options.Shards,
--- a/internal/fleet/autoscaler.go
+++ b/internal/fleet/autoscaler.go
@@ -136,7 +136,16 @@
 		requests:              map[string]*provisioningRequest{}, requestByHost: map[string]*provisioningRequest{}, noCapacityUntil: map[string]time.Time{},
 		listed: map[string]bool{}, missedLists: map[string]int{}, registrationStarted: map[string]bool{},
 	}
-	a.registrations = store.NewPages(RegistrationPrefix(options.Shard), options.Config.State.StoredLimits().ValueKB, tuning.RegistrationInterval, store.PriorityTerm, options.TermCompare, options.Store, options.Log, options.OnTermLost)
+	a.registrations = store.NewPages(store.PagesOptions{
+		Prefix:        RegistrationPrefix(options.Shard),
+		ValueKB:       options.Config.State.StoredLimits().ValueKB,
+		WriteInterval: tuning.RegistrationInterval,
+		Priority:      store.PriorityTerm,
+		TermCompare:   options.TermCompare,
+		StateCall:     options.Store,
+		Log:           options.Log,
+		OnTermLost:    options.OnTermLost,
+	})
 	return a
 }
 
@@ -326,7 +335,14 @@
 				continue
 			}
 			a.recordedMachineTypes[machineType.Name] = string(raw)
-			writer := store.NewDesiredValue(machineTypePrefix+machineType.Name, 0, store.PriorityTerm, a.termCompare, a.store, func(time.Time, int) {}, a.onTermLost)
+			writer := store.NewDesiredValue(store.DesiredValueOptions{
+				Key:         machineTypePrefix + machineType.Name,
+				Priority:    store.PriorityTerm,
+				TermCompare: a.termCompare,
+				StateCall:   a.store,
+				OnDurable:   func(time.Time, int) {},
+				OnTermLost:  a.onTermLost,
+			})
 			writer.Set(record)
 			a.machineTypeWriters = append(a.machineTypeWriters, writer)
 			writer.Tick(now)
--- a/internal/fleet/provisioning.go
+++ b/internal/fleet/provisioning.go
@@ -77,7 +77,9 @@
 }
 
 func (a *Autoscaler) openWriter(request *provisioningRequest, version uint64) {
-	request.writer = store.NewDesiredValue(ShardProvisioningPrefix(a.shard)+request.name, version, store.PriorityTerm, a.termCompare, a.store, func(now time.Time, version int) {
+	file := store.DesiredValueOptions{Key: ShardProvisioningPrefix(a.shard) + request.name, KeyVersion: version, Priority: store.PriorityTerm,
+		TermCompare: a.termCompare, StateCall: a.store, OnTermLost: a.onTermLost}
+	file.OnDurable = func(now time.Time, version int) {
 		a.forgetDeleted(request, version)
 		switch request.state {
 		case provisioningRecording:
@@ -95,8 +97,9 @@
 				delete(a.requests, request.name)
 			}
 		}
-	}, a.onTermLost)
-	request.writer.OnTooLarge = func(now time.Time) bool { return a.splitRecord(now, request) }
+	}
+	file.OnTooLarge = func(now time.Time) bool { return a.splitRecord(now, request) }
+	request.writer = store.NewDesiredValue(file)
 }
 
 // splitRecord gives half of a rental's machines a record of their own: the service has refused
--- a/internal/term/term.go
+++ b/internal/term/term.go
@@ -132,8 +132,16 @@
 
 // newPages makes pages under a prefix that only this term may write.
 func (t *Term) newPages(prefix string, interval time.Duration, priority store.Priority) *store.Pages {
-	valueKB := t.options.Platform.State.StoredLimits().ValueKB
-	return store.NewPages(prefix, valueKB, interval, priority, t.compare(), t.guardedStateCall, t.log, t.onTermLost)
+	return store.NewPages(store.PagesOptions{
+		Prefix:        prefix,
+		ValueKB:       t.options.Platform.State.StoredLimits().ValueKB,
+		WriteInterval: interval,
+		Priority:      priority,
+		TermCompare:   t.compare(),
+		StateCall:     t.guardedStateCall,
+		Log:           t.log,
+		OnTermLost:    t.onTermLost,
+	})
 }
 
 // Start begins the term: it reads what earlier terms wrote down.
