--- a/internal/leader/lease.go
+++ b/internal/leader/lease.go
@@ -94,7 +94,7 @@
 		JoinedAtMs:  m.options.WallClock().UnixMilli(),
 		Features:    m.options.Features,
 	}
-	m.retryAt = now.Add(+tuning.MemberRetry)
+	m.retryAt = now.Add(tuning.StoreTimeout + tuning.MemberRetry)
 	m.options.StateCall(store.Call{Op: store.OpTransaction, Transaction: wire.Transaction{
 		Compares: []wire.Compare{store.VersionEquals(key, m.cache.Version(key))},
 		Writes:   []wire.Write{store.Put(key, record, lease)},
