--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -57,7 +57,7 @@
 func (c *Clock) add(total time.Duration) {
 	for {
 		old := c.added.Load()
-		if int64(total)-old < int64(tuning.SuspendedLeast) {
+		if int64(total)-old < int64(tuning.MinSuspension) {
 			return
 		}
 		if c.added.CompareAndSwap(old, int64(total)) {
--- a/internal/duty/log.go
+++ b/internal/duty/log.go
@@ -44,7 +44,7 @@
 	for _, d := range All() {
 		l.actions[d] = map[string]*Action{}
 	}
-	l.pages = store.NewPages(LogUnder(opt.Block), opt.ValueKB, tuning.EntriesEvery, store.ClassTenure, opt.Tenure, opt.Call, opt.Log, opt.Lost)
+	l.pages = store.NewPages(LogUnder(opt.Block), opt.ValueKB, tuning.IntentWriteInterval, store.ClassTenure, opt.Tenure, opt.Call, opt.Log, opt.Lost)
 	return l
 }
 
@@ -131,7 +131,7 @@
 func (l *Log) Open() int { return l.open }
 
 // Full tells whether the log takes no more actions until some are settled.
-func (l *Log) Full() bool { return l.open >= tuning.EntriesMost }
+func (l *Log) Full() bool { return l.open >= tuning.MaxOpenIntents }
 
 // Enter decides on an action: it may be sent once its entry is durable. It tells false,
 // and changes nothing, if the log is full; an action that is there already stays as it is.
--- a/internal/leader/membership.go
+++ b/internal/leader/membership.go
@@ -11,7 +11,7 @@
 // until is how long a lease surely stands after a request sent at t was
 // granted: clocks may drift apart, and the holder stops a little early.
 func until(t time.Time) time.Time {
-	return t.Add(tuning.MemberLease - time.Duration(float64(tuning.MemberLease)*2*tuning.ClockDrift) - tuning.LeaseGuard)
+	return t.Add(tuning.MemberLease - time.Duration(float64(tuning.MemberLease)*2*tuning.MaxClockDrift) - tuning.LeaseSafetyMargin)
 }
 
 func (s *Slice) grant(now time.Time) {
@@ -23,7 +23,7 @@
 			return
 		}
 		s.lease, s.deadline, s.touching = r.Lease, until(r.Sent), 0
-		s.touchDue = r.Sent.Add(tuning.MemberTouch)
+		s.touchDue = r.Sent.Add(tuning.MemberRenewInterval)
 		s.set(memberJoining, "lease granted")
 		s.Tick(now)
 	})
@@ -33,11 +33,11 @@
 // before: on a starved machine an answer may take longer than a renewal is due, and
 // one that comes late still counts from when it was asked for.
 func (s *Slice) touch(now time.Time) {
-	if s.touching == tuning.TouchesAtOnce || now.Before(s.touchDue) {
+	if s.touching == tuning.MaxRenewalsInFlight || now.Before(s.touchDue) {
 		return
 	}
 	s.touching++
-	s.touchDue = now.Add(tuning.MemberTouch)
+	s.touchDue = now.Add(tuning.MemberRenewInterval)
 	lease := s.lease
 	s.call(store.Call{Op: store.OpTouch, Lease: lease}, func(now time.Time, r store.Result) {
 		if s.lease != lease {
@@ -62,7 +62,7 @@
 	key := underMem + s.self
 	lease := s.lease
 	rec := MemberRec{Member: s.self, Inc: lease, Since: s.wall().UnixMilli(), Switches: s.announced}
-	s.retry = now.Add(tuning.StateTimeout + tuning.MemberRetry)
+	s.retry = now.Add(tuning.StoreTimeout + tuning.MemberRetry)
 	s.call(store.Call{Op: store.OpMulti, Multi: wire.Multi{
 		When:   []wire.Cond{store.Is(key, s.mirror.Version(key))},
 		Writes: []wire.Write{store.Put(key, rec, lease)},
--- a/internal/node/cancellations.go
+++ b/internal/node/cancellations.go
@@ -25,7 +25,7 @@
 		peers = append(peers, k.Member)
 	}
 	return &cancellations{horizon: leader.NewHorizon(peers), known: map[string]time.Time{},
-		keep: config.Seconds(cfg.Facts.Workers.CancelS) * tuning.CancellationKeep}
+		keep: config.Seconds(cfg.Facts.Workers.CancelS) * tuning.CancellationRetentionFactor}
 }
 
 // note enters a cancellation and tells whether it is news.
@@ -33,7 +33,7 @@
 	if c.has(id) {
 		return false
 	}
-	if len(c.known) >= tuning.CancellationsKept {
+	if len(c.known) >= tuning.MinCancellationsKept {
 		maps.DeleteFunc(c.known, func(_ string, at time.Time) bool { return now.Sub(at) > c.keep })
 	}
 	c.known[id] = now
@@ -49,7 +49,7 @@
 // cannot know to be cancelled must be gone in time.
 func (t *tenure) renewBound() time.Duration {
 	w := t.c.cfg.Facts.Workers
-	return max(tuning.RenewLeast, config.Seconds(w.CancelS)-t.reg.Expiry()-tuning.RenewMargin)
+	return max(tuning.MinRenewBeyondWatermark, config.Seconds(w.CancelS)-t.reg.LeaseExpiry()-tuning.CancellationRenewMargin)
 }
 
 // knows is the moment up to which this holder surely knows all cancellations. A node
@@ -72,8 +72,8 @@
 	if !t.cancelled.note(now, id) {
 		return
 	}
-	t.board.SetUnreadable(id, false)
-	if t.board.Job(id) != nil {
+	t.board.SetJobUnreadable(id, false)
+	if t.board.OpenJob(id) != nil {
 		t.jobOver(now, id)
 	}
 }
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -11,17 +11,17 @@
 
 // direct sends a direct command.
 func (t *tenure) direct(now time.Time, m *worker.Machine, commands []wire.Command) {
-	session := m.Session
+	session := m.Incarnation
 	if session == 0 {
 		session = max(1, t.fencing.sessions[m.Host])
 	}
-	m.DoBusy = true
+	m.CommandInFlight = true
 	command := wire.Do{Token: t.Token, Session: session, Commands: commands}
 	t.c.env.Do(m.Address, command, t.c.leader.Deadline(), func(now time.Time, status int, rep *wire.Report) {
 		if t.state == tenureOver {
 			return
 		}
-		m.DoBusy = false
+		m.CommandInFlight = false
 		t.answeredDirect(now, m, command, status, rep)
 	})
 }
@@ -29,16 +29,16 @@
 // answeredDirect takes in what came of a direct command.
 func (t *tenure) answeredDirect(now time.Time, m *worker.Machine, command wire.Do, status int, rep *wire.Report) {
 	if status == NotSent {
-		t.board.Answered(m, command.Commands)
+		t.board.SettleDirectCommands(m, command.Commands)
 		return
 	}
 	if status != http.StatusOK && status != http.StatusConflict || rep == nil || rep.Host != m.Host {
-		if m.Session == command.Session && len(command.Commands) > 0 {
-			m.OpenDo++
+		if m.Incarnation == command.Session && len(command.Commands) > 0 {
+			m.UnansweredCommands++
 		}
 		return
 	}
-	t.board.Answered(m, command.Commands)
+	t.board.SettleDirectCommands(m, command.Commands)
 	switch {
 	case rep.Token > t.Token:
 		t.end(now, "a machine has seen a higher token")
@@ -57,7 +57,7 @@
 	if t.state == tenureLoading || t.state == tenureOver || !t.c.leader.Entitled(now) {
 		return
 	}
-	t.board.Draw(now)
+	t.board.Schedule(now)
 	t.sendUrgent(now)
 }
 
@@ -66,8 +66,8 @@
 	if t.state == tenureLoading || t.state == tenureOver {
 		return
 	}
-	for _, m := range t.board.Urgent(now) {
-		if commands := t.board.Commands(now, m, placement.Direct); len(commands) > 0 {
+	for _, m := range t.board.UrgentMachines(now) {
+		if commands := t.board.Commands(now, m, placement.DirectCommand); len(commands) > 0 {
 			t.direct(now, m, commands)
 		}
 	}
--- a/internal/node/conns.go
+++ b/internal/node/conns.go
@@ -23,15 +23,15 @@
 // a fifth of the machines may hang at once; clients get whatever the controller itself
 // does not need. Where that is fewer than the machines, workers take turns.
 func newPools(l config.Limits, peers int) pools {
-	p := pools{do: max(tuning.DoCalls, int(float64(l.Sockets)*tuning.DoShare))}
-	own := 2*p.do + stateConns() + tuning.CloudCalls + 2*peers + tuning.OwnSockets
-	p.clients = max(tuning.ClientsLeast, l.Sockets-own)
+	p := pools{do: max(tuning.CommandsInFlight, int(float64(l.Sockets)*tuning.CommandSocketShare))}
+	own := 2*p.do + stateConns() + tuning.CloudCallsInFlight + 2*peers + tuning.ReservedSockets
+	p.clients = max(tuning.MinClientConnections, l.Sockets-own)
 	return p
 }
 
 // stateConns is how many connections to the state service there may be.
 func stateConns() int {
-	return tuning.StateReads + store.Classes*tuning.StateWrites + tuning.StateExtra
+	return tuning.StoreReadsInFlight + store.Classes*tuning.StoreWritesInFlight + tuning.StoreExtraInFlight
 }
 
 // clientListener is the listener for workers, users and health checks. It keeps their
@@ -51,7 +51,7 @@
 }
 
 func newClientListener(l net.Listener, limit int, clock func() time.Time) *clientListener {
-	return &clientListener{Listener: l, limit: limit, shared: int(float64(limit) * tuning.SharedClients), clock: clock, open: map[*clientConn]bool{}}
+	return &clientListener{Listener: l, limit: limit, shared: int(float64(limit) * tuning.KeepAliveConnectionShare), clock: clock, open: map[*clientConn]bool{}}
 }
 
 // clientConn is one connection.
@@ -99,7 +99,7 @@
 	for c := range l.open {
 		switch {
 		case c.idle.IsZero():
-		case !c.used && now.Sub(c.idle) < tuning.FirstRequest:
+		case !c.used && now.Sub(c.idle) < tuning.FirstRequestTimeout:
 			// its first request is on its way: in a burst of new connections each
 			// would take the place of the one before
 		case c.worker:
@@ -171,5 +171,5 @@
 // a worker reports, and a user asks, several times within it, so one that does not
 // is dead, and after a cut there would be one of them for each machine.
 func idleTimeout(w config.Workers) time.Duration {
-	return max(tuning.IdleLeast, config.Seconds(w.ReportS*tuning.IdleReports))
+	return max(tuning.MinConnectionIdleTimeout, config.Seconds(w.ReportS*tuning.IdleConnectionHeartbeats))
 }
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -26,7 +26,7 @@
 // owns the Core.
 type Env interface {
 	State(c store.Call, then func(now time.Time, r store.Result))
-	Cloud(c fleet.Call, then func(now time.Time, r fleet.Result))
+	Cloud(c fleet.CloudCall, then func(now time.Time, r fleet.CloudResult))
 	// Do sends a direct command unless that is only possible after a time: a
 	// process that stood still must not act on what it believed before. Status 0
 	// means that no answer came, NotSent that nothing was sent.
@@ -50,7 +50,7 @@
 	log    *slog.Logger
 
 	leader          *leader.Slice
-	users           *submission.Slice
+	users           *submission.Service
 	open            *store.Mirror  // open jobs of all blocks
 	rentals         *store.Mirror  // rentals of all blocks
 	blockFor        map[string]int // machines by the rentals that name them
@@ -84,14 +84,14 @@
 		settings: admin.Defaults(), peers: map[string]*peerView{}, claims: map[int]*peerpb.Holding{}, blockFor: map[string]int{}, asking: map[int]*asking{},
 		process: rng.Uint64() | 1, cancellationLog: submission.NewCancellationLog(blocks, config.Seconds(cfg.Facts.Workers.CancelS), cfg.Facts.State.WriteRPS), passing: map[string]bool{}}
 	c.leader = leader.New(cfg.Member, blocks, opt.Switches.Announced(), wall, c.state, log, c.control)
-	c.open = store.NewMirror(submission.OpenUnder, c.state, func(now time.Time, _ string, it wire.Item, gone bool) {
+	c.open = store.NewMirror(submission.OpenJobPrefix, c.state, func(now time.Time, _ string, it wire.Item, gone bool) {
 		for _, t := range c.tenures {
 			if t.state != tenureOver && t.records.reading == 0 {
 				t.jobChanged(now, it, gone)
 			}
 		}
 	})
-	c.rentals = store.NewMirror(fleet.UnderRentals, c.state, c.rentalChanged)
+	c.rentals = store.NewMirror(fleet.ProvisioningPrefix, c.state, c.rentalChanged)
 	c.users = submission.New(cfg.Facts, blocks, wall, c.state, log,
 		c.types, c.open, c.progress, c.tell)
 	for _, k := range cfg.Known {
@@ -134,14 +134,14 @@
 	if gone {
 		return
 	}
-	var f fleet.MachineTypeRec
+	var f fleet.MachineTypeRecord
 	if err := json.Unmarshal(it.Value, &f); err != nil {
 		c.log.Error("machine type's record cannot be read", "key", key, "error", err)
 		return
 	}
-	c.machineTypes[name], c.machineTypeRaw[name], c.machineTypesOf = f.MachineType, string(it.Value), f.Of
+	c.machineTypes[name], c.machineTypeRaw[name], c.machineTypesOf = f.MachineType, string(it.Value), f.Total
 	for _, t := range c.tenures {
-		t.fleet.MachineType(f.MachineType, string(it.Value))
+		t.fleet.ApplyMachineType(f.MachineType, string(it.Value))
 	}
 }
 
@@ -216,9 +216,9 @@
 		i++
 	}
 	c.after(now)
-	c.open.Pace, c.rentals.Pace = tuning.OpenPace, tuning.OpenPace
+	c.open.Pace, c.rentals.Pace = tuning.FollowerWatchInterval, tuning.FollowerWatchInterval
 	if len(c.tenures) > 0 {
-		c.open.Pace = tuning.HolderPace
+		c.open.Pace = tuning.OwnerWatchInterval
 	}
 	c.open.Tick(now)
 	c.rentals.Tick(now)
@@ -228,7 +228,7 @@
 		}
 	}
 	if !now.Before(c.pulseDue) {
-		c.pulseDue = now.Add(tuning.PulseEvery)
+		c.pulseDue = now.Add(tuning.PeerHeartbeatInterval)
 		c.pulse(now)
 	}
 }
@@ -241,14 +241,14 @@
 	if !c.leader.Synced() || !c.open.Synced() || len(c.types()) == 0 {
 		return false
 	}
-	if c.silent(now) < tuning.CutAfter+tuning.WatchWait {
+	if c.silent(now) < tuning.IsolatedAfter+tuning.WatchTimeout {
 		return true
 	}
 	alone := len(c.peers) > 0
 	for _, p := range c.peers {
-		if now.Sub(p.heard) < 3*tuning.PulseEvery {
+		if now.Sub(p.heard) < 3*tuning.PeerHeartbeatInterval {
 			alone = false
-			if p.silent < tuning.CutAfter {
+			if p.silent < tuning.IsolatedAfter {
 				return false
 			}
 		}
@@ -269,9 +269,9 @@
 // Waited tells how long the next report has waited for its turn.
 func (c *Core) Waited(d time.Duration) {
 	for _, t := range c.tenures {
-		t.reg.Behind = d
+		t.reg.HeartbeatDelay = d
 	}
 }
 
 // Users is the slice that answers users.
-func (c *Core) Users() *submission.Slice { return c.users }
+func (c *Core) Users() *submission.Service { return c.users }
--- a/internal/node/duties.go
+++ b/internal/node/duties.go
@@ -66,7 +66,7 @@
 
 // readLogs reads the pages of all blocks' logs.
 func (c *Core) readLogs(into dutyLogs, after string, then func(now time.Time, ok bool)) {
-	c.state(store.Call{Op: store.OpList, Class: store.ClassUser, Under: duty.Under, After: after, Page: tuning.ListPage}, func(now time.Time, r store.Result) {
+	c.state(store.Call{Op: store.OpList, Class: store.ClassUser, Under: duty.Under, After: after, Page: tuning.ListPageSize}, func(now time.Time, r store.Result) {
 		if !r.OK() {
 			then(now, false)
 			return
@@ -140,7 +140,7 @@
 		actions[e.Duty] = append(actions[e.Duty], duty.ActionStatus{Duty: e.Duty, Target: e.Target, Token: e.Token, Stage: duty.Entered, EnteredAt: e.At})
 	}
 	c.rentals.Each(func(it wire.Item) {
-		if name, token, open := fleet.Unanswered(it, block); open {
+		if name, token, open := fleet.UnansweredRequest(it, block); open {
 			actions[duty.Renting] = append(actions[duty.Renting], duty.ActionStatus{Duty: duty.Renting, Target: name, Token: token, Stage: duty.Entered})
 		}
 	})
@@ -157,7 +157,7 @@
 	slices.SortStableFunc(s.Actions, func(a, b duty.ActionStatus) int {
 		return cmp.Or(a.EnteredAt.Compare(b.EnteredAt), cmp.Compare(a.Target, b.Target))
 	})
-	for _, a := range s.Actions[:min(len(s.Actions), tuning.DutyEntriesShown)] {
+	for _, a := range s.Actions[:min(len(s.Actions), tuning.MaxIntentsShown)] {
 		out.Actions = append(out.Actions, &peerpb.DutyAction{Target: a.Target, Token: a.Token, Stage: a.Stage.String(), AgeMs: age(c.wall(), a.EnteredAt)})
 	}
 	return out
--- a/internal/node/fencing.go
+++ b/internal/node/fencing.go
@@ -23,7 +23,7 @@
 // unheardUntil is when the lease of a machine that this tenure has not heard
 // is surely over, whatever the holder before it did.
 func (t *tenure) unheardUntil() time.Time {
-	u := t.since.Add(t.reg.Expiry())
+	u := t.since.Add(t.reg.LeaseExpiry())
 	if !t.Ended {
 		u = u.Add(t.renewBound())
 	}
@@ -35,15 +35,15 @@
 func (t *tenure) fence(now time.Time) {
 	for _, m := range t.reg.All() {
 		if t.unheard(m) {
-			if m.Address != "" && !m.DoBusy && !now.Before(t.fencing.due[m.Host]) {
-				t.fencing.due[m.Host] = now.Add(tuning.FenceRetry)
+			if m.Address != "" && !m.CommandInFlight && !now.Before(t.fencing.due[m.Host]) {
+				t.fencing.due[m.Host] = now.Add(tuning.ReconcileRetry)
 				t.direct(now, m, []wire.Command{})
 			}
 		}
 	}
 	if t.account() == 0 && t.state == tenureFencing {
 		t.set(now, tenureOpen, "every machine heard or gone")
-		t.board.Open(now)
+		t.board.MarkReconciled(now)
 	}
 }
 
@@ -51,22 +51,22 @@
 // One that is being deleted is heard by what it says under this tenure's token alone: the
 // answer to an older report renews its lease without telling what is on it.
 func (t *tenure) unheard(m *worker.Machine) bool {
-	return m.State == worker.Unheard || m.State == worker.Deleting && m.Heard.IsZero() && m.Used && !m.LeaseOver
+	return m.State == worker.Unreconciled || m.State == worker.Deleting && m.LastContact.IsZero() && m.Registered && !m.LeaseEnded
 }
 
 // account has the whole room of machines whose tasks are not known count against every
 // limited team, and tells how many have not been heard.
 func (t *tenure) account() (unheard int) {
-	var blocked quota.Room
+	var blocked quota.Resources
 	for _, m := range t.reg.All() {
 		if t.unheard(m) {
 			unheard++
-			blocked = blocked.Add(m.Cap)
-		} else if m.Stranger {
-			blocked = blocked.Add(m.Cap)
+			blocked = blocked.Add(m.Capacity)
+		} else if m.HasUnknownTasks {
+			blocked = blocked.Add(m.Capacity)
 		}
 	}
-	t.book.Block(blocked)
+	t.book.SetUnknownUsage(blocked)
 	return unheard
 }
 
@@ -80,18 +80,18 @@
 	machines := 0
 	each := func(f func(m *worker.Machine)) {
 		for _, m := range t.reg.All() {
-			if (m.State == worker.Up || m.State == worker.Silent) && now.Sub(m.Checked) <= config.Seconds(w.LeaseS) {
+			if (m.State == worker.Up || m.State == worker.Unresponsive) && now.Sub(m.LastHeartbeat) <= config.Seconds(w.LeaseS) {
 				f(m)
 			}
 		}
 	}
 	each(func(m *worker.Machine) {
 		machines++
-		if m.Checked.After(last) {
-			last = m.Checked
+		if m.LastHeartbeat.After(last) {
+			last = m.LastHeartbeat
 		}
 	})
-	t.fencing.unreachable = machines >= tuning.UnreachableMachines && now.Sub(last) > config.Seconds(w.ReportS*tuning.UnreachableReports)+tuning.SilentGrace
+	t.fencing.unreachable = machines >= tuning.IsolationMinMachines && now.Sub(last) > config.Seconds(w.ReportS*tuning.IsolationHeartbeats)+tuning.UnresponsiveGrace
 	if !t.fencing.unreachable || now.Before(t.fencing.probeDue) {
 		return
 	}
--- a/internal/node/http.go
+++ b/internal/node/http.go
@@ -24,7 +24,7 @@
 	mux.HandleFunc("/submissions/", r.job)
 	mux.HandleFunc("/checkin", only(http.MethodPost, r.checkin))
 	mux.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) {
-		answer(w, http.StatusNotFound, submission.Problem{Error: "no such path"}, 0)
+		answer(w, http.StatusNotFound, submission.ErrorBody{Error: "no such path"}, 0)
 	})
 	return &http.Server{
 		Handler:           mux,
@@ -39,7 +39,7 @@
 	return func(w http.ResponseWriter, req *http.Request) {
 		if req.Method != method && !(method == http.MethodGet && req.Method == http.MethodHead) {
 			w.Header().Set("Allow", method)
-			answer(w, http.StatusMethodNotAllowed, submission.Problem{Error: "method not allowed"}, 0)
+			answer(w, http.StatusMethodNotAllowed, submission.ErrorBody{Error: "method not allowed"}, 0)
 			return
 		}
 		h(w, req)
@@ -69,11 +69,11 @@
 // larger is refused unread, and a small one that says its size is read into just that;
 // what a client only claims to send takes no memory.
 func body(w http.ResponseWriter, req *http.Request) ([]byte, bool) {
-	if req.ContentLength <= tuning.BodyBytes {
-		in := http.MaxBytesReader(w, req.Body, tuning.BodyBytes)
+	if req.ContentLength <= tuning.MaxBodyBytes {
+		in := http.MaxBytesReader(w, req.Body, tuning.MaxBodyBytes)
 		var raw []byte
 		var err error
-		if n := req.ContentLength; n >= 0 && n <= tuning.BodyAtOnce {
+		if n := req.ContentLength; n >= 0 && n <= tuning.BodyPreallocateBytes {
 			raw = make([]byte, n)
 			_, err = io.ReadFull(in, raw)
 		} else {
@@ -84,11 +84,11 @@
 		}
 		var big *http.MaxBytesError
 		if !errors.As(err, &big) {
-			answer(w, http.StatusBadRequest, submission.Problem{Error: "body cannot be read"}, 0)
+			answer(w, http.StatusBadRequest, submission.ErrorBody{Error: "body cannot be read"}, 0)
 			return nil, false
 		}
 	}
-	answer(w, http.StatusBadRequest, submission.Problem{Error: "body is too large"}, 0)
+	answer(w, http.StatusBadRequest, submission.ErrorBody{Error: "body is too large"}, 0)
 	return nil, false
 }
 
@@ -98,7 +98,7 @@
 	start := time.Now()
 	ch := make(chan submission.Response, 1)
 	if !offer(r.users, func(now time.Time) { f(now, func(s submission.Response) { ch <- s }) }) {
-		respond(w, submission.Busy())
+		respond(w, submission.BusyResponse())
 		return
 	}
 	select {
@@ -116,12 +116,12 @@
 		answer(w, http.StatusOK, struct{}{}, 0)
 		return
 	}
-	respond(w, submission.Unable("cannot take requests"))
+	respond(w, submission.UnavailableResponse("cannot take requests"))
 }
 
 func (r *Runtime) submit(w http.ResponseWriter, req *http.Request) {
 	if len(r.users) == cap(r.users) {
-		respond(w, submission.Busy()) // before the work of reading it
+		respond(w, submission.BusyResponse()) // before the work of reading it
 		return
 	}
 	raw, ok := body(w, req)
@@ -131,7 +131,7 @@
 	spec, err := wire.ParseSubmission(raw)
 	if err != nil {
 		r.log.Debug("submission refused", "error", err)
-		answer(w, http.StatusBadRequest, submission.Problem{Error: err.Error()}, 0)
+		answer(w, http.StatusBadRequest, submission.ErrorBody{Error: err.Error()}, 0)
 		return
 	}
 	r.ask(w, req, func(now time.Time, reply func(submission.Response)) { r.core.users.Submit(now, spec, reply) })
@@ -146,7 +146,7 @@
 		return
 	}
 	if strings.Contains(id, "/") {
-		answer(w, http.StatusNotFound, submission.Problem{Error: "no such path"}, 0)
+		answer(w, http.StatusNotFound, submission.ErrorBody{Error: "no such path"}, 0)
 		return
 	}
 	only(http.MethodGet, func(w http.ResponseWriter, req *http.Request) {
@@ -162,7 +162,7 @@
 	var rep wire.Report
 	if err := wire.ParseReport(raw, &rep); err != nil || rep.Host == "" || rep.Session == 0 {
 		r.log.Debug("report refused", "from", req.RemoteAddr, "error", err)
-		answer(w, http.StatusBadRequest, submission.Problem{Error: "not a report"}, 0)
+		answer(w, http.StatusBadRequest, submission.ErrorBody{Error: "not a report"}, 0)
 		return
 	}
 	if noteWorker(req) {
@@ -188,13 +188,13 @@
 // hand, so it waits for its turn: refused, it would go to another node, be sent back
 // and ask again, when there is most to do.
 func (r *Runtime) wait(w http.ResponseWriter, req *http.Request, report func(now time.Time)) bool {
-	late := time.NewTimer(tuning.ReportWait)
+	late := time.NewTimer(tuning.HeartbeatQueueTimeout)
 	defer late.Stop()
 	select {
 	case r.reports <- report:
 		return true
 	case <-late.C:
-		respond(w, submission.Unable("too many reports at once"))
+		respond(w, submission.UnavailableResponse("too many reports at once"))
 	case <-req.Context().Done():
 	}
 	return false
@@ -211,7 +211,7 @@
 		return false
 	}
 	defer resp.Body.Close()
-	_, err = io.Copy(io.Discard, io.LimitReader(resp.Body, tuning.WorkerAnswerBytes))
+	_, err = io.Copy(io.Discard, io.LimitReader(resp.Body, tuning.MaxWorkerResponseBytes))
 	return err == nil && resp.StatusCode == http.StatusOK
 }
 
@@ -232,7 +232,7 @@
 	}
 	defer resp.Body.Close()
 	var rep wire.Report
-	if err := json.NewDecoder(io.LimitReader(resp.Body, tuning.WorkerAnswerBytes)).Decode(&rep); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, tuning.MaxWorkerResponseBytes)).Decode(&rep); err != nil {
 		return 0, nil
 	}
 	return resp.StatusCode, &rep
--- a/internal/node/outcomes.go
+++ b/internal/node/outcomes.go
@@ -36,7 +36,7 @@
 func (o *outcomes) taskCompleted(now time.Time, j *placement.Job) {
 	id := j.Spec.ID
 	o.unsaved[id] = j
-	if j.Complete() && o.completed[id].IsZero() {
+	if j.IsComplete() && o.completed[id].IsZero() {
 		o.completed[id] = now
 	}
 }
@@ -44,7 +44,7 @@
 // adopt takes up the jobs that an earlier tenure did not get to end.
 func (o *outcomes) adopt(now time.Time, jobs []*placement.Job) {
 	for _, j := range jobs {
-		if j.Complete() {
+		if j.IsComplete() {
 			o.taskCompleted(now, j)
 		}
 	}
@@ -53,16 +53,16 @@
 // save writes completions down: the ends of jobs at once, the rest in batches.
 func (o *outcomes) save(now time.Time) {
 	for _, j := range o.ended(now) {
-		if len(o.ending) == tuning.EndsAtOnce {
+		if len(o.ending) == tuning.MaxJobEndsInFlight {
 			break
 		}
 		o.end(j)
 	}
 	if !now.Before(o.tallyDue) {
-		o.tallyDue = now.Add(tuning.TallyEvery)
+		o.tallyDue = now.Add(tuning.CompletionWriteInterval)
 		for _, id := range slices.Sorted(maps.Keys(o.unsaved)) {
-			if j := o.unsaved[id]; !j.Complete() {
-				o.tallies.save(j, o.t.board.Job)
+			if j := o.unsaved[id]; !j.IsComplete() {
+				o.tallies.save(j, o.t.board.OpenJob)
 				delete(o.unsaved, id)
 			}
 		}
@@ -93,23 +93,23 @@
 	id, t := j.Spec.ID, o.t
 	o.ending[id] = true
 	t.call(store.Call{Op: store.OpMulti, Class: store.ClassFinal, Multi: wire.Multi{
-		When: []wire.Cond{t.cond(), store.Is(submission.OpenKey(id), j.Version)},
+		When: []wire.Cond{t.cond(), store.Is(submission.OpenJobKey(id), j.Version)},
 		Writes: []wire.Write{
-			store.Put(submission.JobKey(id), submission.JobRec{Stage: wire.JobDone, Done: j.Spec.Tasks}, 0),
-			store.Remove(submission.OpenKey(id)),
+			store.Put(submission.JobEndKey(id), submission.JobEndRecord{Stage: wire.JobDone, Done: j.Spec.Tasks}, 0),
+			store.Remove(submission.OpenJobKey(id)),
 		},
 	}}, func(now time.Time, r store.Result) {
 		delete(o.ending, id)
 		switch {
 		case r.OK():
-			t.log.Info("job done", "job", id, "class", j.Spec.Class, "took", t.c.wall().Sub(j.At), "written_after", now.Sub(o.completed[id]))
+			t.log.Info("job done", "job", id, "class", j.Spec.Class, "took", t.c.wall().Sub(j.AcceptedAt), "written_after", now.Sub(o.completed[id]))
 			t.jobOver(now, id)
 		case r.Status == http.StatusConflict && slices.Contains(r.Failed, leader.BlockKey(t.Block)):
 			t.lost(now)
 		case r.Status == http.StatusConflict:
 			o.readAgain(now, id)
 		default:
-			o.retryAt[id] = now.Add(tuning.RecordRetry)
+			o.retryAt[id] = now.Add(tuning.WriterRetryInitial)
 		}
 	})
 }
@@ -118,10 +118,10 @@
 // ours was applied after all.
 func (o *outcomes) readAgain(now time.Time, id string) {
 	o.ending[id] = true
-	o.t.call(store.Call{Op: store.OpGet, Class: store.ClassFinal, Key: submission.OpenKey(id)}, func(now time.Time, r store.Result) {
+	o.t.call(store.Call{Op: store.OpGet, Class: store.ClassFinal, Key: submission.OpenJobKey(id)}, func(now time.Time, r store.Result) {
 		delete(o.ending, id)
-		o.retryAt[id] = now.Add(tuning.RecordRetry)
-		switch j := o.t.board.Job(id); {
+		o.retryAt[id] = now.Add(tuning.WriterRetryInitial)
+		switch j := o.t.board.OpenJob(id); {
 		case r.Status == http.StatusNotFound:
 			o.t.jobOver(now, id)
 		case r.OK() && j != nil:
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -88,7 +88,7 @@
 	for b := range c.blocks {
 		if t := c.tenures[b]; t != nil && t.state != tenureOver {
 			t.jobCancelled(now, id)
-			c.cancellationLog.Had([]string{id}, b, t.Token)
+			c.cancellationLog.Acknowledge([]string{id}, b, t.Token)
 		}
 		if holder, _, live := c.holder(b); live {
 			c.pass(now, holder)
@@ -124,7 +124,7 @@
 			p.process, p.mark = m.Process, m.MarkNs
 		}
 		p.owed = append(p.owed, m.Withdrawn...)
-		p.owed = p.owed[max(0, len(p.owed)-tuning.CancellationsAtOnce):]
+		p.owed = p.owed[max(0, len(p.owed)-tuning.MaxCancellationsPerMessage):]
 	}
 	for _, t := range c.tenures {
 		for _, id := range m.Withdrawn {
@@ -135,7 +135,7 @@
 	}
 	for _, h := range m.Holdings {
 		if h.Holder == m.Member {
-			c.cancellationLog.Had(m.Have, int(h.Block), h.Token)
+			c.cancellationLog.Acknowledge(m.Have, int(h.Block), h.Token)
 		}
 		if old := c.claims[int(h.Block)]; old == nil || h.Token > old.Token {
 			c.claims[int(h.Block)] = h
@@ -153,7 +153,7 @@
 		// any other message may have been held back.
 		if p != nil && h.Token == t.Token && m.Vouches && m.EchoProcess == c.process && t.state != tenureLoading {
 			up := time.Duration(m.UpMs) * time.Millisecond
-			t.cancelled.horizon.Vouch(name, m.Process, now.Add(-up+time.Duration(float64(up)*2*tuning.ClockDrift)), c.born.Add(time.Duration(m.EchoNs)))
+			t.cancelled.horizon.Vouch(name, m.Process, now.Add(-up+time.Duration(float64(up)*2*tuning.MaxClockDrift)), c.born.Add(time.Duration(m.EchoNs)))
 		}
 	}
 }
--- a/internal/node/progress.go
+++ b/internal/node/progress.go
@@ -45,7 +45,7 @@
 	if a.busy || len(a.waiting) == 0 {
 		return
 	}
-	n := min(len(a.waiting), tuning.ProgressJobs)
+	n := min(len(a.waiting), tuning.MaxProgressJobs)
 	batch := a.waiting[:n:n]
 	a.waiting = a.waiting[n:]
 	m := &peerpb.ProgressRequest{Block: int32(block)}
@@ -81,9 +81,9 @@
 }
 
 func (t *tenure) progress(id string) submission.Progress {
-	j := t.board.Job(id)
+	j := t.board.OpenJob(id)
 	if j == nil {
 		return submission.Progress{}
 	}
-	return submission.Progress{Known: true, Done: j.Done(), Running: j.Running()}
+	return submission.Progress{Known: true, Done: j.CompletedTasks(), Running: j.RunningTasks()}
 }
--- a/internal/node/routing.go
+++ b/internal/node/routing.go
@@ -24,7 +24,7 @@
 
 // rentalChanged takes note of a rental's record.
 func (c *Core) rentalChanged(_ time.Time, _ string, it wire.Item, gone bool) {
-	block, hosts := fleet.Named(it)
+	block, hosts := fleet.RecordedHosts(it)
 	for _, h := range hosts {
 		if gone {
 			delete(c.blockFor, h)
@@ -49,7 +49,7 @@
 	}
 	waiting := false
 	c.rentals.Each(func(it wire.Item) {
-		b, hosts := fleet.Named(it)
+		b, hosts := fleet.RecordedHosts(it)
 		waiting = waiting || b != block && len(hosts) == 0
 	})
 	return waiting
--- a/internal/node/runtime.go
+++ b/internal/node/runtime.go
@@ -41,7 +41,7 @@
 	pools   pools
 
 	state      *store.Client
-	cloud      *fleet.Client
+	cloud      *fleet.CloudClient
 	workers    *http.Client
 	peers      *peer.Clients
 	budgetLock sync.Mutex
@@ -62,7 +62,7 @@
 func LimitProcess(l config.Limits) {
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(tuning.GCPercent)
-	debug.SetMemoryLimit(int64(l.MemoryMB * (1 << 20) * tuning.MemoryShare))
+	debug.SetMemoryLimit(int64(l.MemoryMB * (1 << 20) * tuning.HeapMemoryShare))
 }
 
 func transport(conns int, dial time.Duration) *http.Transport {
@@ -80,23 +80,23 @@
 	p := newPools(cfg.Facts.Limits, len(cfg.Known))
 	r := &Runtime{
 		cfg: cfg, log: log, clock: steady, done: make(chan struct{}), pools: p,
-		events:     make(chan func(time.Time), tuning.EventBuffer),
-		reports:    make(chan func(time.Time), tuning.EventBuffer),
-		users:      make(chan func(time.Time), tuning.EventBuffer),
+		events:     make(chan func(time.Time), tuning.EventQueueSize),
+		reports:    make(chan func(time.Time), tuning.EventQueueSize),
+		users:      make(chan func(time.Time), tuning.EventQueueSize),
 		state:      store.NewClient(cfg.External.State, transport(stateConns(), tuning.DialTimeout), steady.Now),
-		cloud:      fleet.NewClient(cfg.External.Cloud, transport(tuning.CloudCalls, tuning.DialTimeout)),
-		workers:    &http.Client{Transport: transport(tuning.DoIdle, tuning.WorkerDial)},
+		cloud:      fleet.NewCloudClient(cfg.External.Cloud, transport(tuning.CloudCallsInFlight, tuning.DialTimeout)),
+		workers:    &http.Client{Transport: transport(tuning.CommandIdleConnections, tuning.WorkerDialTimeout)},
 		peers:      peer.NewClients(cfg.Known),
 		budget:     store.NewBudget(cfg.Facts.State, len(cfg.Known)+1),
-		readSlots:  make(chan struct{}, tuning.StateReads),
-		cloudSlots: make(chan struct{}, tuning.CloudCalls),
+		readSlots:  make(chan struct{}, tuning.StoreReadsInFlight),
+		cloudSlots: make(chan struct{}, tuning.CloudCallsInFlight),
 		doSlots:    make(chan struct{}, p.do),
 		fenceSlots: make(chan struct{}, p.do),
-		peerSlots:  make(chan struct{}, tuning.PeerCalls),
+		peerSlots:  make(chan struct{}, tuning.PeerCallsInFlight),
 		lat:        newLatencies(),
 	}
 	for i := range r.writeSlots {
-		r.writeSlots[i] = make(chan struct{}, tuning.StateWrites)
+		r.writeSlots[i] = make(chan struct{}, tuning.StoreWritesInFlight)
 	}
 	r.core = NewCore(cfg, opt, r, rng, time.Now, log)
 	return r
@@ -136,12 +136,12 @@
 // neither behind a thousand reports nor behind the results of all that the block needs:
 // ticks go first, then results, then reports and requests in turn.
 func (r *Runtime) own(ctx context.Context, failed <-chan error) error {
-	tick := time.NewTicker(tuning.TickEvery)
+	tick := time.NewTicker(tuning.TickInterval)
 	defer tick.Stop()
 	last := r.clock.Now()
 	turn := func(time.Time) {
 		now := r.clock.Advance() // leases may have ended while the machine was suspended
-		r.noteLate(now.Sub(last) - tuning.TickEvery)
+		r.noteLate(now.Sub(last) - tuning.TickInterval)
 		last = now
 		r.core.Tick(now)
 		r.healthy.Store(r.core.Healthy(now))
@@ -179,7 +179,7 @@
 
 // noteLate tells of a tick that came late: leases and reports are next.
 func (r *Runtime) noteLate(late time.Duration) {
-	if late > tuning.LateTick {
+	if late > tuning.LateTickThreshold {
 		r.log.Warn("too little processor time", "late", late, "goroutines", runtime.NumGoroutine(),
 			"events", len(r.events), "reports", len(r.reports), "requests", len(r.users))
 	}
@@ -195,7 +195,7 @@
 		r.core.ClockMoved(start)
 	}
 	f(start)
-	if took := r.clock.Now().Sub(start); took > tuning.SlowTurn {
+	if took := r.clock.Now().Sub(start); took > tuning.SlowEventThreshold {
 		r.log.Warn("the owner was busy", "with", what, "for", took, "events", len(r.events), "reports", len(r.reports), "requests", len(r.users))
 	}
 }
@@ -279,12 +279,12 @@
 }
 
 // Cloud is part of Env.
-func (r *Runtime) Cloud(c fleet.Call, then func(now time.Time, res fleet.Result)) {
+func (r *Runtime) Cloud(c fleet.CloudCall, then func(now time.Time, res fleet.CloudResult)) {
 	go func() {
 		defer enter(r.cloudSlots)()
 		start := time.Now()
-		if !c.By.IsZero() && !r.clock.Advance().Before(c.By) {
-			r.post(func(now time.Time) { then(now, fleet.Result{}) })
+		if !c.Deadline.IsZero() && !r.clock.Advance().Before(c.Deadline) {
+			r.post(func(now time.Time) { then(now, fleet.CloudResult{}) })
 			return
 		}
 		res := r.cloud.Do(r.ctx, c)
@@ -307,7 +307,7 @@
 			r.post(func(now time.Time) { then(now, NotSent, nil) })
 			return
 		}
-		ctx, cancel := context.WithTimeout(r.ctx, tuning.DoTimeout)
+		ctx, cancel := context.WithTimeout(r.ctx, tuning.CommandTimeout)
 		defer cancel()
 		status, rep := direct(ctx, r.workers, addr, d)
 		r.post(func(now time.Time) { then(now, status, rep) })
@@ -317,7 +317,7 @@
 // Pulse is part of Env.
 func (r *Runtime) Pulse(member string, m *peerpb.PulseMessage, then func(now time.Time, res *peerpb.PulseMessage, err error)) {
 	go func() { // one a second and peer: no slot, so that it waits behind nothing
-		ctx, cancel := context.WithTimeout(r.ctx, tuning.PulseTimeout)
+		ctx, cancel := context.WithTimeout(r.ctx, tuning.PeerHeartbeatTimeout)
 		defer cancel()
 		res, err := r.peers.Peer(member).Pulse(ctx, m)
 		r.post(func(now time.Time) { then(now, res, err) })
--- a/internal/node/tenure.go
+++ b/internal/node/tenure.go
@@ -42,9 +42,9 @@
 	since time.Time
 	log   *slog.Logger
 	reg   *worker.Registry
-	book  *quota.Book
-	board *placement.Board
-	fleet *fleet.Slice
+	book  *quota.Ledger
+	board *placement.Scheduler
+	fleet *fleet.Autoscaler
 	// duties is the log of what is asked of the cloud; clean is call, with removals of
 	// records looked after by the same.
 	duties *duty.Log
@@ -63,21 +63,21 @@
 		fencing:   fencing{due: map[string]time.Time{}, sessions: map[string]uint64{}},
 		cancelled: newCancellations(c.cfg)}
 	t.reg = worker.NewRegistry(c.cfg.Facts.Workers, t.log)
-	t.book = quota.NewBook(c.cfg.Facts.Teams, l.Block, c.blocks)
-	t.board = placement.NewBoard(c.cfg.Facts, l.Token, t.book, t.reg, c.rng, t.log,
+	t.book = quota.NewLedger(c.cfg.Facts.Teams, l.Block, c.blocks)
+	t.board = placement.NewScheduler(c.cfg.Facts, l.Token, t.book, t.reg, c.rng, t.log,
 		func(now time.Time, j *placement.Job) { t.outcomes.taskCompleted(now, j) })
 	t.duties = duty.NewLog(duty.Options{Block: l.Block, Token: l.Token, Tenure: t.cond(), ValueKB: c.cfg.Facts.State.Stored().ValueKB,
 		Call: t.call, Wall: c.wall, Log: t.log, Lost: t.lost, Tracer: c.opt.Tracer})
-	t.clean = t.duties.CleanUp(t.call, fleet.Rentals(l.Block), fleet.UsedUnder(l.Block), begunUnder(l.Block), tallyUnder(l.Block))
-	t.fleet = fleet.New(now, fleet.Options{Block: l.Block, Token: l.Token, Tenure: t.cond(), Facts: c.cfg.Facts, Cloud: t.cloud, State: t.clean,
-		Log: t.log, Machines: t.reg, Board: t.board, Duties: t.duties, Lost: t.lost, Gone: t.board.Forget,
-		Foreign: func(host string, there time.Time) bool { return c.foreign(l.Block, host, there) }})
-	t.outcomes = newOutcomes(t, newTallies(t.pages(tallyUnder(l.Block), tuning.TallyEvery, store.ClassTally), c.cfg.Facts.State.ValueKB))
-	t.begun = t.pages(begunUnder(l.Block), tuning.BegunEvery, store.ClassTenure)
-	t.board.Begin = t.markBegun
+	t.clean = t.duties.CleanUp(t.call, fleet.ShardProvisioningPrefix(l.Block), fleet.RegistrationPrefix(l.Block), begunUnder(l.Block), tallyUnder(l.Block))
+	t.fleet = fleet.New(now, fleet.Options{Shard: l.Block, Token: l.Token, TermCompare: t.cond(), Config: c.cfg.Facts, Cloud: t.cloud, Store: t.clean,
+		Log: t.log, Registry: t.reg, Scheduler: t.board, Intents: t.duties, OnTermLost: t.lost, OnDeleted: t.board.RemoveMachine,
+		OwnedByOtherShard: func(host string, there time.Time) bool { return c.foreign(l.Block, host, there) }})
+	t.outcomes = newOutcomes(t, newTallies(t.pages(tallyUnder(l.Block), tuning.CompletionWriteInterval, store.ClassTally), c.cfg.Facts.State.ValueKB))
+	t.begun = t.pages(begunUnder(l.Block), tuning.StartMarkerInterval, store.ClassTenure)
+	t.board.RequestStartMarker = t.markBegun
 	t.log.Info("tenure begins", "ended", l.Ended)
 	for name, f := range c.machineTypes {
-		t.fleet.MachineType(f, c.machineTypeRaw[name])
+		t.fleet.ApplyMachineType(f, c.machineTypeRaw[name])
 	}
 	t.configure()
 	t.load(now)
@@ -94,7 +94,7 @@
 // that is durable.
 func (t *tenure) markBegun(now time.Time, j *placement.Job) {
 	t.begun.Put(j.Spec.ID, 1, func(now time.Time) {
-		t.board.Begun(j)
+		t.board.StartMarkerWritten(j)
 		t.settle(now)
 	})
 	t.begun.Tick(now)
@@ -114,8 +114,8 @@
 }
 
 // cloud passes a call on, to be made only while this process surely holds the block.
-func (t *tenure) cloud(c fleet.Call, then func(now time.Time, r fleet.Result)) {
-	c.By = t.c.leader.Deadline()
+func (t *tenure) cloud(c fleet.CloudCall, then func(now time.Time, r fleet.CloudResult)) {
+	c.Deadline = t.c.leader.Deadline()
 	t.c.env.Cloud(c, then)
 }
 
@@ -136,8 +136,8 @@
 
 func (t *tenure) configure() {
 	s := t.c.settings
-	t.board.Set = placement.Settings{DropThreshold: s.DropThreshold}
-	t.fleet.Set = fleet.Settings{MaxMachines: s.MaxMachines, Paused: s.RentalPaused, IdleReturn: s.IdleReturn}
+	t.board.Settings = placement.Settings{DropThreshold: s.DropThreshold}
+	t.fleet.Settings = fleet.Settings{MaxMachines: s.MaxMachines, Paused: s.RentalPaused, IdleTimeout: s.IdleReturn}
 }
 
 // switchOn has the log of duties kept from now on if that is switched on here and in
@@ -154,12 +154,12 @@
 	if t.state == tenureOver {
 		return
 	}
-	if t.board.AttemptsUsedUp {
+	if t.board.AttemptNumbersExhausted {
 		t.end(now, "the attempt numbers of its token are used up")
 		return
 	}
-	for _, m := range t.reg.Quiet(now, t.unheardUntil()) {
-		t.board.Lost(now, m, "lease surely over")
+	for _, m := range t.reg.ExpireLeases(now, t.unheardUntil()) {
+		t.board.ReleaseMachine(now, m, "lease surely over")
 	}
 	if t.state == tenureLoading || !t.c.leader.Entitled(now) {
 		return
@@ -169,7 +169,7 @@
 	t.listen(now)
 	t.outcomes.save(now)
 	t.begun.Tick(now)
-	t.fleet.Unreachable = t.fencing.unreachable
+	t.fleet.WorkersUnreachable = t.fencing.unreachable
 	t.fleet.Tick(now)
 	t.settle(now)
 	t.logCounters(now)
@@ -180,9 +180,9 @@
 	if now.Before(t.countDue) {
 		return
 	}
-	t.countDue = now.Add(tuning.CountEvery)
-	n := t.board.Count
-	t.log.Info("copies so far", "mains", n.MainsStarted, "spares", n.SparesStarted, "spares_finished", n.SparesFinished,
-		"spares_yielded", n.SparesYielded, "spares_dropped", n.SparesDropped, "redrawn", n.Redrawn, "gangs", n.GangsPlaced,
-		"preempted", n.Preempted, "moved", n.Moved, "failed", n.Failed)
+	t.countDue = now.Add(tuning.CounterLogInterval)
+	n := t.board.Counters
+	t.log.Info("copies so far", "mains", n.PrimariesStarted, "spares", n.BackupsStarted, "spares_finished", n.BackupsCompleted,
+		"spares_yielded", n.BackupsPreempted, "spares_dropped", n.BackupsWithdrawn, "redrawn", n.Rescheduled, "gangs", n.GangsPlaced,
+		"preempted", n.Preempted, "moved", n.Relocated, "failed", n.Failed)
 }
--- a/internal/node/tenure_reports.go
+++ b/internal/node/tenure_reports.go
@@ -15,14 +15,14 @@
 
 // absorb takes in a machine's account of itself and tells whether it was news.
 func (t *tenure) absorb(now time.Time, m *worker.Machine, rep *wire.Report, checkin bool) bool {
-	v := t.reg.Absorb(now, m, rep, checkin)
-	if v == worker.Stale {
+	v := t.reg.ApplyHeartbeat(now, m, rep, checkin)
+	if v == worker.HeartbeatStale {
 		return false
 	}
-	t.fleet.Reporting(now, m)
+	t.fleet.HandleHeartbeat(now, m)
 	if t.state != tenureLoading {
-		was := m.Stranger
-		if t.board.Reported(now, m, v, checkin); m.Stranger && !was {
+		was := m.HasUnknownTasks
+		if t.board.ReconcileHeartbeat(now, m, v, checkin); m.HasUnknownTasks && !was {
 			t.account() // before anything is drawn
 		}
 	}
@@ -34,7 +34,7 @@
 	if rep.Token > t.Token {
 		// A machine that this block does not have may belong to another one
 		// whose record of it has not arrived here yet.
-		if m := t.reg.Get(rep.Host); m != nil && m.Used {
+		if m := t.reg.Get(rep.Host); m != nil && m.Registered {
 			t.end(now, "a report shows a higher token")
 		}
 		t.c.redirect(t.Block, reply)
@@ -42,7 +42,7 @@
 	}
 	commands, err := t.answerReport(now, rep)
 	if err != nil {
-		reply(http.StatusServiceUnavailable, submission.Problem{Error: err.Error()})
+		reply(http.StatusServiceUnavailable, submission.ErrorBody{Error: err.Error()})
 		return
 	}
 	reply(http.StatusOK, wire.Commands{Token: t.Token, Commands: commands})
@@ -70,7 +70,7 @@
 	if t.state == tenureLoading && t.unread(rep) {
 		return nil, errLoading
 	}
-	if t.reg.IsGone(rep.Host) {
+	if t.reg.WasDeleted(rep.Host) {
 		return nil, errStaleReport // a late copy: the machine was returned
 	}
 	if rep.Token < t.Token {
@@ -79,13 +79,13 @@
 	m := t.reg.Get(rep.Host)
 	if m == nil {
 		m = t.reg.Add(now, rep.Host, worker.Booting)
-		m.IdleFrom = now
+		m.IdleSince = now
 		m.Type, m.Zone, m.Spot = rep.Type, rep.Zone, rep.Spot
 	}
 	if !t.absorb(now, m, rep, true) {
 		return nil, errStaleReport
 	}
-	if t.board.Overdue(m, now.Add(t.reg.Expiry()+tuning.RenewMargin)) {
+	if t.board.MayStartAfterClose(m, now.Add(t.reg.LeaseExpiry()+tuning.CancellationRenewMargin)) {
 		// A cancelled job's start may still be on its way to the machine, and no
 		// stop can reach it before: only the end of the session voids it.
 		return nil, errStartOutstanding
@@ -94,14 +94,14 @@
 	switch {
 	case t.state == tenureLoading:
 	case t.c.leader.Entitled(now):
-		t.board.Draw(now)
-		commands = append(commands, t.board.Commands(now, m, placement.InAnswer)...)
+		t.board.Schedule(now)
+		commands = append(commands, t.board.Commands(now, m, placement.HeartbeatReply)...)
 	default:
 		// past the lease's end nothing starts, but what is over still stops: under a
 		// superseded token that has no effect
-		commands = append(commands, t.board.Halts(m.Tasks)...)
+		commands = append(commands, t.board.StopCommandsForClosedJobs(m.Tasks)...)
 	}
-	m.Answered = now
+	m.LeaseRenewedAt = now
 	return commands, nil
 }
 
@@ -110,17 +110,17 @@
 // is there, the answer renews its lease and it reports again at once.
 func (t *tenure) answerBeforeToken(now time.Time, rep *wire.Report) ([]wire.Command, error) {
 	if m := t.reg.Get(rep.Host); m != nil {
-		if !m.Glimpse(rep) {
+		if !m.ObserveSequence(rep) {
 			return nil, errStaleReport
 		}
-		m.Answered = now
-		t.fleet.Entering(now, m, rep)
+		m.LeaseRenewedAt = now
+		t.fleet.RegisterOnFirstContact(now, m, rep)
 	}
 	commands := []wire.Command{}
 	if t.state != tenureLoading {
 		// What is over may be stopped whatever has happened since: the answer
 		// that renews a cancelled task's lease must not leave it running.
-		commands = append(commands, t.board.Halts(rep.Tasks)...)
+		commands = append(commands, t.board.StopCommandsForClosedJobs(rep.Tasks)...)
 	}
 	return commands, nil
 }
@@ -134,7 +134,7 @@
 		if !ok || p.Stage == wire.TaskExited {
 			return false
 		}
-		_, open := t.c.open.Get(submission.OpenKey(id))
+		_, open := t.c.open.Get(submission.OpenJobKey(id))
 		return !open
 	})
 }
--- a/internal/store/budget.go
+++ b/internal/store/budget.go
@@ -49,7 +49,7 @@
 
 // NewBudget makes the budget of one of n nodes.
 func NewBudget(limits config.State, n int) *Budget {
-	b := &Budget{nodes: max(1, n), present: limits, coming: limits.Coming(), pause: tuning.RaiseAfter}
+	b := &Budget{nodes: max(1, n), present: limits, coming: limits.Coming(), pause: tuning.RateRaiseInitial}
 	b.share = b.leastShare()
 	b.use(limits)
 	return b
@@ -60,7 +60,7 @@
 	if b.nodes == 1 {
 		return 1
 	}
-	return tuning.StateShare
+	return tuning.StoreRateShare
 }
 
 // growShare lets the node use more of the rates while its writes wait and the service
@@ -69,12 +69,12 @@
 	if now.Before(b.shareDue) {
 		return
 	}
-	b.shareDue = now.Add(tuning.ShareEvery)
+	b.shareDue = now.Add(tuning.RateShareInterval)
 	if !b.short {
 		return
 	}
 	b.short = false
-	b.setShare(now, min(1, b.share+tuning.ShareStep))
+	b.setShare(now, min(1, b.share+tuning.RateShareStep))
 }
 
 // setShare changes the rates to another share, without a new burst.
@@ -117,10 +117,10 @@
 	switch level {
 	case rateLowered:
 		b.changeAt = now.Add(b.pause)
-		b.pause = min(2*b.pause, tuning.RaiseAfterMost)
+		b.pause = min(2*b.pause, tuning.RateRaiseMax)
 		b.use(b.coming)
 	case rateTrial:
-		b.changeAt = now.Add(tuning.LowerWithin)
+		b.changeAt = now.Add(tuning.RateLowerWindow)
 		b.use(b.present)
 	}
 }
@@ -133,10 +133,10 @@
 func (b *Budget) Note(now time.Time, c Call, status int) (lowered bool) {
 	switch {
 	case refusedForSize(c, status):
-		b.refusals = tuning.LowerAfter
+		b.refusals = tuning.RateLowerRefusals
 	case status == http.StatusTooManyRequests:
 		b.setShare(now, b.leastShare())
-		b.shareDue = now.Add(tuning.SharePause)
+		b.shareDue = now.Add(tuning.RateSharePause)
 		b.drain(now, c)
 		b.countRefusal(now)
 	default:
@@ -169,13 +169,13 @@
 }
 
 func (b *Budget) countRefusal(now time.Time) {
-	if now.Sub(b.refusedSince) > tuning.LowerWithin {
+	if now.Sub(b.refusedSince) > tuning.RateLowerWindow {
 		b.refusals, b.refusedSince = 0, now
 	}
 	b.refusals++
 	if b.level == rateLowered {
 		// even the lowered rate is refused: others have not noticed yet
-		b.changeAt = later(b.changeAt, now.Add(tuning.RaiseAfter))
+		b.changeAt = later(b.changeAt, now.Add(tuning.RateRaiseInitial))
 	}
 }
 
@@ -189,9 +189,9 @@
 // refusalsToLower is how many refusals within LowerWithin lower the rate.
 func (b *Budget) refusalsToLower() int {
 	if b.level == rateTrial {
-		return tuning.LowerAfterTrial
+		return tuning.RateTrialRefusals
 	}
-	return tuning.LowerAfter
+	return tuning.RateLowerRefusals
 }
 
 // review moves on to a trial of the present rate, or back to it for good, when it is time.
@@ -213,7 +213,7 @@
 	b.review(now)
 	b.growShare(now)
 	if b.calls.TokensAt(now) < 1 {
-		return tuning.BudgetRetry, false
+		return tuning.RateLimitRetry, false
 	}
 	if n := len(c.Multi.Writes); n > 0 {
 		need := float64(n)
@@ -224,7 +224,7 @@
 		}
 		if b.writes.TokensAt(now) < need+b.reserve[c.Class] {
 			b.short = true
-			return tuning.BudgetRetry, false
+			return tuning.RateLimitRetry, false
 		}
 		b.writes.AllowN(now, min(n, b.writes.Burst()))
 	}
--- a/internal/store/mirror.go
+++ b/internal/store/mirror.go
@@ -159,13 +159,13 @@
 
 func (m *Mirror) failed(now time.Time) {
 	m.set(mirrorIdle)
-	m.retry = now.Add(tuning.MirrorRetry)
+	m.retry = now.Add(tuning.WatchCacheRetry)
 }
 
 func (m *Mirror) list(now time.Time, after string) {
 	m.set(mirrorListing)
 	round := m.round
-	m.call(Call{Op: OpList, Class: ClassLease, Under: m.under, After: after, Page: tuning.ListPage}, func(now time.Time, r Result) {
+	m.call(Call{Op: OpList, Class: ClassLease, Under: m.under, After: after, Page: tuning.ListPageSize}, func(now time.Time, r Result) {
 		if m.round != round {
 			return
 		}
@@ -213,7 +213,7 @@
 	m.set(mirrorFollowing)
 	m.round++
 	round := m.round
-	m.call(Call{Op: OpChanges, Class: ClassLease, Under: m.under, Since: m.revision, WaitMs: int(tuning.WatchWait.Milliseconds())}, func(now time.Time, r Result) {
+	m.call(Call{Op: OpChanges, Class: ClassLease, Under: m.under, Since: m.revision, WaitMs: int(tuning.WatchTimeout.Milliseconds())}, func(now time.Time, r Result) {
 		if m.round != round {
 			return
 		}
--- a/internal/store/pages.go
+++ b/internal/store/pages.go
@@ -57,7 +57,7 @@
 // NewPages makes empty pages under a prefix. Each page is written at most once
 // in a while.
 func NewPages(under string, valueKB float64, every time.Duration, class Class, tenure wire.Cond, call Caller, log *slog.Logger, lost func(now time.Time)) *Pages {
-	return &Pages{under: under, limit: int(valueKB * 1024 * tuning.PageFill), every: every, class: class, tenure: tenure, call: call, log: log, lost: lost,
+	return &Pages{under: under, limit: int(valueKB * 1024 * tuning.PageFillShare), every: every, class: class, tenure: tenure, call: call, log: log, lost: lost,
 		where: map[string]*page{}, also: map[string][]*page{}}
 }
 
@@ -85,11 +85,11 @@
 // shrink makes the limit of all pages smaller, as the service has refused one of them,
 // and tells whether it could be.
 func (p *Pages) shrink(g *page) bool {
-	if p.limit <= tuning.PageLeast {
+	if p.limit <= tuning.MinPageBytes {
 		p.log.Error("the state service refuses even a small page", "key", g.file.Key, "bytes", g.size)
 		return false
 	}
-	p.limit = max(tuning.PageLeast, min(p.limit, g.size)/2)
+	p.limit = max(tuning.MinPageBytes, min(p.limit, g.size)/2)
 	p.log.Warn("the state service has refused a page for its size", "key", g.file.Key, "bytes", g.size, "limit", p.limit)
 	g.changed = true
 	if p.Shrunk != nil {
@@ -106,7 +106,7 @@
 func (p *Pages) Load(items []wire.Item, each func(key string, value json.RawMessage)) {
 	for _, it := range items {
 		n, err := strconv.Atoi(strings.TrimPrefix(it.Path, p.under))
-		if err != nil || n < 0 || n > tuning.PagesMost {
+		if err != nil || n < 0 || n > tuning.MaxPages {
 			p.log.Error("page's name cannot be read", "key", it.Path)
 			p.unread++
 			continue
@@ -254,7 +254,7 @@
 // writeDue tells whether a page is to be written now.
 func (g *page) writeDue(now time.Time) bool {
 	if g.pruned && g.pruneBy.IsZero() {
-		g.pruneBy = now.Add(tuning.PruneEvery)
+		g.pruneBy = now.Add(tuning.PageRemovalInterval)
 	}
 	return g.changed && !now.Before(g.due) || g.pruned && !now.Before(g.pruneBy)
 }
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -101,7 +101,7 @@
 			r.settle(now, ver)
 		case res.Status == 409 && slices.Contains(res.Failed, r.tenure.Path):
 			r.set(recordDirty)
-			r.retry = now.Add(tuning.RecordRetry)
+			r.retry = now.Add(tuning.WriterRetryInitial)
 			r.lost(now)
 		case res.Status == 409:
 			r.read(now)
@@ -109,7 +109,7 @@
 			r.refused(now, ver)
 		default:
 			r.set(recordDirty)
-			r.retry = now.Add(tuning.RecordRetry)
+			r.retry = now.Add(tuning.WriterRetryInitial)
 		}
 	})
 }
@@ -128,7 +128,7 @@
 		}
 		r.set(recordDirty)
 	}
-	r.pause = min(max(2*r.pause, tuning.RecordRetry), tuning.RecordRetryMost)
+	r.pause = min(max(2*r.pause, tuning.WriterRetryInitial), tuning.WriterRetryMax)
 	r.retry = now.Add(r.pause)
 }
 
@@ -153,7 +153,7 @@
 		case 404:
 			r.version = 0
 		default:
-			r.retry = now.Add(tuning.RecordRetry)
+			r.retry = now.Add(tuning.WriterRetryInitial)
 		}
 	})
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -58,11 +58,11 @@
 func (c Call) Limit() time.Duration {
 	switch c.Op {
 	case OpChanges:
-		return time.Duration(c.WaitMs)*time.Millisecond + tuning.StateTimeout
+		return time.Duration(c.WaitMs)*time.Millisecond + tuning.StoreTimeout
 	case OpTouch:
-		return tuning.TouchTimeout
+		return tuning.RenewTimeout
 	}
-	return tuning.StateTimeout
+	return tuning.StoreTimeout
 }
 
 // Result is what came of a call.
