--- a/internal/fleet/intents_test.go
+++ b/internal/fleet/intents_test.go
@@ -17,7 +17,7 @@
 func newLoggedFixture(t *testing.T, items ...wire.KeyValue) *fixture {
 	f := newFixture(t)
 	f.intents.EnableDurability()
-	f.intents.Load(f.now, items)
+	f.intents.Load(items)
 	return f
 }
 
--- a/internal/fleet/provisioning.go
+++ b/internal/fleet/provisioning.go
@@ -83,7 +83,7 @@
 		a.forgetDeleted(request, version)
 		switch request.state {
 		case provisioningRecording:
-			a.intents.MarkRecorded(now, request.intent)
+			a.intents.MarkRecorded(request.intent)
 			a.setRequestState(request, provisioningRequested, "recorded")
 		case provisioningGranted:
 			request.recordDurable = true
@@ -184,7 +184,7 @@
 	if len(record.Hosts) == 0 {
 		// The earlier holder did not get to write the answer down. Asking
 		// again by the same name tells it, or rents the machines now.
-		request.intent = a.intents.RecoverElsewhere(now, intentlog.Provision, name, tokenOfRequest(name))
+		request.intent = a.intents.RecoverElsewhere(intentlog.Provision, name, tokenOfRequest(name))
 		a.setRequestState(request, provisioningRequested, "taken over without an answer")
 		return
 	}
@@ -230,14 +230,14 @@
 // sendRequest asks the cloud for a rental's machines. The name stays the same until the
 // answer is certain: repeating it rents nothing twice.
 func (a *Autoscaler) sendRequest(now time.Time, request *provisioningRequest) {
-	if !a.intents.StartCall(now, request.intent) {
+	if !a.intents.StartCall(request.intent) {
 		return
 	}
 	request.inFlight = true
 	a.callCloud(CloudCall{Operation: CreateMachines, Request: wire.ProvisionRequest{Name: request.name, Type: request.record.Type, Zone: request.record.Zone, Spot: request.record.Spot, Count: request.record.Number}},
 		func(now time.Time, result CloudResult) {
 			request.inFlight, request.answeredAt = false, now
-			a.intents.FinishCall(now, request.intent, result.outcome())
+			a.intents.FinishCall(request.intent, result.outcome())
 			capacityKey := request.capacityKey()
 			switch {
 			case result.Status == 200:
@@ -296,7 +296,7 @@
 
 func (a *Autoscaler) closeRequest(now time.Time, request *provisioningRequest, reason string) {
 	if request.intent != nil {
-		a.intents.Complete(now, request.intent, reason)
+		a.intents.Complete(request.intent, reason)
 	}
 	a.setRequestState(request, provisioningClosed, reason)
 	request.writer.Set(nil)
@@ -408,7 +408,7 @@
 func (a *Autoscaler) newRequest(now time.Time, record ProvisioningRecord) *provisioningRequest {
 	a.sequence++
 	request := &provisioningRequest{name: a.requestName(), record: record}
-	request.intent = a.intents.RecordElsewhere(now, intentlog.Provision, request.name, "waiting work")
+	request.intent = a.intents.RecordElsewhere(intentlog.Provision, request.name, "waiting work")
 	a.openWriter(request, 0)
 	a.requests[request.name] = request
 	a.log.Info("renting", "name", request.name, "type", record.Type, "zone", record.Zone, "spot", record.Spot, "number", record.Number)
--- a/internal/fleet/termination.go
+++ b/internal/fleet/termination.go
@@ -170,7 +170,7 @@
 	machine := a.registry.Get(intent.Target)
 	if machine == nil && !a.hasPendingRequests() && a.unreadableRecords == 0 {
 		// no rental names it: it is gone, and that is written down
-		a.intents.Complete(now, intent, "gone already")
+		a.intents.Complete(intent, "gone already")
 		a.intents.Forget(intent)
 		return false
 	}
@@ -184,7 +184,7 @@
 		return machine.LeaseEnded || !machine.Registered
 	}
 	if slices.ContainsFunc(machine.Tasks, func(t wire.TaskStatus) bool { return t.Attempt>>tuning.AttemptBits > intent.Token }) {
-		a.intents.Complete(now, intent, "a later tenure gave the machine work")
+		a.intents.Complete(intent, "a later tenure gave the machine work")
 		a.intents.Forget(intent)
 		a.registry.SetState(now, machine, worker.Up, "a later tenure gave it work")
 		a.scheduler.MarkMachineChanged(machine)
@@ -203,14 +203,14 @@
 	}
 	hosts := make([]string, len(ready))
 	for i, intent := range ready {
-		a.intents.StartCall(now, intent)
+		a.intents.StartCall(intent)
 		hosts[i] = intent.Target
 	}
 	a.deletionInFlight = true
 	a.callCloud(CloudCall{Operation: DeleteMachines, Hosts: hosts}, func(now time.Time, result CloudResult) {
 		a.deletionInFlight = false
 		for _, intent := range ready {
-			a.intents.FinishCall(now, intent, result.outcome())
+			a.intents.FinishCall(intent, result.outcome())
 		}
 		if result.Status != 200 {
 			a.deletionRetryAt = a.nextRetry(now)
--- a/internal/intentlog/model_owner_test.go
+++ b/internal/intentlog/model_owner_test.go
@@ -94,10 +94,10 @@
 	if m.fault == ignoresRecovered {
 		pages = nil
 	}
-	o.log.Load(m.now(), pages)
+	o.log.Load(pages)
 	for _, intent := range o.log.Recovered(intentlog.Deprovision) {
 		if !m.machines[intent.Target].exists {
-			o.log.Complete(m.now(), intent, "deleted already")
+			o.log.Complete(intent, "deleted already")
 			o.forget(intent)
 		}
 	}
@@ -158,7 +158,7 @@
 // sendReady calls the cloud for all intents that are ready.
 func (o *modelOwner) sendReady() {
 	for _, intent := range o.log.Ready(intentlog.Deprovision) {
-		if o.log.StartCall(o.model.now(), intent) {
+		if o.log.StartCall(intent) {
 			d := &deletion{owner: o, intent: intent, machineID: intent.Target}
 			o.model.inFlight.deletions = append(o.model.inFlight.deletions, d)
 		}
@@ -166,9 +166,9 @@
 }
 
 func (o *modelOwner) finishCall(intent *intentlog.Intent, outcome intentlog.Outcome) {
-	o.log.FinishCall(o.model.now(), intent, outcome)
+	o.log.FinishCall(intent, outcome)
 	if outcome == intentlog.Unknown && o.model.fault == forgetsUnanswered {
-		o.log.Complete(o.model.now(), intent, "not answered")
+		o.log.Complete(intent, "not answered")
 		o.forget(intent)
 	}
 	if intent.State() == intentlog.Completed {
--- a/internal/intentlog/record_test.go
+++ b/internal/intentlog/record_test.go
@@ -51,8 +51,8 @@
 		t.Fatal("recorded although the log is full")
 	}
 	intent := log.Get(Deprovision, "i-3")
-	log.StartCall(testTime, intent)
-	log.FinishCall(testTime, intent, Done)
+	log.StartCall(intent)
+	log.FinishCall(intent, Done)
 	log.Forget(intent)
 	if !log.Record(testTime, Deprovision, "i-more", "idle") {
 		t.Error("no room after one was completed")
--- a/internal/intentlog/recovery.go
+++ b/internal/intentlog/recovery.go
@@ -9,7 +9,7 @@
 
 // Load recovers the intents that earlier terms recorded, from the pages of the shard's log.
 // Recovered lists them afterwards.
-func (l *Log) Load(now time.Time, pages []wire.KeyValue) {
+func (l *Log) Load(pages []wire.KeyValue) {
 	l.pages.Load(pages, l.loadEntry)
 }
 
@@ -27,7 +27,7 @@
 func (l *Log) UnreadablePages() int { return l.pages.Unreadable() }
 
 // RecoverElsewhere recovers an intent whose entry is a record outside the log.
-func (l *Log) RecoverElsewhere(now time.Time, operation Operation, target string, token uint64) *Intent {
+func (l *Log) RecoverElsewhere(operation Operation, target string, token uint64) *Intent {
 	intent := l.recoverIntent(operation, target, token, time.Time{})
 	intent.recordedExternally = true
 	return intent
--- a/internal/intentlog/recovery_test.go
+++ b/internal/intentlog/recovery_test.go
@@ -58,7 +58,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			log := newDurableTestLog()
 			pages := storedPages(c.pages)
-			log.Load(testTime, pages)
+			log.Load(pages)
 			ready := log.Ready(Deprovision, Reclaim)
 			if len(ready) != c.ready || log.UnreadablePages() != c.unreadable || log.Pending() != c.ready {
 				t.Fatalf("%d ready, %d unreadable, %d pending", len(ready), log.UnreadablePages(), log.Pending())
--- a/internal/intentlog/support_test.go
+++ b/internal/intentlog/support_test.go
@@ -73,10 +73,10 @@
 
 func (l *testLog) startCall() {
 	l.recordDurably()
-	l.StartCall(testTime, l.intent())
+	l.StartCall(l.intent())
 }
 
-func (l *testLog) finishCall(outcome Outcome) { l.FinishCall(testTime, l.intent(), outcome) }
+func (l *testLog) finishCall(outcome Outcome) { l.FinishCall(l.intent(), outcome) }
 
 // readyCount is the number of intents of an operation for which a call may be made.
 func (l *testLog) readyCount(operation Operation) int { return len(l.Ready(operation)) }
--- a/internal/intentlog/transitions.go
+++ b/internal/intentlog/transitions.go
@@ -30,17 +30,17 @@
 	}
 	intent := l.decide(operation, target, reason)
 	if !l.durable {
-		l.MarkRecorded(now, intent)
+		l.MarkRecorded(intent)
 		return true
 	}
-	l.pages.Put(target, newEntryRecord(intent), func(now time.Time) { l.MarkRecorded(now, intent) })
+	l.pages.Put(target, newEntryRecord(intent), func(time.Time) { l.MarkRecorded(intent) })
 	l.pages.Tick(now)
 	return true
 }
 
 // RecordElsewhere decides on an intent whose entry is a record outside the log. The caller
 // writes that record, and calls MarkRecorded when it is durable.
-func (l *Log) RecordElsewhere(now time.Time, operation Operation, target, reason string) *Intent {
+func (l *Log) RecordElsewhere(operation Operation, target, reason string) *Intent {
 	intent := l.decide(operation, target, reason)
 	intent.recordedExternally = true
 	return intent
@@ -59,14 +59,14 @@
 }
 
 // MarkRecorded notes that the entry of an intent is durable. It may be called repeatedly.
-func (l *Log) MarkRecorded(now time.Time, intent *Intent) {
+func (l *Log) MarkRecorded(intent *Intent) {
 	if intent.state == Recording && l.setState(intent, Recorded, "entry durable") {
 		l.traceRecorded(intent)
 	}
 }
 
 // StartCall reports whether a call may be made for an intent now, and marks it as in flight if so.
-func (l *Log) StartCall(now time.Time, intent *Intent) bool {
+func (l *Log) StartCall(intent *Intent) bool {
 	if intent.state != Recorded {
 		return false
 	}
@@ -78,7 +78,7 @@
 
 // FinishCall notes the outcome of the call in flight. After any outcome but Done, the call has
 // to be made again.
-func (l *Log) FinishCall(now time.Time, intent *Intent, outcome Outcome) {
+func (l *Log) FinishCall(intent *Intent, outcome Outcome) {
 	if intent.state != InFlight {
 		return
 	}
@@ -92,7 +92,7 @@
 
 // Complete ends an intent without a call of this term: its effect is there already, or is
 // wanted no more.
-func (l *Log) Complete(now time.Time, intent *Intent, reason string) {
+func (l *Log) Complete(intent *Intent, reason string) {
 	if intent.state == InFlight || intent.state == Recorded {
 		l.setState(intent, Completed, reason)
 	}
--- a/internal/intentlog/transitions_test.go
+++ b/internal/intentlog/transitions_test.go
@@ -48,7 +48,7 @@
 		name: "completed before its entry is durable",
 		play: func(log *testLog) {
 			log.record()
-			log.Complete(testTime, log.intent(), "")
+			log.Complete(log.intent(), "")
 		},
 		want: Recording,
 	},
--- a/internal/term/recovery.go
+++ b/internal/term/recovery.go
@@ -107,7 +107,7 @@
 			t.autoscaler.LoadRequest(now, kv)
 		}
 	})
-	t.intents.Load(now, t.recovery.intents)
+	t.intents.Load(t.recovery.intents)
 	t.autoscaler.LoadRegistrations(now, t.recovery.registrations)
 	t.completions.bitmaps.load(t.recovery.completions, t.scheduler.OpenJob)
 	t.recoverStartMarkers()
