--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -88,8 +88,15 @@
 	}
 	c.cancellationLog = submission.NewCancellationLog(options.Shards,
 		config.Seconds(cfg.Platform.Workers.CancelS), cfg.Platform.State.WriteRPS)
-	c.membership = leader.New(cfg.Member, options.Shards, options.Features.Announced(), wallClock,
-		c.callState, log, c.applyControlRecord)
+	c.membership = leader.New(leader.Options{
+		Member:        cfg.Member,
+		Shards:        options.Shards,
+		Features:      options.Features.Announced(),
+		WallClock:     wallClock,
+		StateCall:     c.callState,
+		Log:           log,
+		OnOtherRecord: c.applyControlRecord,
+	})
 	c.openJobs = store.NewWatchCache(submission.OpenJobPrefix, c.callState, c.applyOpenJob)
 	c.provisionRequests = store.NewWatchCache(fleet.ProvisioningPrefix, c.callState, c.applyProvisionRequest)
 	c.submissions = submission.New(cfg.Platform, options.Shards, wallClock, c.callState, log,
--- a/internal/leader/election.go
+++ b/internal/leader/election.go
@@ -1,129 +1,120 @@
 package leader
 
 import (
-	"maps"
 	"slices"
-	"time"
 
 	"juniperchute/internal/store"
-	"juniperchute/internal/tuning"
 	"juniperchute/internal/wire"
 )
 
-// isLive tells whether the process that a record names is still a member.
-func (s *Membership) isLive(member string, inc uint64) bool {
-	m, ok := s.members[member]
-	return ok && m.value.Incarnation == inc
-}
-
-// campaign takes the lead when nobody live has it, and as leader assigns
-// blocks that nobody live holds.
-func (s *Membership) campaign(now time.Time) {
-	me, ok := s.members[s.self]
-	if !ok || me.value.Incarnation != s.lease {
-		return // our own record has not been read back yet
+// campaign takes the lead if no live process has it. As leader, it assigns the first shard that
+// no live process leases, and otherwise brings the feature gates in force up to date: one
+// transaction a call.
+func (m *Membership) campaign() {
+	own, ok := m.records.members[m.options.Member]
+	if !ok || own.value.Incarnation != m.lease.id {
+		return // this process's own record has not been read back yet
 	}
-	if s.leader.version == 0 || !s.isLive(s.leader.value.Member, s.leader.value.Incarnation) {
-		s.transact(now, wire.Transaction{
-			Compares: []wire.Compare{store.VersionEquals(keyLeader, s.leader.version), store.VersionEquals(memberPrefix+s.self, me.version)},
-			Writes:   []wire.Write{store.Put(keyLeader, LeaderRecord{Member: s.self, Incarnation: s.lease}, s.lease)},
-		})
+	leader := m.records.leader
+	if leader.version == 0 || !m.records.isLive(leader.value.Member, leader.value.Incarnation) {
+		m.takeLead(own.version)
 		return
 	}
-	if !s.IsLeader() {
+	if !m.IsLeader() {
 		return
 	}
-	for b := range s.shards {
-		r := s.shardRecords[b]
-		if r.version != 0 && s.isLive(r.value.Holder, r.value.Incarnation) {
-			continue
-		}
-		to, toVersion, ok := s.chooseHolder(r.value.Holder, r.value.Unreachable)
-		if !ok {
+	for shard := range m.options.Shards {
+		current := m.records.shards[shard]
+		if current.version == 0 || !m.records.isLive(current.value.Holder, current.value.Incarnation) {
+			m.assignShard(shard, current)
 			return
 		}
-		// a member whose record was replaced by a later process of its name
-		// has ended; one that is merely absent may only be cut off
-		_, back := s.members[r.value.Holder]
-		rec := ShardRecord{Holder: to.Member, Incarnation: to.Incarnation, Token: s.token.value.Last + 1, PredecessorEnded: r.version == 0 || back || r.value.Holder == "", AssignedAtMs: s.wallClock().UnixMilli()}
-		when := []wire.Compare{
-			store.VersionEquals(keyLeader, s.leader.version), store.VersionEquals(shardKey(b), r.version),
-			store.VersionEquals(keyToken, s.token.version), store.VersionEquals(memberPrefix+to.Member, toVersion),
-		}
-		s.log.Info("assigning block", "block", b, "to", to.Member, "token", rec.Token, "ended", rec.PredecessorEnded)
-		s.transact(now, wire.Transaction{Compares: when, Writes: []wire.Write{
-			store.Put(keyToken, tokenRecord{Last: rec.Token}, 0), store.Put(shardKey(b), rec, 0),
-		}})
-		return
 	}
-	s.recordFeatures(now)
+	m.recordFeatures()
 }
 
-// recordFeatures writes down which switches are in force: those that every member announces. A
-// member of a version that announces nothing ends them.
-func (s *Membership) recordFeatures(now time.Time) {
-	var common []string
-	for _, name := range s.announcedFeatures {
-		if !slices.ContainsFunc(slices.Collect(maps.Values(s.members)), func(m versioned[MemberRecord]) bool { return !slices.Contains(m.value.Features, name) }) {
-			common = append(common, name)
-		}
-	}
-	if slices.Equal(common, s.featuresInForce.value.InForce) {
+func (m *Membership) takeLead(memberVersion uint64) {
+	record := LeaderRecord{Member: m.options.Member, Incarnation: m.lease.id}
+	m.transact(wire.Transaction{
+		Compares: []wire.Compare{
+			store.VersionEquals(keyLeader, m.records.leader.version),
+			store.VersionEquals(memberPrefix+m.options.Member, memberVersion),
+		},
+		Writes: []wire.Write{store.Put(keyLeader, record, m.lease.id)},
+	})
+}
+
+// assignShard starts a new term of a shard, whose last term is the one given.
+func (m *Membership) assignShard(shard int, last versioned[ShardRecord]) {
+	chosen, ok := m.chooseHolder(last.value.Holder, last.value.Unreachable)
+	if !ok {
 		return
 	}
-	s.log.Info("changing the switches in force", "from", s.featuresInForce.value.InForce, "to", common)
-	s.transact(now, wire.Transaction{
-		Compares: []wire.Compare{store.VersionEquals(keyLeader, s.leader.version), store.VersionEquals(keyFeatures, s.featuresInForce.version)},
-		Writes:   []wire.Write{store.Put(keyFeatures, FeaturesRecord{InForce: common}, 0)},
+	record := ShardRecord{
+		Holder:           chosen.value.Member,
+		Incarnation:      chosen.value.Incarnation,
+		Token:            m.records.token.value.Last + 1,
+		PredecessorEnded: m.predecessorEnded(last),
+		AssignedAtMs:     m.options.WallClock().UnixMilli(),
+	}
+	m.options.Log.Info("shard lease assigned", "shard", shard, "member", record.Holder, "term", record.Token,
+		"predecessor_ended", record.PredecessorEnded)
+	m.transact(wire.Transaction{
+		Compares: []wire.Compare{
+			store.VersionEquals(keyLeader, m.records.leader.version),
+			store.VersionEquals(ShardKey(shard), last.version),
+			store.VersionEquals(keyToken, m.records.token.version),
+			store.VersionEquals(memberPrefix+record.Holder, chosen.version),
+		},
+		Writes: []wire.Write{
+			store.Put(keyToken, tokenRecord{Last: record.Token}, 0),
+			store.Put(ShardKey(shard), record, 0),
+		},
 	})
 }
 
-// chooseHolder picks the member to give a block to: the one with the fewest blocks,
-// then one that does not lead, then the one that joined last. When all controllers
-// are restarted one after the other, it is the one that has been restarted already:
-// the one that has been in longest would be next, and each restart cost a takeover.
-// The member whose process has just ended comes after the others, as it may end
-// again, and one that does not hear the workers comes last.
-func (s *Membership) chooseHolder(last, unreachable string) (MemberRecord, uint64, bool) {
-	held := map[string]int{}
-	for _, r := range s.shardRecords {
-		if s.isLive(r.value.Holder, r.value.Incarnation) {
-			held[r.value.Holder]++
-		}
-	}
-	var best versioned[MemberRecord]
-	less := func(a, b MemberRecord) bool {
-		if ad, bd := a.Member == unreachable, b.Member == unreachable; ad != bd {
-			return bd
-		}
-		if al, bl := a.Member == last, b.Member == last; al != bl {
-			return bl
-		}
-		if held[a.Member] != held[b.Member] {
-			return held[a.Member] < held[b.Member]
-		}
-		al, bl := a.Member == s.leader.value.Member, b.Member == s.leader.value.Member
-		if al != bl {
-			return bl
-		}
-		if a.JoinedAtMs != b.JoinedAtMs {
-			return a.JoinedAtMs > b.JoinedAtMs
-		}
-		return a.Member < b.Member
+// predecessorEnded reports whether the process of a shard's last term has surely ended: there was
+// none, it gave the shard up, or a later process of its name has taken its member record over. A
+// process whose record is merely absent may be cut off from the state service and still run.
+func (m *Membership) predecessorEnded(last versioned[ShardRecord]) bool {
+	_, restarted := m.records.members[last.value.Holder]
+	return last.version == 0 || last.value.Holder == "" || restarted
+}
+
+// recordFeatures writes down which feature gates are in force: those that every member
+// announces. A member of a version that announces nothing ends them all.
+func (m *Membership) recordFeatures() {
+	inForce := m.commonFeatures()
+	recorded := m.records.features
+	if slices.Equal(inForce, recorded.value.InForce) {
+		return
 	}
-	for _, m := range s.members {
-		if best.version == 0 || less(m.value, best.value) {
-			best = m
+	m.options.Log.Info("feature gates in force recorded", "from", recorded.value.InForce, "to", inForce)
+	m.transact(wire.Transaction{
+		Compares: []wire.Compare{
+			store.VersionEquals(keyLeader, m.records.leader.version),
+			store.VersionEquals(keyFeatures, recorded.version),
+		},
+		Writes: []wire.Write{store.Put(keyFeatures, FeaturesRecord{InForce: inForce}, 0)},
+	})
+}
+
+// commonFeatures are the announced feature gates of this process that all members announce.
+func (m *Membership) commonFeatures() []string {
+	var common []string
+	for _, name := range m.options.Features {
+		if m.announcedByAll(name) {
+			common = append(common, name)
 		}
 	}
-	return best.value, best.version, best.version != 0
+	return common
 }
 
-func (s *Membership) transact(now time.Time, m wire.Transaction) {
-	s.transacting = true
-	s.stateCall(store.Call{Op: store.OpTransaction, Transaction: m}, func(now time.Time, r store.Result) {
-		s.transacting = false
-		// what was written, by us or by another, arrives through the mirror
-		s.retryAt = now.Add(tuning.ElectionPause)
-	})
+func (m *Membership) announcedByAll(feature string) bool {
+	for _, member := range m.records.members {
+		if !slices.Contains(member.value.Features, feature) {
+			return false
+		}
+	}
+	return true
 }
--- a/internal/leader/lease.go
+++ b/internal/leader/lease.go
@@ -9,87 +9,122 @@
 	"juniperchute/internal/wire"
 )
 
-// leaseDeadlineAfter is how long a lease surely stands after a request sent at t was
-// granted: clocks may drift apart, and the holder stops a little early.
-func leaseDeadlineAfter(t time.Time) time.Time {
-	return t.Add(tuning.MemberLease - time.Duration(float64(tuning.MemberLease)*2*tuning.MaxClockDrift) - tuning.LeaseSafetyMargin)
+// processLease is this process's lease in the state service.
+type processLease struct {
+	id               uint64    // also the process's incarnation; 0 without a lease
+	deadline         time.Time // until then the process may act for its lease
+	lastRenewal      time.Time // when the last renewal was answered
+	renewAt          time.Time // when the next renewal is due
+	renewalsInFlight int
 }
 
-func (s *Membership) requestLease(now time.Time) {
-	s.setState(memberGranting, "no lease")
-	s.stateCall(store.Call{Op: store.OpGrantLease, LeaseTTL: tuning.MemberLease}, func(now time.Time, r store.Result) {
-		if !r.OK() || r.Lease == 0 {
-			s.setState(memberOut, "lease refused")
-			s.retryAt = now.Add(tuning.MemberRetry)
-			return
-		}
-		s.lease, s.leaseDeadline, s.renewalsInFlight = r.Lease, leaseDeadlineAfter(r.SentAt), 0
-		s.renewAt = r.SentAt.Add(tuning.MemberRenewInterval)
-		s.setState(memberJoining, "lease granted")
-		s.Tick(now)
-	})
+// leaseDeadlineAfter is up to when a lease surely has not expired if a request sent at sentAt
+// granted or renewed it: clocks may drift apart, and the holder stops a little early.
+func leaseDeadlineAfter(sentAt time.Time) time.Time {
+	drift := time.Duration(float64(tuning.MemberLease) * 2 * tuning.MaxClockDrift)
+	return sentAt.Add(tuning.MemberLease - drift - tuning.LeaseSafetyMargin)
+}
+
+func (l *processLease) granted(id uint64, sentAt time.Time) {
+	l.id, l.deadline, l.renewalsInFlight = id, leaseDeadlineAfter(sentAt), 0
+	l.renewAt = sentAt.Add(tuning.MemberRenewInterval)
+}
+
+// renewed notes an answer. The answer to an earlier renewal may come after that to a later one,
+// and must not shorten the lease.
+func (l *processLease) renewed(now, sentAt time.Time) {
+	l.lastRenewal = now
+	if deadline := leaseDeadlineAfter(sentAt); deadline.After(l.deadline) {
+		l.deadline = deadline
+	}
+}
+
+func (m *Membership) requestLease(now time.Time) {
+	m.setState(memberGranting, "no lease")
+	m.options.StateCall(store.Call{Op: store.OpGrantLease, LeaseTTL: tuning.MemberLease}, m.handleGrant)
 }
 
-// renewLease renews the lease. The next renewal does not wait for the answer to the one
-// before: on a starved machine an answer may take longer than a renewal is due, and
-// one that comes late still counts from when it was asked for.
-func (s *Membership) renewLease(now time.Time) {
-	if s.renewalsInFlight == tuning.MaxRenewalsInFlight || now.Before(s.renewAt) {
+func (m *Membership) handleGrant(now time.Time, r store.Result) {
+	if !r.OK() || r.Lease == 0 {
+		m.setState(memberOut, "lease refused")
+		m.retryAt = now.Add(tuning.MemberRetry)
 		return
 	}
-	s.renewalsInFlight++
-	s.renewAt = now.Add(tuning.MemberRenewInterval)
-	lease := s.lease
-	s.stateCall(store.Call{Op: store.OpRenewLease, Lease: lease}, func(now time.Time, r store.Result) {
-		if s.lease != lease {
-			return
-		}
-		s.renewalsInFlight--
-		switch {
-		case r.OK():
-			s.lastRenewal = now
-			if d := leaseDeadlineAfter(r.SentAt); d.After(s.leaseDeadline) {
-				s.leaseDeadline = d
-			}
-		case errors.Is(r.Err, store.ErrNotFound):
-			s.dropLease("lease ended")
-		default:
-			s.renewAt = now.Add(tuning.MemberRetry)
+	m.lease.granted(r.Lease, r.SentAt)
+	m.setState(memberJoining, "lease granted")
+	m.Tick(now)
+}
+
+// renewLease sends the renewal that is due. It does not wait for the answer to the one before:
+// on a starved machine an answer may take longer than the time between two renewals, and one
+// that comes late still counts from when its renewal was sent.
+func (m *Membership) renewLease(now time.Time) {
+	if m.lease.renewalsInFlight == tuning.MaxRenewalsInFlight || now.Before(m.lease.renewAt) {
+		return
+	}
+	m.lease.renewalsInFlight++
+	m.lease.renewAt = now.Add(tuning.MemberRenewInterval)
+	lease := m.lease.id
+	m.options.StateCall(store.Call{Op: store.OpRenewLease, Lease: lease}, func(now time.Time, r store.Result) {
+		if m.lease.id == lease {
+			m.handleRenewal(now, r)
 		}
 	})
 }
 
-func (s *Membership) join(now time.Time) {
-	key := memberPrefix + s.self
-	lease := s.lease
-	rec := MemberRecord{Member: s.self, Incarnation: lease, JoinedAtMs: s.wallClock().UnixMilli(), Features: s.announcedFeatures}
-	s.retryAt = now.Add(tuning.StoreTimeout + tuning.MemberRetry)
-	s.stateCall(store.Call{Op: store.OpTransaction, Transaction: wire.Transaction{
-		Compares: []wire.Compare{store.VersionEquals(key, s.cache.Version(key))},
-		Writes:   []wire.Write{store.Put(key, rec, lease)},
-	}}, func(now time.Time, r store.Result) {
-		s.retryAt = now.Add(tuning.MemberRetry)
-		if s.lease != lease || s.state != memberJoining {
-			return
-		}
-		switch {
-		case r.OK():
-			s.setState(memberJoined, "record written")
-			s.retryAt = now
-			s.Tick(now)
-		case errors.Is(r.Err, store.ErrInvalid):
-			s.dropLease("lease ended while joining")
-		case errors.Is(r.Err, store.ErrNoResponse) || errors.Is(r.Err, store.ErrConflict):
-			// perhaps written after all: the mirror will tell
-			if m, ok := s.members[s.self]; ok && m.value.Incarnation == lease {
-				s.setState(memberJoined, "record found")
-			}
+func (m *Membership) handleRenewal(now time.Time, r store.Result) {
+	m.lease.renewalsInFlight--
+	switch {
+	case r.OK():
+		m.lease.renewed(now, r.SentAt)
+	case errors.Is(r.Err, store.ErrNotFound):
+		m.dropLease("lease expired")
+	default:
+		m.lease.renewAt = now.Add(tuning.MemberRetry)
+	}
+}
+
+// join writes the member record, attached to the lease.
+func (m *Membership) join(now time.Time) {
+	key := memberPrefix + m.options.Member
+	lease := m.lease.id
+	record := MemberRecord{
+		Member:      m.options.Member,
+		Incarnation: lease,
+		JoinedAtMs:  m.options.WallClock().UnixMilli(),
+		Features:    m.options.Features,
+	}
+	m.retryAt = now.Add(tuning.StoreTimeout + tuning.MemberRetry)
+	call := store.Call{Op: store.OpTransaction, Transaction: wire.Transaction{
+		Compares: []wire.Compare{store.VersionEquals(key, m.cache.Version(key))},
+		Writes:   []wire.Write{store.Put(key, record, lease)},
+	}}
+	m.options.StateCall(call, func(now time.Time, r store.Result) {
+		m.retryAt = now.Add(tuning.MemberRetry)
+		if m.lease.id == lease && m.state == memberJoining {
+			m.handleJoin(now, r)
 		}
 	})
 }
 
-// dropLease gives up a lease that has ended.
-func (s *Membership) dropLease(why string) {
-	s.setState(memberOut, why)
-	s.lease, s.leaseDeadline = 0, time.Time{}
+func (m *Membership) handleJoin(now time.Time, r store.Result) {
+	switch {
+	case r.OK():
+		m.setState(memberJoined, "record written")
+		m.retryAt = now
+		m.Tick(now)
+	case errors.Is(r.Err, store.ErrInvalid):
+		m.dropLease("lease expired while joining")
+	case errors.Is(r.Err, store.ErrNoResponse) || errors.Is(r.Err, store.ErrConflict):
+		// perhaps the record was written after all: then the cache has it
+		if m.records.isLive(m.options.Member, m.lease.id) {
+			m.setState(memberJoined, "record found")
+		}
+	}
+}
+
+// dropLease forgets a lease that has expired; Tick then requests another.
+func (m *Membership) dropLease(why string) {
+	m.setState(memberOut, why)
+	m.lease.id, m.lease.deadline = 0, time.Time{}
 }
--- a/internal/leader/watermark.go
+++ b/internal/leader/watermark.go
@@ -2,63 +2,74 @@
 
 import "time"
 
-// CancellationWatermark is the last moment, on this process's clock, up to which a block's holder
-// surely knows every cancellation that any node has told a user. Its own reads of the
-// state service move it on, and where it cannot read, its peers' word that they have
-// told of none that the holder does not have. That the state service answers nobody
-// moves nothing by itself: a cancellation may have been confirmed just before.
+// CancellationWatermark is the last moment, on this process's clock, up to which a shard's lease
+// holder surely knows every cancellation that any controller has confirmed to a user. The holder
+// may renew a worker's lease only so far past the watermark that the tasks of a cancellation it
+// does not know of still stop in time.
+//
+// The watermark advances in two ways: the holder has read everything that was written to the
+// state service up to a moment; or, where it cannot read, every peer has acknowledged that up to
+// a moment it confirmed no cancellation that the holder does not have. That the state service
+// answers nobody does not advance it: a cancellation may have been confirmed just before. The
+// watermark never goes back.
 type CancellationWatermark struct {
-	known time.Time
-	peers map[string]*acknowledgement
+	known time.Time // zero until something has been read
+	peers map[string]acknowledgement
 }
 
-// acknowledgement is what one peer's newest word is worth.
+// acknowledgement is the newest statement of a peer. It covers the confirmations of one process
+// only; process is 0 if the peer has acknowledged nothing.
 type acknowledgement struct {
 	process   uint64
-	startedAt time.Time // its process began no later
-	until     time.Time // it had told of nothing else by then
+	startedAt time.Time // the process started at this time or earlier
+	until     time.Time // it had confirmed nothing unknown to the holder by then
 }
 
-// NewCancellationWatermark makes the horizon of a holder with these peers.
+// NewCancellationWatermark makes the watermark of a lease holder with these peers, by member
+// name.
 func NewCancellationWatermark(peers []string) *CancellationWatermark {
-	h := &CancellationWatermark{peers: map[string]*acknowledgement{}}
-	for _, p := range peers {
-		h.peers[p] = &acknowledgement{}
+	w := &CancellationWatermark{peers: map[string]acknowledgement{}}
+	for _, peer := range peers {
+		w.peers[peer] = acknowledgement{}
 	}
-	return h
+	return w
 }
 
-// AdvanceTo notes that all that was written by a moment has been read, and acted upon.
-func (h *CancellationWatermark) AdvanceTo(upTo time.Time) {
-	if upTo.After(h.known) {
-		h.known = upTo
+// AdvanceTo notes that everything written by a moment has been read and acted upon.
+func (w *CancellationWatermark) AdvanceTo(moment time.Time) {
+	if moment.After(w.known) {
+		w.known = moment
 	}
 }
 
-// Acknowledge notes a peer's word, all of which has been acted upon: its process began no
-// later than born, and had by until told of no cancellation that was not passed on.
-func (h *CancellationWatermark) Acknowledge(peer string, process uint64, born, until time.Time) {
-	if v := h.peers[peer]; v != nil && process != 0 && until.After(v.until) {
-		*v = acknowledgement{process, born, until}
+// Acknowledge notes what a peer's process stated, after everything it passed on has been acted
+// upon: the process started at startedAt or earlier, and had by until confirmed no cancellation
+// that it has not passed on. Statements of members that are not peers, and of versions that give
+// no process (0), do not count.
+func (w *CancellationWatermark) Acknowledge(peer string, process uint64, startedAt, until time.Time) {
+	last, known := w.peers[peer]
+	if known && process != 0 && until.After(last.until) {
+		w.peers[peer] = acknowledgement{process: process, startedAt: startedAt, until: until}
 	}
 }
 
-// At is the horizon.
-func (h *CancellationWatermark) At(now time.Time) time.Time {
-	if h.known.IsZero() {
-		return h.known
+// At advances the watermark as far as the peers' acknowledgements allow, and returns it; zero if
+// nothing has been read yet.
+func (w *CancellationWatermark) At(now time.Time) time.Time {
+	if w.known.IsZero() {
+		return w.known
 	}
-	to := now // without peers, whatever is told is told here
-	for _, v := range h.peers {
-		// A process that began after the horizon cannot speak for the one it
-		// replaced, which may have told of a cancellation between the two.
-		if v.process == 0 || v.startedAt.After(h.known) {
-			return h.known
+	acknowledged := now // without peers, every cancellation is confirmed by this process
+	for _, peer := range w.peers {
+		// A process that started after the watermark cannot speak for the one it replaced,
+		// which may have confirmed a cancellation between the two.
+		if peer.process == 0 || peer.startedAt.After(w.known) {
+			return w.known
 		}
-		if v.until.Before(to) {
-			to = v.until
+		if peer.until.Before(acknowledged) {
+			acknowledged = peer.until
 		}
 	}
-	h.AdvanceTo(to)
-	return h.known
+	w.AdvanceTo(acknowledged)
+	return w.known
 }
--- a/internal/leader/watermark_test.go
+++ b/internal/leader/watermark_test.go
@@ -5,51 +5,148 @@
 	"time"
 )
 
-// The horizon moves on by own reads and by what all peers vouch for, each for its own
-// process only. Seconds on the holder's clock.
-func TestHorizon(t *testing.T) {
-	type vouched struct {
-		peer        string
-		process     uint64
-		born, until float64
+// statement is what a peer acknowledges; times in seconds on the lease holder's clock.
+type statement struct {
+	peer             string
+	process          uint64
+	startedAt, until float64
+}
+
+var watermarkCases = []struct {
+	name       string
+	peers      []string
+	read       float64 // everything written by then has been read; 0: nothing has
+	statements []statement
+	want       float64 // at 100 s
+}{
+	{
+		name:  "own reads alone",
+		peers: []string{"a", "b"},
+		read:  10,
+		want:  10,
+	},
+	{
+		name:       "nothing read yet: nothing is known, whatever peers acknowledge",
+		peers:      []string{"a"},
+		statements: []statement{{peer: "a", process: 1, until: 20}},
+		want:       0,
+	},
+	{
+		name: "no peers: every cancellation is confirmed here",
+		read: 10,
+		want: 100,
+	},
+	{
+		name:  "all acknowledge: as far as the earliest statement",
+		peers: []string{"a", "b"},
+		read:  10,
+		statements: []statement{
+			{peer: "a", process: 1, until: 30},
+			{peer: "b", process: 2, until: 20},
+		},
+		want: 20,
+	},
+	{
+		name:       "one peer acknowledges nothing",
+		peers:      []string{"a", "b"},
+		read:       10,
+		statements: []statement{{peer: "a", process: 1, until: 30}},
+		want:       10,
+	},
+	{
+		name:  "one peer started after the watermark",
+		peers: []string{"a", "b"},
+		read:  10,
+		statements: []statement{
+			{peer: "a", process: 1, until: 30},
+			{peer: "b", process: 2, startedAt: 11, until: 20},
+		},
+		want: 10,
+	},
+	{
+		name:  "one peer started before the watermark",
+		peers: []string{"a", "b"},
+		read:  10,
+		statements: []statement{
+			{peer: "a", process: 1, until: 30},
+			{peer: "b", process: 2, startedAt: 9, until: 20},
+		},
+		want: 20,
+	},
+	{
+		name:  "one peer was restarted in the outage: it cannot speak for the process before it",
+		peers: []string{"a", "b"},
+		read:  10,
+		statements: []statement{
+			{peer: "a", process: 1, until: 15},
+			{peer: "b", process: 2, until: 14},
+			{peer: "a", process: 1, until: 40},
+			{peer: "b", process: 3, startedAt: 20, until: 40},
+		},
+		want: 10,
+	},
+	{
+		name:  "an older statement after a newer one",
+		peers: []string{"a"},
+		read:  10,
+		statements: []statement{
+			{peer: "a", process: 1, until: 30},
+			{peer: "a", process: 1, until: 20},
+		},
+		want: 30,
+	},
+	{
+		name:  "a late statement of the process that was replaced",
+		peers: []string{"a"},
+		read:  10,
+		statements: []statement{
+			{peer: "a", process: 2, startedAt: 12, until: 30},
+			{peer: "a", process: 1, until: 11},
+		},
+		want: 10,
+	},
+	{
+		name:       "a peer of a version that acknowledges nothing",
+		peers:      []string{"a"},
+		read:       10,
+		statements: []statement{{peer: "a", process: 0, until: 30}},
+		want:       10,
+	},
+	{
+		name:       "a statement of no peer",
+		peers:      []string{"a"},
+		read:       10,
+		statements: []statement{{peer: "x", process: 1, until: 30}},
+		want:       10,
+	},
+	{
+		name:       "a statement from before the last read only",
+		peers:      []string{"a"},
+		read:       10,
+		statements: []statement{{peer: "a", process: 1, until: 7}},
+		want:       10,
+	},
+}
+
+// The watermark advances by own reads and by what all peers acknowledge, each for its own process
+// only.
+func TestCancellationWatermark(t *testing.T) {
+	base := time.Unix(1000, 0)
+	at := func(s float64) time.Time {
+		if s == 0 {
+			return time.Time{}
+		}
+		return base.Add(time.Duration(s * float64(time.Second)))
 	}
-	for _, c := range []struct {
-		name    string
-		peers   []string
-		read    float64
-		vouched []vouched
-		want    float64
-	}{
-		{"own reads alone", []string{"a", "b"}, 10, nil, 10},
-		{"nothing read yet: nothing is known, whatever peers say", []string{"a"}, 0, []vouched{{"a", 1, 0, 20}}, 0},
-		{"no peers: whatever is told is told here", nil, 10, nil, 100},
-		{"all vouch: as far as the one that vouched first", []string{"a", "b"}, 10, []vouched{{"a", 1, 0, 30}, {"b", 2, 0, 20}}, 20},
-		{"one is silent", []string{"a", "b"}, 10, []vouched{{"a", 1, 0, 30}}, 10},
-		{"one is new since", []string{"a", "b"}, 10, []vouched{{"a", 1, 0, 30}, {"b", 2, 11, 20}}, 10},
-		{"one was restarted before", []string{"a", "b"}, 10, []vouched{{"a", 1, 0, 30}, {"b", 2, 9, 20}}, 20},
-		{"one ended and came back in the outage: it cannot speak for the process before it", []string{"a", "b"}, 10,
-			[]vouched{{"a", 1, 0, 15}, {"b", 2, 0, 14}, {"a", 1, 0, 40}, {"b", 3, 20, 40}}, 10},
-		{"an older word after a newer one", []string{"a"}, 10, []vouched{{"a", 1, 0, 30}, {"a", 1, 0, 20}}, 30},
-		{"a late word of the process that was replaced", []string{"a"}, 10, []vouched{{"a", 2, 12, 30}, {"a", 1, 0, 11}}, 10},
-		{"a peer that does not know of this", []string{"a"}, 10, []vouched{{"a", 0, 0, 30}}, 10},
-		{"a stranger's word", []string{"a"}, 10, []vouched{{"x", 1, 0, 30}}, 10},
-		{"vouched for before the last read only", []string{"a"}, 10, []vouched{{"a", 1, 0, 7}}, 10},
-	} {
+	for _, c := range watermarkCases {
 		t.Run(c.name, func(t *testing.T) {
-			base := time.Unix(1000, 0)
-			at := func(s float64) time.Time {
-				if s == 0 {
-					return time.Time{}
-				}
-				return base.Add(time.Duration(s * float64(time.Second)))
-			}
-			h := NewCancellationWatermark(c.peers)
-			h.AdvanceTo(at(c.read))
-			for _, v := range c.vouched {
-				h.Acknowledge(v.peer, v.process, at(v.born), at(v.until))
+			w := NewCancellationWatermark(c.peers)
+			w.AdvanceTo(at(c.read))
+			for _, s := range c.statements {
+				w.Acknowledge(s.peer, s.process, at(s.startedAt), at(s.until))
 			}
-			if got := h.At(at(100)); !got.Equal(at(c.want)) {
-				t.Errorf("horizon %v, want %v", got.Sub(base), at(c.want).Sub(base))
+			if got := w.At(at(100)); !got.Equal(at(c.want)) {
+				t.Errorf("watermark %v, want %v", got.Sub(base), at(c.want).Sub(base))
 			}
 		})
 	}
