--- /dev/null
+++ b/internal/wire/job_parse.go
@@ -0,0 +1,208 @@
+package wire
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+)
+
+const (
+	// maxNameBytes bounds the names a user may choose, in bytes, so that a job always
+	// fits one value of the state service.
+	maxNameBytes = 200
+	// maxAmount bounds resources, in their units, and durations, in seconds.
+	maxAmount = 1e9
+)
+
+// JSON names of a submission's fields: the tags of JobSpec.
+const (
+	fieldID                 = "Id"
+	fieldClass              = "Lane"
+	fieldTeam               = "Crew"
+	fieldShape              = "Shape"
+	fieldPriority           = "Rank"
+	fieldTasks              = "Pieces"
+	fieldVcpus              = "Vcpus"
+	fieldGpus               = "Gpus"
+	fieldMem                = "MemGb"
+	fieldImage              = "Bundle"
+	fieldImageSize          = "ImageGb"
+	fieldTypes              = "Builds"
+	fieldZone               = "Yard"
+	fieldSameZone           = "Together"
+	fieldSpreadAcrossZones  = "Apart"
+	fieldSpot               = "Loaners"
+	fieldEstimatedRunTime   = "GuessS"
+	fieldCheckpointInterval = "BookmarkS"
+	fieldCheckpointSaveTime = "StowS"
+	fieldDeadline           = "DueS"
+)
+
+// ErrNotObject means that a submission is not a JSON object.
+var ErrNotObject = errors.New("not a JSON object")
+
+// FieldError tells which field of a submission is missing or invalid. Users get its text.
+type FieldError struct {
+	Field   string // JSON name
+	Problem string
+}
+
+func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
+
+// ParseJobSpec reads and checks a submission. A malformed one gets ErrNotObject or, for the first
+// field that is missing or invalid, a *FieldError.
+func ParseJobSpec(body []byte) (JobSpec, error) {
+	r := &fieldReader{}
+	if err := json.Unmarshal(body, &r.raw); err != nil || r.raw == nil {
+		return JobSpec{}, ErrNotObject
+	}
+	// the calls are made in this order
+	spec := JobSpec{
+		ID:                  r.knownText(fieldID, ValidID, "not a job id"),
+		Class:               r.text(fieldClass),
+		Team:                r.text(fieldTeam),
+		Shape:               r.knownText(fieldShape, KnownShape, "unknown"),
+		Priority:            r.knownText(fieldPriority, knownPriority, "unknown"),
+		Tasks:               r.taskCount(),
+		Vcpus:               r.amount(fieldVcpus),
+		Gpus:                r.amount(fieldGpus),
+		MemGb:               r.amount(fieldMem),
+		Image:               r.text(fieldImage),
+		ImageGb:             r.amount(fieldImageSize),
+		Types:               r.optionalTexts(fieldTypes),
+		Zone:                r.optionalText(fieldZone),
+		SameZone:            r.flag(fieldSameZone),
+		SpreadAcrossZones:   r.flag(fieldSpreadAcrossZones),
+		Spot:                r.flag(fieldSpot),
+		EstimatedRunTimeS:   r.amount(fieldEstimatedRunTime),
+		CheckpointIntervalS: r.amount(fieldCheckpointInterval),
+		CheckpointSaveTimeS: r.amount(fieldCheckpointSaveTime),
+		DeadlineS:           r.optionalAmount(fieldDeadline),
+	}
+	if r.err != nil {
+		return JobSpec{}, r.err
+	}
+	spec.AnyType = spec.Types == nil // an empty list allows none
+	return spec, nil
+}
+
+func knownPriority(name string) bool {
+	_, ok := Priority(name)
+	return ok
+}
+
+// fieldReader reads the fields of a JSON object by their exact names, and keeps the first error.
+// encoding/json alone would match names without regard to case and take a missing field for zero.
+type fieldReader struct {
+	raw map[string]json.RawMessage
+	err error
+}
+
+func (r *fieldReader) fail(name, problem string) {
+	if r.err == nil {
+		r.err = &FieldError{Field: name, Problem: problem}
+	}
+}
+
+// optional reads a field, and returns false if it is absent or cannot be read.
+func (r *fieldReader) optional(name string, target any) bool {
+	if r.absent(name) {
+		return false
+	}
+	if err := json.Unmarshal(r.raw[name], target); err != nil {
+		r.fail(name, "wrong type")
+		return false
+	}
+	return true
+}
+
+// required is optional for a field that must not be absent.
+func (r *fieldReader) required(name string, target any) bool {
+	if r.absent(name) {
+		r.fail(name, "missing")
+		return false
+	}
+	return r.optional(name, target)
+}
+
+func (r *fieldReader) absent(name string) bool {
+	raw, ok := r.raw[name]
+	return !ok || bytes.Equal(raw, []byte("null"))
+}
+
+func (r *fieldReader) text(name string) string {
+	var s string
+	if r.required(name, &s) {
+		r.checkLength(name, s)
+	}
+	return s
+}
+
+func (r *fieldReader) optionalText(name string) string {
+	var s string
+	if r.optional(name, &s) {
+		r.checkLength(name, s)
+	}
+	return s
+}
+
+// optionalTexts returns nil if the field is absent.
+func (r *fieldReader) optionalTexts(name string) []string {
+	var list []string
+	r.optional(name, &list)
+	for _, s := range list {
+		r.checkLength(name, s)
+	}
+	return list
+}
+
+func (r *fieldReader) checkLength(name, s string) {
+	if s == "" || len(s) > maxNameBytes {
+		r.fail(name, "length out of range")
+	}
+}
+
+// knownText reads a text that a function has to know, or else fails with a problem.
+func (r *fieldReader) knownText(name string, known func(string) bool, problem string) string {
+	s := r.text(name)
+	if !known(s) {
+		r.fail(name, problem)
+	}
+	return s
+}
+
+func (r *fieldReader) amount(name string) float64 {
+	var v float64
+	if r.required(name, &v) {
+		r.checkAmount(name, v)
+	}
+	return v
+}
+
+func (r *fieldReader) optionalAmount(name string) float64 {
+	var v float64
+	if r.optional(name, &v) {
+		r.checkAmount(name, v)
+	}
+	return v
+}
+
+func (r *fieldReader) checkAmount(name string, v float64) {
+	if v < 0 || v > maxAmount {
+		r.fail(name, "out of range")
+	}
+}
+
+func (r *fieldReader) taskCount() int {
+	var n int
+	if r.required(fieldTasks, &n) && (n < 1 || n > MaxTasksPerJob) {
+		r.fail(fieldTasks, "out of range")
+	}
+	return n
+}
+
+func (r *fieldReader) flag(name string) bool {
+	var v bool
+	r.required(name, &v)
+	return v
+}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,211 +1,70 @@
-// Package wire holds the message types of the service's outside interfaces,
-// exactly as the protocol names them.
+// Package wire holds the messages of the service's outside interfaces: to users, workers, the
+// cloud and the state service.
+//
+// It is the edge where the protocol's words are mapped to the standard ones: Go names are the
+// field's (token, incarnation, task, zone, spot), and the protocol's words stand in the JSON tags
+// and in the values of constants only. Code outside this package uses the Go names. Tags and values
+// are fixed: other programs and earlier versions read them. Receivers ignore fields they do not
+// know; a field that may be null may also be omitted.
+//
+// Units: names that end in S are seconds, in Ms milliseconds, in Gb gigabytes. Vcpus, Gpus and
+// amounts of memory need not be whole numbers. Prices are per hour of a machine.
 package wire
 
-import "encoding/json"
-
 // Shapes of a job.
 const (
-	ShapeBatch = "batch"
-	ShapeGang  = "gang"
+	ShapeBatch = "batch" // independent tasks, each runs to completion (a job array)
+	ShapeGang  = "gang"  // all tasks run at the same time, or none does
 	// ShapeService is a service: its tasks run until its user cancels it.
 	// The protocol's pages do not list it, but its users submit it.
 	ShapeService = "standing"
 )
 
-// KnownShape tells whether a shape is one of those that this version knows.
+// KnownShape reports whether a shape is one of those that this version knows.
 func KnownShape(shape string) bool {
 	return shape == ShapeBatch || shape == ShapeGang || shape == ShapeService
 }
 
-// Stages of a job as its user sees them.
+// States of a job as its user sees them.
 const (
-	JobPending   = "pending"
+	JobPending   = "pending" // no task runs
 	JobRunning   = "running"
-	JobDone      = "done"
+	JobDone      = "done" // all tasks have completed; final
 	JobCancelled = "withdrawn"
 )
 
-// Stages of a task as its worker reports them.
+// States of a task as its worker reports them.
 const (
-	TaskFetching = "fetching"
-	TaskWaiting  = "waiting"
-	TaskRunning  = "running"
-	TaskSaving   = "saving"
-	TaskExited   = "exited"
+	TaskFetching = "fetching" // waits for its image
+	TaskWaiting  = "waiting"  // of a gang: waits for the other tasks of its attempt
+	TaskRunning  = "running"  // also while a gang that lost a task or is being stopped ends
+	TaskSaving   = "saving"   // was told to stop and saves a checkpoint
+	TaskExited   = "exited"   // with an exit reason
 )
 
-// Causes of a task's exit.
+// Exit reasons of a task. The last three refuse the start of a task.
 const (
 	ExitDone                  = "done"
-	ExitStopped               = "halted"
-	ExitGangMemberLost        = "mates_gone"
-	ExitGangWaitTimeout       = "alone"
-	ExitError                 = "error"
-	ExitInsufficientResources = "no_room"
-	ExitOtherAttemptPresent   = "in_use"
-	ExitUnknownTask           = "unknown"
+	ExitStopped               = "halted"     // by command
+	ExitGangMemberLost        = "mates_gone" // another task of the gang ended
+	ExitGangWaitTimeout       = "alone"      // the gang was not complete in time
+	ExitError                 = "error"      // failed, mostly as the machine is faulty
+	ExitInsufficientResources = "no_room"    // not enough free resources on the machine
+	ExitOtherAttemptPresent   = "in_use"     // the task is on this machine with another attempt
+	ExitUnknownTask           = "unknown"    // no such job or task, or the job is not submitted
 )
 
-// Verbs of an order to a worker.
+// Verbs of a command to a worker. Commands can be repeated, with one exception: after VerbReap
+// the worker has forgotten the attempt, and VerbRun would start it again.
 const (
-	VerbRun  = "run"
-	VerbStop = "stop"
-	VerbReap = "reap"
+	VerbRun  = "run"  // no effect if the worker has the task and attempt, in whatever state
+	VerbStop = "stop" // saves a checkpoint first if the grace period is long enough
+	VerbReap = "reap" // removes an exited task from the worker's heartbeats
 )
 
-// Stages of a machine in the cloud's list.
+// States of a machine in the cloud's list.
 const (
-	MachineBooting = "booting"
+	MachineBooting = "booting" // charged; a few machines never come up
 	MachineRunning = "running"
-	MachineFailed  = "failed"
+	MachineFailed  = "failed" // not charged any more, listed until it is deleted
 )
-
-// JobState is the answer to a submission, a query or a cancellation.
-type JobState struct {
-	ID      string `json:"Id"`
-	State   string `json:"Stage"`
-	Done    int    `json:"done"`
-	Running int    `json:"running"`
-}
-
-// JobAccepted is the answer to a submission or a cancellation.
-type JobAccepted struct {
-	ID    string `json:"Id"`
-	State string `json:"Stage"`
-}
-
-// Heartbeat is a worker's account of itself.
-type Heartbeat struct {
-	Host              string
-	Address           string
-	Type              string       `json:"Build"`
-	Zone              string       `json:"Yard"`
-	Spot              bool         `json:"Loaners"`
-	Incarnation       uint64       `json:"Stint"`
-	Sequence          uint64       `json:"Tally"`
-	Token             uint64       `json:"Baton"`
-	PreemptionNoticeS *float64     `json:"RecallS"`
-	Tasks             []TaskStatus `json:"Pieces"`
-}
-
-// TaskStatus is one task in a report.
-type TaskStatus struct {
-	Name            string `json:"Piece"`
-	Attempt         uint64 `json:"Try"`
-	State           string `json:"Stage"`
-	ExitReason      string `json:"Cause,omitempty"`
-	CheckpointSaved bool   `json:"Stored,omitempty"`
-}
-
-// Command is one command to a worker.
-type Command struct {
-	Verb         string   `json:"Verb"`
-	Task         string   `json:"Piece"`
-	Attempt      uint64   `json:"Try"`
-	GracePeriodS *float64 `json:"WindDownS,omitempty"`
-}
-
-// HeartbeatResponse answers a report.
-type HeartbeatResponse struct {
-	Token    uint64    `json:"Baton"`
-	Commands []Command `json:"Orders"`
-}
-
-// DirectCommands is a direct command to a worker.
-type DirectCommands struct {
-	Token       uint64    `json:"Baton"`
-	Incarnation uint64    `json:"Stint"`
-	Commands    []Command `json:"Orders"`
-}
-
-// Redirect answers a report that belongs to another node.
-type Redirect struct {
-	Member string `json:"ReportsTo,omitempty"`
-}
-
-// MachineType is one machine type.
-type MachineType struct {
-	Name        string
-	Vcpus       float64
-	Gpus        float64
-	MemGb       float64
-	LocalGb     float64
-	FetchGbPerS float64
-	Price       float64
-	SpotPrice   float64  `json:"LowPrice"`
-	BootTimeS   float64  `json:"BootS"`
-	Zones       []string `json:"Yards"`
-}
-
-// MachineTypes is the cloud's answer about its machine types.
-type MachineTypes struct {
-	Types []MachineType `json:"Builds"`
-}
-
-// ProvisionRequest asks the cloud for machines.
-type ProvisionRequest struct {
-	Name  string `json:"Hire"`
-	Type  string `json:"Build"`
-	Zone  string `json:"Yard"`
-	Spot  bool   `json:"Loaners"`
-	Count int    `json:"Number"`
-}
-
-// MachineNames lists machines by name, in requests and answers.
-type MachineNames struct {
-	Names []string `json:"Hosts"`
-}
-
-// Machine is one machine in the cloud's list.
-type Machine struct {
-	ID      string `json:"Id"`
-	Address string
-	Type    string `json:"Build"`
-	Zone    string `json:"Yard"`
-	Spot    bool   `json:"Loaners"`
-	State   string `json:"Stage"`
-	AgeS    float64
-}
-
-// MachinePage is one page of the cloud's list.
-type MachinePage struct {
-	Machines []Machine `json:"Hosts"`
-	More     bool
-}
-
-// Compare is a condition of a transaction: the key has this version.
-type Compare struct {
-	Key     string `json:"Path"`
-	Version uint64 `json:"Stamp"`
-}
-
-// Write is one change of a transaction: a put or a removal.
-type Write struct {
-	Put    string          `json:"Write,omitempty"`
-	Value  json.RawMessage `json:",omitempty"`
-	Lease  uint64          `json:"Hold,omitempty"`
-	Delete string          `json:"Remove,omitempty"`
-}
-
-// Transaction is a transaction.
-type Transaction struct {
-	Compares []Compare `json:"When,omitempty"`
-	Writes   []Write   `json:",omitempty"`
-}
-
-// KeyValue is one key of the state service.
-type KeyValue struct {
-	Key     string `json:"Path"`
-	Value   json.RawMessage
-	Version uint64 `json:"Stamp"`
-	Lease   uint64 `json:"Hold"`
-}
-
-// Event is one event of a watch.
-type Event struct {
-	Put     string `json:"Write"`
-	Value   json.RawMessage
-	Delete  string `json:"Remove"`
-	Version uint64 `json:"Stamp"`
-}
