--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -6,12 +6,13 @@
 	"testing"
 )
 
+// settings are valid; the cases of TestParse replace a part of them.
 const settings = `
 member = "n0"
 area = "a"
 api_addr = "10.0.0.1:8080"
 peer_bind = "10.0.0.1:8081"
-unheard_of = { x = 1 }
+unknown = { x = 1 }
 [[known]]
 member = "n1"
 area = "a"
@@ -52,99 +53,264 @@
 sockets = 900
 `
 
+type parseCase struct {
+	name     string
+	old, new string // the part of the settings to be replaced, and by what
+	fault    string // named by the error; "" for none
+}
+
+var parseCases = []parseCase{
+	{
+		name: "as handed over",
+	},
+	{
+		name:  "no member",
+		old:   `member = "n0"`,
+		fault: "member",
+	},
+	{
+		name:  "no address",
+		old:   `api_addr = "10.0.0.1:8080"`,
+		fault: "api_addr",
+	},
+	{
+		name:  "a name as address",
+		old:   "10.2.0.1:2379",
+		new:   "state:2379",
+		fault: "external.state",
+	},
+	{
+		name:  "a peer named as this node",
+		old:   `member = "n1"`,
+		new:   `member = "n0"`,
+		fault: "known[0].member",
+	},
+	{
+		name:  "no zones",
+		old:   `zones = ["a"]`,
+		fault: "facts.zones",
+	},
+	{
+		name:  "no lease",
+		old:   "lease_s = 10.0",
+		fault: "facts.workers.lease_s",
+	},
+	{
+		name:  "negative lease",
+		old:   "lease_s = 10.0",
+		new:   "lease_s = -1.0",
+		fault: "facts.workers.lease_s",
+	},
+	{
+		name:  "wrong type",
+		old:   "rps = 200.0",
+		new:   `rps = "many"`,
+		fault: "line 34: facts.state.rps",
+	},
+	{
+		name:  "not TOML",
+		old:   "[external]",
+		new:   "[external",
+		fault: "line ",
+	},
+	{
+		name:  "no processor share",
+		old:   "cpu = 0.12",
+		fault: "facts.machine_limits.cpu",
+	},
+	{
+		name:  "no memory",
+		old:   "memory_mb = 98.0",
+		new:   "memory_mb = 0.0",
+		fault: "facts.machine_limits.memory_mb",
+	},
+	{
+		name:  "memory that is no number",
+		old:   "memory_mb = 98.0",
+		new:   "memory_mb = nan",
+		fault: "facts.machine_limits.memory_mb",
+	},
+	{
+		name:  "negative sockets",
+		old:   "sockets = 900",
+		new:   "sockets = -1",
+		fault: "facts.machine_limits.sockets",
+	},
+	{
+		name:  "negative limit",
+		old:   "gpus_max = 8.0",
+		new:   "gpus_max = -8.0",
+		fault: "facts.teams[0]",
+	},
+	{
+		name: "upcoming limits",
+		old:  "txn_ops = 8",
+		new:  "txn_ops = 8\n[facts.state.next]\nvalue_kb = 2\nwrite_rps = 15.0\nburst = true",
+	},
+	{
+		name:  "an upcoming limit of zero",
+		old:   "txn_ops = 8",
+		new:   "txn_ops = 8\n[facts.state.next]\nvalue_kb = 0.0",
+		fault: "facts.state.next.value_kb",
+	},
+	{
+		name:  "a negative upcoming limit",
+		old:   "txn_ops = 8",
+		new:   "txn_ops = 8\n[facts.state.next]\nwrite_rps = -1",
+		fault: "facts.state.next.write_rps",
+	},
+	{
+		name:  "an upcoming limit that is not a number",
+		old:   "txn_ops = 8",
+		new:   "txn_ops = 8\n[facts.state.next]\nrps = nan",
+		fault: "facts.state.next.rps",
+	},
+	{
+		name:  "an upcoming limit in words",
+		old:   "txn_ops = 8",
+		new:   "txn_ops = 8\n[facts.state.next]\ntxn_ops = \"four\"",
+		fault: "facts.state.next.txn_ops",
+	},
+	{
+		name:  "an upcoming limit of half an operation",
+		old:   "txn_ops = 8",
+		new:   "txn_ops = 8\n[facts.state.next]\ntxn_ops = 2.5",
+		fault: "facts.state.next.txn_ops",
+	},
+	{
+		name:  "fewer operations than go together",
+		old:   "txn_ops = 8",
+		new:   "txn_ops = 8\n[facts.state.next]\ntxn_ops = 1",
+		fault: "next.txn_ops",
+	},
+	{
+		name:  "an infinite upcoming limit",
+		old:   "txn_ops = 8",
+		new:   "txn_ops = 8\n[facts.state.next]\nvalue_kb = inf",
+		fault: "facts.state.next.value_kb",
+	},
+	{
+		name:  "upcoming limits that are no table",
+		old:   "txn_ops = 8",
+		new:   "txn_ops = 8\nnext = 5",
+		fault: "facts.state.next",
+	},
+	{
+		name: "an empty table of upcoming limits",
+		old:  "txn_ops = 8",
+		new:  "txn_ops = 8\n[facts.state.next]",
+	},
+	{
+		name: "an objective of an unknown kind",
+		old:  "[[facts.objectives]]",
+		new:  "[[facts.objectives]]\nkind = \"up\"\nclass = \"portal\"\nfrom_s = 5.0\nshare = 0.998\n[[facts.objectives]]",
+	},
+	{
+		name: "whole numbers as amounts",
+		old:  "lease_s = 10.0",
+		new:  "lease_s = 10",
+	},
+}
+
 func TestParse(t *testing.T) {
-	for _, c := range []struct{ name, old, new, bad string }{
-		{"as handed over", "", "", ""},
-		{"no member", `member = "n0"`, "", "member"},
-		{"no address", `api_addr = "10.0.0.1:8080"`, "", "api_addr"},
-		{"a name as address", "10.2.0.1:2379", "state:2379", "external.state"},
-		{"a peer named as this node", `member = "n1"`, `member = "n0"`, "known[0].member"},
-		{"no zones", `zones = ["a"]`, "", "facts.zones"},
-		{"no lease", "lease_s = 10.0", "", "facts.workers.lease_s"},
-		{"negative lease", "lease_s = 10.0", "lease_s = -1.0", "facts.workers.lease_s"},
-		{"wrong type", "rps = 200.0", `rps = "many"`, "line 34: facts.state.rps"},
-		{"not TOML", "[external]", "[external", "line "},
-		{"no processor share", "cpu = 0.12", "", "facts.machine_limits.cpu"},
-		{"no memory", "memory_mb = 98.0", "memory_mb = 0.0", "facts.machine_limits.memory_mb"},
-		{"memory that is no number", "memory_mb = 98.0", "memory_mb = nan", "facts.machine_limits.memory_mb"},
-		{"negative sockets", "sockets = 900", "sockets = -1", "facts.machine_limits.sockets"},
-		{"negative limit", "gpus_max = 8.0", "gpus_max = -8.0", "facts.teams[0]"},
-		{"limits to come", "txn_ops = 8", "txn_ops = 8\n[facts.state.next]\nvalue_kb = 2\nwrite_rps = 15.0\nburst = true", ""},
-		{"a limit to come of zero", "txn_ops = 8", "txn_ops = 8\n[facts.state.next]\nvalue_kb = 0.0", "facts.state.next.value_kb"},
-		{"a negative limit to come", "txn_ops = 8", "txn_ops = 8\n[facts.state.next]\nwrite_rps = -1", "facts.state.next.write_rps"},
-		{"a limit to come that is no number", "txn_ops = 8", "txn_ops = 8\n[facts.state.next]\nrps = nan", "facts.state.next.rps"},
-		{"a limit to come in words", "txn_ops = 8", "txn_ops = 8\n[facts.state.next]\ntxn_ops = \"four\"", "facts.state.next.txn_ops"},
-		{"half an operation to come", "txn_ops = 8", "txn_ops = 8\n[facts.state.next]\ntxn_ops = 2.5", "facts.state.next.txn_ops"},
-		{"fewer operations than go together", "txn_ops = 8", "txn_ops = 8\n[facts.state.next]\ntxn_ops = 1", "next.txn_ops"},
-		{"limits to come without bounds", "txn_ops = 8", "txn_ops = 8\n[facts.state.next]\nvalue_kb = inf", "facts.state.next.value_kb"},
-		{"limits to come that are no table", "txn_ops = 8", "txn_ops = 8\nnext = 5", "facts.state.next"},
-		{"an empty table of limits to come", "txn_ops = 8", "txn_ops = 8\n[facts.state.next]", ""},
-		{"an objective of an unknown kind", "[[facts.objectives]]", "[[facts.objectives]]\nkind = \"up\"\nclass = \"portal\"\nfrom_s = 5.0\nshare = 0.998\n[[facts.objectives]]", ""},
-		{"whole numbers as amounts", "lease_s = 10.0", "lease_s = 10", ""},
-	} {
+	for _, c := range parseCases {
 		t.Run(c.name, func(t *testing.T) {
 			text := settings
 			if c.old != "" {
 				text = strings.Replace(text, c.old, c.new, 1)
 			}
 			cfg, err := Parse([]byte(text))
-			switch {
-			case c.bad == "" && err != nil:
-				t.Fatal(err)
-			case c.bad == "" && (cfg.Member != "n0" || cfg.Platform.Workers.LeaseS != 10 || cfg.Platform.Teams[0].GPUsMax != 8):
-				t.Fatalf("read wrongly: %+v", cfg)
-			case c.bad != "" && (err == nil || !strings.Contains(err.Error(), c.bad) || strings.Contains(err.Error(), "\n")):
-				t.Fatalf("got %v, want one line naming %q", err, c.bad)
+			if c.fault == "" {
+				checkParsed(t, cfg, err)
+				return
+			}
+			if err == nil || !strings.Contains(err.Error(), c.fault) || strings.Contains(err.Error(), "\n") {
+				t.Fatalf("got %v, want one line naming %q", err, c.fault)
 			}
 		})
 	}
 }
 
-// A machine smaller than any measured is warned of, field by field, and is no error.
-func TestSmall(t *testing.T) {
+func checkParsed(t *testing.T, cfg *Config, err error) {
+	t.Helper()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if cfg.Member != "n0" || cfg.Platform.Workers.LeaseS != 10 || cfg.Platform.Teams[0].GPUsMax != 8 {
+		t.Fatalf("read wrongly: %+v", cfg)
+	}
+}
+
+// A machine smaller than any measured is warned of, limit by limit, and is no error.
+func TestBelowMeasured(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		limits MachineLimits
-		names  []string
+		want   []string // the limits named
 	}{
-		{"the least measured", MachineLimits{CPU: 0.036, MemoryMB: 65, Sockets: 900}, nil},
-		{"half its share", MachineLimits{CPU: 0.018, MemoryMB: 65, Sockets: 900}, []string{"cpu"}},
-		{"less of all", MachineLimits{CPU: 0.01, MemoryMB: 20, Sockets: 100}, []string{"cpu", "memory_mb", "sockets"}},
+		{
+			name:   "the least measured",
+			limits: MachineLimits{CPU: 0.036, MemoryMB: 65, Sockets: 900},
+		},
+		{
+			name:   "half the processor share",
+			limits: MachineLimits{CPU: 0.018, MemoryMB: 65, Sockets: 900},
+			want:   []string{"cpu"},
+		},
+		{
+			name:   "less of all",
+			limits: MachineLimits{CPU: 0.01, MemoryMB: 20, Sockets: 100},
+			want:   []string{"cpu", "memory_mb", "sockets"},
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got := c.limits.BelowMeasured()
-			if len(got) != len(c.names) {
-				t.Fatalf("%q, want %q named", got, c.names)
+			if len(got) != len(c.want) {
+				t.Fatalf("%q, want %q named", got, c.want)
 			}
-			for i, n := range c.names {
-				if !strings.Contains(got[i], "facts.machine_limits."+n+":") {
-					t.Errorf("%q does not name %q", got[i], n)
+			for i, name := range c.want {
+				if !strings.Contains(got[i], "facts.machine_limits."+name+":") {
+					t.Errorf("%q does not name %q", got[i], name)
 				}
 			}
 		})
 	}
 }
 
-// What is written fits both the present limits and the ones to come; the rate stays the
-// present one until the service shows the other.
-func TestLimitsToCome(t *testing.T) {
-	now := StateLimits{RPS: 200, WriteRPS: 20, ValueKB: 4, TxnOps: 8}
+// What is written fits both the present limits and the upcoming ones; the rate stays the present
+// one until the service shows the other.
+func TestUpcomingLimits(t *testing.T) {
+	present := StateLimits{RPS: 200, WriteRPS: 20, ValueKB: 4, TxnOps: 8}
 	for _, c := range []struct {
-		name           string
-		next           UpcomingLimits
-		coming, stored StateLimits
+		name                     string
+		next                     UpcomingLimits
+		wantUpcoming, wantStored StateLimits
 	}{
-		{"none", nil, now, now},
-		{"lower ones", UpcomingLimits{"value_kb": 2.0, "txn_ops": int64(4), "write_rps": 15.0}, StateLimits{RPS: 200, WriteRPS: 15, ValueKB: 2, TxnOps: 4}, StateLimits{RPS: 200, WriteRPS: 15, ValueKB: 2, TxnOps: 4}},
-		{"a higher one: the present limit for a value holds until then", UpcomingLimits{"value_kb": 8.0, "rps": int64(100)}, StateLimits{RPS: 100, WriteRPS: 20, ValueKB: 8, TxnOps: 8}, StateLimits{RPS: 100, WriteRPS: 20, ValueKB: 4, TxnOps: 8}},
+		{
+			name:         "none",
+			wantUpcoming: present,
+			wantStored:   present,
+		},
+		{
+			name:         "lower ones",
+			next:         UpcomingLimits{"value_kb": 2.0, "txn_ops": int64(4), "write_rps": 15.0},
+			wantUpcoming: StateLimits{RPS: 200, WriteRPS: 15, ValueKB: 2, TxnOps: 4},
+			wantStored:   StateLimits{RPS: 200, WriteRPS: 15, ValueKB: 2, TxnOps: 4},
+		},
+		{
+			name:         "a higher one: the present limit for a value holds until then",
+			next:         UpcomingLimits{"value_kb": 8.0, "rps": int64(100)},
+			wantUpcoming: StateLimits{RPS: 100, WriteRPS: 20, ValueKB: 8, TxnOps: 8},
+			wantStored:   StateLimits{RPS: 100, WriteRPS: 20, ValueKB: 4, TxnOps: 8},
+		},
 	} {
-		s := now
-		s.Next = c.next
-		if got := s.Upcoming(); !reflect.DeepEqual(got, c.coming) {
-			t.Errorf("%s: coming %+v, want %+v", c.name, got, c.coming)
+		limits := present
+		limits.Next = c.next
+		if got := limits.Upcoming(); !reflect.DeepEqual(got, c.wantUpcoming) {
+			t.Errorf("%s: upcoming %+v, want %+v", c.name, got, c.wantUpcoming)
 		}
-		if got := s.StoredLimits(); !reflect.DeepEqual(got, c.stored) {
-			t.Errorf("%s: stored %+v, want %+v", c.name, got, c.stored)
+		if got := limits.StoredLimits(); !reflect.DeepEqual(got, c.wantStored) {
+			t.Errorf("%s: stored %+v, want %+v", c.name, got, c.wantStored)
 		}
 	}
 }
