--- a/cmd/juniperchute/duties.go
+++ b/cmd/juniperchute/duties.go
@@ -48,7 +48,7 @@
 		logState = "in force"
 	}
 	fmt.Fprintf(table, "asked\t%s\nlog of duties\t%s\nholders as of\t%s ago\nentries as of\t%s ago\n",
-		reply.Member, logState, formatAge(reply.HoldersAgeMs), formatAge(reply.EntriesAgeMs))
+		reply.Member, logState, formatAge(reply.HoldersAgeMs), formatAge(reply.IntentsAgeMs))
 	for _, shard := range reply.Shards {
 		printShardOperations(table, shard)
 	}
@@ -65,8 +65,8 @@
 		holder += ", still taking over (" + shard.State + ")"
 	}
 	since := "not told"
-	if shard.SinceMs != 0 {
-		since = time.UnixMilli(shard.SinceMs).UTC().Format(time.DateTime) + " UTC"
+	if shard.AssignedAtMs != 0 {
+		since = time.UnixMilli(shard.AssignedAtMs).UTC().Format(time.DateTime) + " UTC"
 	}
 	fmt.Fprintf(table, "\nblock %d\theld by %s\nsince\t%s\ntoken\t%d\n", shard.Shard, holder, since, shard.Token)
 	if shard.UnreadablePages > 0 {
--- a/internal/controller/intents.go
+++ b/internal/controller/intents.go
@@ -85,7 +85,7 @@
 
 func (c *Controller) intentsReply(now time.Time) *peerpb.IntentsReply {
 	out := &peerpb.IntentsReply{Member: c.config.Member, InForce: c.membership.FeatureInForce(featuregate.IntentLogFeature),
-		HoldersAgeMs: ageMs(now, c.membership.LastContact()), EntriesAgeMs: ageMs(now, c.storedLogs.readAt)}
+		HoldersAgeMs: ageMs(now, c.membership.LastContact()), IntentsAgeMs: ageMs(now, c.storedLogs.readAt)}
 	for b := range c.options.Shards {
 		out.Shards = append(out.Shards, c.shardIntents(b))
 	}
@@ -96,7 +96,7 @@
 	holder, token, live := c.membership.Holder(block)
 	out := &peerpb.ShardIntents{Shard: int32(block), Holder: holder, Token: token, Live: live, UnreadablePages: int32(c.storedLogs.unreadable[block])}
 	if since := c.membership.ShardAssignedAt(block); !since.IsZero() {
-		out.SinceMs = since.UnixMilli()
+		out.AssignedAtMs = since.UnixMilli()
 	}
 	statuses := c.recordedIntents(block)
 	if t := c.liveTerm(block); t != nil {
--- a/internal/controller/intents_test.go
+++ b/internal/controller/intents_test.go
@@ -261,7 +261,7 @@
 	for _, n := range sim.nodes {
 		r := sim.askDuties(n)
 		b := r.Shards[0]
-		if !r.InForce || b.Holder != holder.name || !b.Live || b.Token != token || b.SinceMs == 0 || (b.State == "open") != (n == holder) {
+		if !r.InForce || b.Holder != holder.name || !b.Live || b.Token != token || b.AssignedAtMs == 0 || (b.State == "open") != (n == holder) {
 			t.Errorf("%s: %+v", n.name, r)
 		}
 		if !strings.Contains(strings.Join(names(r), " "), host) {
@@ -289,8 +289,8 @@
 	sim.runFor(5 * time.Second)
 	sim.stateOutage(20 * time.Second)
 	sim.runFor(5 * time.Second)
-	if r := sim.askDuties(other); r.EntriesAgeMs < 4000 || r.HoldersAgeMs < 3000 || len(names(r)) == 0 {
-		t.Errorf("in an outage: entries %d ms old, holders %d ms, %v", r.EntriesAgeMs, r.HoldersAgeMs, names(r))
+	if r := sim.askDuties(other); r.IntentsAgeMs < 4000 || r.HoldersAgeMs < 3000 || len(names(r)) == 0 {
+		t.Errorf("in an outage: entries %d ms old, holders %d ms, %v", r.IntentsAgeMs, r.HoldersAgeMs, names(r))
 	}
 	sim.cloud.Unavailable = false
 	sim.runFor(30 * time.Second)
--- a/internal/controller/peer_heartbeat.go
+++ b/internal/controller/peer_heartbeat.go
@@ -65,11 +65,11 @@
 // peerHeartbeat makes the heartbeat for another controller.
 func (c *Controller) peerHeartbeat(now time.Time, to string) *peerpb.PeerHeartbeat {
 	heartbeat := &peerpb.PeerHeartbeat{
-		Member:             c.config.Member,
-		StateUnreachableMs: c.stateUnreachableFor(now).Milliseconds(),
-		Process:            c.processID,
-		Version:            admin.Version(),
-		Claims:             c.claims(),
+		Member:            c.config.Member,
+		StateContactAgeMs: c.stateUnreachableFor(now).Milliseconds(),
+		Process:           c.processID,
+		Version:           admin.Version(),
+		Claims:            c.claims(),
 	}
 	if !c.startedAt.IsZero() {
 		up := now.Sub(c.startedAt)
@@ -127,7 +127,7 @@
 // apply takes note of what a peer says of itself, and of cancellations to acknowledge.
 func (p *peerStatus) apply(now time.Time, heartbeat *peerpb.PeerHeartbeat) {
 	p.lastHeartbeat = now
-	p.stateUnreachableFor = time.Duration(heartbeat.StateUnreachableMs) * time.Millisecond
+	p.stateUnreachableFor = time.Duration(heartbeat.StateContactAgeMs) * time.Millisecond
 	p.version = heartbeat.Version
 	if p.processID != heartbeat.Process || heartbeat.ClockNs > p.clockNs {
 		p.processID, p.clockNs = heartbeat.Process, heartbeat.ClockNs
