--- a/internal/leader/election.go
+++ b/internal/leader/election.go
@@ -73,7 +73,7 @@
 	})
 }
 
-// predecessorEnded tells whether the process of a shard's last term has surely ended: there was
+// predecessorEnded reports whether the process of a shard's last term has surely ended: there was
 // none, it gave the shard up, or a later process of its name has taken its member record over. A
 // process whose record is merely absent may be cut off from the state service and still run.
 func (m *Membership) predecessorEnded(last versioned[ShardRecord]) bool {
--- a/internal/leader/lease.go
+++ b/internal/leader/lease.go
@@ -95,10 +95,11 @@
 		Features:    m.options.Features,
 	}
 	m.retryAt = now.Add(tuning.StoreTimeout + tuning.MemberRetry)
-	m.options.StateCall(store.Call{Op: store.OpTransaction, Transaction: wire.Transaction{
+	call := store.Call{Op: store.OpTransaction, Transaction: wire.Transaction{
 		Compares: []wire.Compare{store.VersionEquals(key, m.cache.Version(key))},
 		Writes:   []wire.Write{store.Put(key, record, lease)},
-	}}, func(now time.Time, r store.Result) {
+	}}
+	m.options.StateCall(call, func(now time.Time, r store.Result) {
 		m.retryAt = now.Add(tuning.MemberRetry)
 		if m.lease.id == lease && m.state == memberJoining {
 			m.handleJoin(now, r)
--- a/internal/leader/membership.go
+++ b/internal/leader/membership.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// mayTransact tells whether an election or assignment transaction may be sent.
+// mayTransact reports whether an election or assignment transaction may be sent.
 func (m *Membership) mayTransact(now time.Time) bool {
 	return !m.transacting && !now.Before(m.retryAt) && m.LeaseValid(now)
 }
@@ -157,7 +157,7 @@
 	})
 }
 
-// Synced tells whether the control records have been read.
+// Synced reports whether the control records have been read.
 func (m *Membership) Synced() bool { return m.cache.Synced() }
 
 // Each calls f for every control record whose key has a prefix, in key order.
@@ -187,7 +187,7 @@
 // Incarnation is this process's incarnation, 0 while it has no lease.
 func (m *Membership) Incarnation() uint64 { return m.lease.id }
 
-// LeaseValid tells whether this process is a member whose lease surely has not expired. Only
+// LeaseValid reports whether this process is a member whose lease surely has not expired. Only
 // then may it act as leader or as lease holder of a shard.
 func (m *Membership) LeaseValid(now time.Time) bool {
 	return m.state == memberJoined && now.Before(m.lease.deadline)
@@ -197,7 +197,7 @@
 func (m *Membership) LeaseDeadline() time.Time { return m.lease.deadline }
 
 // Holder returns the member that leases a shard and the token of its term, as last read; live
-// tells whether that process is still a member.
+// reports whether that process is still a member.
 func (m *Membership) Holder(shard int) (member string, token uint64, live bool) {
 	record, ok := m.records.shards[shard]
 	if !ok {
@@ -228,7 +228,7 @@
 	return terms
 }
 
-// IsLeader tells whether the records name this process the leader.
+// IsLeader reports whether the records name this process the leader.
 func (m *Membership) IsLeader() bool {
 	leader := m.records.leader
 	return m.lease.id != 0 && leader.version != 0 &&
@@ -244,7 +244,7 @@
 	return time.Time{}
 }
 
-// FeatureInForce tells whether the leader has recorded that every member announced a feature
+// FeatureInForce reports whether the leader has recorded that every member announced a feature
 // gate.
 func (m *Membership) FeatureInForce(name string) bool {
 	return slices.Contains(m.records.features.value.InForce, name)
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -73,7 +73,7 @@
 	return 0, false
 }
 
-// ValidID tells whether a job id has the protocol's form.
+// ValidID reports whether a job id has the protocol's form.
 func ValidID(id string) bool {
 	digits, ok := strings.CutPrefix(id, jobIDPrefix)
 	if !ok || digits == "" || len(digits) > maxIDDigits {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -20,7 +20,7 @@
 	ShapeService = "standing"
 )
 
-// KnownShape tells whether a shape is one of those that this version knows.
+// KnownShape reports whether a shape is one of those that this version knows.
 func KnownShape(shape string) bool {
 	return shape == ShapeBatch || shape == ShapeGang || shape == ShapeService
 }
