--- a/internal/controller/digest_test.go
+++ b/internal/controller/digest_test.go
@@ -12,7 +12,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"juniperchute/internal/fleet"
+	"juniperchute/internal/cloud"
 	"juniperchute/internal/standin"
 	"juniperchute/internal/store"
 	"juniperchute/internal/submission"
@@ -98,7 +98,7 @@
 	}
 }
 
-func (sim *simulation) recordCloudCall(node string, c fleet.CloudCall) {
+func (sim *simulation) recordCloudCall(node string, c cloud.Call) {
 	if d := sim.digest; d != nil {
 		d.add(sim.clk.Now(), node, "cloud", c.Operation, c.Request, c.Hosts, c.After, sinceEpoch(c.Deadline))
 	}
--- a/internal/controller/effects.go
+++ b/internal/controller/effects.go
@@ -4,7 +4,7 @@
 	"errors"
 	"time"
 
-	"juniperchute/internal/fleet"
+	"juniperchute/internal/cloud"
 	"juniperchute/internal/peer/peerpb"
 	"juniperchute/internal/store"
 	"juniperchute/internal/wire"
@@ -16,7 +16,7 @@
 	// CallState sends a call to the state service.
 	CallState(call store.Call, then func(now time.Time, result store.Result))
 	// CallCloud sends a call to the cloud.
-	CallCloud(call fleet.CloudCall, then func(now time.Time, result fleet.CloudResult))
+	CallCloud(call cloud.Call, then func(now time.Time, result cloud.Result))
 	// SendCommands sends commands straight to a worker, unless that is only possible after
 	// the deadline (ErrDeadlinePassed): a process that was frozen must not act on what it
 	// believed before. On success it brings the worker's state after the commands, whether
--- a/internal/controller/process_effects.go
+++ b/internal/controller/process_effects.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"juniperchute/internal/clock"
+	"juniperchute/internal/cloud"
 	"juniperchute/internal/config"
-	"juniperchute/internal/fleet"
 	"juniperchute/internal/peer"
 	"juniperchute/internal/peer/peerpb"
 	"juniperchute/internal/store"
@@ -38,7 +38,7 @@
 	post      func(event func(now time.Time))
 
 	state   *store.Client
-	cloud   *fleet.CloudClient
+	cloud   *cloud.Client
 	workers workerClient
 	peers   *peer.Clients
 
@@ -58,7 +58,7 @@
 	e := &processEffects{
 		ctx: context.Background(), clock: steady, log: log, latencies: latencies, post: post,
 		state:        store.NewClient(cfg.External.State, transport(stateConnections(), tuning.DialTimeout), steady.Now),
-		cloud:        fleet.NewCloudClient(cfg.External.Cloud, transport(tuning.CloudCallsInFlight, tuning.DialTimeout)),
+		cloud:        cloud.NewClient(cfg.External.Cloud, transport(tuning.CloudCallsInFlight, tuning.DialTimeout)),
 		workers:      workerClient{&http.Client{Transport: transport(tuning.CommandIdleConnections, tuning.WorkerDialTimeout)}},
 		peers:        peer.NewClients(cfg.Peers),
 		rateLimiter:  store.NewRateLimiter(cfg.Platform.State, len(cfg.Peers)+1),
@@ -136,12 +136,12 @@
 }
 
 // CallCloud is part of Effects.
-func (e *processEffects) CallCloud(call fleet.CloudCall, then func(now time.Time, result fleet.CloudResult)) {
+func (e *processEffects) CallCloud(call cloud.Call, then func(now time.Time, result cloud.Result)) {
 	go func() {
 		defer e.cloudSlots.acquire()()
 		start := time.Now()
 		if !call.Deadline.IsZero() && !e.clock.Advance().Before(call.Deadline) {
-			e.post(func(now time.Time) { then(now, fleet.CloudResult{}) })
+			e.post(func(now time.Time) { then(now, cloud.Result{}) })
 			return
 		}
 		result := e.cloud.Do(e.ctx, call)
--- a/internal/controller/runtime_test.go
+++ b/internal/controller/runtime_test.go
@@ -16,8 +16,8 @@
 	"time"
 
 	"juniperchute/internal/clock"
+	"juniperchute/internal/cloud"
 	"juniperchute/internal/config"
-	"juniperchute/internal/fleet"
 	"juniperchute/internal/store"
 	"juniperchute/internal/tuning"
 	"juniperchute/internal/wire"
@@ -122,13 +122,13 @@
 	defer srv.Close()
 	address := srv.Listener.Addr().String()
 	r := effects(t, "127.0.0.1:1")
-	r.effects.cloud = fleet.NewCloudClient(address, http.DefaultTransport)
+	r.effects.cloud = cloud.NewClient(address, http.DefaultTransport)
 	var suspended atomic.Int64
 	r.effects.clock = clock.New(func() (time.Duration, error) { return time.Duration(suspended.Load()), nil })
 	deadline := r.effects.clock.Now().Add(10 * time.Second)
-	cloudStatus, commandError := 0, error(nil)
+	cloudError, commandError := cloud.ErrNoResponse, error(nil)
 	call := func() {
-		r.effects.CallCloud(fleet.CloudCall{Operation: fleet.DeleteMachines, Hosts: []string{"i-1"}, Deadline: deadline}, func(_ time.Time, res fleet.CloudResult) { cloudStatus = res.Status })
+		r.effects.CallCloud(cloud.Call{Operation: cloud.DeleteMachines, Hosts: []string{"i-1"}, Deadline: deadline}, func(_ time.Time, res cloud.Result) { cloudError = res.Err() })
 		(<-r.events)(r.effects.clock.Now())
 	}
 	command := func() {
@@ -137,16 +137,16 @@
 	}
 	call()
 	command()
-	if len(asked) != 2 || cloudStatus != http.StatusOK || commandError != nil {
-		t.Fatalf("before: cloud %d, worker %v, %d calls", cloudStatus, commandError, len(asked))
+	if len(asked) != 2 || cloudError != nil || commandError != nil {
+		t.Fatalf("before: cloud %v, worker %v, %d calls", cloudError, commandError, len(asked))
 	}
 	suspended.Store(int64(time.Minute))
 	call()
 	r.effects.clock = clock.New(func() (time.Duration, error) { return time.Duration(suspended.Load()), nil })
 	suspended.Store(int64(2 * time.Minute)) // the command has to look for itself
 	command()
-	if len(asked) != 2 || cloudStatus != 0 || !errors.Is(commandError, ErrDeadlinePassed) {
-		t.Errorf("after: cloud %d, worker %v, %d calls", cloudStatus, commandError, len(asked))
+	if len(asked) != 2 || !errors.Is(cloudError, cloud.ErrNoResponse) || !errors.Is(commandError, ErrDeadlinePassed) {
+		t.Errorf("after: cloud %v, worker %v, %d calls", cloudError, commandError, len(asked))
 	}
 	r.clock = r.effects.clock
 	told := time.Duration(0)
--- a/internal/controller/simulation_effects_test.go
+++ b/internal/controller/simulation_effects_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"juniperchute/internal/fleet"
+	"juniperchute/internal/cloud"
 	"juniperchute/internal/peer/peerpb"
 	"juniperchute/internal/standin"
 	"juniperchute/internal/store"
@@ -158,9 +158,9 @@
 }
 
 // CallCloud is part of Effects.
-func (e *simulatedEffects) CallCloud(c fleet.CloudCall, then func(now time.Time, r fleet.CloudResult)) {
+func (e *simulatedEffects) CallCloud(c cloud.Call, then func(now time.Time, r cloud.Result)) {
 	at := cloudEffect
-	if c.Operation == fleet.DeleteMachines {
+	if c.Operation == cloud.DeleteMachines {
 		at = returnEffect
 	}
 	if e.frozen(at, func() { e.CallCloud(c, then) }) {
@@ -169,20 +169,20 @@
 	sim := e.node.sim
 	sim.recordCloudCall(e.node.name, c)
 	over := false
-	finish := func(r fleet.CloudResult) {
+	finish := func(r cloud.Result) {
 		if !over && e.live() {
 			over = true
 			e.node.whenRunning(func() { then(sim.clk.Now(), r) })
 		}
 	}
 	if !sim.clk.Now().Before(c.Deadline) {
-		sim.clk.Schedule(0, func() { finish(fleet.CloudResult{}) })
+		sim.clk.Schedule(0, func() { finish(cloud.Result{}) })
 		return
 	}
-	if c.Operation == fleet.DeleteMachines {
+	if c.Operation == cloud.DeleteMachines {
 		e.checkEntitled("machines returned")
 	}
-	sim.clk.Schedule(tuning.CloudTimeout, func() { finish(fleet.CloudResult{}) })
+	sim.clk.Schedule(tuning.CloudTimeout, func() { finish(cloud.Result{}) })
 	arrive := func() {
 		r := sim.cloud.Call(c)
 		sim.clk.Schedule(sim.lag(), func() { finish(r) })
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -4,6 +4,7 @@
 	"log/slog"
 	"time"
 
+	"juniperchute/internal/cloud"
 	"juniperchute/internal/featuregate"
 	"juniperchute/internal/fleet"
 	"juniperchute/internal/intentlog"
@@ -116,7 +117,7 @@
 }
 
 // callCloud passes a call on, to be made only while this process surely holds the block.
-func (t *term) callCloud(c fleet.CloudCall, then func(now time.Time, r fleet.CloudResult)) {
+func (t *term) callCloud(c cloud.Call, then func(now time.Time, r cloud.Result)) {
 	c.Deadline = t.controller.membership.LeaseDeadline()
 	t.controller.effects.CallCloud(c, then)
 }
--- a/internal/fleet/autoscaler.go
+++ b/internal/fleet/autoscaler.go
@@ -1,7 +1,9 @@
+// Package fleet scales out and in: it provisions and deprovisions the machines of a shard.
 package fleet
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"log/slog"
 	"maps"
@@ -12,6 +14,7 @@
 	"github.com/cenkalti/backoff/v5"
 	"golang.org/x/time/rate"
 
+	"juniperchute/internal/cloud"
 	"juniperchute/internal/config"
 	"juniperchute/internal/intentlog"
 	"juniperchute/internal/placement"
@@ -64,7 +67,7 @@
 	token                uint64
 	termCompare          wire.Compare
 	config               config.Platform
-	cloud                CloudCaller
+	cloud                cloud.Caller
 	store                store.Caller
 	log                  *slog.Logger
 	registry             *worker.Registry
@@ -105,7 +108,7 @@
 	Token       uint64
 	TermCompare wire.Compare // the condition of each write
 	Config      config.Platform
-	Cloud       CloudCaller
+	Cloud       cloud.Caller
 	Store       store.Caller
 	Log         *slog.Logger
 	Registry    *worker.Registry
@@ -262,9 +265,9 @@
 }
 
 // callCloud passes a call on and keeps count of failures in a row.
-func (a *Autoscaler) callCloud(call CloudCall, callback func(now time.Time, result CloudResult)) {
-	a.cloud(call, func(now time.Time, result CloudResult) {
-		if result.Status == 200 || result.Error == NoCapacity {
+func (a *Autoscaler) callCloud(call cloud.Call, callback func(now time.Time, result cloud.Result)) {
+	a.cloud(call, func(now time.Time, result cloud.Result) {
+		if err := result.Err(); err == nil || errors.Is(err, cloud.ErrNoCapacity) {
 			a.retryBackoff.Reset()
 		}
 		callback(now, result)
@@ -306,13 +309,14 @@
 
 func (a *Autoscaler) refreshMachineTypes(now time.Time) {
 	a.machineTypesDueAt = now.Add(tuning.CloudTimeout + tuning.CloudRetryInitial)
-	a.callCloud(CloudCall{Operation: ListMachineTypes}, func(now time.Time, result CloudResult) {
-		if result.Status != 200 {
+	a.callCloud(cloud.Call{Operation: cloud.ListMachineTypes}, func(now time.Time, result cloud.Result) {
+		response, err := result.Response()
+		if err != nil {
 			a.machineTypesDueAt = a.nextRetry(now)
 			return
 		}
 		a.machineTypesDueAt = now.Add(tuning.MachineTypesInterval)
-		for _, machineType := range result.MachineTypes {
+		for _, machineType := range response.MachineTypes {
 			a.machineTypes[machineType.Name] = machineType
 			if a.shard != 0 {
 				continue
@@ -320,7 +324,7 @@
 			// Prices move all the time; the record is for what nodes need to
 			// check submissions.
 			machineType.Price, machineType.SpotPrice = 0, 0
-			record := MachineTypeRecord{machineType, len(result.MachineTypes)}
+			record := MachineTypeRecord{machineType, len(response.MachineTypes)}
 			raw, _ := json.Marshal(record)
 			if old, ok := a.recordedMachineTypes[machineType.Name]; ok && old == string(raw) {
 				continue
--- a/internal/fleet/autoscaler_test.go
+++ b/internal/fleet/autoscaler_test.go
@@ -11,6 +11,7 @@
 
 	"golang.org/x/time/rate"
 
+	"juniperchute/internal/cloud"
 	"juniperchute/internal/config"
 	"juniperchute/internal/intentlog"
 	"juniperchute/internal/placement"
@@ -28,8 +29,8 @@
 	autoscaler   *Autoscaler
 	registry     *worker.Registry
 	scheduler    *placement.Scheduler
-	cloudCalls   []CloudCall
-	cloudReplies []func(time.Time, CloudResult)
+	cloudCalls   []cloud.Call
+	cloudReplies []func(time.Time, cloud.Result)
 	storeCalls   []store.Call
 	storeReplies []func(time.Time, store.Result)
 	deleted      []string
@@ -53,7 +54,7 @@
 	f.termCompare = store.VersionEquals("c/b/0", 3)
 	f.intents = intentlog.NewLog(intentlog.Options{Token: token, TermCompare: f.termCompare, ValueKB: valueKB, StateCall: callStore, WallClock: func() time.Time { return f.now }, Log: discardLogger, OnTermLost: func(time.Time) {}})
 	f.autoscaler = New(f.now, Options{Token: token, TermCompare: f.termCompare, Config: deployment,
-		Cloud: func(call CloudCall, callback func(time.Time, CloudResult)) {
+		Cloud: func(call cloud.Call, callback func(time.Time, cloud.Result)) {
 			f.cloudCalls, f.cloudReplies = append(f.cloudCalls, call), append(f.cloudReplies, callback)
 		},
 		Store: callStore, Log: discardLogger, Registry: f.registry, Scheduler: f.scheduler, Intents: f.intents,
@@ -73,7 +74,7 @@
 }
 
 // answerCall answers the oldest call of a kind, and returns it.
-func (f *fixture) answerCall(operation CloudOperation, result CloudResult) CloudCall {
+func (f *fixture) answerCall(operation cloud.Operation, result cloud.Result) cloud.Call {
 	f.t.Helper()
 	for i, call := range f.cloudCalls {
 		if call.Operation == operation {
@@ -84,10 +85,10 @@
 		}
 	}
 	f.t.Fatalf("no call of kind %d", operation)
-	return CloudCall{}
+	return cloud.Call{}
 }
 
-func (f *fixture) hasCall(operation CloudOperation) bool {
+func (f *fixture) hasCall(operation cloud.Operation) bool {
 	for _, call := range f.cloudCalls {
 		if call.Operation == operation {
 			return true
@@ -106,29 +107,29 @@
 func TestProvisioningRequest(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		answers []CloudResult
+		answers []cloud.Result
 		again   bool // the same name is asked for once more
 		hosts   int
 	}{
-		{"granted", []CloudResult{{Status: 200, Hosts: []string{"i-1"}}}, false, 1},
-		{"no answer, then granted", []CloudResult{{}, {Status: 200, Hosts: []string{"i-1"}}}, false, 1},
-		{"outage, then granted", []CloudResult{{Status: 503, Error: "trouble"}, {Status: 200, Hosts: []string{"i-1"}}}, false, 1},
-		{"rate limit", []CloudResult{{Status: 429}}, true, 0},
-		{"none to be had", []CloudResult{{Status: 503, Error: NoCapacity}}, false, 0},
+		{"granted", []cloud.Result{cloud.Success(cloud.Response{Hosts: []string{"i-1"}})}, false, 1},
+		{"no answer, then granted", []cloud.Result{{}, cloud.Success(cloud.Response{Hosts: []string{"i-1"}})}, false, 1},
+		{"outage, then granted", []cloud.Result{cloud.Failure(cloud.ErrUnavailable), cloud.Success(cloud.Response{Hosts: []string{"i-1"}})}, false, 1},
+		{"rate limit", []cloud.Result{cloud.Failure(cloud.ErrThrottled)}, true, 0},
+		{"none to be had", []cloud.Result{cloud.Failure(cloud.ErrNoCapacity)}, false, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t)
 			f.scheduler.AddJob(f.now, wire.JobSpec{ID: "job-1", Team: "red", Class: "l", Shape: wire.ShapeGang, Priority: "low", Tasks: 1,
 				Vcpus: 10, Gpus: 2, MemGb: 77, AnyType: true, Spot: true}, f.now, 1, false)
 			f.advance(0)
-			if f.hasCall(CreateMachines) {
+			if f.hasCall(cloud.CreateMachines) {
 				t.Fatal("asked the cloud before the name was durable")
 			}
 			f.commitWrites()
 			name := ""
 			for _, answer := range test.answers {
 				f.advance(2 * time.Second)
-				sent := f.answerCall(CreateMachines, answer).Request
+				sent := f.answerCall(cloud.CreateMachines, answer).Request
 				if name != "" && sent.Name != name {
 					t.Errorf("asked for %s after %s", sent.Name, name)
 				}
@@ -140,7 +141,7 @@
 			f.advance(2 * time.Second)
 			again := false
 			for _, call := range f.cloudCalls {
-				again = again || call.Operation == CreateMachines && call.Request.Name == name
+				again = again || call.Operation == cloud.CreateMachines && call.Request.Name == name
 			}
 			if again != test.again || len(f.registry.All()) != test.hosts {
 				t.Errorf("asked again: %t, machines %d", again, len(f.registry.All()))
@@ -203,7 +204,7 @@
 		t.Errorf("unused machine: %+v", machine)
 	}
 	f.advance(0)
-	if call := f.answerCall(CreateMachines, CloudResult{Status: 200, Hosts: []string{"i-3"}}); call.Request.Name != "b0-3-2" {
+	if call := f.answerCall(cloud.CreateMachines, cloud.Success(cloud.Response{Hosts: []string{"i-3"}})); call.Request.Name != "b0-3-2" {
 		t.Errorf("asked for %s", call.Request.Name)
 	}
 	if f.registry.Get("i-3") == nil {
@@ -303,7 +304,7 @@
 		if machine := f.registry.Get("i-2"); machine.State != worker.Unreconciled {
 			t.Fatalf("%v after %d lists", machine.State, i)
 		}
-		f.answerCall(ListMachines, CloudResult{Status: 200, Page: wire.MachinePage{Machines: []wire.Machine{{ID: "i-1", Type: "g2", Zone: "a", State: wire.MachineRunning}}}})
+		f.answerCall(cloud.ListMachines, cloud.Success(cloud.Response{Page: wire.MachinePage{Machines: []wire.Machine{{ID: "i-1", Type: "g2", Zone: "a", State: wire.MachineRunning}}}}))
 		f.advance(tuning.ListInterval)
 	}
 	if listed, unlisted := f.registry.Get("i-1").State, f.registry.Get("i-2").State; listed != worker.Unreconciled || unlisted != worker.Deleting {
@@ -315,13 +316,13 @@
 // it, and not because a list lags behind a deletion.
 func TestAdoptUnexpected(t *testing.T) {
 	f := newFixture(t)
-	list := CloudResult{Status: 200, Page: wire.MachinePage{Machines: []wire.Machine{{ID: "i-9", Type: "g2", Zone: "a", State: wire.MachineRunning}}}}
+	list := cloud.Success(cloud.Response{Page: wire.MachinePage{Machines: []wire.Machine{{ID: "i-9", Type: "g2", Zone: "a", State: wire.MachineRunning}}}})
 	for i := range tuning.AdoptionLists + 1 {
 		f.advance(tuning.ListInterval + time.Second)
 		if known := f.registry.Get("i-9") != nil; known != (i >= tuning.AdoptionLists) {
 			t.Fatalf("after %d lists: known %t", i, known)
 		}
-		f.answerCall(ListMachines, list)
+		f.answerCall(cloud.ListMachines, list)
 	}
 	machine := f.registry.Get("i-9")
 	if machine == nil || !machine.Recorded || len(f.storeCalls) == 0 || f.storeCalls[len(f.storeCalls)-1].Transaction.Writes == nil {
@@ -372,16 +373,16 @@
 		if f.now.Sub(start) > time.Minute {
 			t.Fatalf("%d pages in a minute", len(asked))
 		}
-		for f.hasCall(ListMachineTypes) {
-			f.answerCall(ListMachineTypes, CloudResult{Status: 200})
+		for f.hasCall(cloud.ListMachineTypes) {
+			f.answerCall(cloud.ListMachineTypes, cloud.Success(cloud.Response{}))
 		}
-		if !f.hasCall(ListMachines) {
+		if !f.hasCall(cloud.ListMachines) {
 			continue
 		}
 		n := len(asked) % pages
 		asked = append(asked, f.now)
 		page := wire.MachinePage{Machines: []wire.Machine{{ID: fmt.Sprintf("i-%d", n), State: wire.MachineRunning}}, More: n < pages-1}
-		if call := f.answerCall(ListMachines, CloudResult{Status: 200, Page: page}); n > 0 && call.After != fmt.Sprintf("i-%d", n-1) {
+		if call := f.answerCall(cloud.ListMachines, cloud.Success(cloud.Response{Page: page})); n > 0 && call.After != fmt.Sprintf("i-%d", n-1) {
 			t.Errorf("page %d begins after %q", n, call.After)
 		}
 	}
--- a/internal/fleet/intents_test.go
+++ b/internal/fleet/intents_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"juniperchute/internal/cloud"
 	"juniperchute/internal/intentlog"
 	"juniperchute/internal/store"
 	"juniperchute/internal/tuning"
@@ -39,7 +40,7 @@
 // deletedHosts is the machines of the deletions asked for.
 func (f *fixture) deletedHosts() (out []string) {
 	for _, call := range f.cloudCalls {
-		if call.Operation == DeleteMachines {
+		if call.Operation == cloud.DeleteMachines {
 			out = append(out, call.Hosts...)
 		}
 	}
@@ -107,7 +108,7 @@
 	f := newLoggedFixture(t, intentPage("i-1", intentlog.Deprovision, 4))
 	f.loadRequest(`{"Build":"g2","Yard":"a","Number":2}`)
 	f.advance(time.Second)
-	f.answerCall(CreateMachines, CloudResult{Status: 200, Hosts: []string{"i-1", "i-2"}})
+	f.answerCall(cloud.CreateMachines, cloud.Success(cloud.Response{Hosts: []string{"i-1", "i-2"}}))
 	if machine := f.registry.Get("i-1"); machine == nil || machine.State != worker.Deleting {
 		t.Errorf("entered: %+v", machine)
 	}
@@ -122,7 +123,7 @@
 	f := newLoggedFixture(t, intentPage("i-1", intentlog.Deprovision, 6))
 	f.loadRequest(`{"Build":"g2","Yard":"a","Number":2,"Hosts":["i-1","i-2"]}`)
 	f.advance(time.Second)
-	f.answerCall(DeleteMachines, CloudResult{Status: 200})
+	f.answerCall(cloud.DeleteMachines, cloud.Success(cloud.Response{}))
 	if intent := f.intents.Get(intentlog.Deprovision, "i-1"); intent == nil || intent.State() != intentlog.Completed {
 		t.Fatalf("%+v", intent)
 	}
@@ -143,7 +144,7 @@
 		f.advance(tuning.IntentWriteInterval)
 		f.commitWrites()
 		f.autoscaler.deleteMachines(f.now)
-		f.answerCall(DeleteMachines, CloudResult{Status: 200})
+		f.answerCall(cloud.DeleteMachines, cloud.Success(cloud.Response{}))
 	}
 	end("i-1")
 	f.advance(0) // the record without i-1 is being written
@@ -171,15 +172,15 @@
 
 // A refused rental's name while its call may be repeated late.
 func TestRefusedRequest(t *testing.T) {
-	refused := CloudResult{Status: 503, Error: NoCapacity}
-	refuseOne := func(t *testing.T, f *fixture) CloudCall {
+	refused := cloud.Failure(cloud.ErrNoCapacity)
+	refuseOne := func(t *testing.T, f *fixture) cloud.Call {
 		t.Helper()
 		f.scheduler.AddJob(f.now, wire.JobSpec{ID: "job-1", Team: "red", Class: "l", Shape: wire.ShapeGang, Priority: "low", Tasks: 1,
 			Vcpus: 10, Gpus: 2, MemGb: 77, AnyType: true}, f.now, 1, false)
 		f.advance(0)
 		f.commitWrites()
 		f.advance(time.Second)
-		return f.answerCall(CreateMachines, refused)
+		return f.answerCall(cloud.CreateMachines, refused)
 	}
 	t.Run("the next rental of the kind asks by the same name", func(t *testing.T) {
 		f := newLoggedFixture(t)
@@ -187,7 +188,7 @@
 		f.advance(tuning.NoCapacityPause)
 		f.commitWrites()
 		f.advance(tuning.ScaleOutInterval)
-		if again := f.answerCall(CreateMachines, CloudResult{Status: 200, Hosts: []string{"i-1"}}); again.Request != first.Request {
+		if again := f.answerCall(cloud.CreateMachines, cloud.Success(cloud.Response{Hosts: []string{"i-1"}})); again.Request != first.Request {
 			t.Errorf("%+v, then %+v", first.Request, again.Request)
 		}
 	})
@@ -200,7 +201,7 @@
 		machine.Type, machine.Zone = "g2", "a"
 		f.autoscaler.HandleHeartbeat(f.now, machine)
 		f.advance(time.Second)
-		if again := f.answerCall(CreateMachines, CloudResult{Status: 200, Hosts: []string{"i-5"}}); again.Request != first.Request {
+		if again := f.answerCall(cloud.CreateMachines, cloud.Success(cloud.Response{Hosts: []string{"i-5"}})); again.Request != first.Request {
 			t.Errorf("%+v, then %+v", first.Request, again.Request)
 		}
 		f.commitWrites()
--- a/internal/fleet/list.go
+++ b/internal/fleet/list.go
@@ -4,6 +4,7 @@
 	"math"
 	"time"
 
+	"juniperchute/internal/cloud"
 	"juniperchute/internal/config"
 	"juniperchute/internal/tuning"
 	"juniperchute/internal/wire"
@@ -50,16 +51,17 @@
 		return
 	}
 	progress.inFlight = true
-	a.callCloud(CloudCall{Operation: ListMachines, After: progress.after}, func(now time.Time, result CloudResult) {
+	a.callCloud(cloud.Call{Operation: cloud.ListMachines, After: progress.after}, func(now time.Time, result cloud.Result) {
 		progress.inFlight = false
-		if result.Status != 200 {
+		response, err := result.Response()
+		if err != nil {
 			*progress = listProgress{nextAt: a.nextRetry(now)}
 			return
 		}
 		progress.pages++
-		progress.hosts = append(progress.hosts, result.Page.Machines...)
-		if n := len(result.Page.Machines); result.Page.More && n > 0 {
-			progress.after = result.Page.Machines[n-1].ID
+		progress.hosts = append(progress.hosts, response.Page.Machines...)
+		if n := len(response.Page.Machines); response.Page.More && n > 0 {
+			progress.after = response.Page.Machines[n-1].ID
 			a.continueList(now)
 			return
 		}
--- a/internal/fleet/provisioning.go
+++ b/internal/fleet/provisioning.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"maps"
 	"math"
@@ -10,6 +11,7 @@
 	"strings"
 	"time"
 
+	"juniperchute/internal/cloud"
 	"juniperchute/internal/intentlog"
 	"juniperchute/internal/placement"
 	"juniperchute/internal/quota"
@@ -231,21 +233,22 @@
 		return
 	}
 	request.inFlight = true
-	a.callCloud(CloudCall{Operation: CreateMachines, Request: wire.ProvisionRequest{Name: request.name, Type: request.record.Type, Zone: request.record.Zone, Spot: request.record.Spot, Count: request.record.Number}},
-		func(now time.Time, result CloudResult) {
+	a.callCloud(cloud.Call{Operation: cloud.CreateMachines, Request: wire.ProvisionRequest{Name: request.name, Type: request.record.Type, Zone: request.record.Zone, Spot: request.record.Spot, Count: request.record.Number}},
+		func(now time.Time, result cloud.Result) {
 			request.inFlight, request.answeredAt = false, now
-			a.intents.FinishCall(now, request.intent, result.outcome())
+			response, err := result.Response()
+			a.intents.FinishCall(now, request.intent, outcomeOf(err))
 			capacityKey := request.capacityKey()
 			switch {
-			case result.Status == 200:
-				a.handleGrant(now, request, result.Hosts)
-				if len(result.Hosts) < request.record.Number {
+			case err == nil:
+				a.handleGrant(now, request, response.Hosts)
+				if len(response.Hosts) < request.record.Number {
 					a.noCapacityUntil[capacityKey] = now.Add(tuning.NoCapacityPause)
 				}
-			case result.Status == 503 && result.Error == NoCapacity:
+			case errors.Is(err, cloud.ErrNoCapacity):
 				a.noCapacityUntil[capacityKey] = now.Add(tuning.NoCapacityPause)
 				a.handleRefusal(now, request)
-			case result.Status == 400:
+			case errors.Is(err, cloud.ErrInvalid):
 				a.log.Error("rental refused as malformed", "name", request.name, "type", request.record.Type)
 				a.noCapacityUntil[capacityKey] = now.Add(tuning.NoCapacityPause)
 				a.closeRequest(now, request, "malformed")
--- a/internal/fleet/termination.go
+++ b/internal/fleet/termination.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"juniperchute/internal/cloud"
 	"juniperchute/internal/config"
 	"juniperchute/internal/intentlog"
 	"juniperchute/internal/quota"
@@ -207,12 +208,12 @@
 		hosts[i] = intent.Target
 	}
 	a.deletionInFlight = true
-	a.callCloud(CloudCall{Operation: DeleteMachines, Hosts: hosts}, func(now time.Time, result CloudResult) {
+	a.callCloud(cloud.Call{Operation: cloud.DeleteMachines, Hosts: hosts}, func(now time.Time, result cloud.Result) {
 		a.deletionInFlight = false
 		for _, intent := range ready {
-			a.intents.FinishCall(now, intent, result.outcome())
+			a.intents.FinishCall(now, intent, outcomeOf(result.Err()))
 		}
-		if result.Status != 200 {
+		if result.Err() != nil {
 			a.deletionRetryAt = a.nextRetry(now)
 			return
 		}
--- a/internal/integration/http_test.go
+++ b/internal/integration/http_test.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"juniperchute/internal/fleet"
+	"juniperchute/internal/cloud"
 	"juniperchute/internal/standin"
 	"juniperchute/internal/store"
 	"juniperchute/internal/wire"
@@ -91,31 +91,34 @@
 
 func (d *deployment) serveCloud(w http.ResponseWriter, request *http.Request) {
 	raw, _ := io.ReadAll(request.Body)
-	call := fleet.CloudCall{Operation: fleet.ListMachines, After: request.URL.Query().Get("After")}
+	call := cloud.Call{Operation: cloud.ListMachines, After: request.URL.Query().Get("After")}
 	switch {
 	case request.URL.Path == "/flavors":
-		call.Operation = fleet.ListMachineTypes
+		call.Operation = cloud.ListMachineTypes
 	case request.URL.Path == "/machines/delete":
 		var names wire.MachineNames
 		_ = json.Unmarshal(raw, &names)
-		call.Operation, call.Hosts = fleet.DeleteMachines, names.Names
+		call.Operation, call.Hosts = cloud.DeleteMachines, names.Names
 	case request.Method == http.MethodPost:
-		call.Operation = fleet.CreateMachines
+		call.Operation = cloud.CreateMachines
 		_ = json.Unmarshal(raw, &call.Request)
 	}
-	var result fleet.CloudResult
+	var result cloud.Result
 	d.gate.pass(beforeCall, call)
 	d.withLock(func() { result = d.cloud.Call(call) })
 	d.gate.pass(afterCall, call)
+	response, err := result.Response()
 	switch {
-	case result.Status != http.StatusOK:
-		writeReply(w, result.Status, map[string]string{"error": result.Error})
-	case call.Operation == fleet.ListMachineTypes:
-		writeReply(w, result.Status, wire.MachineTypes{Types: result.MachineTypes})
-	case call.Operation == fleet.ListMachines:
-		writeReply(w, result.Status, result.Page)
+	case errors.Is(err, cloud.ErrNoCapacity):
+		writeReply(w, http.StatusServiceUnavailable, map[string]string{"error": "no capacity"})
+	case err != nil:
+		writeReply(w, http.StatusServiceUnavailable, map[string]string{"error": "trouble"})
+	case call.Operation == cloud.ListMachineTypes:
+		writeReply(w, http.StatusOK, wire.MachineTypes{Types: response.MachineTypes})
+	case call.Operation == cloud.ListMachines:
+		writeReply(w, http.StatusOK, response.Page)
 	default:
-		writeReply(w, result.Status, wire.MachineNames{Names: result.Hosts})
+		writeReply(w, http.StatusOK, wire.MachineNames{Names: response.Hosts})
 	}
 }
 
--- a/internal/integration/stall_test.go
+++ b/internal/integration/stall_test.go
@@ -12,6 +12,7 @@
 	"testing"
 	"time"
 
+	"juniperchute/internal/cloud"
 	"juniperchute/internal/config"
 	"juniperchute/internal/fleet"
 	"juniperchute/internal/intentlog"
@@ -116,8 +117,8 @@
 // callsCloud tells whether a call is one of a duty's.
 func callsCloud(operation intentlog.Operation) func(call any) bool {
 	return func(call any) bool {
-		sent, ok := call.(fleet.CloudCall)
-		return ok && (operation == intentlog.Provision && sent.Operation == fleet.CreateMachines || operation == intentlog.Deprovision && sent.Operation == fleet.DeleteMachines)
+		sent, ok := call.(cloud.Call)
+		return ok && (operation == intentlog.Provision && sent.Operation == cloud.CreateMachines || operation == intentlog.Deprovision && sent.Operation == cloud.DeleteMachines)
 	}
 }
 
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -6,7 +6,7 @@
 	"sort"
 	"time"
 
-	"juniperchute/internal/fleet"
+	"juniperchute/internal/cloud"
 	"juniperchute/internal/wire"
 )
 
@@ -82,36 +82,36 @@
 }
 
 // Call executes a call.
-func (c *Cloud) Call(call fleet.CloudCall) fleet.CloudResult {
+func (c *Cloud) Call(call cloud.Call) cloud.Result {
 	if c.Unavailable {
-		return fleet.CloudResult{Status: 503, Error: "trouble"}
+		return cloud.Failure(cloud.ErrUnavailable)
 	}
 	switch call.Operation {
-	case fleet.ListMachineTypes:
-		return fleet.CloudResult{Status: 200, MachineTypes: c.MachineTypes}
-	case fleet.CreateMachines:
+	case cloud.ListMachineTypes:
+		return cloud.Success(cloud.Response{MachineTypes: c.MachineTypes})
+	case cloud.CreateMachines:
 		return c.createMachines(call.Request)
-	case fleet.DeleteMachines:
+	case cloud.DeleteMachines:
 		for _, id := range call.Hosts {
 			if c.OnDelete != nil && c.Hosts[id] != nil {
 				c.OnDelete(id)
 			}
 			c.Remove(id)
 		}
-		return fleet.CloudResult{Status: 200}
+		return cloud.Success(cloud.Response{})
 	}
 	return c.list(call.After)
 }
 
 // createMachines rents machines. A request that was granted before gets the same answer.
-func (c *Cloud) createMachines(request wire.ProvisionRequest) fleet.CloudResult {
+func (c *Cloud) createMachines(request wire.ProvisionRequest) cloud.Result {
 	if hosts, ok := c.granted[request.Name]; ok {
-		return fleet.CloudResult{Status: 200, Hosts: hosts}
+		return cloud.Success(cloud.Response{Hosts: hosts})
 	}
 	capacityKey := CapacityKey(request.Type, request.Zone, request.Spot)
 	count := min(request.Count, c.Available[capacityKey])
 	if count <= 0 {
-		return fleet.CloudResult{Status: 503, Error: fleet.NoCapacity}
+		return cloud.Failure(cloud.ErrNoCapacity)
 	}
 	if c.OnCreate != nil {
 		c.OnCreate(request.Name)
@@ -122,7 +122,7 @@
 		names = append(names, c.startMachine(request))
 	}
 	c.granted[request.Name] = names
-	return fleet.CloudResult{Status: 200, Hosts: names}
+	return cloud.Success(cloud.Response{Hosts: names})
 }
 
 // startMachine starts the boot of one machine and returns its name.
@@ -148,19 +148,19 @@
 }
 
 // list shows the machines as they were a while ago.
-func (c *Cloud) list(after string) fleet.CloudResult {
+func (c *Cloud) list(after string) cloud.Result {
 	index := max(0, len(c.history)-1-c.rng.IntN(maxListLag))
-	result := fleet.CloudResult{Status: 200}
+	var page wire.MachinePage
 	for _, host := range c.history[index].hosts {
 		if host.ID > after {
-			result.Page.Machines = append(result.Page.Machines, host)
+			page.Machines = append(page.Machines, host)
 		}
-		if len(result.Page.Machines) == c.PageSize {
-			result.Page.More = true
+		if len(page.Machines) == c.PageSize {
+			page.More = true
 			break
 		}
 	}
-	return result
+	return cloud.Success(cloud.Response{Page: page})
 }
 
 // Remove ends a machine: deleted, or taken by the cloud.
--- a/internal/standin/intent_checker_test.go
+++ b/internal/standin/intent_checker_test.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"testing"
 
-	"juniperchute/internal/fleet"
+	"juniperchute/internal/cloud"
 	"juniperchute/internal/store"
 	"juniperchute/internal/tuning"
 	"juniperchute/internal/wire"
@@ -48,11 +48,11 @@
 }
 
 func (f *intentFixture) delete(hosts ...string) {
-	f.cloud.Call(fleet.CloudCall{Operation: fleet.DeleteMachines, Hosts: hosts})
+	f.cloud.Call(cloud.Call{Operation: cloud.DeleteMachines, Hosts: hosts})
 }
 
 func (f *intentFixture) createMachine(name string) {
-	f.cloud.Call(fleet.CloudCall{Operation: fleet.CreateMachines, Request: wire.ProvisionRequest{Name: name, Type: "g", Zone: "a", Count: 1}})
+	f.cloud.Call(cloud.Call{Operation: cloud.CreateMachines, Request: wire.ProvisionRequest{Name: name, Type: "g", Zone: "a", Count: 1}})
 }
 
 // The checker of the log of duties finds a planted violation of each rule, and none where
