--- a/internal/fleet/autoscaler.go
+++ b/internal/fleet/autoscaler.go
@@ -1,342 +1,187 @@
-// Package fleet scales out and in: it provisions and deprovisions the machines of a shard.
+// Package fleet scales out and in: it provisions the machines that a shard's work needs and
+// deprovisions the others. Every change is recorded in the state service before the cloud is
+// called, so that the shard's next lease holder can go on with it.
 package fleet
 
 import (
-	"encoding/json"
-	"errors"
-	"fmt"
 	"log/slog"
-	"maps"
-	"slices"
-	"strings"
 	"time"
 
-	"github.com/cenkalti/backoff/v5"
-	"golang.org/x/time/rate"
-
 	"juniperchute/internal/cloud"
 	"juniperchute/internal/config"
 	"juniperchute/internal/intentlog"
 	"juniperchute/internal/placement"
-	"juniperchute/internal/quota"
 	"juniperchute/internal/store"
 	"juniperchute/internal/tuning"
 	"juniperchute/internal/wire"
 	"juniperchute/internal/worker"
 )
 
-// Settings are the operators' settings that the fleet heeds.
+// Settings are the operators' settings of the autoscaler.
 type Settings struct {
-	MaxMachines int           // 0: no bound of ours
-	Paused      bool          // rent nothing
-	IdleTimeout time.Duration // how long a machine may stand idle
-}
-
-// Key prefixes: all blocks' rentals, and the machine types among the control
-// records.
-const (
-	ProvisioningPrefix = "h/"
-	machineTypePrefix  = "c/f/"
-)
-
-// ShardProvisioningPrefix is the key prefix of a block's rental records.
-func ShardProvisioningPrefix(shard int) string {
-	return fmt.Sprintf("%s%d/", ProvisioningPrefix, shard)
-}
-
-// MachineTypeRecord is a machine type as recorded for all nodes. Each tells how many there
-// are: until a node knows them all, it cannot say that a job fits none.
-type MachineTypeRecord struct {
-	wire.MachineType
-	Total int `json:"Of"`
+	MaxMachines int           // 0: no bound
+	Paused      bool          // no scaling out
+	IdleTimeout time.Duration // after which an idle machine is deprovisioned
 }
 
-// RegistrationPrefix is the key prefix of the pages that name a block's machines that may
-// have been given tasks, with their workers' addresses. A machine is entered
-// before its first task, so a successor need not wait for one that is not named.
-func RegistrationPrefix(shard int) string { return fmt.Sprintf("u/%d/", shard) }
-
-// MachineTypeName tells whether a control key holds a machine type, and which.
-func MachineTypeName(key string) (string, bool) { return strings.CutPrefix(key, machineTypePrefix) }
-
-// Autoscaler is a block's part in the cloud during one tenure.
-type Autoscaler struct {
-	Settings             Settings
-	WorkersUnreachable   bool // no worker reaches this node: silence says nothing about a machine
-	shard                int
-	token                uint64
-	termCompare          wire.Compare
-	config               config.Platform
-	cloud                cloud.Caller
-	store                store.Caller
-	log                  *slog.Logger
-	registry             *worker.Registry
-	scheduler            *placement.Scheduler
-	intents              *intentlog.Log
-	onTermLost           func(now time.Time)
-	onDeleted            func(now time.Time, machine *worker.Machine)
-	ownedByOtherShard    func(host string, there time.Time) bool
-	machineTypes         map[string]wire.MachineType
-	recordedMachineTypes map[string]string     // machine types as recorded for all nodes
-	machineTypeWriters   []*store.DesiredValue // of the machine types
-	registrations        *store.Pages
-	registrationStarted  map[string]bool // machines that are being, or have been, entered as used
-	rateLimiter          *rate.Limiter
-	retryBackoff         *backoff.ExponentialBackOff // of calls that fail in a row
-	startedAt            time.Time
-
-	requests              map[string]*provisioningRequest
-	unreadableRecords     int                             // rental records that cannot be read: their machines are not known
-	maxMachinesPerRequest int                             // machines that one rental may have, as far as its record's size goes
-	requestByHost         map[string]*provisioningRequest // machines by their rentals
-	sequence              int
-	noCapacityUntil       map[string]time.Time
-	deletionInFlight      bool
-	deletionRetryAt       time.Time
-
-	machineTypesDueAt time.Time
-	scaleOutDueAt     time.Time
-	listed            map[string]bool // hosts seen in some list
-	missedLists       map[string]int  // lists in a row that a once listed host was not in
-	listProgress      listProgress
-	fewUnreconciled   bool // so few machines are unheard that what waits for them is worth more
-}
-
-// Options are what the slice needs of the tenure that it belongs to.
+// Options are the term's parts that the autoscaler works with. All are required.
 type Options struct {
-	Shard       int
-	Token       uint64
-	TermCompare wire.Compare // the condition of each write
+	Shard int
+	Token uint64
+	// TermCompare is the condition of each write: that the term lasts.
+	TermCompare wire.Compare
 	Config      config.Platform
 	Cloud       cloud.Caller
 	Store       store.Caller
 	Log         *slog.Logger
 	Registry    *worker.Registry
 	Scheduler   *placement.Scheduler
-	// Intents is the log of what is asked of the cloud.
+	// Intents is the log of the operations that the cloud is called for.
 	Intents *intentlog.Log
-	// OnTermLost is told when the tenure is over, Gone when a machine's deletion was answered.
+	// OnTermLost is called when a write shows that the term has ended.
 	OnTermLost func(now time.Time)
-	OnDeleted  func(now time.Time, machine *worker.Machine)
-	// OwnedByOtherShard tells whether a machine that was there at some time is or may turn out to be
-	// another block's.
-	OwnedByOtherShard func(host string, there time.Time) bool
+	// OnDeleted is called when the cloud confirms a machine's deletion, before the machine leaves
+	// the registry.
+	OnDeleted func(now time.Time, machine *worker.Machine)
+	// OwnedByOtherShard tells whether a machine that existed at some time is, or may turn out to
+	// be, another shard's.
+	OwnedByOtherShard func(host string, existedAt time.Time) bool
 }
 
-// New makes the slice of one tenure.
+// Autoscaler scales the machines of one shard during one term. It is not safe for concurrent use;
+// its callbacks run on the goroutine that calls it.
+type Autoscaler struct {
+	Settings Settings
+	// WorkersUnreachable: no worker has contact with this process, so that a missing heartbeat
+	// says nothing about a machine.
+	WorkersUnreachable bool
+
+	registry      *worker.Registry
+	intents       *intentlog.Log
+	types         *machineTypes
+	machines      *machines
+	registrations *registrations
+	provisioner   *provisioner
+	demand        *demandPlanner
+	lists         *listHistory
+	deprovisioner *deprovisioner
+	inventory     *inventory
+}
+
+// New makes the autoscaler of a term that starts now.
 func New(now time.Time, options Options) *Autoscaler {
-	rps := options.Config.Cloud.RPS * tuning.CloudRateShare
-	retryBackoff := backoff.NewExponentialBackOff()
-	retryBackoff.InitialInterval, retryBackoff.MaxInterval = tuning.CloudRetryInitial, tuning.CloudRetryMax
-	retryBackoff.RandomizationFactor = 0 // one holder asks: there is no crowd to part, and tests repeat
-	retryBackoff.Reset()
 	a := &Autoscaler{
 		Settings: Settings{IdleTimeout: tuning.MachineIdleTimeout},
-		shard:    options.Shard, token: options.Token, termCompare: options.TermCompare, config: options.Config, cloud: options.Cloud, store: options.Store, log: options.Log, registry: options.Registry, scheduler: options.Scheduler,
-		intents: options.Intents, onTermLost: options.OnTermLost, onDeleted: options.OnDeleted, ownedByOtherShard: options.OwnedByOtherShard, machineTypes: map[string]wire.MachineType{}, recordedMachineTypes: map[string]string{},
-		rateLimiter: rate.NewLimiter(rate.Limit(rps), max(1, int(rps))), retryBackoff: retryBackoff, startedAt: now,
-		maxMachinesPerRequest: tuning.MaxMachinesPerRequest,
-		requests:              map[string]*provisioningRequest{}, requestByHost: map[string]*provisioningRequest{}, noCapacityUntil: map[string]time.Time{},
-		listed: map[string]bool{}, missedLists: map[string]int{}, registrationStarted: map[string]bool{},
-	}
-	a.registrations = store.NewPages(RegistrationPrefix(options.Shard), options.Config.State.StoredLimits().ValueKB, tuning.RegistrationInterval, store.PriorityTerm, options.TermCompare, options.Store, options.Log, options.OnTermLost)
+		registry: options.Registry,
+		intents:  options.Intents,
+		lists:    newListHistory(),
+	}
+	limited := newLimitedCloud(options.Cloud, options.Config.Cloud.RPS)
+	records := &termStore{termCompare: options.TermCompare, call: options.Store, onTermLost: options.OnTermLost}
+	a.types = &machineTypes{cloud: limited, store: records, registry: options.Registry, scheduler: options.Scheduler,
+		recorder: options.Shard == 0, byName: map[string]wire.MachineType{}, recorded: map[string]string{}}
+	a.machines = &machines{registry: options.Registry, types: a.types, intents: options.Intents}
+	a.provisioner = a.newProvisioner(options, limited, records)
+	a.registrations = a.newRegistrations(options)
+	a.demand = &demandPlanner{cloudLimits: options.Config.Cloud, stateLimits: options.Config.State,
+		registry: options.Registry, scheduler: options.Scheduler, types: a.types, provisioner: a.provisioner,
+		termStartedAt: now}
+	a.deprovisioner = &deprovisioner{token: options.Token, lease: config.Seconds(options.Config.Workers.LeaseS),
+		cloud: limited, intents: options.Intents, registry: options.Registry, scheduler: options.Scheduler,
+		types: a.types, provisioner: a.provisioner, lists: a.lists,
+		onDeleted: options.OnDeleted, forget: a.forgetMachine, termStartedAt: now}
+	a.inventory = &inventory{cloudLimits: options.Config.Cloud, cloud: limited, machines: a.machines,
+		provisioner: a.provisioner, deprovisioner: a.deprovisioner, lists: a.lists,
+		adopter: options.Shard == 0, ownedByOtherShard: options.OwnedByOtherShard}
 	return a
 }
 
-// sortedRequests lists the rentals by name.
-func (a *Autoscaler) sortedRequests() []*provisioningRequest {
-	requests := make([]*provisioningRequest, 0, len(a.requests))
-	for _, name := range slices.Sorted(maps.Keys(a.requests)) {
-		requests = append(requests, a.requests[name])
-	}
-	return requests
-}
-
-// LoadRegistrations takes over the pages that name the machines used by earlier tenures, after
-// their rentals. One whose rental is gone is gone itself, if all rentals could be read.
-func (a *Autoscaler) LoadRegistrations(now time.Time, items []wire.KeyValue) {
-	a.registrations.Load(items, func(host string, raw json.RawMessage) {
-		machine := a.registry.Get(host)
-		if machine == nil && a.unreadableRecords > 0 {
-			machine = a.addUnrecorded(now, host)
-		}
-		if machine == nil || !machine.Recorded && a.unreadableRecords == 0 {
-			a.registrations.Delete(host)
-			return
-		}
-		a.registrationStarted[host], machine.Registered = true, true
-		if machine.State == worker.Booting {
-			_ = json.Unmarshal(raw, &machine.Address) // without one it is heard when it reports
-			a.registry.SetState(now, machine, worker.Unreconciled, "used by an earlier tenure")
-		}
-	})
-	if a.registrations.Unreadable() > 0 {
-		a.assumeRegistered(now)
-	}
-	a.recoverTerminations(now)
-}
-
-// assumeRegistered takes all machines for ones that may have tasks: pages that name those that
-// do cannot be read.
-func (a *Autoscaler) assumeRegistered(now time.Time) {
-	for _, machine := range a.registry.All() {
-		if machine.State == worker.Booting {
-			a.registry.SetState(now, machine, worker.Unreconciled, "may have been used by an earlier tenure")
-		}
+func (a *Autoscaler) newProvisioner(options Options, limited *limitedCloud, records *termStore) *provisioner {
+	return &provisioner{
+		shard: options.Shard, token: options.Token, log: options.Log,
+		cloud: limited, store: records, intents: options.Intents, machines: a.machines,
+		ownedByOtherShard:     options.OwnedByOtherShard,
+		onRecordDurable:       a.registerContacted,
+		requests:              map[string]*provisioningRequest{},
+		byHost:                map[string]*provisioningRequest{},
+		maxMachinesPerRequest: tuning.MaxMachinesPerRequest,
+		noCapacityUntil:       map[machineKind]time.Time{},
 	}
 }
 
-// addUnrecorded makes a machine known that was used and whose rental cannot be read. Its
-// type is not known, so it counts as the largest.
-func (a *Autoscaler) addUnrecorded(now time.Time, host string) *worker.Machine {
-	machine := a.addMachine(now, host, worker.Booting, "", "", false)
-	for _, machineType := range a.machineTypes {
-		machine.Capacity = machine.Capacity.Max(quota.Resources{CPUs: machineType.Vcpus, GPUs: machineType.Gpus, MemGB: machineType.MemGb})
-	}
-	return machine
+func (a *Autoscaler) newRegistrations(options Options) *registrations {
+	pages := store.NewPages(RegistrationPrefix(options.Shard), options.Config.State.StoredLimits().ValueKB,
+		tuning.RegistrationInterval, store.PriorityTerm, options.TermCompare, options.Store, options.Log, options.OnTermLost)
+	return &registrations{machines: a.machines, provisioner: a.provisioner, scheduler: options.Scheduler,
+		pages: pages, started: map[string]bool{}}
 }
 
-// addMachine makes a machine known to the registry.
-func (a *Autoscaler) addMachine(now time.Time, host string, state worker.State, machineType, zone string, spot bool) *worker.Machine {
-	machine := a.registry.Get(host)
-	if machine == nil {
-		machine = a.registry.Add(now, host, state)
-		machine.IdleSince = now
-	}
-	machine.Type, machine.Zone, machine.Spot = machineType, zone, spot
-	a.setCapacity(machine)
-	a.applyRecoveredIntent(now, machine)
-	return machine
+// ApplyMachineType adds a machine type as it is stored for all controllers.
+func (a *Autoscaler) ApplyMachineType(machineType wire.MachineType, raw string) {
+	a.types.apply(machineType, raw)
 }
 
-func (a *Autoscaler) setCapacity(machine *worker.Machine) {
-	if machineType, ok := a.machineTypes[machine.Type]; ok {
-		if capacity := (quota.Resources{CPUs: machineType.Vcpus, GPUs: machineType.Gpus, MemGB: machineType.MemGb}); machine.Capacity != capacity {
-			machine.Capacity, machine.ImagePullGBPerS = capacity, machineType.FetchGbPerS
-			a.scheduler.MarkMachineChanged(machine)
-		}
-	}
-}
+// LoadRequest takes over a provisioning record of an earlier term.
+func (a *Autoscaler) LoadRequest(now time.Time, item wire.KeyValue) { a.provisioner.load(now, item) }
 
-// ApplyMachineType takes note of a machine type as recorded for all nodes.
-func (a *Autoscaler) ApplyMachineType(machineType wire.MachineType, raw string) {
-	a.recordedMachineTypes[machineType.Name] = raw
-	if _, ok := a.machineTypes[machineType.Name]; !ok {
-		a.machineTypes[machineType.Name] = machineType
-	}
-	for _, machine := range a.registry.All() {
-		a.setCapacity(machine)
-	}
+// LoadRegistrations takes over the pages that name the machines used in earlier terms. All
+// provisioning records must have been loaded before.
+func (a *Autoscaler) LoadRegistrations(now time.Time, items []wire.KeyValue) {
+	a.registrations.load(now, items)
+	a.machines.resumeTerminations(now)
 }
 
-// HandleHeartbeat takes note that a machine has reported: one that nobody expected
-// is adopted, and one not used before is entered as used.
+// HandleHeartbeat follows up on a heartbeat of a machine: an unexpected machine is adopted, and one
+// not used before is registered.
 func (a *Autoscaler) HandleHeartbeat(now time.Time, machine *worker.Machine) {
-	a.applyRecoveredIntent(now, machine)
+	a.machines.resumeTermination(now, machine)
 	if !machine.Recorded && !machine.Registered {
-		a.adopt(now, machine)
+		a.provisioner.adopt(now, machine)
 	}
-	a.register(now, machine)
+	a.registrations.register(now, machine)
 }
 
-// RegisterOnFirstContact takes note of a machine's first word, which may be an old copy: it
-// is entered as used all the same, so that it can be given tasks as soon as it
-// is heard. A record may name too many, never too few.
+// RegisterOnFirstContact follows up on a machine's first heartbeat, which may be an old copy: the
+// machine is registered all the same, so that it can be given tasks as soon as its
+// heartbeats count.
 func (a *Autoscaler) RegisterOnFirstContact(now time.Time, machine *worker.Machine, heartbeat *wire.Heartbeat) {
 	if machine.State == worker.Booting {
 		machine.Address = heartbeat.Address
-		a.register(now, machine)
+		a.registrations.register(now, machine)
 	}
 }
 
-func (a *Autoscaler) register(now time.Time, machine *worker.Machine) {
-	// Its rental's record comes first: a successor that found the machine among
-	// the used ones and in no rental would take it for gone.
-	if request := a.requestByHost[machine.Host]; machine.Registered || machine.State == worker.Deleting || a.registrationStarted[machine.Host] || request == nil || !request.recordDurable {
-		return
-	}
-	a.setCapacity(machine)
-	a.registrationStarted[machine.Host] = true
-	a.registrations.Put(machine.Host, machine.Address, func(now time.Time) {
-		machine.Registered = true
-		a.scheduler.MarkMachineChanged(machine)
-	})
-	a.registrations.Tick(now)
-}
-
-// callCloud passes a call on and keeps count of failures in a row.
-func (a *Autoscaler) callCloud(call cloud.Call, callback func(now time.Time, result cloud.Result)) {
-	a.cloud(call, func(now time.Time, result cloud.Result) {
-		if err := result.Err(); err == nil || errors.Is(err, cloud.ErrNoCapacity) {
-			a.retryBackoff.Reset()
-		}
-		callback(now, result)
-	})
-}
-
-// nextRetry is when a failed call may be made again.
-func (a *Autoscaler) nextRetry(now time.Time) time.Time { return now.Add(a.retryBackoff.NextBackOff()) }
-
-func (a *Autoscaler) allowCall(now time.Time) bool { return a.rateLimiter.AllowN(now, 1) }
-
 // Tick starts what is due.
 func (a *Autoscaler) Tick(now time.Time) {
-	for _, writer := range a.machineTypeWriters {
-		writer.Tick(now)
-	}
-	a.registrations.Tick(now)
-	for _, request := range a.sortedRequests() {
-		request.writer.Tick(now)
-		a.closeRefused(now, request)
-		if request.state == provisioningRequested && !request.inFlight && !now.Before(request.retryAt) && a.allowCall(now) {
-			a.sendRequest(now, request)
-		}
-	}
+	a.types.writeChanges(now)
+	a.registrations.pages.Tick(now)
+	a.provisioner.tick(now)
 	a.intents.Tick(now)
 	a.scaleIn(now)
-	a.deleteMachines(now)
-	if !now.Before(a.machineTypesDueAt) && a.allowCall(now) {
-		a.refreshMachineTypes(now)
-	}
-	a.continueList(now)
-	// Machines that this tenure has not heard yet look like none: hiring then
-	// would replace the whole fleet at each takeover.
-	if len(a.machineTypes) > 0 && !now.Before(a.scaleOutDueAt) && (a.scheduler.Reconciled() || now.Sub(a.startedAt) > tuning.ScaleOutDelay) {
-		a.scaleOutDueAt = now.Add(tuning.ScaleOutInterval)
-		a.scaleOut(now)
+	a.deprovisioner.deleteMachines(now)
+	a.types.refresh(now)
+	a.inventory.continueReading(now)
+	a.demand.scaleOutIfDue(now, a.Settings)
+}
+
+func (a *Autoscaler) scaleIn(now time.Time) {
+	if !a.WorkersUnreachable {
+		a.deprovisioner.scaleIn(now, a.Settings.IdleTimeout)
 	}
 }
 
-func (a *Autoscaler) refreshMachineTypes(now time.Time) {
-	a.machineTypesDueAt = now.Add(tuning.CloudTimeout + tuning.CloudRetryInitial)
-	a.callCloud(cloud.Call{Operation: cloud.ListMachineTypes}, func(now time.Time, result cloud.Result) {
-		response, err := result.Response()
-		if err != nil {
-			a.machineTypesDueAt = a.nextRetry(now)
-			return
-		}
-		a.machineTypesDueAt = now.Add(tuning.MachineTypesInterval)
-		for _, machineType := range response.MachineTypes {
-			a.machineTypes[machineType.Name] = machineType
-			if a.shard != 0 {
-				continue
-			}
-			// Prices move all the time; the record is for what nodes need to
-			// check submissions.
-			machineType.Price, machineType.SpotPrice = 0, 0
-			record := MachineTypeRecord{machineType, len(response.MachineTypes)}
-			raw, _ := json.Marshal(record)
-			if old, ok := a.recordedMachineTypes[machineType.Name]; ok && old == string(raw) {
-				continue
-			}
-			a.recordedMachineTypes[machineType.Name] = string(raw)
-			writer := store.NewDesiredValue(machineTypePrefix+machineType.Name, 0, store.PriorityTerm, a.termCompare, a.store, func(time.Time, int) {}, a.onTermLost)
-			writer.Set(record)
-			a.machineTypeWriters = append(a.machineTypeWriters, writer)
-			writer.Tick(now)
-		}
-		for _, machine := range a.registry.All() {
-			a.setCapacity(machine)
+// registerContacted registers machines that sent a heartbeat before their record was durable.
+func (a *Autoscaler) registerContacted(now time.Time, hosts []string) {
+	for _, host := range hosts {
+		if machine := a.registry.Get(host); machine != nil && machine.SeenIncarnation > 0 {
+			a.registrations.register(now, machine)
 		}
-	})
+	}
+}
+
+// forgetMachine removes a deleted machine from all that is kept of it.
+func (a *Autoscaler) forgetMachine(now time.Time, host string) {
+	a.lists.forget(host)
+	a.registrations.forget(host)
+	a.provisioner.removeHost(now, host)
 }
--- /dev/null
+++ b/internal/fleet/deprovisioner.go
@@ -0,0 +1,172 @@
+package fleet
+
+import (
+	"slices"
+	"time"
+
+	"juniperchute/internal/cloud"
+	"juniperchute/internal/intentlog"
+	"juniperchute/internal/placement"
+	"juniperchute/internal/tuning"
+	"juniperchute/internal/wire"
+	"juniperchute/internal/worker"
+)
+
+// deprovisioner terminates machines: it logs the intent, then deletes them.
+type deprovisioner struct {
+	token       uint64
+	lease       time.Duration // of a worker
+	cloud       *limitedCloud
+	intents     *intentlog.Log
+	registry    *worker.Registry
+	scheduler   *placement.Scheduler
+	types       *machineTypes
+	provisioner *provisioner
+	lists       *listHistory
+	// onDeleted gets each machine of the registry whose deletion is confirmed, and forget the
+	// host of each deleted machine.
+	onDeleted func(now time.Time, machine *worker.Machine)
+	forget    func(now time.Time, host string)
+
+	termStartedAt time.Time
+	inFlight      bool // a deletion is under way
+	retryAt       time.Time
+}
+
+// scaleIn terminates the machines that the rules give up.
+func (d *deprovisioner) scaleIn(now time.Time, idleTimeout time.Duration) {
+	rules := terminationRules{now: now, termAge: now.Sub(d.termStartedAt), lease: d.lease,
+		idleTimeout: idleTimeout, fewUnreconciled: d.fewUnreconciled()}
+	for _, machine := range d.registry.All() {
+		if decision := rules.decide(d.candidate(machine)); decision.operation != "" {
+			d.terminate(now, machine, decision)
+		}
+	}
+}
+
+func (d *deprovisioner) fewUnreconciled() bool {
+	unreconciled := 0
+	for _, machine := range d.registry.All() {
+		if machine.State == worker.Unreconciled {
+			unreconciled++
+		}
+	}
+	return unreconciled*tuning.FewUnreconciledDivisor <= len(d.registry.All())
+}
+
+func (d *deprovisioner) candidate(machine *worker.Machine) terminationCandidate {
+	return terminationCandidate{
+		Machine:              machine,
+		missedLists:          d.lists.missed[machine.Host],
+		bootTime:             d.types.bootTime(machine.Type),
+		onlyUnconfirmedStops: machine.UnansweredCommands > 0 && d.scheduler.OnlyUnconfirmedStops(machine),
+	}
+}
+
+// terminate logs the intent to terminate a machine. From here on it gets no work; if the log is
+// full the machine stays as it is, and the next pass decides again.
+func (d *deprovisioner) terminate(now time.Time, machine *worker.Machine, decision termination) {
+	if d.intents.Record(now, decision.operation, machine.Host, decision.reason) {
+		d.registry.SetState(now, machine, worker.Deleting, decision.reason)
+	}
+}
+
+// terminateFailed terminates a machine that the cloud lists as failed.
+func (d *deprovisioner) terminateFailed(now time.Time, machine *worker.Machine) {
+	if machine.State != worker.Deleting {
+		d.terminate(now, machine, reclaim("listed as failed"))
+	}
+}
+
+// deleteMachines deletes the machines that are ready for it, one call at a time.
+func (d *deprovisioner) deleteMachines(now time.Time) {
+	if d.inFlight || now.Before(d.retryAt) {
+		return
+	}
+	ready := d.ready(now)
+	if len(ready) == 0 || !d.cloud.allow(now) {
+		return
+	}
+	hosts := make([]string, len(ready))
+	for i, intent := range ready {
+		d.intents.StartCall(now, intent)
+		hosts[i] = intent.Target
+	}
+	d.inFlight = true
+	d.cloud.call(cloud.Call{Operation: cloud.DeleteMachines, Hosts: hosts}, func(now time.Time, result cloud.Result) {
+		d.handleResult(now, ready, result.Err())
+	})
+}
+
+func (d *deprovisioner) handleResult(now time.Time, intents []*intentlog.Intent, err error) {
+	d.inFlight = false
+	for _, intent := range intents {
+		d.intents.FinishCall(now, intent, outcomeOf(err))
+	}
+	if err != nil {
+		d.retryAt = d.cloud.nextRetry(now)
+		return
+	}
+	for _, intent := range intents {
+		host := intent.Target
+		if machine := d.registry.Get(host); machine != nil {
+			d.onDeleted(now, machine)
+			d.registry.SetState(now, machine, worker.Deleted, "deletion confirmed")
+		} else {
+			d.registry.RememberDeleted(host)
+		}
+		d.forget(now, host)
+	}
+}
+
+// ready lists the intents whose machines may be deleted now, as many as one call takes.
+func (d *deprovisioner) ready(now time.Time) []*intentlog.Intent {
+	var ready []*intentlog.Intent
+	for _, intent := range d.intents.Ready(intentlog.Deprovision, intentlog.Reclaim) {
+		if intent.Recovered && !d.confirmRecovered(now, intent) {
+			continue
+		}
+		if ready = append(ready, intent); len(ready) == tuning.MaxMachinesPerDeletion {
+			break
+		}
+	}
+	return ready
+}
+
+// confirmRecovered tells whether a recovered intent stands. A term of an earlier version may have
+// held the shard since: it reads no log, and may have given the machine work. If no other
+// token lies between it cannot; otherwise contact with the machine is needed first, or its
+// lease must have expired. The intent for one that has work of a later term is void.
+func (d *deprovisioner) confirmRecovered(now time.Time, intent *intentlog.Intent) bool {
+	machine := d.registry.Get(intent.Target)
+	if machine == nil && !d.provisioner.hasPending() && d.provisioner.unreadableRecords == 0 {
+		// No record names it: it is deleted, and that is recorded.
+		d.intents.Complete(now, intent, "deleted already")
+		d.intents.Forget(intent)
+		return false
+	}
+	if intent.Token+1 == d.token {
+		return true
+	}
+	if machine == nil {
+		return false // a pending request may turn out to name it
+	}
+	if machine.LastContact.IsZero() {
+		return machine.LeaseEnded || !machine.Registered
+	}
+	if hasWorkAfter(machine, intent.Token) {
+		d.intents.Complete(now, intent, "superseded by a later term")
+		d.intents.Forget(intent)
+		d.registry.SetState(now, machine, worker.Up, "given work by a later term")
+		d.scheduler.MarkMachineChanged(machine)
+		return false
+	}
+	return true
+}
+
+// hasWorkAfter tells whether a machine has tasks that a term with a higher token gave it.
+func hasWorkAfter(machine *worker.Machine, token uint64) bool {
+	return slices.ContainsFunc(machine.Tasks, func(task wire.TaskStatus) bool {
+		return task.Attempt>>tuning.AttemptBits > token
+	})
+}
--- /dev/null
+++ b/internal/fleet/deprovisioner_test.go
@@ -0,0 +1,224 @@
+package fleet
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"juniperchute/internal/cloud"
+	"juniperchute/internal/intentlog"
+	"juniperchute/internal/store"
+	"juniperchute/internal/tuning"
+	"juniperchute/internal/wire"
+	"juniperchute/internal/worker"
+)
+
+// Records of request b0-3-1 in TestRecoveredIntent.
+const (
+	grantedRecord    = `{"Build":"g2","Yard":"a","Number":1,"Hosts":["i-1"]}`
+	unansweredRecord = `{"Build":"g2","Yard":"a","Number":1}`
+	otherHostRecord  = `{"Build":"g2","Yard":"a","Number":1,"Hosts":["i-8"]}`
+)
+
+// unknownMachine is the state of a machine that is not in the registry.
+const unknownMachine worker.State = -1
+
+type recoveredIntentTest struct {
+	name    string
+	token   uint64 // of the intent
+	record  string
+	play    func(f *fixture)
+	deletes bool
+	state   worker.State
+	kept    bool // the intent is still in the log
+}
+
+var recoveredIntentTests = []recoveredIntentTest{
+	{
+		name:    "of the term before: completed at once",
+		token:   6,
+		record:  grantedRecord,
+		deletes: true, state: worker.Deleting, kept: true,
+	},
+	{
+		name:    "of an earlier term: contact with the machine comes first",
+		token:   4,
+		record:  grantedRecord,
+		deletes: false, state: worker.Deleting, kept: true,
+	},
+	{
+		name:    "contact, and the machine has no work",
+		token:   4,
+		record:  grantedRecord,
+		play:    sendHeartbeat(nil),
+		deletes: true, state: worker.Deleting, kept: true,
+	},
+	{
+		name:    "contact, and the machine has work of a term since, which read no log",
+		token:   4,
+		record:  grantedRecord,
+		play:    sendHeartbeat(workOfTerm(5)),
+		deletes: false, state: worker.Up, kept: false,
+	},
+	{
+		name:    "contact, and the machine has work of the intent's own term",
+		token:   4,
+		record:  grantedRecord,
+		play:    sendHeartbeat(workOfTerm(4)),
+		deletes: true, state: worker.Deleting, kept: true,
+	},
+	{
+		name:    "no contact, and the machine's lease has expired",
+		token:   4,
+		record:  grantedRecord,
+		play:    expireLeases,
+		deletes: true, state: worker.Deleting, kept: true,
+	},
+	{
+		name:    "a pending request may name the machine: deleted by its name",
+		token:   6,
+		record:  unansweredRecord,
+		deletes: true, state: unknownMachine, kept: true,
+	},
+	{
+		name:    "the same, and another term may have used it",
+		token:   4,
+		record:  unansweredRecord,
+		deletes: false, state: unknownMachine, kept: true,
+	},
+	{
+		name:    "no record names the machine: it is deleted",
+		token:   6,
+		record:  otherHostRecord,
+		deletes: false, state: unknownMachine, kept: false,
+	},
+}
+
+func workOfTerm(token uint64) []wire.TaskStatus {
+	return []wire.TaskStatus{{Name: "job-1/0", Attempt: token<<tuning.AttemptBits | 1, State: wire.TaskRunning}}
+}
+
+// sendHeartbeat has i-1 send a heartbeat with some tasks.
+func sendHeartbeat(tasks []wire.TaskStatus) func(f *fixture) {
+	return func(f *fixture) {
+		machine := f.registry.Get("i-1")
+		status := &wire.Heartbeat{Host: "i-1", Incarnation: 1, Sequence: 1, Type: "g2", Zone: "a", Tasks: tasks}
+		f.registry.ApplyHeartbeat(f.now, machine, status, worker.FromHeartbeat)
+		f.autoscaler.HandleHeartbeat(f.now, machine)
+	}
+}
+
+func expireLeases(f *fixture) {
+	f.advance(f.registry.LeaseExpiry() + time.Minute)
+	f.registry.ExpireLeases(f.now, f.now.Add(-time.Second))
+}
+
+// What a successor, with token 7, does with an intent that it recovers.
+func TestRecoveredIntent(t *testing.T) {
+	for _, test := range recoveredIntentTests {
+		t.Run(test.name, func(t *testing.T) {
+			f := newLoggedFixture(t, intentPage("i-1", intentlog.Deprovision, test.token))
+			f.loadUsed(test.record)
+			if test.play != nil {
+				test.play(f)
+			}
+			f.advance(time.Second)
+			if deletes := len(f.deletedHosts()) > 0; deletes != test.deletes {
+				t.Errorf("deletions %v", f.deletedHosts())
+			}
+			state := unknownMachine
+			if machine := f.registry.Get("i-1"); machine != nil {
+				state = machine.State
+			}
+			if state != test.state {
+				t.Errorf("state %d, want %d", state, test.state)
+			}
+			if kept := f.intents.Get(intentlog.Deprovision, "i-1") != nil; kept != test.kept {
+				t.Errorf("intent kept: %v", kept)
+			}
+		})
+	}
+}
+
+// A request that turns out to name a machine with an intent brings none: it gets no work.
+func TestLateGrantOfTerminatedMachine(t *testing.T) {
+	f := newLoggedFixture(t, intentPage("i-1", intentlog.Deprovision, 4))
+	f.loadUsed(`{"Build":"g2","Yard":"a","Number":2}`)
+	f.advance(time.Second)
+	f.answerCall(cloud.CreateMachines, granted("i-1", "i-2"))
+	if machine := f.registry.Get("i-1"); machine == nil || machine.State != worker.Deleting {
+		t.Errorf("with an intent: %+v", machine)
+	}
+	if machine := f.registry.Get("i-2"); machine == nil || machine.State != worker.Booting {
+		t.Errorf("without an intent: %+v", machine)
+	}
+}
+
+// The intent of a deletion stays until the provisioning record does not name the machine: a
+// successor that found the machine recorded and no intent would wait for it.
+func TestIntentOutlivesRecord(t *testing.T) {
+	f := newLoggedFixture(t, intentPage("i-1", intentlog.Deprovision, 6))
+	f.loadUsed(`{"Build":"g2","Yard":"a","Number":2,"Hosts":["i-1","i-2"]}`)
+	f.advance(time.Second)
+	f.answerCall(cloud.DeleteMachines, cloud.Success(cloud.Response{}))
+	if intent := f.intents.Get(intentlog.Deprovision, "i-1"); intent == nil || intent.State() != intentlog.Completed {
+		t.Fatalf("%+v", intent)
+	}
+	f.advance(time.Second)
+	f.commitWrites()
+	if f.intents.Get(intentlog.Deprovision, "i-1") != nil {
+		t.Error("kept although the record is durable")
+	}
+}
+
+// An older version of the record, which becomes durable later, still names the machine.
+func TestIntentOutlivesOlderVersion(t *testing.T) {
+	f := newLoggedFixture(t)
+	f.loadUsed(`{"Build":"g2","Yard":"a","Number":3,"Hosts":["i-1","i-2","i-3"]}`)
+	f.terminateAndDelete("i-1")
+	f.advance(0) // the record without i-1 is being written
+	older := f.storeReplies
+	f.storeCalls, f.storeReplies = nil, nil
+	if len(older) == 0 {
+		t.Fatal("the record is not written")
+	}
+	f.intents.Record(f.now, intentlog.Deprovision, "i-2", "idle")
+	f.autoscaler.forgetMachine(f.now, "i-2")
+	for _, callback := range older {
+		callback(f.now, store.Result{Revision: 20})
+	}
+	request := f.autoscaler.provisioner.byHost["i-3"]
+	if len(request.unrecording) != 1 || request.unrecording[0].host != "i-2" {
+		t.Errorf("waiting for the record: %+v", request.unrecording)
+	}
+	f.commitWrites()
+	f.advance(0)
+	f.commitWrites()
+	if len(request.unrecording) != 0 {
+		t.Errorf("still waiting: %+v", request.unrecording)
+	}
+}
+
+func (f *fixture) terminateAndDelete(host string) {
+	f.t.Helper()
+	f.autoscaler.deprovisioner.terminate(f.now, f.registry.Get(host), deprovision("idle"))
+	f.commitWrites() // its intent, and whatever is not durable yet
+	f.advance(tuning.IntentWriteInterval)
+	f.commitWrites()
+	f.autoscaler.deprovisioner.deleteMachines(f.now)
+	f.answerCall(cloud.DeleteMachines, cloud.Success(cloud.Response{}))
+}
+
+// A machine stays in use while the log has no room for the intent to terminate it.
+func TestIntentLogFull(t *testing.T) {
+	f := newLoggedFixture(t)
+	for i := range tuning.MaxOpenIntents {
+		f.intents.Record(f.now, intentlog.Reclaim, fmt.Sprintf("x-%d", i), "")
+	}
+	machine := f.registry.Add(f.now, "i-1", worker.Up)
+	machine.Incarnation, machine.LastContact, machine.IdleSince = 1, f.now, f.now.Add(-time.Hour)
+	f.advance(time.Second)
+	if machine.State != worker.Up {
+		t.Errorf("%v although the intent is not logged", machine.State)
+	}
+}
--- /dev/null
+++ b/internal/fleet/fixture_test.go
@@ -0,0 +1,172 @@
+package fleet
+
+import (
+	"fmt"
+	"io"
+	"log/slog"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"juniperchute/internal/cloud"
+	"juniperchute/internal/config"
+	"juniperchute/internal/intentlog"
+	"juniperchute/internal/placement"
+	"juniperchute/internal/quota"
+	"juniperchute/internal/store"
+	"juniperchute/internal/wire"
+	"juniperchute/internal/worker"
+)
+
+// fixture is an autoscaler, under token 7 of shard 0, whose calls are caught.
+type fixture struct {
+	t            *testing.T
+	now          time.Time
+	autoscaler   *Autoscaler
+	registry     *worker.Registry
+	scheduler    *placement.Scheduler
+	intents      *intentlog.Log
+	cloudCalls   []cloud.Call
+	cloudReplies []func(time.Time, cloud.Result)
+	storeCalls   []store.Call
+	storeReplies []func(time.Time, store.Result)
+}
+
+func newFixture(t *testing.T) *fixture {
+	const token, valueKB = 7, 4
+	f := &fixture{t: t, now: time.Unix(1000, 0)}
+	platform := config.Platform{Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}},
+		Cloud: config.CloudLimits{RPS: 100, ListLagS: 3}, Workers: config.Workers{HeartbeatS: 1.5, LeaseS: 10}}
+	discardLogger := slog.New(slog.NewTextHandler(io.Discard, nil))
+	f.registry = worker.NewRegistry(platform.Workers, discardLogger)
+	f.scheduler = placement.NewScheduler(platform, token, quota.NewLedger(platform.Teams, 0, 1), f.registry,
+		rand.New(rand.NewPCG(1, 1)), discardLogger, func(time.Time, *placement.Job) {})
+	f.scheduler.MarkReconciled(f.now)
+	termCompare := store.VersionEquals("c/b/0", 3)
+	f.intents = intentlog.NewLog(intentlog.Options{Token: token, TermCompare: termCompare, ValueKB: valueKB,
+		StateCall: f.callStore, WallClock: func() time.Time { return f.now }, Log: discardLogger,
+		OnTermLost: func(time.Time) {}})
+	f.autoscaler = New(f.now, Options{Token: token, TermCompare: termCompare, Config: platform,
+		Cloud: f.callCloud, Store: f.callStore, Log: discardLogger,
+		Registry: f.registry, Scheduler: f.scheduler, Intents: f.intents,
+		OnTermLost:        func(time.Time) {},
+		OnDeleted:         func(time.Time, *worker.Machine) {},
+		OwnedByOtherShard: func(string, time.Time) bool { return false }})
+	f.autoscaler.ApplyMachineType(wire.MachineType{Name: "g2", Vcpus: 12, Gpus: 2, MemGb: 96,
+		Price: 5, SpotPrice: 2, BootTimeS: 25, Zones: []string{"a"}}, "")
+	return f
+}
+
+// newLoggedFixture is a fixture whose intents are logged; items are the pages of the log that an
+// earlier term left.
+func newLoggedFixture(t *testing.T, items ...wire.KeyValue) *fixture {
+	f := newFixture(t)
+	f.intents.EnableDurability()
+	f.intents.Load(f.now, items)
+	return f
+}
+
+func (f *fixture) callStore(call store.Call, callback func(time.Time, store.Result)) {
+	f.storeCalls, f.storeReplies = append(f.storeCalls, call), append(f.storeReplies, callback)
+}
+
+func (f *fixture) callCloud(call cloud.Call, callback func(time.Time, cloud.Result)) {
+	f.cloudCalls, f.cloudReplies = append(f.cloudCalls, call), append(f.cloudReplies, callback)
+}
+
+// commitWrites has the state service commit every write.
+func (f *fixture) commitWrites() {
+	for len(f.storeReplies) > 0 {
+		callback := f.storeReplies[0]
+		f.storeCalls, f.storeReplies = f.storeCalls[1:], f.storeReplies[1:]
+		callback(f.now, store.Result{Revision: 9})
+	}
+}
+
+// answerCall answers the oldest call of an operation, and returns it.
+func (f *fixture) answerCall(operation cloud.Operation, result cloud.Result) cloud.Call {
+	f.t.Helper()
+	for i, call := range f.cloudCalls {
+		if call.Operation == operation {
+			callback := f.cloudReplies[i]
+			f.cloudCalls = append(f.cloudCalls[:i:i], f.cloudCalls[i+1:]...)
+			f.cloudReplies = append(f.cloudReplies[:i:i], f.cloudReplies[i+1:]...)
+			callback(f.now, result)
+			return call
+		}
+	}
+	f.t.Fatalf("no call of operation %d", operation)
+	return cloud.Call{}
+}
+
+func (f *fixture) hasCall(operation cloud.Operation) bool {
+	for _, call := range f.cloudCalls {
+		if call.Operation == operation {
+			return true
+		}
+	}
+	return false
+}
+
+// deletedHosts lists the machines of the deletions asked for.
+func (f *fixture) deletedHosts() (hosts []string) {
+	for _, call := range f.cloudCalls {
+		if call.Operation == cloud.DeleteMachines {
+			hosts = append(hosts, call.Hosts...)
+		}
+	}
+	return hosts
+}
+
+func (f *fixture) advance(duration time.Duration) {
+	f.now = f.now.Add(duration)
+	f.autoscaler.Tick(f.now)
+}
+
+// addGang adds job number n, a gang whose tasks each fill a machine of type g2.
+func (f *fixture) addGang(n uint64, tasks int, spot bool) {
+	spec := wire.JobSpec{ID: fmt.Sprintf("job-%d", n), Team: "red", Class: "l", Shape: wire.ShapeGang, Priority: "low",
+		Tasks: tasks, Vcpus: 10, Gpus: 2, MemGb: 77, AnyType: true, Spot: spot}
+	f.scheduler.AddJob(f.now, spec, f.now, n, false)
+}
+
+// addMachine adds a machine of type g2 that may have been given tasks.
+func (f *fixture) addMachine(host string, state worker.State) *worker.Machine {
+	machine := f.registry.Add(f.now, host, state)
+	machine.Type, machine.Registered, machine.Recorded, machine.IdleSince = "g2", true, true, f.now
+	return machine
+}
+
+// loadRequest loads the record of a request that an earlier term made.
+func (f *fixture) loadRequest(name, record string) {
+	f.autoscaler.LoadRequest(f.now, wire.KeyValue{Key: "h/0/" + name, Value: []byte(record), Version: 4})
+}
+
+// loadUsed loads the record of request b0-3-1, and machine i-1 as registered.
+func (f *fixture) loadUsed(record string) {
+	f.loadRequest("b0-3-1", record)
+	f.loadRegistrations(`{"i-1":"addr"}`)
+}
+
+func (f *fixture) loadRegistrations(page string) {
+	f.autoscaler.LoadRegistrations(f.now, []wire.KeyValue{{Key: "u/0/0", Value: []byte(page), Version: 3}})
+}
+
+// intentPage is a page of the intent log with one entry.
+func intentPage(host string, operation intentlog.Operation, token uint64) wire.KeyValue {
+	entry := fmt.Appendf(nil, `{%q:{"Duty":%q,"Token":%d,"At":0}}`, host, operation, token)
+	return wire.KeyValue{Key: "d/0/0", Value: entry, Version: 5}
+}
+
+func granted(hosts ...string) cloud.Result {
+	return cloud.Success(cloud.Response{Hosts: hosts})
+}
+
+// listed is a list of running machines of type g2.
+func listed(hosts ...string) cloud.Result {
+	var page wire.MachinePage
+	for _, host := range hosts {
+		page.Machines = append(page.Machines, wire.Machine{ID: host, Type: "g2", Zone: "a", State: wire.MachineRunning})
+	}
+	return cloud.Success(cloud.Response{Page: page})
+}
--- /dev/null
+++ b/internal/fleet/machine_types.go
@@ -0,0 +1,117 @@
+package fleet
+
+import (
+	"encoding/json"
+	"maps"
+	"slices"
+	"time"
+
+	"juniperchute/internal/cloud"
+	"juniperchute/internal/config"
+	"juniperchute/internal/placement"
+	"juniperchute/internal/quota"
+	"juniperchute/internal/store"
+	"juniperchute/internal/tuning"
+	"juniperchute/internal/wire"
+	"juniperchute/internal/worker"
+)
+
+// machineTypes keeps the machine types that the cloud offers, and has the lease holder of the
+// first shard record them for all controllers.
+type machineTypes struct {
+	cloud     *limitedCloud
+	store     *termStore
+	registry  *worker.Registry
+	scheduler *placement.Scheduler
+	// recorder: this shard's lease holder is the one that records the types.
+	recorder bool
+
+	byName    map[string]wire.MachineType
+	recorded  map[string]string     // the stored value of each type
+	writers   []*store.DesiredValue // in the order of the changes
+	refreshAt time.Time
+}
+
+// apply adds a machine type as it is stored.
+func (t *machineTypes) apply(machineType wire.MachineType, raw string) {
+	t.recorded[machineType.Name] = raw
+	if _, ok := t.byName[machineType.Name]; !ok {
+		t.byName[machineType.Name] = machineType
+	}
+	t.setCapacities()
+}
+
+// names returns the names of the types in order.
+func (t *machineTypes) names() []string { return slices.Sorted(maps.Keys(t.byName)) }
+
+// bootTime is the usual boot time of a type, 0 if the type is not known.
+func (t *machineTypes) bootTime(name string) time.Duration {
+	return config.Seconds(t.byName[name].BootTimeS)
+}
+
+func capacityOf(machineType wire.MachineType) quota.Resources {
+	return quota.Resources{CPUs: machineType.Vcpus, GPUs: machineType.Gpus, MemGB: machineType.MemGb}
+}
+
+// setCapacity gives a machine the capacity of its type, if that is known.
+func (t *machineTypes) setCapacity(machine *worker.Machine) {
+	machineType, ok := t.byName[machine.Type]
+	if capacity := capacityOf(machineType); ok && machine.Capacity != capacity {
+		machine.Capacity, machine.ImagePullGBPerS = capacity, machineType.FetchGbPerS
+		t.scheduler.MarkMachineChanged(machine)
+	}
+}
+
+func (t *machineTypes) setCapacities() {
+	for _, machine := range t.registry.All() {
+		t.setCapacity(machine)
+	}
+}
+
+// writeChanges writes what has not been written yet.
+func (t *machineTypes) writeChanges(now time.Time) {
+	for _, writer := range t.writers {
+		writer.Tick(now)
+	}
+}
+
+// refresh lists the machine types anew when that is due.
+func (t *machineTypes) refresh(now time.Time) {
+	if now.Before(t.refreshAt) || !t.cloud.allow(now) {
+		return
+	}
+	t.refreshAt = now.Add(tuning.CloudTimeout + tuning.CloudRetryInitial)
+	t.cloud.call(cloud.Call{Operation: cloud.ListMachineTypes}, t.handleList)
+}
+
+func (t *machineTypes) handleList(now time.Time, result cloud.Result) {
+	response, err := result.Response()
+	if err != nil {
+		t.refreshAt = t.cloud.nextRetry(now)
+		return
+	}
+	t.refreshAt = now.Add(tuning.MachineTypesInterval)
+	for _, machineType := range response.MachineTypes {
+		t.byName[machineType.Name] = machineType
+		if t.recorder {
+			t.record(now, machineType, len(response.MachineTypes))
+		}
+	}
+	t.setCapacities()
+}
+
+// record stores one of a number of machine types unless it is stored already. Prices move all the
+// time, and controllers need the record only to check submissions: it has no prices.
+func (t *machineTypes) record(now time.Time, machineType wire.MachineType, total int) {
+	machineType.Price, machineType.SpotPrice = 0, 0
+	record := MachineTypeRecord{MachineType: machineType, Total: total}
+	raw, _ := json.Marshal(record)
+	if old, ok := t.recorded[machineType.Name]; ok && old == string(raw) {
+		return
+	}
+	t.recorded[machineType.Name] = string(raw)
+	writer := t.store.newValue(machineTypePrefix+machineType.Name, 0, func(time.Time, int) {})
+	writer.Set(record)
+	t.writers = append(t.writers, writer)
+	writer.Tick(now)
+}
--- /dev/null
+++ b/internal/fleet/request.go
@@ -0,0 +1,67 @@
+package fleet
+
+import (
+	"log/slog"
+	"time"
+
+	"juniperchute/internal/intentlog"
+	"juniperchute/internal/store"
+)
+
+// provisioningState is how far a provisioning request has come.
+type provisioningState int
+
+const (
+	provisioningRecording provisioningState = iota // its record is being made durable
+	provisioningRequested                          // the cloud is being called until it answers
+	provisioningRefused                            // no capacity; a late repeat of the call may still be granted
+	provisioningGranted                            // its machines are known
+	provisioningClosed                             // it has no machines; its record is being deleted
+)
+
+func (s provisioningState) String() string {
+	return [...]string{"recording", "requested", "refused", "granted", "closed"}[s]
+}
+
+// provisioningRequest is a request for a number of machines of one kind, and what became of it.
+type provisioningRequest struct {
+	name   string
+	record ProvisioningRecord
+	state  provisioningState
+
+	writer        *store.DesiredValue // of the record
+	recordDurable bool                // a durable version of the record names the machines
+	// unrecording is the deleted machines whose removal from the record is not durable yet.
+	unrecording []deletedMachine
+
+	// intent is the intended provisioning, nil for a request that was granted in an earlier term.
+	intent     *intentlog.Intent
+	inFlight   bool
+	retryAt    time.Time
+	answeredAt time.Time // when the last call ended
+}
+
+// deletedMachine is a deleted machine and the first version of the record that does not name it.
+type deletedMachine struct {
+	host    string
+	version int
+}
+
+// pending tells whether the request may still be granted in the normal course of events.
+func (r *provisioningRequest) pending() bool {
+	return r.state == provisioningRecording || r.state == provisioningRequested
+}
+
+// retryable tells whether a refused request may stand for a new one.
+func (r *provisioningRequest) retryable(now time.Time, kind machineKind, maxMachines int, pause time.Duration) bool {
+	return r.state == provisioningRefused && r.record.kind() == kind && r.record.Number <= maxMachines &&
+		now.Sub(r.answeredAt) >= pause
+}
+
+func (r *provisioningRequest) setState(log *slog.Logger, state provisioningState, reason string) {
+	if r.state != state {
+		log.Debug("provisioning request changed", "request", r.name,
+			"from", r.state.String(), "to", state.String(), "reason", reason)
+	}
+	r.state = state
+}
