--- a/internal/term/options.go
+++ b/internal/term/options.go
@@ -6,8 +6,8 @@
 	"math/rand/v2"
 	"time"
 
+	"juniperchute/internal/cloud"
 	"juniperchute/internal/config"
-	"juniperchute/internal/fleet"
 	"juniperchute/internal/intentlog"
 	"juniperchute/internal/leader"
 	"juniperchute/internal/peer/peerpb"
@@ -21,7 +21,7 @@
 	// CallState sends a call to the state service.
 	CallState(call store.Call, then func(now time.Time, result store.Result))
 	// CallCloud sends a call to the cloud.
-	CallCloud(call fleet.CloudCall, then func(now time.Time, result fleet.CloudResult))
+	CallCloud(call cloud.Call, then func(now time.Time, result cloud.Result))
 	// SendCommands sends commands straight to a worker, unless that is only possible after
 	// the deadline (ErrDeadlinePassed): a process that was frozen must not act on what it
 	// believed before. On success it brings the worker's state after the commands, whether
--- a/internal/term/term.go
+++ b/internal/term/term.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"juniperchute/internal/admin"
+	"juniperchute/internal/cloud"
 	"juniperchute/internal/featuregate"
 	"juniperchute/internal/fleet"
 	"juniperchute/internal/intentlog"
@@ -185,7 +186,7 @@
 
 // callCloud sends a call of the cloud, to be made only while this process surely owns the
 // shard.
-func (t *Term) callCloud(call fleet.CloudCall, then func(now time.Time, result fleet.CloudResult)) {
+func (t *Term) callCloud(call cloud.Call, then func(now time.Time, result cloud.Result)) {
 	call.Deadline = t.options.Membership.LeaseDeadline()
 	t.options.Effects.CallCloud(call, then)
 }
