--- a/internal/controller/completion_bitmaps_test.go
+++ b/internal/controller/completion_bitmaps_test.go
@@ -73,7 +73,10 @@
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
 	cfg := facts([]string{"a"}, nil, 1.5, 10)
 	reg := worker.NewRegistry(cfg.Platform.Workers, quiet)
-	board := placement.NewScheduler(cfg.Platform, 1, quota.NewLedger(nil, 1), reg, nil, quiet, func(time.Time, *placement.Job) {})
+	board := placement.NewScheduler(placement.Options{
+		Platform: cfg.Platform, Token: 1, Ledger: quota.NewLedger(nil, 1), Registry: reg, Log: quiet,
+		OnTaskCompleted: func(time.Time, *placement.Job) {},
+	})
 	return board, board.AddJob(time.Unix(0, 0), spec, time.Unix(0, 0), 1, true)
 }
 
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -67,7 +67,10 @@
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
 	cfg := facts([]string{"a"}, nil, 1.5, 10)
 	reg := worker.NewRegistry(cfg.Platform.Workers, quiet)
-	board := placement.NewScheduler(cfg.Platform, 1, quota.NewLedger(nil, 1), reg, nil, quiet, func(time.Time, *placement.Job) {})
+	board := placement.NewScheduler(placement.Options{
+		Platform: cfg.Platform, Token: 1, Ledger: quota.NewLedger(nil, 1), Registry: reg, Log: quiet,
+		OnTaskCompleted: func(time.Time, *placement.Job) {},
+	})
 	add := func(id string, tasks int) *placement.Job {
 		return board.AddJob(now, wire.JobSpec{ID: id, Shape: wire.ShapeBatch, Tasks: tasks}, now, 1, true)
 	}
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -64,8 +64,11 @@
 		cancellations: newCancellations(c.config)}
 	t.workers = worker.NewRegistry(c.config.Platform.Workers, t.log)
 	t.ledger = quota.NewLedger(c.config.Platform.Teams, c.shards)
-	t.scheduler = placement.NewScheduler(c.config.Platform, l.Token, t.ledger, t.workers, c.rng, t.log,
-		func(now time.Time, j *placement.Job) { t.completions.taskCompleted(now, j) })
+	t.scheduler = placement.NewScheduler(placement.Options{
+		Platform: c.config.Platform, Token: l.Token, Ledger: t.ledger, Registry: t.workers, Rand: c.rng, Log: t.log,
+		RequestStartMarker: t.writeStartMarker,
+		OnTaskCompleted:    func(now time.Time, j *placement.Job) { t.completions.taskCompleted(now, j) },
+	})
 	t.intents = intentlog.NewLog(intentlog.Options{Shard: l.Shard, Token: l.Token, TermCompare: t.termCompare(), ValueKB: c.config.Platform.State.StoredLimits().ValueKB,
 		StateCall: t.callState, WallClock: c.wallClock, Log: t.log, OnTermLost: t.onTermLost, Tracer: c.options.Tracer})
 	t.guardedStateCall = t.intents.GuardRemovals(t.callState, fleet.ShardProvisioningPrefix(l.Shard), fleet.RegistrationPrefix(l.Shard), startMarkerPrefix(l.Shard), completionPrefix(l.Shard))
@@ -74,7 +77,6 @@
 		OwnedByOtherShard: func(host string, there time.Time) bool { return c.mayBelongToOtherShard(l.Shard, host, there) }})
 	t.completions = newJobCompletions(t, newCompletionBitmaps(t.pages(completionPrefix(l.Shard), tuning.CompletionWriteInterval, store.PriorityCompletion), c.config.Platform.State.ValueKB))
 	t.startMarkers = t.pages(startMarkerPrefix(l.Shard), tuning.StartMarkerInterval, store.PriorityTerm)
-	t.scheduler.RequestStartMarker = t.writeStartMarker
 	t.log.Info("tenure begins", "ended", l.PredecessorEnded)
 	for name, f := range c.machineTypes {
 		t.autoscaler.ApplyMachineType(f, c.machineTypeRecords[name])
--- a/internal/fleet/autoscaler_test.go
+++ b/internal/fleet/autoscaler_test.go
@@ -45,7 +45,10 @@
 		Workers: config.Workers{HeartbeatS: 1.5, LeaseS: 10}}
 	discardLogger := slog.New(slog.NewTextHandler(io.Discard, nil))
 	f.registry = worker.NewRegistry(deployment.Workers, discardLogger)
-	f.scheduler = placement.NewScheduler(deployment, 7, quota.NewLedger(deployment.Teams, 1), f.registry, rand.New(rand.NewPCG(1, 1)), discardLogger, func(time.Time, *placement.Job) {})
+	f.scheduler = placement.NewScheduler(placement.Options{
+		Platform: deployment, Token: 7, Ledger: quota.NewLedger(deployment.Teams, 1), Registry: f.registry,
+		Rand: rand.New(rand.NewPCG(1, 1)), Log: discardLogger, OnTaskCompleted: func(time.Time, *placement.Job) {},
+	})
 	f.scheduler.MarkReconciled(f.now)
 	callStore := func(call store.Call, callback func(time.Time, store.Result)) {
 		f.storeCalls, f.storeReplies = append(f.storeCalls, call), append(f.storeReplies, callback)
--- a/internal/placement/capacity_index.go
+++ b/internal/placement/capacity_index.go
@@ -1,50 +1,69 @@
 package placement
 
 import (
-	"slices"
-	"strings"
 	"time"
 
+	"juniperchute/internal/config"
 	"juniperchute/internal/quota"
-	"juniperchute/internal/tuning"
 	"juniperchute/internal/worker"
 )
 
-// capacitySnapshot is what a machine had to offer when the survey last looked at it.
+// capacityIndex makes the cost of a scheduling pass grow with what has changed,
+// and not with machines times jobs:
+//   - it numbers the changes by which machines gained something, so that a job
+//     that found no room looks only at machines that changed since then;
+//   - it knows the machines with room for the smallest pending task, so that a
+//     pass ends where there are none;
+//   - it counts the places that each class of gangs could have.
+type capacityIndex struct {
+	dirtyMachines  []*machineInfo  // changed since the last refresh
+	revision       uint64          // the newest change by which a machine gained something
+	smallestNeed   quota.Resources // no task of an open array needs less, of any resource
+	freeMachines   []*machineInfo  // schedulable machines with room for that
+	overGuarantee  uint64          // bit set of the teams over their guarantees
+	slotsByClass   map[equivalenceClass]*slotCounts
+	fullPassNeeded bool // jobs, limits or the order have changed since the last pass
+}
+
+// capacitySnapshot is what a machine had to offer when the index was refreshed.
 type capacitySnapshot struct {
-	usable        bool
+	schedulable   bool
 	free          quota.Resources
 	images, tasks int
 }
 
-// offersMoreThan tells whether v offers a waiting task something that old did not.
+// offersMoreThan reports whether s offers a pending task something that an
+// earlier snapshot did not.
 func (s capacitySnapshot) offersMoreThan(earlier capacitySnapshot) bool {
-	return s.usable && (!earlier.usable || !earlier.free.Fits(s.free) || s.images > earlier.images || s.tasks > earlier.tasks)
+	if !s.schedulable {
+		return false
+	}
+	return !earlier.schedulable || !earlier.free.Fits(s.free) || s.images > earlier.images || s.tasks > earlier.tasks
 }
 
-// capacityIndex lets the cost of a draw grow with what has changed and not with
-// machines times jobs. It numbers the changes by which machines gained room or
-// images, so that a job that found no place looks at the machines changed since
-// then only; it knows which machines have room for the smallest of tasks, so that a
-// draw ends where there is none; and it keeps count of the places that gangs of a
-// kind could have.
-type capacityIndex struct {
-	dirtyMachines  []*machineInfo
-	revision       uint64          // the newest change by which a machine gained something
-	smallestNeed   quota.Resources // no open array's task needs less, of anything
-	freeMachines   []*machineInfo  // usable machines with room for that
-	overGuarantee  uint64          // which teams are beyond their guarantees
-	slotsByClass   map[equivalenceClass]*slotCounts
-	fullPassNeeded bool // jobs, limits or the order have changed since the last draw
+// noRoomRevisions are the revisions of the index up to which no machine had
+// room for a job's tasks.
+type noRoomRevisions struct {
+	anyMachine  uint64
+	cachedImage uint64 // among the machines that have the job's image
+}
+
+// forRequirement returns the revision for the machines that come into question.
+func (r *noRoomRevisions) forRequirement(requirement imageRequirement) *uint64 {
+	if requirement == cachedImage {
+		return &r.cachedImage
+	}
+	return &r.anyMachine
 }
 
 func newCapacityIndex() capacityIndex {
 	return capacityIndex{slotsByClass: map[equivalenceClass]*slotCounts{}}
 }
 
-// requestFullPass makes the next draw go through all jobs.
+// requestFullPass makes the next pass go through all jobs.
 func (c *capacityIndex) requestFullPass() { c.fullPassNeeded = true }
 
+// removeMachine removes a deleted machine.
 func (c *capacityIndex) removeMachine(info *machineInfo) {
 	c.setFree(info, false)
 	for _, slots := range c.slotsByClass {
@@ -52,7 +71,8 @@
 	}
 }
 
-// setFree enters a machine among those with room, or takes it off.
+// setFree enters a machine among those with room, or removes it. The order of
+// the list is part of what the random choice among machines depends on.
 func (c *capacityIndex) setFree(info *machineInfo, free bool) {
 	switch {
 	case free && info.freeIndex == 0:
@@ -66,7 +86,7 @@
 	}
 }
 
-// setSmallestNeed takes note of what the smallest tasks need.
+// setSmallestNeed sets what the smallest pending task needs.
 func (s *Scheduler) setSmallestNeed(now time.Time, smallestNeed quota.Resources) {
 	index := &s.capacity
 	if smallestNeed == index.smallestNeed {
@@ -74,7 +94,8 @@
 	}
 	index.smallestNeed = smallestNeed
 	for _, machine := range s.registry.All() {
-		index.setFree(s.machineInfo(machine), machine.Schedulable(now) && machine.AvailableToPrimary().Fits(smallestNeed))
+		free := machine.Schedulable(now) && machine.AvailableToPrimary().Fits(smallestNeed)
+		index.setFree(s.machineInfo(machine), free)
 	}
 }
 
@@ -86,37 +107,32 @@
 	}
 }
 
-// MarkMachineChanged notes that something about a machine has changed that the board itself
-// does not see.
+// MarkMachineChanged notes a change of a machine that the scheduler did not
+// make itself, such as one of its state or its registration.
 func (s *Scheduler) MarkMachineChanged(machine *worker.Machine) { s.markDirty(s.machineInfo(machine)) }
 
-// refreshCapacity brings the survey up to date and tells whether some machine has gained
-// something.
+// refreshCapacity brings the index up to date and reports whether some machine
+// has gained something.
 func (s *Scheduler) refreshCapacity(now time.Time) bool {
 	index := &s.capacity
-	var overGuarantee uint64
-	for i, team := range s.platform.Teams {
-		if s.ledger.OverGuarantee(team.Name) {
-			overGuarantee |= 1 << (i % 64)
-		}
-	}
-	if overGuarantee != index.overGuarantee {
-		// whose work may be stopped for whom is another matter now
-		index.overGuarantee = overGuarantee
-		clear(index.slotsByClass)
-	}
+	s.refreshOverGuarantee()
 	gained := false
 	for _, info := range index.dirtyMachines {
 		info.dirty = false
 		machine := info.machine
-		snapshot := capacitySnapshot{machine.Schedulable(now), machine.AvailableToPrimary(), len(machine.Images), len(info.assigned) + len(info.primaryQueue)}
+		snapshot := capacitySnapshot{
+			schedulable: machine.Schedulable(now),
+			free:        machine.AvailableToPrimary(),
+			images:      len(machine.Images),
+			tasks:       len(info.assigned) + len(info.primaryQueue),
+		}
 		if snapshot.offersMoreThan(info.lastSnapshot) {
 			gained = true
 			index.revision++
 			info.gainRevision = index.revision
 		}
 		info.lastSnapshot = snapshot
-		index.setFree(info, snapshot.usable && snapshot.free.Fits(index.smallestNeed))
+		index.setFree(info, snapshot.schedulable && snapshot.free.Fits(index.smallestNeed))
 		for class, slots := range index.slotsByClass {
 			slots.set(machine, s.feasibleSlots(now, class, machine))
 		}
@@ -125,92 +141,23 @@
 	return gained
 }
 
-// equivalenceClass is all that decides where a gang could be placed, but for images and
-// past failures.
-type equivalenceClass struct {
-	need         quota.Resources
-	machineTypes string // allowed types, "*" for any
-	zone         string
-	spot         bool
-	priority     int
-	team         string
-	guaranteed   bool
-}
-
-func (j *Job) equivalenceClass(guaranteed bool) equivalenceClass {
-	class := equivalenceClass{j.need, "*", j.Spec.Zone, j.Spec.Spot, j.priority, j.Spec.Team, guaranteed}
-	if !j.Spec.AnyType {
-		class.machineTypes = strings.Join(j.Spec.Types, " ")
+// refreshOverGuarantee drops the counts of places when other teams than before
+// are over their guarantees: what may be preempted for whom has changed.
+func (s *Scheduler) refreshOverGuarantee() {
+	overGuarantee := teamsOverGuarantee(s.platform.Teams, s.ledger)
+	if overGuarantee != s.capacity.overGuarantee {
+		s.capacity.overGuarantee = overGuarantee
+		clear(s.capacity.slotsByClass)
 	}
-	return class
 }
 
-func (c *equivalenceClass) allows(machine *worker.Machine) bool {
-	return (c.spot || !machine.Spot) && (c.zone == "" || c.zone == machine.Zone) &&
-		(c.machineTypes == "*" || slices.Contains(strings.Fields(c.machineTypes), machine.Type))
-}
-
-// slotCounts is how many tasks of a kind of gang could be placed on each machine,
-// other work giving way where it has to.
-type slotCounts struct {
-	byMachine map[*worker.Machine]int
-	byZone    map[string]int
-	total     int
-}
-
-func (c *slotCounts) set(machine *worker.Machine, slots int) {
-	delta := slots - c.byMachine[machine]
-	if delta == 0 {
-		return
-	}
-	c.byZone[machine.Zone] += delta
-	c.total += delta
-	if slots == 0 {
-		delete(c.byMachine, machine)
-	} else {
-		c.byMachine[machine] = slots
-	}
-}
-
-// feasibleSlots is how many tasks of a kind of gang a machine could take if all that
-// may gives way; at least as many as there turn out to be.
-func (s *Scheduler) feasibleSlots(now time.Time, class equivalenceClass, machine *worker.Machine) int {
-	if !machine.Schedulable(now) || !class.allows(machine) {
-		return 0
-	}
-	free := machine.AvailableToPrimary()
-	if !free.Fits(class.need) {
-		for _, task := range s.machineInfo(machine).assigned {
-			if s.preemptible(now, task, class) {
-				free = free.Add(task.Job.need)
-			}
-		}
-	}
-	return free.FitCount(class.need, maxTasksPerMachine)
-}
-
-// mayFit tells whether there could be a place for each task of a gang. It
-// may say so wrongly, as it knows nothing of past failures.
-func (s *Scheduler) mayFit(now time.Time, job *Job, guaranteed bool) bool {
-	class := job.equivalenceClass(guaranteed)
-	slots := s.capacity.slotsByClass[class]
-	if slots == nil {
-		if len(s.capacity.slotsByClass) >= tuning.MaxGangKinds {
-			clear(s.capacity.slotsByClass)
-		}
-		slots = &slotCounts{byMachine: map[*worker.Machine]int{}, byZone: map[string]int{}}
-		for _, machine := range s.registry.All() {
-			slots.set(machine, s.feasibleSlots(now, class, machine))
-		}
-		s.capacity.slotsByClass[class] = slots
-	}
-	if !job.Spec.SameZone {
-		return slots.total >= job.Spec.Tasks
-	}
-	for _, n := range slots.byZone {
-		if n >= job.Spec.Tasks {
-			return true
+// teamsOverGuarantee returns a bit for each team that uses more than its
+// guarantee. Beyond 64 teams bits are shared.
+func teamsOverGuarantee(teams []config.Team, ledger *quota.Ledger) (overGuarantee uint64) {
+	for i, team := range teams {
+		if ledger.OverGuarantee(team.Name) {
+			overGuarantee |= 1 << (i % 64)
 		}
 	}
-	return false
+	return overGuarantee
 }
--- a/internal/placement/consolidation.go
+++ b/internal/placement/consolidation.go
@@ -10,112 +10,149 @@
 	"juniperchute/internal/worker"
 )
 
-// Consolidate looks for machines whose tasks would all fit elsewhere, saves and moves
-// them, and draws nothing more to those machines, so that they can be returned.
-// It does so only while no array waits, with a small part of the machines at a
-// time, the dearest with the least on them first; the fullest take the tasks.
+// Consolidate cordons machines whose tasks would all fit elsewhere, and
+// preempts these tasks so that they move and the machines can be terminated.
+// It does so only while no array's tasks are pending, with a small part of the
+// machines at a time: on-demand machines and those with the least on them
+// first; the fullest take the tasks.
 func (s *Scheduler) Consolidate(now time.Time) {
-	if !s.reconciled || now.Before(s.nextConsolidation) || s.arrayTasksPending(now) {
+	if !s.reconciled || now.Before(s.nextConsolidation) || s.startableTasksPending(now) {
 		return
 	}
 	s.nextConsolidation = now.Add(tuning.ConsolidationInterval)
-	var sources, targets []*worker.Machine
+	plan := s.planConsolidation(now)
+	cordoned := 0
+	for i, machine := range plan.sources {
+		if cordoned == plan.limit || i == tuning.ConsolidationTries*plan.limit {
+			break
+		}
+		if _, isTarget := plan.added[machine]; isTarget || !plan.moveTasks(s.machineInfo(machine)) {
+			continue
+		}
+		cordoned++
+		s.cordon(now, machine)
+	}
+}
+
+// cordon lets a machine take no more tasks and preempts those it has.
+func (s *Scheduler) cordon(now time.Time, machine *worker.Machine) {
+	s.log.Info("worker cordoned for consolidation", "worker", machine.Host, "tasks", machine.ActiveCopies)
+	machine.Cordoned = true
+	for _, task := range slices.Clone(s.machineInfo(machine).assigned) {
+		s.Counters.Relocated++
+		s.preempt(now, task, "machine is consolidated")
+	}
+}
+
+// uncordonAll makes cordoned machines that are not empty yet schedulable again.
+func (s *Scheduler) uncordonAll() {
+	for _, machine := range s.registry.All() {
+		if machine.Cordoned {
+			machine.Cordoned = false
+			s.markDirty(s.machineInfo(machine))
+		}
+	}
+}
+
+// startableTasksPending reports whether tasks of an array or a service are pending
+// that could start if there were room.
+func (s *Scheduler) startableTasksPending(now time.Time) bool {
+	return slices.ContainsFunc(s.openJobs, func(job *Job) bool {
+		return !job.IsGang() && job.pendingTasks() > 0 && !now.Before(job.notBefore)
+	})
+}
+
+// consolidationPlan is which machines could be emptied, and which would take their tasks.
+type consolidationPlan struct {
+	sources, targets []*worker.Machine
+	added            map[*worker.Machine]quota.Resources // to the targets, by what was planned so far
+	limit            int                                 // how many machines may be cordoned at a time
+}
+
+// planConsolidation finds the machines that could be emptied and those that
+// would take more tasks, both in the order of preference.
+func (s *Scheduler) planConsolidation(now time.Time) *consolidationPlan {
+	p := &consolidationPlan{added: map[*worker.Machine]quota.Resources{}}
 	inUse := 0
 	for _, machine := range s.registry.All() {
 		if machine.ActiveCopies == 0 || !machine.Schedulable(now) {
 			continue
 		}
-		if inUse++; machine.AvailableToPrimary().DominantShare(machine.Capacity) > tuning.ConsolidationMinFree {
-			targets = append(targets, machine)
+		inUse++
+		if machine.AvailableToPrimary().DominantShare(machine.Capacity) > tuning.ConsolidationMinFree {
+			p.targets = append(p.targets, machine)
 		}
-		if s.canRelocate(machine) {
-			sources = append(sources, machine)
+		if s.machineInfo(machine).canRelocate() {
+			p.sources = append(p.sources, machine)
 		}
 	}
-	share := func(machine *worker.Machine) float64 { return machine.Allocated.DominantShare(machine.Capacity) }
-	slices.SortStableFunc(sources, func(a, b *worker.Machine) int {
+	p.limit = max(1, inUse/tuning.ConsolidationDivisor)
+	slices.SortStableFunc(p.sources, func(a, b *worker.Machine) int {
 		if a.Spot != b.Spot {
 			if b.Spot {
 				return -1
 			}
 			return 1
 		}
-		return cmp.Compare(share(a), share(b))
+		return cmp.Compare(allocatedShare(a), allocatedShare(b))
 	})
-	slices.SortStableFunc(targets, func(a, b *worker.Machine) int { return cmp.Compare(share(b), share(a)) })
-	limit := max(1, inUse/tuning.ConsolidationDivisor)
-	planned := map[*worker.Machine]quota.Resources{} // room on machines that take tasks
-	cordoned := 0
-	for i, machine := range sources {
-		if cordoned == limit || i == tuning.ConsolidationTries*limit {
-			break
-		}
-		if _, isTarget := planned[machine]; isTarget || !s.fitsElsewhere(now, machine, targets, planned) {
-			continue
-		}
-		cordoned++
-		s.log.Info("closing a machine", "host", machine.Host, "tasks", machine.ActiveCopies)
-		machine.Cordoned = true
-		for _, task := range slices.Clone(s.machineInfo(machine).assigned) {
-			s.Counters.Relocated++
-			s.preempt(now, task, "its machine is to be returned")
-		}
-	}
+	slices.SortStableFunc(p.targets, func(a, b *worker.Machine) int {
+		return cmp.Compare(allocatedShare(b), allocatedShare(a))
+	})
+	return p
 }
 
-// arrayTasksPending tells whether some array has tasks that could start if there were
-// room.
-func (s *Scheduler) arrayTasksPending(now time.Time) bool {
-	return slices.ContainsFunc(s.openJobs, func(job *Job) bool { return !job.IsGang() && job.pendingTasks() > 0 && !now.Before(job.notBefore) })
+// allocatedShare returns the part of a machine that tasks take.
+func allocatedShare(machine *worker.Machine) float64 {
+	return machine.Allocated.DominantShare(machine.Capacity)
 }
 
-// canRelocate tells whether nothing is lost when a machine's tasks move.
-func (s *Scheduler) canRelocate(machine *worker.Machine) bool {
-	info := s.machineInfo(machine)
+// canRelocate reports whether nothing is lost when the machine's tasks move.
+func (info *machineInfo) canRelocate() bool {
 	if len(info.primaryQueue) > 0 {
 		return false
 	}
-	for _, task := range info.assigned {
-		job := task.Job
-		if task.phase != Active || task.isBackup || job.closed || job.IsGang() || job.IsService() || job.Spec.CheckpointIntervalS <= 0 || task.runningSince.IsZero() {
-			return false
-		}
+	return !slices.ContainsFunc(info.assigned, func(task *Task) bool { return !task.canRelocate() })
+}
+
+// canRelocate reports whether the task runs and would go on elsewhere from its checkpoint.
+func (t *Task) canRelocate() bool {
+	job := t.Job
+	if t.phase != Active || t.isBackup || t.runningSince.IsZero() {
+		return false
 	}
-	return true
+	return !job.closed && job.isArray() && job.savesCheckpoints()
 }
 
-// fitsElsewhere tells whether other machines in use that have the images would
-// take a machine's tasks now, beside what got says they are taking already, and
-// enters the tasks there if so.
-func (s *Scheduler) fitsElsewhere(now time.Time, machine *worker.Machine, targets []*worker.Machine, planned map[*worker.Machine]quota.Resources) bool {
+// moveTasks reports whether the targets would take all tasks of a machine
+// beside what they take already, and adds these tasks there if so.
+func (p *consolidationPlan) moveTasks(source *machineInfo) bool {
 	added := map[*worker.Machine]quota.Resources{}
-	for _, task := range s.machineInfo(machine).assigned {
-		job := task.Job
-		i := slices.IndexFunc(targets, func(other *worker.Machine) bool {
-			// most have no room at all: that is asked first
-			if !other.AvailableToPrimary().Fits(job.need) || other == machine || other.Cordoned || !other.AvailableToPrimary().Sub(planned[other]).Sub(added[other]).Fits(job.need) || !job.allows(other.Type, other.Zone, other.Spot) || job.avoids(other) {
-				return false
-			}
-			_, ok := other.Images[job.Spec.Image]
-			return ok
+	for _, task := range source.assigned {
+		i := slices.IndexFunc(p.targets, func(target *worker.Machine) bool {
+			return target != source.machine && p.takes(target, task.Job, added[target])
 		})
 		if i < 0 {
 			return false
 		}
-		added[targets[i]] = added[targets[i]].Add(job.need)
+		added[p.targets[i]] = added[p.targets[i]].Add(task.Job.need)
 	}
-	for other, resources := range added {
-		planned[other] = planned[other].Add(resources)
+	for target, resources := range added {
+		p.added[target] = p.added[target].Add(resources)
 	}
 	return true
 }
 
-// uncordonAll makes closing machines that are not empty yet usable again.
-func (s *Scheduler) uncordonAll() {
-	for _, machine := range s.registry.All() {
-		if machine.Cordoned {
-			machine.Cordoned = false
-			s.markDirty(s.machineInfo(machine))
-		}
+// takes reports whether a target would take a task of a job at once, beside
+// what was added to it. Most targets have no room at all: that is asked first.
+func (p *consolidationPlan) takes(target *worker.Machine, job *Job, added quota.Resources) bool {
+	available := target.AvailableToPrimary()
+	if !available.Fits(job.need) || target.Cordoned {
+		return false
+	}
+	if !available.Sub(p.added[target]).Sub(added).Fits(job.need) || !job.suits(target) {
+		return false
 	}
+	_, hasImage := target.Images[job.Spec.Image]
+	return hasImage
 }
--- /dev/null
+++ b/internal/placement/failures.go
@@ -0,0 +1,101 @@
+package placement
+
+import (
+	"time"
+
+	"juniperchute/internal/tuning"
+	"juniperchute/internal/worker"
+)
+
+// failureHistory is what a job's past runs say about it and about machines.
+type failureHistory struct {
+	notBefore   time.Time       // nothing of the job starts before
+	failures    int             // failed tasks; of a service: since its last healthy run
+	failedOn    map[string]int  // failures by machine
+	succeededOn map[string]bool // machines on which a task completed, or a replica ran well
+	shortRuns   int             // replicas of a service that ended as soon as they had started, in a row
+}
+
+// failsEverywhere reports whether the job failed on so many machines, without
+// any success, that it must itself be at fault.
+func (f *failureHistory) failsEverywhere() bool {
+	return len(f.failedOn) >= tuning.FailingJobMachines && len(f.succeededOn) == 0
+}
+
+// avoids reports whether the job has failed on a machine. An array or gang
+// that has failed on many takes any machine again; a service does so only
+// if it never ran well.
+func (j *Job) avoids(machine *worker.Machine) bool {
+	if len(j.failedOn) == 0 || j.failedOn[machine.Host] == 0 {
+		return false
+	}
+	return len(j.failedOn) < tuning.FailingJobMachines || j.IsService() && len(j.succeededOn) > 0
+}
+
+// recordFailure attributes a task's failure: to its machine, when several jobs
+// or a job that runs well elsewhere have failed there, which quarantines it;
+// else to the job, which then waits longer each time.
+func (s *Scheduler) recordFailure(now time.Time, machine *worker.Machine, task *Task) {
+	job := task.Job
+	s.Counters.Failed++
+	job.failures++
+	job.failedOn[machine.Host]++
+	job.noRoomRevisions = noRoomRevisions{}
+	machine.FailuresByJob[job.Spec.ID]++
+	jobs := s.jobsFailingOn(machine)
+	succeededElsewhere := false
+	for host := range job.succeededOn {
+		succeededElsewhere = succeededElsewhere || host != machine.Host
+	}
+	faultyForJob := succeededElsewhere && machine.FailuresByJob[job.Spec.ID] >= tuning.QuarantineErrors
+	if jobs >= tuning.QuarantineJobs || faultyForJob {
+		if !machine.Quarantined {
+			s.log.Info("worker quarantined", "worker", machine.Host, "jobs", jobs)
+		}
+		machine.Quarantined = true
+	}
+	if job.failsEverywhere() {
+		pause := tuning.RetryInitial << min(job.failures, tuning.RetryDoublings)
+		job.notBefore = now.Add(pause)
+		s.log.Info("job backed off", "job", job.Spec.ID, "pause", pause)
+	}
+}
+
+// jobsFailingOn counts the jobs that failed on a machine, without open jobs
+// that are themselves at fault.
+func (s *Scheduler) jobsFailingOn(machine *worker.Machine) int {
+	jobs := 0
+	for id := range machine.FailuresByJob {
+		if job := s.jobs[id]; job == nil || !job.failsEverywhere() {
+			jobs++
+		}
+	}
+	return jobs
+}
+
+// recordHealthyRun notes that a replica has run for a while: later failures
+// elsewhere are the fault of those machines, not of the service.
+func (j *Job) recordHealthyRun(now time.Time, task *Task) {
+	if j.IsService() && task.healthy(now) {
+		j.succeededOn[task.machine.Host] = true
+		j.failures, j.shortRuns = 0, 0
+	}
+}
+
+// healthy reports whether a replica has run long enough to count as sound.
+func (t *Task) healthy(now time.Time) bool {
+	return !t.runningSince.IsZero() && now.Sub(t.runningSince) >= tuning.ServiceHealthyAfter
+}
+
+// restartPause returns how long a replica that has ended by itself waits until
+// it runs again: not at all, unless it ended as soon as it had started. While
+// none of the service's replicas lasts, the pause doubles.
+func (j *Job) restartPause(now time.Time, task *Task) time.Duration {
+	j.recordHealthyRun(now, task)
+	if task.healthy(now) {
+		return 0
+	}
+	pause := tuning.RetryInitial << min(j.shortRuns, tuning.RetryDoublings)
+	j.shortRuns++
+	return pause
+}
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -1,7 +1,6 @@
 package placement
 
 import (
-	"cmp"
 	"slices"
 	"time"
 
@@ -11,335 +10,174 @@
 	"juniperchute/internal/worker"
 )
 
-// gangSlot is where a gang's task would go, and what it would cost.
-type gangSlot struct {
-	machine *worker.Machine
-	cost    float64
-	victims []*Task // to be stopped for it
-}
-
-// scheduleGang places a waiting gang whole, first fit, or not at all.
-func (s *Scheduler) scheduleGang(now time.Time, job *Job, guaranteed bool) {
-	if job.assigned > 0 || job.aborting {
-		if s.reconciled && !job.aborting && job.assigned < job.Spec.Tasks-job.completed.count && job.attempt != 0 {
-			s.abortGangAttempt(now, job, "incomplete")
-		}
+// scheduleGang places all tasks of a pending gang, first fit, or none.
+func (s *Scheduler) scheduleGang(now time.Time, gang *Job, scope preemptionScope) {
+	if gang.assigned > 0 || gang.aborting {
+		s.abortIfIncomplete(now, gang)
 		return
 	}
-	if len(job.tasks) > 0 || job.IsComplete() || !s.mayPlaceGang(now, job, guaranteed) {
+	if len(gang.tasks) > 0 || gang.IsComplete() || !s.mayPlaceGang(now, gang, scope) {
 		return
 	}
-	// before the places are chosen: thousands may wait for their marks
-	if !s.ensureStartMarker(now, job) {
+	// before the places are sought: thousands may wait for their start markers
+	if !s.ensureStartMarker(now, gang) {
 		return
 	}
-	slots := s.cheapestGangPlacement(now, job, guaranteed)
+	slots := s.cheapestGangPlacement(now, gang, scope)
 	if slots == nil {
-		s.recordNoRoom(now, job)
+		s.recordNoRoom(now, gang)
 		return
 	}
-	s.placeGang(now, job, slots)
+	s.placeGang(now, gang, slots)
+}
+
+// abortIfIncomplete aborts a gang's attempt of which, once all machines are
+// reconciled, not all tasks are on machines.
+func (s *Scheduler) abortIfIncomplete(now time.Time, gang *Job) {
+	incomplete := gang.assigned < gang.Spec.Tasks-gang.completed.count
+	if s.reconciled && !gang.aborting && incomplete && gang.attempt != 0 {
+		s.abortGangAttempt(now, gang, "incomplete")
+	}
 }
 
-// mayPlaceGang tells whether a gang is to be placed now, if it fits.
-func (s *Scheduler) mayPlaceGang(now time.Time, job *Job, guaranteed bool) bool {
-	all := job.need.Times(float64(job.Spec.Tasks))
+// totalNeed returns what all tasks of a job need together.
+func (j *Job) totalNeed() quota.Resources { return j.need.Times(float64(j.Spec.Tasks)) }
+
+// mayPlaceGang reports whether places are to be sought for a gang in this pass.
+func (s *Scheduler) mayPlaceGang(now time.Time, gang *Job, scope preemptionScope) bool {
 	switch {
-	case guaranteed && !s.ledger.WithinGuarantee(job.Spec.Team, all):
+	case scope == guaranteedWork && !s.ledger.WithinGuarantee(gang.Spec.Team, gang.totalNeed()):
 		return false
-	case !s.ledger.AdmitsReservation(job.Spec.Team, all):
-		s.setPendingReason(job, "team's limit")
+	case !s.ledger.AdmitsReservation(gang.Spec.Team, gang.totalNeed()):
+		s.setPendingReason(gang, "team's limit")
 		return false
-	case s.blockingGang != nil && s.blockingGang != job:
-		s.setPendingReason(job, "an older gang goes first")
+	case s.pass.blockingGang != nil && s.pass.blockingGang != gang:
+		s.setPendingReason(gang, "an older gang goes first")
 		return false
-	case s.gangsWithoutRoom >= tuning.MaxGangAttempts:
-		return false // there is no room for so many before it
-	case !s.mayFit(now, job, guaranteed):
-		s.gangsWithoutRoom++
-		s.recordNoRoom(now, job)
+	case s.pass.gangsWithoutRoom >= tuning.MaxGangAttempts:
+		return false // so many before it found no room
+	case !s.gangMayFit(now, gang, scope):
+		s.pass.gangsWithoutRoom++
+		s.recordNoRoom(now, gang)
 		return false
-	case s.gangsPlaced == tuning.MaxGangsPerPass:
-		s.capacity.requestFullPass() // what else there is to do goes first
+	case s.pass.gangsPlaced == tuning.MaxGangsPerPass:
+		s.capacity.requestFullPass() // the next pass goes on
 		return false
 	}
 	return true
 }
 
-// cheapestGangPlacement finds a place for each task of a gang, in the zone that costs least if they
-// have to share one; nil if there is none.
-func (s *Scheduler) cheapestGangPlacement(now time.Time, job *Job, guaranteed bool) []gangSlot {
-	zones := []string{""}
-	if job.Spec.SameZone {
-		zones = s.platform.Zones
-	}
-	var best []gangSlot
-	lowestCost := 0.0
-	for _, zone := range zones {
-		slots := s.findGangPlacement(now, job, zone, guaranteed)
-		cost := 0.0
-		for _, slot := range slots {
-			cost += slot.cost
-		}
-		if slots != nil && (best == nil || cost < lowestCost) {
-			best, lowestCost = slots, cost
-		}
-	}
-	return best
-}
-
-// placeGang queues a gang's tasks at their places and stops what gives way to them.
-func (s *Scheduler) placeGang(now time.Time, job *Job, slots []gangSlot) {
-	s.gangsPlaced++
+// placeGang queues a gang's tasks at their places and preempts what is in their way.
+func (s *Scheduler) placeGang(now time.Time, gang *Job, slots []gangSlot) {
+	s.pass.gangsPlaced++
 	s.Counters.GangsPlaced++
-	job.pendingReason = ""
-	atOnce := s.mustPreemptAtOnce(now, job, slots)
+	gang.pendingReason = ""
+	atOnce := s.mustPreemptAtOnce(now, gang, slots)
 	for index, slot := range slots {
-		task := &Task{Job: job, Index: index}
-		job.tasks[index] = task
-		s.queuePrimary(now, task, slot.machine)
+		s.queuePrimary(now, gang.addTask(index), slot.machine)
 		for _, victim := range slot.victims {
-			if victim.phase != Dispatched && victim.phase != Active {
-				continue
+			if !victim.phase.stoppable() {
+				continue // its gang has been stopped as a whole
 			}
 			s.Counters.Preempted++
 			if atOnce && !victim.Job.IsGang() {
-				s.stop(now, victim, 0, "gives way at once to "+job.Spec.ID)
+				s.stop(now, victim, 0, "preempted at once for "+gang.Spec.ID)
 			} else {
-				s.preempt(now, victim, "gives way to "+job.Spec.ID)
+				s.preempt(now, victim, "preempted for "+gang.Spec.ID)
 			}
 		}
 	}
-	job.nextIndex, job.returnedTasks = job.Spec.Tasks, nil
-}
-
-// recordNoRoom notes that a gang found no room. Once it has waited for long, no gang
-// behind it is placed before it: many small ones would take each machine that
-// becomes free, and a large one would never see enough of them. Machines that
-// are not there yet are not waited for in this way.
-func (s *Scheduler) recordNoRoom(now time.Time, job *Job) {
-	s.setPendingReason(job, "no room for all tasks")
-	if s.blockingGang != nil || now.Sub(job.KnownSince) <= tuning.GangPatience {
-		return
-	}
-	class, slots := job.equivalenceClass(false), 0
-	for _, machine := range s.registry.All() {
-		if machine.Schedulable(now) && class.allows(machine) {
-			slots += machine.Capacity.FitCount(job.need, maxTasksPerMachine)
-		}
-	}
-	if slots >= job.Spec.Tasks {
-		s.blockingGang = job
-	}
-}
-
-// reservedForGang tells whether a machine is kept for a starving gang that an array's
-// tasks would not give way to.
-func (s *Scheduler) reservedForGang(now time.Time, job *Job, machine *worker.Machine) bool {
-	gang := s.blockingGang
-	return gang != nil && gang.starving(now) && !job.starving(now) && job.priority >= gang.priority && gang.allows(machine.Type, machine.Zone, machine.Spot) && machine.Capacity.Fits(gang.need)
-}
-
-// gangCandidate is a machine that may have places for a gang, and what one there costs; at
-// least that much while it is not known what has to give way.
-type gangCandidate struct {
-	gangSlot
-	free  quota.Resources
-	exact bool
-}
-
-// findGangPlacement finds a place for each task of a gang, in one zone if one is named, on
-// the cheapest machines. What has to give way is worked out only for as many of
-// them as it takes.
-func (s *Scheduler) findGangPlacement(now time.Time, job *Job, zone string, guaranteed bool) []gangSlot {
-	var candidates []*gangCandidate
-	class := job.equivalenceClass(guaranteed)
-	slotsByMachine := s.capacity.slotsByClass[class].byMachine // as counted when the gang was found reachable
-	for _, machine := range s.registry.All() {
-		if slotsByMachine[machine] == 0 || !machine.Schedulable(now) || !job.allows(machine.Type, machine.Zone, machine.Spot) || zone != "" && machine.Zone != zone || job.avoids(machine) {
-			continue
-		}
-		c := &gangCandidate{gangSlot: gangSlot{machine: machine}, free: machine.AvailableToPrimary()}
-		if c.exact = c.free.Fits(job.need); !c.exact {
-			c.cost = tuning.ScorePreempt
-		}
-		if _, ok := machine.Images[job.Spec.Image]; !ok {
-			c.cost += s.imageFetchCost(job, machine)
-		}
-		if job.Spec.Spot && !machine.Spot {
-			c.cost += tuning.ScoreOnDemand
-		}
-		candidates = append(candidates, c)
-	}
-	byCost := func(a, c *gangCandidate) int { return cmp.Compare(a.cost, c.cost) }
-	slices.SortStableFunc(candidates, byCost)
-	var evaluated []*gangCandidate // by score
-	for i := range candidates {
-		if !job.Spec.SpreadAcrossZones && s.enoughSlots(evaluated, job, candidates[i].cost) {
-			break
-		}
-		c := candidates[i]
-		if !c.exact {
-			cost := 0.0
-			c.victims, c.free, cost = s.selectVictims(now, class, c.machine, c.free)
-			c.cost += cost
-		}
-		if c.free.Fits(job.need) {
-			at, _ := slices.BinarySearchFunc(evaluated, c.cost, func(other *gangCandidate, cost float64) int {
-				if other.cost <= cost {
-					return -1
-				}
-				return 1
-			})
-			evaluated = slices.Insert(evaluated, at, c)
-		}
-	}
-	var slots []gangSlot
-	inZone := map[string]int{}
-	for _, c := range evaluated {
-		for len(slots) < job.Spec.Tasks && c.free.Fits(job.need) && job.zoneAllowed(c.machine.Zone, inZone) {
-			c.free = c.free.Sub(job.need)
-			inZone[c.machine.Zone]++
-			slots = append(slots, c.gangSlot)
-			c.victims, c.cost = nil, 0
-		}
-	}
-	if len(slots) < job.Spec.Tasks {
-		return nil
-	}
-	return slots
-}
-
-// enoughSlots tells whether machines that cost no more than a score have places for a
-// whole gang.
-func (s *Scheduler) enoughSlots(candidates []*gangCandidate, job *Job, cost float64) bool {
-	slots := 0
-	for _, c := range candidates {
-		if slots >= job.Spec.Tasks || c.cost > cost {
-			break
-		}
-		slots += c.free.FitCount(job.need, maxTasksPerMachine)
-	}
-	return slots >= job.Spec.Tasks
-}
-
-// imageFetchTime estimates how many seconds a machine takes to fetch a job's image.
-func (j *Job) imageFetchTime(machine *worker.Machine) float64 {
-	if _, ok := machine.Images[j.Spec.Image]; ok || machine.ImagePullGBPerS <= 0 {
-		return 0
-	}
-	return j.Spec.ImageGb / machine.ImagePullGBPerS
+	gang.nextIndex, gang.returnedTasks = gang.Spec.Tasks, nil
 }
 
-// imageFetchCost is what it costs a gang that its image is not on a machine: little
-// if it can be fetched within a time in which its class should have started.
-func (s *Scheduler) imageFetchCost(job *Job, machine *worker.Machine) float64 {
-	for _, objective := range s.platform.Objectives {
-		if objective.Kind == "wait" && objective.Class == job.Spec.Class && machine.ImagePullGBPerS > 0 &&
-			job.imageFetchTime(machine)*tuning.ImagePullSlack+s.platform.Workers.HeartbeatS < objective.WithinS {
-			return tuning.ScoreImageInTime
-		}
-	}
-	return tuning.ScoreNoImage
-}
-
-// mustPreemptAtOnce tells whether a gang placed now starts within one of its class's times
-// only if the work that gives way does not save first. What that work loses is
+// mustPreemptAtOnce reports whether a gang placed now meets an objective of
+// its class only if the work in its way does not save first. Such work loses
 // its progress since its last checkpoint, about as much as saving takes.
-func (s *Scheduler) mustPreemptAtOnce(now time.Time, job *Job, slots []gangSlot) bool {
+func (s *Scheduler) mustPreemptAtOnce(now time.Time, gang *Job, slots []gangSlot) bool {
 	fetch, save := 0.0, 0.0
 	for _, slot := range slots {
-		fetch = max(fetch, job.imageFetchTime(slot.machine))
+		fetch = max(fetch, gang.imageFetchTime(slot.machine))
 		for _, victim := range slot.victims {
 			save = max(save, victim.Job.stopGrace())
 		}
 	}
-	ready := now.Sub(job.KnownSince).Seconds() + fetch + tuning.GangStartOverhead.Seconds()
+	ready := now.Sub(gang.KnownSince).Seconds() + fetch + tuning.GangStartOverhead.Seconds()
 	return slices.ContainsFunc(s.platform.Objectives, func(objective config.Objective) bool {
-		return objective.Kind == "wait" && objective.Class == job.Spec.Class && ready <= objective.WithinS && ready+save > objective.WithinS
+		return isStartObjective(objective, gang) && ready <= objective.WithinS && ready+save > objective.WithinS
 	})
 }
 
-// preemptible tells whether a task may be stopped for a gang: work of lower priority, or of
-// a team beyond its guarantee for one within its own.
-func (s *Scheduler) preemptible(now time.Time, task *Task, class equivalenceClass) bool {
-	victim := task.Job
-	if task.isBackup || victim.closed {
-		return false // its room counts as free already, or is about to be
-	}
-	if victim.Spec.Team != class.team {
-		overGuarantee := s.ledger.OverGuarantee(victim.Spec.Team)
-		if class.guaranteed && overGuarantee {
-			return true
-		}
-		// A team that has only its guarantee keeps it against other teams' work
-		// beyond theirs, whatever its priority: otherwise the two would stop each
-		// other in turn, one by priority and one by its guarantee, for ever.
-		if !class.guaranteed && !overGuarantee {
-			return false
-		}
-	}
-	return victim.priority < class.priority && !victim.starving(now)
+// isStartObjective reports whether an objective bounds how long jobs of the
+// given job's class wait until they start.
+func isStartObjective(objective config.Objective, job *Job) bool {
+	return objective.Kind == objectiveWait && objective.Class == job.Spec.Class
 }
 
-// selectVictims chooses the tasks to stop on a machine so that a gang's task fits.
-func (s *Scheduler) selectVictims(now time.Time, class equivalenceClass, machine *worker.Machine, free quota.Resources) (victims []*Task, freed quota.Resources, cost float64) {
-	var candidates []*Task
-	for _, task := range s.machineInfo(machine).assigned {
-		if s.preemptible(now, task, class) {
-			candidates = append(candidates, task)
-		}
+// recordNoRoom notes that a gang found no room. Once it has waited for long,
+// no gang behind it is placed before it: many small ones would take each
+// machine that becomes free, and a large one would never see enough of them.
+// A gang that needs more machines than there are blocks nobody.
+func (s *Scheduler) recordNoRoom(now time.Time, gang *Job) {
+	s.setPendingReason(gang, "no room for all tasks")
+	if s.pass.blockingGang != nil || now.Sub(gang.KnownSince) <= tuning.GangPatience {
+		return
 	}
-	slices.SortFunc(candidates, func(a, b *Task) int { return cmp.Compare(s.preemptionCost(now, a), s.preemptionCost(now, b)) })
-	for _, task := range candidates {
-		if free.Fits(class.need) {
-			break
+	class, slots := gang.equivalenceClass(anyWork), 0
+	for _, machine := range s.registry.All() {
+		if machine.Schedulable(now) && class.allows(machine) {
+			slots += machine.Capacity.FitCount(gang.need, maxTasksPerMachine)
 		}
-		free = free.Add(task.Job.need)
-		cost += s.preemptionCost(now, task)
-		victims = append(victims, task)
 	}
-	return victims, free, cost
+	if slots >= gang.Spec.Tasks {
+		s.pass.blockingGang = gang
+	}
 }
 
-// preemptionCost is the work, in seconds, that stopping a task throws away.
-func (s *Scheduler) preemptionCost(now time.Time, task *Task) float64 {
-	lost := now.Sub(task.dispatchedAt).Seconds()
-	if task.Job.Spec.CheckpointIntervalS > 0 {
-		lost = task.Job.Spec.CheckpointSaveTimeS
+// reservedForGang reports whether a machine is reserved for a starving gang
+// for which an array's tasks would not be preempted.
+func (s *Scheduler) reservedForGang(now time.Time, array *Job, machine *worker.Machine) bool {
+	gang := s.pass.blockingGang
+	if gang == nil || !gang.starving(now) || array.starving(now) || array.priority < gang.priority {
+		return false
 	}
-	return lost * task.Job.need.DominantShare(task.machine.Capacity)
+	return gang.allows(kindOf(machine)) && machine.Capacity.Fits(gang.need)
 }
 
-// dispatchGang hands out a placed gang once the room of each task is free.
-func (s *Scheduler) dispatchGang(now time.Time, job *Job) {
-	if len(job.tasks) != job.Spec.Tasks || job.assigned > 0 || job.aborting {
+// dispatchGang dispatches a placed gang once there is room for all its tasks.
+func (s *Scheduler) dispatchGang(now time.Time, gang *Job) {
+	if len(gang.tasks) != gang.Spec.Tasks || gang.assigned > 0 || gang.aborting {
+		return
+	}
+	if !s.gangHasRoom(now, gang) || !s.ledger.AdmitsStart(gang.Spec.Team, gang.totalNeed()) {
 		return
 	}
+	gang.attempt = s.nextAttempt(gang)
+	for index := range gang.Spec.Tasks {
+		task := gang.tasks[index]
+		copied := assignment{machine: task.primary, attempt: gang.attempt}
+		s.withdrawCopies(task)
+		s.dispatch(now, task, copied, "gang starts")
+	}
+}
+
+// gangHasRoom reports whether there is room for each task of a placed gang. It
+// preempts backups on the first machine that has too little.
+func (s *Scheduler) gangHasRoom(now time.Time, gang *Job) bool {
 	freeByMachine := map[*worker.Machine]quota.Resources{}
-	for index := range job.Spec.Tasks {
-		task := job.tasks[index]
+	for index := range gang.Spec.Tasks {
+		task := gang.tasks[index]
 		if task == nil || task.primary == nil || task.primary.State != worker.Up {
-			return
+			return false
 		}
 		free, ok := freeByMachine[task.primary]
 		if !ok {
 			free = task.primary.Available()
 		}
-		if !free.Fits(job.need) {
-			s.preemptBackups(now, task.primary, job.need.Sub(free))
-			return
+		if !free.Fits(gang.need) {
+			s.preemptBackups(now, task.primary, gang.need.Sub(free))
+			return false
 		}
-		freeByMachine[task.primary] = free.Sub(job.need)
-	}
-	if !s.ledger.AdmitsStart(job.Spec.Team, job.need.Times(float64(job.Spec.Tasks))) {
-		return
-	}
-	job.attempt = s.nextAttemptID(job)
-	for index := range job.Spec.Tasks {
-		task := job.tasks[index]
-		machine := task.primary
-		s.withdrawCopies(task)
-		s.dispatch(now, task, machine, job.attempt, false, "gang starts")
+		freeByMachine[task.primary] = free.Sub(gang.need)
 	}
+	return true
 }
--- a/internal/placement/harness_test.go
+++ b/internal/placement/harness_test.go
@@ -31,8 +31,15 @@
 	discard := slog.New(slog.NewTextHandler(io.Discard, nil))
 	h := &testHarness{t: t, now: time.Unix(1000, 0)}
 	h.registry = worker.NewRegistry(platform.Workers, discard)
-	h.scheduler = NewScheduler(platform, 7, quota.NewLedger(platform.Teams, 1), h.registry, rand.New(rand.NewPCG(1, 1)), discard,
-		func(_ time.Time, job *Job) { h.completed = append(h.completed, job.Spec.ID) })
+	h.scheduler = NewScheduler(Options{
+		Platform:        platform,
+		Token:           7,
+		Ledger:          quota.NewLedger(platform.Teams, 1),
+		Registry:        h.registry,
+		Rand:            rand.New(rand.NewPCG(1, 1)),
+		Log:             discard,
+		OnTaskCompleted: func(_ time.Time, job *Job) { h.completed = append(h.completed, job.Spec.ID) },
+	})
 	h.scheduler.MarkReconciled(h.now)
 	for i := range machines {
 		machine := h.registry.Add(h.now, fmt.Sprintf("i-%d", i), worker.Booting)
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -109,7 +109,7 @@
 			h := newHarness(t, 2)
 			home, away := h.registry.All()[0], h.registry.All()[1]
 			job := h.addJob("blue", wire.ShapeBatch, "low", 1, 1)
-			task := &Task{Job: job, backupStops: c.stops}
+			task := &Task{Job: job, queuedCopies: queuedCopies{backupStops: c.stops}}
 			job.tasks[0] = task
 			h.scheduler.queuePrimary(h.now, task, home)
 			h.scheduler.queueBackup(task, away)
--- /dev/null
+++ b/internal/placement/preemption.go
@@ -0,0 +1,107 @@
+package placement
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"juniperchute/internal/quota"
+	"juniperchute/internal/worker"
+)
+
+// preemptible reports whether a task may be preempted for work of a class:
+// work of lower priority, or of a team over its guarantee for a team within
+// its own.
+func (s *Scheduler) preemptible(now time.Time, task *Task, class equivalenceClass) bool {
+	victim := task.Job
+	if task.isBackup || victim.closed {
+		return false // its room counts as free already, or is about to be
+	}
+	if victim.Spec.Team != class.team {
+		overGuarantee := s.ledger.OverGuarantee(victim.Spec.Team)
+		if class.scope == guaranteedWork && overGuarantee {
+			return true
+		}
+		// A team within its guarantee keeps it against other teams' work over
+		// theirs, whatever its priority: otherwise the two would preempt each
+		// other in turn for ever, one by priority and one by its guarantee.
+		if class.scope != guaranteedWork && !overGuarantee {
+			return false
+		}
+	}
+	return victim.priority < class.priority && !victim.starving(now)
+}
+
+// victims are tasks on one machine to be preempted for others.
+type victims struct {
+	tasks []*Task
+	free  quota.Resources // the machine's room once they have ended
+	cost  float64         // of the work that is lost, in machine-seconds
+}
+
+// selectVictims chooses tasks to preempt on a machine until a task of a class
+// fits beside what is free already, or none is left; those that lose least go first.
+func (s *Scheduler) selectVictims(
+	now time.Time, class equivalenceClass, machine *worker.Machine, free quota.Resources,
+) victims {
+	var candidates []*Task
+	for _, task := range s.machineInfo(machine).assigned {
+		if s.preemptible(now, task, class) {
+			candidates = append(candidates, task)
+		}
+	}
+	sortByPreemptionCost(now, candidates)
+	selected := victims{free: free}
+	for _, task := range candidates {
+		if selected.free.Fits(class.need) {
+			break
+		}
+		selected.free = selected.free.Add(task.Job.need)
+		selected.cost += task.preemptionCost(now)
+		selected.tasks = append(selected.tasks, task)
+	}
+	return selected
+}
+
+// sortByPreemptionCost sorts tasks by what preempting them loses, the least first.
+func sortByPreemptionCost(now time.Time, tasks []*Task) {
+	slices.SortFunc(tasks, func(a, b *Task) int {
+		return cmp.Compare(a.preemptionCost(now), b.preemptionCost(now))
+	})
+}
+
+// preemptionCost returns the work, in machine-seconds, that preempting the task loses.
+func (t *Task) preemptionCost(now time.Time) float64 {
+	lost := now.Sub(t.dispatchedAt).Seconds()
+	if t.Job.savesCheckpoints() {
+		lost = t.Job.Spec.CheckpointSaveTimeS
+	}
+	return lost * t.Job.need.DominantShare(t.machine.Capacity)
+}
+
+// preemptBackups stops running backups on a machine until what is missing is
+// covered. Backups that are stopping already count.
+func (s *Scheduler) preemptBackups(now time.Time, machine *worker.Machine, missing quota.Resources) {
+	for _, task := range slices.Clone(s.machineInfo(machine).assigned) {
+		if missing.CPUs <= 0 && missing.GPUs <= 0 && missing.MemGB <= 0 {
+			return
+		}
+		if !task.isBackup {
+			continue
+		}
+		if task.phase != Stopping {
+			s.preemptBackup(now, task, "backup gives way to a primary")
+			if task.backupStops >= s.Settings.DropThreshold {
+				s.Counters.BackupsWithdrawn++
+			}
+		}
+		missing = missing.Sub(task.Job.need)
+	}
+}
+
+// preemptBackup stops a running backup, which counts towards its withdrawal.
+func (s *Scheduler) preemptBackup(now time.Time, task *Task, reason string) {
+	task.backupStops++
+	s.Counters.BackupsPreempted++
+	s.stop(now, task, task.Job.stopGrace(), reason)
+}
--- a/internal/placement/queues.go
+++ b/internal/placement/queues.go
@@ -1,48 +1,14 @@
 package placement
 
 import (
-	"slices"
 	"time"
 
 	"juniperchute/internal/quota"
 	"juniperchute/internal/worker"
 )
 
-// clearQueues sends a machine's queued copies back to be drawn elsewhere.
-func (s *Scheduler) clearQueues(now time.Time, machine *worker.Machine) {
-	info := s.machineInfo(machine)
-	for len(info.primaryQueue) > 0 {
-		s.requeue(now, info.primaryQueue[0])
-	}
-	for len(info.backupQueue) > 0 {
-		s.withdrawBackup(info.backupQueue[0])
-	}
-}
-
-// requeue makes a queued main held again. A gang's place is kept or given
-// up as a whole.
-func (s *Scheduler) requeue(now time.Time, task *Task) {
-	job := task.Job
-	if job.IsGang() {
-		for _, member := range job.tasksByIndex() {
-			s.withdrawCopies(member)
-			if member.phase == Unassigned {
-				delete(job.tasks, member.Index)
-				job.returnToPending(member.Index, now)
-			}
-		}
-		return
-	}
-	if task.phase != Unassigned {
-		// its spare runs: only the main's place is given up
-		s.withdrawPrimary(task)
-		return
-	}
-	s.withdrawCopies(task)
-	delete(job.tasks, task.Index)
-	job.returnToPending(task.Index, now)
-}
-
+// queuePrimary puts a task's primary copy at the end of a machine's queue and
+// reserves room for it there.
 func (s *Scheduler) queuePrimary(now time.Time, task *Task, machine *worker.Machine) {
 	task.primary, task.primaryQueuedAt = machine, now
 	info := s.machineInfo(machine)
@@ -55,6 +21,7 @@
 	s.ledger.AddReserved(task.Job.Spec.Team, task.Job.need)
 }
 
+// withdrawPrimary takes a task's primary copy out of its queue.
 func (s *Scheduler) withdrawPrimary(task *Task) {
 	machine := task.primary
 	if machine == nil {
@@ -62,35 +29,78 @@
 	}
 	info := s.machineInfo(machine)
 	s.markDirty(info)
-	if i := slices.Index(info.primaryQueue, task); i >= 0 {
-		info.primaryQueue = slices.Delete(info.primaryQueue, i, i+1)
-	}
+	info.primaryQueue = removeTask(info.primaryQueue, task)
 	machine.Reserved = machine.Reserved.Sub(task.Job.need)
 	if len(info.primaryQueue) == 0 {
+		// the rounding errors of the sums must not add up
 		machine.Reserved = quota.Resources{}
 	}
 	s.ledger.RemoveReserved(task.Job.Spec.Team, task.Job.need)
 	task.primary = nil
 }
 
+// queueBackup puts a task's backup copy at the end of a machine's queue.
+// Nothing is reserved for it: it gives way to primaries.
 func (s *Scheduler) queueBackup(task *Task, machine *worker.Machine) {
 	task.backup = machine
 	info := s.machineInfo(machine)
 	info.backupQueue = append(info.backupQueue, task)
 }
 
+// withdrawBackup takes a task's backup copy out of its queue.
 func (s *Scheduler) withdrawBackup(task *Task) {
 	if task.backup == nil {
 		return
 	}
 	info := s.machineInfo(task.backup)
-	if i := slices.Index(info.backupQueue, task); i >= 0 {
-		info.backupQueue = slices.Delete(info.backupQueue, i, i+1)
-	}
+	info.backupQueue = removeTask(info.backupQueue, task)
 	task.backup = nil
 }
 
+// withdrawCopies takes a task's copies out of their queues.
 func (s *Scheduler) withdrawCopies(task *Task) {
 	s.withdrawPrimary(task)
 	s.withdrawBackup(task)
 }
+
+// unschedule removes a task that is on no machine: neither queued nor pending.
+func (s *Scheduler) unschedule(task *Task) {
+	s.withdrawCopies(task)
+	delete(task.Job.tasks, task.Index)
+}
+
+// returnToPending removes a task that is on no machine and makes it pending again.
+func (s *Scheduler) returnToPending(task *Task, notBefore time.Time) {
+	s.unschedule(task)
+	task.Job.returnToPending(task.Index, notBefore)
+}
+
+// requeue makes a queued task pending again, so that it is scheduled anew.
+// The places of a gang are given up as a whole.
+func (s *Scheduler) requeue(now time.Time, task *Task) {
+	switch {
+	case task.Job.IsGang():
+		for _, member := range task.Job.tasksByIndex() {
+			if member.phase == Unassigned {
+				s.returnToPending(member, now)
+			} else {
+				s.withdrawCopies(member)
+			}
+		}
+	case task.phase != Unassigned:
+		s.withdrawPrimary(task) // its backup runs, and goes on
+	default:
+		s.returnToPending(task, now)
+	}
+}
+
+// clearQueues returns all copies that are queued at a machine.
+func (s *Scheduler) clearQueues(now time.Time, machine *worker.Machine) {
+	info := s.machineInfo(machine)
+	for len(info.primaryQueue) > 0 {
+		s.requeue(now, info.primaryQueue[0])
+	}
+	for len(info.backupQueue) > 0 {
+		s.withdrawBackup(info.backupQueue[0])
+	}
+}
--- a/internal/placement/service_reserve.go
+++ b/internal/placement/service_reserve.go
@@ -7,44 +7,43 @@
 	"juniperchute/internal/worker"
 )
 
-// reserveForServices keeps machines for services: what the next service, or the replicas of a machine
-// that is lost, will need, is there before they do.
+// reserveForServices keeps machines for what the next service, or the replicas
+// on a machine that is lost, will need: it is there before they need it.
 func (p *demandPlan) reserveForServices() {
-	job := p.largestService()
-	if job == nil {
+	service := p.largestService()
+	if service == nil {
 		p.reserveForUnseenClasses()
 		return
 	}
-	missing, machines := job.Spec.Tasks, 0
+	missing, machines := service.Spec.Tasks, 0 // replicas without a place, machines kept
 	// machines that are in use anyway come first: an idle one costs as much
-	for _, busy := range []bool{true, false} {
+	for _, inUse := range []bool{true, false} {
 		for _, b := range p.bins {
-			if (b.machine != nil && b.machine.ActiveCopies > 0) != busy || missing <= 0 && machines >= tuning.ReserveMachines {
+			if b.inUse() != inUse || missing <= 0 && machines >= tuning.ReserveMachines {
 				continue
 			}
-			if n := p.replicaSlots(job, b); n > 0 {
+			if n := p.replicaSlots(service, b); n > 0 {
 				missing -= n
 				machines++
-				b.markWanted()
+				b.markNeeded()
 			}
 		}
 	}
 	for missing > 0 || machines < tuning.ReserveMachines {
-		b := p.openBin(job, "")
-		if b == nil || b.spot {
+		b := p.openBin(service, "")
+		if b == nil || b.kind.spot {
 			return
 		}
-		missing -= b.capacity.FitCount(job.need, job.Spec.Tasks)
+		missing -= b.capacity.FitCount(service.need, service.Spec.Tasks)
 		machines++
 	}
 }
 
-// largestService is the open service whose replicas take most of a machine, nil if there
-// is no service.
+// largestService returns the open service whose replicas together take most of
+// a machine, nil if there is no service.
 func (p *demandPlan) largestService() *Job {
-	size := func(job *Job) float64 {
-		return job.need.Times(float64(job.Spec.Tasks)).DominantShare(p.typicalMachine())
-	}
+	typical := p.typicalCapacity()
+	size := func(service *Job) float64 { return service.totalNeed().DominantShare(typical) }
 	var largest *Job
 	for _, job := range p.scheduler.openJobs {
 		if job.IsService() && (largest == nil || size(job) > size(largest)) {
@@ -54,54 +53,69 @@
 	return largest
 }
 
-// replicaSlots is how many replicas of a service a machine could take, lower work giving
-// way.
-func (p *demandPlan) replicaSlots(job *Job, b *bin) int {
-	if b.spot || !job.allows(b.machineType, b.zone, b.spot) {
+// typicalCapacity returns the capacity of the first machine type on offer, by
+// which needs are compared.
+func (p *demandPlan) typicalCapacity() quota.Resources {
+	if len(p.offers) == 0 {
+		return quota.Resources{}
+	}
+	return p.offers[0].Capacity
+}
+
+// replicaSlots returns how many replicas of a service a machine could take if
+// work of lower priority is preempted.
+func (p *demandPlan) replicaSlots(service *Job, b *bin) int {
+	if b.kind.spot || !b.suits(service) {
 		return 0
 	}
 	free := b.capacity
 	if b.machine != nil {
-		if b.machine.State == worker.Unresponsive || job.avoids(b.machine) {
+		if b.machine.State == worker.Unresponsive {
 			return 0
 		}
 		for _, task := range p.scheduler.machineInfo(b.machine).assigned {
-			if task.Job.priority >= job.priority {
-				free = free.Sub(task.Job.need) // the rest would give way
+			if task.Job.priority >= service.priority {
+				free = free.Sub(task.Job.need)
 			}
 		}
 	}
-	return free.FitCount(job.need, job.Spec.Tasks)
+	return free.FitCount(service.need, service.Spec.Tasks)
 }
 
-// typicalMachine is the room of the first machine type on offer, to compare needs by.
-func (p *demandPlan) typicalMachine() quota.Resources {
-	if len(p.offers) == 0 {
-		return quota.Resources{}
+// reserveForUnseenClasses keeps one machine that is not spot for a class that
+// should start in far less time than a machine takes to boot, and of which no
+// job has come yet.
+func (p *demandPlan) reserveForUnseenClasses() {
+	boot := p.shortestBoot()
+	for _, objective := range p.scheduler.platform.Objectives {
+		if objective.Kind != objectiveWait || objective.WithinS <= 0 || p.scheduler.seenClasses[objective.Class] {
+			continue
+		}
+		if objective.WithinS*tuning.WarmPoolBootFactor <= boot {
+			p.reserveOnDemand()
+			return
+		}
 	}
-	return p.offers[0].Capacity
 }
 
-// reserveForUnseenClasses keeps one machine that is not spot for a class that is expected to start
-// in far less time than a machine takes to boot, and of which no job has come yet.
-func (p *demandPlan) reserveForUnseenClasses() {
+// shortestBoot returns the shortest boot time on offer, in seconds; 0 if there is no offer.
+func (p *demandPlan) shortestBoot() float64 {
 	boot := 0.0
-	for _, o := range p.offers {
-		if boot == 0 || o.BootSeconds < boot {
-			boot = o.BootSeconds
+	for i := range p.offers {
+		if boot == 0 || p.offers[i].BootSeconds < boot {
+			boot = p.offers[i].BootSeconds
 		}
 	}
-	for _, o := range p.scheduler.platform.Objectives {
-		if o.Kind != "wait" || o.WithinS <= 0 || o.WithinS*tuning.WarmPoolBootFactor > boot || p.scheduler.seenClasses[o.Class] {
-			continue
-		}
-		for _, b := range p.bins {
-			if !b.spot {
-				b.markWanted()
-				return
-			}
+	return boot
+}
+
+// reserveOnDemand keeps one machine of any kind that is not spot.
+func (p *demandPlan) reserveOnDemand() {
+	for _, b := range p.bins {
+		if !b.kind.spot {
+			b.markNeeded()
+			return
 		}
-		p.openBin(&Job{Spec: wire.JobSpec{AnyType: true}}, "")
-		return
 	}
+	p.openBin(&Job{Spec: wire.JobSpec{AnyType: true}}, "")
 }
--- a/internal/placement/service_test.go
+++ b/internal/placement/service_test.go
@@ -222,7 +222,7 @@
 			h.now = h.now.Add(tuning.StarvationTimeout + time.Hour)
 			young := h.addJob("blue", wire.ShapeBatch, "normal", 1, 1)
 			h.scheduler.Schedule(h.now)
-			if old.starving(h.now) || h.scheduler.starvationBoost(h.now, old) != 0 || old.effectivePriority > young.effectivePriority {
+			if old.starving(h.now) || old.starvationBoost(h.now) != 0 || old.effectivePriority > young.effectivePriority {
 				return "raised"
 			}
 			return ""
@@ -300,7 +300,7 @@
 			job := service(h, 2)
 			job.Spec.SpreadAcrossZones = true
 			h.deliverDirect()
-			if zones := job.tasksByZone(false); zones["a"] != 1 || zones["b"] != 1 {
+			if zones := job.tasksByZone(assignedTasks); zones["a"] != 1 || zones["b"] != 1 {
 				return "not apart"
 			}
 			from := job.tasks[0].machine
--- a/internal/placement/start_marker.go
+++ b/internal/placement/start_marker.go
@@ -6,7 +6,18 @@
 	"juniperchute/internal/tuning"
 )
 
-// StartMarkerWritten lets the tasks of a job start: its mark is durable.
+// startMarkerState tells whether a job's start marker is durable. A job's
+// tasks start only once it is: a successor then knows that tasks of jobs
+// without a marker are on no machine.
+type startMarkerState int
+
+const (
+	startMarkerAbsent    startMarkerState = iota
+	startMarkerRequested                  // being written to the state service
+	startMarkerDurable
+)
+
+// StartMarkerWritten records that a job's start marker is durable.
 func (s *Scheduler) StartMarkerWritten(job *Job) {
 	if job.startMarker == startMarkerRequested {
 		s.pendingStartMarkers--
@@ -15,22 +26,30 @@
 	s.capacity.requestFullPass()
 }
 
-// canRequestStartMarker tells whether a job is begun or could ask for its mark now. Thousands
-// may wait for theirs after a takeover: no room is looked for until then.
+// canRequestStartMarker reports whether a job has its start marker or could
+// request it now. Thousands of jobs may wait for theirs after a failover: no
+// room is sought for them until it is their turn.
 func (s *Scheduler) canRequestStartMarker(job *Job) bool {
-	return s.RequestStartMarker == nil || job.startMarker == startMarkerDurable ||
-		job.startMarker == startMarkerAbsent && (s.pendingStartMarkers < tuning.StartMarkersAhead || job.IsGang() && s.pendingStartMarkers < tuning.MaxGangStartMarkers)
+	if s.requestStartMarker == nil || job.startMarker == startMarkerDurable {
+		return true
+	}
+	limit := tuning.StartMarkersAhead
+	if job.IsGang() {
+		limit = max(limit, tuning.MaxGangStartMarkers)
+	}
+	return job.startMarker == startMarkerAbsent && s.pendingStartMarkers < limit
 }
 
-// ensureStartMarker tells whether a job's tasks may be handed out, and sees to its mark.
+// ensureStartMarker reports whether a job's start marker is durable, and
+// requests it if it can.
 func (s *Scheduler) ensureStartMarker(now time.Time, job *Job) bool {
-	if s.RequestStartMarker == nil || job.startMarker == startMarkerDurable {
+	if s.requestStartMarker == nil || job.startMarker == startMarkerDurable {
 		return true
 	}
 	if s.canRequestStartMarker(job) {
 		job.startMarker = startMarkerRequested
 		s.pendingStartMarkers++
-		s.RequestStartMarker(now, job)
+		s.requestStartMarker(now, job)
 	}
 	s.setPendingReason(job, "being marked as begun")
 	return false
