--- a/internal/fleet/fixture_test.go
+++ b/internal/fleet/fixture_test.go
@@ -39,8 +39,10 @@
 		Cloud: config.CloudLimits{RPS: 100, ListLagS: 3}, Workers: config.Workers{HeartbeatS: 1.5, LeaseS: 10}}
 	discardLogger := slog.New(slog.NewTextHandler(io.Discard, nil))
 	f.registry = worker.NewRegistry(platform.Workers, discardLogger)
-	f.scheduler = placement.NewScheduler(platform, token, quota.NewLedger(platform.Teams, 1), f.registry,
-		rand.New(rand.NewPCG(1, 1)), discardLogger, func(time.Time, *placement.Job) {})
+	f.scheduler = placement.NewScheduler(placement.Options{
+		Platform: platform, Token: token, Ledger: quota.NewLedger(platform.Teams, 1), Registry: f.registry,
+		Rand: rand.New(rand.NewPCG(1, 1)), Log: discardLogger, OnTaskCompleted: func(time.Time, *placement.Job) {},
+	})
 	f.scheduler.MarkReconciled(f.now)
 	termCompare := store.VersionEquals("c/b/0", 3)
 	f.intents = intentlog.NewLog(intentlog.Options{Token: token, TermCompare: termCompare, ValueKB: valueKB,
