--- a/internal/controller/cancellation_loading_test.go
+++ b/internal/controller/cancellation_loading_test.go
@@ -41,15 +41,15 @@
 		for !loading() {
 			sim.clk.Step()
 		}
-		if long.Told != wire.JobCancelled {
-			t.Fatalf("told %q", long.Told)
+		if long.KnownState != wire.JobCancelled {
+			t.Fatalf("told %q", long.KnownState)
 		}
-		sim.state.SetDown(true)
+		sim.state.SetUnavailable(true)
 		renewed := map[bool]int{} // by whether the job was called off
 		for _, n := range sim.nodes {
 			if t := n.controller.terms[0]; n.alive && t != nil && t.state == termLoading {
 				for _, id := range sim.hosts() {
-					rep := sim.machines[id].Report()
+					rep := sim.machines[id].Heartbeat()
 					for _, p := range rep.Tasks {
 						one := *rep
 						one.Tasks = []wire.TaskStatus{p}
@@ -72,7 +72,7 @@
 			sim.release(o)
 		}
 		sim.runFor(50 * time.Second)
-		sim.state.SetDown(false)
+		sim.state.SetUnavailable(false)
 		h.crash(0)
 		sim.cancel(other)
 		sim.settle()
@@ -91,8 +91,8 @@
 			if !n.alive || te == nil || te.state != termLoading {
 				continue
 			}
-			id := sim.cluster.Order[3].Spec.ID
-			if _, open := n.controller.openJobs.Get(submission.OpenKey(id)); !open {
+			id := sim.cluster.Submitted[3].Spec.ID
+			if _, open := n.controller.openJobs.Get(submission.OpenJobKey(id)); !open {
 				t.Fatalf("%s is not open", id)
 			}
 			other := sim.nodes[0]
@@ -108,8 +108,8 @@
 			for te.state == termLoading {
 				sim.clk.Step()
 			}
-			if te.state != termFencing || te.scheduler.Job(id) != nil || te.scheduler.Job(sim.cluster.Order[4].Spec.ID) == nil {
-				t.Errorf("%v: the job that was called off is open: %v", te.state, te.scheduler.Job(id) != nil)
+			if te.state != termFencing || te.scheduler.OpenJob(id) != nil || te.scheduler.OpenJob(sim.cluster.Submitted[4].Spec.ID) == nil {
+				t.Errorf("%v: the job that was called off is open: %v", te.state, te.scheduler.OpenJob(id) != nil)
 			}
 			return
 		}
@@ -134,8 +134,8 @@
 			Vcpus: 4, Gpus: 1, MemGb: 20, Image: "img", ImageGb: 2, AnyType: true, EstimatedRunTimeS: 5}, 5*time.Second)
 	}
 	sim.runFor(2 * time.Second)
-	if b := n.controller.terms[0].scheduler; b.Job("job-900") != nil || b.Job("job-901") == nil {
-		t.Errorf("called off and open: %v; another open: %v", b.Job("job-900") != nil, b.Job("job-901") != nil)
+	if b := n.controller.terms[0].scheduler; b.OpenJob("job-900") != nil || b.OpenJob("job-901") == nil {
+		t.Errorf("called off and open: %v; another open: %v", b.OpenJob("job-900") != nil, b.OpenJob("job-901") != nil)
 	}
 }
 
@@ -144,7 +144,7 @@
 func TestUnheardCountsAtOnce(t *testing.T) {
 	sim := newSimulation(t, 11, facts([]string{"a"}, []config.Team{{Name: "red", GPUsMax: 12}}, 1.5, 10), 1,
 		[]wire.MachineType{{Name: "g2", Vcpus: 12, Gpus: 2, MemGb: 96, FetchGbPerS: 1, Price: 5, SpotPrice: 2, BootTimeS: 5, Zones: []string{"a"}}})
-	sim.cloud.Room[standin.RoomKey("g2", "a", false)] = 4
+	sim.cloud.Available[standin.CapacityKey("g2", "a", false)] = 4
 	sim.add(wire.JobSpec{ID: "job-1", Team: "red", Class: "sweep", Shape: wire.ShapeBatch, Priority: "normal", Tasks: 8,
 		Vcpus: 4, Gpus: 1, MemGb: 20, Image: "img", ImageGb: 2, AnyType: true, EstimatedRunTimeS: 50}, 50*time.Second)
 	sim.runFor(25 * time.Second)
@@ -156,7 +156,7 @@
 		sim.clk.Step()
 		for _, n := range sim.nodes {
 			if te := n.controller.terms[0]; n.alive && te != nil && te.state == termFencing {
-				all := quota.Room{GPUs: 12}
+				all := quota.Resources{GPUs: 12}
 				if te.ledger.Admits("red", all, false) {
 					t.Error("the whole limit may be used, though no machine has been heard")
 				}
@@ -198,11 +198,11 @@
 			break
 		}
 	}
-	if next == nil || long.Told != wire.JobCancelled {
-		t.Fatalf("no successor, or told %q", long.Told)
+	if next == nil || long.KnownState != wire.JobCancelled {
+		t.Fatalf("no successor, or told %q", long.KnownState)
 	}
 	stopped := false
-	next.HandleHeartbeat(sim.clk.Now(), on.Report(), func(status int, body any) {
+	next.HandleHeartbeat(sim.clk.Now(), on.Heartbeat(), func(status int, body any) {
 		for _, o := range body.(wire.HeartbeatResponse).Commands {
 			id, _, _ := wire.ParseTask(o.Task)
 			stopped = stopped || status == 200 && o.Verb == wire.VerbStop && id == long.Spec.ID
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -28,7 +28,7 @@
 		{name: "the confirming node ends in the outage and is back within a second", during: func(sim *simulation, _, other *simulatedNode) { other.crash(600 * time.Millisecond) }},
 		{name: "it ends before it has passed them on, and is back at once", before: func(sim *simulation, _, other *simulatedNode) {
 			other.peersCut = true
-			sim.clk.In(1700*time.Millisecond, func() {
+			sim.clk.Schedule(1700*time.Millisecond, func() {
 				other.crash(300 * time.Millisecond)
 				other.peersCut = false
 			})
@@ -53,17 +53,17 @@
 			}
 		}},
 		{name: "machines hang as their jobs are called off", keeps: false, before: func(sim *simulation, _, _ *simulatedNode) {
-			sim.clk.In(1450*time.Millisecond, func() {
+			sim.clk.Schedule(1450*time.Millisecond, func() {
 				for i, id := range sim.hosts() {
 					if h := sim.machines[id]; i%2 == 0 {
 						h.Hung = true
-						sim.clk.In(8*time.Second, func() { h.Hung = false; sim.release(h) })
+						sim.clk.Schedule(8*time.Second, func() { h.Hung = false; sim.release(h) })
 					}
 				}
 			})
 		}},
 		{name: "machines do not hear the holder", before: func(sim *simulation, _, _ *simulatedNode) {
-			sim.clk.In(1450*time.Millisecond, func() {
+			sim.clk.Schedule(1450*time.Millisecond, func() {
 				for i, id := range sim.hosts() {
 					if i%2 == 0 {
 						sim.machines[id].inboundCut = true
@@ -92,9 +92,9 @@
 				sessions := map[string]uint64{}
 				running := 0
 				for _, id := range sim.hosts() {
-					sessions[id] = sim.machines[id].Session
+					sessions[id] = sim.machines[id].Incarnation
 					for _, p := range sim.machines[id].Tasks {
-						if p.Job.Run == 400*time.Second && p.Stage == wire.TaskRunning {
+						if p.Job.RunTime == 400*time.Second && p.Stage == wire.TaskRunning {
 							running++
 						}
 					}
@@ -108,7 +108,7 @@
 				}
 				sim.runFor(1500 * time.Millisecond)
 				for i, j := range long[:3] {
-					j.CancelAsked = true
+					j.CancelRequested = true
 					ask := other.controller.Submissions().Cancel
 					if i == 2 { // found by another request than the one that cancelled
 						ask = func(now time.Time, id string, reply func(submission.Response)) {
@@ -125,11 +125,11 @@
 				}
 				sim.runFor(300 * time.Millisecond)
 				for _, j := range long[:3] {
-					if j.Told != wire.JobCancelled {
-						t.Fatalf("%s was told %q", j.Spec.ID, j.Told)
+					if j.KnownState != wire.JobCancelled {
+						t.Fatalf("%s was told %q", j.Spec.ID, j.KnownState)
 					}
 				}
-				sim.state.SetDown(true)
+				sim.state.SetUnavailable(true)
 				sim.runFor(10 * time.Second)
 				if c.during != nil {
 					c.during(sim, holder, other)
@@ -137,7 +137,7 @@
 				sim.runFor(50 * time.Second)
 				if c.keeps {
 					for id, session := range sessions {
-						if h := sim.machines[id]; h != nil && h.Session != session {
+						if h := sim.machines[id]; h != nil && h.Incarnation != session {
 							sim.fail("%s lost its lease", id)
 						}
 					}
@@ -149,7 +149,7 @@
 				for _, id := range sim.hosts() {
 					sim.machines[id].inboundCut = false
 				}
-				sim.state.SetDown(false)
+				sim.state.SetUnavailable(false)
 				sim.runFor(30 * time.Second)
 				sim.cancel(long[3])
 				sim.settle()
@@ -185,7 +185,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			sim := steadySimulation(t, 6, 8)
 			h := sim.holder()
-			sim.state.SetDown(true)
+			sim.state.SetUnavailable(true)
 			sim.runFor(3 * time.Second)
 			words := map[string]*peerpb.PeerHeartbeat{}
 			for _, n := range sim.nodes {
@@ -241,7 +241,7 @@
 	sent := func() int {
 		n := 0
 		for _, m := range sim.holder().controller.terms[0].workers.All() {
-			if m.DoBusy {
+			if m.CommandInFlight {
 				n++
 			}
 		}
--- a/internal/controller/completion_bitmaps_test.go
+++ b/internal/controller/completion_bitmaps_test.go
@@ -60,20 +60,20 @@
 }
 
 // reportDone has a machine report that every nth task of a job has completed.
-func reportDone(board *placement.Board, j *placement.Job, nth int) {
+func reportDone(board *placement.Scheduler, j *placement.Job, nth int) {
 	m := &worker.Machine{Host: "i-1", State: worker.Up, Images: map[string]time.Time{}}
 	for n := 0; n < j.Spec.Tasks; n += nth {
 		m.Tasks = append(m.Tasks, wire.TaskStatus{Name: wire.TaskName(j.Spec.ID, n), Attempt: 1, State: wire.TaskExited, ExitReason: wire.ExitDone})
 	}
-	board.Reported(time.Unix(0, 0), m, worker.Fresh, true)
+	board.ReconcileHeartbeat(time.Unix(0, 0), m, worker.HeartbeatCurrent, true)
 }
 
 // tallyBoard is a board with one job.
-func tallyBoard(spec wire.JobSpec) (*placement.Board, *placement.Job) {
+func tallyBoard(spec wire.JobSpec) (*placement.Scheduler, *placement.Job) {
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
 	cfg := facts([]string{"a"}, nil, 1.5, 10)
 	reg := worker.NewRegistry(cfg.Platform.Workers, quiet)
-	board := placement.NewBoard(cfg.Platform, 1, quota.NewBook(nil, 0, 1), reg, nil, quiet, func(time.Time, *placement.Job) {})
+	board := placement.NewScheduler(cfg.Platform, 1, quota.NewLedger(nil, 0, 1), reg, nil, quiet, func(time.Time, *placement.Job) {})
 	return board, board.AddJob(time.Unix(0, 0), spec, time.Unix(0, 0), 1, true)
 }
 
@@ -96,12 +96,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			spec := wire.JobSpec{ID: "job-1", Shape: wire.ShapeBatch, Tasks: c.tasks}
 			s := &tallyStore{t: t, now: time.Unix(100, 0), limit: c.limit, keys: map[string]wire.KeyValue{}, refused: map[string]int{}}
-			newTenure := func() (*completionBitmaps, *placement.Board, *placement.Job) {
+			newTenure := func() (*completionBitmaps, *placement.Scheduler, *placement.Job) {
 				board, j := tallyBoard(spec)
 				pages := store.NewPages("t/0/", 2, time.Second, store.PriorityCompletion, store.VersionEquals("c/b/0", 1), s.call,
 					slog.New(slog.NewTextHandler(io.Discard, nil)), func(time.Time) { t.Error("lost") })
 				tl := newCompletionBitmaps(pages, 8)
-				tl.load(slices.Collect(maps.Values(s.keys)), board.Job)
+				tl.load(slices.Collect(maps.Values(s.keys)), board.OpenJob)
 				return tl, board, j
 			}
 			run := func(tl *completionBitmaps) {
@@ -112,9 +112,9 @@
 			}
 			tl, board, j := newTenure()
 			reportDone(board, j, 7)
-			tl.save(j, board.Job)
+			tl.save(j, board.OpenJob)
 			run(tl)
-			if fresh, _ := j.Unsaved(0, c.tasks); len(fresh) > 0 {
+			if fresh, _ := j.UnsavedCompletions(0, c.tasks); len(fresh) > 0 {
 				t.Errorf("%d completions are not durable", len(fresh))
 			}
 			if got := s.entries(); !slices.Equal(got, c.entries) {
@@ -126,8 +126,8 @@
 				}
 			}
 			tl, _, again := newTenure()
-			if want := (c.tasks + 6) / 7; again.Done() != want {
-				t.Errorf("%d completions are found, want %d", again.Done(), want)
+			if want := (c.tasks + 6) / 7; again.CompletedTasks() != want {
+				t.Errorf("%d completions are found, want %d", again.CompletedTasks(), want)
 			}
 			tl.forget("job-1")
 			run(tl)
--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -57,11 +57,11 @@
 				m.runFor(m.ms(300, 1200))
 				m.stateOutage(m.ms(40000, 60000))
 				if m.rng.IntN(2) == 0 {
-					m.clk.In(m.ms(2000, 20000), func() { m.nodes[m.rng.IntN(3)].crash(m.ms(100, 900)) })
+					m.clk.Schedule(m.ms(2000, 20000), func() { m.nodes[m.rng.IntN(3)].crash(m.ms(100, 900)) })
 				}
 				if m.rng.IntN(3) == 0 {
 					n.peersCut = true
-					m.clk.In(m.ms(5000, 50000), func() { n.peersCut = false })
+					m.clk.Schedule(m.ms(5000, 50000), func() { n.peersCut = false })
 				}
 				m.runFor(75 * time.Second)
 			}
@@ -72,8 +72,8 @@
 				m.runFor(m.ms(6000, 9000))
 				for _, id := range m.hosts() {
 					for _, p := range m.machines[id].Tasks {
-						if p.Job == j && p.N > 0 && p.Stage == wire.TaskRunning {
-							p.Until = m.clk.Now().Add(m.ms(10000, 30000))
+						if p.Job == j && p.Index > 0 && p.Stage == wire.TaskRunning {
+							p.StageEnds = m.clk.Now().Add(m.ms(10000, 30000))
 						}
 					}
 				}
@@ -148,7 +148,7 @@
 			}
 		}},
 		{"machines are up at once and get work while writes lag, and the leader ends", 1, small, func(m *faultScenario) {
-			m.cloud.QuickBoots = true
+			m.cloud.FastBoot = true
 			m.rates.lateWrites, m.rates.slowState = 0.15, 800*time.Millisecond
 			for range 6 {
 				m.jobs(4, 5*time.Second, 40*time.Second)
@@ -253,7 +253,7 @@
 			for range 240 {
 				j := m.job(func(s *wire.JobSpec) { s.Shape, s.Tasks, s.Gpus, s.Vcpus = wire.ShapeBatch, 1, 0, 1 }, m.ms(1000, 5000))
 				if m.rng.IntN(4) == 0 {
-					m.clk.In(m.ms(0, 4000), func() { m.cancel(j) })
+					m.clk.Schedule(m.ms(0, 4000), func() { m.cancel(j) })
 				}
 				m.runFor(250 * time.Millisecond)
 			}
@@ -332,8 +332,8 @@
 				}
 				sim := newSimulation(t, uint64(100+seed), facts(zones, c.teams, report, lease), 1, machineTypes)
 				for _, z := range zones {
-					sim.cloud.Room[standin.RoomKey(machineTypes[0].Name, z, true)] = 5
-					sim.cloud.Room[standin.RoomKey(machineTypes[0].Name, z, false)] = 8
+					sim.cloud.Available[standin.CapacityKey(machineTypes[0].Name, z, true)] = 5
+					sim.cloud.Available[standin.CapacityKey(machineTypes[0].Name, z, false)] = 8
 				}
 				m := &faultScenario{simulation: sim, zones: zones, machineTypes: machineTypes}
 				c.play(m)
--- a/internal/controller/fault_scenario_test.go
+++ b/internal/controller/fault_scenario_test.go
@@ -58,9 +58,9 @@
 // cancelSome has users cancel a part of the jobs that are not over, within a fifth of a
 // second.
 func (m *faultScenario) cancelSome(share float64) {
-	for _, j := range m.cluster.Order {
-		if j.Accepted && !j.CancelAsked && j.Told != wire.JobDone && m.rng.Float64() < share {
-			m.clk.In(m.ms(0, 200), func() { m.cancel(j) })
+	for _, j := range m.cluster.Submitted {
+		if j.Accepted && !j.CancelRequested && j.KnownState != wire.JobDone && m.rng.Float64() < share {
+			m.clk.Schedule(m.ms(0, 200), func() { m.cancel(j) })
 		}
 	}
 }
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -31,7 +31,7 @@
 
 func steadySimulationOf(t *testing.T, seed uint64, machines, jobs int, prepare ...func(sim *simulation)) *simulation {
 	sim := newSimulation(t, seed, facts([]string{"a"}, steadyTeams, 1.5, 10), 1, []wire.MachineType{smallType})
-	sim.cloud.Room[standin.RoomKey(smallType.Name, "a", false)] = machines
+	sim.cloud.Available[standin.CapacityKey(smallType.Name, "a", false)] = machines
 	for _, f := range prepare {
 		f(sim)
 	}
@@ -69,7 +69,7 @@
 				for _, id := range before {
 					if h := sim.machines[id]; h != nil {
 						h.inboundCut = true
-						sim.clk.In(1600*time.Millisecond, func() { h.inboundCut = false })
+						sim.clk.Schedule(1600*time.Millisecond, func() { h.inboundCut = false })
 					}
 				}
 				sim.runFor(9 * time.Second)
@@ -82,7 +82,7 @@
 		}},
 		{"copies of a returned machine's reports come late", func(sim *simulation) {
 			h := sim.someMachine()
-			rep := h.Report()
+			rep := h.Heartbeat()
 			sim.cloud.Remove(h.Host.ID)
 			sim.runFor(40 * time.Second)
 			n := sim.holder()
@@ -113,23 +113,23 @@
 			n := sim.holder()
 			reg := n.controller.terms[0].workers
 			h := sim.someMachine()
-			rep := h.Report()
+			rep := h.Heartbeat()
 			h.partitioned, h.Hung = true, true
-			sim.runFor(reg.Expiry() + 3*time.Second)
+			sim.runFor(reg.LeaseExpiry() + 3*time.Second)
 			m := reg.Get(h.Host.ID)
-			if m == nil || m.State != worker.Lapsed || m.Busy != 0 {
+			if m == nil || m.State != worker.LeaseExpired || m.ActiveCopies != 0 {
 				sim.fail("not given up: %+v", m)
 				return
 			}
-			answered := m.Answered
+			answered := m.LeaseRenewedAt
 			rep.Sequence += 5
 			n.controller.HandleHeartbeat(sim.clk.Now(), rep, func(status int, _ any) {
 				if status == 200 {
 					sim.fail("a report of a session that is over was taken")
 				}
 			})
-			if m.State != worker.Lapsed || m.Busy != 0 || m.Answered != answered {
-				sim.fail("revived: %v, %d tasks", m.State, m.Busy)
+			if m.State != worker.LeaseExpired || m.ActiveCopies != 0 || m.LeaseRenewedAt != answered {
+				sim.fail("revived: %v, %d tasks", m.State, m.ActiveCopies)
 			}
 			h.partitioned, h.Hung = false, false
 		}},
@@ -146,8 +146,8 @@
 				return
 			}
 			for _, id := range sim.hosts() {
-				if h := sim.machines[id]; sim.nodes[h.Node] == n || h.Session != 1 {
-					sim.fail("%s has not moved over, session %d", id, h.Session)
+				if h := sim.machines[id]; sim.nodes[h.Controller] == n || h.Incarnation != 1 {
+					sim.fail("%s has not moved over, session %d", id, h.Incarnation)
 				}
 			}
 			n.peersCut = false
@@ -157,7 +157,7 @@
 			n := sim.holder()
 			n.stateCut, n.peersCut = true, true
 			sim.runFor(500 * time.Millisecond)
-			sim.cancel(sim.cluster.Order[0]) // cancel_s is checked after each step
+			sim.cancel(sim.cluster.Submitted[0]) // cancel_s is checked after each step
 			sim.runFor(50 * time.Second)
 			n.peersCut = false
 			n.restoreState()
@@ -166,8 +166,8 @@
 			long := sim.add(wire.JobSpec{ID: "job-100", Team: "red", Class: "train", Shape: wire.ShapeGang, Priority: "high", Tasks: 2,
 				Vcpus: 4, Gpus: 1, MemGb: 20, Image: "img", ImageGb: 2, AnyType: true, EstimatedRunTimeS: 300}, 300*time.Second)
 			sim.runFor(20 * time.Second)
-			if long.Told != wire.JobRunning {
-				sim.fail("%s is %s", long.Spec.ID, long.Told)
+			if long.KnownState != wire.JobRunning {
+				sim.fail("%s is %s", long.Spec.ID, long.KnownState)
 			}
 			n := sim.holder()
 			n.stateCut, n.peersCut = true, true
@@ -176,9 +176,9 @@
 			}
 			sim.runFor(500 * time.Millisecond)
 			sim.cancel(long)
-			sim.cloud.Down = true // or the successor would return them
+			sim.cloud.Unavailable = true // or the successor would return them
 			sim.runFor(50 * time.Second)
-			sim.cloud.Down = false
+			sim.cloud.Unavailable = false
 			for _, h := range sim.machines {
 				h.onlyNode = nil
 			}
@@ -209,8 +209,8 @@
 					if !n.alive || n == before || t == nil || t.state != termFencing {
 						continue
 					}
-					for _, j := range t.scheduler.Jobs() {
-						if j.Early && j.Located() > 0 && !strings.Contains(marked, `"`+j.Spec.ID+`"`) {
+					for _, j := range t.scheduler.OpenJobs() {
+						if j.FromEarlierTerm && j.AssignedTasks() > 0 && !strings.Contains(marked, `"`+j.Spec.ID+`"`) {
 							began++
 						}
 					}
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -35,17 +35,17 @@
 		{"a block given back", `{"Holder":"","Inc":0,"Baton":4,"Ended":false,"Deaf":"n1"}`, &leader.ShardRecord{}, &leader.ShardRecord{Token: 4, Unreachable: "n1"}},
 		{"an open job", `{"Spec":{"Id":"job-1","Lane":"train","Crew":"red","Shape":"standing","Rank":"critical","Pieces":3,"Vcpus":2,"Gpus":0,"MemGb":12.8,` +
 			`"Bundle":"img-1","ImageGb":1,"Builds":["g8"],"Yard":"a","Together":true,"Apart":true,"Loaners":true,"GuessS":0,"BookmarkS":5,"StowS":2,"DueS":9},"At":1700000000000,"Block":2}`,
-			&submission.OpenRec{}, &submission.OpenRec{At: 1700000000000, Block: 2, Spec: wire.JobSpec{ID: "job-1", Class: "train", Team: "red", Shape: wire.ShapeService, Priority: "critical",
+			&submission.OpenJobRecord{}, &submission.OpenJobRecord{AcceptedAt: 1700000000000, Shard: 2, Spec: wire.JobSpec{ID: "job-1", Class: "train", Team: "red", Shape: wire.ShapeService, Priority: "critical",
 				Tasks: 3, Vcpus: 2, MemGb: 12.8, Image: "img-1", ImageGb: 1, Types: []string{"g8"}, Zone: "a", SameZone: true, SpreadAcrossZones: true, Spot: true, CheckpointIntervalS: 5, CheckpointSaveTimeS: 2, DeadlineS: 9}}},
 		{"an open job of any type", `{"Spec":{"Id":"job-1","Lane":"l","Crew":"red","Shape":"batch","Rank":"low","Pieces":1,"Vcpus":1,"Gpus":1,"MemGb":1,` +
 			`"Bundle":"i","ImageGb":1,"AnyBuild":true,"GuessS":1,"BookmarkS":0,"StowS":0},"At":5}`,
-			&submission.OpenRec{}, &submission.OpenRec{At: 5, Spec: wire.JobSpec{ID: "job-1", Class: "l", Team: "red", Shape: wire.ShapeBatch, Priority: "low",
+			&submission.OpenJobRecord{}, &submission.OpenJobRecord{AcceptedAt: 5, Spec: wire.JobSpec{ID: "job-1", Class: "l", Team: "red", Shape: wire.ShapeBatch, Priority: "low",
 				Tasks: 1, Vcpus: 1, Gpus: 1, MemGb: 1, Image: "i", ImageGb: 1, AnyType: true, EstimatedRunTimeS: 1}}},
-		{"how a job ended", `{"Stage":"done","Done":3}`, &submission.JobRec{}, &submission.JobRec{Stage: "done", Done: 3}},
-		{"a rental request", `{"Build":"g8","Yard":"a","Loaners":true,"Number":2,"Hosts":["i-000001","i-000002"]}`, &fleet.RentalRec{},
-			&fleet.RentalRec{Type: "g8", Zone: "a", Spot: true, Number: 2, Hosts: []string{"i-000001", "i-000002"}}},
-		{"a machine type", `{"Name":"g8","Vcpus":64,"Gpus":8,"MemGb":384,"LocalGb":0,"FetchGbPerS":0.5,"Price":0,"LowPrice":0,"BootS":50,"Yards":["a","b"],"Of":2}`, &fleet.MachineTypeRec{},
-			&fleet.MachineTypeRec{MachineType: wire.MachineType{Name: "g8", Vcpus: 64, Gpus: 8, MemGb: 384, FetchGbPerS: 0.5, BootTimeS: 50, Zones: []string{"a", "b"}}, Of: 2}},
+		{"how a job ended", `{"Stage":"done","Done":3}`, &submission.JobEndRecord{}, &submission.JobEndRecord{Stage: "done", Done: 3}},
+		{"a rental request", `{"Build":"g8","Yard":"a","Loaners":true,"Number":2,"Hosts":["i-000001","i-000002"]}`, &fleet.ProvisioningRecord{},
+			&fleet.ProvisioningRecord{Type: "g8", Zone: "a", Spot: true, Number: 2, Hosts: []string{"i-000001", "i-000002"}}},
+		{"a machine type", `{"Name":"g8","Vcpus":64,"Gpus":8,"MemGb":384,"LocalGb":0,"FetchGbPerS":0.5,"Price":0,"LowPrice":0,"BootS":50,"Yards":["a","b"],"Of":2}`, &fleet.MachineTypeRecord{},
+			&fleet.MachineTypeRecord{MachineType: wire.MachineType{Name: "g8", Vcpus: 64, Gpus: 8, MemGb: 384, FetchGbPerS: 0.5, BootTimeS: 50, Zones: []string{"a", "b"}}, Total: 2}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if err := json.Unmarshal([]byte(c.text), c.into); err != nil || !reflect.DeepEqual(c.into, c.want) {
@@ -67,7 +67,7 @@
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
 	cfg := facts([]string{"a"}, nil, 1.5, 10)
 	reg := worker.NewRegistry(cfg.Platform.Workers, quiet)
-	board := placement.NewBoard(cfg.Platform, 1, quota.NewBook(nil, 0, 1), reg, nil, quiet, func(time.Time, *placement.Job) {})
+	board := placement.NewScheduler(cfg.Platform, 1, quota.NewLedger(nil, 0, 1), reg, nil, quiet, func(time.Time, *placement.Job) {})
 	add := func(id string, tasks int) *placement.Job {
 		return board.AddJob(now, wire.JobSpec{ID: id, Shape: wire.ShapeBatch, Tasks: tasks}, now, 1, true)
 	}
@@ -85,7 +85,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			id := "job-" + fmt.Sprint(c.tasks)
 			want := map[int]bool{}
-			chunk := int(presentKB*1024) * tuning.TallyBits
+			chunk := int(presentKB*1024) * tuning.CompletionBitsPerByte
 			old := map[string][]byte{} // as the version in production writes them
 			for first := 0; first < c.tasks; first += chunk {
 				bits := make([]byte, (min(chunk, c.tasks-first)+7)/8)
@@ -126,7 +126,7 @@
 				for _, it := range kv {
 					all = append(all, it)
 				}
-				tl.load(all, board.Job)
+				tl.load(all, board.OpenJob)
 				for range 8 {
 					now = now.Add(2 * time.Second)
 					tl.pages.Tick(now)
@@ -135,7 +135,7 @@
 			}
 			for round := range 2 { // and what was written is read again
 				_, j := tenure()
-				fresh, bits := j.Unsaved(0, c.tasks)
+				fresh, bits := j.UnsavedCompletions(0, c.tasks)
 				got := 0
 				for n := range c.tasks {
 					if bits[n/8]&(1<<(n%8)) != 0 {
@@ -163,7 +163,7 @@
 			tl, _ := tenure()
 			tl.forget(id)
 			tl.pages.Tick(now)
-			now = now.Add(tuning.PruneEvery)
+			now = now.Add(tuning.PageRemovalInterval)
 			tl.pages.Tick(now)
 			if len(kv) != 0 {
 				t.Errorf("%d pages are left of a job that is over", len(kv))
--- a/internal/controller/intents_test.go
+++ b/internal/controller/intents_test.go
@@ -58,20 +58,20 @@
 		{"the state service is out for all", func(sim *simulation, _ *simulatedNode) { sim.stateOutage(20 * time.Second) }},
 		{"the state service refuses the holder", func(sim *simulation, holder *simulatedNode) {
 			holder.stateRefused = true
-			sim.clk.In(20*time.Second, func() { holder.stateRefused = false })
+			sim.clk.Schedule(20*time.Second, func() { holder.stateRefused = false })
 		}},
 		{"the holder is cut off from the state service, and what it sent comes late", func(sim *simulation, holder *simulatedNode) {
 			holder.stateCut = true
-			sim.clk.In(20*time.Second, holder.restoreState)
+			sim.clk.Schedule(20*time.Second, holder.restoreState)
 		}},
 		{"the cloud is out", func(sim *simulation, _ *simulatedNode) {
-			sim.cloud.Down = true
-			sim.clk.In(20*time.Second, func() { sim.cloud.Down = false })
+			sim.cloud.Unavailable = true
+			sim.clk.Schedule(20*time.Second, func() { sim.cloud.Unavailable = false })
 		}},
 		{"the holder's calls of the cloud come late", func(sim *simulation, holder *simulatedNode) {
 			holder.cloudCut = true
-			sim.clk.In(3*time.Second, func() { holder.crash(time.Second) })
-			sim.clk.In(20*time.Second, func() { holder.cloudCut = false })
+			sim.clk.Schedule(3*time.Second, func() { holder.crash(time.Second) })
+			sim.clk.Schedule(20*time.Second, func() { holder.cloudCut = false })
 		}},
 		{"the holder ends, and its successor within a second", func(sim *simulation, holder *simulatedNode) {
 			holder.crash(500 * time.Millisecond)
@@ -115,7 +115,7 @@
 // token: what is on it is still not known, so the tenure must not count it as heard.
 func TestDeletingMachineIsHeardByItsTokenOnly(t *testing.T) {
 	sim := steadySimulation(t, 6, 8)
-	sim.cloud.Down = true // nothing is deleted
+	sim.cloud.Unavailable = true // nothing is deleted
 	var cut *machine
 	for _, host := range sim.hosts() {
 		if m := sim.machines[host]; len(m.Tasks) > 0 && m.Tasks[0].OnMachine() {
@@ -136,16 +136,16 @@
 		}
 		return false
 	})
-	old := cut.Report()
+	old := cut.Heartbeat()
 	tenure.HandleHeartbeat(sim.clk.Now(), old, func(int, any) {})
-	if m := tenure.workers.Get(cut.Host.ID); m.Answered.IsZero() {
+	if m := tenure.workers.Get(cut.Host.ID); m.LeaseRenewedAt.IsZero() {
 		t.Fatal("the older report was not answered: this tests nothing")
 	}
 	sim.runFor(500 * time.Millisecond)
 	if tenure.state != termFencing {
 		t.Errorf("%v although it is not known what is on %s", tenure.state, cut.Host.ID)
 	}
-	sim.cloud.Down, cut.partitioned = false, false
+	sim.cloud.Unavailable, cut.partitioned = false, false
 	sim.release(cut)
 	sim.settle()
 }
@@ -165,11 +165,11 @@
 	for i := range machines {
 		id := fmt.Sprintf("i-%06d", i)
 		host := wire.Machine{ID: id, Address: addressPrefix + id, Type: smallType.Name, Zone: "a", State: wire.MachineRunning}
-		sim.cloud.Hosts[id] = &standin.CloudHost{Born: sim.clk.Now(), Machine: host}
+		sim.cloud.Hosts[id] = &standin.CloudHost{CreatedAt: sim.clk.Now(), Machine: host}
 		sim.booted(sim.cloud.Hosts[id])
 		page[id], names = entry{intentlog.Deprovision, 0, sim.clk.Now().UnixMilli()}, append(names, id)
 		if len(names) == perRental {
-			put(fmt.Sprintf("%sb0-0-%d", fleet.Rentals(0), i), fleet.RentalRec{Type: smallType.Name, Zone: "a", Number: perRental, Hosts: names})
+			put(fmt.Sprintf("%sb0-0-%d", fleet.ShardProvisioningPrefix(0), i), fleet.ProvisioningRecord{Type: smallType.Name, Zone: "a", Number: perRental, Hosts: names})
 			names = nil
 		}
 		if len(page) == perPage {
@@ -191,11 +191,11 @@
 	cfg.Platform.Cloud.RPS = cloudRPS
 	sim := newSimulation(t, 5, cfg, 1, []wire.MachineType{smallType})
 	sim.checkEvery = time.Second
-	sim.state.Page, sim.cloud.Page = tuning.ListPage, tuning.CloudPage
+	sim.state.PageSize, sim.cloud.PageSize = tuning.ListPageSize, tuning.CloudPageSize
 	sim.keepDuties()
 	sim.leaveEntries(largeFleet)
-	sim.cloud.Room[standin.RoomKey(smallType.Name, "a", false)] = 8
-	sim.state.Limits = standin.StateLimits{ValueBytes: 4 << 10, TxnOps: 8, Writes: writesPerS, Requests: 200}
+	sim.cloud.Available[standin.CapacityKey(smallType.Name, "a", false)] = 8
+	sim.state.Limits = standin.StateLimits{MaxValueBytes: 4 << 10, MaxTxnOps: 8, WritesPerS: writesPerS, RequestsPerS: 200}
 	refused := 0
 	check := sim.state.OnCall
 	sim.state.OnCall = func(c store.Call, status int) {
@@ -207,7 +207,7 @@
 	j := sim.add(steadyJob(1), 5*time.Second)
 	sim.runFor(40 * time.Second)
 	if !j.Ended() {
-		t.Errorf("a job waits for the entries: it is %q", j.Told)
+		t.Errorf("a job waits for the entries: it is %q", j.KnownState)
 	}
 	began := sim.clk.Now()
 	for len(sim.entries()) > 0 && sim.clk.Now().Sub(began) < most {
@@ -254,7 +254,7 @@
 		}
 		return out
 	}
-	sim.cloud.Down = true // so that it stays unsettled
+	sim.cloud.Unavailable = true // so that it stays unsettled
 	token := holder.controller.terms[0].Token
 	for _, n := range sim.nodes {
 		r := sim.askDuties(n)
@@ -290,7 +290,7 @@
 	if r := sim.askDuties(other); r.EntriesAgeMs < 4000 || r.HoldersAgeMs < 3000 || len(names(r)) == 0 {
 		t.Errorf("in an outage: entries %d ms old, holders %d ms, %v", r.EntriesAgeMs, r.HoldersAgeMs, names(r))
 	}
-	sim.cloud.Down = false
+	sim.cloud.Unavailable = false
 	sim.runFor(30 * time.Second)
 	sim.settle()
 }
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -14,7 +14,7 @@
 
 // facts are the settings of a small deployment.
 func facts(zones []string, teams []config.Team, reportS, leaseS float64) *config.Config {
-	return &config.Config{Member: "x", Area: zones[0], Platform: standin.Facts(zones, teams, reportS, leaseS)}
+	return &config.Config{Member: "x", Area: zones[0], Platform: standin.DeploymentConfig(zones, teams, reportS, leaseS)}
 }
 
 // latestCall is how late a call of the cloud comes at most in a simulation.
@@ -62,11 +62,11 @@
 				sim := newSimulation(t, uint64(seed), facts(day.zones, day.teams, day.report, day.lease), day.blocks, day.machineTypes)
 				for _, f := range day.machineTypes {
 					for _, y := range f.Zones {
-						sim.cloud.Room[standin.RoomKey(f.Name, y, true)] = 5 * day.scale
-						sim.cloud.Room[standin.RoomKey(f.Name, y, false)] = 8 * day.scale
+						sim.cloud.Available[standin.CapacityKey(f.Name, y, true)] = 5 * day.scale
+						sim.cloud.Available[standin.CapacityKey(f.Name, y, false)] = 8 * day.scale
 					}
 				}
-				sim.cloud.NeverBoot = 0.02
+				sim.cloud.BootFailureShare = 0.02
 				sim.chaos, sim.scale = true, day.scale
 				if day.upgrade {
 					sim.begins()
@@ -95,7 +95,7 @@
 	sim.startsOld = true
 	sim.cfg.Platform.State.ValueKB = 1
 	sim.cfg.Platform.State.Next = config.UpcomingLimits{"value_kb": 0.5, "txn_ops": int64(4), "write_rps": 12.0}
-	sim.state.Limits.ValueBytes, sim.state.Limits.TxnOps = 1024, 8
+	sim.state.Limits.MaxValueBytes, sim.state.Limits.MaxTxnOps = 1024, 8
 	for _, n := range sim.nodes {
 		n.crash(0)
 	}
@@ -111,13 +111,13 @@
 			return
 		}
 	}
-	if sim.state.Limits.ValueBytes == 1024 {
-		sim.clk.In(time.Duration(sim.rng.IntN(20000))*time.Millisecond, func() {
-			sim.state.Limits.ValueBytes, sim.state.Limits.TxnOps, sim.state.Limits.Writes = 512, 4, 12
+	if sim.state.Limits.MaxValueBytes == 1024 {
+		sim.clk.Schedule(time.Duration(sim.rng.IntN(20000))*time.Millisecond, func() {
+			sim.state.Limits.MaxValueBytes, sim.state.Limits.MaxTxnOps, sim.state.Limits.WritesPerS = 512, 4, 12
 			switch sim.rng.IntN(3) {
 			case 0:
-				sim.state.SetDown(true)
-				sim.clk.In(4*time.Second, func() { sim.state.SetDown(false) })
+				sim.state.SetUnavailable(true)
+				sim.clk.Schedule(4*time.Second, func() { sim.state.SetUnavailable(false) })
 			case 1:
 				sim.nodes[sim.rng.IntN(len(sim.nodes))].crash(time.Second)
 			}
@@ -187,7 +187,7 @@
 	j := sim.add(s, time.Duration(2+sim.rng.IntN(20))*time.Second)
 	j.Faulty = sim.rng.IntN(25) == 0
 	if sim.rng.IntN(6) == 0 {
-		sim.clk.In(time.Duration(sim.rng.IntN(20))*time.Second, func() { sim.cancel(j) })
+		sim.clk.Schedule(time.Duration(sim.rng.IntN(20))*time.Second, func() { sim.cancel(j) })
 	}
 }
 
--- a/internal/controller/simulation_effects_test.go
+++ b/internal/controller/simulation_effects_test.go
@@ -77,11 +77,11 @@
 		r.SentAt = sent
 		e.node.whenRunning(func() { then(sim.clk.Now(), r) })
 	}
-	sim.clk.In(c.Timeout(), func() { finish(store.Result{}) })
+	sim.clk.Schedule(c.Timeout(), func() { finish(store.Result{}) })
 	arrive := func() { e.stateArrives(c, finish) }
 	if sim.rates.slowState > 0 {
 		sooner, lag := arrive, time.Duration(sim.rng.Int64N(int64(sim.rates.slowState)))
-		arrive = func() { sim.clk.In(lag, sooner) }
+		arrive = func() { sim.clk.Schedule(lag, sooner) }
 	}
 	e.sendState(c, arrive)
 }
@@ -105,7 +105,7 @@
 func (e *simulatedEffects) stateArrives(c store.Call, finish func(store.Result)) {
 	sim, n := e.node.sim, e.node
 	if n.stateRefused && (c.Op != store.OpWatch || c.WatchWaitMs == 0) {
-		sim.clk.In(sim.lag(), func() { finish(store.Result{Status: 503}) })
+		sim.clk.Schedule(sim.lag(), func() { finish(store.Result{Status: 503}) })
 		return
 	}
 	if c.Op == store.OpWatch && n.silentWatches != "" && c.Prefix == n.silentWatches {
@@ -120,7 +120,7 @@
 		if sim.rates.slowState > 0 {
 			lag += time.Duration(sim.rng.Int64N(int64(sim.rates.slowState)))
 		}
-		sim.clk.In(lag, func() {
+		sim.clk.Schedule(lag, func() {
 			if !n.stateCut {
 				finish(r)
 			}
@@ -138,29 +138,29 @@
 	upTo := func(most time.Duration) time.Duration { return time.Duration(sim.rng.Int64N(int64(most))) }
 	switch {
 	case multi && fault < sim.rates.lateWrites:
-		sim.clk.In(2*time.Second+upTo(10*time.Second), execute)
+		sim.clk.Schedule(2*time.Second+upTo(10*time.Second), execute)
 	case multi && fault < sim.rates.lateWrites+sim.rates.lostAnswers && !n.stateCut && !n.stateRefused:
-		sim.clk.In(sim.lag(), execute)
+		sim.clk.Schedule(sim.lag(), execute)
 	case n.noState():
 		if sim.rng.IntN(2) == 0 {
 			n.heldCalls = append(n.heldCalls, arrive) // comes late, even from a process that has ended
 		}
 	case sim.chaos && roll < 4 && c.Op == store.OpTransaction:
-		sim.clk.In(upTo(30*time.Second), arrive)
+		sim.clk.Schedule(upTo(30*time.Second), arrive)
 	case sim.chaos && roll < 8:
-		sim.clk.In(sim.lag(), execute)
+		sim.clk.Schedule(sim.lag(), execute)
 	case sim.chaos && roll < 16 && c.Op == store.OpTransaction: // carried out, and repeated late
-		sim.clk.In(sim.lag(), arrive)
-		sim.clk.In(upTo(30*time.Second), execute)
+		sim.clk.Schedule(sim.lag(), arrive)
+		sim.clk.Schedule(upTo(30*time.Second), execute)
 	default:
-		sim.clk.In(sim.lag(), arrive)
+		sim.clk.Schedule(sim.lag(), arrive)
 	}
 }
 
 // CallCloud is part of Env.
-func (e *simulatedEffects) CallCloud(c fleet.Call, then func(now time.Time, r fleet.Result)) {
+func (e *simulatedEffects) CallCloud(c fleet.CloudCall, then func(now time.Time, r fleet.CloudResult)) {
 	at := cloudEffect
-	if c.Op == fleet.OpDelete {
+	if c.Operation == fleet.DeleteMachines {
 		at = returnEffect
 	}
 	if e.frozen(at, func() { e.CallCloud(c, then) }) {
@@ -169,34 +169,34 @@
 	sim := e.node.sim
 	sim.recordCloudCall(e.node.name, c)
 	over := false
-	finish := func(r fleet.Result) {
+	finish := func(r fleet.CloudResult) {
 		if !over && e.live() {
 			over = true
 			e.node.whenRunning(func() { then(sim.clk.Now(), r) })
 		}
 	}
-	if !sim.clk.Now().Before(c.By) {
-		sim.clk.In(0, func() { finish(fleet.Result{}) })
+	if !sim.clk.Now().Before(c.Deadline) {
+		sim.clk.Schedule(0, func() { finish(fleet.CloudResult{}) })
 		return
 	}
-	if c.Op == fleet.OpDelete {
+	if c.Operation == fleet.DeleteMachines {
 		e.checkEntitled("machines returned")
 	}
-	sim.clk.In(tuning.CloudTimeout, func() { finish(fleet.Result{}) })
+	sim.clk.Schedule(tuning.CloudTimeout, func() { finish(fleet.CloudResult{}) })
 	arrive := func() {
 		r := sim.cloud.Call(c)
-		sim.clk.In(sim.lag(), func() { finish(r) })
+		sim.clk.Schedule(sim.lag(), func() { finish(r) })
 	}
 	roll := sim.rng.IntN(100)
 	if e.node.cloudCut || sim.chaos && roll < 2 { // lost, or executed late
 		if sim.rng.IntN(2) == 0 {
-			sim.clk.In(time.Duration(5+sim.rng.IntN(60))*time.Second, arrive)
+			sim.clk.Schedule(time.Duration(5+sim.rng.IntN(60))*time.Second, arrive)
 		}
 		return
 	}
-	sim.clk.In(100*time.Millisecond, arrive)
+	sim.clk.Schedule(100*time.Millisecond, arrive)
 	if sim.chaos && roll < 6 { // carried out, and repeated late
-		sim.clk.In(time.Duration(1+sim.rng.IntN(60))*time.Second, func() { sim.cloud.Call(c) })
+		sim.clk.Schedule(time.Duration(1+sim.rng.IntN(60))*time.Second, func() { sim.cloud.Call(c) })
 	}
 }
 
@@ -219,13 +219,13 @@
 		}
 	}
 	if !sim.clk.Now().Before(by) {
-		sim.clk.In(0, func() { finish(NotSent, nil) })
+		sim.clk.Schedule(0, func() { finish(NotSent, nil) })
 		return
 	}
 	if len(d.Commands) > 0 {
 		e.checkEntitled("a command")
 	}
-	sim.clk.In(tuning.DoTimeout, func() { finish(0, nil) })
+	sim.clk.Schedule(tuning.CommandTimeout, func() { finish(0, nil) })
 	m := sim.machines[strings.TrimPrefix(addr, addressPrefix)]
 	if m == nil || m.inboundCut {
 		return
@@ -253,24 +253,24 @@
 // commandArrives executes a direct command that has reached its machine.
 func (e *simulatedEffects) commandArrives(m *machine, d wire.DirectCommands, there, back time.Duration, finish func(int, *wire.Heartbeat)) {
 	sim := e.node.sim
-	if m.Dead {
+	if m.Terminated {
 		return
 	}
 	if there > 0 {
-		sim.clk.In(there, func() {
-			if !m.Dead {
-				status, rep := m.Command(d)
-				sim.clk.In(back, func() { finish(status, rep) })
+		sim.clk.Schedule(there, func() {
+			if !m.Terminated {
+				status, rep := m.HandleCommand(d)
+				sim.clk.Schedule(back, func() { finish(status, rep) })
 			}
 		})
 		return
 	}
-	status, rep := m.Command(d)
+	status, rep := m.HandleCommand(d)
 	sim.deliver(m, e.node, func() { finish(status, rep) })
 	if sim.chaos && sim.rng.IntN(20) == 0 { // a repeat of a command that was carried out
-		sim.clk.In(time.Duration(200+sim.rng.IntN(60000))*time.Millisecond, func() {
-			if !m.Dead && !m.Hung {
-				m.Command(d)
+		sim.clk.Schedule(time.Duration(200+sim.rng.IntN(60000))*time.Millisecond, func() {
+			if !m.Terminated && !m.Hung {
+				m.HandleCommand(d)
 			}
 		})
 	}
@@ -288,14 +288,14 @@
 	}
 	fail := func() { finish(nil, errUnreachable) }
 	i := slices.IndexFunc(sim.nodes, func(o *simulatedNode) bool { return o.name == member })
-	sim.clk.In(sim.lag(), func() {
+	sim.clk.Schedule(sim.lag(), func() {
 		if i < 0 {
-			sim.clk.In(tuning.ProgressTimeout, fail)
+			sim.clk.Schedule(tuning.ProgressTimeout, fail)
 			return
 		}
 		o := sim.nodes[i]
 		if e.node.peersCut || o.peersCut || !o.alive || sim.outsideZone(e.node.zone, o.zone) || sim.clk.Now().Before(o.frozenUntil) {
-			sim.clk.In(tuning.ProgressTimeout, fail)
+			sim.clk.Schedule(tuning.ProgressTimeout, fail)
 			return
 		}
 		finish(call(o), nil)
--- a/internal/controller/simulation_faults_test.go
+++ b/internal/controller/simulation_faults_test.go
@@ -34,26 +34,26 @@
 		}
 	case 3:
 		n.stateCut = true
-		sim.clk.In(span, n.restoreState)
+		sim.clk.Schedule(span, n.restoreState)
 	case 4:
 		sim.refuseState(n, span)
 	case 5:
 		n.workersCut = true
-		sim.clk.In(span, func() {
+		sim.clk.Schedule(span, func() {
 			n.workersCut = false
 			sim.releaseAll()
 		})
 	case 6:
 		n.peersCut = true
-		sim.clk.In(span, func() { n.peersCut = false })
+		sim.clk.Schedule(span, func() { n.peersCut = false })
 	case 7:
 		sim.stateOutage(span)
 	case 8:
-		sim.cloud.Down = true
-		sim.clk.In(span, func() { sim.cloud.Down = false })
+		sim.cloud.Unavailable = true
+		sim.clk.Schedule(span, func() { sim.cloud.Unavailable = false })
 	case 9:
 		n.cloudCut = true
-		sim.clk.In(span, func() { n.cloudCut = false })
+		sim.clk.Schedule(span, func() { n.cloudCut = false })
 	}
 }
 
@@ -71,10 +71,10 @@
 			return
 		}
 		if sim.rng.IntN(2) == 0 {
-			h.Recall = sim.clk.Now().Add(notice)
-			h.NoteChange()
+			h.PreemptionTime = sim.clk.Now().Add(notice)
+			h.RequestHeartbeat()
 		}
-		sim.clk.In(notice, func() { sim.cloud.Remove(h.Host.ID) })
+		sim.clk.Schedule(notice, func() { sim.cloud.Remove(h.Host.ID) })
 	case 15:
 		for _, h := range sim.someMachines() {
 			sim.cloud.Remove(h.Host.ID)
@@ -96,7 +96,7 @@
 func (sim *simulation) affect(machines []*machine, d time.Duration, set machineFlag) {
 	for _, m := range machines {
 		set(m, true)
-		sim.clk.In(d, func() { set(m, false); sim.release(m) })
+		sim.clk.Schedule(d, func() { set(m, false); sim.release(m) })
 	}
 }
 
@@ -109,20 +109,20 @@
 
 // stateOutage takes the state service away from all for a time.
 func (sim *simulation) stateOutage(d time.Duration) {
-	sim.state.SetDown(true)
-	sim.clk.In(d, func() { sim.state.SetDown(false) })
+	sim.state.SetUnavailable(true)
+	sim.clk.Schedule(d, func() { sim.state.SetUnavailable(false) })
 }
 
 // refuseState has the state service refuse one node for a time.
 func (sim *simulation) refuseState(n *simulatedNode, d time.Duration) {
 	n.stateRefused = true
-	sim.clk.In(d, func() { n.stateRefused = false })
+	sim.clk.Schedule(d, func() { n.stateRefused = false })
 }
 
 // leaveWithWorkers leaves a node with its workers and users for a time.
 func (sim *simulation) leaveWithWorkers(n *simulatedNode, d time.Duration) {
 	n.stateCut, n.peersCut = true, true
-	sim.clk.In(d, func() {
+	sim.clk.Schedule(d, func() {
 		n.peersCut = false
 		n.restoreState()
 	})
--- a/internal/controller/simulation_network_test.go
+++ b/internal/controller/simulation_network_test.go
@@ -30,7 +30,7 @@
 	if sim.rates.slowLinks > 0 {
 		lag += time.Duration(sim.rng.Int64N(int64(sim.rates.slowLinks)))
 	}
-	sim.clk.In(lag, func() {
+	sim.clk.Schedule(lag, func() {
 		if m.Hung {
 			m.held = append(m.held, f)
 			return
@@ -44,12 +44,12 @@
 	held := m.held
 	m.held = nil
 	for _, f := range held {
-		sim.clk.In(sim.lag(), f)
+		sim.clk.Schedule(sim.lag(), f)
 	}
 }
 
 // Send is part of standin.Network.
-func (sim *simulation) Send(w *standin.Worker, node int, report *wire.Heartbeat, answer standin.AnswerFunc) {
+func (sim *simulation) Send(w *standin.Worker, node int, report *wire.Heartbeat, answer standin.ReplyFunc) {
 	m, n := sim.machines[w.Host.ID], sim.nodes[node]
 	if m.outboundCut {
 		answer(0, wire.HeartbeatResponse{}, "") // no connection can be made
@@ -97,7 +97,7 @@
 // later, wherever the machine is by then.
 func (sim *simulation) deliverLate(report *wire.Heartbeat) {
 	n, copied := sim.nodes[sim.rng.IntN(len(sim.nodes))], copyOf(report)
-	sim.clk.In(time.Duration(500+sim.rng.IntN(40000))*time.Millisecond, func() { sim.deliverCopy(n, copied) })
+	sim.clk.Schedule(time.Duration(500+sim.rng.IntN(40000))*time.Millisecond, func() { sim.deliverCopy(n, copied) })
 }
 
 // deliverCopy delivers a report whose answer nobody gets.
@@ -127,7 +127,7 @@
 			sim.heldReports = nil
 			for _, report := range held {
 				for _, o := range sim.nodes {
-					sim.clk.In(time.Duration(sim.rng.IntN(300))*time.Millisecond, func() { sim.deliverCopy(o, report) })
+					sim.clk.Schedule(time.Duration(sim.rng.IntN(300))*time.Millisecond, func() { sim.deliverCopy(o, report) })
 				}
 			}
 		}
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -37,7 +37,7 @@
 	digest   *digest // of all effects; nil: none is asked for
 
 	duties      bool // the log of duties is switched on
-	actions     *standin.ActionCheck
+	actions     *standin.IntentChecker
 	chaos       bool // random messages are lost, delayed or repeated
 	scale       int  // how many times the usual size jobs and faults have; 0: once
 	rates       faultRates
@@ -85,10 +85,10 @@
 		digest: newDigest(t), idleSince: map[*standin.Job]time.Time{}}
 	sim.state = standin.NewStateService(clk, rng)
 	sim.cloud = standin.NewCloud(clk, rng, machineTypes)
-	sim.cloud.Booted = sim.booted
-	sim.cloud.Ended = sim.ended
+	sim.cloud.OnBooted = sim.booted
+	sim.cloud.OnRemoved = sim.ended
 	sim.cluster = standin.NewCluster(clk, rng, cfg.Platform, sim)
-	sim.cluster.CompletedHook = sim.completed
+	sim.cluster.OnCompleted = sim.completed
 	for i := range simulatedNodes {
 		zone := cfg.Platform.Zones[i%len(cfg.Platform.Zones)]
 		sim.nodes = append(sim.nodes, &simulatedNode{sim: sim, name: fmt.Sprintf("node-%d", i), zone: zone})
@@ -103,7 +103,7 @@
 // carries out.
 func (sim *simulation) keepDuties() {
 	sim.duties = true
-	sim.actions = standin.NewActionCheck(sim.cluster, sim.state, sim.cloud)
+	sim.actions = standin.NewIntentChecker(sim.cluster, sim.state, sim.cloud)
 	for _, n := range sim.nodes {
 		n.crash(0)
 	}
@@ -115,7 +115,7 @@
 	f := sim.cloud.MachineTypes[slices.IndexFunc(sim.cloud.MachineTypes, func(f wire.MachineType) bool { return f.Name == h.Type })]
 	m := &machine{}
 	sim.machines[h.ID] = m
-	m.Worker = sim.cluster.AddWorker(h.Machine, quota.Room{CPUs: f.Vcpus, GPUs: f.Gpus, MemGB: f.MemGb})
+	m.Worker = sim.cluster.AddWorker(h.Machine, quota.Resources{CPUs: f.Vcpus, GPUs: f.Gpus, MemGB: f.MemGb})
 	m.Faulty = sim.rng.Float64() < faultyShare
 }
 
@@ -125,7 +125,7 @@
 }
 
 // hosts lists the machines' names in order.
-func (sim *simulation) hosts() []string { return sim.cluster.Names() }
+func (sim *simulation) hosts() []string { return sim.cluster.MachineNames() }
 
 func (sim *simulation) logger(name string) *slog.Logger {
 	out := io.Discard
@@ -147,10 +147,10 @@
 
 // fail records that something a test expects did not hold.
 func (sim *simulation) fail(format string, args ...any) {
-	sim.cluster.Break(standin.Expectation, format, args...)
+	sim.cluster.AddViolation(standin.Expectation, format, args...)
 }
 
-func (sim *simulation) broken() []standin.Violation { return sim.cluster.Broken }
+func (sim *simulation) broken() []standin.Violation { return sim.cluster.Violations }
 
 // runFor plays a time, checking the rules after each step.
 func (sim *simulation) runFor(d time.Duration) {
@@ -171,7 +171,7 @@
 			sim.releaseToNextLeader()
 		}
 	}
-	sim.clk.Set(end)
+	sim.clk.AdvanceTo(end)
 }
 
 // lag is how long a message takes where nothing is wrong.
@@ -263,11 +263,11 @@
 		if n.alive && n.generation == generation {
 			n.whenRunning(func() {
 				n.controller.Tick(n.sim.clk.Now())
-				n.sim.clk.In(tuning.TickEvery, tick)
+				n.sim.clk.Schedule(tuning.TickInterval, tick)
 			})
 		}
 	}
-	n.sim.clk.In(time.Duration(n.sim.rng.IntN(100))*time.Millisecond, tick)
+	n.sim.clk.Schedule(time.Duration(n.sim.rng.IntN(100))*time.Millisecond, tick)
 }
 
 // options are what the node's process is started with.
@@ -285,7 +285,7 @@
 	n.alive = false
 	n.generation++
 	n.freezeFor, n.frozenUntil = 0, time.Time{}
-	n.sim.clk.In(back, n.start)
+	n.sim.clk.Schedule(back, n.start)
 }
 
 // whenRunning carries on once the process does not stand still, if it is still there.
@@ -298,7 +298,7 @@
 		return
 	}
 	generation := n.generation
-	n.sim.clk.In(n.frozenUntil.Sub(now), func() {
+	n.sim.clk.Schedule(n.frozenUntil.Sub(now), func() {
 		if n.alive && n.generation == generation {
 			n.whenRunning(f)
 		}
@@ -309,7 +309,7 @@
 func (n *simulatedNode) restoreState() {
 	n.stateCut = false
 	for _, f := range n.heldCalls {
-		n.sim.clk.In(n.sim.lag(), f)
+		n.sim.clk.Schedule(n.sim.lag(), f)
 	}
 	n.heldCalls = nil
 }
--- a/internal/controller/simulation_users_test.go
+++ b/internal/controller/simulation_users_test.go
@@ -36,7 +36,7 @@
 }
 
 func (sim *simulation) askAt(n *simulatedNode, r request, then func(submission.Response)) {
-	sim.clk.In(sim.lag(), func() {
+	sim.clk.Schedule(sim.lag(), func() {
 		if !n.alive {
 			return
 		}
@@ -45,7 +45,7 @@
 			r(n, func(answer submission.Response) {
 				sim.recordUserAnswer(n.name, answer)
 				if n.alive && n.generation == generation {
-					sim.clk.In(sim.lag(), func() { then(answer) })
+					sim.clk.Schedule(sim.lag(), func() { then(answer) })
 				}
 			})
 		})
@@ -65,7 +65,7 @@
 
 // tell records that a user was told a job's state.
 func (sim *simulation) tell(j *standin.Job, stage, before string) {
-	if sim.cluster.Tell(j, stage, before) && sim.rates.closeQueries {
+	if sim.cluster.RecordAnswer(j, stage, before) && sim.rates.closeQueries {
 		sim.queryClosely(j)
 	}
 }
@@ -77,7 +77,7 @@
 		sim.tell(j, stageOf(r), before)
 		return
 	}
-	sim.cluster.Refused(j, before, r.Status)
+	sim.cluster.RecordRefusal(j, before, r.Status)
 }
 
 // add makes a user submit a job and ask about it until the end of the test.
@@ -85,7 +85,7 @@
 	j := standin.NewJob(spec, run)
 	sim.cluster.AddJob(j)
 	sim.submit(j)
-	sim.clk.In(time.Second, func() { sim.poll(j) })
+	sim.clk.Schedule(time.Second, func() { sim.poll(j) })
 	return j
 }
 
@@ -98,40 +98,40 @@
 		case 200, 201:
 			sim.tell(j, stageOf(r), "")
 		case 400, 422:
-			sim.cluster.Break(standin.Forgotten, "%s answered %d %v", j.Spec.ID, r.Status, r.Body)
+			sim.cluster.AddViolation(standin.JobForgotten, "%s answered %d %v", j.Spec.ID, r.Status, r.Body)
 		}
 	})
 	if sim.rates.closeQueries { // questions that are on their way already when it is accepted
 		sim.queryClosely(j)
 	}
-	sim.clk.In(time.Duration(1000+sim.rng.IntN(2000))*time.Millisecond, func() { sim.submit(j) })
+	sim.clk.Schedule(time.Duration(1000+sim.rng.IntN(2000))*time.Millisecond, func() { sim.submit(j) })
 }
 
 func (sim *simulation) poll(j *standin.Job) {
-	before, accepted := j.Told, j.Accepted
+	before, accepted := j.KnownState, j.Accepted
 	sim.ask(sim.query(j.Spec.ID), func(r submission.Response) {
 		switch {
 		case r.Status == 404 && accepted:
-			sim.cluster.Break(standin.Forgotten, "%s answered 404", j.Spec.ID)
+			sim.cluster.AddViolation(standin.JobForgotten, "%s answered 404", j.Spec.ID)
 		case r.Status == 200:
 			sim.tell(j, stageOf(r), before)
 		}
 	})
-	sim.clk.In(time.Duration(3000+sim.rng.IntN(3000))*time.Millisecond, func() { sim.poll(j) })
+	sim.clk.Schedule(time.Duration(3000+sim.rng.IntN(3000))*time.Millisecond, func() { sim.poll(j) })
 }
 
 func (sim *simulation) cancel(j *standin.Job) {
-	j.CancelAsked = true
+	j.CancelRequested = true
 	if j.Ended() {
 		return
 	}
-	before := j.Told
+	before := j.KnownState
 	sim.ask(sim.cancellation(j.Spec.ID), func(r submission.Response) {
 		if r.Status == 200 {
 			sim.tell(j, stageOf(r), before)
 		}
 	})
-	sim.clk.In(2*time.Second, func() { sim.cancel(j) })
+	sim.clk.Schedule(2*time.Second, func() { sim.cancel(j) })
 }
 
 // queryClosely asks all nodes about a job, again and again within milliseconds, repeats
@@ -140,8 +140,8 @@
 	soon := func() time.Duration { return time.Duration(sim.rng.IntN(60000)) * time.Microsecond }
 	for range 3 {
 		for _, n := range sim.nodes {
-			sim.clk.In(soon(), func() {
-				before := j.Told
+			sim.clk.Schedule(soon(), func() {
+				before := j.KnownState
 				r := sim.query(j.Spec.ID)
 				if sim.rng.IntN(3) == 2 && before != "" {
 					r = sim.submission(j.Spec)
@@ -150,8 +150,8 @@
 			})
 		}
 	}
-	if j.Accepted && !j.CancelAsked && sim.rng.IntN(4) == 0 {
-		sim.clk.In(soon(), func() { sim.cancel(j) })
+	if j.Accepted && !j.CancelRequested && sim.rng.IntN(4) == 0 {
+		sim.clk.Schedule(soon(), func() { sim.cancel(j) })
 	}
 }
 
@@ -161,10 +161,10 @@
 		return
 	}
 	soon := func() time.Duration { return time.Duration(sim.rng.IntN(1500)) * time.Millisecond }
-	sim.clk.In(soon(), func() { sim.cancel(j) })
+	sim.clk.Schedule(soon(), func() { sim.cancel(j) })
 	for range 4 {
-		sim.clk.In(soon(), func() {
-			before := j.Told
+		sim.clk.Schedule(soon(), func() {
+			before := j.KnownState
 			sim.ask(sim.query(j.Spec.ID), func(r submission.Response) { sim.answered(j, before, r) })
 			sim.ask(sim.submission(j.Spec), func(r submission.Response) { sim.answered(j, before, r) })
 		})
@@ -215,7 +215,7 @@
 
 // repeatRequest repeats the submission of some job, and cancels it if it is done.
 func (sim *simulation) repeatRequest() {
-	jobs := sim.cluster.Order
+	jobs := sim.cluster.Submitted
 	if len(jobs) == 0 {
 		return
 	}
@@ -223,7 +223,7 @@
 	if !j.Accepted {
 		return
 	}
-	before := j.Told
+	before := j.KnownState
 	sim.ask(sim.submission(j.Spec), func(r submission.Response) { sim.answered(j, before, r) })
 	if before == wire.JobDone {
 		sim.ask(sim.cancellation(j.Spec.ID), func(r submission.Response) { sim.answered(j, before, r) })
--- a/internal/controller/unreadable_test.go
+++ b/internal/controller/unreadable_test.go
@@ -102,7 +102,7 @@
 				t.Fatal("nothing runs")
 			}
 			before := running()[job]
-			key := submission.OpenKey(job.Spec.ID)
+			key := submission.OpenJobKey(job.Spec.ID)
 			value := strings.ReplaceAll(c.value, "job-0", job.Spec.ID)
 			readable := sim.state.Keys[key].Value
 			sim.holder().crash(time.Hour)
@@ -129,8 +129,8 @@
 			// a version that can read it writes it again, or it is mended
 			sim.state.Put(key, readable)
 			sim.settle()
-			if job.Told != wire.JobDone {
-				t.Errorf("told %q", job.Told)
+			if job.KnownState != wire.JobDone {
+				t.Errorf("told %q", job.KnownState)
 			}
 		})
 	}
@@ -141,8 +141,8 @@
 func TestUnannouncedStateLimit(t *testing.T) {
 	for _, bytes := range []int{1024, 600} {
 		sim := newSimulation(t, 11, facts([]string{"a"}, steadyTeams, 1.5, 10), 1, []wire.MachineType{smallType})
-		sim.cloud.Room[standin.RoomKey(smallType.Name, "a", false)] = 80
-		sim.state.Limits.ValueBytes = bytes
+		sim.cloud.Available[standin.CapacityKey(smallType.Name, "a", false)] = 80
+		sim.state.Limits.MaxValueBytes = bytes
 		refused := map[string]int{}
 		sim.state.OnCall = func(c store.Call, status int) {
 			for _, w := range c.Transaction.Writes {
