--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -60,7 +60,7 @@
 }
 
 // exchange sends a request and reads the response, of its body at most one byte more
-// than tuning.StateAnswerBytes.
+// than tuning.MaxStoreResponseBytes.
 func (c *Client) exchange(request *http.Request) (status int, body []byte, err error) {
 	response, err := c.http.Do(request)
 	if err != nil {
--- a/internal/store/pages.go
+++ b/internal/store/pages.go
@@ -80,8 +80,9 @@
 }
 
 // Delete removes an entry. Nothing waits for it, and a removed entry that is still stored
-// does no harm, so it goes with the page's next write, or after tuning.PruneEvery: jobs
-// that end one after the other would otherwise cost a write each.
+// does no harm, so it goes with the page's next write, or after
+// tuning.PageRemovalInterval: jobs that end one after the other would otherwise cost a
+// write each.
 func (p *Pages) Delete(key string) {
 	if holding := p.pageOf[key]; holding != nil {
 		holding.remove(key)
--- a/internal/store/rate_limits.go
+++ b/internal/store/rate_limits.go
@@ -22,10 +22,10 @@
 
 // serviceLimits decides which of the service's limits are in force.
 //
-//	current  rejections                   -> lowered
-//	lowered  after lowerFor, then doubled -> trial
-//	trial    rejections, fewer of them    -> lowered
-//	trial    after tuning.LowerWithin     -> current
+//	current  rejections                    -> lowered
+//	lowered  after lowerFor, then doubled  -> trial
+//	trial    rejections, fewer of them     -> lowered
+//	trial    after tuning.RateLowerWindow  -> current
 type serviceLimits struct {
 	current         config.StateLimits
 	upcoming        config.StateLimits
--- a/internal/tuning/store.go
+++ b/internal/tuning/store.go
@@ -6,13 +6,13 @@
 const (
 	// StoreTimeout bounds a call: answers usually take under 10 ms.
 	StoreTimeout = 1500 * time.Millisecond
-	// MaxStoreResponseBytes bounds an answer: lists are at most 512 KiB, a watch
-	// may say more.
+	// MaxStoreResponseBytes bounds a response: lists are at most 512 KiB, a watch may
+	// return more.
 	MaxStoreResponseBytes = 8 << 20
-	// StoreRateShare is one node's least part of the service's rates when there are
-	// several: they rarely need it at the same time. It grows by ShareStep each
-	// ShareEvery while writes wait and nothing is refused, as a holder writes most; a
-	// refusal ends that, for SharePause at least.
+	// StoreRateShare is one member's least part of the service's rates when there are
+	// several: they rarely need it at the same time. It grows by RateShareStep each
+	// RateShareInterval while writes wait and nothing is rejected, as a lease holder writes
+	// most; a rejection ends that, for RateSharePause at least.
 	StoreRateShare    = 0.6
 	RateShareStep     = 0.05
 	RateShareInterval = 500 * time.Millisecond
@@ -31,40 +31,40 @@
 	// the service counts the JSON around them too.
 	PageFillShare = 0.85
 	// MinTxnOps is how many puts and deletes one transaction needs: a job's end and
-	// its entry, a token and the block that gets it.
+	// its entry, a token and the shard that gets it.
 	MinTxnOps = 2
-	// RateLowerRefusals is how many refusals for the rate, or one for a value's size, within
-	// LowerWithin tell a node that the service has lowered its limits: a few come in
-	// bursts, as the nodes share the rate without asking each other.
+	// RateLowerRefusals is how many rejections for the rate within RateLowerWindow, or one
+	// for a value's size, show that the service has lowered its limits: a few come in
+	// bursts, as the members share the rate without asking each other.
 	RateLowerRefusals = 12
 	RateLowerWindow   = 10 * time.Second
-	// RateRaiseInitial is how long a lowered rate is kept before the present one is tried
+	// RateRaiseInitial is how long a lowered rate is kept before the current one is tried
 	// again, in case a burst was taken for a change. It doubles each time, up to
-	// RaiseAfterMost: a trial costs a few refusals. LowerAfterTrial of them end it.
+	// RateRaiseMax: a trial costs a few rejections. RateTrialRefusals of them end it.
 	RateRaiseInitial  = 2 * time.Minute
 	RateRaiseMax      = 30 * time.Minute
 	RateTrialRefusals = 4
-	// PageRemovalInterval is how long a page from which entries were only removed waits for its next
-	// write: what is removed does no harm, and each write takes some of the rate.
+	// PageRemovalInterval is how long a page from which entries were only removed waits for
+	// its next write: what is removed does no harm, and each write takes some of the rate.
 	PageRemovalInterval = 10 * time.Second
 	// MaxPages bounds the numbers of pages, far above any use.
 	MaxPages = 10000
-	// WriterRetryInitial is the pause after a failed write of a record. After a refusal for the
-	// size of one that cannot be made smaller it doubles up to RecordRetryMost.
+	// WriterRetryInitial is the pause after a failed write of a record. After a rejection for
+	// the size of one that cannot be made smaller it doubles up to WriterRetryMax.
 	WriterRetryInitial = 300 * time.Millisecond
 	WriterRetryMax     = 20 * time.Second
 	// MinPageBytes is the size, in bytes, below which a page is not made smaller, whatever
-	// the service refuses: its longest entries, names with addresses, take half of it.
+	// the service rejects: its longest entries, names with addresses, take half of it.
 	MinPageBytes = 128
-	// StoreReadsInFlight is how many questions to the state service may be under way at
-	// once, StateWrites how many writes of each class, StateExtra how many leases
-	// and watches may be beside them. A write may wait long for its rate: nothing
-	// else waits behind it.
+	// StoreReadsInFlight is how many reads of the state service may be in flight at once,
+	// StoreWritesInFlight how many writes of each priority, StoreExtraInFlight how many
+	// leases and watches beside them. A write may wait long for its rate: nothing else
+	// waits behind it.
 	StoreReadsInFlight  = 8
 	StoreWritesInFlight = 8
 	StoreExtraInFlight  = 6
 )
 
-// WriteReserve is the part of a full write bucket that each class of calls,
-// in order leases, tenures, users, finals, tallies, leaves for the ones before it.
+// WriteReserve is the part of a full write bucket that each priority of calls, in order
+// leases, terms, users, ends of jobs, completions, leaves for the ones before it.
 var WriteReserve = [...]float64{0, 0.1, 0.1, 0.2, 0.4}
