--- a/Makefile
+++ b/Makefile
@@ -4,6 +4,7 @@
 # nothing is, this becomes ./... and the target goes.
 READABLE_PACKAGES = \
 	./internal/clock \
+	./internal/store \
 	./internal/tools/...
 
 # The one test command: format, vet, linters, limits, tests with the race detector. A test that
--- a/internal/store/pages_split.go
+++ b/internal/store/pages_split.go
@@ -12,7 +12,8 @@
 // them for its size, and tells whether it could be: then the rejected page is split.
 func (p *Pages) lowerLimit(rejected *page) bool {
 	if p.maxPageBytes <= tuning.MinPageBytes {
-		p.options.Log.Error("state service rejects even a small page", "key", rejected.value.Key(), "bytes", rejected.size)
+		p.options.Log.Error("state service rejects even a small page", "key", rejected.value.Key(),
+			"bytes", rejected.size)
 		return false
 	}
 	p.maxPageBytes = max(tuning.MinPageBytes, min(p.maxPageBytes, rejected.size)/2)
