--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -56,7 +56,7 @@
 	then  []func(now time.Time, r *peerpb.ProgressReply, err error)
 }
 
-func (e *heldCalls) Progress(_ string, m *peerpb.ProgressRequest, then func(now time.Time, r *peerpb.ProgressReply, err error)) {
+func (e *heldCalls) AskProgress(_ string, m *peerpb.ProgressRequest, then func(now time.Time, r *peerpb.ProgressReply, err error)) {
 	e.asked, e.then = append(e.asked, m), append(e.then, then)
 }
 
--- a/internal/controller/runtime_test.go
+++ b/internal/controller/runtime_test.go
@@ -184,4 +184,4 @@
 	then func(now time.Time, r store.Result)
 }
 
-func (e *heldState) State(_ store.Call, then func(now time.Time, r store.Result)) { e.then = then }
+func (e *heldState) CallState(_ store.Call, then func(now time.Time, r store.Result)) { e.then = then }
