--- a/internal/controller/cancellation_loading_test.go
+++ b/internal/controller/cancellation_loading_test.go
@@ -17,13 +17,13 @@
 // the lease of a task that was called off before it began, as it cannot stop it.
 func TestOutageWhileLoading(t *testing.T) {
 	for seed := range uint64(4) {
-		sim := steadySimulationOf(t, 20+seed, 6, 2)
+		sim := steadySimulationWith(t, 20+seed, 6, 2)
 		long := sim.add(wire.JobSpec{ID: "job-100", Team: "red", Class: "train", Shape: wire.ShapeBatch, Priority: "high", Tasks: 4,
 			Vcpus: 4, Gpus: 1, MemGb: 20, Image: "img", ImageGb: 2, AnyType: true, EstimatedRunTimeS: 300}, 400*time.Second)
 		other := sim.add(wire.JobSpec{ID: "job-101", Team: "red", Class: "train", Shape: wire.ShapeBatch, Priority: "high", Tasks: 2,
 			Vcpus: 4, Gpus: 1, MemGb: 20, Image: "img", ImageGb: 2, AnyType: true, EstimatedRunTimeS: 300}, 400*time.Second)
 		sim.runFor(40 * time.Second)
-		h := sim.holder()
+		h := sim.leaseHolder()
 		for _, o := range sim.machines {
 			o.partitioned = true
 		}
@@ -39,7 +39,7 @@
 			return false
 		}
 		for !loading() {
-			sim.clk.Step()
+			sim.clock.Step()
 		}
 		if long.Told != wire.JobCancelled {
 			t.Fatalf("told %q", long.Told)
@@ -48,13 +48,13 @@
 		renewed := map[bool]int{} // by whether the job was called off
 		for _, n := range sim.nodes {
 			if t := n.controller.terms[0]; n.alive && t != nil && t.state == termLoading {
-				for _, id := range sim.hosts() {
+				for _, id := range sim.machineNames() {
 					rep := sim.machines[id].Report()
 					for _, p := range rep.Tasks {
 						one := *rep
 						one.Tasks = []wire.TaskStatus{p}
 						off := strings.HasPrefix(p.Name, long.Spec.ID)
-						t.HandleHeartbeat(sim.clk.Now(), &one, func(status int, _ any) {
+						t.HandleHeartbeat(sim.clock.Now(), &one, func(status int, _ any) {
 							if status == 200 && p.State != wire.TaskExited {
 								renewed[off]++
 							}
@@ -75,17 +75,17 @@
 		sim.state.SetDown(false)
 		h.crash(0)
 		sim.cancel(other)
-		sim.settle()
+		sim.requireAllJobsEnd()
 	}
 }
 
 // A cancellation is passed to a holder that is still reading the records, and has read
 // the jobs already: it says that it has it, so it may not take the job up as open.
-func TestToldWhileLoading(t *testing.T) {
+func TestCancellationReceivedWhileLoading(t *testing.T) {
 	sim := steadySimulation(t, 6, 8)
-	sim.holder().crash(time.Hour)
+	sim.leaseHolder().crash(time.Hour)
 	for range 100000 {
-		sim.clk.Step()
+		sim.clock.Step()
 		for _, n := range sim.nodes {
 			te := n.controller.terms[0]
 			if !n.alive || te == nil || te.state != termLoading {
@@ -99,14 +99,14 @@
 			if other == n {
 				other = sim.nodes[1]
 			}
-			m := other.controller.peerHeartbeat(sim.clk.Now(), n.name)
+			m := other.controller.peerHeartbeat(sim.clock.Now(), n.name)
 			m.Cancelled = []string{id}
-			r := n.controller.HandlePeerHeartbeat(sim.clk.Now(), m)
+			r := n.controller.HandlePeerHeartbeat(sim.clock.Now(), m)
 			if !slices.Contains(r.AcknowledgedCancelled, id) {
 				t.Fatal("it does not say that it has it")
 			}
 			for te.state == termLoading {
-				sim.clk.Step()
+				sim.clock.Step()
 			}
 			if te.state != termFencing || te.scheduler.Job(id) != nil || te.scheduler.Job(sim.cluster.Order[4].Spec.ID) == nil {
 				t.Errorf("%v: the job that was called off is open: %v", te.state, te.scheduler.Job(id) != nil)
@@ -119,16 +119,16 @@
 
 // A cancellation is passed to a holder before it has read that the job was submitted, as
 // the state service's answers are slow: what it reads then is old.
-func TestToldBeforeRead(t *testing.T) {
+func TestCancellationReceivedBeforeJobIsRead(t *testing.T) {
 	sim := steadySimulation(t, 6, 2)
-	n := sim.holder()
+	n := sim.leaseHolder()
 	other := sim.nodes[0]
 	if other == n {
 		other = sim.nodes[1]
 	}
-	m := other.controller.peerHeartbeat(sim.clk.Now(), n.name)
+	m := other.controller.peerHeartbeat(sim.clock.Now(), n.name)
 	m.Cancelled = []string{"job-900"}
-	n.controller.HandlePeerHeartbeat(sim.clk.Now(), m)
+	n.controller.HandlePeerHeartbeat(sim.clock.Now(), m)
 	for _, id := range []string{"job-900", "job-901"} {
 		sim.add(wire.JobSpec{ID: id, Team: "red", Class: "sweep", Shape: wire.ShapeBatch, Priority: "normal", Tasks: 1,
 			Vcpus: 4, Gpus: 1, MemGb: 20, Image: "img", ImageGb: 2, AnyType: true, EstimatedRunTimeS: 5}, 5*time.Second)
@@ -141,8 +141,8 @@
 
 // The room of machines not heard counts against a team's limit from the moment at which
 // the records are read: a report, and a start, may come before the next tick.
-func TestUnheardCountsAtOnce(t *testing.T) {
-	sim := newSimulation(t, 11, facts([]string{"a"}, []config.Team{{Name: "red", GPUsMax: 12}}, 1.5, 10), 1,
+func TestUnreconciledMachinesCountAtOnce(t *testing.T) {
+	sim := newSimulation(t, 11, testConfig([]string{"a"}, []config.Team{{Name: "red", GPUsMax: 12}}, 1.5, 10), 1,
 		[]wire.MachineType{{Name: "g2", Vcpus: 12, Gpus: 2, MemGb: 96, FetchGbPerS: 1, Price: 5, SpotPrice: 2, BootTimeS: 5, Zones: []string{"a"}}})
 	sim.cloud.Room[standin.RoomKey("g2", "a", false)] = 4
 	sim.add(wire.JobSpec{ID: "job-1", Team: "red", Class: "sweep", Shape: wire.ShapeBatch, Priority: "normal", Tasks: 8,
@@ -151,9 +151,9 @@
 	for _, h := range sim.machines {
 		h.partitioned = true
 	}
-	sim.holder().crash(time.Hour)
+	sim.leaseHolder().crash(time.Hour)
 	for range 100000 {
-		sim.clk.Step()
+		sim.clock.Step()
 		for _, n := range sim.nodes {
 			if te := n.controller.terms[0]; n.alive && te != nil && te.state == termFencing {
 				all := quota.Room{GPUs: 12}
@@ -169,13 +169,13 @@
 
 // A machine that a successor hears for the first time gets the stops for what is over
 // with the very answer that renews its lease.
-func TestInheritedCancellation(t *testing.T) {
+func TestRecoveredCancellation(t *testing.T) {
 	sim := steadySimulation(t, 6, 2)
 	long := sim.add(wire.JobSpec{ID: "job-100", Team: "red", Class: "train", Shape: wire.ShapeBatch, Priority: "high", Tasks: 2,
 		Vcpus: 4, Gpus: 1, MemGb: 20, Image: "img", ImageGb: 2, AnyType: true, EstimatedRunTimeS: 300}, 400*time.Second)
 	sim.runFor(40 * time.Second)
 	var on *machine
-	for _, id := range sim.hosts() {
+	for _, id := range sim.machineNames() {
 		for _, p := range sim.machines[id].Tasks {
 			if p.Job == long && p.OnMachine() {
 				on = sim.machines[id]
@@ -183,7 +183,7 @@
 		}
 	}
 	on.partitioned = true
-	h := sim.holder()
+	h := sim.leaseHolder()
 	h.crash(time.Hour)
 	sim.cancel(long)
 	var next *term
@@ -202,7 +202,7 @@
 		t.Fatalf("no successor, or told %q", long.Told)
 	}
 	stopped := false
-	next.HandleHeartbeat(sim.clk.Now(), on.Report(), func(status int, body any) {
+	next.HandleHeartbeat(sim.clock.Now(), on.Report(), func(status int, body any) {
 		for _, o := range body.(wire.HeartbeatResponse).Commands {
 			id, _, _ := wire.ParseTask(o.Task)
 			stopped = stopped || status == 200 && o.Verb == wire.VerbStop && id == long.Spec.ID
@@ -213,5 +213,5 @@
 	}
 	on.partitioned = false
 	sim.release(on)
-	sim.settle()
+	sim.requireAllJobsEnd()
 }
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -28,7 +28,7 @@
 		{name: "the confirming node ends in the outage and is back within a second", during: func(sim *simulation, _, other *simulatedNode) { other.crash(600 * time.Millisecond) }},
 		{name: "it ends before it has passed them on, and is back at once", before: func(sim *simulation, _, other *simulatedNode) {
 			other.peersCut = true
-			sim.clk.In(1700*time.Millisecond, func() {
+			sim.clock.In(1700*time.Millisecond, func() {
 				other.crash(300 * time.Millisecond)
 				other.peersCut = false
 			})
@@ -53,18 +53,18 @@
 			}
 		}},
 		{name: "machines hang as their jobs are called off", keeps: false, before: func(sim *simulation, _, _ *simulatedNode) {
-			sim.clk.In(1450*time.Millisecond, func() {
-				for i, id := range sim.hosts() {
+			sim.clock.In(1450*time.Millisecond, func() {
+				for i, id := range sim.machineNames() {
 					if h := sim.machines[id]; i%2 == 0 {
 						h.Hung = true
-						sim.clk.In(8*time.Second, func() { h.Hung = false; sim.release(h) })
+						sim.clock.In(8*time.Second, func() { h.Hung = false; sim.release(h) })
 					}
 				}
 			})
 		}},
 		{name: "machines do not hear the holder", before: func(sim *simulation, _, _ *simulatedNode) {
-			sim.clk.In(1450*time.Millisecond, func() {
-				for i, id := range sim.hosts() {
+			sim.clock.In(1450*time.Millisecond, func() {
+				for i, id := range sim.machineNames() {
 					if i%2 == 0 {
 						sim.machines[id].inboundCut = true
 					}
@@ -75,14 +75,14 @@
 		for seed := range uint64(2) {
 			t.Run(fmt.Sprintf("%s/%d", c.name, seed), func(t *testing.T) {
 				t.Parallel()
-				sim := steadySimulationOf(t, 11+seed, 6, 2)
+				sim := steadySimulationWith(t, 11+seed, 6, 2)
 				var long []*standin.Job
 				for i := range 4 {
 					long = append(long, sim.add(wire.JobSpec{ID: fmt.Sprintf("job-1%02d", i), Team: "red", Class: "train", Shape: wire.ShapeBatch, Priority: "high", Tasks: 2,
 						Vcpus: 4, Gpus: 1, MemGb: 20, Image: "img", ImageGb: 2, AnyType: true, EstimatedRunTimeS: 300}, 400*time.Second))
 				}
 				sim.runFor(45 * time.Second)
-				holder := sim.holder()
+				holder := sim.leaseHolder()
 				var other *simulatedNode
 				for _, n := range sim.nodes {
 					if n != holder {
@@ -91,7 +91,7 @@
 				}
 				sessions := map[string]uint64{}
 				running := 0
-				for _, id := range sim.hosts() {
+				for _, id := range sim.machineNames() {
 					sessions[id] = sim.machines[id].Session
 					for _, p := range sim.machines[id].Tasks {
 						if p.Job.Run == 400*time.Second && p.Stage == wire.TaskRunning {
@@ -117,9 +117,9 @@
 							})
 						}
 					}
-					ask(sim.clk.Now(), j.Spec.ID, func(r submission.Response) {
+					ask(sim.clock.Now(), j.Spec.ID, func(r submission.Response) {
 						if a, ok := r.Body.(wire.JobAccepted); r.Status == 200 && ok {
-							sim.tell(j, a.State, "")
+							sim.recordAnswer(j, a.State, "")
 						}
 					})
 				}
@@ -138,7 +138,7 @@
 				if c.keeps {
 					for id, session := range sessions {
 						if h := sim.machines[id]; h != nil && h.Session != session {
-							sim.fail("%s lost its lease", id)
+							sim.addViolation("%s lost its lease", id)
 						}
 					}
 				}
@@ -146,13 +146,13 @@
 				for _, n := range sim.nodes {
 					n.peersCut = false
 				}
-				for _, id := range sim.hosts() {
+				for _, id := range sim.machineNames() {
 					sim.machines[id].inboundCut = false
 				}
 				sim.state.SetDown(false)
 				sim.runFor(30 * time.Second)
 				sim.cancel(long[3])
-				sim.settle()
+				sim.requireAllJobsEnd()
 			})
 		}
 	}
@@ -160,7 +160,7 @@
 
 // Whose word moves a holder's horizon on while it cannot read the state service itself,
 // and what else may not.
-func TestWhoVouches(t *testing.T) {
+func TestCancellationAcknowledgements(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(h *simulatedNode, m *peerpb.PeerHeartbeat)
@@ -184,42 +184,42 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			sim := steadySimulation(t, 6, 8)
-			h := sim.holder()
+			h := sim.leaseHolder()
 			sim.state.SetDown(true)
 			sim.runFor(3 * time.Second)
 			words := map[string]*peerpb.PeerHeartbeat{}
 			for _, n := range sim.nodes {
 				if n != h {
-					m := n.controller.peerHeartbeat(sim.clk.Now(), h.name)
+					m := n.controller.peerHeartbeat(sim.clock.Now(), h.name)
 					c.change(h, m)
 					words[n.name] = m
 				}
 				n.peersCut = true
 			}
-			h.controller.terms[0].cancellationsKnownUntil(sim.clk.Now())
-			before := h.controller.terms[0].cancellationsKnownUntil(sim.clk.Now())
+			h.controller.terms[0].cancellationsKnownUntil(sim.clock.Now())
+			before := h.controller.terms[0].cancellationsKnownUntil(sim.clock.Now())
 			sim.runFor(200 * time.Millisecond)
 			for _, m := range words {
 				m.ClockNs += int64(time.Second)
 				m.EchoNs += int64(time.Second) / 10
-				h.controller.HandlePeerHeartbeat(sim.clk.Now(), m)
+				h.controller.HandlePeerHeartbeat(sim.clock.Now(), m)
 			}
-			after := h.controller.terms[0].cancellationsKnownUntil(sim.clk.Now())
-			if moved := after.After(before); moved != c.moves || after.After(sim.clk.Now()) {
+			after := h.controller.terms[0].cancellationsKnownUntil(sim.clock.Now())
+			if moved := after.After(before); moved != c.moves || after.After(sim.clock.Now()) {
 				t.Errorf("horizon moved by %v, want %v", after.Sub(before), c.moves)
 			}
 		})
 	}
 	t.Run("own reads of jobs, while the control records are not read", func(t *testing.T) {
 		sim := steadySimulation(t, 6, 8)
-		h := sim.holder()
+		h := sim.leaseHolder()
 		h.silentWatches, h.peersCut = leader.ControlPrefix, true
 		sim.runFor(10 * time.Second)
-		if n := sim.holder(); n != h {
+		if n := sim.leaseHolder(); n != h {
 			t.Fatal("it is not the holder any more")
 		}
-		if at := h.controller.terms[0].cancellationsKnownUntil(sim.clk.Now()); sim.clk.Now().Sub(at) < 4*time.Second {
-			t.Errorf("it believes to know all up to %v ago, and may have lost the block since", sim.clk.Now().Sub(at))
+		if at := h.controller.terms[0].cancellationsKnownUntil(sim.clock.Now()); sim.clock.Now().Sub(at) < 4*time.Second {
+			t.Errorf("it believes to know all up to %v ago, and may have lost the block since", sim.clock.Now().Sub(at))
 		}
 	})
 }
@@ -227,7 +227,7 @@
 // A direct command with a start is held up on its way for longer than a cancelled job's
 // tasks have, on machines that others' work keeps busy. A stop cannot overtake it: only
 // the end of the session voids it.
-func TestStartOnItsWay(t *testing.T) {
+func TestCancelledStartInTransit(t *testing.T) {
 	sim := steadySimulation(t, 2, 1)
 	sim.runFor(40 * time.Second)
 	for i := range 3 {
@@ -240,7 +240,7 @@
 		Vcpus: 4, Gpus: 1, MemGb: 20, Image: "img", ImageGb: 2, AnyType: true, EstimatedRunTimeS: 10}, 10*time.Second)
 	sent := func() int {
 		n := 0
-		for _, m := range sim.holder().controller.terms[0].workers.All() {
+		for _, m := range sim.leaseHolder().controller.terms[0].workers.All() {
 			if m.DoBusy {
 				n++
 			}
@@ -263,5 +263,5 @@
 	}
 	sim.cancel(gang)
 	sim.runFor(90 * time.Second)
-	sim.settle()
+	sim.requireAllJobsEnd()
 }
--- a/internal/controller/completion_bitmaps_test.go
+++ b/internal/controller/completion_bitmaps_test.go
@@ -16,8 +16,8 @@
 	"juniperchute/internal/worker"
 )
 
-// tallyStore keeps the pages of tallies and refuses values above a limit.
-type tallyStore struct {
+// bitmapStore keeps the pages of tallies and refuses values above a limit.
+type bitmapStore struct {
 	t        *testing.T
 	now      time.Time
 	limit    int
@@ -26,7 +26,7 @@
 	refused  map[string]int
 }
 
-func (s *tallyStore) call(c store.Call, then func(time.Time, store.Result)) {
+func (s *bitmapStore) call(c store.Call, then func(time.Time, store.Result)) {
 	for _, w := range c.Transaction.Writes {
 		if len(w.Value) > s.limit {
 			s.refused[w.Put+string(w.Value)]++
@@ -44,8 +44,8 @@
 	then(s.now, store.Result{Status: 200, Revision: s.revision})
 }
 
-// entries are the stored entries' names.
-func (s *tallyStore) entries() []string {
+// storedEntries are the stored entries' names.
+func (s *bitmapStore) storedEntries() []string {
 	all := map[string]bool{}
 	for _, it := range s.keys {
 		page := map[string]json.RawMessage{}
@@ -59,8 +59,8 @@
 	return slices.Sorted(maps.Keys(all))
 }
 
-// reportDone has a machine report that every nth task of a job has completed.
-func reportDone(board *placement.Board, j *placement.Job, nth int) {
+// completeEveryNth has a machine report that every nth task of a job has completed.
+func completeEveryNth(board *placement.Board, j *placement.Job, nth int) {
 	m := &worker.Machine{Host: "i-1", State: worker.Up, Images: map[string]time.Time{}}
 	for n := 0; n < j.Spec.Tasks; n += nth {
 		m.Tasks = append(m.Tasks, wire.TaskStatus{Name: wire.TaskName(j.Spec.ID, n), Attempt: 1, State: wire.TaskExited, ExitReason: wire.ExitDone})
@@ -68,10 +68,10 @@
 	board.Reported(time.Unix(0, 0), m, worker.Fresh, true)
 }
 
-// tallyBoard is a board with one job.
-func tallyBoard(spec wire.JobSpec) (*placement.Board, *placement.Job) {
+// singleJobScheduler is a board with one job.
+func singleJobScheduler(spec wire.JobSpec) (*placement.Board, *placement.Job) {
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
-	cfg := facts([]string{"a"}, nil, 1.5, 10)
+	cfg := testConfig([]string{"a"}, nil, 1.5, 10)
 	reg := worker.NewRegistry(cfg.Platform.Workers, quiet)
 	board := placement.NewBoard(cfg.Platform, 1, quota.NewBook(nil, 0, 1), reg, nil, quiet, func(time.Time, *placement.Job) {})
 	return board, board.AddJob(time.Unix(0, 0), spec, time.Unix(0, 0), 1, true)
@@ -80,7 +80,7 @@
 // What the completions of jobs are written as where the limits to come are smaller than
 // the present ones: as earlier versions read them wherever that fits, so that a rollback
 // repeats no work; and in smaller entries where the service refuses even those.
-func TestTalliesWritten(t *testing.T) {
+func TestCompletionBitmapsWritten(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		tasks   int
@@ -95,9 +95,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			spec := wire.JobSpec{ID: "job-1", Shape: wire.ShapeBatch, Tasks: c.tasks}
-			s := &tallyStore{t: t, now: time.Unix(100, 0), limit: c.limit, keys: map[string]wire.KeyValue{}, refused: map[string]int{}}
+			s := &bitmapStore{t: t, now: time.Unix(100, 0), limit: c.limit, keys: map[string]wire.KeyValue{}, refused: map[string]int{}}
 			newTenure := func() (*completionBitmaps, *placement.Board, *placement.Job) {
-				board, j := tallyBoard(spec)
+				board, j := singleJobScheduler(spec)
 				pages := store.NewPages("t/0/", 2, time.Second, store.PriorityCompletion, store.VersionEquals("c/b/0", 1), s.call,
 					slog.New(slog.NewTextHandler(io.Discard, nil)), func(time.Time) { t.Error("lost") })
 				tl := newCompletionBitmaps(pages, 8)
@@ -111,13 +111,13 @@
 				}
 			}
 			tl, board, j := newTenure()
-			reportDone(board, j, 7)
+			completeEveryNth(board, j, 7)
 			tl.save(j, board.Job)
 			run(tl)
 			if fresh, _ := j.Unsaved(0, c.tasks); len(fresh) > 0 {
 				t.Errorf("%d completions are not durable", len(fresh))
 			}
-			if got := s.entries(); !slices.Equal(got, c.entries) {
+			if got := s.storedEntries(); !slices.Equal(got, c.entries) {
 				t.Errorf("written as %v, want %v", got, c.entries)
 			}
 			for value, n := range s.refused {
--- a/internal/controller/completions_test.go
+++ b/internal/controller/completions_test.go
@@ -14,7 +14,7 @@
 // important job's end must not wait behind hundreds of others that completed before it.
 func TestOrderOfEnds(t *testing.T) {
 	now := time.Unix(1000, 0)
-	board, _ := tallyBoard(wire.JobSpec{ID: "job-9", Shape: wire.ShapeBatch, Tasks: 1})
+	board, _ := singleJobScheduler(wire.JobSpec{ID: "job-9", Shape: wire.ShapeBatch, Tasks: 1})
 	o := newJobCompletions(nil, nil)
 	add := func(id, priority string, ago time.Duration) {
 		j := board.AddJob(now, wire.JobSpec{ID: id, Shape: wire.ShapeBatch, Priority: priority, Tasks: 1}, now, 1, false)
@@ -41,7 +41,7 @@
 // While the state service takes few writes, the ends of jobs that matter more are told
 // first, and no more than a few are asked for at once.
 func TestEndsUnderAShortRate(t *testing.T) {
-	sim := newSimulation(t, 5, facts([]string{"a"}, steadyTeams, 1.5, 10), 1, []wire.MachineType{smallType})
+	sim := newSimulation(t, 5, testConfig([]string{"a"}, steadyTeams, 1.5, 10), 1, []wire.MachineType{smallType})
 	sim.cloud.Room[standin.RoomKey(smallType.Name, "a", false)] = 40
 	for i := range 150 {
 		s := steadyJob(i)
@@ -54,7 +54,7 @@
 	sim.runFor(26 * time.Second)
 	sim.state.Limits.Writes = 4 // two ends a second
 	completed, longest := map[*standin.Job]time.Time{}, map[string]time.Duration{}
-	sim.cluster.CompletedHook = func(j *standin.Job) { completed[j] = sim.clk.Now() }
+	sim.cluster.CompletedHook = func(j *standin.Job) { completed[j] = sim.clock.Now() }
 	for range 120 {
 		sim.runFor(500 * time.Millisecond)
 		for _, n := range sim.nodes {
@@ -64,7 +64,7 @@
 		}
 		for j, at := range completed {
 			if !j.Ended() {
-				longest[j.Spec.Priority] = max(longest[j.Spec.Priority], sim.clk.Now().Sub(at))
+				longest[j.Spec.Priority] = max(longest[j.Spec.Priority], sim.clock.Now().Sub(at))
 			}
 		}
 	}
@@ -74,5 +74,5 @@
 	if longest["high"] > longest["low"]*3/4 {
 		t.Errorf("an end of high priority waited %v, of low priority %v at most", longest["high"], longest["low"])
 	}
-	sim.requireUnbroken()
+	sim.requireNoViolations()
 }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -33,7 +33,7 @@
 		{"never to itself", []*peerpb.LeaseClaim{{Token: 4, Holder: "n0"}}, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			cfg := facts([]string{"a"}, []config.Team{{Name: "red"}}, 1.5, 10)
+			cfg := testConfig([]string{"a"}, []config.Team{{Name: "red"}}, 1.5, 10)
 			cfg.Member = "n0"
 			cfg.Peers = []config.Peer{{Member: "n1"}, {Member: "n2"}}
 			core := NewController(cfg, Options{Blocks: 1}, nil, rand.New(rand.NewPCG(1, 1)), func() time.Time { return now }, slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -49,14 +49,14 @@
 	}
 }
 
-// heldCalls is an Env that keeps the calls for progress.
-type heldCalls struct {
+// heldProgressRequests is an Env that keeps the calls for progress.
+type heldProgressRequests struct {
 	Effects
 	asked []*peerpb.ProgressRequest
 	then  []func(now time.Time, r *peerpb.ProgressReply, err error)
 }
 
-func (e *heldCalls) AskProgress(_ string, m *peerpb.ProgressRequest, then func(now time.Time, r *peerpb.ProgressReply, err error)) {
+func (e *heldProgressRequests) AskProgress(_ string, m *peerpb.ProgressRequest, then func(now time.Time, r *peerpb.ProgressReply, err error)) {
 	e.asked, e.then = append(e.asked, m), append(e.then, then)
 }
 
@@ -64,9 +64,9 @@
 // while one call is under way goes with the next, and each gets its own answer.
 func TestProgressTogether(t *testing.T) {
 	now := time.Unix(1000, 0)
-	cfg := facts([]string{"a"}, []config.Team{{Name: "red"}}, 1.5, 10)
+	cfg := testConfig([]string{"a"}, []config.Team{{Name: "red"}}, 1.5, 10)
 	cfg.Member, cfg.Peers = "n0", []config.Peer{{Member: "n1"}}
-	env := &heldCalls{}
+	env := &heldProgressRequests{}
 	core := NewController(cfg, Options{Blocks: 1}, env, rand.New(rand.NewPCG(1, 1)), func() time.Time { return now }, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	core.HandlePeerHeartbeat(now, &peerpb.PeerHeartbeat{Member: "n1", Claims: []*peerpb.LeaseClaim{{Token: 4, Holder: "n1"}}})
 	const questions = 90
--- a/internal/controller/digest_test.go
+++ b/internal/controller/digest_test.go
@@ -94,46 +94,46 @@
 
 func (sim *simulation) recordStateCall(node string, c store.Call) {
 	if d := sim.digest; d != nil {
-		d.add(sim.clk.Now(), node, "state", c.Op, c.Priority, c.Key, c.Prefix, c.After, c.SinceRevision, c.PageSize, c.Transaction, c.Lease, c.LeaseTTL, c.WatchWaitMs)
+		d.add(sim.clock.Now(), node, "state", c.Op, c.Priority, c.Key, c.Prefix, c.After, c.SinceRevision, c.PageSize, c.Transaction, c.Lease, c.LeaseTTL, c.WatchWaitMs)
 	}
 }
 
 func (sim *simulation) recordCloudCall(node string, c fleet.Call) {
 	if d := sim.digest; d != nil {
-		d.add(sim.clk.Now(), node, "cloud", c.Op, c.Rental, c.Hosts, c.After, sinceEpoch(c.By))
+		d.add(sim.clock.Now(), node, "cloud", c.Op, c.Rental, c.Hosts, c.After, sinceEpoch(c.By))
 	}
 }
 
 func (sim *simulation) recordCommand(node, address string, do wire.DirectCommands, by time.Time) {
 	if d := sim.digest; d != nil {
-		d.add(sim.clk.Now(), node, "command", address, do, sinceEpoch(by))
+		d.add(sim.clock.Now(), node, "command", address, do, sinceEpoch(by))
 	}
 }
 
 // recordPeerCall records a message to another controller.
 func (sim *simulation) recordPeerCall(node, member, method string, message proto.Message) {
 	if d := sim.digest; d != nil {
-		d.add(sim.clk.Now(), node, "peer", member, method, message)
+		d.add(sim.clock.Now(), node, "peer", member, method, message)
 	}
 }
 
 // recordPeerAnswer records what a controller answers another one.
 func (sim *simulation) recordPeerAnswer(node, method string, message proto.Message) {
 	if d := sim.digest; d != nil {
-		d.add(sim.clk.Now(), node, "peer answer", method, message)
+		d.add(sim.clock.Now(), node, "peer answer", method, message)
 	}
 }
 
 // recordWorkerAnswer records what a controller answers a worker's report.
 func (sim *simulation) recordWorkerAnswer(node, host string, status int, body any) {
 	if d := sim.digest; d != nil {
-		d.add(sim.clk.Now(), node, "worker answer", host, status, body)
+		d.add(sim.clock.Now(), node, "worker answer", host, status, body)
 	}
 }
 
 // recordUserAnswer records what a controller answers a user.
 func (sim *simulation) recordUserAnswer(node string, r submission.Response) {
 	if d := sim.digest; d != nil {
-		d.add(sim.clk.Now(), node, "user answer", r.Status, r.Body, r.RetryAfter)
+		d.add(sim.clock.Now(), node, "user answer", r.Status, r.Body, r.RetryAfter)
 	}
 }
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -28,7 +28,7 @@
 	const perHire = 50
 	for range b.N {
 		machineTypes := []wire.MachineType{{Name: "g8", Vcpus: 64, Gpus: 8, MemGb: 384, FetchGbPerS: 1, Price: 5, SpotPrice: 2, BootTimeS: 50, Zones: []string{"a"}}}
-		cfg := facts([]string{"a"}, []config.Team{{Name: "red"}}, 4, 18)
+		cfg := testConfig([]string{"a"}, []config.Team{{Name: "red"}}, 4, 18)
 		cfg.Platform.State.ValueKB = 8
 		sim := newSimulation(nil, 5, cfg, 1, machineTypes)
 		put := func(key string, value any) {
@@ -43,7 +43,7 @@
 			names = append(names, id)
 			used[id] = "addr-" + id
 			host := wire.Machine{ID: id, Address: "addr-" + id, Type: "g8", Zone: "a", State: wire.MachineRunning}
-			sim.cloud.Hosts[id] = &standin.CloudHost{Born: sim.clk.Now(), Machine: host}
+			sim.cloud.Hosts[id] = &standin.CloudHost{Born: sim.clock.Now(), Machine: host}
 			sim.booted(sim.cloud.Hosts[id])
 			if len(names) == perHire {
 				put(fmt.Sprintf("%sb0-0-%d", fleet.Rentals(0), i), fleet.RentalRec{Type: "g8", Zone: "a", Number: perHire, Hosts: names})
@@ -63,20 +63,20 @@
 				s.Shape, s.Priority, s.Tasks, s.Vcpus, s.Gpus, s.MemGb = wire.ShapeGang, "normal", 4, 57, 8, 310
 			}
 			sim.cluster.AddJob(standin.NewJob(s, time.Minute))
-			put(submission.OpenKey(id), submission.OpenRec{Spec: s, At: sim.clk.Now().UnixMilli()})
+			put(submission.OpenKey(id), submission.OpenRec{Spec: s, At: sim.clock.Now().UnixMilli()})
 		}
-		start, began := time.Now(), sim.clk.Now()
-		for sim.holder() == nil && sim.clk.Now().Sub(began) < time.Minute {
-			sim.clk.Step()
+		start, began := time.Now(), sim.clock.Now()
+		for sim.leaseHolder() == nil && sim.clock.Now().Sub(began) < time.Minute {
+			sim.clock.Step()
 		}
-		open := sim.clk.Now().Sub(began)
+		open := sim.clock.Now().Sub(began)
 		b.ReportMetric(open.Seconds(), "simulated-s/open")
 		b.ReportMetric(float64(time.Since(start).Milliseconds()), "ms/open")
-		for sim.clk.Now().Sub(began) < open+3*time.Second {
-			sim.clk.Step()
+		for sim.clock.Now().Sub(began) < open+3*time.Second {
+			sim.clock.Step()
 		}
 		b.ReportMetric(float64(time.Since(start).Milliseconds()), "ms/open+3s")
-		if sim.holder() == nil {
+		if sim.leaseHolder() == nil {
 			b.Fatal("no holder after a minute")
 		}
 	}
--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -27,22 +27,22 @@
 			for i := range 10 {
 				m.jobs(1, 5*time.Second, 40*time.Second)
 				if i%4 == 2 {
-					m.stateOutage(m.ms(4000, 20000))
+					m.stateOutage(m.randomMillis(4000, 20000))
 				}
-				m.leader().crash(m.ms(50, 3000))
-				m.runFor(m.ms(8000, 14000))
+				m.leaderOrAny().crash(m.randomMillis(50, 3000))
+				m.runFor(m.randomMillis(8000, 14000))
 				m.cancelSome(0.1)
 			}
 		}},
 		{"jobs bound to one zone lose machines", 2, small, func(m *faultScenario) {
 			for i := range 6 {
-				m.job(func(s *wire.JobSpec) { s.Zone = m.zones[i%2]; s.SameZone = i%3 == 0 }, m.ms(10000, 40000))
-				m.runFor(m.ms(5000, 10000))
-				for _, h := range m.someMachines() {
+				m.job(func(s *wire.JobSpec) { s.Zone = m.zones[i%2]; s.SameZone = i%3 == 0 }, m.randomMillis(10000, 40000))
+				m.runFor(m.randomMillis(5000, 10000))
+				for _, h := range m.randomMachines() {
 					m.cloud.Remove(h.Host.ID)
 				}
 				if i%3 == 2 {
-					m.leader().crash(m.ms(100, 2000))
+					m.leaderOrAny().crash(m.randomMillis(100, 2000))
 				}
 			}
 		}},
@@ -50,76 +50,76 @@
 			for range 2 {
 				m.jobs(4, 60*time.Second, 150*time.Second)
 				m.runFor(25 * time.Second)
-				n := m.leader()
-				m.refuseState(n, m.ms(5000, 14000))
-				m.runFor(m.ms(100, 1500))
+				n := m.leaderOrAny()
+				m.refuseState(n, m.randomMillis(5000, 14000))
+				m.runFor(m.randomMillis(100, 1500))
 				m.cancelSome(0.7)
-				m.runFor(m.ms(300, 1200))
-				m.stateOutage(m.ms(40000, 60000))
+				m.runFor(m.randomMillis(300, 1200))
+				m.stateOutage(m.randomMillis(40000, 60000))
 				if m.rng.IntN(2) == 0 {
-					m.clk.In(m.ms(2000, 20000), func() { m.nodes[m.rng.IntN(3)].crash(m.ms(100, 900)) })
+					m.clock.In(m.randomMillis(2000, 20000), func() { m.nodes[m.rng.IntN(3)].crash(m.randomMillis(100, 900)) })
 				}
 				if m.rng.IntN(3) == 0 {
 					n.peersCut = true
-					m.clk.In(m.ms(5000, 50000), func() { n.peersCut = false })
+					m.clock.In(m.randomMillis(5000, 50000), func() { n.peersCut = false })
 				}
 				m.runFor(75 * time.Second)
 			}
 		}},
 		{"jobs of two or three tasks end far apart across a change of leader", 1, small, func(m *faultScenario) {
 			for range 5 {
-				j := m.job(func(s *wire.JobSpec) { s.Shape, s.Tasks = wire.ShapeBatch, 2+m.rng.IntN(2) }, m.ms(3000, 8000))
-				m.runFor(m.ms(6000, 9000))
-				for _, id := range m.hosts() {
+				j := m.job(func(s *wire.JobSpec) { s.Shape, s.Tasks = wire.ShapeBatch, 2+m.rng.IntN(2) }, m.randomMillis(3000, 8000))
+				m.runFor(m.randomMillis(6000, 9000))
+				for _, id := range m.machineNames() {
 					for _, p := range m.machines[id].Tasks {
 						if p.Job == j && p.N > 0 && p.Stage == wire.TaskRunning {
-							p.Until = m.clk.Now().Add(m.ms(10000, 30000))
+							p.Until = m.clock.Now().Add(m.randomMillis(10000, 30000))
 						}
 					}
 				}
-				m.leader().crash(m.ms(100, 5000))
-				m.runFor(m.ms(4000, 9000))
+				m.leaderOrAny().crash(m.randomMillis(100, 5000))
+				m.runFor(m.randomMillis(4000, 9000))
 			}
 		}},
 		{"every team at its limit, cancelled with machines cut off or hung, and the leader changes", 1, tight, func(m *faultScenario) {
 			for i := range 4 {
 				m.jobs(5, 30*time.Second, 90*time.Second)
-				m.runFor(m.ms(8000, 20000))
-				m.hit(0.5, m.ms(4000, 30000), []machineFlag{hang, partition}[i%2])
+				m.runFor(m.randomMillis(8000, 20000))
+				m.applyFaultToShare(0.5, m.randomMillis(4000, 30000), []machineFlag{hang, partition}[i%2])
 				m.cancelSome(0.6)
-				m.runFor(m.ms(0, 1500))
-				m.leader().crash(m.ms(100, 6000))
+				m.runFor(m.randomMillis(0, 1500))
+				m.leaderOrAny().crash(m.randomMillis(100, 6000))
 				m.jobs(3, 10*time.Second, 30*time.Second)
-				m.runFor(m.ms(10000, 20000))
+				m.runFor(m.randomMillis(10000, 20000))
 			}
 		}},
 		{"controllers hand over and back, all end, and one returns", 1, small, func(m *faultScenario) {
 			for range 5 {
 				m.jobs(2, 10*time.Second, 60*time.Second)
-				m.runFor(m.ms(4000, 8000))
-				m.leader().crash(m.ms(100, 900))
-				m.runFor(m.ms(500, 6000))
-				m.leader().crash(m.ms(100, 900))
-				m.runFor(m.ms(200, 5000))
+				m.runFor(m.randomMillis(4000, 8000))
+				m.leaderOrAny().crash(m.randomMillis(100, 900))
+				m.runFor(m.randomMillis(500, 6000))
+				m.leaderOrAny().crash(m.randomMillis(100, 900))
+				m.runFor(m.randomMillis(200, 5000))
 				first := m.rng.IntN(3)
 				for i, n := range m.nodes {
-					n.crash(map[bool]time.Duration{true: m.ms(100, 900), false: m.ms(5000, 20000)}[i == first])
+					n.crash(map[bool]time.Duration{true: m.randomMillis(100, 900), false: m.randomMillis(5000, 20000)}[i == first])
 				}
-				m.runFor(m.ms(5000, 20000))
+				m.runFor(m.randomMillis(5000, 20000))
 			}
 		}},
 		{"a zone with workers and a controller is cut off for longer than a lease", 2, small, func(m *faultScenario) {
 			for i := range 3 {
 				m.jobs(4, 20*time.Second, 60*time.Second)
-				m.runFor(m.ms(10000, 15000))
-				m.zoneCut = m.zones[i%2]
+				m.runFor(m.randomMillis(10000, 15000))
+				m.isolatedZone = m.zones[i%2]
 				m.cancelSome(0.3)
-				m.runFor(m.ms(12000, 40000))
-				m.zoneCut = ""
+				m.runFor(m.randomMillis(12000, 40000))
+				m.isolatedZone = ""
 				for _, n := range m.nodes {
-					n.restoreState()
+					n.reconnectState()
 				}
-				for _, id := range m.hosts() {
+				for _, id := range m.machineNames() {
 					m.release(m.machines[id])
 				}
 			}
@@ -127,24 +127,24 @@
 		{"all controllers are away for longer than a lease", 1, small, func(m *faultScenario) {
 			for range 3 {
 				m.jobs(4, 20*time.Second, 60*time.Second)
-				m.runFor(m.ms(12000, 18000))
+				m.runFor(m.randomMillis(12000, 18000))
 				for _, n := range m.nodes {
-					n.crash(m.ms(11000, 20000))
+					n.crash(m.randomMillis(11000, 20000))
 				}
-				m.runFor(m.ms(20000, 25000))
+				m.runFor(m.randomMillis(20000, 25000))
 			}
 		}},
 		{"workers reach no controller, commands reach them", 1, small, func(m *faultScenario) {
 			for range 4 {
 				m.jobs(3, 20*time.Second, 60*time.Second)
-				m.runFor(m.ms(8000, 12000))
-				m.hit(0.7, m.ms(3000, 30000), cutOutbound)
+				m.runFor(m.randomMillis(8000, 12000))
+				m.applyFaultToShare(0.7, m.randomMillis(3000, 30000), cutOutbound)
 				m.cancelSome(0.3)
-				m.runFor(m.ms(0, 3000))
+				m.runFor(m.randomMillis(0, 3000))
 				if m.rng.IntN(2) == 0 {
-					m.leader().crash(m.ms(100, 3000))
+					m.leaderOrAny().crash(m.randomMillis(100, 3000))
 				}
-				m.runFor(m.ms(8000, 20000))
+				m.runFor(m.randomMillis(8000, 20000))
 			}
 		}},
 		{"machines are up at once and get work while writes lag, and the leader ends", 1, small, func(m *faultScenario) {
@@ -152,70 +152,70 @@
 			m.rates.lateWrites, m.rates.slowState = 0.15, 800*time.Millisecond
 			for range 6 {
 				m.jobs(4, 5*time.Second, 40*time.Second)
-				m.runFor(m.ms(500, 6000))
-				m.leader().crash(m.ms(100, 3000))
-				m.runFor(m.ms(6000, 15000))
+				m.runFor(m.randomMillis(500, 6000))
+				m.leaderOrAny().crash(m.randomMillis(100, 3000))
+				m.runFor(m.randomMillis(6000, 15000))
 			}
 		}},
 		{"a cancellation, a question or a submission meets the end of a job", 1, small, func(m *faultScenario) {
-			m.rates.cancelAtEnd, m.rates.closeQueries = 0.7, true
+			m.rates.cancelAtEnd, m.rates.burstsOfQueries = 0.7, true
 			for range 12 {
 				m.jobs(2, 2*time.Second, 8*time.Second)
-				m.runFor(m.ms(2000, 6000))
+				m.runFor(m.randomMillis(2000, 6000))
 			}
 		}},
 		{"users ask at all nodes within milliseconds of each news", 1, small, func(m *faultScenario) {
-			m.rates.closeQueries, m.rates.lostAnswers, m.rates.slowState = true, 0.05, 60*time.Millisecond
+			m.rates.burstsOfQueries, m.rates.lostAnswers, m.rates.slowState = true, 0.05, 60*time.Millisecond
 			for range 15 {
 				m.jobs(2, 2*time.Second, 8*time.Second)
 				m.cancelSome(0.15)
-				m.runFor(m.ms(1000, 5000))
-				m.oddRequest()
+				m.runFor(m.randomMillis(1000, 5000))
+				m.invalidRequest()
 			}
 		}},
 		{"a command or its answer is held up for seconds, and the machine goes on", 1, small, func(m *faultScenario) {
 			m.rates.delayedCommands = 0.3
 			for range 8 {
 				m.jobs(2, 10*time.Second, 60*time.Second)
-				m.job(func(s *wire.JobSpec) { s.Shape, s.Priority = wire.ShapeGang, "critical" }, m.ms(5000, 60000))
-				m.runFor(m.ms(3000, 9000))
+				m.job(func(s *wire.JobSpec) { s.Shape, s.Priority = wire.ShapeGang, "critical" }, m.randomMillis(5000, 60000))
+				m.runFor(m.randomMillis(3000, 9000))
 				m.cancelSome(0.25)
 				if m.rng.IntN(4) == 0 {
-					m.leader().crash(m.ms(100, 3000))
+					m.leaderOrAny().crash(m.randomMillis(100, 3000))
 				}
 			}
 		}},
 		{"jobs are cancelled while one controller's work changes hands", 1, small, func(m *faultScenario) {
 			for range 5 {
 				m.jobs(4, 20*time.Second, 80*time.Second)
-				m.runFor(m.ms(8000, 14000))
-				m.leader().crash(m.ms(100, 6000))
+				m.runFor(m.randomMillis(8000, 14000))
+				m.leaderOrAny().crash(m.randomMillis(100, 6000))
 				for range 8 {
 					m.cancelSome(0.12)
-					m.runFor(m.ms(200, 900))
+					m.runFor(m.randomMillis(200, 900))
 				}
 			}
 		}},
 		{"a leader ends while machines with long tasks are not reached, or do not hear the next", 1, small, func(m *faultScenario) {
 			for i := range 4 {
 				m.jobs(4, 40*time.Second, 120*time.Second)
-				m.runFor(m.ms(10000, 15000))
-				m.hit(0.5, m.ms(5000, 40000), []machineFlag{partition, cutInbound, cutOutbound}[i%3])
-				m.leader().crash(m.ms(100, 5000))
-				m.runFor(m.ms(100, 8000))
+				m.runFor(m.randomMillis(10000, 15000))
+				m.applyFaultToShare(0.5, m.randomMillis(5000, 40000), []machineFlag{partition, cutInbound, cutOutbound}[i%3])
+				m.leaderOrAny().crash(m.randomMillis(100, 5000))
+				m.runFor(m.randomMillis(100, 8000))
 				m.cancelSome(0.4)
-				m.runFor(m.ms(10000, 30000))
+				m.runFor(m.randomMillis(10000, 30000))
 			}
 		}},
 		{"an old report reaches every controller as a new leader begins, or has acted", 1, small, func(m *faultScenario) {
-			m.rates.nextReports = 0.3
+			m.rates.heartbeatsToNextLeaseHolder = 0.3
 			for range 6 {
 				m.jobs(3, 15*time.Second, 60*time.Second)
-				m.runFor(m.ms(5000, 12000))
+				m.runFor(m.randomMillis(5000, 12000))
 				m.cancelSome(0.2)
-				m.hit(0.4, m.ms(2000, 12000), partition)
-				m.leader().crash(m.ms(100, 3000))
-				m.runFor(m.ms(5000, 12000))
+				m.applyFaultToShare(0.4, m.randomMillis(2000, 12000), partition)
+				m.leaderOrAny().crash(m.randomMillis(100, 3000))
+				m.runFor(m.randomMillis(5000, 12000))
 			}
 		}},
 		{"transactions are carried out late, after newer ones", 1, small, func(m *faultScenario) {
@@ -223,20 +223,20 @@
 			for range 12 {
 				m.jobs(2, 3*time.Second, 20*time.Second)
 				m.cancelSome(0.15)
-				m.runFor(m.ms(3000, 8000))
+				m.runFor(m.randomMillis(3000, 8000))
 				if m.rng.IntN(4) == 0 {
-					m.leader().crash(m.ms(100, 3000))
+					m.leaderOrAny().crash(m.randomMillis(100, 3000))
 				}
 			}
 		}},
 		{"transactions are carried out, their answers lost, while others read what they wrote", 1, small, func(m *faultScenario) {
-			m.rates.lostAnswers, m.rates.closeQueries = 0.3, true
+			m.rates.lostAnswers, m.rates.burstsOfQueries = 0.3, true
 			for range 12 {
 				m.jobs(2, 3*time.Second, 20*time.Second)
 				m.cancelSome(0.15)
-				m.runFor(m.ms(3000, 8000))
+				m.runFor(m.randomMillis(3000, 8000))
 				if m.rng.IntN(4) == 0 {
-					m.leader().crash(m.ms(100, 3000))
+					m.leaderOrAny().crash(m.randomMillis(100, 3000))
 				}
 			}
 		}},
@@ -244,78 +244,78 @@
 			m.rates.slowLinks = 1500 * time.Millisecond
 			for range 10 {
 				m.jobs(4, 5*time.Second, 30*time.Second)
-				m.runFor(m.ms(3000, 8000))
+				m.runFor(m.randomMillis(3000, 8000))
 				m.cancelSome(0.1)
 			}
 			m.rates.slowLinks = 0
 		}},
 		{"one-task jobs come four a second, a quarter of them cancelled", 1, small, func(m *faultScenario) {
 			for range 240 {
-				j := m.job(func(s *wire.JobSpec) { s.Shape, s.Tasks, s.Gpus, s.Vcpus = wire.ShapeBatch, 1, 0, 1 }, m.ms(1000, 5000))
+				j := m.job(func(s *wire.JobSpec) { s.Shape, s.Tasks, s.Gpus, s.Vcpus = wire.ShapeBatch, 1, 0, 1 }, m.randomMillis(1000, 5000))
 				if m.rng.IntN(4) == 0 {
-					m.clk.In(m.ms(0, 4000), func() { m.cancel(j) })
+					m.clock.In(m.randomMillis(0, 4000), func() { m.cancel(j) })
 				}
 				m.runFor(250 * time.Millisecond)
 			}
 		}},
 		{"the state service is slow, or refuses the leader and then all, while users cancel and ask", 1, small, func(m *faultScenario) {
-			m.rates.closeQueries = true
+			m.rates.burstsOfQueries = true
 			for i := range 3 {
 				m.rates.slowState = 1200 * time.Millisecond
 				m.jobs(4, 30*time.Second, 100*time.Second)
-				m.runFor(m.ms(15000, 20000))
+				m.runFor(m.randomMillis(15000, 20000))
 				m.rates.slowState = 0
-				m.refuseState(m.leader(), m.ms(3000, 20000))
+				m.refuseState(m.leaderOrAny(), m.randomMillis(3000, 20000))
 				m.cancelSome(0.4)
-				m.runFor(m.ms(500, 4000))
+				m.runFor(m.randomMillis(500, 4000))
 				if i%2 == 0 {
-					m.stateOutage(m.ms(36000, 50000))
+					m.stateOutage(m.randomMillis(36000, 50000))
 				}
 				m.cancelSome(0.4)
-				m.runFor(m.ms(20000, 55000))
+				m.runFor(m.randomMillis(20000, 55000))
 			}
 		}},
 		{"old reports come after newer ones, also of an earlier session or attempt", 1, small, func(m *faultScenario) {
-			m.rates.lateReports = 0.3
+			m.rates.lateHeartbeats = 0.3
 			for range 8 {
 				m.jobs(3, 3*time.Second, 30*time.Second)
-				m.hit(0.2, m.ms(500, 15000), partition)
+				m.applyFaultToShare(0.2, m.randomMillis(500, 15000), partition)
 				m.cancelSome(0.1)
-				m.runFor(m.ms(4000, 10000))
+				m.runFor(m.randomMillis(4000, 10000))
 			}
 		}},
 		{"a leader left with its workers and users, jobs cancelled through the new one", 1, small, func(m *faultScenario) {
 			for range 3 {
 				m.jobs(4, 40*time.Second, 120*time.Second)
-				m.runFor(m.ms(12000, 18000))
-				m.leaveWithWorkers(m.leader(), m.ms(10000, 50000))
+				m.runFor(m.randomMillis(12000, 18000))
+				m.leaveWithWorkers(m.leaderOrAny(), m.randomMillis(10000, 50000))
 				for range 5 {
-					m.runFor(m.ms(1000, 5000))
+					m.runFor(m.randomMillis(1000, 5000))
 					m.cancelSome(0.2)
 				}
-				m.runFor(m.ms(10000, 30000))
+				m.runFor(m.randomMillis(10000, 30000))
 			}
 		}},
 		{"a team at its limit, the leader changes, machines cannot be asked, a cancellation in that spell", 1, tight, func(m *faultScenario) {
 			for i := range 5 {
 				m.jobs(5, 30*time.Second, 90*time.Second)
-				m.runFor(m.ms(8000, 15000))
-				m.hit(0.4, m.ms(3000, 45000), []machineFlag{partition, hang, cutInbound}[i%3])
-				m.leader().crash(m.ms(100, 3000))
-				m.runFor(m.ms(500, 6000))
+				m.runFor(m.randomMillis(8000, 15000))
+				m.applyFaultToShare(0.4, m.randomMillis(3000, 45000), []machineFlag{partition, hang, cutInbound}[i%3])
+				m.leaderOrAny().crash(m.randomMillis(100, 3000))
+				m.runFor(m.randomMillis(500, 6000))
 				m.cancelSome(0.4)
 				m.jobs(2, 5*time.Second, 30*time.Second)
-				m.runFor(m.ms(5000, 20000))
+				m.runFor(m.randomMillis(5000, 20000))
 			}
 		}},
 		{"everything is back within a fraction of a second, also in mid-election", 1, small, func(m *faultScenario) {
 			for range 12 {
 				m.jobs(1, 5*time.Second, 40*time.Second)
-				m.leader().crash(m.ms(20, 300))
-				m.runFor(m.ms(20, 900))
-				m.nodes[m.rng.IntN(3)].crash(m.ms(20, 300))
+				m.leaderOrAny().crash(m.randomMillis(20, 300))
+				m.runFor(m.randomMillis(20, 900))
+				m.nodes[m.rng.IntN(3)].crash(m.randomMillis(20, 300))
 				m.cancelSome(0.1)
-				m.runFor(m.ms(200, 9000))
+				m.runFor(m.randomMillis(200, 9000))
 			}
 		}},
 	} {
@@ -330,17 +330,17 @@
 				if seed%2 == 1 {
 					report, lease = 4, 18
 				}
-				sim := newSimulation(t, uint64(100+seed), facts(zones, c.teams, report, lease), 1, machineTypes)
+				sim := newSimulation(t, uint64(100+seed), testConfig(zones, c.teams, report, lease), 1, machineTypes)
 				for _, z := range zones {
 					sim.cloud.Room[standin.RoomKey(machineTypes[0].Name, z, true)] = 5
 					sim.cloud.Room[standin.RoomKey(machineTypes[0].Name, z, false)] = 8
 				}
 				m := &faultScenario{simulation: sim, zones: zones, machineTypes: machineTypes}
 				c.play(m)
-				m.zoneCut = ""
+				m.isolatedZone = ""
 				sim.finish()
-				if len(sim.broken()) > 0 {
-					t.Fatalf("seed %d: %s", seed, sim.broken()[0])
+				if len(sim.violations()) > 0 {
+					t.Fatalf("seed %d: %s", seed, sim.violations()[0])
 				}
 			})
 		}
--- a/internal/controller/fault_scenario_test.go
+++ b/internal/controller/fault_scenario_test.go
@@ -13,12 +13,12 @@
 	*simulation
 	zones        []string
 	machineTypes []wire.MachineType
-	n            int // jobs so far
+	jobCount     int // jobs so far
 }
 
 // job makes a user submit a random job, changed as a scenario needs it.
 func (m *faultScenario) job(change func(s *wire.JobSpec), run time.Duration) *standin.Job {
-	s := wire.JobSpec{ID: fmt.Sprintf("job-%06d", m.n), Team: m.cfg.Platform.Teams[m.rng.IntN(len(m.cfg.Platform.Teams))].Name, Class: "sweep",
+	s := wire.JobSpec{ID: fmt.Sprintf("job-%06d", m.jobCount), Team: m.cfg.Platform.Teams[m.rng.IntN(len(m.cfg.Platform.Teams))].Name, Class: "sweep",
 		Shape: wire.ShapeBatch, Priority: []string{"low", "normal", "high", "critical"}[m.rng.IntN(4)], Tasks: 1 + m.rng.IntN(4),
 		Vcpus: 4, Gpus: 1, MemGb: 20, Image: fmt.Sprintf("img-%d", m.rng.IntN(3)), ImageGb: 2, AnyType: true, Spot: m.rng.IntN(2) == 0, EstimatedRunTimeS: run.Seconds()}
 	if m.rng.IntN(3) == 0 {
@@ -30,7 +30,7 @@
 	if change != nil {
 		change(&s)
 	}
-	m.n++
+	m.jobCount++
 	return m.add(s, run)
 }
 
@@ -41,14 +41,14 @@
 	}
 }
 
-func (m *faultScenario) ms(least, most int) time.Duration {
+func (m *faultScenario) randomMillis(least, most int) time.Duration {
 	return time.Duration(least+m.rng.IntN(most-least+1)) * time.Millisecond
 }
 
-// leader is whoever holds the block or is about to, or any node.
-func (m *faultScenario) leader() *simulatedNode {
+// leaderOrAny is whoever holds the block or is about to, or any node.
+func (m *faultScenario) leaderOrAny() *simulatedNode {
 	for _, n := range m.nodes {
-		if t := n.controller.terms[0]; n.alive && t != nil && t.state != termEnded && n.controller.membership.LeaseValid(m.clk.Now()) {
+		if t := n.controller.terms[0]; n.alive && t != nil && t.state != termEnded && n.controller.membership.LeaseValid(m.clock.Now()) {
 			return n
 		}
 	}
@@ -60,18 +60,18 @@
 func (m *faultScenario) cancelSome(share float64) {
 	for _, j := range m.cluster.Order {
 		if j.Accepted && !j.CancelAsked && j.Told != wire.JobDone && m.rng.Float64() < share {
-			m.clk.In(m.ms(0, 200), func() { m.cancel(j) })
+			m.clock.In(m.randomMillis(0, 200), func() { m.cancel(j) })
 		}
 	}
 }
 
-// hit does something to a part of the machines for a time.
-func (m *faultScenario) hit(share float64, d time.Duration, set machineFlag) {
+// applyFaultToShare does something to a part of the machines for a time.
+func (m *faultScenario) applyFaultToShare(share float64, d time.Duration, set machineFlag) {
 	var chosen []*machine
-	for _, name := range m.hosts() {
+	for _, name := range m.machineNames() {
 		if m.rng.Float64() < share {
 			chosen = append(chosen, m.machines[name])
 		}
 	}
-	m.affect(chosen, d, set)
+	m.applyFault(chosen, d, set)
 }
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -26,11 +26,11 @@
 
 // steadySimulation is a deployment without random faults, with work under way.
 func steadySimulation(t *testing.T, machines, jobs int) *simulation {
-	return steadySimulationOf(t, 11, machines, jobs)
+	return steadySimulationWith(t, 11, machines, jobs)
 }
 
-func steadySimulationOf(t *testing.T, seed uint64, machines, jobs int, prepare ...func(sim *simulation)) *simulation {
-	sim := newSimulation(t, seed, facts([]string{"a"}, steadyTeams, 1.5, 10), 1, []wire.MachineType{smallType})
+func steadySimulationWith(t *testing.T, seed uint64, machines, jobs int, prepare ...func(sim *simulation)) *simulation {
+	sim := newSimulation(t, seed, testConfig([]string{"a"}, steadyTeams, 1.5, 10), 1, []wire.MachineType{smallType})
 	sim.cloud.Room[standin.RoomKey(smallType.Name, "a", false)] = machines
 	for _, f := range prepare {
 		f(sim)
@@ -42,7 +42,7 @@
 	for _, h := range sim.machines {
 		h.Faulty = false
 	}
-	if len(sim.machines) == 0 || sim.holder() == nil {
+	if len(sim.machines) == 0 || sim.leaseHolder() == nil {
 		t.Fatal("nothing runs yet")
 	}
 	return sim
@@ -56,11 +56,11 @@
 		play func(sim *simulation)
 	}{
 		{"no answer reaches a machine any more: it is returned, and its work runs elsewhere", func(sim *simulation) {
-			h := sim.someMachine()
+			h := sim.randomMachine()
 			h.inboundCut = true
 			sim.runFor(60 * time.Second)
 			if sim.machines[h.Host.ID] != nil {
-				sim.fail("%s is still rented", h.Host.ID)
+				sim.addViolation("%s is still rented", h.Host.ID)
 			}
 		}},
 		{"single answers are lost: no machine is returned for it", func(sim *simulation) {
@@ -69,107 +69,107 @@
 				for _, id := range before {
 					if h := sim.machines[id]; h != nil {
 						h.inboundCut = true
-						sim.clk.In(1600*time.Millisecond, func() { h.inboundCut = false })
+						sim.clock.In(1600*time.Millisecond, func() { h.inboundCut = false })
 					}
 				}
 				sim.runFor(9 * time.Second)
 			}
 			for _, id := range before {
 				if sim.machines[id] == nil {
-					sim.fail("%s was returned", id)
+					sim.addViolation("%s was returned", id)
 				}
 			}
 		}},
 		{"copies of a returned machine's reports come late", func(sim *simulation) {
-			h := sim.someMachine()
+			h := sim.randomMachine()
 			rep := h.Report()
 			sim.cloud.Remove(h.Host.ID)
 			sim.runFor(40 * time.Second)
-			n := sim.holder()
+			n := sim.leaseHolder()
 			copies := func() {
 				for i := range 3 {
 					r := *rep
 					r.Sequence += uint64(i)
-					n.controller.HandleHeartbeat(sim.clk.Now(), &r, func(int, any) {})
+					n.controller.HandleHeartbeat(sim.clock.Now(), &r, func(int, any) {})
 				}
 			}
 			copies()
 			if m := n.controller.terms[0].workers.Get(h.Host.ID); m != nil {
-				sim.fail("%s is back: %v", h.Host.ID, m.State)
+				sim.addViolation("%s is back: %v", h.Host.ID, m.State)
 			}
 			// the same to a successor, which never heard that machine
 			n.crash(time.Hour)
 			sim.runFor(10 * time.Second)
-			if n = sim.holder(); n == nil {
-				sim.fail("no successor")
+			if n = sim.leaseHolder(); n == nil {
+				sim.addViolation("no successor")
 				return
 			}
 			copies()
 			if m := n.controller.terms[0].workers.Get(h.Host.ID); m != nil {
-				sim.fail("%s is back at the successor: %v", h.Host.ID, m.State)
+				sim.addViolation("%s is back at the successor: %v", h.Host.ID, m.State)
 			}
 		}},
 		{"a silent machine's late reports: what its old session says is over", func(sim *simulation) {
-			n := sim.holder()
+			n := sim.leaseHolder()
 			reg := n.controller.terms[0].workers
-			h := sim.someMachine()
+			h := sim.randomMachine()
 			rep := h.Report()
 			h.partitioned, h.Hung = true, true
 			sim.runFor(reg.Expiry() + 3*time.Second)
 			m := reg.Get(h.Host.ID)
 			if m == nil || m.State != worker.Lapsed || m.Busy != 0 {
-				sim.fail("not given up: %+v", m)
+				sim.addViolation("not given up: %+v", m)
 				return
 			}
 			answered := m.Answered
 			rep.Sequence += 5
-			n.controller.HandleHeartbeat(sim.clk.Now(), rep, func(status int, _ any) {
+			n.controller.HandleHeartbeat(sim.clock.Now(), rep, func(status int, _ any) {
 				if status == 200 {
-					sim.fail("a report of a session that is over was taken")
+					sim.addViolation("a report of a session that is over was taken")
 				}
 			})
 			if m.State != worker.Lapsed || m.Busy != 0 || m.Answered != answered {
-				sim.fail("revived: %v, %d tasks", m.State, m.Busy)
+				sim.addViolation("revived: %v, %d tasks", m.State, m.Busy)
 			}
 			h.partitioned, h.Hung = false, false
 		}},
 		{"the holder is left with its workers only", func(sim *simulation) {
-			n := sim.holder()
+			n := sim.leaseHolder()
 			n.stateCut, n.peersCut = true, true
 			sim.runFor(tuning.MemberLease + time.Second)
-			if n.controller.membership.LeaseValid(sim.clk.Now()) {
-				sim.fail("the old holder still decides")
+			if n.controller.membership.LeaseValid(sim.clock.Now()) {
+				sim.addViolation("the old holder still decides")
 			}
 			sim.runFor(8 * time.Second)
-			if s := sim.holder(); s == nil || s == n {
-				sim.fail("no successor is open")
+			if s := sim.leaseHolder(); s == nil || s == n {
+				sim.addViolation("no successor is open")
 				return
 			}
-			for _, id := range sim.hosts() {
+			for _, id := range sim.machineNames() {
 				if h := sim.machines[id]; sim.nodes[h.Node] == n || h.Session != 1 {
-					sim.fail("%s has not moved over, session %d", id, h.Session)
+					sim.addViolation("%s has not moved over, session %d", id, h.Session)
 				}
 			}
 			n.peersCut = false
-			n.restoreState()
+			n.reconnectState()
 		}},
 		{"a cancellation beside a holder left with its workers only", func(sim *simulation) {
-			n := sim.holder()
+			n := sim.leaseHolder()
 			n.stateCut, n.peersCut = true, true
 			sim.runFor(500 * time.Millisecond)
 			sim.cancel(sim.cluster.Order[0]) // cancel_s is checked after each step
 			sim.runFor(50 * time.Second)
 			n.peersCut = false
-			n.restoreState()
+			n.reconnectState()
 		}},
 		{"a cancellation while a holder and the workers are cut off from all the rest", func(sim *simulation) {
 			long := sim.add(wire.JobSpec{ID: "job-100", Team: "red", Class: "train", Shape: wire.ShapeGang, Priority: "high", Tasks: 2,
 				Vcpus: 4, Gpus: 1, MemGb: 20, Image: "img", ImageGb: 2, AnyType: true, EstimatedRunTimeS: 300}, 300*time.Second)
 			sim.runFor(20 * time.Second)
 			if long.Told != wire.JobRunning {
-				sim.fail("%s is %s", long.Spec.ID, long.Told)
+				sim.addViolation("%s is %s", long.Spec.ID, long.Told)
 			}
-			n := sim.holder()
+			n := sim.leaseHolder()
 			n.stateCut, n.peersCut = true, true
 			for _, h := range sim.machines {
 				h.onlyNode = n
@@ -183,7 +183,7 @@
 				h.onlyNode = nil
 			}
 			n.peersCut = false
-			n.restoreState()
+			n.reconnectState()
 		}},
 		{"a machine is cut off as the holder crashes: what it may run waits, what was never begun does not", func(sim *simulation) {
 			for i := range 30 {
@@ -192,13 +192,13 @@
 			}
 			sim.runFor(27 * time.Second)
 			var h *machine
-			for _, id := range sim.hosts() {
+			for _, id := range sim.machineNames() {
 				if o := sim.machines[id]; len(o.Tasks) > 0 && o.Tasks[0].OnMachine() {
 					h = o
 				}
 			}
 			h.partitioned = true
-			before := sim.holder()
+			before := sim.leaseHolder()
 			marked := string(sim.state.Keys["b/0/0"].Value)
 			before.crash(time.Second)
 			began := 0
@@ -217,16 +217,16 @@
 				}
 			}
 			if began == 0 {
-				sim.fail("nothing began while the machine was not heard")
+				sim.addViolation("nothing began while the machine was not heard")
 			}
 			h.partitioned = false
 			sim.release(h)
 		}},
 		{"the holder stands still in the middle of whatever it does, again and again", func(sim *simulation) {
 			for i := range 16 {
-				if n := sim.holder(); n != nil {
+				if n := sim.leaseHolder(); n != nil {
 					n.freezeFor = []time.Duration{400 * time.Millisecond, 3 * time.Second, 6 * time.Second, 28 * time.Second}[i%4]
-					n.freezeAt = []effect{commandEffect, returnEffect, stateEffect, questionEffect, anyEffect}[i%5]
+					n.freezeAt = []effect{commandEffect, deleteEffect, stateEffect, queryEffect, anyEffect}[i%5]
 				}
 				sim.add(wire.JobSpec{ID: fmt.Sprintf("job-2%02d", i), Team: "red", Class: "train", Shape: wire.ShapeGang, Priority: "high", Tasks: 2,
 					Vcpus: 4, Gpus: 1, MemGb: 20, Image: "img", ImageGb: 2, AnyType: true, EstimatedRunTimeS: 8}, 8*time.Second)
@@ -257,12 +257,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			sim := steadySimulation(t, 6, 8)
 			c.play(sim)
-			sim.settle()
+			sim.requireAllJobsEnd()
 		})
 		t.Run("duties, "+c.name, func(t *testing.T) {
-			sim := steadySimulationOf(t, 11, 6, 8, (*simulation).keepDuties)
+			sim := steadySimulationWith(t, 11, 6, 8, (*simulation).enableIntentLog)
 			c.play(sim)
-			sim.settle()
+			sim.requireAllJobsEnd()
 		})
 	}
 }
--- a/internal/controller/fleet_limits_test.go
+++ b/internal/controller/fleet_limits_test.go
@@ -28,10 +28,10 @@
 		checkEvery         = 2 * time.Second
 	)
 	machineType := wire.MachineType{Name: "g8", Vcpus: 64, Gpus: 8, MemGb: 384, FetchGbPerS: 1, Price: 5, SpotPrice: 2, BootTimeS: 8, Zones: []string{"a"}}
-	cfg := facts([]string{"a"}, []config.Team{{Name: "red", GPUs: 8000, GPUsMax: 30000}, {Name: "free"}}, 5, 26.5)
+	cfg := testConfig([]string{"a"}, []config.Team{{Name: "red", GPUs: 8000, GPUsMax: 30000}, {Name: "free"}}, 5, 26.5)
 	cfg.Platform.State = config.StateLimits{RPS: 400, WriteRPS: 40, ValueKB: 8, TxnOps: 16}
 	sim := newSimulation(t, 41, cfg, 1, []wire.MachineType{machineType})
-	sim.checkEvery = checkEvery
+	sim.checkInterval = checkEvery
 	sim.state.Page, sim.state.Kept, sim.cloud.Page = tuning.ListPage, 10000, tuning.CloudPage
 	sim.state.Limits = standin.StateLimits{ValueBytes: 8 << 10, TxnOps: 16, Writes: 40, Requests: 400}
 	sim.cloud.Room[standin.RoomKey("g8", "a", false)] = largeFleet
@@ -41,18 +41,18 @@
 		sim.add(spec, 80*time.Second)
 	}
 	sim.runFor(70 * time.Second)
-	sim.requireUnbroken()
+	sim.requireNoViolations()
 	if n := len(sim.machines); n < largeFleet*9/10 {
 		t.Fatalf("%d machines of %d", n, largeFleet)
 	}
 	sessions := map[string]uint64{}
-	for _, host := range sim.hosts() {
+	for _, host := range sim.machineNames() {
 		sessions[host] = sim.machines[host].Session
 	}
-	before := sim.holder()
+	before := sim.leaseHolder()
 	before.crash(time.Second)
 	sim.runFor(15 * time.Second)
-	if after := sim.holder(); after == nil || after == before {
+	if after := sim.leaseHolder(); after == nil || after == before {
 		t.Fatal("nobody has taken over")
 	}
 	lapsed := 0
@@ -64,21 +64,21 @@
 	if lapsed > 0 {
 		t.Errorf("%d machines lost their leases in the takeover", lapsed)
 	}
-	sim.settle()
+	sim.requireAllJobsEnd()
 }
 
 // The board of a tenure whose attempt numbers are nearly used up: the block is given
 // back, and the next tenure, under a new token, goes on with all jobs.
 func TestAttemptNumbersUsedUp(t *testing.T) {
 	sim := steadySimulation(t, 6, 8)
-	tenure := sim.holder().controller.terms[0]
+	tenure := sim.leaseHolder().controller.terms[0]
 	tenure.scheduler.AttemptsUsedUp = true
 	sim.runFor(10 * time.Second)
-	next := sim.holder()
+	next := sim.leaseHolder()
 	if next == nil || next.controller.terms[0].Token <= tenure.Token {
 		t.Fatal("no tenure under a newer token")
 	}
-	sim.settle()
+	sim.requireAllJobsEnd()
 }
 
 // Workers whose controller has fewer sockets than there are machines share them in time:
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -61,11 +61,11 @@
 // Tallies of jobs with more tasks than one entry may tell of under the limits to come:
 // what an earlier version left is read, made smaller when it is rewritten, and never
 // lost; small jobs' entries are what they always were.
-func TestTalliesUnderLowerLimits(t *testing.T) {
+func TestCompletionBitmapsUnderLowerLimits(t *testing.T) {
 	const presentKB, limitKB = 8.0, 2.0
 	now := time.Unix(0, 0)
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
-	cfg := facts([]string{"a"}, nil, 1.5, 10)
+	cfg := testConfig([]string{"a"}, nil, 1.5, 10)
 	reg := worker.NewRegistry(cfg.Platform.Workers, quiet)
 	board := placement.NewBoard(cfg.Platform, 1, quota.NewBook(nil, 0, 1), reg, nil, quiet, func(time.Time, *placement.Job) {})
 	add := func(id string, tasks int) *placement.Job {
--- a/internal/controller/http_test.go
+++ b/internal/controller/http_test.go
@@ -16,9 +16,9 @@
 	"juniperchute/internal/tuning"
 )
 
-// front is a controller whose outside services cannot be reached.
-func front(tb testing.TB, owner bool) *Runtime {
-	cfg := facts([]string{"a"}, []config.Team{{Name: "red"}}, 1.5, 10)
+// newUnreachableRuntime is a controller whose outside services cannot be reached.
+func newUnreachableRuntime(tb testing.TB, owner bool) *Runtime {
+	cfg := testConfig([]string{"a"}, []config.Team{{Name: "red"}}, 1.5, 10)
 	cfg.External = config.External{Cloud: "127.0.0.1:1", State: "127.0.0.1:1"}
 	r := NewRuntime(cfg, Options{Blocks: tuning.Blocks}, clock.New(nil), slog.New(slog.NewTextHandler(io.Discard, nil)), rand.New(rand.NewPCG(1, 1)))
 	r.ctx = tb.Context()
@@ -46,16 +46,16 @@
 	return r
 }
 
-// web is a controller's HTTP side.
-func web(t *testing.T, owner bool) *httptest.Server {
-	srv := httptest.NewServer(front(t, owner).server().Handler)
+// newTestServer is a controller's HTTP side.
+func newTestServer(t *testing.T, owner bool) *httptest.Server {
+	srv := httptest.NewServer(newUnreachableRuntime(t, owner).server().Handler)
 	t.Cleanup(srv.Close)
 	return srv
 }
 
 func TestHTTP(t *testing.T) {
-	srv := web(t, true)
-	busy := web(t, false)
+	srv := newTestServer(t, true)
+	busy := newTestServer(t, false)
 	report := `{"Host":"i-1","Address":"1.2.3.4:5","Build":"g","Yard":"a","Loaners":false,"Stint":1,"Tally":1,"Baton":0,"RecallS":null,"Pieces":[],"New":{}}`
 	for _, c := range []struct {
 		name, method, path, body string
--- a/internal/controller/intents_test.go
+++ b/internal/controller/intents_test.go
@@ -16,18 +16,18 @@
 	"juniperchute/internal/worker"
 )
 
-// dutiesSimulation is a deployment that keeps the log of duties, with work under way.
-func dutiesSimulation(t *testing.T) *simulation {
-	return steadySimulationOf(t, 11, 6, 8, (*simulation).keepDuties)
+// intentLogSimulation is a deployment that keeps the log of duties, with work under way.
+func intentLogSimulation(t *testing.T) *simulation {
+	return steadySimulationWith(t, 11, 6, 8, (*simulation).enableIntentLog)
 }
 
-// entries are the targets in a block's log as it is stored.
-func (sim *simulation) entries() (out []string) {
+// loggedTargets are the targets in a block's log as it is stored.
+func (sim *simulation) loggedTargets() (out []string) {
 	for key, it := range sim.state.Keys {
 		if strings.HasPrefix(key, intentlog.Prefix) {
 			entries, err := intentlog.ReadPage(it.Value)
 			if err != nil {
-				sim.fail("%s: %v", key, err)
+				sim.addViolation("%s: %v", key, err)
 			}
 			for _, e := range entries {
 				out = append(out, e.Target)
@@ -40,17 +40,17 @@
 // runUntil plays until something holds.
 func (sim *simulation) runUntil(what string, most time.Duration, holds func() bool) {
 	sim.t.Helper()
-	for end := sim.clk.Now().Add(most); !holds(); sim.runFor(10 * time.Millisecond) {
-		if sim.clk.Now().After(end) {
+	for end := sim.clock.Now().Add(most); !holds(); sim.runFor(10 * time.Millisecond) {
+		if sim.clock.Now().After(end) {
 			sim.t.Fatalf("after %v still not: %s", most, what)
 		}
-		sim.requireUnbroken()
+		sim.requireNoViolations()
 	}
 }
 
 // A holder that loses the state service, the cloud, or its process between the entry of a
 // return and the call: whoever holds the block then completes it.
-func TestLossesBetweenEntryAndCall(t *testing.T) {
+func TestFailuresBetweenIntentAndCall(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		lose func(sim *simulation, holder *simulatedNode)
@@ -58,20 +58,20 @@
 		{"the state service is out for all", func(sim *simulation, _ *simulatedNode) { sim.stateOutage(20 * time.Second) }},
 		{"the state service refuses the holder", func(sim *simulation, holder *simulatedNode) {
 			holder.stateRefused = true
-			sim.clk.In(20*time.Second, func() { holder.stateRefused = false })
+			sim.clock.In(20*time.Second, func() { holder.stateRefused = false })
 		}},
 		{"the holder is cut off from the state service, and what it sent comes late", func(sim *simulation, holder *simulatedNode) {
 			holder.stateCut = true
-			sim.clk.In(20*time.Second, holder.restoreState)
+			sim.clock.In(20*time.Second, holder.reconnectState)
 		}},
 		{"the cloud is out", func(sim *simulation, _ *simulatedNode) {
 			sim.cloud.Down = true
-			sim.clk.In(20*time.Second, func() { sim.cloud.Down = false })
+			sim.clock.In(20*time.Second, func() { sim.cloud.Down = false })
 		}},
 		{"the holder's calls of the cloud come late", func(sim *simulation, holder *simulatedNode) {
 			holder.cloudCut = true
-			sim.clk.In(3*time.Second, func() { holder.crash(time.Second) })
-			sim.clk.In(20*time.Second, func() { holder.cloudCut = false })
+			sim.clock.In(3*time.Second, func() { holder.crash(time.Second) })
+			sim.clock.In(20*time.Second, func() { holder.cloudCut = false })
 		}},
 		{"the holder ends, and its successor within a second", func(sim *simulation, holder *simulatedNode) {
 			holder.crash(500 * time.Millisecond)
@@ -92,13 +92,13 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			sim := dutiesSimulation(t)
-			sim.runUntil("an entry", 2*time.Minute, func() bool { return len(sim.entries()) > 0 })
-			holder := sim.holder()
+			sim := intentLogSimulation(t)
+			sim.runUntil("an entry", 2*time.Minute, func() bool { return len(sim.loggedTargets()) > 0 })
+			holder := sim.leaseHolder()
 			if holder == nil {
 				t.Fatal("nobody holds the block")
 			}
-			entered := sim.entries()
+			entered := sim.loggedTargets()
 			c.lose(sim, holder)
 			sim.runFor(40 * time.Second)
 			for _, host := range entered {
@@ -106,24 +106,24 @@
 					t.Errorf("%s was entered and is still there", host)
 				}
 			}
-			sim.settle()
+			sim.requireAllJobsEnd()
 		})
 	}
 }
 
 // A machine that an earlier tenure used, is being deleted, and answers under an older
 // token: what is on it is still not known, so the tenure must not count it as heard.
-func TestDeletingMachineIsHeardByItsTokenOnly(t *testing.T) {
+func TestDeletingMachineIsReconciledByItsTokenOnly(t *testing.T) {
 	sim := steadySimulation(t, 6, 8)
 	sim.cloud.Down = true // nothing is deleted
 	var cut *machine
-	for _, host := range sim.hosts() {
+	for _, host := range sim.machineNames() {
 		if m := sim.machines[host]; len(m.Tasks) > 0 && m.Tasks[0].OnMachine() {
 			cut = m
 		}
 	}
 	cut.partitioned = true
-	sim.holder().crash(time.Hour)
+	sim.leaseHolder().crash(time.Hour)
 	var tenure *term
 	sim.runUntil("a tenure that deletes the machine", 20*time.Second, func() bool {
 		for _, n := range sim.nodes {
@@ -137,7 +137,7 @@
 		return false
 	})
 	old := cut.Report()
-	tenure.HandleHeartbeat(sim.clk.Now(), old, func(int, any) {})
+	tenure.HandleHeartbeat(sim.clock.Now(), old, func(int, any) {})
 	if m := tenure.workers.Get(cut.Host.ID); m.Answered.IsZero() {
 		t.Fatal("the older report was not answered: this tests nothing")
 	}
@@ -147,11 +147,11 @@
 	}
 	sim.cloud.Down, cut.partitioned = false, false
 	sim.release(cut)
-	sim.settle()
+	sim.requireAllJobsEnd()
 }
 
-// leaveEntries makes a block whose last holder has entered all its machines for return.
-func (sim *simulation) leaveEntries(machines int) {
+// leaveIntents makes a block whose last holder has entered all its machines for return.
+func (sim *simulation) leaveIntents(machines int) {
 	const perRental, perPage = 50, 80
 	put := func(key string, value any) {
 		sim.state.Call(store.Call{Op: store.OpTransaction, Transaction: wire.Transaction{Writes: []wire.Write{store.Put(key, value, 0)}}}, func(store.Result) {})
@@ -164,10 +164,10 @@
 	page, names := map[string]entry{}, []string{}
 	for i := range machines {
 		id := fmt.Sprintf("i-%06d", i)
-		host := wire.Machine{ID: id, Address: addressPrefix + id, Type: smallType.Name, Zone: "a", State: wire.MachineRunning}
-		sim.cloud.Hosts[id] = &standin.CloudHost{Born: sim.clk.Now(), Machine: host}
+		host := wire.Machine{ID: id, Address: machineAddressPrefix + id, Type: smallType.Name, Zone: "a", State: wire.MachineRunning}
+		sim.cloud.Hosts[id] = &standin.CloudHost{Born: sim.clock.Now(), Machine: host}
 		sim.booted(sim.cloud.Hosts[id])
-		page[id], names = entry{intentlog.Deprovision, 0, sim.clk.Now().UnixMilli()}, append(names, id)
+		page[id], names = entry{intentlog.Deprovision, 0, sim.clock.Now().UnixMilli()}, append(names, id)
 		if len(names) == perRental {
 			put(fmt.Sprintf("%sb0-0-%d", fleet.Rentals(0), i), fleet.RentalRec{Type: smallType.Name, Zone: "a", Number: perRental, Hosts: names})
 			names = nil
@@ -182,18 +182,18 @@
 
 // Thousands of entries to complete after a takeover: within the rates of cloud and state
 // service, and nothing else waits for the last of them.
-func TestManyEntriesAfterATakeover(t *testing.T) {
+func TestManyIntentsAfterFailover(t *testing.T) {
 	const (
 		cloudRPS, writesPerS = 4, 20
 		most                 = 90 * time.Second
 	)
-	cfg := facts([]string{"a"}, steadyTeams, 4, 18)
+	cfg := testConfig([]string{"a"}, steadyTeams, 4, 18)
 	cfg.Platform.Cloud.RPS = cloudRPS
 	sim := newSimulation(t, 5, cfg, 1, []wire.MachineType{smallType})
-	sim.checkEvery = time.Second
+	sim.checkInterval = time.Second
 	sim.state.Page, sim.cloud.Page = tuning.ListPage, tuning.CloudPage
-	sim.keepDuties()
-	sim.leaveEntries(largeFleet)
+	sim.enableIntentLog()
+	sim.leaveIntents(largeFleet)
 	sim.cloud.Room[standin.RoomKey(smallType.Name, "a", false)] = 8
 	sim.state.Limits = standin.StateLimits{ValueBytes: 4 << 10, TxnOps: 8, Writes: writesPerS, Requests: 200}
 	refused := 0
@@ -209,24 +209,24 @@
 	if !j.Ended() {
 		t.Errorf("a job waits for the entries: it is %q", j.Told)
 	}
-	began := sim.clk.Now()
-	for len(sim.entries()) > 0 && sim.clk.Now().Sub(began) < most {
+	began := sim.clock.Now()
+	for len(sim.loggedTargets()) > 0 && sim.clock.Now().Sub(began) < most {
 		sim.runFor(time.Second)
 	}
-	if left := len(sim.entries()); left > 0 {
-		t.Errorf("%d entries are left after %v", left, sim.clk.Now().Sub(standin.Epoch))
+	if left := len(sim.loggedTargets()); left > 0 {
+		t.Errorf("%d entries are left after %v", left, sim.clock.Now().Sub(standin.Epoch))
 	}
-	if n := sim.actions.Effects[intentlog.Deprovision]; n < largeFleet {
+	if n := sim.intentChecker.Effects[intentlog.Deprovision]; n < largeFleet {
 		t.Errorf("%d deletions", n)
 	}
-	t.Logf("%d entries completed and forgotten after %v; %d calls of the state service were refused", largeFleet, sim.clk.Now().Sub(standin.Epoch), refused)
-	sim.settle()
+	t.Logf("%d entries completed and forgotten after %v; %d calls of the state service were refused", largeFleet, sim.clock.Now().Sub(standin.Epoch), refused)
+	sim.requireAllJobsEnd()
 }
 
-// askDuties asks a node about the duties.
-func (sim *simulation) askDuties(n *simulatedNode) (reply *peerpb.IntentsReply) {
+// queryIntents asks a node about the duties.
+func (sim *simulation) queryIntents(n *simulatedNode) (reply *peerpb.IntentsReply) {
 	sim.t.Helper()
-	n.controller.Intents(sim.clk.Now(), func(r *peerpb.IntentsReply, err error) {
+	n.controller.Intents(sim.clock.Now(), func(r *peerpb.IntentsReply, err error) {
 		if err != nil {
 			sim.t.Errorf("%s: %v", n.name, err)
 		}
@@ -241,11 +241,11 @@
 
 // What an operator is told of the duties, asked of the holder and of others, and while
 // nobody has the block.
-func TestDutiesTold(t *testing.T) {
-	sim := dutiesSimulation(t)
-	sim.runUntil("an entry", 2*time.Minute, func() bool { return len(sim.entries()) > 0 })
-	holder := sim.holder()
-	host := sim.entries()[0]
+func TestIntentsReported(t *testing.T) {
+	sim := intentLogSimulation(t)
+	sim.runUntil("an entry", 2*time.Minute, func() bool { return len(sim.loggedTargets()) > 0 })
+	holder := sim.leaseHolder()
+	host := sim.loggedTargets()[0]
 	names := func(r *peerpb.IntentsReply) (out []string) {
 		for _, d := range r.Shards[0].Operations {
 			for _, a := range d.Intents {
@@ -257,7 +257,7 @@
 	sim.cloud.Down = true // so that it stays unsettled
 	token := holder.controller.terms[0].Token
 	for _, n := range sim.nodes {
-		r := sim.askDuties(n)
+		r := sim.queryIntents(n)
 		b := r.Shards[0]
 		if !r.InForce || b.Holder != holder.name || !b.Live || b.Token != token || b.SinceMs == 0 || (b.State == "open") != (n == holder) {
 			t.Errorf("%s: %+v", n.name, r)
@@ -274,40 +274,40 @@
 			other = n
 		}
 	}
-	if r := sim.askDuties(other); r.Shards[0].Holder != holder.name {
+	if r := sim.queryIntents(other); r.Shards[0].Holder != holder.name {
 		t.Errorf("right after the crash: %+v", r.Shards[0])
 	}
 	sim.runUntil("a record without a live holder", 10*time.Second, func() bool {
 		_, _, live := other.controller.membership.Holder(0)
 		return !live
 	})
-	if r := sim.askDuties(other); r.Shards[0].Live && r.Shards[0].Holder == holder.name {
+	if r := sim.queryIntents(other); r.Shards[0].Live && r.Shards[0].Holder == holder.name {
 		t.Errorf("during the takeover: %+v", r.Shards[0])
 	}
 	sim.runFor(5 * time.Second)
 	sim.stateOutage(20 * time.Second)
 	sim.runFor(5 * time.Second)
-	if r := sim.askDuties(other); r.EntriesAgeMs < 4000 || r.HoldersAgeMs < 3000 || len(names(r)) == 0 {
+	if r := sim.queryIntents(other); r.EntriesAgeMs < 4000 || r.HoldersAgeMs < 3000 || len(names(r)) == 0 {
 		t.Errorf("in an outage: entries %d ms old, holders %d ms, %v", r.EntriesAgeMs, r.HoldersAgeMs, names(r))
 	}
 	sim.cloud.Down = false
 	sim.runFor(30 * time.Second)
-	sim.settle()
+	sim.requireAllJobsEnd()
 }
 
 // A process whose clock was moved forward ends its tenures, and concludes nothing from the
 // time that may not have passed.
-func TestClockMoved(t *testing.T) {
-	sim := dutiesSimulation(t)
-	holder := sim.holder()
+func TestClockMovedForward(t *testing.T) {
+	sim := intentLogSimulation(t)
+	holder := sim.leaseHolder()
 	before := holder.controller.terms[0]
-	holder.controller.EndTermsAfterSuspension(sim.clk.Now())
+	holder.controller.EndTermsAfterSuspension(sim.clock.Now())
 	if before.state != termEnded {
 		t.Fatalf("the tenure is %v", before.state)
 	}
 	sim.runFor(10 * time.Second)
-	if next := sim.holder(); next == nil || next.controller.terms[0].Token <= before.Token {
+	if next := sim.leaseHolder(); next == nil || next.controller.terms[0].Token <= before.Token {
 		t.Error("no tenure under a newer token")
 	}
-	sim.settle()
+	sim.requireAllJobsEnd()
 }
--- a/internal/controller/listener_test.go
+++ b/internal/controller/listener_test.go
@@ -13,7 +13,7 @@
 // Every worker keeps a connection to the block's one holder: the machines of a
 // fleet half as large again as the settings' must fit beside users and the
 // controller's own calls.
-func TestPools(t *testing.T) {
+func TestConnectionLimits(t *testing.T) {
 	for _, c := range []struct {
 		name              string
 		sockets, peers    int
@@ -36,13 +36,13 @@
 	}
 }
 
-// pile is a listener with a number of connections waiting.
-type pile struct {
+// queuedListener is a listener with a number of connections waiting.
+type queuedListener struct {
 	net.Listener
 	conns []net.Conn
 }
 
-func (p *pile) Accept() (net.Conn, error) {
+func (p *queuedListener) Accept() (net.Conn, error) {
 	if len(p.conns) == 0 {
 		return nil, net.ErrClosed
 	}
@@ -51,13 +51,13 @@
 	return c, nil
 }
 
-// link is a connection that only knows whether it was closed.
-type link struct {
+// closeRecorder is a connection that only knows whether it was closed.
+type closeRecorder struct {
 	net.Conn
 	closed bool
 }
 
-func (l *link) Close() error {
+func (l *closeRecorder) Close() error {
 	l.closed = true
 	return nil
 }
@@ -82,11 +82,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
-			in := &pile{}
+			in := &queuedListener{}
 			g := newLimitedListener(in, 3, func() time.Time { return now })
-			var links []*link
+			var links []*closeRecorder
 			for _, what := range c.open {
-				l := &link{}
+				l := &closeRecorder{}
 				links = append(links, l)
 				in.conns = []net.Conn{l}
 				conn, err := g.Accept()
@@ -103,7 +103,7 @@
 					g.trackState(conn, http.StateIdle)
 				}
 			}
-			last := &link{}
+			last := &closeRecorder{}
 			in.conns = []net.Conn{last}
 			_, err := g.Accept()
 			if taken := err == nil; taken != c.taken || last.closed == c.taken {
@@ -123,12 +123,12 @@
 
 // A worker's connection is kept until nearly as many are open as there may be, and closed
 // with the answer from then on.
-func TestCrowded(t *testing.T) {
+func TestWorkerConnectionsNearLimit(t *testing.T) {
 	const limit = 100
-	in := &pile{}
+	in := &queuedListener{}
 	l := newLimitedListener(in, limit, time.Now)
 	for n := 1; n <= limit; n++ {
-		in.conns = []net.Conn{&link{}}
+		in.conns = []net.Conn{&closeRecorder{}}
 		conn, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -12,13 +12,13 @@
 	"juniperchute/internal/wire"
 )
 
-// facts are the settings of a small deployment.
-func facts(zones []string, teams []config.Team, reportS, leaseS float64) *config.Config {
+// testConfig are the settings of a small deployment.
+func testConfig(zones []string, teams []config.Team, reportS, leaseS float64) *config.Config {
 	return &config.Config{Member: "x", Area: zones[0], Platform: standin.Facts(zones, teams, reportS, leaseS)}
 }
 
-// latestCall is how late a call of the cloud comes at most in a simulation.
-const latestCall = 70 * time.Second
+// maxCloudCallDelay is how late a call of the cloud comes at most in a simulation.
+const maxCloudCallDelay = 70 * time.Second
 
 // TestRandomDays plays random days of crashes, cuts, late messages, outages
 // and restarts, checks the protocol's rules after each step, and that every
@@ -59,7 +59,7 @@
 		for seed := range day.seeds * seedFactor() {
 			t.Run(fmt.Sprintf("%s/%d", day.name, seed), func(t *testing.T) {
 				t.Parallel()
-				sim := newSimulation(t, uint64(seed), facts(day.zones, day.teams, day.report, day.lease), day.blocks, day.machineTypes)
+				sim := newSimulation(t, uint64(seed), testConfig(day.zones, day.teams, day.report, day.lease), day.blocks, day.machineTypes)
 				for _, f := range day.machineTypes {
 					for _, y := range f.Zones {
 						sim.cloud.Room[standin.RoomKey(f.Name, y, true)] = 5 * day.scale
@@ -67,31 +67,31 @@
 					}
 				}
 				sim.cloud.NeverBoot = 0.02
-				sim.chaos, sim.scale = true, day.scale
+				sim.randomMessageFaults, sim.scale = true, day.scale
 				if day.upgrade {
-					sim.begins()
+					sim.startOldVersion()
 				}
 				if day.duties {
-					sim.keepDuties()
+					sim.enableIntentLog()
 					if day.upgrade {
-						sim.actions.Grace = latestCall
+						sim.intentChecker.Grace = maxCloudCallDelay
 					}
 				}
-				play(sim, day.zones, day.machineTypes)
+				playRandomDay(sim, day.zones, day.machineTypes)
 				if day.duties && !day.upgrade {
-					sim.requireActions()
+					sim.requireIntentsCarriedOut()
 				}
-				if len(sim.broken()) > 0 {
-					t.Fatalf("seed %d: %s", seed, sim.broken()[0])
+				if len(sim.violations()) > 0 {
+					t.Fatalf("seed %d: %s", seed, sim.violations()[0])
 				}
 			})
 		}
 	}
 }
 
-// begins makes a deployment of the earlier version, with limits to come that make its
+// startOldVersion makes a deployment of the earlier version, with limits to come that make its
 // pages too large.
-func (sim *simulation) begins() {
+func (sim *simulation) startOldVersion() {
 	sim.startsOld = true
 	sim.cfg.Platform.State.ValueKB = 1
 	sim.cfg.Platform.State.Next = config.UpcomingLimits{"value_kb": 0.5, "txn_ops": int64(4), "write_rps": 12.0}
@@ -101,9 +101,9 @@
 	}
 }
 
-// upgrades gives one more controller the new version; once all have it the state
+// upgradeNext gives one more controller the new version; once all have it the state
 // service's limits fall, in the midst of whatever is going on.
-func (sim *simulation) upgrades() {
+func (sim *simulation) upgradeNext() {
 	for _, n := range sim.nodes {
 		if !n.upgraded {
 			n.upgraded = true
@@ -112,12 +112,12 @@
 		}
 	}
 	if sim.state.Limits.ValueBytes == 1024 {
-		sim.clk.In(time.Duration(sim.rng.IntN(20000))*time.Millisecond, func() {
+		sim.clock.In(time.Duration(sim.rng.IntN(20000))*time.Millisecond, func() {
 			sim.state.Limits.ValueBytes, sim.state.Limits.TxnOps, sim.state.Limits.Writes = 512, 4, 12
 			switch sim.rng.IntN(3) {
 			case 0:
 				sim.state.SetDown(true)
-				sim.clk.In(4*time.Second, func() { sim.state.SetDown(false) })
+				sim.clock.In(4*time.Second, func() { sim.state.SetDown(false) })
 			case 1:
 				sim.nodes[sim.rng.IntN(len(sim.nodes))].crash(time.Second)
 			}
@@ -125,20 +125,20 @@
 	}
 }
 
-// play lets users submit for a while under troubles, then lets the troubles
+// playRandomDay lets users submit for a while under troubles, then lets the troubles
 // pass and waits for every job's end.
-func play(sim *simulation, zones []string, machineTypes []wire.MachineType) {
+func playRandomDay(sim *simulation, zones []string, machineTypes []wire.MachineType) {
 	const rounds = 60
 	for i := range rounds {
 		sim.runFor(time.Duration(1+sim.rng.IntN(5)) * time.Second)
-		if len(sim.broken()) > 0 {
+		if len(sim.violations()) > 0 {
 			return
 		}
 		if sim.rng.IntN(3) > 0 {
 			randomJob(sim, i, zones, machineTypes)
 		}
 		if sim.startsOld && i >= 10 && i%6 == 0 {
-			sim.upgrades()
+			sim.upgradeNext()
 		}
 		if i > 3 && sim.rng.IntN(2) == 0 {
 			sim.randomFault()
@@ -187,7 +187,7 @@
 	j := sim.add(s, time.Duration(2+sim.rng.IntN(20))*time.Second)
 	j.Faulty = sim.rng.IntN(25) == 0
 	if sim.rng.IntN(6) == 0 {
-		sim.clk.In(time.Duration(sim.rng.IntN(20))*time.Second, func() { sim.cancel(j) })
+		sim.clock.In(time.Duration(sim.rng.IntN(20))*time.Second, func() { sim.cancel(j) })
 	}
 }
 
--- a/internal/controller/runtime_test.go
+++ b/internal/controller/runtime_test.go
@@ -22,9 +22,9 @@
 	"juniperchute/internal/wire"
 )
 
-// effects is a runtime whose effects' results are caught.
-func effects(t *testing.T, state string) *Runtime {
-	cfg := facts([]string{"a"}, []config.Team{{Name: "red"}}, 1.5, 10)
+// newTestRuntime is a runtime whose effects' results are caught.
+func newTestRuntime(t *testing.T, state string) *Runtime {
+	cfg := testConfig([]string{"a"}, []config.Team{{Name: "red"}}, 1.5, 10)
 	cfg.External = config.External{Cloud: "127.0.0.1:1", State: state}
 	cfg.Platform.State.WriteRPS = 0.1
 	cfg.Platform.MachineLimits.Sockets = 2179
@@ -36,10 +36,10 @@
 
 // A question goes out although writes of every class wait for the service's rate:
 // users timed out behind a morning's submissions.
-func TestQuestionsBesideWrites(t *testing.T) {
+func TestReadsBesideWrites(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"Epoch":1}`) }))
 	defer srv.Close()
-	r := effects(t, srv.Listener.Addr().String())
+	r := newTestRuntime(t, srv.Listener.Addr().String())
 	written := 0
 	for class := range store.Priorities {
 		for range 3 * tuning.StateWrites {
@@ -59,7 +59,7 @@
 
 // A command that could only be sent when the lease may be over is not sent, and one
 // that starts tasks does not wait behind questions to machines that hang.
-func TestCommands(t *testing.T) {
+func TestDirectCommands(t *testing.T) {
 	var asked []string
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		raw, _ := io.ReadAll(req.Body)
@@ -72,7 +72,7 @@
 		t.Fatal(err)
 	}
 	defer hangs.Close()
-	r := effects(t, "127.0.0.1:1")
+	r := newTestRuntime(t, "127.0.0.1:1")
 	later := time.Now().Add(time.Hour)
 	hung := 0
 	for range 2 * r.connections.commands {
@@ -92,13 +92,13 @@
 	if hung > 0 {
 		t.Errorf("%d questions to hanging machines came first", hung)
 	}
-	if n := threads(t); n > 200 {
+	if n := threadCount(t); n > 200 {
 		t.Errorf("%d threads with %d connections hanging", n, 2*r.connections.commands)
 	}
 }
 
-// threads is how many threads this process has, 0 where that is not told.
-func threads(t *testing.T) (n int) {
+// threadCount is how many threads this process has, 0 where that is not told.
+func threadCount(t *testing.T) (n int) {
 	raw, err := os.ReadFile("/proc/self/status")
 	if err != nil {
 		t.Skip("threads cannot be counted here")
@@ -120,7 +120,7 @@
 	}))
 	defer srv.Close()
 	address := srv.Listener.Addr().String()
-	r := effects(t, "127.0.0.1:1")
+	r := newTestRuntime(t, "127.0.0.1:1")
 	r.cloud = fleet.NewClient(address, http.DefaultTransport)
 	var suspended atomic.Int64
 	r.clock = clock.New(func() (time.Duration, error) { return time.Duration(suspended.Load()), nil })
@@ -155,10 +155,10 @@
 }
 
 // A machine that is younger than what is known of the rentals may be another block's.
-func TestForeign(t *testing.T) {
+func TestMayBelongToOtherShard(t *testing.T) {
 	now := time.Unix(1000, 0)
-	cfg := facts([]string{"a"}, []config.Team{{Name: "red"}}, 1.5, 10)
-	held := &heldState{}
+	cfg := testConfig([]string{"a"}, []config.Team{{Name: "red"}}, 1.5, 10)
+	held := &heldStateCalls{}
 	core := NewController(cfg, Options{Blocks: 2}, held, rand.New(rand.NewPCG(1, 1)), func() time.Time { return now }, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	core.provisionRequests.Tick(now)
 	held.then(now, store.Result{Status: 200, SentAt: now, Revision: 5, KeyValues: []wire.KeyValue{
@@ -178,10 +178,12 @@
 	}
 }
 
-// heldState is an Env that keeps the newest call of the state service.
-type heldState struct {
+// heldStateCalls is an Env that keeps the newest call of the state service.
+type heldStateCalls struct {
 	Effects
 	then func(now time.Time, r store.Result)
 }
 
-func (e *heldState) CallState(_ store.Call, then func(now time.Time, r store.Result)) { e.then = then }
+func (e *heldStateCalls) CallState(_ store.Call, then func(now time.Time, r store.Result)) {
+	e.then = then
+}
--- a/internal/controller/simulation_checks_test.go
+++ b/internal/controller/simulation_checks_test.go
@@ -9,45 +9,45 @@
 	"juniperchute/internal/wire"
 )
 
-// longestWait is how long a job may wait while there is room for it.
-const longestWait = 90 * time.Second
+// maxWait is how long a job may wait while there is room for it.
+const maxWait = 90 * time.Second
 
-// checkHorizons checks, as only a stand-in can, that each holder knows what it says it
+// checkCancellationWatermarks checks, as only a stand-in can, that each holder knows what it says it
 // does: every cancellation that a user was told of before its horizon.
-func (sim *simulation) checkHorizons() {
+func (sim *simulation) checkCancellationWatermarks() {
 	for _, n := range sim.nodes {
 		if !n.alive {
 			continue
 		}
 		for _, t := range n.controller.terms {
 			if t.state != termLoading && t.state != termEnded {
-				sim.checkHorizon(n, t)
+				sim.checkCancellationWatermark(n, t)
 			}
 		}
 	}
 }
 
-func (sim *simulation) checkHorizon(n *simulatedNode, t *term) {
-	now := sim.clk.Now()
+func (sim *simulation) checkCancellationWatermark(n *simulatedNode, t *term) {
+	now := sim.clock.Now()
 	at := t.cancellationsKnownUntil(now)
 	if at.After(now) {
-		sim.fail("%s: horizon %v ahead of its clock", n.name, at.Sub(now))
+		sim.addViolation("%s: horizon %v ahead of its clock", n.name, at.Sub(now))
 	}
 	for _, j := range sim.cluster.Order {
 		if j.Told == wire.JobCancelled && j.CancelledAt.Before(at) && t.scheduler.Job(j.Spec.ID) != nil {
-			sim.fail("%s does not know that %s was cancelled at %v, with its horizon at %v",
+			sim.addViolation("%s does not know that %s was cancelled at %v, with its horizon at %v",
 				n.name, j.Spec.ID, j.CancelledAt.Sub(standin.Epoch), at.Sub(standin.Epoch))
 		}
 	}
 }
 
-// checkWaits checks that once faults are over no job waits for long while there are
+// checkWaitingJobs checks that once faults are over no job waits for long while there are
 // machines that fit with room for it and its team is under its limit.
-func (sim *simulation) checkWaits() {
+func (sim *simulation) checkWaitingJobs() {
 	if sim.faultsOver.IsZero() {
 		return
 	}
-	now := sim.clk.Now()
+	now := sim.clock.Now()
 	used, onMachines := sim.cluster.Used()
 	usable := func(w *standin.Worker) bool {
 		m := sim.machines[w.Host.ID]
@@ -62,8 +62,8 @@
 		if sim.idleSince[j].IsZero() {
 			sim.idleSince[j] = now
 		}
-		if now.Sub(sim.idleSince[j]) > longestWait {
-			sim.fail("%s has waited for %v while there was room for it", j.Spec.ID, longestWait)
+		if now.Sub(sim.idleSince[j]) > maxWait {
+			sim.addViolation("%s has waited for %v while there was room for it", j.Spec.ID, maxWait)
 		}
 	}
 }
@@ -79,8 +79,8 @@
 		if o.Verb != wire.VerbRun || j == nil || j.Told != wire.JobCancelled {
 			continue
 		}
-		if since := sim.clk.Now().Sub(j.CancelledAt); since > mostWithoutNews {
-			sim.fail("%s orders a start of %s, cancelled %v ago", n.name, o.Task, since)
+		if since := sim.clock.Now().Sub(j.CancelledAt); since > mostWithoutNews {
+			sim.addViolation("%s orders a start of %s, cancelled %v ago", n.name, o.Task, since)
 		}
 	}
 }
@@ -89,9 +89,9 @@
 // forgotten. Jobs that never end by themselves are cancelled.
 func (sim *simulation) finish() {
 	const rounds, round = 40, 15 * time.Second
-	sim.chaos, sim.rates, sim.zoneCut = false, faultRates{}, ""
+	sim.randomMessageFaults, sim.rates, sim.isolatedZone = false, faultRates{}, ""
 	sim.runFor(30 * time.Second) // the last faults pass
-	sim.faultsOver = sim.clk.Now()
+	sim.faultsOver = sim.clock.Now()
 	for _, j := range sim.cluster.Order {
 		if j.Faulty || j.Spec.Shape == wire.ShapeService {
 			sim.cancel(j)
@@ -102,17 +102,17 @@
 		if time.Duration(i)*round >= standin.ForgottenAfter {
 			sim.cluster.CheckForgotten()
 		}
-		if len(sim.unended()) == 0 || len(sim.broken()) > 0 {
+		if len(sim.unfinishedJobs()) == 0 || len(sim.violations()) > 0 {
 			return
 		}
 	}
-	for _, j := range sim.unended() {
+	for _, j := range sim.unfinishedJobs() {
 		sim.t.Logf("told %q: %+v", j.Told, j.Spec)
 	}
-	sim.fail("some accepted jobs never ended")
+	sim.addViolation("some accepted jobs never ended")
 }
 
-func (sim *simulation) unended() []*standin.Job {
+func (sim *simulation) unfinishedJobs() []*standin.Job {
 	var out []*standin.Job
 	for _, j := range sim.cluster.Order {
 		if !j.Ended() {
@@ -122,42 +122,42 @@
 	return out
 }
 
-// requireActions fails the test if no duty but clean-up was carried out through the log.
-func (sim *simulation) requireActions() {
+// requireIntentsCarriedOut fails the test if no duty but clean-up was carried out through the log.
+func (sim *simulation) requireIntentsCarriedOut() {
 	sim.t.Helper()
-	sim.t.Logf("carried out: %v, %d writes of the log", sim.actions.Effects, sim.actions.EntryWrites)
+	sim.t.Logf("carried out: %v, %d writes of the log", sim.intentChecker.Effects, sim.intentChecker.EntryWrites)
 	for _, d := range []intentlog.Operation{intentlog.Provision, intentlog.Deprovision} {
-		if sim.actions.Effects[d] == 0 {
+		if sim.intentChecker.Effects[d] == 0 {
 			sim.t.Errorf("nothing was carried out for %s: this tests nothing", d)
 		}
 	}
 }
 
-// requireUnbroken fails the test if a rule was broken.
-func (sim *simulation) requireUnbroken() {
+// requireNoViolations fails the test if a rule was broken.
+func (sim *simulation) requireNoViolations() {
 	sim.t.Helper()
-	if broken := sim.broken(); len(broken) > 0 {
+	if broken := sim.violations(); len(broken) > 0 {
 		sim.t.Fatal(broken[0])
 	}
 }
 
-// settle waits until every job has ended, with no fault left, and fails the test if one
+// requireAllJobsEnd waits until every job has ended, with no fault left, and fails the test if one
 // has not, or if a rule was broken.
-func (sim *simulation) settle() {
+func (sim *simulation) requireAllJobsEnd() {
 	sim.t.Helper()
 	for range 20 {
 		sim.runFor(15 * time.Second)
 		for _, j := range sim.cluster.Order {
-			if sim.clk.Now().Sub(j.AnsweredAt) > standin.ForgottenAfter {
+			if sim.clock.Now().Sub(j.AnsweredAt) > standin.ForgottenAfter {
 				sim.cluster.Break(standin.Forgotten, "%s", j.Spec.ID)
 			}
 		}
-		if len(sim.unended()) == 0 || len(sim.broken()) > 0 {
+		if len(sim.unfinishedJobs()) == 0 || len(sim.violations()) > 0 {
 			break
 		}
 	}
-	for _, j := range sim.unended() {
-		sim.fail("%s never ended", j.Spec.ID)
+	for _, j := range sim.unfinishedJobs() {
+		sim.addViolation("%s never ended", j.Spec.ID)
 	}
-	sim.requireUnbroken()
+	sim.requireNoViolations()
 }
--- a/internal/controller/simulation_effects_test.go
+++ b/internal/controller/simulation_effects_test.go
@@ -18,30 +18,32 @@
 type effect string
 
 const (
-	anyEffect      effect = ""
-	stateEffect    effect = "state"
-	cloudEffect    effect = "cloud"
-	returnEffect   effect = "return"
-	commandEffect  effect = "command"
-	questionEffect effect = "question"
+	anyEffect     effect = ""
+	stateEffect   effect = "state"
+	cloudEffect   effect = "cloud"
+	deleteEffect  effect = "return"
+	commandEffect effect = "command"
+	queryEffect   effect = "question"
 )
 
-// addressPrefix stands before a machine's name in its address.
-const addressPrefix = "addr-"
+// machineAddressPrefix stands before a machine's name in its address.
+const machineAddressPrefix = "addr-"
 
 // simulatedEffects carries out the effects of one process.
 type simulatedEffects struct {
-	node       *simulatedNode
-	generation int
+	node          *simulatedNode
+	processNumber int
 }
 
-func (e *simulatedEffects) live() bool { return e.node.alive && e.node.generation == e.generation }
+func (e *simulatedEffects) current() bool {
+	return e.node.alive && e.node.processNumber == e.processNumber
+}
 
-// frozen tells whether the process stands still just before an effect; again carries it
+// deferIfFrozen tells whether the process stands still just before an effect; again carries it
 // out afterwards.
-func (e *simulatedEffects) frozen(at effect, again func()) bool {
+func (e *simulatedEffects) deferIfFrozen(at effect, again func()) bool {
 	n := e.node
-	now := n.sim.clk.Now()
+	now := n.sim.clock.Now()
 	if n.freezeFor > 0 && (n.freezeAt == anyEffect || n.freezeAt == at) {
 		n.frozenUntil, n.freezeFor = now.Add(n.freezeFor), 0
 	}
@@ -52,43 +54,43 @@
 	return true
 }
 
-// checkEntitled checks that whatever changes a machine's tasks is done with the lease.
-func (e *simulatedEffects) checkEntitled(what string) {
-	if l := e.node.controller.membership; !l.LeaseValid(e.node.sim.clk.Now()) {
-		e.node.sim.fail("%s: %s past its lease's end at %v", e.node.name, what, l.LeaseDeadline().Sub(standin.Epoch))
+// checkLeaseValid checks that whatever changes a machine's tasks is done with the lease.
+func (e *simulatedEffects) checkLeaseValid(what string) {
+	if l := e.node.controller.membership; !l.LeaseValid(e.node.sim.clock.Now()) {
+		e.node.sim.addViolation("%s: %s past its lease's end at %v", e.node.name, what, l.LeaseDeadline().Sub(standin.Epoch))
 	}
 }
 
 // CallState is part of Env.
 func (e *simulatedEffects) CallState(c store.Call, then func(now time.Time, r store.Result)) {
-	if e.frozen(stateEffect, func() { e.CallState(c, then) }) {
+	if e.deferIfFrozen(stateEffect, func() { e.CallState(c, then) }) {
 		return
 	}
 	sim := e.node.sim
 	sim.recordStateCall(e.node.name, c)
-	e.checkStored(c)
-	sent := sim.clk.Now()
+	e.checkStoredSizes(c)
+	sent := sim.clock.Now()
 	over := false
 	finish := func(r store.Result) {
-		if over || !e.live() {
+		if over || !e.current() {
 			return
 		}
 		over = true
 		r.SentAt = sent
-		e.node.whenRunning(func() { then(sim.clk.Now(), r) })
+		e.node.whenRunning(func() { then(sim.clock.Now(), r) })
 	}
-	sim.clk.In(c.Timeout(), func() { finish(store.Result{}) })
-	arrive := func() { e.stateArrives(c, finish) }
+	sim.clock.In(c.Timeout(), func() { finish(store.Result{}) })
+	arrive := func() { e.executeStateCall(c, finish) }
 	if sim.rates.slowState > 0 {
 		sooner, lag := arrive, time.Duration(sim.rng.Int64N(int64(sim.rates.slowState)))
-		arrive = func() { sim.clk.In(lag, sooner) }
+		arrive = func() { sim.clock.In(lag, sooner) }
 	}
-	e.sendState(c, arrive)
+	e.deliverStateCall(c, arrive)
 }
 
-// checkStored checks that what the new version writes fits the limits to come from the
+// checkStoredSizes checks that what the new version writes fits the limits to come from the
 // start, whenever they come; an old process's late transaction may not.
-func (e *simulatedEffects) checkStored(c store.Call) {
+func (e *simulatedEffects) checkStoredSizes(c store.Call) {
 	sim := e.node.sim
 	if !sim.startsOld || !e.node.upgraded {
 		return
@@ -96,16 +98,16 @@
 	limits := e.node.controller.config.Platform.State.StoredLimits()
 	for _, x := range c.Transaction.Writes {
 		if len(x.Value) > int(limits.ValueKB*1024) || len(c.Transaction.Writes) > limits.TxnOps {
-			sim.fail("%s writes %s with %d bytes, %d changes at once", e.node.name, x.Put, len(x.Value), len(c.Transaction.Writes))
+			sim.addViolation("%s writes %s with %d bytes, %d changes at once", e.node.name, x.Put, len(x.Value), len(c.Transaction.Writes))
 		}
 	}
 }
 
-// stateArrives executes a call that has reached the state service.
-func (e *simulatedEffects) stateArrives(c store.Call, finish func(store.Result)) {
+// executeStateCall executes a call that has reached the state service.
+func (e *simulatedEffects) executeStateCall(c store.Call, finish func(store.Result)) {
 	sim, n := e.node.sim, e.node
 	if n.stateRefused && (c.Op != store.OpWatch || c.WatchWaitMs == 0) {
-		sim.clk.In(sim.lag(), func() { finish(store.Result{Status: 503}) })
+		sim.clock.In(sim.lag(), func() { finish(store.Result{Status: 503}) })
 		return
 	}
 	if c.Op == store.OpWatch && n.silentWatches != "" && c.Prefix == n.silentWatches {
@@ -113,14 +115,14 @@
 	}
 	sim.state.Call(c, func(r store.Result) {
 		// a refused node's watches wait as in an outage, those opened before too
-		if n.noState() || n.stateRefused && c.Op == store.OpWatch {
+		if n.stateUnreachable() || n.stateRefused && c.Op == store.OpWatch {
 			return
 		}
 		lag := sim.lag()
 		if sim.rates.slowState > 0 {
 			lag += time.Duration(sim.rng.Int64N(int64(sim.rates.slowState)))
 		}
-		sim.clk.In(lag, func() {
+		sim.clock.In(lag, func() {
 			if !n.stateCut {
 				finish(r)
 			}
@@ -128,8 +130,8 @@
 	})
 }
 
-// sendState lets a call arrive, with whatever faults happen to it on its way.
-func (e *simulatedEffects) sendState(c store.Call, arrive func()) {
+// deliverStateCall lets a call arrive, with whatever faults happen to it on its way.
+func (e *simulatedEffects) deliverStateCall(c store.Call, arrive func()) {
 	sim, n := e.node.sim, e.node
 	roll := sim.rng.IntN(1000)
 	fault := sim.rng.Float64()
@@ -138,22 +140,22 @@
 	upTo := func(most time.Duration) time.Duration { return time.Duration(sim.rng.Int64N(int64(most))) }
 	switch {
 	case multi && fault < sim.rates.lateWrites:
-		sim.clk.In(2*time.Second+upTo(10*time.Second), execute)
+		sim.clock.In(2*time.Second+upTo(10*time.Second), execute)
 	case multi && fault < sim.rates.lateWrites+sim.rates.lostAnswers && !n.stateCut && !n.stateRefused:
-		sim.clk.In(sim.lag(), execute)
-	case n.noState():
+		sim.clock.In(sim.lag(), execute)
+	case n.stateUnreachable():
 		if sim.rng.IntN(2) == 0 {
 			n.heldCalls = append(n.heldCalls, arrive) // comes late, even from a process that has ended
 		}
-	case sim.chaos && roll < 4 && c.Op == store.OpTransaction:
-		sim.clk.In(upTo(30*time.Second), arrive)
-	case sim.chaos && roll < 8:
-		sim.clk.In(sim.lag(), execute)
-	case sim.chaos && roll < 16 && c.Op == store.OpTransaction: // carried out, and repeated late
-		sim.clk.In(sim.lag(), arrive)
-		sim.clk.In(upTo(30*time.Second), execute)
+	case sim.randomMessageFaults && roll < 4 && c.Op == store.OpTransaction:
+		sim.clock.In(upTo(30*time.Second), arrive)
+	case sim.randomMessageFaults && roll < 8:
+		sim.clock.In(sim.lag(), execute)
+	case sim.randomMessageFaults && roll < 16 && c.Op == store.OpTransaction: // carried out, and repeated late
+		sim.clock.In(sim.lag(), arrive)
+		sim.clock.In(upTo(30*time.Second), execute)
 	default:
-		sim.clk.In(sim.lag(), arrive)
+		sim.clock.In(sim.lag(), arrive)
 	}
 }
 
@@ -161,78 +163,78 @@
 func (e *simulatedEffects) CallCloud(c fleet.Call, then func(now time.Time, r fleet.Result)) {
 	at := cloudEffect
 	if c.Op == fleet.OpDelete {
-		at = returnEffect
+		at = deleteEffect
 	}
-	if e.frozen(at, func() { e.CallCloud(c, then) }) {
+	if e.deferIfFrozen(at, func() { e.CallCloud(c, then) }) {
 		return
 	}
 	sim := e.node.sim
 	sim.recordCloudCall(e.node.name, c)
 	over := false
 	finish := func(r fleet.Result) {
-		if !over && e.live() {
+		if !over && e.current() {
 			over = true
-			e.node.whenRunning(func() { then(sim.clk.Now(), r) })
+			e.node.whenRunning(func() { then(sim.clock.Now(), r) })
 		}
 	}
-	if !sim.clk.Now().Before(c.By) {
-		sim.clk.In(0, func() { finish(fleet.Result{}) })
+	if !sim.clock.Now().Before(c.By) {
+		sim.clock.In(0, func() { finish(fleet.Result{}) })
 		return
 	}
 	if c.Op == fleet.OpDelete {
-		e.checkEntitled("machines returned")
+		e.checkLeaseValid("machines returned")
 	}
-	sim.clk.In(tuning.CloudTimeout, func() { finish(fleet.Result{}) })
+	sim.clock.In(tuning.CloudTimeout, func() { finish(fleet.Result{}) })
 	arrive := func() {
 		r := sim.cloud.Call(c)
-		sim.clk.In(sim.lag(), func() { finish(r) })
+		sim.clock.In(sim.lag(), func() { finish(r) })
 	}
 	roll := sim.rng.IntN(100)
-	if e.node.cloudCut || sim.chaos && roll < 2 { // lost, or executed late
+	if e.node.cloudCut || sim.randomMessageFaults && roll < 2 { // lost, or executed late
 		if sim.rng.IntN(2) == 0 {
-			sim.clk.In(time.Duration(5+sim.rng.IntN(60))*time.Second, arrive)
+			sim.clock.In(time.Duration(5+sim.rng.IntN(60))*time.Second, arrive)
 		}
 		return
 	}
-	sim.clk.In(100*time.Millisecond, arrive)
-	if sim.chaos && roll < 6 { // carried out, and repeated late
-		sim.clk.In(time.Duration(1+sim.rng.IntN(60))*time.Second, func() { sim.cloud.Call(c) })
+	sim.clock.In(100*time.Millisecond, arrive)
+	if sim.randomMessageFaults && roll < 6 { // carried out, and repeated late
+		sim.clock.In(time.Duration(1+sim.rng.IntN(60))*time.Second, func() { sim.cloud.Call(c) })
 	}
 }
 
 // SendCommands is part of Env.
 func (e *simulatedEffects) SendCommands(addr string, d wire.DirectCommands, by time.Time, then func(now time.Time, status int, rep *wire.Heartbeat)) {
-	at := questionEffect
+	at := queryEffect
 	if len(d.Commands) > 0 {
 		at = commandEffect
 	}
-	if e.frozen(at, func() { e.SendCommands(addr, d, by, then) }) {
+	if e.deferIfFrozen(at, func() { e.SendCommands(addr, d, by, then) }) {
 		return
 	}
 	sim := e.node.sim
 	sim.recordCommand(e.node.name, addr, d, by)
 	over := false
 	finish := func(status int, rep *wire.Heartbeat) {
-		if !over && e.live() {
+		if !over && e.current() {
 			over = true
-			e.node.whenRunning(func() { then(sim.clk.Now(), status, rep) })
+			e.node.whenRunning(func() { then(sim.clock.Now(), status, rep) })
 		}
 	}
-	if !sim.clk.Now().Before(by) {
-		sim.clk.In(0, func() { finish(NotSent, nil) })
+	if !sim.clock.Now().Before(by) {
+		sim.clock.In(0, func() { finish(NotSent, nil) })
 		return
 	}
 	if len(d.Commands) > 0 {
-		e.checkEntitled("a command")
+		e.checkLeaseValid("a command")
 	}
-	sim.clk.In(tuning.DoTimeout, func() { finish(0, nil) })
-	m := sim.machines[strings.TrimPrefix(addr, addressPrefix)]
+	sim.clock.In(tuning.DoTimeout, func() { finish(0, nil) })
+	m := sim.machines[strings.TrimPrefix(addr, machineAddressPrefix)]
 	if m == nil || m.inboundCut {
 		return
 	}
 	there, back := sim.commandDelays()
 	sim.checkCommands(e.node, d.Commands)
-	sim.deliver(m, e.node, func() { e.commandArrives(m, d, there, back, finish) })
+	sim.deliver(m, e.node, func() { e.executeCommands(m, d, there, back, finish) })
 }
 
 // commandDelays are how long a direct command and its answer are held up.
@@ -250,25 +252,25 @@
 	return there, back
 }
 
-// commandArrives executes a direct command that has reached its machine.
-func (e *simulatedEffects) commandArrives(m *machine, d wire.DirectCommands, there, back time.Duration, finish func(int, *wire.Heartbeat)) {
+// executeCommands executes a direct command that has reached its machine.
+func (e *simulatedEffects) executeCommands(m *machine, d wire.DirectCommands, there, back time.Duration, finish func(int, *wire.Heartbeat)) {
 	sim := e.node.sim
 	if m.Dead {
 		return
 	}
 	if there > 0 {
-		sim.clk.In(there, func() {
+		sim.clock.In(there, func() {
 			if !m.Dead {
 				status, rep := m.Command(d)
-				sim.clk.In(back, func() { finish(status, rep) })
+				sim.clock.In(back, func() { finish(status, rep) })
 			}
 		})
 		return
 	}
 	status, rep := m.Command(d)
 	sim.deliver(m, e.node, func() { finish(status, rep) })
-	if sim.chaos && sim.rng.IntN(20) == 0 { // a repeat of a command that was carried out
-		sim.clk.In(time.Duration(200+sim.rng.IntN(60000))*time.Millisecond, func() {
+	if sim.randomMessageFaults && sim.rng.IntN(20) == 0 { // a repeat of a command that was carried out
+		sim.clock.In(time.Duration(200+sim.rng.IntN(60000))*time.Millisecond, func() {
 			if !m.Dead && !m.Hung {
 				m.Command(d)
 			}
@@ -282,20 +284,20 @@
 func callPeer[T any](e *simulatedEffects, member string, call func(o *simulatedNode) *T, then func(now time.Time, r *T, err error)) {
 	sim := e.node.sim
 	finish := func(r *T, err error) {
-		if e.live() {
-			e.node.whenRunning(func() { then(sim.clk.Now(), r, err) })
+		if e.current() {
+			e.node.whenRunning(func() { then(sim.clock.Now(), r, err) })
 		}
 	}
 	fail := func() { finish(nil, errUnreachable) }
 	i := slices.IndexFunc(sim.nodes, func(o *simulatedNode) bool { return o.name == member })
-	sim.clk.In(sim.lag(), func() {
+	sim.clock.In(sim.lag(), func() {
 		if i < 0 {
-			sim.clk.In(tuning.ProgressTimeout, fail)
+			sim.clock.In(tuning.ProgressTimeout, fail)
 			return
 		}
 		o := sim.nodes[i]
-		if e.node.peersCut || o.peersCut || !o.alive || sim.outsideZone(e.node.zone, o.zone) || sim.clk.Now().Before(o.frozenUntil) {
-			sim.clk.In(tuning.ProgressTimeout, fail)
+		if e.node.peersCut || o.peersCut || !o.alive || sim.crossesZoneBoundary(e.node.zone, o.zone) || sim.clock.Now().Before(o.frozenUntil) {
+			sim.clock.In(tuning.ProgressTimeout, fail)
 			return
 		}
 		finish(call(o), nil)
@@ -306,7 +308,7 @@
 func (e *simulatedEffects) SendHeartbeat(member string, m *peerpb.PeerHeartbeat, then func(now time.Time, r *peerpb.PeerHeartbeat, err error)) {
 	e.node.sim.recordPeerCall(e.node.name, member, "pulse", m)
 	callPeer(e, member, func(o *simulatedNode) *peerpb.PeerHeartbeat {
-		answer := o.controller.HandlePeerHeartbeat(e.node.sim.clk.Now(), m)
+		answer := o.controller.HandlePeerHeartbeat(e.node.sim.clock.Now(), m)
 		e.node.sim.recordPeerAnswer(o.name, "pulse", answer)
 		return answer
 	}, then)
@@ -328,7 +330,7 @@
 	callPeer(e, member, func(o *simulatedNode) *peerpb.ProbeReply {
 		r := &peerpb.ProbeReply{}
 		for _, a := range m.Addresses {
-			if h := e.node.sim.machines[strings.TrimPrefix(a, addressPrefix)]; h != nil && !h.partitioned && !h.Hung && !o.workersCut {
+			if h := e.node.sim.machines[strings.TrimPrefix(a, machineAddressPrefix)]; h != nil && !h.partitioned && !h.Hung && !o.workersCut {
 				r.Answered++
 			}
 		}
--- a/internal/controller/simulation_faults_test.go
+++ b/internal/controller/simulation_faults_test.go
@@ -19,7 +19,7 @@
 		sim.leaveWithWorkers(n, 2*span)
 	default:
 		n.freezeFor = time.Duration(200+sim.rng.IntN(30000)) * time.Millisecond
-		n.freezeAt = []effect{anyEffect, stateEffect, commandEffect, returnEffect}[sim.rng.IntN(4)]
+		n.freezeAt = []effect{anyEffect, stateEffect, commandEffect, deleteEffect}[sim.rng.IntN(4)]
 	}
 }
 
@@ -34,26 +34,26 @@
 		}
 	case 3:
 		n.stateCut = true
-		sim.clk.In(span, n.restoreState)
+		sim.clock.In(span, n.reconnectState)
 	case 4:
 		sim.refuseState(n, span)
 	case 5:
 		n.workersCut = true
-		sim.clk.In(span, func() {
+		sim.clock.In(span, func() {
 			n.workersCut = false
 			sim.releaseAll()
 		})
 	case 6:
 		n.peersCut = true
-		sim.clk.In(span, func() { n.peersCut = false })
+		sim.clock.In(span, func() { n.peersCut = false })
 	case 7:
 		sim.stateOutage(span)
 	case 8:
 		sim.cloud.Down = true
-		sim.clk.In(span, func() { sim.cloud.Down = false })
+		sim.clock.In(span, func() { sim.cloud.Down = false })
 	case 9:
 		n.cloudCut = true
-		sim.clk.In(span, func() { n.cloudCut = false })
+		sim.clock.In(span, func() { n.cloudCut = false })
 	}
 }
 
@@ -62,25 +62,25 @@
 	const notice = 8 * time.Second
 	switch kind {
 	case 10, 11:
-		sim.affect(sim.someMachines(), span, partition)
+		sim.applyFault(sim.randomMachines(), span, partition)
 	case 12, 13:
-		sim.affect(sim.someMachines(), span, hang)
+		sim.applyFault(sim.randomMachines(), span, hang)
 	case 14:
-		h := sim.someMachine()
+		h := sim.randomMachine()
 		if h == nil || !h.Host.Spot {
 			return
 		}
 		if sim.rng.IntN(2) == 0 {
-			h.Recall = sim.clk.Now().Add(notice)
+			h.Recall = sim.clock.Now().Add(notice)
 			h.NoteChange()
 		}
-		sim.clk.In(notice, func() { sim.cloud.Remove(h.Host.ID) })
+		sim.clock.In(notice, func() { sim.cloud.Remove(h.Host.ID) })
 	case 15:
-		for _, h := range sim.someMachines() {
+		for _, h := range sim.randomMachines() {
 			sim.cloud.Remove(h.Host.ID)
 		}
 	case 16, 17:
-		sim.affect(sim.someMachines(), 2*span, cutInbound)
+		sim.applyFault(sim.randomMachines(), 2*span, cutInbound)
 	}
 }
 
@@ -92,17 +92,17 @@
 func cutInbound(m *machine, on bool)  { m.inboundCut = on }
 func cutOutbound(m *machine, on bool) { m.outboundCut = on }
 
-// affect does something to machines for a time.
-func (sim *simulation) affect(machines []*machine, d time.Duration, set machineFlag) {
+// applyFault does something to machines for a time.
+func (sim *simulation) applyFault(machines []*machine, d time.Duration, set machineFlag) {
 	for _, m := range machines {
 		set(m, true)
-		sim.clk.In(d, func() { set(m, false); sim.release(m) })
+		sim.clock.In(d, func() { set(m, false); sim.release(m) })
 	}
 }
 
 // releaseAll lets the held messages of all machines go.
 func (sim *simulation) releaseAll() {
-	for _, name := range sim.hosts() {
+	for _, name := range sim.machineNames() {
 		sim.release(sim.machines[name])
 	}
 }
@@ -110,20 +110,20 @@
 // stateOutage takes the state service away from all for a time.
 func (sim *simulation) stateOutage(d time.Duration) {
 	sim.state.SetDown(true)
-	sim.clk.In(d, func() { sim.state.SetDown(false) })
+	sim.clock.In(d, func() { sim.state.SetDown(false) })
 }
 
 // refuseState has the state service refuse one node for a time.
 func (sim *simulation) refuseState(n *simulatedNode, d time.Duration) {
 	n.stateRefused = true
-	sim.clk.In(d, func() { n.stateRefused = false })
+	sim.clock.In(d, func() { n.stateRefused = false })
 }
 
 // leaveWithWorkers leaves a node with its workers and users for a time.
 func (sim *simulation) leaveWithWorkers(n *simulatedNode, d time.Duration) {
 	n.stateCut, n.peersCut = true, true
-	sim.clk.In(d, func() {
+	sim.clock.In(d, func() {
 		n.peersCut = false
-		n.restoreState()
+		n.reconnectState()
 	})
 }
--- a/internal/controller/simulation_network_test.go
+++ b/internal/controller/simulation_network_test.go
@@ -19,7 +19,7 @@
 // deliver carries a message between a machine and a node, either way. A cut holds it
 // back or loses it.
 func (sim *simulation) deliver(m *machine, n *simulatedNode, f func()) {
-	cut := m.partitioned || n.workersCut || m.onlyNode != nil && m.onlyNode != n || sim.outsideZone(m.Host.Zone, n.zone)
+	cut := m.partitioned || n.workersCut || m.onlyNode != nil && m.onlyNode != n || sim.crossesZoneBoundary(m.Host.Zone, n.zone)
 	if cut || m.Hung {
 		if sim.rng.IntN(2) == 0 {
 			m.held = append(m.held, f)
@@ -30,7 +30,7 @@
 	if sim.rates.slowLinks > 0 {
 		lag += time.Duration(sim.rng.Int64N(int64(sim.rates.slowLinks)))
 	}
-	sim.clk.In(lag, func() {
+	sim.clock.In(lag, func() {
 		if m.Hung {
 			m.held = append(m.held, f)
 			return
@@ -44,7 +44,7 @@
 	held := m.held
 	m.held = nil
 	for _, f := range held {
-		sim.clk.In(sim.lag(), f)
+		sim.clock.In(sim.lag(), f)
 	}
 }
 
@@ -71,49 +71,49 @@
 			}
 			return
 		}
-		n.whenRunning(func() { n.controller.HandleHeartbeat(sim.clk.Now(), report, reply) })
+		n.whenRunning(func() { n.controller.HandleHeartbeat(sim.clock.Now(), report, reply) })
 	})
-	sim.copyReports(report)
+	sim.copyHeartbeat(report)
 }
 
-// copyReports makes copies of a report, for late and for the next leader.
-func (sim *simulation) copyReports(report *wire.Heartbeat) {
+// copyHeartbeat makes copies of a report, for late and for the next leader.
+func (sim *simulation) copyHeartbeat(report *wire.Heartbeat) {
 	const mostHeld = 100
-	if sim.chaos && sim.rng.IntN(50) == 0 || sim.rng.Float64() < sim.rates.lateReports {
-		sim.deliverLate(report)
+	if sim.randomMessageFaults && sim.rng.IntN(50) == 0 || sim.rng.Float64() < sim.rates.lateHeartbeats {
+		sim.deliverCopyLate(report)
 	}
-	if sim.rng.Float64() < sim.rates.nextReports && len(sim.heldReports) < mostHeld {
-		sim.heldReports = append(sim.heldReports, copyOf(report))
+	if sim.rng.Float64() < sim.rates.heartbeatsToNextLeaseHolder && len(sim.heldHeartbeats) < mostHeld {
+		sim.heldHeartbeats = append(sim.heldHeartbeats, cloneHeartbeat(report))
 	}
 }
 
-func copyOf(report *wire.Heartbeat) *wire.Heartbeat {
+func cloneHeartbeat(report *wire.Heartbeat) *wire.Heartbeat {
 	copied := *report
 	copied.Tasks = slices.Clone(report.Tasks)
 	return &copied
 }
 
-// deliverLate delivers a copy of a report to some node, seconds to well over a lease
+// deliverCopyLate delivers a copy of a report to some node, seconds to well over a lease
 // later, wherever the machine is by then.
-func (sim *simulation) deliverLate(report *wire.Heartbeat) {
-	n, copied := sim.nodes[sim.rng.IntN(len(sim.nodes))], copyOf(report)
-	sim.clk.In(time.Duration(500+sim.rng.IntN(40000))*time.Millisecond, func() { sim.deliverCopy(n, copied) })
+func (sim *simulation) deliverCopyLate(report *wire.Heartbeat) {
+	n, copied := sim.nodes[sim.rng.IntN(len(sim.nodes))], cloneHeartbeat(report)
+	sim.clock.In(time.Duration(500+sim.rng.IntN(40000))*time.Millisecond, func() { sim.deliverCopy(n, copied) })
 }
 
 // deliverCopy delivers a report whose answer nobody gets.
 func (sim *simulation) deliverCopy(n *simulatedNode, report *wire.Heartbeat) {
 	if n.alive {
 		n.whenRunning(func() {
-			n.controller.HandleHeartbeat(sim.clk.Now(), report, func(status int, body any) {
+			n.controller.HandleHeartbeat(sim.clock.Now(), report, func(status int, body any) {
 				sim.recordWorkerAnswer(n.name, report.Host, status, body)
 			})
 		})
 	}
 }
 
-// releaseToNextLeader lets the copies of old reports that were kept for the next leader
+// releaseToNextLeaseHolder lets the copies of old reports that were kept for the next leader
 // arrive everywhere as soon as there is one.
-func (sim *simulation) releaseToNextLeader() {
+func (sim *simulation) releaseToNextLeaseHolder() {
 	for _, n := range sim.nodes {
 		if !n.alive {
 			continue
@@ -123,11 +123,11 @@
 				continue
 			}
 			sim.highestToken = t.Token
-			held := sim.heldReports
-			sim.heldReports = nil
+			held := sim.heldHeartbeats
+			sim.heldHeartbeats = nil
 			for _, report := range held {
 				for _, o := range sim.nodes {
-					sim.clk.In(time.Duration(sim.rng.IntN(300))*time.Millisecond, func() { sim.deliverCopy(o, report) })
+					sim.clock.In(time.Duration(sim.rng.IntN(300))*time.Millisecond, func() { sim.deliverCopy(o, report) })
 				}
 			}
 		}
--- a/internal/controller/simulation_users_test.go
+++ b/internal/controller/simulation_users_test.go
@@ -14,46 +14,46 @@
 
 func (sim *simulation) query(id string) request {
 	return func(n *simulatedNode, reply func(submission.Response)) {
-		n.controller.Submissions().Query(sim.clk.Now(), id, reply)
+		n.controller.Submissions().Query(sim.clock.Now(), id, reply)
 	}
 }
 
 func (sim *simulation) submission(spec wire.JobSpec) request {
 	return func(n *simulatedNode, reply func(submission.Response)) {
-		n.controller.Submissions().Submit(sim.clk.Now(), spec, reply)
+		n.controller.Submissions().Submit(sim.clock.Now(), spec, reply)
 	}
 }
 
 func (sim *simulation) cancellation(id string) request {
 	return func(n *simulatedNode, reply func(submission.Response)) {
-		n.controller.Submissions().Cancel(sim.clk.Now(), id, reply)
+		n.controller.Submissions().Cancel(sim.clock.Now(), id, reply)
 	}
 }
 
-// ask sends a user's request to some node; no answer comes from a dead one.
-func (sim *simulation) ask(r request, then func(submission.Response)) {
-	sim.askAt(sim.nodes[sim.rng.IntN(len(sim.nodes))], r, then)
+// send sends a user's request to some node; no answer comes from a dead one.
+func (sim *simulation) send(r request, then func(submission.Response)) {
+	sim.sendTo(sim.nodes[sim.rng.IntN(len(sim.nodes))], r, then)
 }
 
-func (sim *simulation) askAt(n *simulatedNode, r request, then func(submission.Response)) {
-	sim.clk.In(sim.lag(), func() {
+func (sim *simulation) sendTo(n *simulatedNode, r request, then func(submission.Response)) {
+	sim.clock.In(sim.lag(), func() {
 		if !n.alive {
 			return
 		}
-		generation := n.generation
+		generation := n.processNumber
 		n.whenRunning(func() {
 			r(n, func(answer submission.Response) {
 				sim.recordUserAnswer(n.name, answer)
-				if n.alive && n.generation == generation {
-					sim.clk.In(sim.lag(), func() { then(answer) })
+				if n.alive && n.processNumber == generation {
+					sim.clock.In(sim.lag(), func() { then(answer) })
 				}
 			})
 		})
 	})
 }
 
-// stageOf is the job's state in an answer, "" if there is none.
-func stageOf(r submission.Response) string {
+// jobStateOf is the job's state in an answer, "" if there is none.
+func jobStateOf(r submission.Response) string {
 	switch b := r.Body.(type) {
 	case wire.JobState:
 		return b.State
@@ -63,18 +63,18 @@
 	return ""
 }
 
-// tell records that a user was told a job's state.
-func (sim *simulation) tell(j *standin.Job, stage, before string) {
-	if sim.cluster.Tell(j, stage, before) && sim.rates.closeQueries {
-		sim.queryClosely(j)
+// recordAnswer records that a user was told a job's state.
+func (sim *simulation) recordAnswer(j *standin.Job, stage, before string) {
+	if sim.cluster.Tell(j, stage, before) && sim.rates.burstsOfQueries {
+		sim.burstOfQueries(j)
 	}
 }
 
-// answered takes in an answer about a job whose user had been told a state before the
+// handleAnswer takes in an answer about a job whose user had been told a state before the
 // request.
-func (sim *simulation) answered(j *standin.Job, before string, r submission.Response) {
+func (sim *simulation) handleAnswer(j *standin.Job, before string, r submission.Response) {
 	if r.Status == 200 {
-		sim.tell(j, stageOf(r), before)
+		sim.recordAnswer(j, jobStateOf(r), before)
 		return
 	}
 	sim.cluster.Refused(j, before, r.Status)
@@ -85,7 +85,7 @@
 	j := standin.NewJob(spec, run)
 	sim.cluster.AddJob(j)
 	sim.submit(j)
-	sim.clk.In(time.Second, func() { sim.poll(j) })
+	sim.clock.In(time.Second, func() { sim.poll(j) })
 	return j
 }
 
@@ -93,31 +93,31 @@
 	if j.Accepted {
 		return
 	}
-	sim.ask(sim.submission(j.Spec), func(r submission.Response) {
+	sim.send(sim.submission(j.Spec), func(r submission.Response) {
 		switch r.Status {
 		case 200, 201:
-			sim.tell(j, stageOf(r), "")
+			sim.recordAnswer(j, jobStateOf(r), "")
 		case 400, 422:
 			sim.cluster.Break(standin.Forgotten, "%s answered %d %v", j.Spec.ID, r.Status, r.Body)
 		}
 	})
-	if sim.rates.closeQueries { // questions that are on their way already when it is accepted
-		sim.queryClosely(j)
+	if sim.rates.burstsOfQueries { // questions that are on their way already when it is accepted
+		sim.burstOfQueries(j)
 	}
-	sim.clk.In(time.Duration(1000+sim.rng.IntN(2000))*time.Millisecond, func() { sim.submit(j) })
+	sim.clock.In(time.Duration(1000+sim.rng.IntN(2000))*time.Millisecond, func() { sim.submit(j) })
 }
 
 func (sim *simulation) poll(j *standin.Job) {
 	before, accepted := j.Told, j.Accepted
-	sim.ask(sim.query(j.Spec.ID), func(r submission.Response) {
+	sim.send(sim.query(j.Spec.ID), func(r submission.Response) {
 		switch {
 		case r.Status == 404 && accepted:
 			sim.cluster.Break(standin.Forgotten, "%s answered 404", j.Spec.ID)
 		case r.Status == 200:
-			sim.tell(j, stageOf(r), before)
+			sim.recordAnswer(j, jobStateOf(r), before)
 		}
 	})
-	sim.clk.In(time.Duration(3000+sim.rng.IntN(3000))*time.Millisecond, func() { sim.poll(j) })
+	sim.clock.In(time.Duration(3000+sim.rng.IntN(3000))*time.Millisecond, func() { sim.poll(j) })
 }
 
 func (sim *simulation) cancel(j *standin.Job) {
@@ -126,76 +126,76 @@
 		return
 	}
 	before := j.Told
-	sim.ask(sim.cancellation(j.Spec.ID), func(r submission.Response) {
+	sim.send(sim.cancellation(j.Spec.ID), func(r submission.Response) {
 		if r.Status == 200 {
-			sim.tell(j, stageOf(r), before)
+			sim.recordAnswer(j, jobStateOf(r), before)
 		}
 	})
-	sim.clk.In(2*time.Second, func() { sim.cancel(j) })
+	sim.clock.In(2*time.Second, func() { sim.cancel(j) })
 }
 
-// queryClosely asks all nodes about a job, again and again within milliseconds, repeats
+// burstOfQueries asks all nodes about a job, again and again within milliseconds, repeats
 // its submission, and now and then its cancellation.
-func (sim *simulation) queryClosely(j *standin.Job) {
+func (sim *simulation) burstOfQueries(j *standin.Job) {
 	soon := func() time.Duration { return time.Duration(sim.rng.IntN(60000)) * time.Microsecond }
 	for range 3 {
 		for _, n := range sim.nodes {
-			sim.clk.In(soon(), func() {
+			sim.clock.In(soon(), func() {
 				before := j.Told
 				r := sim.query(j.Spec.ID)
 				if sim.rng.IntN(3) == 2 && before != "" {
 					r = sim.submission(j.Spec)
 				}
-				sim.askAt(n, r, func(a submission.Response) { sim.answered(j, before, a) })
+				sim.sendTo(n, r, func(a submission.Response) { sim.handleAnswer(j, before, a) })
 			})
 		}
 	}
 	if j.Accepted && !j.CancelAsked && sim.rng.IntN(4) == 0 {
-		sim.clk.In(soon(), func() { sim.cancel(j) })
+		sim.clock.In(soon(), func() { sim.cancel(j) })
 	}
 }
 
-// completed may have a user cancel a job as its last task ends, and ask about it closely.
-func (sim *simulation) completed(j *standin.Job) {
+// jobCompleted may have a user cancel a job as its last task ends, and ask about it closely.
+func (sim *simulation) jobCompleted(j *standin.Job) {
 	if sim.rng.Float64() >= sim.rates.cancelAtEnd {
 		return
 	}
 	soon := func() time.Duration { return time.Duration(sim.rng.IntN(1500)) * time.Millisecond }
-	sim.clk.In(soon(), func() { sim.cancel(j) })
+	sim.clock.In(soon(), func() { sim.cancel(j) })
 	for range 4 {
-		sim.clk.In(soon(), func() {
+		sim.clock.In(soon(), func() {
 			before := j.Told
-			sim.ask(sim.query(j.Spec.ID), func(r submission.Response) { sim.answered(j, before, r) })
-			sim.ask(sim.submission(j.Spec), func(r submission.Response) { sim.answered(j, before, r) })
+			sim.send(sim.query(j.Spec.ID), func(r submission.Response) { sim.handleAnswer(j, before, r) })
+			sim.send(sim.submission(j.Spec), func(r submission.Response) { sim.handleAnswer(j, before, r) })
 		})
 	}
 }
 
-// oddRequest makes a request that users should not make, and checks what it gets.
-func (sim *simulation) oddRequest() {
-	sim.oddRequests++
+// invalidRequest makes a request that users should not make, and checks what it gets.
+func (sim *simulation) invalidRequest() {
+	sim.invalidRequests++
 	expect := func(what string, allowed int) func(submission.Response) {
 		return func(r submission.Response) {
 			if r.Status != 429 && r.Status != 503 && r.Status != allowed {
-				sim.fail("%s answered %d %v", what, r.Status, r.Body)
+				sim.addViolation("%s answered %d %v", what, r.Status, r.Body)
 			}
 		}
 	}
-	unknown := fmt.Sprintf("job-9%06d", sim.oddRequests)
+	unknown := fmt.Sprintf("job-9%06d", sim.invalidRequests)
 	switch sim.rng.IntN(4) {
 	case 0:
-		sim.ask(sim.query(unknown), expect("a question about nothing", 404))
+		sim.send(sim.query(unknown), expect("a question about nothing", 404))
 	case 1:
-		sim.ask(sim.cancellation(unknown), expect("a cancellation of nothing", 404))
+		sim.send(sim.cancellation(unknown), expect("a cancellation of nothing", 404))
 	case 2:
-		sim.ask(sim.submission(sim.impossible(unknown)), expect("a job that can never run", 422))
+		sim.send(sim.submission(sim.infeasibleJob(unknown)), expect("a job that can never run", 422))
 	case 3:
 		sim.repeatRequest()
 	}
 }
 
-// impossible is a job that can never run.
-func (sim *simulation) impossible(id string) wire.JobSpec {
+// infeasibleJob is a job that can never run.
+func (sim *simulation) infeasibleJob(id string) wire.JobSpec {
 	s := wire.JobSpec{ID: id, Team: "red", Class: "sweep", Shape: wire.ShapeGang, Priority: "low", Tasks: 1, Vcpus: 1, Gpus: 1, MemGb: 1, Image: "img", AnyType: true}
 	switch sim.rng.IntN(4) {
 	case 0:
@@ -224,8 +224,8 @@
 		return
 	}
 	before := j.Told
-	sim.ask(sim.submission(j.Spec), func(r submission.Response) { sim.answered(j, before, r) })
+	sim.send(sim.submission(j.Spec), func(r submission.Response) { sim.handleAnswer(j, before, r) })
 	if before == wire.JobDone {
-		sim.ask(sim.cancellation(j.Spec.ID), func(r submission.Response) { sim.answered(j, before, r) })
+		sim.send(sim.cancellation(j.Spec.ID), func(r submission.Response) { sim.handleAnswer(j, before, r) })
 	}
 }
--- a/internal/controller/steady_test.go
+++ b/internal/controller/steady_test.go
@@ -35,10 +35,10 @@
 		for ; owedGangs >= 1; owedGangs-- {
 			gang()
 		}
-		sim.clk.In(every, more)
+		sim.clock.In(every, more)
 	}
 	more()
-	sim.clk.RunUntil(standin.Epoch.Add(45 * time.Second))
+	sim.clock.RunUntil(standin.Epoch.Add(45 * time.Second))
 	return sim
 }
 
@@ -48,18 +48,18 @@
 	for _, load := range append(standin.LeanLoads(), standin.LargestLoad()) {
 		b.Run(load.Name, func(b *testing.B) {
 			sim := leanSimulation(load)
-			first := sim.longestTurn
-			sim.longestTurn = 0
+			first := sim.longestEvent
+			sim.longestEvent = 0
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
-				sim.clk.RunUntil(sim.clk.Now().Add(time.Second))
+				sim.clock.RunUntil(sim.clock.Now().Add(time.Second))
 			}
 			b.StopTimer()
 			b.ReportMetric(float64(len(sim.machines)), "machines")
-			b.ReportMetric(float64(sim.longestTurn.Microseconds()), "us/longest-turn")
+			b.ReportMetric(float64(sim.longestEvent.Microseconds()), "us/longest-turn")
 			b.ReportMetric(float64(first.Microseconds()), "us/longest-turn-at-first")
-			if sim.holder() == nil {
+			if sim.leaseHolder() == nil {
 				b.Fatal("no holder")
 			}
 		})
--- a/internal/controller/unreadable_test.go
+++ b/internal/controller/unreadable_test.go
@@ -35,9 +35,9 @@
 					stored = stored || strings.HasPrefix(key, "t/0/")
 				}
 			}
-			holder := sim.holder()
+			holder := sim.leaseHolder()
 			cut := map[string]bool{}
-			for i, name := range sim.hosts() {
+			for i, name := range sim.machineNames() {
 				if i%2 == 0 {
 					sim.machines[name].partitioned = true
 					cut[name] = true
@@ -57,7 +57,7 @@
 			sim.runFor(40 * time.Second)
 			for key, version := range spoilt {
 				if sim.state.Keys[key].Version != version {
-					sim.fail("%s was written over", key)
+					sim.addViolation("%s was written over", key)
 				}
 			}
 			for name := range cut {
@@ -66,7 +66,7 @@
 					sim.release(m)
 				}
 			}
-			sim.settle()
+			sim.requireAllJobsEnd()
 		})
 	}
 }
@@ -105,7 +105,7 @@
 			key := submission.OpenKey(job.Spec.ID)
 			value := strings.ReplaceAll(c.value, "job-0", job.Spec.ID)
 			readable := sim.state.Keys[key].Value
-			sim.holder().crash(time.Hour)
+			sim.leaseHolder().crash(time.Hour)
 			sim.state.Put(key, json.RawMessage(value))
 			version := sim.state.Keys[key].Version
 			sim.runFor(12 * time.Second)
@@ -117,18 +117,18 @@
 					if !n.alive {
 						continue
 					}
-					sim.askAt(n, r, func(a submission.Response) {
+					sim.sendTo(n, r, func(a submission.Response) {
 						if a.Status != 503 || a.RetryAfter == 0 {
-							sim.fail("%s answered %d %v", what, a.Status, a.Body)
+							sim.addViolation("%s answered %d %v", what, a.Status, a.Body)
 						}
 					})
 				}
 			}
 			sim.runFor(2 * time.Second)
-			sim.requireUnbroken()
+			sim.requireNoViolations()
 			// a version that can read it writes it again, or it is mended
 			sim.state.Put(key, readable)
-			sim.settle()
+			sim.requireAllJobsEnd()
 			if job.Told != wire.JobDone {
 				t.Errorf("told %q", job.Told)
 			}
@@ -140,7 +140,7 @@
 // tallies are written in smaller records, and every job ends.
 func TestUnannouncedStateLimit(t *testing.T) {
 	for _, bytes := range []int{1024, 600} {
-		sim := newSimulation(t, 11, facts([]string{"a"}, steadyTeams, 1.5, 10), 1, []wire.MachineType{smallType})
+		sim := newSimulation(t, 11, testConfig([]string{"a"}, steadyTeams, 1.5, 10), 1, []wire.MachineType{smallType})
 		sim.cloud.Room[standin.RoomKey(smallType.Name, "a", false)] = 80
 		sim.state.Limits.ValueBytes = bytes
 		refused := map[string]int{}
@@ -163,6 +163,6 @@
 				t.Errorf("%d bytes limit: %.40s was refused %d times", bytes, value, n)
 			}
 		}
-		sim.settle()
+		sim.requireAllJobsEnd()
 	}
 }
