--- a/internal/controller/fault_scenario_test.go
+++ b/internal/controller/fault_scenario_test.go
@@ -13,65 +13,87 @@
 	*simulation
 	zones        []string
 	machineTypes []wire.MachineType
-	jobCount     int // jobs so far
+	jobCount     int // jobs submitted so far
 }
 
-// job makes a user submit a random job, changed as a scenario needs it.
-func (m *faultScenario) job(change func(s *wire.JobSpec), run time.Duration) *standin.Job {
-	s := wire.JobSpec{ID: fmt.Sprintf("job-%06d", m.jobCount), Team: m.cfg.Platform.Teams[m.rng.IntN(len(m.cfg.Platform.Teams))].Name, Class: "sweep",
-		Shape: wire.ShapeBatch, Priority: []string{"low", "normal", "high", "critical"}[m.rng.IntN(4)], Tasks: 1 + m.rng.IntN(4),
-		Vcpus: 4, Gpus: 1, MemGb: 20, Image: fmt.Sprintf("img-%d", m.rng.IntN(3)), ImageGb: 2, AnyType: true, Spot: m.rng.IntN(2) == 0, EstimatedRunTimeS: run.Seconds()}
-	if m.rng.IntN(3) == 0 {
-		s.Shape, s.Tasks = wire.ShapeGang, 1+m.rng.IntN(3)
+// priorities are the priorities that random jobs have.
+var priorities = []string{"low", "normal", "high", "critical"}
+
+// job makes a user submit a random job, changed as a scenario needs it. The order of the
+// random draws is part of the scenario.
+func (s *faultScenario) job(change func(spec *wire.JobSpec), runTime time.Duration) *standin.Job {
+	teams := s.cfg.Platform.Teams
+	spec := wire.JobSpec{
+		ID:                fmt.Sprintf("job-%06d", s.jobCount),
+		Team:              teams[s.rng.IntN(len(teams))].Name,
+		Class:             "sweep",
+		Shape:             wire.ShapeBatch,
+		Priority:          priorities[s.rng.IntN(len(priorities))],
+		Tasks:             1 + s.rng.IntN(4),
+		Vcpus:             4,
+		Gpus:              1,
+		MemGb:             20,
+		Image:             fmt.Sprintf("img-%d", s.rng.IntN(3)),
+		ImageGb:           2,
+		AnyType:           true,
+		Spot:              s.rng.IntN(2) == 0,
+		EstimatedRunTimeS: runTime.Seconds(),
+	}
+	if s.rng.IntN(3) == 0 {
+		spec.Shape, spec.Tasks = wire.ShapeGang, 1+s.rng.IntN(3)
 	}
-	if m.rng.IntN(6) == 0 {
-		s.Class, s.Shape, s.Tasks, s.Gpus, s.Priority, s.EstimatedRunTimeS = "serve", wire.ShapeService, 1+m.rng.IntN(3), 0, "critical", 0
+	if s.rng.IntN(6) == 0 {
+		spec.Class, spec.Shape, spec.Tasks = "serve", wire.ShapeService, 1+s.rng.IntN(3)
+		spec.Gpus, spec.Priority, spec.EstimatedRunTimeS = 0, "critical", 0
 	}
 	if change != nil {
-		change(&s)
+		change(&spec)
 	}
-	m.jobCount++
-	return m.add(s, run)
+	s.jobCount++
+	return s.add(spec, runTime)
 }
 
 // jobs makes users submit several random jobs.
-func (m *faultScenario) jobs(n int, least, most time.Duration) {
-	for range n {
-		m.job(nil, least+time.Duration(m.rng.Int64N(int64(most-least)+1)))
+func (s *faultScenario) jobs(count int, least, most time.Duration) {
+	for range count {
+		s.job(nil, least+time.Duration(s.rng.Int64N(int64(most-least)+1)))
 	}
 }
 
-func (m *faultScenario) randomMillis(least, most int) time.Duration {
-	return time.Duration(least+m.rng.IntN(most-least+1)) * time.Millisecond
+// randomMillis is a random time from least to most milliseconds.
+func (s *faultScenario) randomMillis(least, most int) time.Duration {
+	return time.Duration(least+s.rng.IntN(most-least+1)) * time.Millisecond
 }
 
-// leaderOrAny is whoever holds the block or is about to, or any node.
-func (m *faultScenario) leaderOrAny() *simulatedNode {
-	for _, n := range m.nodes {
-		if t := n.controller.terms[0]; n.alive && t != nil && t.state != termEnded && n.controller.membership.LeaseValid(m.clock.Now()) {
+// leaderOrAny is the controller that holds the shard's lease or is taking it over, or
+// any controller if there is none.
+func (s *faultScenario) leaderOrAny() *simulatedNode {
+	for _, n := range s.nodes {
+		t := n.controller.terms[0]
+		if n.alive && t != nil && t.state != termEnded && n.controller.membership.LeaseValid(s.clock.Now()) {
 			return n
 		}
 	}
-	return m.nodes[m.rng.IntN(len(m.nodes))]
+	return s.nodes[s.rng.IntN(len(s.nodes))]
 }
 
 // cancelSome has users cancel a part of the jobs that are not over, within a fifth of a
 // second.
-func (m *faultScenario) cancelSome(share float64) {
-	for _, j := range m.cluster.Order {
-		if j.Accepted && !j.CancelAsked && j.Told != wire.JobDone && m.rng.Float64() < share {
-			m.clock.In(m.randomMillis(0, 200), func() { m.cancel(j) })
+func (s *faultScenario) cancelSome(share float64) {
+	for _, j := range s.cluster.Order {
+		if j.Accepted && !j.CancelAsked && j.Told != wire.JobDone && s.rng.Float64() < share {
+			s.clock.In(s.randomMillis(0, 200), func() { s.cancel(j) })
 		}
 	}
 }
 
-// applyFaultToShare does something to a part of the machines for a time.
-func (m *faultScenario) applyFaultToShare(share float64, d time.Duration, set machineFlag) {
+// applyFaultToShare applies a fault to a part of the machines for a time.
+func (s *faultScenario) applyFaultToShare(share float64, d time.Duration, set machineFlag) {
 	var chosen []*machine
-	for _, name := range m.machineNames() {
-		if m.rng.Float64() < share {
-			chosen = append(chosen, m.machines[name])
+	for _, name := range s.machineNames() {
+		if s.rng.Float64() < share {
+			chosen = append(chosen, s.machines[name])
 		}
 	}
-	m.applyFault(chosen, d, set)
+	s.applyFault(chosen, d, set)
 }
--- a/internal/controller/simulation_faults_test.go
+++ b/internal/controller/simulation_faults_test.go
@@ -6,13 +6,14 @@
 func (sim *simulation) randomFault() {
 	n := sim.nodes[sim.rng.IntN(len(sim.nodes))]
 	span := time.Duration(1+sim.rng.IntN(25)) * time.Second
-	back := time.Duration(100+sim.rng.IntN(5000)) * time.Millisecond
+	restartAfter := time.Duration(100+sim.rng.IntN(5000)) * time.Millisecond
 	if sim.rng.IntN(3) == 0 { // over within a fraction of a second
-		span, back = time.Duration(20+sim.rng.IntN(400))*time.Millisecond, time.Duration(10+sim.rng.IntN(300))*time.Millisecond
+		span = time.Duration(20+sim.rng.IntN(400)) * time.Millisecond
+		restartAfter = time.Duration(10+sim.rng.IntN(300)) * time.Millisecond
 	}
 	switch kind := sim.rng.IntN(21); {
 	case kind < 10:
-		sim.nodeFault(kind, n, span, back)
+		sim.nodeFault(kind, n, span, restartAfter)
 	case kind < 18:
 		sim.machineFault(kind, span)
 	case kind == 18:
@@ -24,13 +25,13 @@
 }
 
 // nodeFault is one of the faults of controllers and of the services they use.
-func (sim *simulation) nodeFault(kind int, n *simulatedNode, span, back time.Duration) {
+func (sim *simulation) nodeFault(kind int, n *simulatedNode, span, restartAfter time.Duration) {
 	switch kind {
 	case 0, 1:
-		n.crash(back)
+		n.crash(restartAfter)
 	case 2:
 		for _, o := range sim.nodes {
-			o.crash(back + time.Duration(sim.rng.IntN(2000))*time.Millisecond)
+			o.crash(restartAfter + time.Duration(sim.rng.IntN(2000))*time.Millisecond)
 		}
 	case 3:
 		n.stateCut = true
@@ -84,7 +85,7 @@
 	}
 }
 
-// machineFlag begins or ends a fault of a machine.
+// machineFlag starts or ends a fault of a machine.
 type machineFlag func(m *machine, on bool)
 
 func hang(m *machine, on bool)        { m.Hung = on }
@@ -92,7 +93,7 @@
 func cutInbound(m *machine, on bool)  { m.inboundCut = on }
 func cutOutbound(m *machine, on bool) { m.outboundCut = on }
 
-// applyFault does something to machines for a time.
+// applyFault has machines suffer a fault for a time.
 func (sim *simulation) applyFault(machines []*machine, d time.Duration, set machineFlag) {
 	for _, m := range machines {
 		set(m, true)
@@ -121,9 +122,6 @@
 
 // leaveWithWorkers leaves a node with its workers and users for a time.
 func (sim *simulation) leaveWithWorkers(n *simulatedNode, d time.Duration) {
-	n.stateCut, n.peersCut = true, true
-	sim.clock.In(d, func() {
-		n.peersCut = false
-		n.reconnectState()
-	})
+	n.isolate()
+	sim.clock.In(d, n.reconnect)
 }
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -14,14 +14,13 @@
 	"juniperchute/internal/config"
 	"juniperchute/internal/quota"
 	"juniperchute/internal/standin"
-	"juniperchute/internal/tuning"
 	"juniperchute/internal/wire"
 )
 
 // simulatedNodes is how many controllers a simulation has.
 const simulatedNodes = 3
 
-// simulation is a whole deployment in simulated time: real Cores, and stand-ins for all
+// simulation is a whole deployment in simulated time: real controllers, and fakes of all
 // parties around them.
 type simulation struct {
 	t        *testing.T // nil in benchmarks
@@ -36,7 +35,7 @@
 	machines map[string]*machine
 	digest   *digest // of all effects; nil: none is asked for
 
-	intentLog           bool // the log of duties is switched on
+	intentLog           bool // the intent log is switched on
 	intentChecker       *standin.ActionCheck
 	randomMessageFaults bool // random messages are lost, delayed or repeated
 	scale               int  // how many times the usual size jobs and faults have; 0: once
@@ -51,20 +50,20 @@
 	watermarksCheckedAt time.Time
 	idleSince           map[*standin.Job]time.Time // of jobs that could start and have no task anywhere
 	invalidRequests     int
-	heldHeartbeats      []*wire.Heartbeat // copies of reports, for the next leader
-	highestToken        uint64            // seen in a tenure
+	heldHeartbeats      []*wire.Heartbeat // copies, delivered to the next lease holder
+	highestToken        uint64            // the highest token of a term
 }
 
-// faultRates are the shares of messages to which something happens, besides chaos.
+// faultRates are the shares of messages to which something happens, besides randomMessageFaults.
 type faultRates struct {
 	lateWrites                  float64       // transactions that get no answer and are carried out 2 to 12 s later
 	lostAnswers                 float64       // transactions that are carried out at once and get no answer
-	lateHeartbeats              float64       // reports of which a copy comes again, from 2 s to well over a lease later
-	heartbeatsToNextLeaseHolder float64       // reports of which a copy comes to every controller when the next leader begins
+	lateHeartbeats              float64       // heartbeats of which a copy comes again, from 2 s to well over a lease later
+	heartbeatsToNextLeaseHolder float64       // heartbeats of which a copy comes to every controller when a term starts
 	delayedCommands             float64       // direct commands, or their answers, that are held up for seconds
 	commandDelay                time.Duration // for which they are held up; 0: for random times
 	cancelAtEnd                 float64       // jobs that are cancelled as they end
-	burstsOfQueries             bool          // all nodes are asked within milliseconds of each news
+	burstsOfQueries             bool          // all nodes are queried within milliseconds of each change
 	slowState                   time.Duration // the state service's answers take up to so long
 	slowLinks                   time.Duration // messages between machines and controllers take up to so long
 }
@@ -74,20 +73,31 @@
 	*standin.Worker
 	partitioned bool           // nothing passes either way
 	onlyNode    *simulatedNode // the one node it can reach; nil: all
-	inboundCut  bool           // its reports arrive, but no answer or command reaches it
+	inboundCut  bool           // its heartbeats arrive, but no answer or command reaches it
 	outboundCut bool           // it reaches no controller, while direct commands reach it
 	held        []func()       // messages held back by the partition or the hang
 }
 
-func newSimulation(t *testing.T, seed uint64, cfg *config.Config, blocks int, machineTypes []wire.MachineType) *simulation {
-	clk, rng := standin.NewClock(standin.Epoch), rand.New(rand.NewPCG(seed, 7))
-	sim := &simulation{t: t, clock: clk, rng: rng, cfg: cfg, shards: blocks, machines: map[string]*machine{},
-		digest: newDigest(t), idleSince: map[*standin.Job]time.Time{}}
-	sim.state = standin.NewStateService(clk, rng)
-	sim.cloud = standin.NewCloud(clk, rng, machineTypes)
+// newSimulation starts a deployment. t is nil in benchmarks.
+func newSimulation(
+	t *testing.T, seed uint64, cfg *config.Config, shards int, machineTypes []wire.MachineType,
+) *simulation {
+	clock, rng := standin.NewClock(standin.Epoch), rand.New(rand.NewPCG(seed, 7))
+	sim := &simulation{
+		t:         t,
+		clock:     clock,
+		rng:       rng,
+		cfg:       cfg,
+		shards:    shards,
+		machines:  map[string]*machine{},
+		digest:    newDigest(t),
+		idleSince: map[*standin.Job]time.Time{},
+	}
+	sim.state = standin.NewStateService(clock, rng)
+	sim.cloud = standin.NewCloud(clock, rng, machineTypes)
 	sim.cloud.Booted = sim.booted
 	sim.cloud.Ended = sim.ended
-	sim.cluster = standin.NewCluster(clk, rng, cfg.Platform, sim)
+	sim.cluster = standin.NewCluster(clock, rng, cfg.Platform, sim)
 	sim.cluster.CompletedHook = sim.jobCompleted
 	for i := range simulatedNodes {
 		zone := cfg.Platform.Zones[i%len(cfg.Platform.Zones)]
@@ -99,7 +109,7 @@
 	return sim
 }
 
-// enableIntentLog switches the log of duties on, and has it checked against what the cloud
+// enableIntentLog switches the intent log on, and has it checked against what the cloud
 // carries out.
 func (sim *simulation) enableIntentLog() {
 	sim.intentLog = true
@@ -112,13 +122,17 @@
 // booted starts a machine's worker; a few machines are faulty.
 func (sim *simulation) booted(h *standin.CloudHost) {
 	const faultyShare = 0.05
-	f := sim.cloud.MachineTypes[slices.IndexFunc(sim.cloud.MachineTypes, func(f wire.MachineType) bool { return f.Name == h.Type })]
+	machineTypes := sim.cloud.MachineTypes
+	hasType := func(machineType wire.MachineType) bool { return machineType.Name == h.Type }
+	machineType := machineTypes[slices.IndexFunc(machineTypes, hasType)]
 	m := &machine{}
 	sim.machines[h.ID] = m
-	m.Worker = sim.cluster.AddWorker(h.Machine, quota.Room{CPUs: f.Vcpus, GPUs: f.Gpus, MemGB: f.MemGb})
+	capacity := quota.Room{CPUs: machineType.Vcpus, GPUs: machineType.Gpus, MemGB: machineType.MemGb}
+	m.Worker = sim.cluster.AddWorker(h.Machine, capacity)
 	m.Faulty = sim.rng.Float64() < faultyShare
 }
 
+// ended removes a terminated machine.
 func (sim *simulation) ended(h *standin.CloudHost) {
 	sim.cluster.Remove(h.ID)
 	delete(sim.machines, h.ID)
@@ -127,6 +141,7 @@
 // machineNames lists the machines' names in order.
 func (sim *simulation) machineNames() []string { return sim.cluster.Names() }
 
+// logger logs in simulated time, to nowhere unless SIMULATION_LOG is set.
 func (sim *simulation) logger(name string) *slog.Logger {
 	out := io.Discard
 	level := slog.LevelDebug
@@ -136,13 +151,14 @@
 	if os.Getenv("SIMULATION_LOG") != "" {
 		out = os.Stderr
 	}
-	return slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: level,
-		ReplaceAttr: func(_ []string, a slog.Attr) slog.Attr {
-			if a.Key == slog.TimeKey {
-				a.Value = slog.DurationValue(sim.clock.Now().Sub(standin.Epoch))
-			}
-			return a
-		}})).With("member", name)
+	simulatedTime := func(_ []string, a slog.Attr) slog.Attr {
+		if a.Key == slog.TimeKey {
+			a.Value = slog.DurationValue(sim.clock.Now().Sub(standin.Epoch))
+		}
+		return a
+	}
+	options := &slog.HandlerOptions{Level: level, ReplaceAttr: simulatedTime}
+	return slog.New(slog.NewTextHandler(out, options)).With("member", name)
 }
 
 // addViolation records that something a test expects did not hold.
@@ -150,11 +166,12 @@
 	sim.cluster.Break(standin.Expectation, format, args...)
 }
 
+// violations are the rules broken so far.
 func (sim *simulation) violations() []standin.Violation { return sim.cluster.Broken }
 
 // runFor plays a time, checking the rules after each step.
 func (sim *simulation) runFor(d time.Duration) {
-	const horizonsEvery = 500 * time.Millisecond
+	const watermarksInterval = 500 * time.Millisecond
 	end := sim.clock.Now().Add(d)
 	for sim.clock.Due(end) && len(sim.violations()) == 0 {
 		sim.clock.Step()
@@ -162,7 +179,7 @@
 			sim.checkedAt = now
 			sim.cluster.Check()
 		}
-		if sim.clock.Now().Sub(sim.watermarksCheckedAt) > max(horizonsEvery, sim.checkInterval) {
+		if sim.clock.Now().Sub(sim.watermarksCheckedAt) > max(watermarksInterval, sim.checkInterval) {
 			sim.watermarksCheckedAt = sim.clock.Now()
 			sim.checkCancellationWatermarks()
 			sim.checkWaitingJobs()
@@ -203,16 +220,19 @@
 	return out
 }
 
-// leaseHolder is the node that holds the block and knows where all tasks are.
+// leaseHolder is the controller that holds the shard's lease and knows where all tasks
+// are, nil if there is none.
 func (sim *simulation) leaseHolder() *simulatedNode {
 	for _, n := range sim.nodes {
-		if t := n.controller.terms[0]; n.alive && t != nil && t.state == termOpen && n.controller.membership.LeaseValid(sim.clock.Now()) {
+		t := n.controller.terms[0]
+		if n.alive && t != nil && t.state == termOpen && n.controller.membership.LeaseValid(sim.clock.Now()) {
 			return n
 		}
 	}
 	return nil
 }
 
+// sortedKeys are a map's keys in order.
 func sortedKeys[V any](m map[string]V) []string {
 	var out []string
 	for k := range m {
@@ -222,104 +242,7 @@
 	return out
 }
 
-// simulatedNode is one controller's place: its process comes and goes.
-type simulatedNode struct {
-	sim           *simulation
-	name          string
-	zone          string
-	controller    *Controller
-	alive         bool
-	processNumber int  // of its process
-	upgraded      bool // it has the new version
-
-	stateCut, workersCut, peersCut, cloudCut bool
-	stateRefused                             bool   // the state service answers 503 to it alone
-	silentWatches                            string // its watches of keys with this prefix get no answer
-	heldCalls                                []func()
-	freezeFor                                time.Duration // it stands still for so long in the middle of its next effect
-	freezeAt                                 effect        // of this sort; "": any
-	frozenUntil                              time.Time     // until then it stands still, its clocks run on
-}
-
-func (n *simulatedNode) start() {
-	n.processNumber++
-	n.alive = true
-	generation := n.processNumber
-	cfg := *n.sim.cfg
-	cfg.Member = n.name
-	cfg.Peers = nil
-	for _, o := range n.sim.nodes {
-		if o != n {
-			cfg.Peers = append(cfg.Peers, config.Peer{Member: o.name, Address: "127.0.0.1:1"})
-		}
-	}
-	if n.sim.startsOld && !n.upgraded {
-		cfg.Platform.State.Next = nil // it knows nothing of limits to come, and fills its pages
-	}
-	rng := rand.New(rand.NewPCG(n.sim.rng.Uint64(), 1))
-	n.controller = NewController(&cfg, n.options(), &simulatedEffects{node: n, processNumber: generation}, rng, n.sim.clock.Now, n.sim.logger(n.name))
-	var tick func()
-	tick = func() {
-		if n.alive && n.processNumber == generation {
-			n.whenRunning(func() {
-				n.controller.Tick(n.sim.clock.Now())
-				n.sim.clock.In(tuning.TickEvery, tick)
-			})
-		}
-	}
-	n.sim.clock.In(time.Duration(n.sim.rng.IntN(100))*time.Millisecond, tick)
-}
-
-// options are what the node's process is started with.
-func (n *simulatedNode) options() Options {
-	o := Options{Blocks: n.sim.shards}
-	o.Switches.IntentLog = n.sim.intentLog && (n.upgraded || !n.sim.startsOld)
-	return o
-}
-
-// crash ends the process; a new one starts after a time.
-func (n *simulatedNode) crash(back time.Duration) {
-	if !n.alive {
-		return
-	}
-	n.alive = false
-	n.processNumber++
-	n.freezeFor, n.frozenUntil = 0, time.Time{}
-	n.sim.clock.In(back, n.start)
-}
-
-// whenRunning carries on once the process does not stand still, if it is still there.
-func (n *simulatedNode) whenRunning(f func()) {
-	now := n.sim.clock.Now()
-	if !now.Before(n.frozenUntil) {
-		start := time.Now()
-		f()
-		n.sim.longestEvent = max(n.sim.longestEvent, time.Since(start))
-		return
-	}
-	generation := n.processNumber
-	n.sim.clock.In(n.frozenUntil.Sub(now), func() {
-		if n.alive && n.processNumber == generation {
-			n.whenRunning(f)
-		}
-	})
-}
-
-// reconnectState ends a cut from the state service: what was held back arrives.
-func (n *simulatedNode) reconnectState() {
-	n.stateCut = false
-	for _, f := range n.heldCalls {
-		n.sim.clock.In(n.sim.lag(), f)
-	}
-	n.heldCalls = nil
-}
-
 // crossesZoneBoundary tells whether a zone is cut off and exactly one of two places is in it.
 func (sim *simulation) crossesZoneBoundary(one, other string) bool {
 	return sim.isolatedZone != "" && (sim.isolatedZone == one) != (sim.isolatedZone == other)
 }
-
-// stateUnreachable tells whether no message passes between a node and the state service.
-func (n *simulatedNode) stateUnreachable() bool {
-	return n.stateCut || n.sim.isolatedZone != "" && n.sim.isolatedZone == n.zone
-}
