--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// heldProgressRequests is an Env that keeps the calls for progress.
+// heldProgressRequests is a double of Effects that keeps the calls for progress.
 type heldProgressRequests struct {
 	Effects
 	asked []*peerpb.ProgressRequest
--- a/internal/controller/digest_test.go
+++ b/internal/controller/digest_test.go
@@ -94,7 +94,9 @@
 
 func (sim *simulation) recordStateCall(node string, c store.Call) {
 	if d := sim.digest; d != nil {
-		d.add(sim.clock.Now(), node, "state", c.Op, c.Priority, c.Key, c.Prefix, c.After, c.SinceRevision, c.PageSize, c.Transaction, c.Lease, c.LeaseTTL, c.WatchWaitMs)
+		d.add(sim.clock.Now(), node, "state",
+			c.Op, c.Priority, c.Key, c.Prefix, c.After, c.SinceRevision, c.PageSize,
+			c.Transaction, c.Lease, c.LeaseTTL, c.WatchWaitMs)
 	}
 }
 
@@ -124,7 +126,7 @@
 	}
 }
 
-// recordWorkerAnswer records what a controller answers a worker's report.
+// recordWorkerAnswer records what a controller answers a worker's heartbeat.
 func (sim *simulation) recordWorkerAnswer(node, host string, status int, body any) {
 	if d := sim.digest; d != nil {
 		d.add(sim.clock.Now(), node, "worker answer", host, status, body)
--- a/internal/controller/fault_combinations_controllers_test.go
+++ b/internal/controller/fault_combinations_controllers_test.go
@@ -18,7 +18,8 @@
 	}
 }
 
-// playRepeatedFailovers ends leaders in quick succession, then all controllers, of which one returns first.
+// playRepeatedFailovers ends leaders in quick succession, then all controllers, of which
+// one returns first.
 func playRepeatedFailovers(s *faultScenario) {
 	for range 5 {
 		s.jobs(2, 10*time.Second, 60*time.Second)
@@ -29,7 +30,12 @@
 		s.runFor(s.randomMillis(200, 5000))
 		first := s.rng.IntN(3)
 		for i, n := range s.nodes {
-			n.crash(map[bool]time.Duration{true: s.randomMillis(100, 900), false: s.randomMillis(5000, 20000)}[i == first])
+			soon, late := s.randomMillis(100, 900), s.randomMillis(5000, 20000)
+			if i == first {
+				n.crash(soon)
+			} else {
+				n.crash(late)
+			}
 		}
 		s.runFor(s.randomMillis(5000, 20000))
 	}
--- a/internal/controller/fault_combinations_users_test.go
+++ b/internal/controller/fault_combinations_users_test.go
@@ -3,26 +3,33 @@
 import (
 	"time"
 
+	"juniperchute/internal/standin"
 	"juniperchute/internal/wire"
 )
 
 // playTasksEndAcrossFailover spreads the ends of a job's few tasks over a change of leader.
 func playTasksEndAcrossFailover(s *faultScenario) {
 	for range 5 {
-		j := s.job(func(spec *wire.JobSpec) { spec.Shape, spec.Tasks = wire.ShapeBatch, 2+s.rng.IntN(2) }, s.randomMillis(3000, 8000))
+		fewTasks := func(spec *wire.JobSpec) { spec.Shape, spec.Tasks = wire.ShapeBatch, 2+s.rng.IntN(2) }
+		job := s.job(fewTasks, s.randomMillis(3000, 8000))
 		s.runFor(s.randomMillis(6000, 9000))
-		for _, id := range s.machineNames() {
-			for _, p := range s.machines[id].Tasks {
-				if p.Job == j && p.N > 0 && p.Stage == wire.TaskRunning {
-					p.Until = s.clock.Now().Add(s.randomMillis(10000, 30000))
-				}
-			}
-		}
+		s.prolongLaterTasks(job)
 		s.leaderOrAny().crash(s.randomMillis(100, 5000))
 		s.runFor(s.randomMillis(4000, 9000))
 	}
 }
 
+// prolongLaterTasks lets all running tasks of a job but its first end much later.
+func (s *faultScenario) prolongLaterTasks(job *standin.Job) {
+	for _, id := range s.machineNames() {
+		for _, task := range s.machines[id].Tasks {
+			if task.Job == job && task.N > 0 && task.Stage == wire.TaskRunning {
+				task.Until = s.clock.Now().Add(s.randomMillis(10000, 30000))
+			}
+		}
+	}
+}
+
 // playRequestsAtJobEnd sends cancellations, queries and submissions just as jobs end.
 func playRequestsAtJobEnd(s *faultScenario) {
 	s.rates.cancelAtEnd, s.rates.burstsOfQueries = 0.7, true
@@ -69,8 +76,12 @@
 
 // playHighJobRate submits four one-task jobs a second and cancels a quarter of them.
 func playHighJobRate(s *faultScenario) {
+	oneTask := func(spec *wire.JobSpec) {
+		spec.Shape, spec.Tasks = wire.ShapeBatch, 1
+		spec.Gpus, spec.Vcpus = 0, 1
+	}
 	for range 240 {
-		j := s.job(func(spec *wire.JobSpec) { spec.Shape, spec.Tasks, spec.Gpus, spec.Vcpus = wire.ShapeBatch, 1, 0, 1 }, s.randomMillis(1000, 5000))
+		j := s.job(oneTask, s.randomMillis(1000, 5000))
 		if s.rng.IntN(4) == 0 {
 			s.clock.In(s.randomMillis(0, 4000), func() { s.cancel(j) })
 		}
--- a/internal/controller/fault_combinations_workers_test.go
+++ b/internal/controller/fault_combinations_workers_test.go
@@ -9,10 +9,14 @@
 // playZoneBoundJobsLoseMachines deletes machines under jobs that must stay in one zone.
 func playZoneBoundJobsLoseMachines(s *faultScenario) {
 	for i := range 6 {
-		s.job(func(spec *wire.JobSpec) { spec.Zone = s.zones[i%2]; spec.SameZone = i%3 == 0 }, s.randomMillis(10000, 40000))
+		bindToZone := func(spec *wire.JobSpec) {
+			spec.Zone = s.zones[i%2]
+			spec.SameZone = i%3 == 0
+		}
+		s.job(bindToZone, s.randomMillis(10000, 40000))
 		s.runFor(s.randomMillis(5000, 10000))
-		for _, h := range s.randomMachines() {
-			s.cloud.Remove(h.Host.ID)
+		for _, m := range s.randomMachines() {
+			s.cloud.Remove(m.Host.ID)
 		}
 		if i%3 == 2 {
 			s.leaderOrAny().crash(s.randomMillis(100, 2000))
@@ -20,13 +24,14 @@
 	}
 }
 
-// playFullTeamsCancelDuringMachineFaults cancels jobs of teams at their limits while machines hang or are
-// cut off.
+// playFullTeamsCancelDuringMachineFaults cancels jobs of teams at their limits while
+// machines hang or are cut off.
 func playFullTeamsCancelDuringMachineFaults(s *faultScenario) {
 	for i := range 4 {
 		s.jobs(5, 30*time.Second, 90*time.Second)
 		s.runFor(s.randomMillis(8000, 20000))
-		s.applyFaultToShare(0.5, s.randomMillis(4000, 30000), []machineFlag{hang, partition}[i%2])
+		flags := []machineFlag{hang, partition}
+		s.applyFaultToShare(0.5, s.randomMillis(4000, 30000), flags[i%2])
 		s.cancelSome(0.6)
 		s.runFor(s.randomMillis(0, 1500))
 		s.leaderOrAny().crash(s.randomMillis(100, 6000))
@@ -53,9 +58,10 @@
 // playDelayedCommands holds direct commands or their replies up for seconds.
 func playDelayedCommands(s *faultScenario) {
 	s.rates.delayedCommands = 0.3
+	criticalGang := func(spec *wire.JobSpec) { spec.Shape, spec.Priority = wire.ShapeGang, "critical" }
 	for range 8 {
 		s.jobs(2, 10*time.Second, 60*time.Second)
-		s.job(func(spec *wire.JobSpec) { spec.Shape, spec.Priority = wire.ShapeGang, "critical" }, s.randomMillis(5000, 60000))
+		s.job(criticalGang, s.randomMillis(5000, 60000))
 		s.runFor(s.randomMillis(3000, 9000))
 		s.cancelSome(0.25)
 		if s.rng.IntN(4) == 0 {
@@ -64,12 +70,14 @@
 	}
 }
 
-// playFailoverWithUnreachableMachines ends the leader while machines with long tasks are unreachable.
+// playFailoverWithUnreachableMachines ends the leader while machines with long tasks are
+// unreachable.
 func playFailoverWithUnreachableMachines(s *faultScenario) {
 	for i := range 4 {
 		s.jobs(4, 40*time.Second, 120*time.Second)
 		s.runFor(s.randomMillis(10000, 15000))
-		s.applyFaultToShare(0.5, s.randomMillis(5000, 40000), []machineFlag{partition, cutInbound, cutOutbound}[i%3])
+		flags := []machineFlag{partition, cutInbound, cutOutbound}
+		s.applyFaultToShare(0.5, s.randomMillis(5000, 40000), flags[i%3])
 		s.leaderOrAny().crash(s.randomMillis(100, 5000))
 		s.runFor(s.randomMillis(100, 8000))
 		s.cancelSome(0.4)
@@ -77,7 +85,8 @@
 	}
 }
 
-// playOldHeartbeatsToNewLeader delivers copies of old heartbeats to every controller as a new leader starts.
+// playOldHeartbeatsToNewLeader delivers copies of old heartbeats to every controller as a
+// new leader starts.
 func playOldHeartbeatsToNewLeader(s *faultScenario) {
 	s.rates.heartbeatsToNextLeaseHolder = 0.3
 	for range 6 {
@@ -90,7 +99,8 @@
 	}
 }
 
-// playReorderedHeartbeats delivers old heartbeats after newer ones, also of an earlier incarnation or attempt.
+// playReorderedHeartbeats delivers old heartbeats after newer ones, also of an earlier
+// incarnation or attempt.
 func playReorderedHeartbeats(s *faultScenario) {
 	s.rates.lateHeartbeats = 0.3
 	for range 8 {
@@ -101,13 +111,14 @@
 	}
 }
 
-// playFullTeamDuringFailover cancels jobs of teams at their limits during a change of leader with
-// machines unreachable.
+// playFullTeamDuringFailover cancels jobs of teams at their limits during a change of
+// leader with machines unreachable.
 func playFullTeamDuringFailover(s *faultScenario) {
 	for i := range 5 {
 		s.jobs(5, 30*time.Second, 90*time.Second)
 		s.runFor(s.randomMillis(8000, 15000))
-		s.applyFaultToShare(0.4, s.randomMillis(3000, 45000), []machineFlag{partition, hang, cutInbound}[i%3])
+		flags := []machineFlag{partition, hang, cutInbound}
+		s.applyFaultToShare(0.4, s.randomMillis(3000, 45000), flags[i%3])
 		s.leaderOrAny().crash(s.randomMillis(100, 3000))
 		s.runFor(s.randomMillis(500, 6000))
 		s.cancelSome(0.4)
--- a/internal/controller/runtime_test.go
+++ b/internal/controller/runtime_test.go
@@ -178,7 +178,7 @@
 	}
 }
 
-// heldStateCalls is an Env that keeps the newest call of the state service.
+// heldStateCalls is a double of Effects that keeps the newest call of the state service.
 type heldStateCalls struct {
 	Effects
 	then func(now time.Time, r store.Result)
--- /dev/null
+++ b/internal/controller/simulation_commands_test.go
@@ -0,0 +1,91 @@
+package controller
+
+import (
+	"strings"
+	"time"
+
+	"juniperchute/internal/tuning"
+	"juniperchute/internal/wire"
+)
+
+// SendCommands is part of Effects.
+func (e *simulatedEffects) SendCommands(
+	address string, d wire.DirectCommands, by time.Time,
+	then func(now time.Time, status int, heartbeat *wire.Heartbeat),
+) {
+	at := queryEffect
+	if len(d.Commands) > 0 {
+		at = commandEffect
+	}
+	if e.deferIfFrozen(at, func() { e.SendCommands(address, d, by, then) }) {
+		return
+	}
+	sim := e.node.sim
+	sim.recordCommand(e.node.name, address, d, by)
+	over := false
+	finish := func(status int, heartbeat *wire.Heartbeat) {
+		if !over && e.current() {
+			over = true
+			e.node.whenRunning(func() { then(sim.clock.Now(), status, heartbeat) })
+		}
+	}
+	if !sim.clock.Now().Before(by) {
+		sim.clock.In(0, func() { finish(NotSent, nil) })
+		return
+	}
+	if len(d.Commands) > 0 {
+		e.checkLeaseValid("a command")
+	}
+	sim.clock.In(tuning.DoTimeout, func() { finish(0, nil) })
+	m := sim.machines[strings.TrimPrefix(address, machineAddressPrefix)]
+	if m == nil || m.inboundCut {
+		return
+	}
+	there, back := sim.commandDelays()
+	sim.checkCommands(e.node, d.Commands)
+	sim.deliver(m, e.node, func() { e.executeCommands(m, d, there, back, finish) })
+}
+
+// commandDelays are how long a direct command and its answer are held up.
+func (sim *simulation) commandDelays() (there, back time.Duration) {
+	if sim.rng.Float64() >= sim.rates.delayedCommands {
+		return 0, 0
+	}
+	there = time.Duration(sim.rng.IntN(20000)) * time.Millisecond
+	back = time.Duration(sim.rng.IntN(5000)) * time.Millisecond
+	if sim.rng.IntN(4) == 0 {
+		there *= 4 // longer than a cancelled job's tasks have
+	}
+	if sim.rates.commandDelay > 0 {
+		there = sim.rates.commandDelay
+	}
+	return there, back
+}
+
+// executeCommands executes a direct command that has reached its machine.
+func (e *simulatedEffects) executeCommands(
+	m *machine, d wire.DirectCommands, there, back time.Duration, finish func(int, *wire.Heartbeat),
+) {
+	sim := e.node.sim
+	if m.Dead {
+		return
+	}
+	if there > 0 {
+		sim.clock.In(there, func() {
+			if !m.Dead {
+				status, heartbeat := m.Command(d)
+				sim.clock.In(back, func() { finish(status, heartbeat) })
+			}
+		})
+		return
+	}
+	status, heartbeat := m.Command(d)
+	sim.deliver(m, e.node, func() { finish(status, heartbeat) })
+	if sim.randomMessageFaults && sim.rng.IntN(20) == 0 { // a repeat of a command that was carried out
+		sim.clock.In(time.Duration(200+sim.rng.IntN(60000))*time.Millisecond, func() {
+			if !m.Dead && !m.Hung {
+				m.Command(d)
+			}
+		})
+	}
+}
--- a/internal/controller/simulation_effects_test.go
+++ b/internal/controller/simulation_effects_test.go
@@ -1,29 +1,19 @@
 package controller
 
 import (
-	"errors"
-	"slices"
-	"strings"
-	"time"
-
-	"juniperchute/internal/fleet"
-	"juniperchute/internal/peer/peerpb"
 	"juniperchute/internal/standin"
-	"juniperchute/internal/store"
-	"juniperchute/internal/tuning"
-	"juniperchute/internal/wire"
 )
 
-// effect names a sort of effect just before which a process may freeze.
+// effect is a sort of effect just before which a process may freeze.
 type effect string
 
 const (
 	anyEffect     effect = ""
 	stateEffect   effect = "state"
 	cloudEffect   effect = "cloud"
-	deleteEffect  effect = "return"
+	deleteEffect  effect = "delete"
 	commandEffect effect = "command"
-	queryEffect   effect = "question"
+	queryEffect   effect = "query"
 )
 
 // machineAddressPrefix stands before a machine's name in its address.
@@ -35,13 +25,14 @@
 	processNumber int
 }
 
+// current tells whether the process still runs: what an ended one waits for is void.
 func (e *simulatedEffects) current() bool {
 	return e.node.alive && e.node.processNumber == e.processNumber
 }
 
-// deferIfFrozen tells whether the process stands still just before an effect; again carries it
-// out afterwards.
-func (e *simulatedEffects) deferIfFrozen(at effect, again func()) bool {
+// deferIfFrozen tells whether the process is frozen just before an effect; carryOut does it
+// afterwards.
+func (e *simulatedEffects) deferIfFrozen(at effect, carryOut func()) bool {
 	n := e.node
 	now := n.sim.clock.Now()
 	if n.freezeFor > 0 && (n.freezeAt == anyEffect || n.freezeAt == at) {
@@ -50,290 +41,16 @@
 	if !now.Before(n.frozenUntil) {
 		return false
 	}
-	n.whenRunning(again)
+	n.whenRunning(carryOut)
 	return true
 }
 
 // checkLeaseValid checks that whatever changes a machine's tasks is done with the lease.
 func (e *simulatedEffects) checkLeaseValid(what string) {
-	if l := e.node.controller.membership; !l.LeaseValid(e.node.sim.clock.Now()) {
-		e.node.sim.addViolation("%s: %s past its lease's end at %v", e.node.name, what, l.LeaseDeadline().Sub(standin.Epoch))
-	}
-}
-
-// CallState is part of Env.
-func (e *simulatedEffects) CallState(c store.Call, then func(now time.Time, r store.Result)) {
-	if e.deferIfFrozen(stateEffect, func() { e.CallState(c, then) }) {
-		return
-	}
-	sim := e.node.sim
-	sim.recordStateCall(e.node.name, c)
-	e.checkStoredSizes(c)
-	sent := sim.clock.Now()
-	over := false
-	finish := func(r store.Result) {
-		if over || !e.current() {
-			return
-		}
-		over = true
-		r.SentAt = sent
-		e.node.whenRunning(func() { then(sim.clock.Now(), r) })
-	}
-	sim.clock.In(c.Timeout(), func() { finish(store.Result{}) })
-	arrive := func() { e.executeStateCall(c, finish) }
-	if sim.rates.slowState > 0 {
-		sooner, lag := arrive, time.Duration(sim.rng.Int64N(int64(sim.rates.slowState)))
-		arrive = func() { sim.clock.In(lag, sooner) }
-	}
-	e.deliverStateCall(c, arrive)
-}
-
-// checkStoredSizes checks that what the new version writes fits the limits to come from the
-// start, whenever they come; an old process's late transaction may not.
-func (e *simulatedEffects) checkStoredSizes(c store.Call) {
-	sim := e.node.sim
-	if !sim.startsOld || !e.node.upgraded {
-		return
-	}
-	limits := e.node.controller.config.Platform.State.StoredLimits()
-	for _, x := range c.Transaction.Writes {
-		if len(x.Value) > int(limits.ValueKB*1024) || len(c.Transaction.Writes) > limits.TxnOps {
-			sim.addViolation("%s writes %s with %d bytes, %d changes at once", e.node.name, x.Put, len(x.Value), len(c.Transaction.Writes))
-		}
-	}
-}
-
-// executeStateCall executes a call that has reached the state service.
-func (e *simulatedEffects) executeStateCall(c store.Call, finish func(store.Result)) {
-	sim, n := e.node.sim, e.node
-	if n.stateRefused && (c.Op != store.OpWatch || c.WatchWaitMs == 0) {
-		sim.clock.In(sim.lag(), func() { finish(store.Result{Status: 503}) })
-		return
-	}
-	if c.Op == store.OpWatch && n.silentWatches != "" && c.Prefix == n.silentWatches {
-		return
+	sim, member := e.node.sim, e.node.name
+	membership := e.node.controller.membership
+	if !membership.LeaseValid(sim.clock.Now()) {
+		deadline := membership.LeaseDeadline().Sub(standin.Epoch)
+		sim.addViolation("%s: %s past its lease's end at %v", member, what, deadline)
 	}
-	sim.state.Call(c, func(r store.Result) {
-		// a refused node's watches wait as in an outage, those opened before too
-		if n.stateUnreachable() || n.stateRefused && c.Op == store.OpWatch {
-			return
-		}
-		lag := sim.lag()
-		if sim.rates.slowState > 0 {
-			lag += time.Duration(sim.rng.Int64N(int64(sim.rates.slowState)))
-		}
-		sim.clock.In(lag, func() {
-			if !n.stateCut {
-				finish(r)
-			}
-		})
-	})
-}
-
-// deliverStateCall lets a call arrive, with whatever faults happen to it on its way.
-func (e *simulatedEffects) deliverStateCall(c store.Call, arrive func()) {
-	sim, n := e.node.sim, e.node
-	roll := sim.rng.IntN(1000)
-	fault := sim.rng.Float64()
-	multi := c.Op == store.OpTransaction && len(c.Transaction.Writes) > 0
-	execute := func() { sim.state.Call(c, func(store.Result) {}) } // its answer is lost
-	upTo := func(most time.Duration) time.Duration { return time.Duration(sim.rng.Int64N(int64(most))) }
-	switch {
-	case multi && fault < sim.rates.lateWrites:
-		sim.clock.In(2*time.Second+upTo(10*time.Second), execute)
-	case multi && fault < sim.rates.lateWrites+sim.rates.lostAnswers && !n.stateCut && !n.stateRefused:
-		sim.clock.In(sim.lag(), execute)
-	case n.stateUnreachable():
-		if sim.rng.IntN(2) == 0 {
-			n.heldCalls = append(n.heldCalls, arrive) // comes late, even from a process that has ended
-		}
-	case sim.randomMessageFaults && roll < 4 && c.Op == store.OpTransaction:
-		sim.clock.In(upTo(30*time.Second), arrive)
-	case sim.randomMessageFaults && roll < 8:
-		sim.clock.In(sim.lag(), execute)
-	case sim.randomMessageFaults && roll < 16 && c.Op == store.OpTransaction: // carried out, and repeated late
-		sim.clock.In(sim.lag(), arrive)
-		sim.clock.In(upTo(30*time.Second), execute)
-	default:
-		sim.clock.In(sim.lag(), arrive)
-	}
-}
-
-// CallCloud is part of Env.
-func (e *simulatedEffects) CallCloud(c fleet.Call, then func(now time.Time, r fleet.Result)) {
-	at := cloudEffect
-	if c.Op == fleet.OpDelete {
-		at = deleteEffect
-	}
-	if e.deferIfFrozen(at, func() { e.CallCloud(c, then) }) {
-		return
-	}
-	sim := e.node.sim
-	sim.recordCloudCall(e.node.name, c)
-	over := false
-	finish := func(r fleet.Result) {
-		if !over && e.current() {
-			over = true
-			e.node.whenRunning(func() { then(sim.clock.Now(), r) })
-		}
-	}
-	if !sim.clock.Now().Before(c.By) {
-		sim.clock.In(0, func() { finish(fleet.Result{}) })
-		return
-	}
-	if c.Op == fleet.OpDelete {
-		e.checkLeaseValid("machines returned")
-	}
-	sim.clock.In(tuning.CloudTimeout, func() { finish(fleet.Result{}) })
-	arrive := func() {
-		r := sim.cloud.Call(c)
-		sim.clock.In(sim.lag(), func() { finish(r) })
-	}
-	roll := sim.rng.IntN(100)
-	if e.node.cloudCut || sim.randomMessageFaults && roll < 2 { // lost, or executed late
-		if sim.rng.IntN(2) == 0 {
-			sim.clock.In(time.Duration(5+sim.rng.IntN(60))*time.Second, arrive)
-		}
-		return
-	}
-	sim.clock.In(100*time.Millisecond, arrive)
-	if sim.randomMessageFaults && roll < 6 { // carried out, and repeated late
-		sim.clock.In(time.Duration(1+sim.rng.IntN(60))*time.Second, func() { sim.cloud.Call(c) })
-	}
-}
-
-// SendCommands is part of Env.
-func (e *simulatedEffects) SendCommands(addr string, d wire.DirectCommands, by time.Time, then func(now time.Time, status int, rep *wire.Heartbeat)) {
-	at := queryEffect
-	if len(d.Commands) > 0 {
-		at = commandEffect
-	}
-	if e.deferIfFrozen(at, func() { e.SendCommands(addr, d, by, then) }) {
-		return
-	}
-	sim := e.node.sim
-	sim.recordCommand(e.node.name, addr, d, by)
-	over := false
-	finish := func(status int, rep *wire.Heartbeat) {
-		if !over && e.current() {
-			over = true
-			e.node.whenRunning(func() { then(sim.clock.Now(), status, rep) })
-		}
-	}
-	if !sim.clock.Now().Before(by) {
-		sim.clock.In(0, func() { finish(NotSent, nil) })
-		return
-	}
-	if len(d.Commands) > 0 {
-		e.checkLeaseValid("a command")
-	}
-	sim.clock.In(tuning.DoTimeout, func() { finish(0, nil) })
-	m := sim.machines[strings.TrimPrefix(addr, machineAddressPrefix)]
-	if m == nil || m.inboundCut {
-		return
-	}
-	there, back := sim.commandDelays()
-	sim.checkCommands(e.node, d.Commands)
-	sim.deliver(m, e.node, func() { e.executeCommands(m, d, there, back, finish) })
-}
-
-// commandDelays are how long a direct command and its answer are held up.
-func (sim *simulation) commandDelays() (there, back time.Duration) {
-	if sim.rng.Float64() >= sim.rates.delayedCommands {
-		return 0, 0
-	}
-	there, back = time.Duration(sim.rng.IntN(20000))*time.Millisecond, time.Duration(sim.rng.IntN(5000))*time.Millisecond
-	if sim.rng.IntN(4) == 0 {
-		there *= 4 // longer than a cancelled job's tasks have
-	}
-	if sim.rates.commandDelay > 0 {
-		there = sim.rates.commandDelay
-	}
-	return there, back
-}
-
-// executeCommands executes a direct command that has reached its machine.
-func (e *simulatedEffects) executeCommands(m *machine, d wire.DirectCommands, there, back time.Duration, finish func(int, *wire.Heartbeat)) {
-	sim := e.node.sim
-	if m.Dead {
-		return
-	}
-	if there > 0 {
-		sim.clock.In(there, func() {
-			if !m.Dead {
-				status, rep := m.Command(d)
-				sim.clock.In(back, func() { finish(status, rep) })
-			}
-		})
-		return
-	}
-	status, rep := m.Command(d)
-	sim.deliver(m, e.node, func() { finish(status, rep) })
-	if sim.randomMessageFaults && sim.rng.IntN(20) == 0 { // a repeat of a command that was carried out
-		sim.clock.In(time.Duration(200+sim.rng.IntN(60000))*time.Millisecond, func() {
-			if !m.Dead && !m.Hung {
-				m.Command(d)
-			}
-		})
-	}
-}
-
-var errUnreachable = errors.New("peer cannot be reached")
-
-// callPeer carries a call to another controller, or its failure.
-func callPeer[T any](e *simulatedEffects, member string, call func(o *simulatedNode) *T, then func(now time.Time, r *T, err error)) {
-	sim := e.node.sim
-	finish := func(r *T, err error) {
-		if e.current() {
-			e.node.whenRunning(func() { then(sim.clock.Now(), r, err) })
-		}
-	}
-	fail := func() { finish(nil, errUnreachable) }
-	i := slices.IndexFunc(sim.nodes, func(o *simulatedNode) bool { return o.name == member })
-	sim.clock.In(sim.lag(), func() {
-		if i < 0 {
-			sim.clock.In(tuning.ProgressTimeout, fail)
-			return
-		}
-		o := sim.nodes[i]
-		if e.node.peersCut || o.peersCut || !o.alive || sim.crossesZoneBoundary(e.node.zone, o.zone) || sim.clock.Now().Before(o.frozenUntil) {
-			sim.clock.In(tuning.ProgressTimeout, fail)
-			return
-		}
-		finish(call(o), nil)
-	})
-}
-
-// SendHeartbeat is part of Env.
-func (e *simulatedEffects) SendHeartbeat(member string, m *peerpb.PeerHeartbeat, then func(now time.Time, r *peerpb.PeerHeartbeat, err error)) {
-	e.node.sim.recordPeerCall(e.node.name, member, "pulse", m)
-	callPeer(e, member, func(o *simulatedNode) *peerpb.PeerHeartbeat {
-		answer := o.controller.HandlePeerHeartbeat(e.node.sim.clock.Now(), m)
-		e.node.sim.recordPeerAnswer(o.name, "pulse", answer)
-		return answer
-	}, then)
-}
-
-// AskProgress is part of Env.
-func (e *simulatedEffects) AskProgress(member string, m *peerpb.ProgressRequest, then func(now time.Time, r *peerpb.ProgressReply, err error)) {
-	e.node.sim.recordPeerCall(e.node.name, member, "progress", m)
-	callPeer(e, member, func(o *simulatedNode) *peerpb.ProgressReply {
-		answer := o.controller.HandleProgress(m)
-		e.node.sim.recordPeerAnswer(o.name, "progress", answer)
-		return answer
-	}, then)
-}
-
-// ProbeWorkers is part of Env.
-func (e *simulatedEffects) ProbeWorkers(member string, m *peerpb.ProbeRequest, then func(now time.Time, r *peerpb.ProbeReply, err error)) {
-	e.node.sim.recordPeerCall(e.node.name, member, "probe", m)
-	callPeer(e, member, func(o *simulatedNode) *peerpb.ProbeReply {
-		r := &peerpb.ProbeReply{}
-		for _, a := range m.Addresses {
-			if h := e.node.sim.machines[strings.TrimPrefix(a, machineAddressPrefix)]; h != nil && !h.partitioned && !h.Hung && !o.workersCut {
-				r.Answered++
-			}
-		}
-		return r
-	}, then)
 }
--- a/internal/controller/simulation_network_test.go
+++ b/internal/controller/simulation_network_test.go
@@ -19,7 +19,8 @@
 // deliver carries a message between a machine and a node, either way. A cut holds it
 // back or loses it.
 func (sim *simulation) deliver(m *machine, n *simulatedNode, f func()) {
-	cut := m.partitioned || n.workersCut || m.onlyNode != nil && m.onlyNode != n || sim.crossesZoneBoundary(m.Host.Zone, n.zone)
+	reachesOther := m.onlyNode != nil && m.onlyNode != n
+	cut := m.partitioned || n.workersCut || reachesOther || sim.crossesZoneBoundary(m.Host.Zone, n.zone)
 	if cut || m.Hung {
 		if sim.rng.IntN(2) == 0 {
 			m.held = append(m.held, f)
--- /dev/null
+++ b/internal/controller/simulation_peers_test.go
@@ -0,0 +1,85 @@
+package controller
+
+import (
+	"errors"
+	"slices"
+	"strings"
+	"time"
+
+	"juniperchute/internal/peer/peerpb"
+	"juniperchute/internal/tuning"
+)
+
+var errUnreachable = errors.New("peer cannot be reached")
+
+// callPeer carries a call to another controller, or its failure.
+func callPeer[T any](
+	e *simulatedEffects, member string,
+	call func(o *simulatedNode) *T, then func(now time.Time, r *T, err error),
+) {
+	sim := e.node.sim
+	finish := func(r *T, err error) {
+		if e.current() {
+			e.node.whenRunning(func() { then(sim.clock.Now(), r, err) })
+		}
+	}
+	fail := func() { finish(nil, errUnreachable) }
+	i := slices.IndexFunc(sim.nodes, func(o *simulatedNode) bool { return o.name == member })
+	sim.clock.In(sim.lag(), func() {
+		if i < 0 {
+			sim.clock.In(tuning.ProgressTimeout, fail)
+			return
+		}
+		o := sim.nodes[i]
+		cut := e.node.peersCut || o.peersCut || sim.crossesZoneBoundary(e.node.zone, o.zone)
+		if cut || !o.alive || sim.clock.Now().Before(o.frozenUntil) {
+			sim.clock.In(tuning.ProgressTimeout, fail)
+			return
+		}
+		finish(call(o), nil)
+	})
+}
+
+// SendHeartbeat is part of Effects.
+func (e *simulatedEffects) SendHeartbeat(
+	member string, m *peerpb.PeerHeartbeat,
+	then func(now time.Time, r *peerpb.PeerHeartbeat, err error),
+) {
+	e.node.sim.recordPeerCall(e.node.name, member, "pulse", m)
+	callPeer(e, member, func(o *simulatedNode) *peerpb.PeerHeartbeat {
+		answer := o.controller.HandlePeerHeartbeat(e.node.sim.clock.Now(), m)
+		e.node.sim.recordPeerAnswer(o.name, "pulse", answer)
+		return answer
+	}, then)
+}
+
+// AskProgress is part of Effects.
+func (e *simulatedEffects) AskProgress(
+	member string, m *peerpb.ProgressRequest,
+	then func(now time.Time, r *peerpb.ProgressReply, err error),
+) {
+	e.node.sim.recordPeerCall(e.node.name, member, "progress", m)
+	callPeer(e, member, func(o *simulatedNode) *peerpb.ProgressReply {
+		answer := o.controller.HandleProgress(m)
+		e.node.sim.recordPeerAnswer(o.name, "progress", answer)
+		return answer
+	}, then)
+}
+
+// ProbeWorkers is part of Effects.
+func (e *simulatedEffects) ProbeWorkers(
+	member string, m *peerpb.ProbeRequest,
+	then func(now time.Time, r *peerpb.ProbeReply, err error),
+) {
+	e.node.sim.recordPeerCall(e.node.name, member, "probe", m)
+	callPeer(e, member, func(o *simulatedNode) *peerpb.ProbeReply {
+		r := &peerpb.ProbeReply{}
+		for _, address := range m.Addresses {
+			target := e.node.sim.machines[strings.TrimPrefix(address, machineAddressPrefix)]
+			if target != nil && !target.partitioned && !target.Hung && !o.workersCut {
+				r.Answered++
+			}
+		}
+		return r
+	}, then)
+}
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -54,18 +54,27 @@
 	highestToken        uint64            // the highest token of a term
 }
 
-// faultRates are the shares of messages to which something happens, besides randomMessageFaults.
+// faultRates are the shares of messages that suffer a fault, besides the simulation's
+// random message faults. A time is the most by which messages are delayed.
 type faultRates struct {
-	lateWrites                  float64       // transactions that get no answer and are carried out 2 to 12 s later
-	lostAnswers                 float64       // transactions that are carried out at once and get no answer
-	lateHeartbeats              float64       // heartbeats of which a copy comes again, from 2 s to well over a lease later
-	heartbeatsToNextLeaseHolder float64       // heartbeats of which a copy comes to every controller when a term starts
-	delayedCommands             float64       // direct commands, or their answers, that are held up for seconds
-	commandDelay                time.Duration // for which they are held up; 0: for random times
-	cancelAtEnd                 float64       // jobs that are cancelled as they end
-	burstsOfQueries             bool          // all nodes are queried within milliseconds of each change
-	slowState                   time.Duration // the state service's answers take up to so long
-	slowLinks                   time.Duration // messages between machines and controllers take up to so long
+	// Transactions.
+	lateWrites  float64 // get no answer and are carried out 2 to 12 s later
+	lostAnswers float64 // are carried out at once and get no answer
+
+	// Heartbeats.
+	lateHeartbeats              float64 // come again, from 2 s to well over a lease later
+	heartbeatsToNextLeaseHolder float64 // come again, to every controller, when a term starts
+
+	// Direct commands, or their answers.
+	delayedCommands float64       // are held up for seconds
+	commandDelay    time.Duration // for which they are held up; 0: for random times
+
+	// Requests of users.
+	cancelAtEnd     float64 // jobs that are cancelled as they end
+	burstsOfQueries bool    // all nodes are queried within milliseconds of each change
+
+	slowState time.Duration // answers of the state service
+	slowLinks time.Duration // messages between machines and controllers
 }
 
 // machine is a worker and the faults of its network.
--- a/internal/controller/simulation_users_test.go
+++ b/internal/controller/simulation_users_test.go
@@ -184,9 +184,9 @@
 	unknown := fmt.Sprintf("job-9%06d", sim.invalidRequests)
 	switch sim.rng.IntN(4) {
 	case 0:
-		sim.send(sim.query(unknown), expect("a question about nothing", 404))
+		sim.send(sim.query(unknown), expect("a query of an unknown job", 404))
 	case 1:
-		sim.send(sim.cancellation(unknown), expect("a cancellation of nothing", 404))
+		sim.send(sim.cancellation(unknown), expect("a cancellation of an unknown job", 404))
 	case 2:
 		sim.send(sim.submission(sim.infeasibleJob(unknown)), expect("a job that can never run", 422))
 	case 3:
@@ -196,21 +196,33 @@
 
 // infeasibleJob is a job that can never run.
 func (sim *simulation) infeasibleJob(id string) wire.JobSpec {
-	s := wire.JobSpec{ID: id, Team: "red", Class: "sweep", Shape: wire.ShapeGang, Priority: "low", Tasks: 1, Vcpus: 1, Gpus: 1, MemGb: 1, Image: "img", AnyType: true}
+	spec := wire.JobSpec{
+		ID:       id,
+		Team:     "red",
+		Class:    "sweep",
+		Shape:    wire.ShapeGang,
+		Priority: "low",
+		Tasks:    1,
+		Vcpus:    1,
+		Gpus:     1,
+		MemGb:    1,
+		Image:    "img",
+		AnyType:  true,
+	}
 	switch sim.rng.IntN(4) {
 	case 0:
-		s.Team = "nobody"
+		spec.Team = "nobody"
 	case 1:
-		s.MemGb = 1e6
+		spec.MemGb = 1e6
 	case 2:
-		s.AnyType = false
+		spec.AnyType = false
 	case 3:
-		s.Tasks = 5000
+		spec.Tasks = 5000
 		if sim.cfg.Platform.Teams[0].GPUsMax == 0 {
-			s.Zone = "nowhere"
+			spec.Zone = "nowhere"
 		}
 	}
-	return s
+	return spec
 }
 
 // repeatRequest repeats the submission of some job, and cancels it if it is done.
