--- a/internal/controller/cancellation_loading_test.go
+++ b/internal/controller/cancellation_loading_test.go
@@ -7,211 +7,223 @@
 	"time"
 
 	"juniperchute/internal/config"
+	"juniperchute/internal/peer/peerpb"
 	"juniperchute/internal/quota"
 	"juniperchute/internal/standin"
 	"juniperchute/internal/submission"
 	"juniperchute/internal/wire"
 )
 
+// maxStepsToFailover is how many steps of the simulated clock a failover takes at most.
+const maxStepsToFailover = 100000
+
+// stepUntilTermIn plays until a controller's term is in a state.
+func (sim *simulation) stepUntilTermIn(state termState) *term {
+	sim.t.Helper()
+	for range maxStepsToFailover {
+		sim.clock.Step()
+		if t := sim.termInState(state); t != nil {
+			return t
+		}
+	}
+	sim.t.Fatal("no successor")
+	return nil
+}
+
 // A successor is still reading the records when the state service goes: it may not renew
-// the lease of a task that was called off before it began, as it cannot stop it.
+// the lease of a task that was cancelled before its term, as it cannot stop it.
 func TestOutageWhileLoading(t *testing.T) {
 	for seed := range uint64(4) {
-		sim := steadySimulationWith(t, 20+seed, 6, 2)
-		long := sim.add(wire.JobSpec{ID: "job-100", Team: "red", Class: "train", Shape: wire.ShapeBatch, Priority: "high", Tasks: 4,
-			Vcpus: 4, Gpus: 1, MemGb: 20, Image: "img", ImageGb: 2, AnyType: true, EstimatedRunTimeS: 300}, 400*time.Second)
-		other := sim.add(wire.JobSpec{ID: "job-101", Team: "red", Class: "train", Shape: wire.ShapeBatch, Priority: "high", Tasks: 2,
-			Vcpus: 4, Gpus: 1, MemGb: 20, Image: "img", ImageGb: 2, AnyType: true, EstimatedRunTimeS: 300}, 400*time.Second)
-		sim.runFor(40 * time.Second)
-		h := sim.leaseHolder()
-		for _, o := range sim.machines {
-			o.partitioned = true
+		testOutageWhileLoading(t, 20+seed)
+	}
+}
+
+func testOutageWhileLoading(t *testing.T, seed uint64) {
+	sim := steadySimulationWith(t, seed, 6, 2)
+	cancelled := sim.add(trainingArray("job-100", 4, 300), 400*time.Second)
+	other := sim.add(trainingArray("job-101", 2, 300), 400*time.Second)
+	sim.runFor(40 * time.Second)
+	holder := sim.leaseHolder()
+	for _, m := range sim.machines {
+		m.partitioned = true
+	}
+	sim.cancel(cancelled)
+	sim.runFor(3 * time.Second)
+	holder.crash(time.Hour)
+	for sim.termInState(termLoading) == nil {
+		sim.clock.Step()
+	}
+	if cancelled.Told != wire.JobCancelled {
+		t.Fatalf("reported as %q", cancelled.Told)
+	}
+	sim.state.SetDown(true)
+	ofCancelled, ofOthers := sim.renewalsWhileLoading(cancelled)
+	if ofCancelled > 0 || ofOthers == 0 {
+		t.Errorf("leases renewed of %d tasks that were cancelled and of %d others", ofCancelled, ofOthers)
+	}
+	for _, id := range sim.machineNames() {
+		m := sim.machines[id]
+		m.partitioned = false
+		sim.release(m)
+	}
+	sim.runFor(50 * time.Second)
+	sim.state.SetDown(false)
+	holder.crash(0)
+	sim.cancel(other)
+	sim.requireAllJobsEnd()
+}
+
+// renewalsWhileLoading sends every task's heartbeat to the controllers that are loading, and
+// counts the leases that they renew, of the cancelled job's tasks and of others.
+func (sim *simulation) renewalsWhileLoading(cancelled *standin.Job) (ofCancelled, ofOthers int) {
+	for _, n := range sim.nodes {
+		t := n.controller.terms[0]
+		if !n.alive || t == nil || t.state != termLoading {
+			continue
 		}
-		sim.cancel(long)
-		sim.runFor(3 * time.Second)
-		h.crash(time.Hour)
-		loading := func() bool {
-			for _, n := range sim.nodes {
-				if t := n.controller.terms[0]; n.alive && t != nil && t.state == termLoading {
-					return true
+		for _, id := range sim.machineNames() {
+			heartbeat := sim.machines[id].Report()
+			for _, task := range heartbeat.Tasks {
+				single := *heartbeat
+				single.Tasks = []wire.TaskStatus{task}
+				renewed := &ofOthers
+				if strings.HasPrefix(task.Name, cancelled.Spec.ID) {
+					renewed = &ofCancelled
 				}
-			}
-			return false
-		}
-		for !loading() {
-			sim.clock.Step()
-		}
-		if long.Told != wire.JobCancelled {
-			t.Fatalf("told %q", long.Told)
-		}
-		sim.state.SetDown(true)
-		renewed := map[bool]int{} // by whether the job was called off
-		for _, n := range sim.nodes {
-			if t := n.controller.terms[0]; n.alive && t != nil && t.state == termLoading {
-				for _, id := range sim.machineNames() {
-					rep := sim.machines[id].Report()
-					for _, p := range rep.Tasks {
-						one := *rep
-						one.Tasks = []wire.TaskStatus{p}
-						off := strings.HasPrefix(p.Name, long.Spec.ID)
-						t.HandleHeartbeat(sim.clock.Now(), &one, func(status int, _ any) {
-							if status == 200 && p.State != wire.TaskExited {
-								renewed[off]++
-							}
-						})
-						rep.Sequence++
+				t.HandleHeartbeat(sim.clock.Now(), &single, func(status int, _ any) {
+					if status == 200 && task.State != wire.TaskExited {
+						*renewed++
 					}
-				}
+				})
+				heartbeat.Sequence++
 			}
 		}
-		if renewed[true] > 0 || renewed[false] == 0 {
-			t.Errorf("leases renewed of %d tasks that were called off and of %d others", renewed[true], renewed[false])
-		}
-		for _, o := range sim.machines {
-			o.partitioned = false
-			sim.release(o)
-		}
-		sim.runFor(50 * time.Second)
-		sim.state.SetDown(false)
-		h.crash(0)
-		sim.cancel(other)
-		sim.requireAllJobsEnd()
 	}
+	return ofCancelled, ofOthers
 }
 
-// A cancellation is passed to a holder that is still reading the records, and has read
-// the jobs already: it says that it has it, so it may not take the job up as open.
+// A cancellation is passed to a lease holder that is still reading the records, and has
+// read the jobs already: it acknowledges it, so it may not take the job up as open.
 func TestCancellationReceivedWhileLoading(t *testing.T) {
 	sim := steadySimulation(t, 6, 8)
 	sim.leaseHolder().crash(time.Hour)
-	for range 100000 {
+	loading := sim.stepUntilTermIn(termLoading)
+	n := sim.nodeOf(loading)
+	id, openID := sim.cluster.Order[3].Spec.ID, sim.cluster.Order[4].Spec.ID
+	if _, open := n.controller.openJobs.Get(submission.OpenKey(id)); !open {
+		t.Fatalf("%s is not open", id)
+	}
+	r := sim.passCancellation(n, id)
+	if !slices.Contains(r.AcknowledgedCancelled, id) {
+		t.Fatal("it does not acknowledge the cancellation")
+	}
+	for loading.state == termLoading {
 		sim.clock.Step()
-		for _, n := range sim.nodes {
-			te := n.controller.terms[0]
-			if !n.alive || te == nil || te.state != termLoading {
-				continue
-			}
-			id := sim.cluster.Order[3].Spec.ID
-			if _, open := n.controller.openJobs.Get(submission.OpenKey(id)); !open {
-				t.Fatalf("%s is not open", id)
-			}
-			other := sim.nodes[0]
-			if other == n {
-				other = sim.nodes[1]
-			}
-			m := other.controller.peerHeartbeat(sim.clock.Now(), n.name)
-			m.Cancelled = []string{id}
-			r := n.controller.HandlePeerHeartbeat(sim.clock.Now(), m)
-			if !slices.Contains(r.AcknowledgedCancelled, id) {
-				t.Fatal("it does not say that it has it")
-			}
-			for te.state == termLoading {
-				sim.clock.Step()
-			}
-			if te.state != termFencing || te.scheduler.Job(id) != nil || te.scheduler.Job(sim.cluster.Order[4].Spec.ID) == nil {
-				t.Errorf("%v: the job that was called off is open: %v", te.state, te.scheduler.Job(id) != nil)
-			}
-			return
-		}
 	}
-	t.Fatal("no successor")
+	cancelled := loading.scheduler.Job(id)
+	if loading.state != termFencing || cancelled != nil || loading.scheduler.Job(openID) == nil {
+		t.Errorf("%v: the job that was cancelled is open: %v", loading.state, cancelled != nil)
+	}
 }
 
-// A cancellation is passed to a holder before it has read that the job was submitted, as
-// the state service's answers are slow: what it reads then is old.
+// A cancellation is passed to a lease holder before it has read that the job was
+// submitted, as the state service's answers are slow: what it reads then is old.
 func TestCancellationReceivedBeforeJobIsRead(t *testing.T) {
 	sim := steadySimulation(t, 6, 2)
 	n := sim.leaseHolder()
-	other := sim.nodes[0]
-	if other == n {
-		other = sim.nodes[1]
-	}
-	m := other.controller.peerHeartbeat(sim.clock.Now(), n.name)
-	m.Cancelled = []string{"job-900"}
-	n.controller.HandlePeerHeartbeat(sim.clock.Now(), m)
+	sim.passCancellation(n, "job-900")
 	for _, id := range []string{"job-900", "job-901"} {
-		sim.add(wire.JobSpec{ID: id, Team: "red", Class: "sweep", Shape: wire.ShapeBatch, Priority: "normal", Tasks: 1,
-			Vcpus: 4, Gpus: 1, MemGb: 20, Image: "img", ImageGb: 2, AnyType: true, EstimatedRunTimeS: 5}, 5*time.Second)
+		sim.add(sweepJob(id, "normal", 1, 5), 5*time.Second)
 	}
 	sim.runFor(2 * time.Second)
-	if b := n.controller.terms[0].scheduler; b.Job("job-900") != nil || b.Job("job-901") == nil {
-		t.Errorf("called off and open: %v; another open: %v", b.Job("job-900") != nil, b.Job("job-901") != nil)
+	shardTerm := n.controller.terms[0]
+	cancelled, open := shardTerm.scheduler.Job("job-900"), shardTerm.scheduler.Job("job-901")
+	if cancelled != nil || open == nil {
+		t.Errorf("cancelled and open: %v; another open: %v", cancelled != nil, open != nil)
 	}
 }
 
-// The room of machines not heard counts against a team's limit from the moment at which
-// the records are read: a report, and a start, may come before the next tick.
+// The resources of unreconciled machines count against a team's limit from the moment at
+// which the records are read: a heartbeat, and a start, may come before the next tick.
 func TestUnreconciledMachinesCountAtOnce(t *testing.T) {
-	sim := newSimulation(t, 11, testConfig([]string{"a"}, []config.Team{{Name: "red", GPUsMax: 12}}, 1.5, 10), 1,
-		[]wire.MachineType{{Name: "g2", Vcpus: 12, Gpus: 2, MemGb: 96, FetchGbPerS: 1, Price: 5, SpotPrice: 2, BootTimeS: 5, Zones: []string{"a"}}})
-	sim.cloud.Room[standin.RoomKey("g2", "a", false)] = 4
-	sim.add(wire.JobSpec{ID: "job-1", Team: "red", Class: "sweep", Shape: wire.ShapeBatch, Priority: "normal", Tasks: 8,
-		Vcpus: 4, Gpus: 1, MemGb: 20, Image: "img", ImageGb: 2, AnyType: true, EstimatedRunTimeS: 50}, 50*time.Second)
+	teams := []config.Team{{Name: "red", GPUsMax: 12}}
+	sim := newSimulation(t, 11, testConfig(oneZone, teams, 1.5, 10), 1, oneZoneTypes)
+	sim.cloud.Room[standin.RoomKey(smallType.Name, "a", false)] = 4
+	sim.add(sweepJob("job-1", "normal", 8, 50), 50*time.Second)
 	sim.runFor(25 * time.Second)
-	for _, h := range sim.machines {
-		h.partitioned = true
+	for _, m := range sim.machines {
+		m.partitioned = true
 	}
 	sim.leaseHolder().crash(time.Hour)
-	for range 100000 {
-		sim.clock.Step()
-		for _, n := range sim.nodes {
-			if te := n.controller.terms[0]; n.alive && te != nil && te.state == termFencing {
-				all := quota.Room{GPUs: 12}
-				if te.ledger.Admits("red", all, false) {
-					t.Error("the whole limit may be used, though no machine has been heard")
-				}
-				return
-			}
-		}
+	fencing := sim.stepUntilTermIn(termFencing)
+	all := quota.Room{GPUs: 12}
+	if fencing.ledger.Admits("red", all, false) {
+		t.Error("the whole limit may be used, though no machine has been reconciled")
 	}
-	t.Fatal("no successor")
 }
 
-// A machine that a successor hears for the first time gets the stops for what is over
-// with the very answer that renews its lease.
+// A machine that a successor reconciles for the first time gets the stops for what is
+// cancelled with the very answer that renews its lease.
 func TestRecoveredCancellation(t *testing.T) {
 	sim := steadySimulation(t, 6, 2)
-	long := sim.add(wire.JobSpec{ID: "job-100", Team: "red", Class: "train", Shape: wire.ShapeBatch, Priority: "high", Tasks: 2,
-		Vcpus: 4, Gpus: 1, MemGb: 20, Image: "img", ImageGb: 2, AnyType: true, EstimatedRunTimeS: 300}, 400*time.Second)
+	cancelled := sim.add(trainingArray("job-100", 2, 300), 400*time.Second)
 	sim.runFor(40 * time.Second)
-	var on *machine
-	for _, id := range sim.machineNames() {
-		for _, p := range sim.machines[id].Tasks {
-			if p.Job == long && p.OnMachine() {
-				on = sim.machines[id]
-			}
-		}
-	}
-	on.partitioned = true
-	h := sim.leaseHolder()
-	h.crash(time.Hour)
-	sim.cancel(long)
-	var next *term
+	cut := sim.lastMachineWithTaskOf(cancelled)
+	cut.partitioned = true
+	sim.leaseHolder().crash(time.Hour)
+	sim.cancel(cancelled)
+	var successor *term
 	for range 200 {
 		sim.runFor(50 * time.Millisecond)
-		for _, n := range sim.nodes {
-			if t := n.controller.terms[0]; n.alive && t != nil && t.state == termFencing {
-				next = t
-			}
-		}
-		if next != nil {
+		if successor = sim.termInState(termFencing); successor != nil {
 			break
 		}
 	}
-	if next == nil || long.Told != wire.JobCancelled {
-		t.Fatalf("no successor, or told %q", long.Told)
+	if successor == nil || cancelled.Told != wire.JobCancelled {
+		t.Fatalf("no successor, or reported as %q", cancelled.Told)
 	}
 	stopped := false
-	next.HandleHeartbeat(sim.clock.Now(), on.Report(), func(status int, body any) {
-		for _, o := range body.(wire.HeartbeatResponse).Commands {
-			id, _, _ := wire.ParseTask(o.Task)
-			stopped = stopped || status == 200 && o.Verb == wire.VerbStop && id == long.Spec.ID
+	successor.HandleHeartbeat(sim.clock.Now(), cut.Report(), func(status int, body any) {
+		for _, command := range body.(wire.HeartbeatResponse).Commands {
+			id, _, _ := wire.ParseTask(command.Task)
+			stopped = stopped || status == 200 && command.Verb == wire.VerbStop && id == cancelled.Spec.ID
 		}
 	})
 	if !stopped {
 		t.Error("its lease is renewed, and its task not stopped")
 	}
-	on.partitioned = false
-	sim.release(on)
+	cut.partitioned = false
+	sim.release(cut)
 	sim.requireAllJobsEnd()
 }
+
+// lastMachineWithTaskOf is the last machine, by name, that has a task of a job.
+func (sim *simulation) lastMachineWithTaskOf(job *standin.Job) *machine {
+	var found *machine
+	for _, id := range sim.machineNames() {
+		for _, task := range sim.machines[id].Tasks {
+			if task.Job == job && task.OnMachine() {
+				found = sim.machines[id]
+			}
+		}
+	}
+	return found
+}
+
+// passCancellation has another controller tell a controller of a cancellation.
+func (sim *simulation) passCancellation(n *simulatedNode, job string) *peerpb.PeerHeartbeat {
+	other := sim.firstNodeExcept(n)
+	m := other.controller.peerHeartbeat(sim.clock.Now(), n.name)
+	m.Cancelled = []string{job}
+	return n.controller.HandlePeerHeartbeat(sim.clock.Now(), m)
+}
+
+// nodeOf is the controller whose term it is.
+func (sim *simulation) nodeOf(t *term) *simulatedNode {
+	for _, n := range sim.nodes {
+		if n.controller.terms[0] == t {
+			return n
+		}
+	}
+	return nil
+}
--- a/internal/controller/fleet_limits_test.go
+++ b/internal/controller/fleet_limits_test.go
@@ -31,7 +31,7 @@
 	cfg := testConfig([]string{"a"}, []config.Team{{Name: "red", GPUs: 8000, GPUsMax: 30000}, {Name: "free"}}, 5, 26.5)
 	cfg.Platform.State = config.StateLimits{RPS: 400, WriteRPS: 40, ValueKB: 8, TxnOps: 16}
 	sim := newSimulation(t, 41, cfg, 1, []wire.MachineType{machineType})
-	sim.checkInterval = checkEvery
+	sim.checks.interval = checkEvery
 	sim.state.Page, sim.state.Kept, sim.cloud.Page = tuning.ListPage, 10000, tuning.CloudPage
 	sim.state.Limits = standin.StateLimits{ValueBytes: 8 << 10, TxnOps: 16, Writes: 40, Requests: 400}
 	sim.cloud.Room[standin.RoomKey("g8", "a", false)] = largeFleet
--- /dev/null
+++ b/internal/controller/intents_failover_test.go
@@ -0,0 +1,114 @@
+package controller
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"juniperchute/internal/fleet"
+	"juniperchute/internal/intentlog"
+	"juniperchute/internal/standin"
+	"juniperchute/internal/store"
+	"juniperchute/internal/tuning"
+	"juniperchute/internal/wire"
+)
+
+// storedIntent is an intent as it is stored.
+type storedIntent struct {
+	Duty  intentlog.Operation
+	Token uint64
+	At    int64
+}
+
+// leaveIntents makes a shard whose last lease holder has recorded an intent to deprovision
+// for each of its machines.
+func (sim *simulation) leaveIntents(machines int) {
+	const perRequest, perPage = 50, 80
+	page, names := map[string]storedIntent{}, []string{}
+	for i := range machines {
+		id := sim.addRunningMachine(i)
+		page[id] = storedIntent{Duty: intentlog.Deprovision, At: sim.clock.Now().UnixMilli()}
+		names = append(names, id)
+		if len(names) == perRequest {
+			request := fleet.RentalRec{Type: smallType.Name, Zone: "a", Number: perRequest, Hosts: names}
+			sim.putState(fmt.Sprintf("%sb0-0-%d", fleet.Rentals(0), i), request)
+			names = nil
+		}
+		if len(page) == perPage {
+			sim.putState(fmt.Sprintf("%s%d", intentlog.LogPrefix(0), i/perPage), page)
+			page = map[string]storedIntent{}
+		}
+	}
+	sim.cloud.Created = machines
+}
+
+// addRunningMachine adds a machine of the small type that runs already.
+func (sim *simulation) addRunningMachine(number int) string {
+	id := fmt.Sprintf("i-%06d", number)
+	host := wire.Machine{
+		ID:      id,
+		Address: machineAddressPrefix + id,
+		Type:    smallType.Name,
+		Zone:    "a",
+		State:   wire.MachineRunning,
+	}
+	sim.cloud.Hosts[id] = &standin.CloudHost{Born: sim.clock.Now(), Machine: host}
+	sim.booted(sim.cloud.Hosts[id])
+	return id
+}
+
+// putState stores a value under a new key.
+func (sim *simulation) putState(key string, value any) {
+	transaction := wire.Transaction{Writes: []wire.Write{store.Put(key, value, 0)}}
+	sim.state.Call(store.Call{Op: store.OpTransaction, Transaction: transaction}, func(store.Result) {})
+}
+
+// newFailoverSimulation is a deployment whose only work at first is to complete the
+// intents of an earlier lease holder, at low rates of the cloud and the state service.
+func newFailoverSimulation(t *testing.T) *simulation {
+	const cloudRPS, writesPerS = 4, 20
+	cfg := testConfig(oneZone, steadyTeams, 4, 18)
+	cfg.Platform.Cloud.RPS = cloudRPS
+	sim := newSimulation(t, 5, cfg, 1, oneZoneTypes)
+	sim.checks.interval = time.Second
+	sim.state.Page, sim.cloud.Page = tuning.ListPage, tuning.CloudPage
+	sim.enableIntentLog()
+	sim.leaveIntents(largeFleet)
+	sim.cloud.Room[standin.RoomKey(smallType.Name, "a", false)] = 8
+	sim.state.Limits = standin.StateLimits{ValueBytes: 4 << 10, TxnOps: 8, Writes: writesPerS, Requests: 200}
+	return sim
+}
+
+// Thousands of intents to complete after a failover: within the rates of cloud and state
+// service, and nothing else waits for the last of them.
+func TestManyIntentsAfterFailover(t *testing.T) {
+	const most = 90 * time.Second
+	sim := newFailoverSimulation(t)
+	refused := 0
+	check := sim.state.OnCall
+	sim.state.OnCall = func(c store.Call, status int) {
+		check(c, status)
+		if status == 429 {
+			refused++
+		}
+	}
+	j := sim.add(steadyJob(1), 5*time.Second)
+	sim.runFor(40 * time.Second)
+	if !j.Ended() {
+		t.Errorf("a job waits for the intents: it is %q", j.Told)
+	}
+	startedAt := sim.clock.Now()
+	for len(sim.loggedTargets()) > 0 && sim.clock.Now().Sub(startedAt) < most {
+		sim.runFor(time.Second)
+	}
+	elapsed := sim.clock.Now().Sub(standin.Epoch)
+	if left := len(sim.loggedTargets()); left > 0 {
+		t.Errorf("%d intents are left after %v", left, elapsed)
+	}
+	if n := sim.intentChecker.Effects[intentlog.Deprovision]; n < largeFleet {
+		t.Errorf("%d deletions", n)
+	}
+	t.Logf("%d intents completed and removed after %v; %d calls of the state service were refused",
+		largeFleet, elapsed, refused)
+	sim.requireAllJobsEnd()
+}
--- a/internal/controller/intents_test.go
+++ b/internal/controller/intents_test.go
@@ -1,109 +1,126 @@
 package controller
 
 import (
-	"fmt"
 	"strings"
 	"testing"
 	"time"
 
-	"juniperchute/internal/fleet"
 	"juniperchute/internal/intentlog"
-	"juniperchute/internal/peer/peerpb"
-	"juniperchute/internal/standin"
-	"juniperchute/internal/store"
-	"juniperchute/internal/tuning"
-	"juniperchute/internal/wire"
 	"juniperchute/internal/worker"
 )
 
-// intentLogSimulation is a deployment that keeps the log of duties, with work under way.
+// intentLogSimulation is a deployment that keeps the intent log, with work under way.
 func intentLogSimulation(t *testing.T) *simulation {
 	return steadySimulationWith(t, 11, 6, 8, (*simulation).enableIntentLog)
 }
 
-// loggedTargets are the targets in a block's log as it is stored.
-func (sim *simulation) loggedTargets() (out []string) {
-	for key, it := range sim.state.Keys {
-		if strings.HasPrefix(key, intentlog.Prefix) {
-			entries, err := intentlog.ReadPage(it.Value)
-			if err != nil {
-				sim.addViolation("%s: %v", key, err)
-			}
-			for _, e := range entries {
-				out = append(out, e.Target)
-			}
+// loggedTargets are the targets of the intents in the stored logs of all shards.
+func (sim *simulation) loggedTargets() []string {
+	var targets []string
+	for key, kv := range sim.state.Keys {
+		if !strings.HasPrefix(key, intentlog.Prefix) {
+			continue
+		}
+		intents, err := intentlog.ReadPage(kv.Value)
+		if err != nil {
+			sim.addViolation("%s: %v", key, err)
+		}
+		for _, intent := range intents {
+			targets = append(targets, intent.Target)
 		}
 	}
-	return out
+	return targets
 }
 
-// runUntil plays until something holds.
-func (sim *simulation) runUntil(what string, most time.Duration, holds func() bool) {
+// runUntilIntentLogged plays until the log holds an intent.
+func (sim *simulation) runUntilIntentLogged() {
 	sim.t.Helper()
-	for end := sim.clock.Now().Add(most); !holds(); sim.runFor(10 * time.Millisecond) {
-		if sim.clock.Now().After(end) {
-			sim.t.Fatalf("after %v still not: %s", most, what)
-		}
-		sim.requireNoViolations()
-	}
+	sim.runUntil("an intent", 2*time.Minute, func() bool { return len(sim.loggedTargets()) > 0 })
 }
 
-// A holder that loses the state service, the cloud, or its process between the entry of a
-// return and the call: whoever holds the block then completes it.
-func TestFailuresBetweenIntentAndCall(t *testing.T) {
-	for _, c := range []struct {
-		name string
-		lose func(sim *simulation, holder *simulatedNode)
-	}{
-		{"the state service is out for all", func(sim *simulation, _ *simulatedNode) { sim.stateOutage(20 * time.Second) }},
-		{"the state service refuses the holder", func(sim *simulation, holder *simulatedNode) {
-			holder.stateRefused = true
-			sim.clock.In(20*time.Second, func() { holder.stateRefused = false })
-		}},
-		{"the holder is cut off from the state service, and what it sent comes late", func(sim *simulation, holder *simulatedNode) {
+// failureAfterIntent is a failure between the record of an intent and its call.
+type failureAfterIntent struct {
+	name string
+	fail func(sim *simulation, holder *simulatedNode)
+}
+
+var failuresAfterIntent = []failureAfterIntent{
+	{
+		name: "the state service is out for all",
+		fail: func(sim *simulation, _ *simulatedNode) { sim.stateOutage(20 * time.Second) },
+	},
+	{
+		name: "the state service refuses the lease holder",
+		fail: func(sim *simulation, holder *simulatedNode) { sim.refuseState(holder, 20*time.Second) },
+	},
+	{
+		name: "the lease holder is cut off from the state service, and what it sent comes late",
+		fail: func(sim *simulation, holder *simulatedNode) {
 			holder.stateCut = true
 			sim.clock.In(20*time.Second, holder.reconnectState)
-		}},
-		{"the cloud is out", func(sim *simulation, _ *simulatedNode) {
+		},
+	},
+	{
+		name: "the cloud is out",
+		fail: func(sim *simulation, _ *simulatedNode) {
 			sim.cloud.Down = true
 			sim.clock.In(20*time.Second, func() { sim.cloud.Down = false })
-		}},
-		{"the holder's calls of the cloud come late", func(sim *simulation, holder *simulatedNode) {
+		},
+	},
+	{
+		name: "the lease holder's calls of the cloud come late",
+		fail: func(sim *simulation, holder *simulatedNode) {
 			holder.cloudCut = true
 			sim.clock.In(3*time.Second, func() { holder.crash(time.Second) })
 			sim.clock.In(20*time.Second, func() { holder.cloudCut = false })
-		}},
-		{"the holder ends, and its successor within a second", func(sim *simulation, holder *simulatedNode) {
-			holder.crash(500 * time.Millisecond)
-			sim.runUntil("a successor", 20*time.Second, func() bool {
-				for _, n := range sim.nodes {
-					if t := n.controller.terms[0]; n.alive && n != holder && t != nil && t.state != termEnded {
-						n.crash(300 * time.Millisecond)
-						return true
-					}
-				}
-				return false
-			})
-		}},
-		{"all end", func(sim *simulation, _ *simulatedNode) {
+		},
+	},
+	{
+		name: "the lease holder ends, and its successor within a second",
+		fail: crashHolderAndSuccessor,
+	},
+	{
+		name: "all end",
+		fail: func(sim *simulation, _ *simulatedNode) {
 			for _, n := range sim.nodes {
 				n.crash(time.Second)
 			}
-		}},
-	} {
+		},
+	},
+}
+
+// crashHolderAndSuccessor crashes the lease holder, and its successor as soon as there is one.
+func crashHolderAndSuccessor(sim *simulation, holder *simulatedNode) {
+	holder.crash(500 * time.Millisecond)
+	sim.runUntil("a successor", 20*time.Second, func() bool {
+		for _, n := range sim.nodes {
+			t := n.controller.terms[0]
+			if n.alive && n != holder && t != nil && t.state != termEnded {
+				n.crash(300 * time.Millisecond)
+				return true
+			}
+		}
+		return false
+	})
+}
+
+// A lease holder that loses the state service, the cloud, or its process between the
+// record of a deprovisioning intent and the call: whoever holds the lease then completes it.
+func TestFailuresBetweenIntentAndCall(t *testing.T) {
+	for _, c := range failuresAfterIntent {
 		t.Run(c.name, func(t *testing.T) {
 			sim := intentLogSimulation(t)
-			sim.runUntil("an entry", 2*time.Minute, func() bool { return len(sim.loggedTargets()) > 0 })
+			sim.runUntilIntentLogged()
 			holder := sim.leaseHolder()
 			if holder == nil {
-				t.Fatal("nobody holds the block")
+				t.Fatal("nobody holds the shard's lease")
 			}
-			entered := sim.loggedTargets()
-			c.lose(sim, holder)
+			targets := sim.loggedTargets()
+			c.fail(sim, holder)
 			sim.runFor(40 * time.Second)
-			for _, host := range entered {
+			for _, host := range targets {
 				if sim.machines[host] != nil {
-					t.Errorf("%s was entered and is still there", host)
+					t.Errorf("%s has a recorded intent and is still there", host)
 				}
 			}
 			sim.requireAllJobsEnd()
@@ -111,191 +128,49 @@
 	}
 }
 
-// A machine that an earlier tenure used, is being deleted, and answers under an older
-// token: what is on it is still not known, so the tenure must not count it as heard.
+// A machine that an earlier term used, is being deleted, and answers under an older token:
+// what is on it is still not known, so the term must not count it as reconciled.
 func TestDeletingMachineIsReconciledByItsTokenOnly(t *testing.T) {
 	sim := steadySimulation(t, 6, 8)
 	sim.cloud.Down = true // nothing is deleted
-	var cut *machine
-	for _, host := range sim.machineNames() {
-		if m := sim.machines[host]; len(m.Tasks) > 0 && m.Tasks[0].OnMachine() {
-			cut = m
-		}
-	}
+	cut := sim.lastMachineWithTask()
 	cut.partitioned = true
 	sim.leaseHolder().crash(time.Hour)
-	var tenure *term
-	sim.runUntil("a tenure that deletes the machine", 20*time.Second, func() bool {
-		for _, n := range sim.nodes {
-			if o := n.controller.terms[0]; n.alive && o != nil && o.state == termFencing {
-				if m := o.workers.Get(cut.Host.ID); m != nil && m.State == worker.Deleting {
-					tenure = o
-					return true
-				}
-			}
-		}
-		return false
-	})
-	old := cut.Report()
-	tenure.HandleHeartbeat(sim.clock.Now(), old, func(int, any) {})
-	if m := tenure.workers.Get(cut.Host.ID); m.Answered.IsZero() {
-		t.Fatal("the older report was not answered: this tests nothing")
+	deleting := sim.runUntilMachineDeleting(cut)
+	deleting.HandleHeartbeat(sim.clock.Now(), cut.Report(), func(int, any) {})
+	if w := deleting.workers.Get(cut.Host.ID); w.Answered.IsZero() {
+		t.Fatal("the older heartbeat was not answered: this tests nothing")
 	}
 	sim.runFor(500 * time.Millisecond)
-	if tenure.state != termFencing {
-		t.Errorf("%v although it is not known what is on %s", tenure.state, cut.Host.ID)
+	if deleting.state != termFencing {
+		t.Errorf("%v although it is not known what is on %s", deleting.state, cut.Host.ID)
 	}
 	sim.cloud.Down, cut.partitioned = false, false
 	sim.release(cut)
 	sim.requireAllJobsEnd()
 }
 
-// leaveIntents makes a block whose last holder has entered all its machines for return.
-func (sim *simulation) leaveIntents(machines int) {
-	const perRental, perPage = 50, 80
-	put := func(key string, value any) {
-		sim.state.Call(store.Call{Op: store.OpTransaction, Transaction: wire.Transaction{Writes: []wire.Write{store.Put(key, value, 0)}}}, func(store.Result) {})
-	}
-	type entry struct {
-		Duty  intentlog.Operation
-		Token uint64
-		At    int64
-	}
-	page, names := map[string]entry{}, []string{}
-	for i := range machines {
-		id := fmt.Sprintf("i-%06d", i)
-		host := wire.Machine{ID: id, Address: machineAddressPrefix + id, Type: smallType.Name, Zone: "a", State: wire.MachineRunning}
-		sim.cloud.Hosts[id] = &standin.CloudHost{Born: sim.clock.Now(), Machine: host}
-		sim.booted(sim.cloud.Hosts[id])
-		page[id], names = entry{intentlog.Deprovision, 0, sim.clock.Now().UnixMilli()}, append(names, id)
-		if len(names) == perRental {
-			put(fmt.Sprintf("%sb0-0-%d", fleet.Rentals(0), i), fleet.RentalRec{Type: smallType.Name, Zone: "a", Number: perRental, Hosts: names})
-			names = nil
-		}
-		if len(page) == perPage {
-			put(fmt.Sprintf("%s%d", intentlog.LogPrefix(0), i/perPage), page)
-			page = map[string]entry{}
-		}
-	}
-	sim.cloud.Created = machines
-}
-
-// Thousands of entries to complete after a takeover: within the rates of cloud and state
-// service, and nothing else waits for the last of them.
-func TestManyIntentsAfterFailover(t *testing.T) {
-	const (
-		cloudRPS, writesPerS = 4, 20
-		most                 = 90 * time.Second
-	)
-	cfg := testConfig([]string{"a"}, steadyTeams, 4, 18)
-	cfg.Platform.Cloud.RPS = cloudRPS
-	sim := newSimulation(t, 5, cfg, 1, []wire.MachineType{smallType})
-	sim.checkInterval = time.Second
-	sim.state.Page, sim.cloud.Page = tuning.ListPage, tuning.CloudPage
-	sim.enableIntentLog()
-	sim.leaveIntents(largeFleet)
-	sim.cloud.Room[standin.RoomKey(smallType.Name, "a", false)] = 8
-	sim.state.Limits = standin.StateLimits{ValueBytes: 4 << 10, TxnOps: 8, Writes: writesPerS, Requests: 200}
-	refused := 0
-	check := sim.state.OnCall
-	sim.state.OnCall = func(c store.Call, status int) {
-		check(c, status)
-		if status == 429 {
-			refused++
-		}
-	}
-	j := sim.add(steadyJob(1), 5*time.Second)
-	sim.runFor(40 * time.Second)
-	if !j.Ended() {
-		t.Errorf("a job waits for the entries: it is %q", j.Told)
-	}
-	began := sim.clock.Now()
-	for len(sim.loggedTargets()) > 0 && sim.clock.Now().Sub(began) < most {
-		sim.runFor(time.Second)
-	}
-	if left := len(sim.loggedTargets()); left > 0 {
-		t.Errorf("%d entries are left after %v", left, sim.clock.Now().Sub(standin.Epoch))
-	}
-	if n := sim.intentChecker.Effects[intentlog.Deprovision]; n < largeFleet {
-		t.Errorf("%d deletions", n)
-	}
-	t.Logf("%d entries completed and forgotten after %v; %d calls of the state service were refused", largeFleet, sim.clock.Now().Sub(standin.Epoch), refused)
-	sim.requireAllJobsEnd()
-}
-
-// queryIntents asks a node about the duties.
-func (sim *simulation) queryIntents(n *simulatedNode) (reply *peerpb.IntentsReply) {
+// runUntilMachineDeleting plays until a term that is fencing deletes a machine.
+func (sim *simulation) runUntilMachineDeleting(m *machine) *term {
 	sim.t.Helper()
-	n.controller.Intents(sim.clock.Now(), func(r *peerpb.IntentsReply, err error) {
-		if err != nil {
-			sim.t.Errorf("%s: %v", n.name, err)
-		}
-		reply = r
-	})
-	sim.runFor(200 * time.Millisecond)
-	if reply == nil {
-		sim.t.Fatalf("%s does not answer", n.name)
-	}
-	return reply
-}
-
-// What an operator is told of the duties, asked of the holder and of others, and while
-// nobody has the block.
-func TestIntentsReported(t *testing.T) {
-	sim := intentLogSimulation(t)
-	sim.runUntil("an entry", 2*time.Minute, func() bool { return len(sim.loggedTargets()) > 0 })
-	holder := sim.leaseHolder()
-	host := sim.loggedTargets()[0]
-	names := func(r *peerpb.IntentsReply) (out []string) {
-		for _, d := range r.Shards[0].Operations {
-			for _, a := range d.Intents {
-				out = append(out, a.Target)
+	var deleting *term
+	sim.runUntil("a term that deletes the machine", 20*time.Second, func() bool {
+		for _, n := range sim.nodes {
+			t := n.controller.terms[0]
+			if !n.alive || t == nil || t.state != termFencing {
+				continue
+			}
+			if w := t.workers.Get(m.Host.ID); w != nil && w.State == worker.Deleting {
+				deleting = t
+				return true
 			}
 		}
-		return out
-	}
-	sim.cloud.Down = true // so that it stays unsettled
-	token := holder.controller.terms[0].Token
-	for _, n := range sim.nodes {
-		r := sim.queryIntents(n)
-		b := r.Shards[0]
-		if !r.InForce || b.Holder != holder.name || !b.Live || b.Token != token || b.SinceMs == 0 || (b.State == "open") != (n == holder) {
-			t.Errorf("%s: %+v", n.name, r)
-		}
-		if !strings.Contains(strings.Join(names(r), " "), host) {
-			t.Errorf("%s does not tell of %s: %v", n.name, host, names(r))
-		}
-	}
-	holder.crash(time.Hour)
-	sim.runFor(500 * time.Millisecond)
-	var other *simulatedNode
-	for _, n := range sim.nodes {
-		if n != holder {
-			other = n
-		}
-	}
-	if r := sim.queryIntents(other); r.Shards[0].Holder != holder.name {
-		t.Errorf("right after the crash: %+v", r.Shards[0])
-	}
-	sim.runUntil("a record without a live holder", 10*time.Second, func() bool {
-		_, _, live := other.controller.membership.Holder(0)
-		return !live
+		return false
 	})
-	if r := sim.queryIntents(other); r.Shards[0].Live && r.Shards[0].Holder == holder.name {
-		t.Errorf("during the takeover: %+v", r.Shards[0])
-	}
-	sim.runFor(5 * time.Second)
-	sim.stateOutage(20 * time.Second)
-	sim.runFor(5 * time.Second)
-	if r := sim.queryIntents(other); r.EntriesAgeMs < 4000 || r.HoldersAgeMs < 3000 || len(names(r)) == 0 {
-		t.Errorf("in an outage: entries %d ms old, holders %d ms, %v", r.EntriesAgeMs, r.HoldersAgeMs, names(r))
-	}
-	sim.cloud.Down = false
-	sim.runFor(30 * time.Second)
-	sim.requireAllJobsEnd()
+	return deleting
 }
 
-// A process whose clock was moved forward ends its tenures, and concludes nothing from the
+// A process whose clock was moved forward ends its terms, and concludes nothing from the
 // time that may not have passed.
 func TestClockMovedForward(t *testing.T) {
 	sim := intentLogSimulation(t)
@@ -303,11 +178,11 @@
 	before := holder.controller.terms[0]
 	holder.controller.EndTermsAfterSuspension(sim.clock.Now())
 	if before.state != termEnded {
-		t.Fatalf("the tenure is %v", before.state)
+		t.Fatalf("the term is %v", before.state)
 	}
 	sim.runFor(10 * time.Second)
 	if next := sim.leaseHolder(); next == nil || next.controller.terms[0].Token <= before.Token {
-		t.Error("no tenure under a newer token")
+		t.Error("no term under a newer token")
 	}
 	sim.requireAllJobsEnd()
 }
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -215,7 +215,7 @@
 	return sim
 }
 
-// playRandomDay lets users submit for a while under troubles, then lets the troubles
+// playRandomDay lets users submit for a while under faults, then lets the faults
 // pass and waits for every job's end.
 func playRandomDay(sim *simulation, zones []string, machineTypes []wire.MachineType) {
 	const rounds = 60
--- a/internal/controller/simulation_checks_test.go
+++ b/internal/controller/simulation_checks_test.go
@@ -9,11 +9,11 @@
 	"juniperchute/internal/wire"
 )
 
-// maxWait is how long a job may wait while there is room for it.
+// maxWait is how long a job may wait while there are resources for it.
 const maxWait = 90 * time.Second
 
-// checkCancellationWatermarks checks, as only a stand-in can, that each holder knows what it says it
-// does: every cancellation that a user was told of before its horizon.
+// checkCancellationWatermarks checks that each lease holder knows what it says it does:
+// every cancellation that was acknowledged to a user before the holder's watermark.
 func (sim *simulation) checkCancellationWatermarks() {
 	for _, n := range sim.nodes {
 		if !n.alive {
@@ -31,11 +31,11 @@
 	now := sim.clock.Now()
 	at := t.cancellationsKnownUntil(now)
 	if at.After(now) {
-		sim.addViolation("%s: horizon %v ahead of its clock", n.name, at.Sub(now))
+		sim.addViolation("%s: cancellation watermark %v ahead of its clock", n.name, at.Sub(now))
 	}
 	for _, j := range sim.cluster.Order {
 		if j.Told == wire.JobCancelled && j.CancelledAt.Before(at) && t.scheduler.Job(j.Spec.ID) != nil {
-			sim.addViolation("%s does not know that %s was cancelled at %v, with its horizon at %v",
+			sim.addViolation("%s does not know that %s was cancelled at %v, with its watermark at %v",
 				n.name, j.Spec.ID, j.CancelledAt.Sub(standin.Epoch), at.Sub(standin.Epoch))
 		}
 	}
@@ -44,7 +44,7 @@
 // checkWaitingJobs checks that once faults are over no job waits for long while there are
 // machines that fit with room for it and its team is under its limit.
 func (sim *simulation) checkWaitingJobs() {
-	if sim.faultsOver.IsZero() {
+	if sim.checks.faultsOver.IsZero() {
 		return
 	}
 	now := sim.clock.Now()
@@ -56,21 +56,21 @@
 	for _, j := range sim.cluster.Order {
 		open := j.Accepted && !j.CancelAsked && !j.Faulty && j.Told != wire.JobDone
 		if !open || onMachines[j] > 0 || !sim.cluster.Fits(j, used[j.Spec.Team], usable) {
-			delete(sim.idleSince, j)
+			delete(sim.checks.idleSince, j)
 			continue
 		}
-		if sim.idleSince[j].IsZero() {
-			sim.idleSince[j] = now
+		if sim.checks.idleSince[j].IsZero() {
+			sim.checks.idleSince[j] = now
 		}
-		if now.Sub(sim.idleSince[j]) > maxWait {
+		if now.Sub(sim.checks.idleSince[j]) > maxWait {
 			sim.addViolation("%s has waited for %v while there was room for it", j.Spec.ID, maxWait)
 		}
 	}
 }
 
 // checkCommands checks the commands that a controller gives: none may start a task of a
-// job whose user was told of its cancellation longer ago than a holder may be without
-// news.
+// job whose cancellation was acknowledged longer ago than a lease holder may be without
+// contact to the state service.
 func (sim *simulation) checkCommands(n *simulatedNode, commands []wire.Command) {
 	const mostWithoutNews = tuning.MemberLease + tuning.WatchWait + tuning.StateTimeout
 	for _, o := range commands {
@@ -91,7 +91,7 @@
 	const rounds, round = 40, 15 * time.Second
 	sim.randomMessageFaults, sim.rates, sim.isolatedZone = false, faultRates{}, ""
 	sim.runFor(30 * time.Second) // the last faults pass
-	sim.faultsOver = sim.clock.Now()
+	sim.checks.faultsOver = sim.clock.Now()
 	for _, j := range sim.cluster.Order {
 		if j.Faulty || j.Spec.Shape == wire.ShapeService {
 			sim.cancel(j)
@@ -107,7 +107,7 @@
 		}
 	}
 	for _, j := range sim.unfinishedJobs() {
-		sim.t.Logf("told %q: %+v", j.Told, j.Spec)
+		sim.t.Logf("last reported as %q: %+v", j.Told, j.Spec)
 	}
 	sim.addViolation("some accepted jobs never ended")
 }
@@ -122,7 +122,8 @@
 	return out
 }
 
-// requireIntentsCarriedOut fails the test if no duty but clean-up was carried out through the log.
+// requireIntentsCarriedOut fails the test if no machine was provisioned or none
+// deprovisioned through the intent log.
 func (sim *simulation) requireIntentsCarriedOut() {
 	sim.t.Helper()
 	sim.t.Logf("carried out: %v, %d writes of the log", sim.intentChecker.Effects, sim.intentChecker.EntryWrites)
--- a/internal/controller/simulation_network_test.go
+++ b/internal/controller/simulation_network_test.go
@@ -19,8 +19,8 @@
 // deliver carries a message between a machine and a node, either way. A cut holds it
 // back or loses it.
 func (sim *simulation) deliver(m *machine, n *simulatedNode, f func()) {
-	reachesOther := m.onlyNode != nil && m.onlyNode != n
-	cut := m.partitioned || n.workersCut || reachesOther || sim.crossesZoneBoundary(m.Host.Zone, n.zone)
+	reachesOtherOnly := m.onlyNode != nil && m.onlyNode != n
+	cut := m.partitioned || n.workersCut || reachesOtherOnly || sim.crossesZoneBoundary(m.Host.Zone, n.zone)
 	if cut || m.Hung {
 		if sim.rng.IntN(2) == 0 {
 			m.held = append(m.held, f)
@@ -50,7 +50,9 @@
 }
 
 // Send is part of standin.Network.
-func (sim *simulation) Send(w *standin.Worker, node int, report *wire.Heartbeat, answer standin.AnswerFunc) {
+func (sim *simulation) Send(
+	w *standin.Worker, node int, heartbeat *wire.Heartbeat, answer standin.AnswerFunc,
+) {
 	m, n := sim.machines[w.Host.ID], sim.nodes[node]
 	if m.outboundCut {
 		answer(0, wire.HeartbeatResponse{}, "") // no connection can be made
@@ -72,65 +74,71 @@
 			}
 			return
 		}
-		n.whenRunning(func() { n.controller.HandleHeartbeat(sim.clock.Now(), report, reply) })
+		n.whenRunning(func() { n.controller.HandleHeartbeat(sim.clock.Now(), heartbeat, reply) })
 	})
-	sim.copyHeartbeat(report)
+	sim.copyHeartbeat(heartbeat)
 }
 
-// copyHeartbeat makes copies of a report, for late and for the next leader.
-func (sim *simulation) copyHeartbeat(report *wire.Heartbeat) {
+// copyHeartbeat keeps copies of a heartbeat, to be delivered late or to the next lease holder.
+func (sim *simulation) copyHeartbeat(heartbeat *wire.Heartbeat) {
 	const mostHeld = 100
 	if sim.randomMessageFaults && sim.rng.IntN(50) == 0 || sim.rng.Float64() < sim.rates.lateHeartbeats {
-		sim.deliverCopyLate(report)
+		sim.deliverCopyLate(heartbeat)
 	}
 	if sim.rng.Float64() < sim.rates.heartbeatsToNextLeaseHolder && len(sim.heldHeartbeats) < mostHeld {
-		sim.heldHeartbeats = append(sim.heldHeartbeats, cloneHeartbeat(report))
+		sim.heldHeartbeats = append(sim.heldHeartbeats, cloneHeartbeat(heartbeat))
 	}
 }
 
-func cloneHeartbeat(report *wire.Heartbeat) *wire.Heartbeat {
-	copied := *report
-	copied.Tasks = slices.Clone(report.Tasks)
+// cloneHeartbeat copies a heartbeat and its tasks.
+func cloneHeartbeat(heartbeat *wire.Heartbeat) *wire.Heartbeat {
+	copied := *heartbeat
+	copied.Tasks = slices.Clone(heartbeat.Tasks)
 	return &copied
 }
 
-// deliverCopyLate delivers a copy of a report to some node, seconds to well over a lease
+// deliverCopyLate delivers a copy of a heartbeat to some node, seconds to well over a lease
 // later, wherever the machine is by then.
-func (sim *simulation) deliverCopyLate(report *wire.Heartbeat) {
-	n, copied := sim.nodes[sim.rng.IntN(len(sim.nodes))], cloneHeartbeat(report)
+func (sim *simulation) deliverCopyLate(heartbeat *wire.Heartbeat) {
+	n, copied := sim.nodes[sim.rng.IntN(len(sim.nodes))], cloneHeartbeat(heartbeat)
 	sim.clock.In(time.Duration(500+sim.rng.IntN(40000))*time.Millisecond, func() { sim.deliverCopy(n, copied) })
 }
 
-// deliverCopy delivers a report whose answer nobody gets.
-func (sim *simulation) deliverCopy(n *simulatedNode, report *wire.Heartbeat) {
+// deliverCopy delivers a heartbeat whose answer nobody gets.
+func (sim *simulation) deliverCopy(n *simulatedNode, heartbeat *wire.Heartbeat) {
 	if n.alive {
 		n.whenRunning(func() {
-			n.controller.HandleHeartbeat(sim.clock.Now(), report, func(status int, body any) {
-				sim.recordWorkerAnswer(n.name, report.Host, status, body)
+			n.controller.HandleHeartbeat(sim.clock.Now(), heartbeat, func(status int, body any) {
+				sim.recordWorkerAnswer(n.name, heartbeat.Host, status, body)
 			})
 		})
 	}
 }
 
-// releaseToNextLeaseHolder lets the copies of old reports that were kept for the next leader
-// arrive everywhere as soon as there is one.
+// releaseToNextLeaseHolder lets the copies of old heartbeats that were kept for the next
+// lease holder arrive everywhere as soon as there is one.
 func (sim *simulation) releaseToNextLeaseHolder() {
 	for _, n := range sim.nodes {
 		if !n.alive {
 			continue
 		}
 		for _, t := range n.controller.terms {
-			if t.Token <= sim.highestToken {
-				continue
-			}
-			sim.highestToken = t.Token
-			held := sim.heldHeartbeats
-			sim.heldHeartbeats = nil
-			for _, report := range held {
-				for _, o := range sim.nodes {
-					sim.clock.In(time.Duration(sim.rng.IntN(300))*time.Millisecond, func() { sim.deliverCopy(o, report) })
-				}
+			if t.Token > sim.highestToken {
+				sim.highestToken = t.Token
+				sim.releaseHeldHeartbeats()
 			}
 		}
 	}
 }
+
+// releaseHeldHeartbeats delivers the held copies to every controller.
+func (sim *simulation) releaseHeldHeartbeats() {
+	held := sim.heldHeartbeats
+	sim.heldHeartbeats = nil
+	for _, heartbeat := range held {
+		for _, n := range sim.nodes {
+			delay := time.Duration(sim.rng.IntN(300)) * time.Millisecond
+			sim.clock.In(delay, func() { sim.deliverCopy(n, heartbeat) })
+		}
+	}
+}
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -35,23 +35,29 @@
 	machines map[string]*machine
 	digest   *digest // of all effects; nil: none is asked for
 
-	intentLog           bool // the intent log is switched on
-	intentChecker       *standin.ActionCheck
+	intentLog     bool // the intent log is switched on
+	intentChecker *standin.ActionCheck
+	startsOld     bool // its controllers start as the earlier version
+	scale         int  // how many times the usual size jobs and faults have; 0: once
+	checks        ruleChecks
+
 	randomMessageFaults bool // random messages are lost, delayed or repeated
-	scale               int  // how many times the usual size jobs and faults have; 0: once
 	rates               faultRates
-	isolatedZone        string    // a zone that is cut off: its machines and controllers reach each other only
-	faultsOver          time.Time // since when there are no faults; zero: there are
-	startsOld           bool      // its controllers begin as the earlier version
-	longestEvent        time.Duration
-	checkInterval       time.Duration // between two checks of the rules; 0: after each step
-	checkedAt           time.Time
+	isolatedZone        string            // its machines and controllers reach each other only
+	heldHeartbeats      []*wire.Heartbeat // copies, delivered to the next lease holder
+	highestToken        uint64            // the highest token of a term so far
+
+	invalidRequests int           // how many there were
+	longestEvent    time.Duration // real time of the longest event that a controller handled
+}
 
+// ruleChecks are when rules were checked last, and what that needs to know.
+type ruleChecks struct {
+	interval            time.Duration // between two checks; 0: after each step
+	rulesCheckedAt      time.Time
 	watermarksCheckedAt time.Time
+	faultsOver          time.Time                  // since when there are no faults; zero: there are
 	idleSince           map[*standin.Job]time.Time // of jobs that could start and have no task anywhere
-	invalidRequests     int
-	heldHeartbeats      []*wire.Heartbeat // copies, delivered to the next lease holder
-	highestToken        uint64            // the highest token of a term
 }
 
 // faultRates are the shares of messages that suffer a fault, besides the simulation's
@@ -93,14 +99,14 @@
 ) *simulation {
 	clock, rng := standin.NewClock(standin.Epoch), rand.New(rand.NewPCG(seed, 7))
 	sim := &simulation{
-		t:         t,
-		clock:     clock,
-		rng:       rng,
-		cfg:       cfg,
-		shards:    shards,
-		machines:  map[string]*machine{},
-		digest:    newDigest(t),
-		idleSince: map[*standin.Job]time.Time{},
+		t:        t,
+		clock:    clock,
+		rng:      rng,
+		cfg:      cfg,
+		shards:   shards,
+		machines: map[string]*machine{},
+		digest:   newDigest(t),
+		checks:   ruleChecks{idleSince: map[*standin.Job]time.Time{}},
 	}
 	sim.state = standin.NewStateService(clock, rng)
 	sim.cloud = standin.NewCloud(clock, rng, machineTypes)
@@ -184,12 +190,12 @@
 	end := sim.clock.Now().Add(d)
 	for sim.clock.Due(end) && len(sim.violations()) == 0 {
 		sim.clock.Step()
-		if now := sim.clock.Now(); now.Sub(sim.checkedAt) >= sim.checkInterval {
-			sim.checkedAt = now
+		if now := sim.clock.Now(); now.Sub(sim.checks.rulesCheckedAt) >= sim.checks.interval {
+			sim.checks.rulesCheckedAt = now
 			sim.cluster.Check()
 		}
-		if sim.clock.Now().Sub(sim.watermarksCheckedAt) > max(watermarksInterval, sim.checkInterval) {
-			sim.watermarksCheckedAt = sim.clock.Now()
+		if sim.clock.Now().Sub(sim.checks.watermarksCheckedAt) > max(watermarksInterval, sim.checks.interval) {
+			sim.checks.watermarksCheckedAt = sim.clock.Now()
 			sim.checkCancellationWatermarks()
 			sim.checkWaitingJobs()
 		}
@@ -200,6 +206,17 @@
 	sim.clock.Set(end)
 }
 
+// runUntil plays until something holds, and fails the test if it does not hold in time.
+func (sim *simulation) runUntil(what string, most time.Duration, holds func() bool) {
+	sim.t.Helper()
+	for end := sim.clock.Now().Add(most); !holds(); sim.runFor(10 * time.Millisecond) {
+		if sim.clock.Now().After(end) {
+			sim.t.Fatalf("after %v still not: %s", most, what)
+		}
+		sim.requireNoViolations()
+	}
+}
+
 // lag is how long a message takes where nothing is wrong.
 func (sim *simulation) lag() time.Duration {
 	return time.Duration(200+sim.rng.IntN(4000)) * time.Microsecond
@@ -255,3 +272,30 @@
 func (sim *simulation) crossesZoneBoundary(one, other string) bool {
 	return sim.isolatedZone != "" && (sim.isolatedZone == one) != (sim.isolatedZone == other)
 }
+
+// firstNodeExcept is the first controller that is not the given one.
+func (sim *simulation) firstNodeExcept(n *simulatedNode) *simulatedNode {
+	if sim.nodes[0] != n {
+		return sim.nodes[0]
+	}
+	return sim.nodes[1]
+}
+
+// lastNodeExcept is the last controller that is not the given one.
+func (sim *simulation) lastNodeExcept(n *simulatedNode) *simulatedNode {
+	if last := sim.nodes[len(sim.nodes)-1]; last != n {
+		return last
+	}
+	return sim.nodes[len(sim.nodes)-2]
+}
+
+// termInState is the first term of a live controller in a state, nil if there is none.
+func (sim *simulation) termInState(state termState) *term {
+	for _, n := range sim.nodes {
+		t := n.controller.terms[0]
+		if n.alive && t != nil && t.state == state {
+			return t
+		}
+	}
+	return nil
+}
--- a/internal/controller/simulation_upgrade_test.go
+++ b/internal/controller/simulation_upgrade_test.go
@@ -6,8 +6,8 @@
 	"juniperchute/internal/config"
 )
 
-// startOldVersion makes a deployment of the earlier version, with limits to come that make its
-// pages too large.
+// startOldVersion starts all controllers on the earlier version, with announced limits that
+// make its pages too large.
 func (sim *simulation) startOldVersion() {
 	sim.startsOld = true
 	sim.cfg.Platform.State.ValueKB = 1
@@ -19,7 +19,7 @@
 }
 
 // upgradeNext gives one more controller the new version; once all have it the state
-// service's limits fall, in the midst of whatever is going on.
+// service's limits fall, whatever is going on.
 func (sim *simulation) upgradeNext() {
 	for _, n := range sim.nodes {
 		if !n.upgraded {
--- a/internal/controller/simulation_users_test.go
+++ b/internal/controller/simulation_users_test.go
@@ -63,15 +63,15 @@
 	return ""
 }
 
-// recordAnswer records that a user was told a job's state.
+// recordAnswer records the state of a job that a user got as an answer.
 func (sim *simulation) recordAnswer(j *standin.Job, stage, before string) {
 	if sim.cluster.Tell(j, stage, before) && sim.rates.burstsOfQueries {
 		sim.burstOfQueries(j)
 	}
 }
 
-// handleAnswer takes in an answer about a job whose user had been told a state before the
-// request.
+// handleAnswer records an answer about a job. before is the state that the user knew when
+// the request was sent.
 func (sim *simulation) handleAnswer(j *standin.Job, before string, r submission.Response) {
 	if r.Status == 200 {
 		sim.recordAnswer(j, jobStateOf(r), before)
