--- a/internal/controller/completion_bitmaps_test.go
+++ b/internal/controller/completion_bitmaps_test.go
@@ -16,16 +16,33 @@
 	"juniperchute/internal/worker"
 )
 
-// bitmapStore keeps the pages of tallies and refuses values above a limit.
+// Limits for a stored value in the tests of completion bitmaps.
+const (
+	presentKB  = 8.0
+	upcomingKB = 2.0
+)
+
+// bitmapStore keeps the pages of completion bitmaps and refuses values above a limit.
 type bitmapStore struct {
 	t        *testing.T
 	now      time.Time
-	limit    int
+	limit    int // for a value, bytes
 	keys     map[string]wire.KeyValue
 	revision uint64
-	refused  map[string]int
+	refused  map[string]int // by key and value
 }
 
+func newBitmapStore(t *testing.T, limit int) *bitmapStore {
+	return &bitmapStore{
+		t:       t,
+		now:     time.Unix(100, 0),
+		limit:   limit,
+		keys:    map[string]wire.KeyValue{},
+		refused: map[string]int{},
+	}
+}
+
+// call executes a transaction.
 func (s *bitmapStore) call(c store.Call, then func(time.Time, store.Result)) {
 	for _, w := range c.Transaction.Writes {
 		if len(w.Value) > s.limit {
@@ -47,93 +64,148 @@
 // storedEntries are the stored entries' names.
 func (s *bitmapStore) storedEntries() []string {
 	all := map[string]bool{}
-	for _, it := range s.keys {
+	for _, kv := range s.keys {
 		page := map[string]json.RawMessage{}
-		if json.Unmarshal(it.Value, &page) != nil {
-			s.t.Errorf("%s cannot be read", it.Key)
+		if json.Unmarshal(kv.Value, &page) != nil {
+			s.t.Errorf("%s cannot be read", kv.Key)
 		}
-		for k := range page {
-			all[k] = true
+		for name := range page {
+			all[name] = true
 		}
 	}
 	return slices.Sorted(maps.Keys(all))
 }
 
+// bitmapTerm is what a term keeps of one job's completions.
+type bitmapTerm struct {
+	store     *bitmapStore
+	bitmaps   *completionBitmaps
+	scheduler *placement.Board
+	job       *placement.Job
+}
+
+// newTerm starts a term that reads what is stored of a job's completions.
+func (s *bitmapStore) newTerm(id string, tasks int) *bitmapTerm {
+	scheduler, job := singleJobScheduler(wire.JobSpec{ID: id, Shape: wire.ShapeBatch, Tasks: tasks})
+	leaseHeld := store.VersionEquals("c/b/0", 1)
+	lost := func(time.Time) { s.t.Error("lost") }
+	pages := store.NewPages("t/0/", upcomingKB, time.Second, store.PriorityCompletion, leaseHeld, s.call,
+		discardLogger(), lost)
+	bitmaps := newCompletionBitmaps(pages, presentKB)
+	bitmaps.load(slices.Collect(maps.Values(s.keys)), scheduler.Job)
+	return &bitmapTerm{store: s, bitmaps: bitmaps, scheduler: scheduler, job: job}
+}
+
+// writePages lets the term write what is due.
+func (t *bitmapTerm) writePages(rounds int) {
+	for range rounds {
+		t.store.now = t.store.now.Add(2 * time.Second)
+		t.bitmaps.pages.Tick(t.store.now)
+	}
+}
+
+// discardLogger logs to nowhere.
+func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+
 // completeEveryNth has a machine report that every nth task of a job has completed.
-func completeEveryNth(board *placement.Board, j *placement.Job, nth int) {
+func completeEveryNth(scheduler *placement.Board, j *placement.Job, nth int) {
 	m := &worker.Machine{Host: "i-1", State: worker.Up, Images: map[string]time.Time{}}
 	for n := 0; n < j.Spec.Tasks; n += nth {
-		m.Tasks = append(m.Tasks, wire.TaskStatus{Name: wire.TaskName(j.Spec.ID, n), Attempt: 1, State: wire.TaskExited, ExitReason: wire.ExitDone})
+		m.Tasks = append(m.Tasks, wire.TaskStatus{
+			Name:       wire.TaskName(j.Spec.ID, n),
+			Attempt:    1,
+			State:      wire.TaskExited,
+			ExitReason: wire.ExitDone,
+		})
 	}
-	board.Reported(time.Unix(0, 0), m, worker.Fresh, true)
+	scheduler.Reported(time.Unix(0, 0), m, worker.Fresh, true)
 }
 
-// singleJobScheduler is a board with one job.
+// singleJobScheduler is a scheduler with one job.
 func singleJobScheduler(spec wire.JobSpec) (*placement.Board, *placement.Job) {
-	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
-	cfg := testConfig([]string{"a"}, nil, 1.5, 10)
-	reg := worker.NewRegistry(cfg.Platform.Workers, quiet)
-	board := placement.NewBoard(cfg.Platform, 1, quota.NewBook(nil, 0, 1), reg, nil, quiet, func(time.Time, *placement.Job) {})
-	return board, board.AddJob(time.Unix(0, 0), spec, time.Unix(0, 0), 1, true)
+	cfg := testConfig(oneZone, nil, 1.5, 10)
+	workers := worker.NewRegistry(cfg.Platform.Workers, discardLogger())
+	ledger := quota.NewBook(nil, 0, 1)
+	completed := func(time.Time, *placement.Job) {}
+	scheduler := placement.NewBoard(cfg.Platform, 1, ledger, workers, nil, discardLogger(), completed)
+	return scheduler, scheduler.AddJob(time.Unix(0, 0), spec, time.Unix(0, 0), 1, true)
+}
+
+// bitmapCase is a job and the entries that its completions are written as.
+type bitmapCase struct {
+	name    string
+	tasks   int
+	limit   int // of the state service for a value, bytes
+	entries []string
+}
+
+var bitmapCases = []bitmapCase{
+	{
+		name:    "a usual job",
+		tasks:   300,
+		limit:   2048,
+		entries: []string{"job-1/0"},
+	},
+	{
+		name:    "the largest that fits an entry",
+		tasks:   10056,
+		limit:   2048,
+		entries: []string{"job-1/0"},
+	},
+	{
+		name:    "a larger one",
+		tasks:   12000,
+		limit:   2048,
+		entries: []string{"job-1/@0", "job-1/@10056"},
+	},
+	{
+		name:    "an earlier version's second chunk fits",
+		tasks:   16384 + 100,
+		limit:   2048,
+		entries: []string{"job-1/1", "job-1/@0", "job-1/@10056"},
+	},
+	{
+		name:    "a limit that nobody announced",
+		tasks:   10056,
+		limit:   1024,
+		entries: []string{"job-1/@0", "job-1/@4680", "job-1/@9360"},
+	},
 }
 
 // What the completions of jobs are written as where the limits to come are smaller than
 // the present ones: as earlier versions read them wherever that fits, so that a rollback
 // repeats no work; and in smaller entries where the service refuses even those.
 func TestCompletionBitmapsWritten(t *testing.T) {
-	for _, c := range []struct {
-		name    string
-		tasks   int
-		limit   int // of the service, bytes
-		entries []string
-	}{
-		{"a usual job", 300, 2048, []string{"job-1/0"}},
-		{"the largest that fits an entry", 10056, 2048, []string{"job-1/0"}},
-		{"a larger one", 12000, 2048, []string{"job-1/@0", "job-1/@10056"}},
-		{"an earlier version's second chunk fits", 16384 + 100, 2048, []string{"job-1/1", "job-1/@0", "job-1/@10056"}},
-		{"a limit that nobody announced", 10056, 1024, []string{"job-1/@0", "job-1/@4680", "job-1/@9360"}},
-	} {
-		t.Run(c.name, func(t *testing.T) {
-			spec := wire.JobSpec{ID: "job-1", Shape: wire.ShapeBatch, Tasks: c.tasks}
-			s := &bitmapStore{t: t, now: time.Unix(100, 0), limit: c.limit, keys: map[string]wire.KeyValue{}, refused: map[string]int{}}
-			newTenure := func() (*completionBitmaps, *placement.Board, *placement.Job) {
-				board, j := singleJobScheduler(spec)
-				pages := store.NewPages("t/0/", 2, time.Second, store.PriorityCompletion, store.VersionEquals("c/b/0", 1), s.call,
-					slog.New(slog.NewTextHandler(io.Discard, nil)), func(time.Time) { t.Error("lost") })
-				tl := newCompletionBitmaps(pages, 8)
-				tl.load(slices.Collect(maps.Values(s.keys)), board.Job)
-				return tl, board, j
-			}
-			run := func(tl *completionBitmaps) {
-				for range 20 {
-					s.now = s.now.Add(2 * time.Second)
-					tl.pages.Tick(s.now)
-				}
-			}
-			tl, board, j := newTenure()
-			completeEveryNth(board, j, 7)
-			tl.save(j, board.Job)
-			run(tl)
-			if fresh, _ := j.Unsaved(0, c.tasks); len(fresh) > 0 {
-				t.Errorf("%d completions are not durable", len(fresh))
-			}
-			if got := s.storedEntries(); !slices.Equal(got, c.entries) {
-				t.Errorf("written as %v, want %v", got, c.entries)
-			}
-			for value, n := range s.refused {
-				if n > 1 {
-					t.Errorf("%.30s refused %d times", value, n)
-				}
-			}
-			tl, _, again := newTenure()
-			if want := (c.tasks + 6) / 7; again.Done() != want {
-				t.Errorf("%d completions are found, want %d", again.Done(), want)
-			}
-			tl.forget("job-1")
-			run(tl)
-			if len(s.keys) != 0 {
-				t.Errorf("%d pages are left", len(s.keys))
-			}
-		})
+	for _, c := range bitmapCases {
+		t.Run(c.name, c.run)
+	}
+}
+
+func (c bitmapCase) run(t *testing.T) {
+	const rounds, nth = 20, 7
+	s := newBitmapStore(t, c.limit)
+	first := s.newTerm("job-1", c.tasks)
+	completeEveryNth(first.scheduler, first.job, nth)
+	first.bitmaps.save(first.job, first.scheduler.Job)
+	first.writePages(rounds)
+	if unsaved, _ := first.job.Unsaved(0, c.tasks); len(unsaved) > 0 {
+		t.Errorf("%d completions are not durable", len(unsaved))
+	}
+	if got := s.storedEntries(); !slices.Equal(got, c.entries) {
+		t.Errorf("written as %v, want %v", got, c.entries)
+	}
+	for value, n := range s.refused {
+		if n > 1 {
+			t.Errorf("%.30s refused %d times", value, n)
+		}
+	}
+	second := s.newTerm("job-1", c.tasks)
+	if want := (c.tasks + nth - 1) / nth; second.job.Done() != want {
+		t.Errorf("%d completions are found, want %d", second.job.Done(), want)
+	}
+	second.bitmaps.forget("job-1")
+	second.writePages(rounds)
+	if len(s.keys) != 0 {
+		t.Errorf("%d pages are left", len(s.keys))
 	}
 }
