--- a/cmd/juniperchute/ask.go
+++ b/cmd/juniperchute/ask.go
@@ -14,9 +14,9 @@
 	"juniperchute/internal/peer/peerpb"
 )
 
-// message is what an error says to an operator: a controller's refusal without the words
+// errorMessage is what an error says to an operator: a controller's refusal without the words
 // of the call that carried it.
-func message(err error) string {
+func errorMessage(err error) string {
 	s, ok := status.FromError(err)
 	switch {
 	case !ok:
@@ -27,19 +27,19 @@
 	return s.Message()
 }
 
-// ask calls the administration API of one controller.
-func ask(cmd *cobra.Command, addr string, f func(ctx context.Context, c peerpb.AdminClient) error) error {
-	conn, err := peer.Dial(addr)
+// callAdmin calls the administration API of one controller.
+func callAdmin(command *cobra.Command, address string, call func(ctx context.Context, client peerpb.AdminClient) error) error {
+	connection, err := peer.Dial(address)
 	if err != nil {
 		return err
 	}
-	defer conn.Close()
-	ctx, cancel := context.WithTimeout(cmd.Context(), 5*time.Second)
+	defer connection.Close()
+	ctx, cancel := context.WithTimeout(command.Context(), 5*time.Second)
 	defer cancel()
-	return f(ctx, peerpb.NewAdminClient(conn))
+	return call(ctx, peerpb.NewAdminClient(connection))
 }
 
-func addrFlag(cmd *cobra.Command, addr *string) {
-	cmd.PersistentFlags().StringVar(addr, "addr", "", "a controller's peer_bind address")
-	_ = cmd.MarkPersistentFlagRequired("addr")
+func addAddressFlag(command *cobra.Command, address *string) {
+	command.PersistentFlags().StringVar(address, "addr", "", "a controller's peer_bind address")
+	_ = command.MarkPersistentFlagRequired("addr")
 }
--- a/cmd/juniperchute/duties.go
+++ b/cmd/juniperchute/duties.go
@@ -12,81 +12,81 @@
 	"juniperchute/internal/peer/peerpb"
 )
 
-func dutiesCmd() *cobra.Command {
-	var addr string
-	cmd := &cobra.Command{
+func newDutiesCommand() *cobra.Command {
+	var address string
+	command := &cobra.Command{
 		Use:   "duties --addr ADDR",
 		Short: "Show which controller carries out each duty, and what is not settled",
 		Args:  cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			return ask(cmd, addr, func(ctx context.Context, c peerpb.AdminClient) error {
-				d, err := c.Duties(ctx, &peerpb.IntentsRequest{})
+		RunE: func(command *cobra.Command, _ []string) error {
+			return callAdmin(command, address, func(ctx context.Context, client peerpb.AdminClient) error {
+				reply, err := client.Duties(ctx, &peerpb.IntentsRequest{})
 				if err == nil {
-					printDuties(cmd.OutOrStdout(), d)
+					printOperations(command.OutOrStdout(), reply)
 				}
 				return err
 			})
 		},
 	}
-	addrFlag(cmd, &addr)
-	return cmd
+	addAddressFlag(command, &address)
+	return command
 }
 
-// ageText is an age in milliseconds as told, -1: not known.
-func ageText(ms int64) string {
+// formatAge is an age in milliseconds as told, -1: not known.
+func formatAge(ms int64) string {
 	if ms < 0 {
 		return "not known"
 	}
 	return (time.Duration(ms) * time.Millisecond).Round(100 * time.Millisecond).String()
 }
 
-func printDuties(out io.Writer, d *peerpb.IntentsReply) {
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	defer w.Flush()
-	log := "not in force: actions are not entered before they are sent"
-	if d.InForce {
-		log = "in force"
+func printOperations(out io.Writer, reply *peerpb.IntentsReply) {
+	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	defer table.Flush()
+	logState := "not in force: actions are not entered before they are sent"
+	if reply.InForce {
+		logState = "in force"
 	}
-	fmt.Fprintf(w, "asked\t%s\nlog of duties\t%s\nholders as of\t%s ago\nentries as of\t%s ago\n",
-		d.Member, log, ageText(d.HoldersAgeMs), ageText(d.EntriesAgeMs))
-	for _, b := range d.Shards {
-		printBlockDuties(w, b)
+	fmt.Fprintf(table, "asked\t%s\nlog of duties\t%s\nholders as of\t%s ago\nentries as of\t%s ago\n",
+		reply.Member, logState, formatAge(reply.HoldersAgeMs), formatAge(reply.EntriesAgeMs))
+	for _, shard := range reply.Shards {
+		printShardOperations(table, shard)
 	}
 }
 
-func printBlockDuties(w io.Writer, b *peerpb.ShardIntents) {
-	holder := b.Holder
+func printShardOperations(table io.Writer, shard *peerpb.ShardIntents) {
+	holder := shard.Holder
 	switch {
 	case holder == "":
 		holder = "nobody: a takeover is going on"
-	case !b.Live:
+	case !shard.Live:
 		holder += ", which is not a live member: a takeover is going on"
-	case b.State != "" && b.State != "open":
-		holder += ", still taking over (" + b.State + ")"
+	case shard.State != "" && shard.State != "open":
+		holder += ", still taking over (" + shard.State + ")"
 	}
 	since := "not told"
-	if b.SinceMs != 0 {
-		since = time.UnixMilli(b.SinceMs).UTC().Format(time.DateTime) + " UTC"
+	if shard.SinceMs != 0 {
+		since = time.UnixMilli(shard.SinceMs).UTC().Format(time.DateTime) + " UTC"
 	}
-	fmt.Fprintf(w, "\nblock %d\theld by %s\nsince\t%s\ntoken\t%d\n", b.Shard, holder, since, b.Token)
-	if b.UnreadablePages > 0 {
-		fmt.Fprintf(w, "pages of the log that cannot be read\t%d\n", b.UnreadablePages)
+	fmt.Fprintf(table, "\nblock %d\theld by %s\nsince\t%s\ntoken\t%d\n", shard.Shard, holder, since, shard.Token)
+	if shard.UnreadablePages > 0 {
+		fmt.Fprintf(table, "pages of the log that cannot be read\t%d\n", shard.UnreadablePages)
 	}
-	fmt.Fprintln(w, "duty\tholder\tnot settled\toldest")
-	for _, s := range b.Operations {
+	fmt.Fprintln(table, "duty\tholder\tnot settled\toldest")
+	for _, operation := range shard.Operations {
 		oldest := "-"
-		if len(s.Intents) > 0 {
-			oldest = ageText(s.Intents[0].AgeMs)
+		if len(operation.Intents) > 0 {
+			oldest = formatAge(operation.Intents[0].AgeMs)
 		}
-		unsettled := s.Pending + s.RemovalsInFlight
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\n", s.Operation, b.Holder, unsettled, oldest)
+		unsettled := operation.Pending + operation.RemovalsInFlight
+		fmt.Fprintf(table, "%s\t%s\t%d\t%s\n", operation.Operation, shard.Holder, unsettled, oldest)
 	}
-	for _, s := range b.Operations {
-		for _, a := range s.Intents {
-			fmt.Fprintf(w, "%s\t%s\t%s\tentered under token %d, %s ago\n", s.Operation, a.Target, a.State, a.Token, ageText(a.AgeMs))
+	for _, operation := range shard.Operations {
+		for _, intent := range operation.Intents {
+			fmt.Fprintf(table, "%s\t%s\t%s\tentered under token %d, %s ago\n", operation.Operation, intent.Target, intent.State, intent.Token, formatAge(intent.AgeMs))
 		}
-		if left := int(s.Pending) - len(s.Intents); left > 0 {
-			fmt.Fprintf(w, "%s\tand %d more\n", s.Operation, left)
+		if remaining := int(operation.Pending) - len(operation.Intents); remaining > 0 {
+			fmt.Fprintf(table, "%s\tand %d more\n", operation.Operation, remaining)
 		}
 	}
 }
--- a/cmd/juniperchute/main.go
+++ b/cmd/juniperchute/main.go
@@ -23,15 +23,15 @@
 )
 
 func main() {
-	if err := root().Execute(); err != nil {
-		fmt.Fprintln(os.Stderr, "juniperchute:", message(err))
+	if err := newRootCommand().Execute(); err != nil {
+		fmt.Fprintln(os.Stderr, "juniperchute:", errorMessage(err))
 		os.Exit(1)
 	}
 }
 
-func root() *cobra.Command {
-	var file, switchFile string
-	cmd := &cobra.Command{
+func newRootCommand() *cobra.Command {
+	var settingsFile, featureFile string
+	command := &cobra.Command{
 		Use:           "juniperchute --config FILE",
 		Short:         "A cluster scheduler: runs users' jobs on machines rented from a cloud",
 		Long:          "juniperchute --config FILE serves as one controller until it is killed.\nThe other commands are for operators.",
@@ -39,48 +39,48 @@
 		Args:          cobra.NoArgs,
 		SilenceUsage:  true,
 		SilenceErrors: true,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			if file == "" {
+		RunE: func(command *cobra.Command, _ []string) error {
+			if settingsFile == "" {
 				return fmt.Errorf("--config: missing (see --help)")
 			}
-			return serve(cmd.Context(), file, switchFile)
+			return serve(command.Context(), settingsFile, featureFile)
 		},
 	}
-	cmd.CompletionOptions.DisableDefaultCmd = true
-	cmd.Flags().StringVar(&file, "config", "", "settings file (TOML)")
-	cmd.Flags().StringVar(&switchFile, "switches", "", "file that switches on what is off by default (TOML)")
-	cmd.AddCommand(checkCmd(), statusCmd(), dutiesCmd(), traceCmd(), settingsCmd())
-	return cmd
+	command.CompletionOptions.DisableDefaultCmd = true
+	command.Flags().StringVar(&settingsFile, "config", "", "settings file (TOML)")
+	command.Flags().StringVar(&featureFile, "switches", "", "file that switches on what is off by default (TOML)")
+	command.AddCommand(newCheckCommand(), newStatusCommand(), newDutiesCommand(), newTraceCommand(), newSettingsCommand())
+	return command
 }
 
-func checkCmd() *cobra.Command {
-	var switchFile string
-	cmd := &cobra.Command{
+func newCheckCommand() *cobra.Command {
+	var featureFile string
+	command := &cobra.Command{
 		Use:   "check FILE",
 		Short: "Check a settings file",
 		Args:  cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			cfg, err := config.Load(args[0])
+		RunE: func(command *cobra.Command, args []string) error {
+			settings, err := config.Load(args[0])
 			if err != nil {
 				return err
 			}
-			if switchFile != "" {
-				if _, err := featuregate.Load(switchFile); err != nil {
+			if featureFile != "" {
+				if _, err := featuregate.Load(featureFile); err != nil {
 					return err
 				}
 			}
-			for _, why := range cfg.Platform.MachineLimits.BelowMeasured() {
-				fmt.Fprintf(cmd.OutOrStdout(), "%s: warning: %s\n", args[0], why)
+			for _, reason := range settings.Platform.MachineLimits.BelowMeasured() {
+				fmt.Fprintf(command.OutOrStdout(), "%s: warning: %s\n", args[0], reason)
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: fine: member %s of %d, %d teams\n", args[0], cfg.Member, len(cfg.Peers)+1, len(cfg.Platform.Teams))
+			fmt.Fprintf(command.OutOrStdout(), "%s: fine: member %s of %d, %d teams\n", args[0], settings.Member, len(settings.Peers)+1, len(settings.Platform.Teams))
 			return nil
 		},
 	}
-	cmd.Flags().StringVar(&switchFile, "switches", "", "check this file of switches too")
-	return cmd
+	command.Flags().StringVar(&featureFile, "switches", "", "check this file of switches too")
+	return command
 }
 
-func logger() (*slog.Logger, error) {
+func newLogger() (*slog.Logger, error) {
 	level := slog.LevelInfo
 	switch v := os.Getenv("LOG_LEVEL"); v {
 	case "", "info":
@@ -94,40 +94,40 @@
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})), nil
 }
 
-func serve(ctx context.Context, file, switchFile string) error {
-	log, err := logger()
+func serve(ctx context.Context, settingsFile, featureFile string) error {
+	log, err := newLogger()
 	if err != nil {
 		return err
 	}
-	cfg, err := config.Load(file)
+	settings, err := config.Load(settingsFile)
 	if err != nil {
 		return err
 	}
-	for _, why := range cfg.Platform.MachineLimits.BelowMeasured() {
-		log.Warn("a small machine", "why", why)
+	for _, reason := range settings.Platform.MachineLimits.BelowMeasured() {
+		log.Warn("a small machine", "why", reason)
 	}
-	var on featuregate.Gates
-	if switchFile != "" {
-		if on, err = featuregate.Load(switchFile); err != nil {
+	var features featuregate.Gates
+	if featureFile != "" {
+		if features, err = featuregate.Load(featureFile); err != nil {
 			return err
 		}
 	}
-	controller.LimitProcess(cfg.Platform.MachineLimits)
+	controller.LimitProcess(settings.Platform.MachineLimits)
 	var seed [16]byte
 	if _, err := crand.Read(seed[:]); err != nil {
 		return err
 	}
 	rng := rand.New(rand.NewPCG(binary.LittleEndian.Uint64(seed[:8]), binary.LittleEndian.Uint64(seed[8:])))
-	steady := clock.New(nil)
-	if on.IntentLog {
-		steady = clock.New(clock.TimeSuspended)
+	steadyClock := clock.New(nil)
+	if features.IntentLog {
+		steadyClock = clock.New(clock.TimeSuspended)
 	}
-	options, finish, err := controller.NewOptions(on, cfg.Member, rng)
+	options, finish, err := controller.NewOptions(features, settings.Member, rng)
 	if err != nil {
 		return err
 	}
 	defer finish()
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	return controller.NewRuntime(cfg, options, steady, log.With("member", cfg.Member), rng).Run(ctx)
+	return controller.NewRuntime(settings, options, steadyClock, log.With("member", settings.Member), rng).Run(ctx)
 }
--- a/cmd/juniperchute/settings.go
+++ b/cmd/juniperchute/settings.go
@@ -11,42 +11,42 @@
 	"juniperchute/internal/peer/peerpb"
 )
 
-func printSettings(cmd *cobra.Command, s *peerpb.Settings) {
-	for _, k := range sorted(s.Values) {
-		fmt.Fprintf(cmd.OutOrStdout(), "%s = %s\n", k, s.Values[k])
+func printSettings(command *cobra.Command, s *peerpb.Settings) {
+	for _, k := range sortedKeys(s.Values) {
+		fmt.Fprintf(command.OutOrStdout(), "%s = %s\n", k, s.Values[k])
 	}
 }
 
-func settingsCmd() *cobra.Command {
-	var addr string
-	cmd := &cobra.Command{
+func newSettingsCommand() *cobra.Command {
+	var address string
+	command := &cobra.Command{
 		Use:   "settings --addr ADDR",
 		Short: "Show the operators' settings",
 		Args:  cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			return ask(cmd, addr, func(ctx context.Context, c peerpb.AdminClient) error {
-				s, err := c.GetSettings(ctx, &peerpb.GetSettingsRequest{})
+		RunE: func(command *cobra.Command, _ []string) error {
+			return callAdmin(command, address, func(ctx context.Context, client peerpb.AdminClient) error {
+				s, err := client.GetSettings(ctx, &peerpb.GetSettingsRequest{})
 				if err == nil {
-					printSettings(cmd, s)
+					printSettings(command, s)
 				}
 				return err
 			})
 		},
 	}
-	addrFlag(cmd, &addr)
-	cmd.AddCommand(&cobra.Command{
+	addAddressFlag(command, &address)
+	command.AddCommand(&cobra.Command{
 		Use:   "set NAME VALUE",
 		Short: "Change one of the operators' settings",
 		Args:  cobra.ExactArgs(2),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			return ask(cmd, addr, func(ctx context.Context, c peerpb.AdminClient) error {
-				s, err := c.SetSetting(ctx, &peerpb.SetSettingRequest{Name: args[0], Value: args[1]})
+		RunE: func(command *cobra.Command, args []string) error {
+			return callAdmin(command, address, func(ctx context.Context, client peerpb.AdminClient) error {
+				s, err := client.SetSetting(ctx, &peerpb.SetSettingRequest{Name: args[0], Value: args[1]})
 				if err == nil {
-					printSettings(cmd, s)
+					printSettings(command, s)
 				}
 				return err
 			})
 		},
 	})
-	return cmd
+	return command
 }
--- a/cmd/juniperchute/status.go
+++ b/cmd/juniperchute/status.go
@@ -14,44 +14,44 @@
 	"juniperchute/internal/wire"
 )
 
-func statusCmd() *cobra.Command {
-	var addr string
-	cmd := &cobra.Command{
+func newStatusCommand() *cobra.Command {
+	var address string
+	command := &cobra.Command{
 		Use:   "status --addr ADDR",
 		Short: "Show members, blocks, machines, teams and queues",
 		Args:  cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			return ask(cmd, addr, func(ctx context.Context, c peerpb.AdminClient) error {
-				s, err := c.Status(ctx, &peerpb.StatusRequest{})
+		RunE: func(command *cobra.Command, _ []string) error {
+			return callAdmin(command, address, func(ctx context.Context, client peerpb.AdminClient) error {
+				reply, err := client.Status(ctx, &peerpb.StatusRequest{})
 				if err == nil {
-					printStatus(cmd, s)
+					printStatus(command, reply)
 				}
 				return err
 			})
 		},
 	}
-	addrFlag(cmd, &addr)
-	return cmd
+	addAddressFlag(command, &address)
+	return command
 }
 
-func printStatus(cmd *cobra.Command, s *peerpb.StatusReply) {
-	w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
-	defer w.Flush()
-	fmt.Fprintf(w, "asked\t%s\nleader\t%s\nmembers\t%v\n", s.Member, s.Leader, s.Members)
-	for _, m := range s.Members {
-		v := s.Versions[m]
-		if v == "" {
-			v = "not told, as before 0.2.0"
+func printStatus(command *cobra.Command, reply *peerpb.StatusReply) {
+	table := tabwriter.NewWriter(command.OutOrStdout(), 0, 4, 2, ' ', 0)
+	defer table.Flush()
+	fmt.Fprintf(table, "asked\t%s\nleader\t%s\nmembers\t%v\n", reply.Member, reply.Leader, reply.Members)
+	for _, m := range reply.Members {
+		version := reply.Versions[m]
+		if version == "" {
+			version = "not told, as before 0.2.0"
 		}
-		fmt.Fprintf(w, "version of %s\t%s\n", m, v)
+		fmt.Fprintf(table, "version of %s\t%s\n", m, version)
 	}
-	for _, b := range s.Claims {
-		fmt.Fprintf(w, "block %d\theld by %s\ttoken %d\n", b.Shard, b.Holder, b.Token)
+	for _, shard := range reply.Claims {
+		fmt.Fprintf(table, "block %d\theld by %s\ttoken %d\n", shard.Shard, shard.Holder, shard.Token)
 	}
-	for _, b := range s.Shards {
-		fmt.Fprintf(w, "\nblock %d\t%s\n", b.Shard, b.State)
-		fmt.Fprintln(w, "machine\ttype\tzone\tspot\tstate\ttasks\tnotes")
-		for _, m := range b.Machines {
+	for _, shard := range reply.Shards {
+		fmt.Fprintf(table, "\nblock %d\t%s\n", shard.Shard, shard.State)
+		fmt.Fprintln(table, "machine\ttype\tzone\tspot\tstate\ttasks\tnotes")
+		for _, m := range shard.Machines {
 			notes := ""
 			if m.Quarantined {
 				notes += "faulty "
@@ -59,33 +59,33 @@
 			if m.PreemptionNotice {
 				notes += "recalled"
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%t\t%s\t%d\t%s\n", m.Host, m.Type, m.Zone, m.Spot, m.State, m.Tasks, notes)
+			fmt.Fprintf(table, "%s\t%s\t%s\t%t\t%s\t%d\t%s\n", m.Host, m.Type, m.Zone, m.Spot, m.State, m.Tasks, notes)
 		}
-		fmt.Fprintln(w, "\nteam\tcpus\tof\tgpus\tof")
-		for _, t := range b.Teams {
-			fmt.Fprintf(w, "%s\t%g\t%g\t%g\t%g\n", t.Name, t.CpusUsed, t.CpusMax, t.GpusUsed, t.GpusMax)
+		fmt.Fprintln(table, "\nteam\tcpus\tof\tgpus\tof")
+		for _, team := range shard.Teams {
+			fmt.Fprintf(table, "%s\t%g\t%g\t%g\t%g\n", team.Name, team.CpusUsed, team.CpusMax, team.GpusUsed, team.GpusMax)
 		}
-		fmt.Fprintln(w, "\nservice\tclass\tteam\treplicas wanted\trunning\ton machines\twaits for")
-		for _, j := range b.Jobs {
-			if j.Shape == wire.ShapeService {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%s\n", j.Id, j.Class, j.Team, j.Tasks, j.Running, j.OnMachines, j.WaitsFor)
+		fmt.Fprintln(table, "\nservice\tclass\tteam\treplicas wanted\trunning\ton machines\twaits for")
+		for _, job := range shard.Jobs {
+			if job.Shape == wire.ShapeService {
+				fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%d\t%d\t%s\n", job.Id, job.Class, job.Team, job.Tasks, job.Running, job.OnMachines, job.WaitsFor)
 			}
 		}
-		fmt.Fprintln(w, "\njob\tclass\tteam\tpriority\ttasks\tdone\ton machines\twaits for")
-		for _, j := range b.Jobs {
-			if j.Shape == wire.ShapeService {
+		fmt.Fprintln(table, "\njob\tclass\tteam\tpriority\ttasks\tdone\ton machines\twaits for")
+		for _, job := range shard.Jobs {
+			if job.Shape == wire.ShapeService {
 				continue
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%s\n", j.Id, j.Class, j.Team, j.Priority, j.Tasks, j.Done, j.OnMachines, j.WaitsFor)
+			fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%s\n", job.Id, job.Class, job.Team, job.Priority, job.Tasks, job.Done, job.OnMachines, job.WaitsFor)
 		}
-		fmt.Fprintln(w)
-		for _, k := range sorted(b.Counters) {
-			fmt.Fprintf(w, "%s\t%d\n", k, b.Counters[k])
+		fmt.Fprintln(table)
+		for _, name := range sortedKeys(shard.Counters) {
+			fmt.Fprintf(table, "%s\t%d\n", name, shard.Counters[name])
 		}
 	}
 }
 
-func sorted[V any](m map[string]V) []string {
+func sortedKeys[V any](m map[string]V) []string {
 	var out []string
 	for k := range m {
 		out = append(out, k)
--- a/cmd/juniperchute/trace.go
+++ b/cmd/juniperchute/trace.go
@@ -15,46 +15,46 @@
 // traceFilter tells which actions of a trace are shown.
 type traceFilter struct {
 	target    string
-	takenOver bool
-	unsettled bool
+	recovered bool
+	incomplete bool
 }
 
-func (f traceFilter) shows(h intentlog.History) bool {
-	return (f.target == "" || f.target == h.Target) && (!f.takenOver || h.FailedOver) && (!f.unsettled || !h.Completed)
+func (f traceFilter) shows(history intentlog.History) bool {
+	return (f.target == "" || f.target == history.Target) && (!f.recovered || history.FailedOver) && (!f.incomplete || !history.Completed)
 }
 
-func traceCmd() *cobra.Command {
+func newTraceCommand() *cobra.Command {
 	var filter traceFilter
-	cmd := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "trace FILE...",
 		Short: "Show what became of actions, from the traces of several controllers",
 		Long: "trace puts the traces of several controllers together and tells, action by action, who decided on it,\n" +
 			"entered it, called the cloud and settled it. Each file is read with the one before it (FILE.1).",
 		Args: cobra.MinimumNArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
+		RunE: func(command *cobra.Command, args []string) error {
 			spans, err := tracing.Read(args...)
 			if err != nil {
 				return err
 			}
-			return printTrace(cmd.OutOrStdout(), intentlog.Histories(spans), filter)
+			return printTrace(command.OutOrStdout(), intentlog.Histories(spans), filter)
 		},
 	}
-	cmd.Flags().StringVar(&filter.target, "target", "", "show one rental or machine only")
-	cmd.Flags().BoolVar(&filter.takenOver, "taken-over", false, "show only what a successor took over")
-	cmd.Flags().BoolVar(&filter.unsettled, "unsettled", false, "show only what is not settled in the traces")
-	return cmd
+	command.Flags().StringVar(&filter.target, "target", "", "show one rental or machine only")
+	command.Flags().BoolVar(&filter.recovered, "taken-over", false, "show only what a successor took over")
+	command.Flags().BoolVar(&filter.incomplete, "unsettled", false, "show only what is not settled in the traces")
+	return command
 }
 
 func printTrace(out io.Writer, histories []intentlog.History, filter traceFilter) error {
 	shown := 0
-	for _, h := range histories {
-		if !filter.shows(h) {
+	for _, history := range histories {
+		if !filter.shows(history) {
 			continue
 		}
 		if shown++; shown > 1 {
 			fmt.Fprintln(out)
 		}
-		printHistory(out, h)
+		printHistory(out, history)
 	}
 	if shown == 0 {
 		return fmt.Errorf("none of the %d actions in these traces is asked for", len(histories))
@@ -62,15 +62,15 @@
 	return nil
 }
 
-func printHistory(out io.Writer, h intentlog.History) {
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	defer w.Flush()
+func printHistory(out io.Writer, history intentlog.History) {
+	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	defer table.Flush()
 	end := "not settled in these traces"
-	if h.Completed {
+	if history.Completed {
 		end = "settled"
 	}
-	fmt.Fprintf(w, "%s %s, block %s: %s, %v in all\n", h.Operation, h.Target, h.Shard, end, h.Duration().Round(time.Millisecond))
-	for _, s := range h.Steps {
-		fmt.Fprintf(w, "  %s\t%s\ttoken %s\t%s\n", s.At.UTC().Format("15:04:05.000"), s.Member, s.Token, s.Text)
+	fmt.Fprintf(table, "%s %s, block %s: %s, %v in all\n", history.Operation, history.Target, history.Shard, end, history.Duration().Round(time.Millisecond))
+	for _, step := range history.Steps {
+		fmt.Fprintf(table, "  %s\t%s\ttoken %s\t%s\n", step.At.UTC().Format("15:04:05.000"), step.Member, step.Token, step.Text)
 	}
 }
--- a/internal/admin/settings.go
+++ b/internal/admin/settings.go
@@ -25,7 +25,7 @@
 
 // Defaults are the settings where operators have said nothing.
 func Defaults() Settings {
-	return Settings{DropThreshold: tuning.DropThreshold, IdleTimeout: tuning.IdleReturn}
+	return Settings{DropThreshold: tuning.BackupWithdrawThreshold, IdleTimeout: tuning.MachineIdleTimeout}
 }
 
 type setting struct {
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -57,7 +57,7 @@
 func (c *Clock) advanceTo(total time.Duration) {
 	for {
 		old := c.suspendedFor.Load()
-		if int64(total)-old < int64(tuning.SuspendedLeast) {
+		if int64(total)-old < int64(tuning.MinSuspension) {
 			return
 		}
 		if c.suspendedFor.CompareAndSwap(old, int64(total)) {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -313,8 +313,8 @@
 	if err := s.Next.check(); err != nil {
 		return err
 	}
-	if s.StoredLimits().TxnOps < tuning.TxnOpsLeast {
-		return fmt.Errorf("facts.state.txn_ops, or next.txn_ops: below %d, the changes that go together", tuning.TxnOpsLeast)
+	if s.StoredLimits().TxnOps < tuning.MinTxnOps {
+		return fmt.Errorf("facts.state.txn_ops, or next.txn_ops: below %d, the changes that go together", tuning.MinTxnOps)
 	}
 	return nil
 }
--- a/internal/controller/admin.go
+++ b/internal/controller/admin.go
@@ -120,7 +120,7 @@
 	out := &peerpb.StatusReply{Member: c.config.Member, Leader: lead, Members: names, Claims: c.leaseClaimList(),
 		Versions: map[string]string{c.config.Member: admin.Version()}}
 	for name, p := range c.peers {
-		if now.Sub(p.lastHeartbeat) < 3*tuning.PulseEvery {
+		if now.Sub(p.lastHeartbeat) < 3*tuning.PeerHeartbeatInterval {
 			out.Versions[name] = p.version
 		}
 	}
@@ -133,29 +133,29 @@
 }
 
 func (t *term) status(lat map[string]int64) *peerpb.ShardStatus {
-	n := t.scheduler.Count
+	n := t.scheduler.Counters
 	out := &peerpb.ShardStatus{Shard: int32(t.Shard), State: t.state.String(), Counters: map[string]int64{
-		"mains_started": int64(n.MainsStarted), "spares_started": int64(n.SparesStarted), "spares_finished": int64(n.SparesFinished),
-		"spares_yielded": int64(n.SparesYielded), "spares_dropped": int64(n.SparesDropped), "redrawn": int64(n.Redrawn),
-		"preempted": int64(n.Preempted), "failed": int64(n.Failed), "gangs_placed": int64(n.GangsPlaced), "moved": int64(n.Moved),
+		"mains_started": int64(n.PrimariesStarted), "spares_started": int64(n.BackupsStarted), "spares_finished": int64(n.BackupsCompleted),
+		"spares_yielded": int64(n.BackupsPreempted), "spares_dropped": int64(n.BackupsWithdrawn), "redrawn": int64(n.Rescheduled),
+		"preempted": int64(n.Preempted), "failed": int64(n.Failed), "gangs_placed": int64(n.GangsPlaced), "moved": int64(n.Relocated),
 	}}
 	for k, v := range lat {
 		out.Counters[k] = v
 	}
 	for _, m := range t.workers.All() {
 		out.Machines = append(out.Machines, &peerpb.Machine{Host: m.Host, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
-			State: m.State.String(), Tasks: int32(m.Busy), Quarantined: m.Faulty, PreemptionNotice: !m.Recall.IsZero()})
+			State: m.State.String(), Tasks: int32(m.ActiveCopies), Quarantined: m.Quarantined, PreemptionNotice: !m.PreemptionTime.IsZero()})
 	}
-	for _, u := range t.ledger.Usages() {
-		out.Teams = append(out.Teams, &peerpb.Team{Name: u.Team, CpusUsed: u.Used.CPUs, GpusUsed: u.Used.GPUs, CpusMax: u.Max.CPUs, GpusMax: u.Max.GPUs})
+	for _, u := range t.ledger.TeamUsages() {
+		out.Teams = append(out.Teams, &peerpb.Team{Name: u.Team, CpusUsed: u.Used.CPUs, GpusUsed: u.Used.GPUs, CpusMax: u.Limit.CPUs, GpusMax: u.Limit.GPUs})
 	}
-	for i, j := range t.scheduler.Jobs() {
-		if i == tuning.StatusJobs {
+	for i, j := range t.scheduler.OpenJobs() {
+		if i == tuning.MaxStatusJobs {
 			break
 		}
 		out.Jobs = append(out.Jobs, &peerpb.Job{Id: j.Spec.ID, Class: j.Spec.Class, Team: j.Spec.Team, Priority: j.Spec.Priority,
-			Tasks: int32(j.Spec.Tasks), Done: int32(j.Done()), OnMachines: int32(j.Located()),
-			Shape: j.Spec.Shape, Running: int32(j.Running()), WaitsFor: j.WaitsFor()})
+			Tasks: int32(j.Spec.Tasks), Done: int32(j.CompletedTasks()), OnMachines: int32(j.AssignedTasks()),
+			Shape: j.Spec.Shape, Running: int32(j.RunningTasks()), WaitsFor: j.PendingReason()})
 	}
 	return out
 }
--- a/internal/controller/cancellation_loading_test.go
+++ b/internal/controller/cancellation_loading_test.go
@@ -53,10 +53,10 @@
 	for sim.termInState(termLoading) == nil {
 		sim.clock.Step()
 	}
-	if cancelled.Told != wire.JobCancelled {
-		t.Fatalf("reported as %q", cancelled.Told)
+	if cancelled.KnownState != wire.JobCancelled {
+		t.Fatalf("reported as %q", cancelled.KnownState)
 	}
-	sim.state.SetDown(true)
+	sim.state.SetUnavailable(true)
 	ofCancelled, ofOthers := sim.renewalsWhileLoading(cancelled)
 	if ofCancelled > 0 || ofOthers == 0 {
 		t.Errorf("leases renewed of %d tasks that were cancelled and of %d others", ofCancelled, ofOthers)
@@ -67,7 +67,7 @@
 		sim.release(m)
 	}
 	sim.runFor(50 * time.Second)
-	sim.state.SetDown(false)
+	sim.state.SetUnavailable(false)
 	holder.crash(0)
 	sim.cancel(other)
 	sim.requireAllJobsEnd()
@@ -82,7 +82,7 @@
 			continue
 		}
 		for _, id := range sim.machineNames() {
-			heartbeat := sim.machines[id].Report()
+			heartbeat := sim.machines[id].Heartbeat()
 			for _, task := range heartbeat.Tasks {
 				single := *heartbeat
 				single.Tasks = []wire.TaskStatus{task}
@@ -109,8 +109,8 @@
 	sim.leaseHolder().crash(time.Hour)
 	loading := sim.stepUntilTermIn(termLoading)
 	n := sim.nodeOf(loading)
-	id, openID := sim.cluster.Order[3].Spec.ID, sim.cluster.Order[4].Spec.ID
-	if _, open := n.controller.openJobs.Get(submission.OpenKey(id)); !open {
+	id, openID := sim.cluster.Submitted[3].Spec.ID, sim.cluster.Submitted[4].Spec.ID
+	if _, open := n.controller.openJobs.Get(submission.OpenJobKey(id)); !open {
 		t.Fatalf("%s is not open", id)
 	}
 	r := sim.passCancellation(n, id)
@@ -120,8 +120,8 @@
 	for loading.state == termLoading {
 		sim.clock.Step()
 	}
-	cancelled := loading.scheduler.Job(id)
-	if loading.state != termFencing || cancelled != nil || loading.scheduler.Job(openID) == nil {
+	cancelled := loading.scheduler.OpenJob(id)
+	if loading.state != termFencing || cancelled != nil || loading.scheduler.OpenJob(openID) == nil {
 		t.Errorf("%v: the job that was cancelled is open: %v", loading.state, cancelled != nil)
 	}
 }
@@ -137,7 +137,7 @@
 	}
 	sim.runFor(2 * time.Second)
 	shardTerm := n.controller.terms[0]
-	cancelled, open := shardTerm.scheduler.Job("job-900"), shardTerm.scheduler.Job("job-901")
+	cancelled, open := shardTerm.scheduler.OpenJob("job-900"), shardTerm.scheduler.OpenJob("job-901")
 	if cancelled != nil || open == nil {
 		t.Errorf("cancelled and open: %v; another open: %v", cancelled != nil, open != nil)
 	}
@@ -148,7 +148,7 @@
 func TestUnreconciledMachinesCountAtOnce(t *testing.T) {
 	teams := []config.Team{{Name: "red", GPUsMax: 12}}
 	sim := newSimulation(t, 11, testConfig(oneZone, teams, 1.5, 10), 1, oneZoneTypes)
-	sim.cloud.Room[standin.RoomKey(smallType.Name, "a", false)] = 4
+	sim.cloud.Available[standin.CapacityKey(smallType.Name, "a", false)] = 4
 	sim.add(sweepJob("job-1", "normal", 8, 50), 50*time.Second)
 	sim.runFor(25 * time.Second)
 	for _, m := range sim.machines {
@@ -156,7 +156,7 @@
 	}
 	sim.leaseHolder().crash(time.Hour)
 	fencing := sim.stepUntilTermIn(termFencing)
-	all := quota.Room{GPUs: 12}
+	all := quota.Resources{GPUs: 12}
 	if fencing.ledger.Admits("red", all, false) {
 		t.Error("the whole limit may be used, though no machine has been reconciled")
 	}
@@ -179,11 +179,11 @@
 			break
 		}
 	}
-	if successor == nil || cancelled.Told != wire.JobCancelled {
-		t.Fatalf("no successor, or reported as %q", cancelled.Told)
+	if successor == nil || cancelled.KnownState != wire.JobCancelled {
+		t.Fatalf("no successor, or reported as %q", cancelled.KnownState)
 	}
 	stopped := false
-	successor.HandleHeartbeat(sim.clock.Now(), cut.Report(), func(status int, body any) {
+	successor.HandleHeartbeat(sim.clock.Now(), cut.Heartbeat(), func(status int, body any) {
 		for _, command := range body.(wire.HeartbeatResponse).Commands {
 			id, _, _ := wire.ParseTask(command.Task)
 			stopped = stopped || status == 200 && command.Verb == wire.VerbStop && id == cancelled.Spec.ID
--- a/internal/controller/cancellation_outage_test.go
+++ b/internal/controller/cancellation_outage_test.go
@@ -81,23 +81,23 @@
 
 func crashConfirmingBeforeItPassesOn(s *outageScenario) {
 	s.confirming.peersCut = true
-	s.clock.In(1700*time.Millisecond, func() {
+	s.clock.Schedule(1700*time.Millisecond, func() {
 		s.confirming.crash(300 * time.Millisecond)
 		s.confirming.peersCut = false
 	})
 }
 
 func hangMachinesAtCancellation(s *outageScenario) {
-	s.clock.In(justBeforeCancellation, func() {
+	s.clock.Schedule(justBeforeCancellation, func() {
 		for _, m := range s.everyOtherMachine() {
 			m.Hung = true
-			s.clock.In(8*time.Second, func() { m.Hung = false; s.release(m) })
+			s.clock.Schedule(8*time.Second, func() { m.Hung = false; s.release(m) })
 		}
 	})
 }
 
 func cutMachinesInboundAtCancellation(s *outageScenario) {
-	s.clock.In(justBeforeCancellation, func() {
+	s.clock.Schedule(justBeforeCancellation, func() {
 		for _, m := range s.everyOtherMachine() {
 			m.inboundCut = true
 		}
@@ -144,9 +144,9 @@
 	s.confirming = s.lastNodeExcept(s.holder)
 	running := 0
 	for _, id := range s.machineNames() {
-		s.incarnations[id] = s.machines[id].Session
+		s.incarnations[id] = s.machines[id].Incarnation
 		for _, task := range s.machines[id].Tasks {
-			if task.Job.Run == longRunTime && task.Stage == wire.TaskRunning {
+			if task.Job.RunTime == longRunTime && task.Stage == wire.TaskRunning {
 				running++
 			}
 		}
@@ -181,11 +181,11 @@
 	}
 	s.runFor(300 * time.Millisecond)
 	for _, j := range cancelled {
-		if j.Told != wire.JobCancelled {
-			s.t.Fatalf("%s was reported as %q", j.Spec.ID, j.Told)
+		if j.KnownState != wire.JobCancelled {
+			s.t.Fatalf("%s was reported as %q", j.Spec.ID, j.KnownState)
 		}
 	}
-	s.state.SetDown(true)
+	s.state.SetUnavailable(true)
 	s.runFor(10 * time.Second)
 	if c.during != nil {
 		c.during(s)
@@ -203,7 +203,7 @@
 // cancelAtConfirming cancels a job through the confirming controller. With resubmission the
 // user learns of the cancellation from a repeated submission, not from the cancellation.
 func (s *outageScenario) cancelAtConfirming(j *standin.Job, withResubmission bool) {
-	j.CancelAsked = true
+	j.CancelRequested = true
 	submissions := s.confirming.controller.Submissions()
 	now := s.clock.Now()
 	record := func(r submission.Response) {
@@ -221,7 +221,7 @@
 // checkLeasesKept checks that every machine still has the incarnation that it had.
 func (s *outageScenario) checkLeasesKept() {
 	for id, incarnation := range s.incarnations {
-		if m := s.machines[id]; m != nil && m.Session != incarnation {
+		if m := s.machines[id]; m != nil && m.Incarnation != incarnation {
 			s.addViolation("%s lost its lease", id)
 		}
 	}
@@ -236,5 +236,5 @@
 	for _, id := range s.machineNames() {
 		s.machines[id].inboundCut = false
 	}
-	s.state.SetDown(false)
+	s.state.SetUnavailable(false)
 }
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -42,7 +42,7 @@
 	count := 0
 	shardTerm := sim.leaseHolder().controller.terms[0]
 	for _, w := range shardTerm.workers.All() {
-		if w.DoBusy {
+		if w.CommandInFlight {
 			count++
 		}
 	}
--- a/internal/controller/cancellation_watermark_test.go
+++ b/internal/controller/cancellation_watermark_test.go
@@ -79,7 +79,7 @@
 func (c acknowledgementCase) run(t *testing.T) {
 	sim := steadySimulation(t, 6, 8)
 	holder := sim.leaseHolder()
-	sim.state.SetDown(true)
+	sim.state.SetUnavailable(true)
 	sim.runFor(3 * time.Second)
 	var heartbeats []*peerpb.PeerHeartbeat
 	for _, n := range sim.nodes {
--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -25,7 +25,7 @@
 		peers = append(peers, k.Member)
 	}
 	return &cancellations{watermark: leader.NewCancellationWatermark(peers), known: map[string]time.Time{},
-		keepFor: config.Seconds(cfg.Platform.Workers.CancelS) * tuning.CancellationKeep}
+		keepFor: config.Seconds(cfg.Platform.Workers.CancelS) * tuning.CancellationRetentionFactor}
 }
 
 // add enters a cancellation and tells whether it is news.
@@ -33,7 +33,7 @@
 	if c.contains(id) {
 		return false
 	}
-	if len(c.known) >= tuning.CancellationsKept {
+	if len(c.known) >= tuning.MinCancellationsKept {
 		maps.DeleteFunc(c.known, func(_ string, at time.Time) bool { return now.Sub(at) > c.keepFor })
 	}
 	c.known[id] = now
@@ -49,7 +49,7 @@
 // cannot know to be cancelled must be gone in time.
 func (t *term) renewalBound() time.Duration {
 	w := t.controller.config.Platform.Workers
-	return max(tuning.RenewLeast, config.Seconds(w.CancelS)-t.workers.Expiry()-tuning.RenewMargin)
+	return max(tuning.MinRenewBeyondWatermark, config.Seconds(w.CancelS)-t.workers.LeaseExpiry()-tuning.CancellationRenewMargin)
 }
 
 // cancellationsKnownUntil is the moment up to which this holder surely knows all cancellations. A node
@@ -72,8 +72,8 @@
 	if !t.cancellations.add(now, id) {
 		return
 	}
-	t.scheduler.SetUnreadable(id, false)
-	if t.scheduler.Job(id) != nil {
+	t.scheduler.SetJobUnreadable(id, false)
+	if t.scheduler.OpenJob(id) != nil {
 		t.closeJob(now, id)
 	}
 }
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -11,17 +11,17 @@
 
 // sendCommands sends a direct command.
 func (t *term) sendCommands(now time.Time, m *worker.Machine, commands []wire.Command) {
-	session := m.Session
+	session := m.Incarnation
 	if session == 0 {
 		session = max(1, t.fencing.incarnations[m.Host])
 	}
-	m.DoBusy = true
+	m.CommandInFlight = true
 	command := wire.DirectCommands{Token: t.Token, Incarnation: session, Commands: commands}
 	t.controller.effects.SendCommands(m.Address, command, t.controller.membership.LeaseDeadline(), func(now time.Time, status int, rep *wire.Heartbeat) {
 		if t.state == termEnded {
 			return
 		}
-		m.DoBusy = false
+		m.CommandInFlight = false
 		t.handleCommandResult(now, m, command, status, rep)
 	})
 }
@@ -29,16 +29,16 @@
 // handleCommandResult takes in what came of a direct command.
 func (t *term) handleCommandResult(now time.Time, m *worker.Machine, command wire.DirectCommands, status int, rep *wire.Heartbeat) {
 	if status == NotSent {
-		t.scheduler.Answered(m, command.Commands)
+		t.scheduler.SettleDirectCommands(m, command.Commands)
 		return
 	}
 	if status != http.StatusOK && status != http.StatusConflict || rep == nil || rep.Host != m.Host {
-		if m.Session == command.Incarnation && len(command.Commands) > 0 {
-			m.OpenDo++
+		if m.Incarnation == command.Incarnation && len(command.Commands) > 0 {
+			m.UnansweredCommands++
 		}
 		return
 	}
-	t.scheduler.Answered(m, command.Commands)
+	t.scheduler.SettleDirectCommands(m, command.Commands)
 	switch {
 	case rep.Token > t.Token:
 		t.end(now, "a machine has seen a higher token")
@@ -57,7 +57,7 @@
 	if t.state == termLoading || t.state == termEnded || !t.controller.membership.LeaseValid(now) {
 		return
 	}
-	t.scheduler.Draw(now)
+	t.scheduler.Schedule(now)
 	t.sendUrgent(now)
 }
 
@@ -66,8 +66,8 @@
 	if t.state == termLoading || t.state == termEnded {
 		return
 	}
-	for _, m := range t.scheduler.Urgent(now) {
-		if commands := t.scheduler.Commands(now, m, placement.Direct); len(commands) > 0 {
+	for _, m := range t.scheduler.UrgentMachines(now) {
+		if commands := t.scheduler.Commands(now, m, placement.DirectCommand); len(commands) > 0 {
 			t.sendCommands(now, m, commands)
 		}
 	}
--- a/internal/controller/completion_bitmaps.go
+++ b/internal/controller/completion_bitmaps.go
@@ -38,7 +38,7 @@
 
 // newCompletionBitmaps makes an empty record; valueKB is the present limit for a value.
 func newCompletionBitmaps(pages *store.Pages, valueKB float64) *completionBitmaps {
-	t := &completionBitmaps{pages: pages, chunkTasks: int(valueKB*1024) * tuning.TallyBits, entries: map[string]map[string][]byte{}}
+	t := &completionBitmaps{pages: pages, chunkTasks: int(valueKB*1024) * tuning.CompletionBitsPerByte, entries: map[string]map[string][]byte{}}
 	t.entryTasks = tasksPerEntry(pages.MaxEntryBytes())
 	pages.OnLimitLowered = t.splitLargeEntries
 	return t
@@ -46,7 +46,7 @@
 
 // tasksPerEntry is how many tasks an entry may hold that takes a page's size at most. Base64
 // takes four bytes for three.
-func tasksPerEntry(size int) int { return max(1, (size-tuning.TallyName)*3/4) * 8 }
+func tasksPerEntry(size int) int { return max(1, (size-tuning.CompletionNameBytes)*3/4) * 8 }
 
 func completionPrefix(block int) string { return "t/" + strconv.Itoa(block) + "/" }
 
@@ -119,7 +119,7 @@
 	for i, b := range bits {
 		for k := range 8 {
 			if b&(1<<k) != 0 {
-				j.Recover(first + i*8 + k)
+				j.RestoreCompleted(first + i*8 + k)
 			}
 		}
 	}
@@ -184,14 +184,14 @@
 func (t *completionBitmaps) save(j *placement.Job, job func(id string) *placement.Job) {
 	id := j.Spec.ID
 	for _, e := range t.layout(id, j.Spec.Tasks) {
-		fresh, bits := j.Unsaved(e.first, e.next)
+		fresh, bits := j.UnsavedCompletions(e.first, e.next)
 		if len(fresh) == 0 {
 			continue
 		}
 		t.put(bitmapKey{id, e.key, e.first}, bits, func(time.Time) {
 			if j := job(id); j != nil {
 				for _, n := range fresh {
-					j.Durable(n)
+					j.MarkDurable(n)
 				}
 			}
 		})
--- a/internal/controller/completion_bitmaps_limits_test.go
+++ b/internal/controller/completion_bitmaps_limits_test.go
@@ -72,7 +72,7 @@
 	last.writePages(rounds)
 	last.bitmaps.forget(id)
 	last.bitmaps.pages.Tick(s.now)
-	s.now = s.now.Add(tuning.PruneEvery)
+	s.now = s.now.Add(tuning.PageRemovalInterval)
 	last.bitmaps.pages.Tick(s.now)
 	if len(s.keys) != 0 {
 		t.Errorf("%d pages are left of a job that is over", len(s.keys))
@@ -86,7 +86,7 @@
 // them, with every seventh task completed, and returns which tasks are.
 func (s *bitmapStore) storeEarlierVersion(id string, tasks int) map[int]bool {
 	const nth = 7
-	const chunk = int(presentKB*1024) * tuning.TallyBits
+	const chunk = int(presentKB*1024) * tuning.CompletionBitsPerByte
 	completed := map[int]bool{}
 	for first := 0; first < tasks; first += chunk {
 		bits := make([]byte, (min(chunk, tasks-first)+7)/8)
@@ -108,7 +108,7 @@
 // that all of them are durable.
 func (c storedBitmapCase) checkCompletions(t *testing.T, term *bitmapTerm, completed map[int]bool, round int) {
 	t.Helper()
-	unsaved, bits := term.job.Unsaved(0, c.tasks)
+	unsaved, bits := term.job.UnsavedCompletions(0, c.tasks)
 	found := 0
 	for n := range c.tasks {
 		if bits[n/8]&(1<<(n%8)) == 0 {
--- a/internal/controller/completion_bitmaps_test.go
+++ b/internal/controller/completion_bitmaps_test.go
@@ -80,7 +80,7 @@
 type bitmapTerm struct {
 	store     *bitmapStore
 	bitmaps   *completionBitmaps
-	scheduler *placement.Board
+	scheduler *placement.Scheduler
 	job       *placement.Job
 }
 
@@ -92,7 +92,7 @@
 	pages := store.NewPages("t/0/", upcomingKB, time.Second, store.PriorityCompletion, leaseHeld, s.call,
 		discardLogger(), lost)
 	bitmaps := newCompletionBitmaps(pages, presentKB)
-	bitmaps.load(slices.Collect(maps.Values(s.keys)), scheduler.Job)
+	bitmaps.load(slices.Collect(maps.Values(s.keys)), scheduler.OpenJob)
 	return &bitmapTerm{store: s, bitmaps: bitmaps, scheduler: scheduler, job: job}
 }
 
@@ -108,7 +108,7 @@
 func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
 // completeEveryNth has a machine report that every nth task of a job has completed.
-func completeEveryNth(scheduler *placement.Board, j *placement.Job, nth int) {
+func completeEveryNth(scheduler *placement.Scheduler, j *placement.Job, nth int) {
 	m := &worker.Machine{Host: "i-1", State: worker.Up, Images: map[string]time.Time{}}
 	for n := 0; n < j.Spec.Tasks; n += nth {
 		m.Tasks = append(m.Tasks, wire.TaskStatus{
@@ -118,16 +118,16 @@
 			ExitReason: wire.ExitDone,
 		})
 	}
-	scheduler.Reported(time.Unix(0, 0), m, worker.Fresh, true)
+	scheduler.ReconcileHeartbeat(time.Unix(0, 0), m, worker.HeartbeatCurrent, true)
 }
 
 // singleJobScheduler is a scheduler with one job.
-func singleJobScheduler(spec wire.JobSpec) (*placement.Board, *placement.Job) {
+func singleJobScheduler(spec wire.JobSpec) (*placement.Scheduler, *placement.Job) {
 	cfg := testConfig(oneZone, nil, 1.5, 10)
 	workers := worker.NewRegistry(cfg.Platform.Workers, discardLogger())
-	ledger := quota.NewBook(nil, 0, 1)
+	ledger := quota.NewLedger(nil, 0, 1)
 	completed := func(time.Time, *placement.Job) {}
-	scheduler := placement.NewBoard(cfg.Platform, 1, ledger, workers, nil, discardLogger(), completed)
+	scheduler := placement.NewScheduler(cfg.Platform, 1, ledger, workers, nil, discardLogger(), completed)
 	return scheduler, scheduler.AddJob(time.Unix(0, 0), spec, time.Unix(0, 0), 1, true)
 }
 
@@ -186,9 +186,9 @@
 	s := newBitmapStore(t, c.limit)
 	first := s.newTerm("job-1", c.tasks)
 	completeEveryNth(first.scheduler, first.job, nth)
-	first.bitmaps.save(first.job, first.scheduler.Job)
+	first.bitmaps.save(first.job, first.scheduler.OpenJob)
 	first.writePages(rounds)
-	if unsaved, _ := first.job.Unsaved(0, c.tasks); len(unsaved) > 0 {
+	if unsaved, _ := first.job.UnsavedCompletions(0, c.tasks); len(unsaved) > 0 {
 		t.Errorf("%d completions are not durable", len(unsaved))
 	}
 	if got := s.storedEntries(); !slices.Equal(got, c.entries) {
@@ -200,8 +200,8 @@
 		}
 	}
 	second := s.newTerm("job-1", c.tasks)
-	if want := (c.tasks + nth - 1) / nth; second.job.Done() != want {
-		t.Errorf("%d completions are found, want %d", second.job.Done(), want)
+	if want := (c.tasks + nth - 1) / nth; second.job.CompletedTasks() != want {
+		t.Errorf("%d completions are found, want %d", second.job.CompletedTasks(), want)
 	}
 	second.bitmaps.forget("job-1")
 	second.writePages(rounds)
--- a/internal/controller/completions.go
+++ b/internal/controller/completions.go
@@ -36,7 +36,7 @@
 func (o *jobCompletions) taskCompleted(now time.Time, j *placement.Job) {
 	id := j.Spec.ID
 	o.unsavedJobs[id] = j
-	if j.Complete() && o.completedAt[id].IsZero() {
+	if j.IsComplete() && o.completedAt[id].IsZero() {
 		o.completedAt[id] = now
 	}
 }
@@ -44,7 +44,7 @@
 // recoverCompleted takes up the jobs that an earlier tenure did not get to end.
 func (o *jobCompletions) recoverCompleted(now time.Time, jobs []*placement.Job) {
 	for _, j := range jobs {
-		if j.Complete() {
+		if j.IsComplete() {
 			o.taskCompleted(now, j)
 		}
 	}
@@ -53,16 +53,16 @@
 // flush writes completions down: the ends of jobs at once, the rest in batches.
 func (o *jobCompletions) flush(now time.Time) {
 	for _, j := range o.jobsToEnd(now) {
-		if len(o.endsInFlight) == tuning.EndsAtOnce {
+		if len(o.endsInFlight) == tuning.MaxJobEndsInFlight {
 			break
 		}
 		o.writeEnd(j)
 	}
 	if !now.Before(o.flushAt) {
-		o.flushAt = now.Add(tuning.TallyEvery)
+		o.flushAt = now.Add(tuning.CompletionWriteInterval)
 		for _, id := range slices.Sorted(maps.Keys(o.unsavedJobs)) {
-			if j := o.unsavedJobs[id]; !j.Complete() {
-				o.bitmaps.save(j, o.term.scheduler.Job)
+			if j := o.unsavedJobs[id]; !j.IsComplete() {
+				o.bitmaps.save(j, o.term.scheduler.OpenJob)
 				delete(o.unsavedJobs, id)
 			}
 		}
@@ -93,23 +93,23 @@
 	id, t := j.Spec.ID, o.term
 	o.endsInFlight[id] = true
 	t.callState(store.Call{Op: store.OpTransaction, Priority: store.PriorityJobEnd, Transaction: wire.Transaction{
-		Compares: []wire.Compare{t.termCompare(), store.VersionEquals(submission.OpenKey(id), j.Version)},
+		Compares: []wire.Compare{t.termCompare(), store.VersionEquals(submission.OpenJobKey(id), j.Version)},
 		Writes: []wire.Write{
-			store.Put(submission.JobKey(id), submission.JobRec{Stage: wire.JobDone, Done: j.Spec.Tasks}, 0),
-			store.Delete(submission.OpenKey(id)),
+			store.Put(submission.JobEndKey(id), submission.JobEndRecord{Stage: wire.JobDone, Done: j.Spec.Tasks}, 0),
+			store.Delete(submission.OpenJobKey(id)),
 		},
 	}}, func(now time.Time, r store.Result) {
 		delete(o.endsInFlight, id)
 		switch {
 		case r.OK():
-			t.log.Info("job done", "job", id, "class", j.Spec.Class, "took", t.controller.wallClock().Sub(j.At), "written_after", now.Sub(o.completedAt[id]))
+			t.log.Info("job done", "job", id, "class", j.Spec.Class, "took", t.controller.wallClock().Sub(j.AcceptedAt), "written_after", now.Sub(o.completedAt[id]))
 			t.closeJob(now, id)
 		case r.Status == http.StatusConflict && slices.Contains(r.FailedKeys, leader.ShardKey(t.Shard)):
 			t.onTermLost(now)
 		case r.Status == http.StatusConflict:
 			o.resolveConflict(now, id)
 		default:
-			o.retryAt[id] = now.Add(tuning.RecordRetry)
+			o.retryAt[id] = now.Add(tuning.WriterRetryInitial)
 		}
 	})
 }
@@ -118,10 +118,10 @@
 // ours was applied after all.
 func (o *jobCompletions) resolveConflict(now time.Time, id string) {
 	o.endsInFlight[id] = true
-	o.term.callState(store.Call{Op: store.OpGet, Priority: store.PriorityJobEnd, Key: submission.OpenKey(id)}, func(now time.Time, r store.Result) {
+	o.term.callState(store.Call{Op: store.OpGet, Priority: store.PriorityJobEnd, Key: submission.OpenJobKey(id)}, func(now time.Time, r store.Result) {
 		delete(o.endsInFlight, id)
-		o.retryAt[id] = now.Add(tuning.RecordRetry)
-		switch j := o.term.scheduler.Job(id); {
+		o.retryAt[id] = now.Add(tuning.WriterRetryInitial)
+		switch j := o.term.scheduler.OpenJob(id); {
 		case r.Status == http.StatusNotFound:
 			o.term.closeJob(now, id)
 		case r.OK() && j != nil:
--- a/internal/controller/completions_test.go
+++ b/internal/controller/completions_test.go
@@ -18,7 +18,7 @@
 	o := newJobCompletions(nil, nil)
 	add := func(id, priority string, ago time.Duration) {
 		j := board.AddJob(now, wire.JobSpec{ID: id, Shape: wire.ShapeBatch, Priority: priority, Tasks: 1}, now, 1, false)
-		j.Recover(0)
+		j.RestoreCompleted(0)
 		o.taskCompleted(now.Add(-ago), j)
 	}
 	add("job-1", "low", 3*time.Second)
@@ -42,7 +42,7 @@
 // first, and no more than a few are asked for at once.
 func TestEndsUnderAShortRate(t *testing.T) {
 	sim := newSimulation(t, 5, testConfig([]string{"a"}, steadyTeams, 1.5, 10), 1, []wire.MachineType{smallType})
-	sim.cloud.Room[standin.RoomKey(smallType.Name, "a", false)] = 40
+	sim.cloud.Available[standin.CapacityKey(smallType.Name, "a", false)] = 40
 	for i := range 150 {
 		s := steadyJob(i)
 		s.Tasks, s.Gpus, s.Vcpus, s.MemGb, s.Priority = 1, 0, 1, 1, "low"
@@ -52,13 +52,13 @@
 		sim.add(s, 20*time.Second)
 	}
 	sim.runFor(26 * time.Second)
-	sim.state.Limits.Writes = 4 // two ends a second
+	sim.state.Limits.WritesPerS = 4 // two ends a second
 	completed, longest := map[*standin.Job]time.Time{}, map[string]time.Duration{}
-	sim.cluster.CompletedHook = func(j *standin.Job) { completed[j] = sim.clock.Now() }
+	sim.cluster.OnCompleted = func(j *standin.Job) { completed[j] = sim.clock.Now() }
 	for range 120 {
 		sim.runFor(500 * time.Millisecond)
 		for _, n := range sim.nodes {
-			if te := n.controller.terms[0]; te != nil && len(te.completions.endsInFlight) > tuning.EndsAtOnce {
+			if te := n.controller.terms[0]; te != nil && len(te.completions.endsInFlight) > tuning.MaxJobEndsInFlight {
 				t.Fatalf("%d ends are under way", len(te.completions.endsInFlight))
 			}
 		}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -26,7 +26,7 @@
 // owns the Core.
 type Effects interface {
 	CallState(c store.Call, then func(now time.Time, r store.Result))
-	CallCloud(c fleet.Call, then func(now time.Time, r fleet.Result))
+	CallCloud(c fleet.CloudCall, then func(now time.Time, r fleet.CloudResult))
 	// SendCommands sends a direct command unless that is only possible after a time: a
 	// process that stood still must not act on what it believed before. Status 0
 	// means that no answer came, NotSent that nothing was sent.
@@ -50,7 +50,7 @@
 	log       *slog.Logger
 
 	membership         *leader.Membership
-	submissions        *submission.Slice
+	submissions        *submission.Service
 	openJobs           *store.WatchCache // openJobs jobs of all blocks
 	provisionRequests  *store.WatchCache // provisionRequests of all blocks
 	shardOfMachine     map[string]int    // machines by the rentals that name them
@@ -84,14 +84,14 @@
 		settings: admin.Defaults(), peers: map[string]*peerStatus{}, leaseClaims: map[int]*peerpb.LeaseClaim{}, shardOfMachine: map[string]int{}, progressQueries: map[int]*progressQueue{},
 		processID: rng.Uint64() | 1, cancellationLog: submission.NewCancellationLog(blocks, config.Seconds(cfg.Platform.Workers.CancelS), cfg.Platform.State.WriteRPS), forwardingTo: map[string]bool{}}
 	c.membership = leader.New(cfg.Member, blocks, opt.Switches.Announced(), wall, c.callState, log, c.applyControlRecord)
-	c.openJobs = store.NewWatchCache(submission.OpenUnder, c.callState, func(now time.Time, _ string, it wire.KeyValue, gone bool) {
+	c.openJobs = store.NewWatchCache(submission.OpenJobPrefix, c.callState, func(now time.Time, _ string, it wire.KeyValue, gone bool) {
 		for _, t := range c.terms {
 			if t.state != termEnded && t.predecessorRecords.readsInFlight == 0 {
 				t.applyOpenJob(now, it, gone)
 			}
 		}
 	})
-	c.provisionRequests = store.NewWatchCache(fleet.UnderRentals, c.callState, c.applyProvisionRecord)
+	c.provisionRequests = store.NewWatchCache(fleet.ProvisioningPrefix, c.callState, c.applyProvisionRecord)
 	c.submissions = submission.New(cfg.Platform, blocks, wall, c.callState, log,
 		c.allMachineTypes, c.openJobs, c.jobProgress, c.recordCancellation)
 	for _, k := range cfg.Peers {
@@ -134,14 +134,14 @@
 	if gone {
 		return
 	}
-	var f fleet.MachineTypeRec
+	var f fleet.MachineTypeRecord
 	if err := json.Unmarshal(it.Value, &f); err != nil {
 		c.log.Error("machine type's record cannot be read", "key", key, "error", err)
 		return
 	}
-	c.machineTypes[name], c.machineTypeRecords[name], c.machineTypeCount = f.MachineType, string(it.Value), f.Of
+	c.machineTypes[name], c.machineTypeRecords[name], c.machineTypeCount = f.MachineType, string(it.Value), f.Total
 	for _, t := range c.terms {
-		t.autoscaler.MachineType(f.MachineType, string(it.Value))
+		t.autoscaler.ApplyMachineType(f.MachineType, string(it.Value))
 	}
 }
 
@@ -216,9 +216,9 @@
 		i++
 	}
 	c.reconcileTerms(now)
-	c.openJobs.MinWatchInterval, c.provisionRequests.MinWatchInterval = tuning.OpenPace, tuning.OpenPace
+	c.openJobs.MinWatchInterval, c.provisionRequests.MinWatchInterval = tuning.FollowerWatchInterval, tuning.FollowerWatchInterval
 	if len(c.terms) > 0 {
-		c.openJobs.MinWatchInterval = tuning.HolderPace
+		c.openJobs.MinWatchInterval = tuning.OwnerWatchInterval
 	}
 	c.openJobs.Tick(now)
 	c.provisionRequests.Tick(now)
@@ -228,7 +228,7 @@
 		}
 	}
 	if !now.Before(c.heartbeatAt) {
-		c.heartbeatAt = now.Add(tuning.PulseEvery)
+		c.heartbeatAt = now.Add(tuning.PeerHeartbeatInterval)
 		c.sendHeartbeats(now)
 	}
 }
@@ -241,14 +241,14 @@
 	if !c.membership.Synced() || !c.openJobs.Synced() || len(c.allMachineTypes()) == 0 {
 		return false
 	}
-	if c.stateUnreachableFor(now) < tuning.CutAfter+tuning.WatchWait {
+	if c.stateUnreachableFor(now) < tuning.IsolatedAfter+tuning.WatchTimeout {
 		return true
 	}
 	alone := len(c.peers) > 0
 	for _, p := range c.peers {
-		if now.Sub(p.lastHeartbeat) < 3*tuning.PulseEvery {
+		if now.Sub(p.lastHeartbeat) < 3*tuning.PeerHeartbeatInterval {
 			alone = false
-			if p.stateUnreachableFor < tuning.CutAfter {
+			if p.stateUnreachableFor < tuning.IsolatedAfter {
 				return false
 			}
 		}
@@ -269,9 +269,9 @@
 // ObserveQueueDelay tells how long the next report has waited for its turn.
 func (c *Controller) ObserveQueueDelay(d time.Duration) {
 	for _, t := range c.terms {
-		t.workers.Behind = d
+		t.workers.HeartbeatDelay = d
 	}
 }
 
 // Submissions is the slice that answers users.
-func (c *Controller) Submissions() *submission.Slice { return c.submissions }
+func (c *Controller) Submissions() *submission.Service { return c.submissions }
--- a/internal/controller/digest_test.go
+++ b/internal/controller/digest_test.go
@@ -100,9 +100,9 @@
 	}
 }
 
-func (sim *simulation) recordCloudCall(node string, c fleet.Call) {
+func (sim *simulation) recordCloudCall(node string, c fleet.CloudCall) {
 	if d := sim.digest; d != nil {
-		d.add(sim.clock.Now(), node, "cloud", c.Op, c.Rental, c.Hosts, c.After, sinceEpoch(c.By))
+		d.add(sim.clock.Now(), node, "cloud", c.Operation, c.Request, c.Hosts, c.After, sinceEpoch(c.Deadline))
 	}
 }
 
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -43,14 +43,14 @@
 			names = append(names, id)
 			used[id] = "addr-" + id
 			host := wire.Machine{ID: id, Address: "addr-" + id, Type: "g8", Zone: "a", State: wire.MachineRunning}
-			sim.cloud.Hosts[id] = &standin.CloudHost{Born: sim.clock.Now(), Machine: host}
+			sim.cloud.Hosts[id] = &standin.CloudHost{CreatedAt: sim.clock.Now(), Machine: host}
 			sim.booted(sim.cloud.Hosts[id])
 			if len(names) == perHire {
-				put(fmt.Sprintf("%sb0-0-%d", fleet.Rentals(0), i), fleet.RentalRec{Type: "g8", Zone: "a", Number: perHire, Hosts: names})
+				put(fmt.Sprintf("%sb0-0-%d", fleet.ShardProvisioningPrefix(0), i), fleet.ProvisioningRecord{Type: "g8", Zone: "a", Number: perHire, Hosts: names})
 				names = nil
 			}
 			if len(used) == 5*perHire || i == machines-1 {
-				put(fmt.Sprintf("%s%d", fleet.UsedUnder(0), i/(5*perHire)), used)
+				put(fmt.Sprintf("%s%d", fleet.RegistrationPrefix(0), i/(5*perHire)), used)
 				used = map[string]string{}
 			}
 		}
@@ -63,7 +63,7 @@
 				s.Shape, s.Priority, s.Tasks, s.Vcpus, s.Gpus, s.MemGb = wire.ShapeGang, "normal", 4, 57, 8, 310
 			}
 			sim.cluster.AddJob(standin.NewJob(s, time.Minute))
-			put(submission.OpenKey(id), submission.OpenRec{Spec: s, At: sim.clock.Now().UnixMilli()})
+			put(submission.OpenJobKey(id), submission.OpenJobRecord{Spec: s, AcceptedAt: sim.clock.Now().UnixMilli()})
 		}
 		start, began := time.Now(), sim.clock.Now()
 		for sim.leaseHolder() == nil && sim.clock.Now().Sub(began) < time.Minute {
--- a/internal/controller/fault_combinations_state_test.go
+++ b/internal/controller/fault_combinations_state_test.go
@@ -17,11 +17,11 @@
 		s.runFor(s.randomMillis(300, 1200))
 		s.stateOutage(s.randomMillis(40000, 60000))
 		if s.rng.IntN(2) == 0 {
-			s.clock.In(s.randomMillis(2000, 20000), func() { s.nodes[s.rng.IntN(3)].crash(s.randomMillis(100, 900)) })
+			s.clock.Schedule(s.randomMillis(2000, 20000), func() { s.nodes[s.rng.IntN(3)].crash(s.randomMillis(100, 900)) })
 		}
 		if s.rng.IntN(3) == 0 {
 			n.peersCut = true
-			s.clock.In(s.randomMillis(5000, 50000), func() { n.peersCut = false })
+			s.clock.Schedule(s.randomMillis(5000, 50000), func() { n.peersCut = false })
 		}
 		s.runFor(75 * time.Second)
 	}
@@ -29,7 +29,7 @@
 
 // playInstantBootsWithLateWrites has machines boot at once and get work while writes lag.
 func playInstantBootsWithLateWrites(s *faultScenario) {
-	s.cloud.QuickBoots = true
+	s.cloud.FastBoot = true
 	s.rates.lateWrites, s.rates.slowState = 0.15, 800*time.Millisecond
 	for range 6 {
 		s.jobs(4, 5*time.Second, 40*time.Second)
--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -196,8 +196,8 @@
 	}
 	sim := newSimulation(t, uint64(100+seed), testConfig(zones, c.teams, heartbeatS, leaseS), 1, machineTypes)
 	for _, zone := range zones {
-		sim.cloud.Room[standin.RoomKey(machineTypes[0].Name, zone, true)] = 5
-		sim.cloud.Room[standin.RoomKey(machineTypes[0].Name, zone, false)] = 8
+		sim.cloud.Available[standin.CapacityKey(machineTypes[0].Name, zone, true)] = 5
+		sim.cloud.Available[standin.CapacityKey(machineTypes[0].Name, zone, false)] = 8
 	}
 	s := &faultScenario{simulation: sim, zones: zones, machineTypes: machineTypes}
 	c.play(s)
--- a/internal/controller/fault_combinations_users_test.go
+++ b/internal/controller/fault_combinations_users_test.go
@@ -23,8 +23,8 @@
 func (s *faultScenario) prolongLaterTasks(job *standin.Job) {
 	for _, id := range s.machineNames() {
 		for _, task := range s.machines[id].Tasks {
-			if task.Job == job && task.N > 0 && task.Stage == wire.TaskRunning {
-				task.Until = s.clock.Now().Add(s.randomMillis(10000, 30000))
+			if task.Job == job && task.Index > 0 && task.Stage == wire.TaskRunning {
+				task.StageEnds = s.clock.Now().Add(s.randomMillis(10000, 30000))
 			}
 		}
 	}
@@ -83,7 +83,7 @@
 	for range 240 {
 		j := s.job(oneTask, s.randomMillis(1000, 5000))
 		if s.rng.IntN(4) == 0 {
-			s.clock.In(s.randomMillis(0, 4000), func() { s.cancel(j) })
+			s.clock.Schedule(s.randomMillis(0, 4000), func() { s.cancel(j) })
 		}
 		s.runFor(250 * time.Millisecond)
 	}
--- a/internal/controller/fault_scenario_test.go
+++ b/internal/controller/fault_scenario_test.go
@@ -80,9 +80,9 @@
 // cancelSome has users cancel a part of the jobs that are not over, within a fifth of a
 // second.
 func (s *faultScenario) cancelSome(share float64) {
-	for _, j := range s.cluster.Order {
-		if j.Accepted && !j.CancelAsked && j.Told != wire.JobDone && s.rng.Float64() < share {
-			s.clock.In(s.randomMillis(0, 200), func() { s.cancel(j) })
+	for _, j := range s.cluster.Submitted {
+		if j.Accepted && !j.CancelRequested && j.KnownState != wire.JobDone && s.rng.Float64() < share {
+			s.clock.Schedule(s.randomMillis(0, 200), func() { s.cancel(j) })
 		}
 	}
 }
--- a/internal/controller/faults_controllers_test.go
+++ b/internal/controller/faults_controllers_test.go
@@ -25,8 +25,8 @@
 	}
 	for _, id := range sim.machineNames() {
 		m := sim.machines[id]
-		if sim.nodes[m.Node] == holder || m.Session != 1 {
-			sim.addViolation("%s has not moved over, incarnation %d", id, m.Session)
+		if sim.nodes[m.Controller] == holder || m.Incarnation != 1 {
+			sim.addViolation("%s has not moved over, incarnation %d", id, m.Incarnation)
 		}
 	}
 	holder.reconnect()
@@ -38,7 +38,7 @@
 	holder := sim.leaseHolder()
 	holder.isolate()
 	sim.runFor(500 * time.Millisecond)
-	sim.cancel(sim.cluster.Order[0])
+	sim.cancel(sim.cluster.Submitted[0])
 	sim.runFor(50 * time.Second)
 	holder.reconnect()
 }
@@ -48,8 +48,8 @@
 func playCancellationWithWorkersIsolated(sim *simulation) {
 	long := sim.add(trainingGang("job-100", 2, 300), 300*time.Second)
 	sim.runFor(20 * time.Second)
-	if long.Told != wire.JobRunning {
-		sim.addViolation("%s is %s", long.Spec.ID, long.Told)
+	if long.KnownState != wire.JobRunning {
+		sim.addViolation("%s is %s", long.Spec.ID, long.KnownState)
 	}
 	holder := sim.leaseHolder()
 	holder.isolate()
@@ -58,9 +58,9 @@
 	}
 	sim.runFor(500 * time.Millisecond)
 	sim.cancel(long)
-	sim.cloud.Down = true
+	sim.cloud.Unavailable = true
 	sim.runFor(50 * time.Second)
-	sim.cloud.Down = false
+	sim.cloud.Unavailable = false
 	for _, m := range sim.machines {
 		m.onlyNode = nil
 	}
@@ -112,8 +112,8 @@
 		if !n.alive || n == before || t == nil || t.state != termFencing {
 			continue
 		}
-		for _, j := range t.scheduler.Jobs() {
-			if j.Early && j.Located() > 0 && !strings.Contains(startMarkers, `"`+j.Spec.ID+`"`) {
+		for _, j := range t.scheduler.OpenJobs() {
+			if j.FromEarlierTerm && j.AssignedTasks() > 0 && !strings.Contains(startMarkers, `"`+j.Spec.ID+`"`) {
 				started++
 			}
 		}
--- a/internal/controller/faults_workers_test.go
+++ b/internal/controller/faults_workers_test.go
@@ -24,7 +24,7 @@
 		for _, id := range before {
 			if m := sim.machines[id]; m != nil {
 				m.inboundCut = true
-				sim.clock.In(1600*time.Millisecond, func() { m.inboundCut = false })
+				sim.clock.Schedule(1600*time.Millisecond, func() { m.inboundCut = false })
 			}
 		}
 		sim.runFor(9 * time.Second)
@@ -40,7 +40,7 @@
 // to the lease holder and then to a successor that never reconciled that machine.
 func playLateHeartbeatsOfDeletedMachine(sim *simulation) {
 	m := sim.randomMachine()
-	heartbeat := m.Report()
+	heartbeat := m.Heartbeat()
 	sim.cloud.Remove(m.Host.ID)
 	sim.runFor(40 * time.Second)
 	holder := sim.leaseHolder()
@@ -78,23 +78,23 @@
 	holder := sim.leaseHolder()
 	workers := holder.controller.terms[0].workers
 	m := sim.randomMachine()
-	heartbeat := m.Report()
+	heartbeat := m.Heartbeat()
 	m.partitioned, m.Hung = true, true
-	sim.runFor(workers.Expiry() + 3*time.Second)
+	sim.runFor(workers.LeaseExpiry() + 3*time.Second)
 	w := workers.Get(m.Host.ID)
-	if w == nil || w.State != worker.Lapsed || w.Busy != 0 {
+	if w == nil || w.State != worker.LeaseExpired || w.ActiveCopies != 0 {
 		sim.addViolation("not given up: %+v", w)
 		return
 	}
-	answered := w.Answered
+	answered := w.LeaseRenewedAt
 	heartbeat.Sequence += 5
 	holder.controller.HandleHeartbeat(sim.clock.Now(), heartbeat, func(status int, _ any) {
 		if status == 200 {
 			sim.addViolation("a heartbeat of an incarnation that is over was accepted")
 		}
 	})
-	if w.State != worker.Lapsed || w.Busy != 0 || w.Answered != answered {
-		sim.addViolation("revived: %v, %d tasks", w.State, w.Busy)
+	if w.State != worker.LeaseExpired || w.ActiveCopies != 0 || w.LeaseRenewedAt != answered {
+		sim.addViolation("revived: %v, %d tasks", w.State, w.ActiveCopies)
 	}
 	m.partitioned, m.Hung = false, false
 }
--- a/internal/controller/fencing.go
+++ b/internal/controller/fencing.go
@@ -23,7 +23,7 @@
 // unreconciledLeaseEnd is when the lease of a machine that this tenure has not heard
 // is surely over, whatever the holder before it did.
 func (t *term) unreconciledLeaseEnd() time.Time {
-	u := t.startedAt.Add(t.workers.Expiry())
+	u := t.startedAt.Add(t.workers.LeaseExpiry())
 	if !t.PredecessorEnded {
 		u = u.Add(t.renewalBound())
 	}
@@ -35,15 +35,15 @@
 func (t *term) fenceWorkers(now time.Time) {
 	for _, m := range t.workers.All() {
 		if t.unreconciled(m) {
-			if m.Address != "" && !m.DoBusy && !now.Before(t.fencing.askAt[m.Host]) {
-				t.fencing.askAt[m.Host] = now.Add(tuning.FenceRetry)
+			if m.Address != "" && !m.CommandInFlight && !now.Before(t.fencing.askAt[m.Host]) {
+				t.fencing.askAt[m.Host] = now.Add(tuning.ReconcileRetry)
 				t.sendCommands(now, m, []wire.Command{})
 			}
 		}
 	}
 	if t.reserveUnknown() == 0 && t.state == termFencing {
 		t.setState(now, termOpen, "every machine heard or gone")
-		t.scheduler.Open(now)
+		t.scheduler.MarkReconciled(now)
 	}
 }
 
@@ -51,22 +51,22 @@
 // One that is being deleted is heard by what it says under this tenure's token alone: the
 // answer to an older report renews its lease without telling what is on it.
 func (t *term) unreconciled(m *worker.Machine) bool {
-	return m.State == worker.Unheard || m.State == worker.Deleting && m.Heard.IsZero() && m.Used && !m.LeaseOver
+	return m.State == worker.Unreconciled || m.State == worker.Deleting && m.LastContact.IsZero() && m.Registered && !m.LeaseEnded
 }
 
 // reserveUnknown has the whole room of machines whose tasks are not known count against every
 // limited team, and tells how many have not been heard.
 func (t *term) reserveUnknown() (unheard int) {
-	var blocked quota.Room
+	var blocked quota.Resources
 	for _, m := range t.workers.All() {
 		if t.unreconciled(m) {
 			unheard++
-			blocked = blocked.Add(m.Cap)
-		} else if m.Stranger {
-			blocked = blocked.Add(m.Cap)
+			blocked = blocked.Add(m.Capacity)
+		} else if m.HasUnknownTasks {
+			blocked = blocked.Add(m.Capacity)
 		}
 	}
-	t.ledger.Block(blocked)
+	t.ledger.SetUnknownUsage(blocked)
 	return unheard
 }
 
@@ -80,18 +80,18 @@
 	machines := 0
 	each := func(f func(m *worker.Machine)) {
 		for _, m := range t.workers.All() {
-			if (m.State == worker.Up || m.State == worker.Silent) && now.Sub(m.Checked) <= config.Seconds(w.LeaseS) {
+			if (m.State == worker.Up || m.State == worker.Unresponsive) && now.Sub(m.LastHeartbeat) <= config.Seconds(w.LeaseS) {
 				f(m)
 			}
 		}
 	}
 	each(func(m *worker.Machine) {
 		machines++
-		if m.Checked.After(last) {
-			last = m.Checked
+		if m.LastHeartbeat.After(last) {
+			last = m.LastHeartbeat
 		}
 	})
-	t.fencing.unreachable = machines >= tuning.UnreachableMachines && now.Sub(last) > config.Seconds(w.HeartbeatS*tuning.UnreachableReports)+tuning.SilentGrace
+	t.fencing.unreachable = machines >= tuning.IsolationMinMachines && now.Sub(last) > config.Seconds(w.HeartbeatS*tuning.IsolationHeartbeats)+tuning.UnresponsiveGrace
 	if !t.fencing.unreachable || now.Before(t.fencing.probeAt) {
 		return
 	}
--- a/internal/controller/fleet_limits_test.go
+++ b/internal/controller/fleet_limits_test.go
@@ -32,9 +32,9 @@
 	cfg.Platform.State = config.StateLimits{RPS: 400, WriteRPS: 40, ValueKB: 8, TxnOps: 16}
 	sim := newSimulation(t, 41, cfg, 1, []wire.MachineType{machineType})
 	sim.checks.interval = checkEvery
-	sim.state.Page, sim.state.Kept, sim.cloud.Page = tuning.ListPage, 10000, tuning.CloudPage
-	sim.state.Limits = standin.StateLimits{ValueBytes: 8 << 10, TxnOps: 16, Writes: 40, Requests: 400}
-	sim.cloud.Room[standin.RoomKey("g8", "a", false)] = largeFleet
+	sim.state.PageSize, sim.state.MaxHistory, sim.cloud.PageSize = tuning.ListPageSize, 10000, tuning.CloudPageSize
+	sim.state.Limits = standin.StateLimits{MaxValueBytes: 8 << 10, MaxTxnOps: 16, WritesPerS: 40, RequestsPerS: 400}
+	sim.cloud.Available[standin.CapacityKey("g8", "a", false)] = largeFleet
 	for i := range arrays {
 		spec := wire.JobSpec{ID: fmt.Sprintf("job-%06d", i), Team: []string{"red", "free"}[i%2], Class: "sweep", Shape: wire.ShapeBatch, Priority: "normal",
 			Tasks: arrayTasks, Vcpus: 16, Gpus: 2, MemGb: 90, Image: fmt.Sprintf("img-%d", i%12), ImageGb: 2, AnyType: true, EstimatedRunTimeS: 90}
@@ -47,7 +47,7 @@
 	}
 	sessions := map[string]uint64{}
 	for _, host := range sim.machineNames() {
-		sessions[host] = sim.machines[host].Session
+		sessions[host] = sim.machines[host].Incarnation
 	}
 	before := sim.leaseHolder()
 	before.crash(time.Second)
@@ -57,7 +57,7 @@
 	}
 	lapsed := 0
 	for host, session := range sessions {
-		if m := sim.machines[host]; m != nil && m.Session != session {
+		if m := sim.machines[host]; m != nil && m.Incarnation != session {
 			lapsed++
 		}
 	}
@@ -72,7 +72,7 @@
 func TestAttemptNumbersUsedUp(t *testing.T) {
 	sim := steadySimulation(t, 6, 8)
 	tenure := sim.leaseHolder().controller.terms[0]
-	tenure.scheduler.AttemptsUsedUp = true
+	tenure.scheduler.AttemptNumbersExhausted = true
 	sim.runFor(10 * time.Second)
 	next := sim.leaseHolder()
 	if next == nil || next.controller.terms[0].Token <= tenure.Token {
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -50,10 +50,10 @@
 			`"Vcpus":2,"Gpus":0,"MemGb":12.8,"Bundle":"img-1","ImageGb":1,"Builds":["g8"],"Yard":"a",` +
 			`"Together":true,"Apart":true,"Loaners":true,"GuessS":0,"BookmarkS":5,"StowS":2,"DueS":9},` +
 			`"At":1700000000000,"Block":2}`,
-		into: &submission.OpenRec{},
-		want: &submission.OpenRec{
-			At:    1700000000000,
-			Block: 2,
+		into: &submission.OpenJobRecord{},
+		want: &submission.OpenJobRecord{
+			AcceptedAt:    1700000000000,
+			Shard: 2,
 			Spec: wire.JobSpec{
 				ID:                  "job-1",
 				Class:               "train",
@@ -81,9 +81,9 @@
 		text: `{"Spec":{"Id":"job-1","Lane":"l","Crew":"red","Shape":"batch","Rank":"low","Pieces":1,` +
 			`"Vcpus":1,"Gpus":1,"MemGb":1,"Bundle":"i","ImageGb":1,"AnyBuild":true,"GuessS":1,` +
 			`"BookmarkS":0,"StowS":0},"At":5}`,
-		into: &submission.OpenRec{},
-		want: &submission.OpenRec{
-			At: 5,
+		into: &submission.OpenJobRecord{},
+		want: &submission.OpenJobRecord{
+			AcceptedAt: 5,
 			Spec: wire.JobSpec{
 				ID:                "job-1",
 				Class:             "l",
@@ -104,21 +104,21 @@
 	{
 		name: "how a job ended",
 		text: `{"Stage":"done","Done":3}`,
-		into: &submission.JobRec{},
-		want: &submission.JobRec{Stage: "done", Done: 3},
+		into: &submission.JobEndRecord{},
+		want: &submission.JobEndRecord{Stage: "done", Done: 3},
 	},
 	{
 		name: "a provisioning request",
 		text: `{"Build":"g8","Yard":"a","Loaners":true,"Number":2,"Hosts":["i-000001","i-000002"]}`,
-		into: &fleet.RentalRec{},
-		want: &fleet.RentalRec{Type: "g8", Zone: "a", Spot: true, Number: 2, Hosts: []string{"i-000001", "i-000002"}},
+		into: &fleet.ProvisioningRecord{},
+		want: &fleet.ProvisioningRecord{Type: "g8", Zone: "a", Spot: true, Number: 2, Hosts: []string{"i-000001", "i-000002"}},
 	},
 	{
 		name: "a machine type",
 		text: `{"Name":"g8","Vcpus":64,"Gpus":8,"MemGb":384,"LocalGb":0,"FetchGbPerS":0.5,` +
 			`"Price":0,"LowPrice":0,"BootS":50,"Yards":["a","b"],"Of":2}`,
-		into: &fleet.MachineTypeRec{},
-		want: &fleet.MachineTypeRec{
+		into: &fleet.MachineTypeRecord{},
+		want: &fleet.MachineTypeRecord{
 			MachineType: wire.MachineType{
 				Name:        "g8",
 				Vcpus:       64,
@@ -128,7 +128,7 @@
 				BootTimeS:   50,
 				Zones:       []string{"a", "b"},
 			},
-			Of: 2,
+			Total: 2,
 		},
 	},
 }
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -15,14 +15,14 @@
 
 // applyHeartbeat takes in a machine's account of itself and tells whether it was news.
 func (t *term) applyHeartbeat(now time.Time, m *worker.Machine, rep *wire.Heartbeat, checkin bool) bool {
-	v := t.workers.Absorb(now, m, rep, checkin)
-	if v == worker.Stale {
+	v := t.workers.ApplyHeartbeat(now, m, rep, checkin)
+	if v == worker.HeartbeatStale {
 		return false
 	}
-	t.autoscaler.Reporting(now, m)
+	t.autoscaler.HandleHeartbeat(now, m)
 	if t.state != termLoading {
-		was := m.Stranger
-		if t.scheduler.Reported(now, m, v, checkin); m.Stranger && !was {
+		was := m.HasUnknownTasks
+		if t.scheduler.ReconcileHeartbeat(now, m, v, checkin); m.HasUnknownTasks && !was {
 			t.reserveUnknown() // before anything is drawn
 		}
 	}
@@ -34,7 +34,7 @@
 	if rep.Token > t.Token {
 		// A machine that this block does not have may belong to another one
 		// whose record of it has not arrived here yet.
-		if m := t.workers.Get(rep.Host); m != nil && m.Used {
+		if m := t.workers.Get(rep.Host); m != nil && m.Registered {
 			t.end(now, "a report shows a higher token")
 		}
 		t.controller.redirect(t.Shard, reply)
@@ -42,7 +42,7 @@
 	}
 	commands, err := t.answerHeartbeat(now, rep)
 	if err != nil {
-		reply(http.StatusServiceUnavailable, submission.Problem{Error: err.Error()})
+		reply(http.StatusServiceUnavailable, submission.ErrorBody{Error: err.Error()})
 		return
 	}
 	reply(http.StatusOK, wire.HeartbeatResponse{Token: t.Token, Commands: commands})
@@ -70,7 +70,7 @@
 	if t.state == termLoading && t.hasUnreadJob(rep) {
 		return nil, errJobsLoading
 	}
-	if t.workers.IsGone(rep.Host) {
+	if t.workers.WasDeleted(rep.Host) {
 		return nil, errStaleHeartbeat // a late copy: the machine was returned
 	}
 	if rep.Token < t.Token {
@@ -79,13 +79,13 @@
 	m := t.workers.Get(rep.Host)
 	if m == nil {
 		m = t.workers.Add(now, rep.Host, worker.Booting)
-		m.IdleFrom = now
+		m.IdleSince = now
 		m.Type, m.Zone, m.Spot = rep.Type, rep.Zone, rep.Spot
 	}
 	if !t.applyHeartbeat(now, m, rep, true) {
 		return nil, errStaleHeartbeat
 	}
-	if t.scheduler.Overdue(m, now.Add(t.workers.Expiry()+tuning.RenewMargin)) {
+	if t.scheduler.MayStartAfterClose(m, now.Add(t.workers.LeaseExpiry()+tuning.CancellationRenewMargin)) {
 		// A cancelled job's start may still be on its way to the machine, and no
 		// stop can reach it before: only the end of the session voids it.
 		return nil, errStartOutstanding
@@ -94,14 +94,14 @@
 	switch {
 	case t.state == termLoading:
 	case t.controller.membership.LeaseValid(now):
-		t.scheduler.Draw(now)
-		commands = append(commands, t.scheduler.Commands(now, m, placement.InAnswer)...)
+		t.scheduler.Schedule(now)
+		commands = append(commands, t.scheduler.Commands(now, m, placement.HeartbeatReply)...)
 	default:
 		// past the lease's end nothing starts, but what is over still stops: under a
 		// superseded token that has no effect
-		commands = append(commands, t.scheduler.Halts(m.Tasks)...)
+		commands = append(commands, t.scheduler.StopCommandsForClosedJobs(m.Tasks)...)
 	}
-	m.Answered = now
+	m.LeaseRenewedAt = now
 	return commands, nil
 }
 
@@ -110,17 +110,17 @@
 // is there, the answer renews its lease and it reports again at once.
 func (t *term) answerUnderOldToken(now time.Time, rep *wire.Heartbeat) ([]wire.Command, error) {
 	if m := t.workers.Get(rep.Host); m != nil {
-		if !m.Glimpse(rep) {
+		if !m.ObserveSequence(rep) {
 			return nil, errStaleHeartbeat
 		}
-		m.Answered = now
-		t.autoscaler.Entering(now, m, rep)
+		m.LeaseRenewedAt = now
+		t.autoscaler.RegisterOnFirstContact(now, m, rep)
 	}
 	commands := []wire.Command{}
 	if t.state != termLoading {
 		// What is over may be stopped whatever has happened since: the answer
 		// that renews a cancelled task's lease must not leave it running.
-		commands = append(commands, t.scheduler.Halts(rep.Tasks)...)
+		commands = append(commands, t.scheduler.StopCommandsForClosedJobs(rep.Tasks)...)
 	}
 	return commands, nil
 }
@@ -134,7 +134,7 @@
 		if !ok || p.State == wire.TaskExited {
 			return false
 		}
-		_, open := t.controller.openJobs.Get(submission.OpenKey(id))
+		_, open := t.controller.openJobs.Get(submission.OpenJobKey(id))
 		return !open
 	})
 }
--- a/internal/controller/http.go
+++ b/internal/controller/http.go
@@ -24,7 +24,7 @@
 	mux.HandleFunc("/submissions/", r.handleJob)
 	mux.HandleFunc("/checkin", requireMethod(http.MethodPost, r.handleHeartbeat))
 	mux.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) {
-		writeJSON(w, http.StatusNotFound, submission.Problem{Error: "no such path"}, 0)
+		writeJSON(w, http.StatusNotFound, submission.ErrorBody{Error: "no such path"}, 0)
 	})
 	return &http.Server{
 		Handler:           mux,
@@ -39,7 +39,7 @@
 	return func(w http.ResponseWriter, req *http.Request) {
 		if req.Method != method && !(method == http.MethodGet && req.Method == http.MethodHead) {
 			w.Header().Set("Allow", method)
-			writeJSON(w, http.StatusMethodNotAllowed, submission.Problem{Error: "method not allowed"}, 0)
+			writeJSON(w, http.StatusMethodNotAllowed, submission.ErrorBody{Error: "method not allowed"}, 0)
 			return
 		}
 		h(w, req)
@@ -69,11 +69,11 @@
 // larger is refused unread, and a small one that says its size is read into just that;
 // what a client only claims to send takes no memory.
 func readBody(w http.ResponseWriter, req *http.Request) ([]byte, bool) {
-	if req.ContentLength <= tuning.BodyBytes {
-		in := http.MaxBytesReader(w, req.Body, tuning.BodyBytes)
+	if req.ContentLength <= tuning.MaxBodyBytes {
+		in := http.MaxBytesReader(w, req.Body, tuning.MaxBodyBytes)
 		var raw []byte
 		var err error
-		if n := req.ContentLength; n >= 0 && n <= tuning.BodyAtOnce {
+		if n := req.ContentLength; n >= 0 && n <= tuning.BodyPreallocateBytes {
 			raw = make([]byte, n)
 			_, err = io.ReadFull(in, raw)
 		} else {
@@ -84,11 +84,11 @@
 		}
 		var big *http.MaxBytesError
 		if !errors.As(err, &big) {
-			writeJSON(w, http.StatusBadRequest, submission.Problem{Error: "body cannot be read"}, 0)
+			writeJSON(w, http.StatusBadRequest, submission.ErrorBody{Error: "body cannot be read"}, 0)
 			return nil, false
 		}
 	}
-	writeJSON(w, http.StatusBadRequest, submission.Problem{Error: "body is too large"}, 0)
+	writeJSON(w, http.StatusBadRequest, submission.ErrorBody{Error: "body is too large"}, 0)
 	return nil, false
 }
 
@@ -98,7 +98,7 @@
 	start := time.Now()
 	ch := make(chan submission.Response, 1)
 	if !tryPost(r.requests, func(now time.Time) { f(now, func(s submission.Response) { ch <- s }) }) {
-		writeResponse(w, submission.Busy())
+		writeResponse(w, submission.BusyResponse())
 		return
 	}
 	select {
@@ -116,12 +116,12 @@
 		writeJSON(w, http.StatusOK, struct{}{}, 0)
 		return
 	}
-	writeResponse(w, submission.Unable("cannot take requests"))
+	writeResponse(w, submission.UnavailableResponse("cannot take requests"))
 }
 
 func (r *Runtime) handleSubmit(w http.ResponseWriter, req *http.Request) {
 	if len(r.requests) == cap(r.requests) {
-		writeResponse(w, submission.Busy()) // before the work of reading it
+		writeResponse(w, submission.BusyResponse()) // before the work of reading it
 		return
 	}
 	raw, ok := readBody(w, req)
@@ -131,7 +131,7 @@
 	spec, err := wire.ParseJobSpec(raw)
 	if err != nil {
 		r.log.Debug("submission refused", "error", err)
-		writeJSON(w, http.StatusBadRequest, submission.Problem{Error: err.Error()}, 0)
+		writeJSON(w, http.StatusBadRequest, submission.ErrorBody{Error: err.Error()}, 0)
 		return
 	}
 	r.askOwner(w, req, func(now time.Time, reply func(submission.Response)) {
@@ -150,7 +150,7 @@
 		return
 	}
 	if strings.Contains(id, "/") {
-		writeJSON(w, http.StatusNotFound, submission.Problem{Error: "no such path"}, 0)
+		writeJSON(w, http.StatusNotFound, submission.ErrorBody{Error: "no such path"}, 0)
 		return
 	}
 	requireMethod(http.MethodGet, func(w http.ResponseWriter, req *http.Request) {
@@ -166,7 +166,7 @@
 	var rep wire.Heartbeat
 	if err := wire.ParseHeartbeat(raw, &rep); err != nil || rep.Host == "" || rep.Incarnation == 0 {
 		r.log.Debug("report refused", "from", req.RemoteAddr, "error", err)
-		writeJSON(w, http.StatusBadRequest, submission.Problem{Error: "not a report"}, 0)
+		writeJSON(w, http.StatusBadRequest, submission.ErrorBody{Error: "not a report"}, 0)
 		return
 	}
 	if markWorkerConnection(req) {
@@ -192,13 +192,13 @@
 // hand, so it waits for its turn: refused, it would go to another node, be sent back
 // and ask again, when there is most to do.
 func (r *Runtime) waitForTurn(w http.ResponseWriter, req *http.Request, report func(now time.Time)) bool {
-	late := time.NewTimer(tuning.ReportWait)
+	late := time.NewTimer(tuning.HeartbeatQueueTimeout)
 	defer late.Stop()
 	select {
 	case r.heartbeats <- report:
 		return true
 	case <-late.C:
-		writeResponse(w, submission.Unable("too many reports at once"))
+		writeResponse(w, submission.UnavailableResponse("too many reports at once"))
 	case <-req.Context().Done():
 	}
 	return false
@@ -215,7 +215,7 @@
 		return false
 	}
 	defer resp.Body.Close()
-	_, err = io.Copy(io.Discard, io.LimitReader(resp.Body, tuning.WorkerAnswerBytes))
+	_, err = io.Copy(io.Discard, io.LimitReader(resp.Body, tuning.MaxWorkerResponseBytes))
 	return err == nil && resp.StatusCode == http.StatusOK
 }
 
@@ -236,7 +236,7 @@
 	}
 	defer resp.Body.Close()
 	var rep wire.Heartbeat
-	if err := json.NewDecoder(io.LimitReader(resp.Body, tuning.WorkerAnswerBytes)).Decode(&rep); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, tuning.MaxWorkerResponseBytes)).Decode(&rep); err != nil {
 		return 0, nil
 	}
 	return resp.StatusCode, &rep
--- a/internal/controller/http_test.go
+++ b/internal/controller/http_test.go
@@ -20,7 +20,7 @@
 func newUnreachableRuntime(tb testing.TB, owner bool) *Runtime {
 	cfg := testConfig([]string{"a"}, []config.Team{{Name: "red"}}, 1.5, 10)
 	cfg.External = config.External{Cloud: "127.0.0.1:1", State: "127.0.0.1:1"}
-	r := NewRuntime(cfg, Options{Blocks: tuning.Blocks}, clock.New(nil), slog.New(slog.NewTextHandler(io.Discard, nil)), rand.New(rand.NewPCG(1, 1)))
+	r := NewRuntime(cfg, Options{Blocks: tuning.Shards}, clock.New(nil), slog.New(slog.NewTextHandler(io.Discard, nil)), rand.New(rand.NewPCG(1, 1)))
 	r.ctx = tb.Context()
 	if owner {
 		go func() {
@@ -70,7 +70,7 @@
 		{"get on cancel", "GET", "/submissions/job-1/cancel", "", srv, 405, "Allow", "POST"},
 		{"not JSON", "POST", "/submissions", "hello", srv, 400, "", ""},
 		{"not an object", "POST", "/submissions", "[1]", srv, 400, "", ""},
-		{"oversized", "POST", "/submissions", `{"Id":"` + strings.Repeat("x", tuning.BodyBytes) + `"}`, srv, 400, "", ""},
+		{"oversized", "POST", "/submissions", `{"Id":"` + strings.Repeat("x", tuning.MaxBodyBytes) + `"}`, srv, 400, "", ""},
 		{"an id that cannot be", "GET", "/submissions/bad%20id", "", srv, 404, "", ""},
 		{"cancel of an id that cannot be", "POST", "/submissions/bad/cancel", "", srv, 404, "", ""},
 		{"health before anything is known", "GET", "/healthz", "", srv, 503, "Retry-After", "2"},
--- a/internal/controller/intents.go
+++ b/internal/controller/intents.go
@@ -66,7 +66,7 @@
 
 // readIntentLogs reads the pages of all blocks' logs.
 func (c *Controller) readIntentLogs(into storedIntents, after string, then func(now time.Time, ok bool)) {
-	c.callState(store.Call{Op: store.OpList, Priority: store.PriorityUser, Prefix: intentlog.Prefix, After: after, PageSize: tuning.ListPage}, func(now time.Time, r store.Result) {
+	c.callState(store.Call{Op: store.OpList, Priority: store.PriorityUser, Prefix: intentlog.Prefix, After: after, PageSize: tuning.ListPageSize}, func(now time.Time, r store.Result) {
 		if !r.OK() {
 			then(now, false)
 			return
@@ -140,7 +140,7 @@
 		actions[e.Operation] = append(actions[e.Operation], intentlog.IntentStatus{Operation: e.Operation, Target: e.Target, Token: e.Token, State: intentlog.Recorded, DecidedAt: e.DecidedAt})
 	}
 	c.provisionRequests.Each(func(it wire.KeyValue) {
-		if name, token, open := fleet.Unanswered(it, block); open {
+		if name, token, open := fleet.UnansweredRequest(it, block); open {
 			actions[intentlog.Provision] = append(actions[intentlog.Provision], intentlog.IntentStatus{Operation: intentlog.Provision, Target: name, Token: token, State: intentlog.Recorded})
 		}
 	})
@@ -157,7 +157,7 @@
 	slices.SortStableFunc(s.Intents, func(a, b intentlog.IntentStatus) int {
 		return cmp.Or(a.DecidedAt.Compare(b.DecidedAt), cmp.Compare(a.Target, b.Target))
 	})
-	for _, a := range s.Intents[:min(len(s.Intents), tuning.DutyEntriesShown)] {
+	for _, a := range s.Intents[:min(len(s.Intents), tuning.MaxIntentsShown)] {
 		out.Intents = append(out.Intents, &peerpb.IntentStatus{Target: a.Target, Token: a.Token, State: a.State.String(), AgeMs: ageMs(c.wallClock(), a.DecidedAt)})
 	}
 	return out
--- a/internal/controller/intents_failover_test.go
+++ b/internal/controller/intents_failover_test.go
@@ -30,8 +30,8 @@
 		page[id] = storedIntent{Duty: intentlog.Deprovision, At: sim.clock.Now().UnixMilli()}
 		names = append(names, id)
 		if len(names) == perRequest {
-			request := fleet.RentalRec{Type: smallType.Name, Zone: "a", Number: perRequest, Hosts: names}
-			sim.putState(fmt.Sprintf("%sb0-0-%d", fleet.Rentals(0), i), request)
+			request := fleet.ProvisioningRecord{Type: smallType.Name, Zone: "a", Number: perRequest, Hosts: names}
+			sim.putState(fmt.Sprintf("%sb0-0-%d", fleet.ShardProvisioningPrefix(0), i), request)
 			names = nil
 		}
 		if len(page) == perPage {
@@ -52,7 +52,7 @@
 		Zone:    "a",
 		State:   wire.MachineRunning,
 	}
-	sim.cloud.Hosts[id] = &standin.CloudHost{Born: sim.clock.Now(), Machine: host}
+	sim.cloud.Hosts[id] = &standin.CloudHost{CreatedAt: sim.clock.Now(), Machine: host}
 	sim.booted(sim.cloud.Hosts[id])
 	return id
 }
@@ -71,11 +71,11 @@
 	cfg.Platform.Cloud.RPS = cloudRPS
 	sim := newSimulation(t, 5, cfg, 1, oneZoneTypes)
 	sim.checks.interval = time.Second
-	sim.state.Page, sim.cloud.Page = tuning.ListPage, tuning.CloudPage
+	sim.state.PageSize, sim.cloud.PageSize = tuning.ListPageSize, tuning.CloudPageSize
 	sim.enableIntentLog()
 	sim.leaveIntents(largeFleet)
-	sim.cloud.Room[standin.RoomKey(smallType.Name, "a", false)] = 8
-	sim.state.Limits = standin.StateLimits{ValueBytes: 4 << 10, TxnOps: 8, Writes: writesPerS, Requests: 200}
+	sim.cloud.Available[standin.CapacityKey(smallType.Name, "a", false)] = 8
+	sim.state.Limits = standin.StateLimits{MaxValueBytes: 4 << 10, MaxTxnOps: 8, WritesPerS: writesPerS, RequestsPerS: 200}
 	return sim
 }
 
@@ -95,7 +95,7 @@
 	j := sim.add(steadyJob(1), 5*time.Second)
 	sim.runFor(40 * time.Second)
 	if !j.Ended() {
-		t.Errorf("a job waits for the intents: it is %q", j.Told)
+		t.Errorf("a job waits for the intents: it is %q", j.KnownState)
 	}
 	startedAt := sim.clock.Now()
 	for len(sim.loggedTargets()) > 0 && sim.clock.Now().Sub(startedAt) < most {
--- a/internal/controller/intents_status_test.go
+++ b/internal/controller/intents_status_test.go
@@ -42,7 +42,7 @@
 	sim.runUntilIntentLogged()
 	holder := sim.leaseHolder()
 	target := sim.loggedTargets()[0]
-	sim.cloud.Down = true // so that the intent stays open
+	sim.cloud.Unavailable = true // so that the intent stays open
 	sim.checkIntentsOfAll(holder, target)
 
 	holder.crash(time.Hour)
@@ -67,7 +67,7 @@
 		t.Errorf("in an outage: intents %d ms old, lease holders %d ms, %v",
 			r.EntriesAgeMs, r.HoldersAgeMs, intentTargets(r))
 	}
-	sim.cloud.Down = false
+	sim.cloud.Unavailable = false
 	sim.runFor(30 * time.Second)
 	sim.requireAllJobsEnd()
 }
--- a/internal/controller/intents_test.go
+++ b/internal/controller/intents_test.go
@@ -57,22 +57,22 @@
 		name: "the lease holder is cut off from the state service, and what it sent comes late",
 		fail: func(sim *simulation, holder *simulatedNode) {
 			holder.stateCut = true
-			sim.clock.In(20*time.Second, holder.reconnectState)
+			sim.clock.Schedule(20*time.Second, holder.reconnectState)
 		},
 	},
 	{
 		name: "the cloud is out",
 		fail: func(sim *simulation, _ *simulatedNode) {
-			sim.cloud.Down = true
-			sim.clock.In(20*time.Second, func() { sim.cloud.Down = false })
+			sim.cloud.Unavailable = true
+			sim.clock.Schedule(20*time.Second, func() { sim.cloud.Unavailable = false })
 		},
 	},
 	{
 		name: "the lease holder's calls of the cloud come late",
 		fail: func(sim *simulation, holder *simulatedNode) {
 			holder.cloudCut = true
-			sim.clock.In(3*time.Second, func() { holder.crash(time.Second) })
-			sim.clock.In(20*time.Second, func() { holder.cloudCut = false })
+			sim.clock.Schedule(3*time.Second, func() { holder.crash(time.Second) })
+			sim.clock.Schedule(20*time.Second, func() { holder.cloudCut = false })
 		},
 	},
 	{
@@ -132,20 +132,20 @@
 // what is on it is still not known, so the term must not count it as reconciled.
 func TestDeletingMachineIsReconciledByItsTokenOnly(t *testing.T) {
 	sim := steadySimulation(t, 6, 8)
-	sim.cloud.Down = true // nothing is deleted
+	sim.cloud.Unavailable = true // nothing is deleted
 	cut := sim.lastMachineWithTask()
 	cut.partitioned = true
 	sim.leaseHolder().crash(time.Hour)
 	deleting := sim.runUntilMachineDeleting(cut)
-	deleting.HandleHeartbeat(sim.clock.Now(), cut.Report(), func(int, any) {})
-	if w := deleting.workers.Get(cut.Host.ID); w.Answered.IsZero() {
+	deleting.HandleHeartbeat(sim.clock.Now(), cut.Heartbeat(), func(int, any) {})
+	if w := deleting.workers.Get(cut.Host.ID); w.LeaseRenewedAt.IsZero() {
 		t.Fatal("the older heartbeat was not answered: this tests nothing")
 	}
 	sim.runFor(500 * time.Millisecond)
 	if deleting.state != termFencing {
 		t.Errorf("%v although it is not known what is on %s", deleting.state, cut.Host.ID)
 	}
-	sim.cloud.Down, cut.partitioned = false, false
+	sim.cloud.Unavailable, cut.partitioned = false, false
 	sim.release(cut)
 	sim.requireAllJobsEnd()
 }
--- a/internal/controller/listener.go
+++ b/internal/controller/listener.go
@@ -23,15 +23,15 @@
 // a fifth of the machines may hang at once; clients get whatever the controller itself
 // does not need. Where that is fewer than the machines, workers take turns.
 func newConnectionLimits(l config.MachineLimits, peers int) connectionLimits {
-	p := connectionLimits{commands: max(tuning.DoCalls, int(float64(l.Sockets)*tuning.DoShare))}
-	own := 2*p.commands + stateConnections() + tuning.CloudCalls + 2*peers + tuning.OwnSockets
-	p.clients = max(tuning.ClientsLeast, l.Sockets-own)
+	p := connectionLimits{commands: max(tuning.CommandsInFlight, int(float64(l.Sockets)*tuning.CommandSocketShare))}
+	own := 2*p.commands + stateConnections() + tuning.CloudCallsInFlight + 2*peers + tuning.ReservedSockets
+	p.clients = max(tuning.MinClientConnections, l.Sockets-own)
 	return p
 }
 
 // stateConnections is how many connections to the state service there may be.
 func stateConnections() int {
-	return tuning.StateReads + store.Priorities*tuning.StateWrites + tuning.StateExtra
+	return tuning.StoreReadsInFlight + store.Priorities*tuning.StoreWritesInFlight + tuning.StoreExtraInFlight
 }
 
 // limitedListener is the listener for workers, users and health checks. It keeps their
@@ -51,7 +51,7 @@
 }
 
 func newLimitedListener(l net.Listener, limit int, clock func() time.Time) *limitedListener {
-	return &limitedListener{Listener: l, limit: limit, sharedFrom: int(float64(limit) * tuning.SharedClients), clock: clock, open: map[*clientConnection]bool{}}
+	return &limitedListener{Listener: l, limit: limit, sharedFrom: int(float64(limit) * tuning.KeepAliveConnectionShare), clock: clock, open: map[*clientConnection]bool{}}
 }
 
 // clientConnection is one connection.
@@ -99,7 +99,7 @@
 	for c := range l.open {
 		switch {
 		case c.idleSince.IsZero():
-		case !c.hadRequest && now.Sub(c.idleSince) < tuning.FirstRequest:
+		case !c.hadRequest && now.Sub(c.idleSince) < tuning.FirstRequestTimeout:
 			// its first request is on its way: in a burst of new connections each
 			// would take the place of the one before
 		case c.isWorker:
@@ -171,5 +171,5 @@
 // a worker reports, and a user asks, several times within it, so one that does not
 // is dead, and after a cut there would be one of them for each machine.
 func idleTimeout(w config.Workers) time.Duration {
-	return max(tuning.IdleLeast, config.Seconds(w.HeartbeatS*tuning.IdleReports))
+	return max(tuning.MinConnectionIdleTimeout, config.Seconds(w.HeartbeatS*tuning.IdleConnectionHeartbeats))
 }
--- a/internal/controller/listener_test.go
+++ b/internal/controller/listener_test.go
@@ -28,7 +28,7 @@
 			if p.clients < c.machines+c.clients {
 				t.Errorf("%d connections for %d workers and %d users", p.clients, c.machines, c.clients)
 			}
-			own := 2*p.commands + stateConnections() + tuning.CloudCalls + 2*c.peers
+			own := 2*p.commands + stateConnections() + tuning.CloudCallsInFlight + 2*c.peers
 			if p.clients+own > c.sockets {
 				t.Errorf("%d and %d of its own are more than %d sockets", p.clients, own, c.sockets)
 			}
--- a/internal/controller/options.go
+++ b/internal/controller/options.go
@@ -20,7 +20,7 @@
 // NewOptions makes the options of a member that has some switches on. finish writes what
 // is left of its trace.
 func NewOptions(s featuregate.Gates, member string, rng *rand.Rand) (o Options, finish func(), err error) {
-	o = Options{Blocks: tuning.Blocks, Switches: s}
+	o = Options{Blocks: tuning.Shards, Switches: s}
 	if s.Trace.File == "" {
 		return o, func() {}, nil
 	}
--- a/internal/controller/peer_heartbeat.go
+++ b/internal/controller/peer_heartbeat.go
@@ -88,7 +88,7 @@
 	for b := range c.shards {
 		if t := c.terms[b]; t != nil && t.state != termEnded {
 			t.cancelJob(now, id)
-			c.cancellationLog.Had([]string{id}, b, t.Token)
+			c.cancellationLog.Acknowledge([]string{id}, b, t.Token)
 		}
 		if holder, _, live := c.holderOf(b); live {
 			c.forwardCancellations(now, holder)
@@ -124,7 +124,7 @@
 			p.processID, p.clockNs = m.Process, m.ClockNs
 		}
 		p.unacknowledged = append(p.unacknowledged, m.Cancelled...)
-		p.unacknowledged = p.unacknowledged[max(0, len(p.unacknowledged)-tuning.CancellationsAtOnce):]
+		p.unacknowledged = p.unacknowledged[max(0, len(p.unacknowledged)-tuning.MaxCancellationsPerMessage):]
 	}
 	for _, t := range c.terms {
 		for _, id := range m.Cancelled {
@@ -135,7 +135,7 @@
 	}
 	for _, h := range m.Claims {
 		if h.Holder == m.Member {
-			c.cancellationLog.Had(m.AcknowledgedCancelled, int(h.Shard), h.Token)
+			c.cancellationLog.Acknowledge(m.AcknowledgedCancelled, int(h.Shard), h.Token)
 		}
 		if old := c.leaseClaims[int(h.Shard)]; old == nil || h.Token > old.Token {
 			c.leaseClaims[int(h.Shard)] = h
@@ -153,7 +153,7 @@
 		// any other message may have been held back.
 		if p != nil && h.Token == t.Token && m.CancellationsComplete && m.EchoProcess == c.processID && t.state != termLoading {
 			up := time.Duration(m.UpMs) * time.Millisecond
-			t.cancellations.watermark.Acknowledge(name, m.Process, now.Add(-up+time.Duration(float64(up)*2*tuning.ClockDrift)), c.startedAt.Add(time.Duration(m.EchoNs)))
+			t.cancellations.watermark.Acknowledge(name, m.Process, now.Add(-up+time.Duration(float64(up)*2*tuning.MaxClockDrift)), c.startedAt.Add(time.Duration(m.EchoNs)))
 		}
 	}
 }
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -45,7 +45,7 @@
 	if a.inFlight || len(a.queries) == 0 {
 		return
 	}
-	n := min(len(a.queries), tuning.ProgressJobs)
+	n := min(len(a.queries), tuning.MaxProgressJobs)
 	batch := a.queries[:n:n]
 	a.queries = a.queries[n:]
 	m := &peerpb.ProgressRequest{Shard: int32(block)}
@@ -81,9 +81,9 @@
 }
 
 func (t *term) progress(id string) submission.Progress {
-	j := t.scheduler.Job(id)
+	j := t.scheduler.OpenJob(id)
 	if j == nil {
 		return submission.Progress{}
 	}
-	return submission.Progress{Known: true, Done: j.Done(), Running: j.Running()}
+	return submission.Progress{Known: true, Done: j.CompletedTasks(), Running: j.RunningTasks()}
 }
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -197,11 +197,11 @@
 	sim := newSimulation(t, uint64(seed), cfg, day.shards, day.machineTypes)
 	for _, machineType := range day.machineTypes {
 		for _, zone := range machineType.Zones {
-			sim.cloud.Room[standin.RoomKey(machineType.Name, zone, true)] = 5 * day.scale
-			sim.cloud.Room[standin.RoomKey(machineType.Name, zone, false)] = 8 * day.scale
+			sim.cloud.Available[standin.CapacityKey(machineType.Name, zone, true)] = 5 * day.scale
+			sim.cloud.Available[standin.CapacityKey(machineType.Name, zone, false)] = 8 * day.scale
 		}
 	}
-	sim.cloud.NeverBoot = 0.02
+	sim.cloud.BootFailureShare = 0.02
 	sim.randomMessageFaults, sim.scale = true, day.scale
 	if day.upgrade {
 		sim.startOldVersion()
--- a/internal/controller/random_jobs_test.go
+++ b/internal/controller/random_jobs_test.go
@@ -17,7 +17,7 @@
 	j := sim.add(spec, time.Duration(2+sim.rng.IntN(20))*time.Second)
 	j.Faulty = sim.rng.IntN(25) == 0
 	if sim.rng.IntN(6) == 0 {
-		sim.clock.In(time.Duration(sim.rng.IntN(20))*time.Second, func() { sim.cancel(j) })
+		sim.clock.Schedule(time.Duration(sim.rng.IntN(20))*time.Second, func() { sim.cancel(j) })
 	}
 }
 
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -27,7 +27,7 @@
 	t.waitCurrent(now, t.controller.openJobs)
 	t.waitCurrent(now, t.controller.provisionRequests)
 	t.listKeys(now, completionPrefix(t.Shard), "", &t.predecessorRecords.completions)
-	t.listKeys(now, fleet.UsedUnder(t.Shard), "", &t.predecessorRecords.usedMachines)
+	t.listKeys(now, fleet.RegistrationPrefix(t.Shard), "", &t.predecessorRecords.usedMachines)
 	t.listKeys(now, startMarkerPrefix(t.Shard), "", &t.predecessorRecords.startMarkers)
 	t.listKeys(now, intentlog.LogPrefix(t.Shard), "", &t.predecessorRecords.intents)
 	t.predecessorRecords.readsInFlight = 6
@@ -43,16 +43,16 @@
 		case ok:
 			t.finishRead(now)
 		default:
-			t.controller.schedule(now, tuning.MirrorRetry, func(now time.Time) { t.waitCurrent(now, m) })
+			t.controller.schedule(now, tuning.WatchCacheRetry, func(now time.Time) { t.waitCurrent(now, m) })
 		}
 	})
 }
 
 // listKeys reads all keys under a prefix.
 func (t *term) listKeys(now time.Time, under, after string, into *[]wire.KeyValue) {
-	t.callState(store.Call{Op: store.OpList, Priority: store.PriorityLease, Prefix: under, After: after, PageSize: tuning.ListPage}, func(now time.Time, r store.Result) {
+	t.callState(store.Call{Op: store.OpList, Priority: store.PriorityLease, Prefix: under, After: after, PageSize: tuning.ListPageSize}, func(now time.Time, r store.Result) {
 		if !r.OK() {
-			t.controller.schedule(now, tuning.MirrorRetry, func(now time.Time) {
+			t.controller.schedule(now, tuning.WatchCacheRetry, func(now time.Time) {
 				if t.state != termEnded {
 					t.listKeys(now, under, after, into)
 				}
@@ -79,17 +79,17 @@
 func (t *term) recoverRecords(now time.Time) {
 	t.controller.openJobs.Each(func(it wire.KeyValue) { t.applyOpenJob(now, it, false) })
 	t.controller.provisionRequests.Each(func(it wire.KeyValue) {
-		if strings.HasPrefix(it.Key, fleet.Rentals(t.Shard)) {
-			t.autoscaler.Load(now, it)
+		if strings.HasPrefix(it.Key, fleet.ShardProvisioningPrefix(t.Shard)) {
+			t.autoscaler.LoadRequest(now, it)
 		}
 	})
 	t.intents.Load(now, t.predecessorRecords.intents)
-	t.autoscaler.LoadUsed(now, t.predecessorRecords.usedMachines)
-	t.completions.bitmaps.load(t.predecessorRecords.completions, t.scheduler.Job)
+	t.autoscaler.LoadRegistrations(now, t.predecessorRecords.usedMachines)
+	t.completions.bitmaps.load(t.predecessorRecords.completions, t.scheduler.OpenJob)
 	t.startMarkers.Load(t.predecessorRecords.startMarkers, func(id string, _ json.RawMessage) {
-		if j := t.scheduler.Job(id); j != nil {
-			j.Before = true
-			t.scheduler.Begun(j)
+		if j := t.scheduler.OpenJob(id); j != nil {
+			j.StartedInEarlierTerm = true
+			t.scheduler.StartMarkerWritten(j)
 		} else {
 			t.startMarkers.Delete(id)
 		}
@@ -98,11 +98,11 @@
 		t.assumeStarted()
 	}
 	t.predecessorRecords = predecessorRecords{}
-	t.completions.recoverCompleted(now, t.scheduler.Jobs())
+	t.completions.recoverCompleted(now, t.scheduler.OpenJobs())
 	t.setState(now, termFencing, "records read")
 	for _, m := range slices.Clone(t.workers.All()) {
 		if m.State == worker.Up {
-			t.scheduler.Reported(now, m, worker.Fresh, false)
+			t.scheduler.ReconcileHeartbeat(now, m, worker.HeartbeatCurrent, false)
 		}
 	}
 	t.reserveUnknown() // a report may come, and a task be drawn, before the next tick
@@ -111,34 +111,34 @@
 // assumeStarted takes all jobs for ones that may have tasks on machines: pages that name
 // those that do cannot be read.
 func (t *term) assumeStarted() {
-	for _, j := range t.scheduler.Jobs() {
-		j.Before = true
+	for _, j := range t.scheduler.OpenJobs() {
+		j.StartedInEarlierTerm = true
 	}
 }
 
 // applyOpenJob takes note of an open job's entry, or of its end.
 func (t *term) applyOpenJob(now time.Time, it wire.KeyValue, gone bool) {
-	id := strings.TrimPrefix(it.Key, submission.OpenUnder)
+	id := strings.TrimPrefix(it.Key, submission.OpenJobPrefix)
 	if gone {
-		t.scheduler.SetUnreadable(id, false)
-		if t.scheduler.Job(id) != nil {
+		t.scheduler.SetJobUnreadable(id, false)
+		if t.scheduler.OpenJob(id) != nil {
 			t.closeJob(now, id)
 		}
 		return
 	}
 	off := t.cancellations.contains(id)
-	rec, err := submission.ReadOpen(it)
-	t.scheduler.SetUnreadable(id, err != nil && !off)
+	rec, err := submission.ParseOpenJob(it)
+	t.scheduler.SetJobUnreadable(id, err != nil && !off)
 	if err != nil {
 		t.log.Error("job entry cannot be read", "key", it.Key, "error", err)
 		return
 	}
-	if off || rec.Block != t.Shard {
+	if off || rec.Shard != t.Shard {
 		return
 	}
 	// The predecessor started nothing after its lease ended, and that was
 	// before the block's record changed: younger jobs are on no machine.
-	at := time.UnixMilli(rec.At)
+	at := time.UnixMilli(rec.AcceptedAt)
 	j := t.scheduler.AddJob(now, rec.Spec, at, it.Version, it.Version < t.Version)
-	j.Since = now.Add(-max(0, t.controller.wallClock().Sub(at)))
+	j.KnownSince = now.Add(-max(0, t.controller.wallClock().Sub(at)))
 }
--- a/internal/controller/routing.go
+++ b/internal/controller/routing.go
@@ -24,7 +24,7 @@
 
 // applyProvisionRecord takes note of a rental's record.
 func (c *Controller) applyProvisionRecord(_ time.Time, _ string, it wire.KeyValue, gone bool) {
-	block, hosts := fleet.Named(it)
+	block, hosts := fleet.RecordedHosts(it)
 	for _, h := range hosts {
 		if gone {
 			delete(c.shardOfMachine, h)
@@ -49,7 +49,7 @@
 	}
 	waiting := false
 	c.provisionRequests.Each(func(it wire.KeyValue) {
-		b, hosts := fleet.Named(it)
+		b, hosts := fleet.RecordedHosts(it)
 		waiting = waiting || b != block && len(hosts) == 0
 	})
 	return waiting
--- a/internal/controller/runtime.go
+++ b/internal/controller/runtime.go
@@ -41,7 +41,7 @@
 	connections connectionLimits
 
 	state           *store.Client
-	cloud           *fleet.Client
+	cloud           *fleet.CloudClient
 	workers         *http.Client
 	peers           *peer.Clients
 	rateLimiterLock sync.Mutex
@@ -62,7 +62,7 @@
 func LimitProcess(l config.MachineLimits) {
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(tuning.GCPercent)
-	debug.SetMemoryLimit(int64(l.MemoryMB * (1 << 20) * tuning.MemoryShare))
+	debug.SetMemoryLimit(int64(l.MemoryMB * (1 << 20) * tuning.HeapMemoryShare))
 }
 
 func transport(conns int, dial time.Duration) *http.Transport {
@@ -80,23 +80,23 @@
 	p := newConnectionLimits(cfg.Platform.MachineLimits, len(cfg.Peers))
 	r := &Runtime{
 		config: cfg, log: log, clock: steady, done: make(chan struct{}), connections: p,
-		events:       make(chan func(time.Time), tuning.EventBuffer),
-		heartbeats:   make(chan func(time.Time), tuning.EventBuffer),
-		requests:     make(chan func(time.Time), tuning.EventBuffer),
+		events:       make(chan func(time.Time), tuning.EventQueueSize),
+		heartbeats:   make(chan func(time.Time), tuning.EventQueueSize),
+		requests:     make(chan func(time.Time), tuning.EventQueueSize),
 		state:        store.NewClient(cfg.External.State, transport(stateConnections(), tuning.DialTimeout), steady.Now),
-		cloud:        fleet.NewClient(cfg.External.Cloud, transport(tuning.CloudCalls, tuning.DialTimeout)),
-		workers:      &http.Client{Transport: transport(tuning.DoIdle, tuning.WorkerDial)},
+		cloud:        fleet.NewCloudClient(cfg.External.Cloud, transport(tuning.CloudCallsInFlight, tuning.DialTimeout)),
+		workers:      &http.Client{Transport: transport(tuning.CommandIdleConnections, tuning.WorkerDialTimeout)},
 		peers:        peer.NewClients(cfg.Peers),
 		rateLimiter:  store.NewRateLimiter(cfg.Platform.State, len(cfg.Peers)+1),
-		readSlots:    make(chan struct{}, tuning.StateReads),
-		cloudSlots:   make(chan struct{}, tuning.CloudCalls),
+		readSlots:    make(chan struct{}, tuning.StoreReadsInFlight),
+		cloudSlots:   make(chan struct{}, tuning.CloudCallsInFlight),
 		commandSlots: make(chan struct{}, p.commands),
 		fencingSlots: make(chan struct{}, p.commands),
-		peerSlots:    make(chan struct{}, tuning.PeerCalls),
+		peerSlots:    make(chan struct{}, tuning.PeerCallsInFlight),
 		latencies:    newLatencyRecorder(),
 	}
 	for i := range r.writeSlots {
-		r.writeSlots[i] = make(chan struct{}, tuning.StateWrites)
+		r.writeSlots[i] = make(chan struct{}, tuning.StoreWritesInFlight)
 	}
 	r.controller = NewController(cfg, opt, r, rng, time.Now, log)
 	return r
@@ -136,12 +136,12 @@
 // neither behind a thousand reports nor behind the results of all that the block needs:
 // ticks go first, then results, then reports and requests in turn.
 func (r *Runtime) runLoop(ctx context.Context, failed <-chan error) error {
-	tick := time.NewTicker(tuning.TickEvery)
+	tick := time.NewTicker(tuning.TickInterval)
 	defer tick.Stop()
 	last := r.clock.Now()
 	turn := func(time.Time) {
 		now := r.clock.Advance() // leases may have ended while the machine was suspended
-		r.logLateTick(now.Sub(last) - tuning.TickEvery)
+		r.logLateTick(now.Sub(last) - tuning.TickInterval)
 		last = now
 		r.controller.Tick(now)
 		r.healthy.Store(r.controller.Healthy(now))
@@ -179,7 +179,7 @@
 
 // logLateTick tells of a tick that came late: leases and reports are next.
 func (r *Runtime) logLateTick(late time.Duration) {
-	if late > tuning.LateTick {
+	if late > tuning.LateTickThreshold {
 		r.log.Warn("too little processor time", "late", late, "goroutines", runtime.NumGoroutine(),
 			"events", len(r.events), "reports", len(r.heartbeats), "requests", len(r.requests))
 	}
@@ -195,7 +195,7 @@
 		r.controller.EndTermsAfterSuspension(start)
 	}
 	f(start)
-	if took := r.clock.Now().Sub(start); took > tuning.SlowTurn {
+	if took := r.clock.Now().Sub(start); took > tuning.SlowEventThreshold {
 		r.log.Warn("the owner was busy", "with", what, "for", took, "events", len(r.events), "reports", len(r.heartbeats), "requests", len(r.requests))
 	}
 }
@@ -279,12 +279,12 @@
 }
 
 // CallCloud is part of Env.
-func (r *Runtime) CallCloud(c fleet.Call, then func(now time.Time, res fleet.Result)) {
+func (r *Runtime) CallCloud(c fleet.CloudCall, then func(now time.Time, res fleet.CloudResult)) {
 	go func() {
 		defer acquire(r.cloudSlots)()
 		start := time.Now()
-		if !c.By.IsZero() && !r.clock.Advance().Before(c.By) {
-			r.postEvent(func(now time.Time) { then(now, fleet.Result{}) })
+		if !c.Deadline.IsZero() && !r.clock.Advance().Before(c.Deadline) {
+			r.postEvent(func(now time.Time) { then(now, fleet.CloudResult{}) })
 			return
 		}
 		res := r.cloud.Do(r.ctx, c)
@@ -307,7 +307,7 @@
 			r.postEvent(func(now time.Time) { then(now, NotSent, nil) })
 			return
 		}
-		ctx, cancel := context.WithTimeout(r.ctx, tuning.DoTimeout)
+		ctx, cancel := context.WithTimeout(r.ctx, tuning.CommandTimeout)
 		defer cancel()
 		status, rep := sendDirect(ctx, r.workers, addr, d)
 		r.postEvent(func(now time.Time) { then(now, status, rep) })
@@ -317,7 +317,7 @@
 // SendHeartbeat is part of Env.
 func (r *Runtime) SendHeartbeat(member string, m *peerpb.PeerHeartbeat, then func(now time.Time, res *peerpb.PeerHeartbeat, err error)) {
 	go func() { // one a second and peer: no slot, so that it waits behind nothing
-		ctx, cancel := context.WithTimeout(r.ctx, tuning.PulseTimeout)
+		ctx, cancel := context.WithTimeout(r.ctx, tuning.PeerHeartbeatTimeout)
 		defer cancel()
 		res, err := r.peers.Peer(member).Pulse(ctx, m)
 		r.postEvent(func(now time.Time) { then(now, res, err) })
--- a/internal/controller/runtime_test.go
+++ b/internal/controller/runtime_test.go
@@ -28,7 +28,7 @@
 	cfg.External = config.External{Cloud: "127.0.0.1:1", State: state}
 	cfg.Platform.State.WriteRPS = 0.1
 	cfg.Platform.MachineLimits.Sockets = 2179
-	r := NewRuntime(cfg, Options{Blocks: tuning.Blocks}, clock.New(nil), slog.New(slog.NewTextHandler(io.Discard, nil)), rand.New(rand.NewPCG(1, 1)))
+	r := NewRuntime(cfg, Options{Blocks: tuning.Shards}, clock.New(nil), slog.New(slog.NewTextHandler(io.Discard, nil)), rand.New(rand.NewPCG(1, 1)))
 	r.ctx = t.Context()
 	t.Cleanup(func() { close(r.done) })
 	return r
@@ -42,7 +42,7 @@
 	r := newTestRuntime(t, srv.Listener.Addr().String())
 	written := 0
 	for class := range store.Priorities {
-		for range 3 * tuning.StateWrites {
+		for range 3 * tuning.StoreWritesInFlight {
 			r.CallState(store.Call{Op: store.OpTransaction, Priority: store.Priority(class), Transaction: wire.Transaction{Writes: []wire.Write{store.Delete("a")}}},
 				func(time.Time, store.Result) { written++ })
 		}
@@ -52,7 +52,7 @@
 	for !read {
 		(<-r.events)(time.Now())
 	}
-	if written >= store.Priorities*tuning.StateWrites {
+	if written >= store.Priorities*tuning.StoreWritesInFlight {
 		t.Errorf("%d writes came first", written)
 	}
 }
@@ -121,13 +121,13 @@
 	defer srv.Close()
 	address := srv.Listener.Addr().String()
 	r := newTestRuntime(t, "127.0.0.1:1")
-	r.cloud = fleet.NewClient(address, http.DefaultTransport)
+	r.cloud = fleet.NewCloudClient(address, http.DefaultTransport)
 	var suspended atomic.Int64
 	r.clock = clock.New(func() (time.Duration, error) { return time.Duration(suspended.Load()), nil })
 	deadline := r.clock.Now().Add(10 * time.Second)
 	answered := map[string]int{}
 	call := func() {
-		r.CallCloud(fleet.Call{Op: fleet.OpDelete, Hosts: []string{"i-1"}, By: deadline}, func(_ time.Time, res fleet.Result) { answered["cloud"] = res.Status })
+		r.CallCloud(fleet.CloudCall{Operation: fleet.DeleteMachines, Hosts: []string{"i-1"}, Deadline: deadline}, func(_ time.Time, res fleet.CloudResult) { answered["cloud"] = res.Status })
 		(<-r.events)(r.clock.Now())
 	}
 	command := func() {
--- a/internal/controller/simulation_checks_test.go
+++ b/internal/controller/simulation_checks_test.go
@@ -33,8 +33,8 @@
 	if at.After(now) {
 		sim.addViolation("%s: cancellation watermark %v ahead of its clock", n.name, at.Sub(now))
 	}
-	for _, j := range sim.cluster.Order {
-		if j.Told == wire.JobCancelled && j.CancelledAt.Before(at) && t.scheduler.Job(j.Spec.ID) != nil {
+	for _, j := range sim.cluster.Submitted {
+		if j.KnownState == wire.JobCancelled && j.CancelledAt.Before(at) && t.scheduler.OpenJob(j.Spec.ID) != nil {
 			sim.addViolation("%s does not know that %s was cancelled at %v, with its watermark at %v",
 				n.name, j.Spec.ID, j.CancelledAt.Sub(standin.Epoch), at.Sub(standin.Epoch))
 		}
@@ -48,13 +48,13 @@
 		return
 	}
 	now := sim.clock.Now()
-	used, onMachines := sim.cluster.Used()
+	used, onMachines := sim.cluster.Usage()
 	usable := func(w *standin.Worker) bool {
 		m := sim.machines[w.Host.ID]
 		return !m.partitioned && !m.inboundCut && !m.outboundCut
 	}
-	for _, j := range sim.cluster.Order {
-		open := j.Accepted && !j.CancelAsked && !j.Faulty && j.Told != wire.JobDone
+	for _, j := range sim.cluster.Submitted {
+		open := j.Accepted && !j.CancelRequested && !j.Faulty && j.KnownState != wire.JobDone
 		if !open || onMachines[j] > 0 || !sim.cluster.Fits(j, used[j.Spec.Team], usable) {
 			delete(sim.checks.idleSince, j)
 			continue
@@ -72,11 +72,11 @@
 // job whose cancellation was acknowledged longer ago than a lease holder may be without
 // contact to the state service.
 func (sim *simulation) checkCommands(n *simulatedNode, commands []wire.Command) {
-	const mostWithoutNews = tuning.MemberLease + tuning.WatchWait + tuning.StateTimeout
+	const mostWithoutNews = tuning.MemberLease + tuning.WatchTimeout + tuning.StoreTimeout
 	for _, o := range commands {
 		id, _, _ := wire.ParseTask(o.Task)
 		j := sim.cluster.Jobs[id]
-		if o.Verb != wire.VerbRun || j == nil || j.Told != wire.JobCancelled {
+		if o.Verb != wire.VerbRun || j == nil || j.KnownState != wire.JobCancelled {
 			continue
 		}
 		if since := sim.clock.Now().Sub(j.CancelledAt); since > mostWithoutNews {
@@ -92,29 +92,29 @@
 	sim.randomMessageFaults, sim.rates, sim.isolatedZone = false, faultRates{}, ""
 	sim.runFor(30 * time.Second) // the last faults pass
 	sim.checks.faultsOver = sim.clock.Now()
-	for _, j := range sim.cluster.Order {
+	for _, j := range sim.cluster.Submitted {
 		if j.Faulty || j.Spec.Shape == wire.ShapeService {
 			sim.cancel(j)
 		}
 	}
 	for i := range rounds {
 		sim.runFor(round)
-		if time.Duration(i)*round >= standin.ForgottenAfter {
-			sim.cluster.CheckForgotten()
+		if time.Duration(i)*round >= standin.JobForgottenAfter {
+			sim.cluster.CheckJobsForgotten()
 		}
 		if len(sim.unfinishedJobs()) == 0 || len(sim.violations()) > 0 {
 			return
 		}
 	}
 	for _, j := range sim.unfinishedJobs() {
-		sim.t.Logf("last reported as %q: %+v", j.Told, j.Spec)
+		sim.t.Logf("last reported as %q: %+v", j.KnownState, j.Spec)
 	}
 	sim.addViolation("some accepted jobs never ended")
 }
 
 func (sim *simulation) unfinishedJobs() []*standin.Job {
 	var out []*standin.Job
-	for _, j := range sim.cluster.Order {
+	for _, j := range sim.cluster.Submitted {
 		if !j.Ended() {
 			out = append(out, j)
 		}
@@ -126,7 +126,7 @@
 // deprovisioned through the intent log.
 func (sim *simulation) requireIntentsCarriedOut() {
 	sim.t.Helper()
-	sim.t.Logf("carried out: %v, %d writes of the log", sim.intentChecker.Effects, sim.intentChecker.EntryWrites)
+	sim.t.Logf("carried out: %v, %d writes of the log", sim.intentChecker.Effects, sim.intentChecker.PageWrites)
 	for _, d := range []intentlog.Operation{intentlog.Provision, intentlog.Deprovision} {
 		if sim.intentChecker.Effects[d] == 0 {
 			sim.t.Errorf("nothing was carried out for %s: this tests nothing", d)
@@ -148,9 +148,9 @@
 	sim.t.Helper()
 	for range 20 {
 		sim.runFor(15 * time.Second)
-		for _, j := range sim.cluster.Order {
-			if sim.clock.Now().Sub(j.AnsweredAt) > standin.ForgottenAfter {
-				sim.cluster.Break(standin.Forgotten, "%s", j.Spec.ID)
+		for _, j := range sim.cluster.Submitted {
+			if sim.clock.Now().Sub(j.AnsweredAt) > standin.JobForgottenAfter {
+				sim.cluster.AddViolation(standin.JobForgotten, "%s", j.Spec.ID)
 			}
 		}
 		if len(sim.unfinishedJobs()) == 0 || len(sim.violations()) > 0 {
--- a/internal/controller/simulation_commands_test.go
+++ b/internal/controller/simulation_commands_test.go
@@ -30,13 +30,13 @@
 		}
 	}
 	if !sim.clock.Now().Before(by) {
-		sim.clock.In(0, func() { finish(NotSent, nil) })
+		sim.clock.Schedule(0, func() { finish(NotSent, nil) })
 		return
 	}
 	if len(d.Commands) > 0 {
 		e.checkLeaseValid("a command")
 	}
-	sim.clock.In(tuning.DoTimeout, func() { finish(0, nil) })
+	sim.clock.Schedule(tuning.CommandTimeout, func() { finish(0, nil) })
 	m := sim.machines[strings.TrimPrefix(address, machineAddressPrefix)]
 	if m == nil || m.inboundCut {
 		return
@@ -67,24 +67,24 @@
 	m *machine, d wire.DirectCommands, there, back time.Duration, finish func(int, *wire.Heartbeat),
 ) {
 	sim := e.node.sim
-	if m.Dead {
+	if m.Terminated {
 		return
 	}
 	if there > 0 {
-		sim.clock.In(there, func() {
-			if !m.Dead {
-				status, heartbeat := m.Command(d)
-				sim.clock.In(back, func() { finish(status, heartbeat) })
+		sim.clock.Schedule(there, func() {
+			if !m.Terminated {
+				status, heartbeat := m.HandleCommand(d)
+				sim.clock.Schedule(back, func() { finish(status, heartbeat) })
 			}
 		})
 		return
 	}
-	status, heartbeat := m.Command(d)
+	status, heartbeat := m.HandleCommand(d)
 	sim.deliver(m, e.node, func() { finish(status, heartbeat) })
 	if sim.randomMessageFaults && sim.rng.IntN(20) == 0 { // a repeat of a command that was carried out
-		sim.clock.In(time.Duration(200+sim.rng.IntN(60000))*time.Millisecond, func() {
-			if !m.Dead && !m.Hung {
-				m.Command(d)
+		sim.clock.Schedule(time.Duration(200+sim.rng.IntN(60000))*time.Millisecond, func() {
+			if !m.Terminated && !m.Hung {
+				m.HandleCommand(d)
 			}
 		})
 	}
--- a/internal/controller/simulation_deployments_test.go
+++ b/internal/controller/simulation_deployments_test.go
@@ -78,7 +78,7 @@
 
 // testConfig is the configuration of a small deployment.
 func testConfig(zones []string, teams []config.Team, heartbeatS, leaseS float64) *config.Config {
-	return &config.Config{Member: "x", Area: zones[0], Platform: standin.Facts(zones, teams, heartbeatS, leaseS)}
+	return &config.Config{Member: "x", Area: zones[0], Platform: standin.DeploymentConfig(zones, teams, heartbeatS, leaseS)}
 }
 
 // steadySimulation is a deployment without random faults, with work under way.
@@ -91,7 +91,7 @@
 	t *testing.T, seed uint64, machines, jobs int, prepare ...func(sim *simulation),
 ) *simulation {
 	sim := newSimulation(t, seed, testConfig(oneZone, steadyTeams, 1.5, 10), 1, oneZoneTypes)
-	sim.cloud.Room[standin.RoomKey(smallType.Name, "a", false)] = machines
+	sim.cloud.Available[standin.CapacityKey(smallType.Name, "a", false)] = machines
 	for _, f := range prepare {
 		f(sim)
 	}
--- a/internal/controller/simulation_faults_test.go
+++ b/internal/controller/simulation_faults_test.go
@@ -35,26 +35,26 @@
 		}
 	case 3:
 		n.stateCut = true
-		sim.clock.In(span, n.reconnectState)
+		sim.clock.Schedule(span, n.reconnectState)
 	case 4:
 		sim.refuseState(n, span)
 	case 5:
 		n.workersCut = true
-		sim.clock.In(span, func() {
+		sim.clock.Schedule(span, func() {
 			n.workersCut = false
 			sim.releaseAll()
 		})
 	case 6:
 		n.peersCut = true
-		sim.clock.In(span, func() { n.peersCut = false })
+		sim.clock.Schedule(span, func() { n.peersCut = false })
 	case 7:
 		sim.stateOutage(span)
 	case 8:
-		sim.cloud.Down = true
-		sim.clock.In(span, func() { sim.cloud.Down = false })
+		sim.cloud.Unavailable = true
+		sim.clock.Schedule(span, func() { sim.cloud.Unavailable = false })
 	case 9:
 		n.cloudCut = true
-		sim.clock.In(span, func() { n.cloudCut = false })
+		sim.clock.Schedule(span, func() { n.cloudCut = false })
 	}
 }
 
@@ -72,10 +72,10 @@
 			return
 		}
 		if sim.rng.IntN(2) == 0 {
-			h.Recall = sim.clock.Now().Add(notice)
-			h.NoteChange()
+			h.PreemptionTime = sim.clock.Now().Add(notice)
+			h.RequestHeartbeat()
 		}
-		sim.clock.In(notice, func() { sim.cloud.Remove(h.Host.ID) })
+		sim.clock.Schedule(notice, func() { sim.cloud.Remove(h.Host.ID) })
 	case 15:
 		for _, h := range sim.randomMachines() {
 			sim.cloud.Remove(h.Host.ID)
@@ -97,7 +97,7 @@
 func (sim *simulation) applyFault(machines []*machine, d time.Duration, set machineFlag) {
 	for _, m := range machines {
 		set(m, true)
-		sim.clock.In(d, func() { set(m, false); sim.release(m) })
+		sim.clock.Schedule(d, func() { set(m, false); sim.release(m) })
 	}
 }
 
@@ -110,18 +110,18 @@
 
 // stateOutage takes the state service away from all for a time.
 func (sim *simulation) stateOutage(d time.Duration) {
-	sim.state.SetDown(true)
-	sim.clock.In(d, func() { sim.state.SetDown(false) })
+	sim.state.SetUnavailable(true)
+	sim.clock.Schedule(d, func() { sim.state.SetUnavailable(false) })
 }
 
 // refuseState has the state service refuse one node for a time.
 func (sim *simulation) refuseState(n *simulatedNode, d time.Duration) {
 	n.stateRefused = true
-	sim.clock.In(d, func() { n.stateRefused = false })
+	sim.clock.Schedule(d, func() { n.stateRefused = false })
 }
 
 // leaveWithWorkers leaves a node with its workers and users for a time.
 func (sim *simulation) leaveWithWorkers(n *simulatedNode, d time.Duration) {
 	n.isolate()
-	sim.clock.In(d, n.reconnect)
+	sim.clock.Schedule(d, n.reconnect)
 }
--- a/internal/controller/simulation_network_test.go
+++ b/internal/controller/simulation_network_test.go
@@ -31,7 +31,7 @@
 	if sim.rates.slowLinks > 0 {
 		lag += time.Duration(sim.rng.Int64N(int64(sim.rates.slowLinks)))
 	}
-	sim.clock.In(lag, func() {
+	sim.clock.Schedule(lag, func() {
 		if m.Hung {
 			m.held = append(m.held, f)
 			return
@@ -45,13 +45,13 @@
 	held := m.held
 	m.held = nil
 	for _, f := range held {
-		sim.clock.In(sim.lag(), f)
+		sim.clock.Schedule(sim.lag(), f)
 	}
 }
 
 // Send is part of standin.Network.
 func (sim *simulation) Send(
-	w *standin.Worker, node int, heartbeat *wire.Heartbeat, answer standin.AnswerFunc,
+	w *standin.Worker, node int, heartbeat *wire.Heartbeat, answer standin.ReplyFunc,
 ) {
 	m, n := sim.machines[w.Host.ID], sim.nodes[node]
 	if m.outboundCut {
@@ -101,7 +101,7 @@
 // later, wherever the machine is by then.
 func (sim *simulation) deliverCopyLate(heartbeat *wire.Heartbeat) {
 	n, copied := sim.nodes[sim.rng.IntN(len(sim.nodes))], cloneHeartbeat(heartbeat)
-	sim.clock.In(time.Duration(500+sim.rng.IntN(40000))*time.Millisecond, func() { sim.deliverCopy(n, copied) })
+	sim.clock.Schedule(time.Duration(500+sim.rng.IntN(40000))*time.Millisecond, func() { sim.deliverCopy(n, copied) })
 }
 
 // deliverCopy delivers a heartbeat whose answer nobody gets.
@@ -138,7 +138,7 @@
 	for _, heartbeat := range held {
 		for _, n := range sim.nodes {
 			delay := time.Duration(sim.rng.IntN(300)) * time.Millisecond
-			sim.clock.In(delay, func() { sim.deliverCopy(n, heartbeat) })
+			sim.clock.Schedule(delay, func() { sim.deliverCopy(n, heartbeat) })
 		}
 	}
 }
--- a/internal/controller/simulation_node_test.go
+++ b/internal/controller/simulation_node_test.go
@@ -55,11 +55,11 @@
 		if n.alive && n.processNumber == processNumber {
 			n.whenRunning(func() {
 				n.controller.Tick(n.sim.clock.Now())
-				n.sim.clock.In(tuning.TickEvery, tick)
+				n.sim.clock.Schedule(tuning.TickInterval, tick)
 			})
 		}
 	}
-	n.sim.clock.In(time.Duration(n.sim.rng.IntN(100))*time.Millisecond, tick)
+	n.sim.clock.Schedule(time.Duration(n.sim.rng.IntN(100))*time.Millisecond, tick)
 }
 
 // options are what the node's process is started with.
@@ -77,7 +77,7 @@
 	n.alive = false
 	n.processNumber++
 	n.freezeFor, n.frozenUntil = 0, time.Time{}
-	n.sim.clock.In(restartAfter, n.start)
+	n.sim.clock.Schedule(restartAfter, n.start)
 }
 
 // whenRunning carries on once the process does not stand still, if it is still there.
@@ -90,7 +90,7 @@
 		return
 	}
 	processNumber := n.processNumber
-	n.sim.clock.In(n.frozenUntil.Sub(now), func() {
+	n.sim.clock.Schedule(n.frozenUntil.Sub(now), func() {
 		if n.alive && n.processNumber == processNumber {
 			n.whenRunning(f)
 		}
@@ -101,7 +101,7 @@
 func (n *simulatedNode) reconnectState() {
 	n.stateCut = false
 	for _, f := range n.heldCalls {
-		n.sim.clock.In(n.sim.lag(), f)
+		n.sim.clock.Schedule(n.sim.lag(), f)
 	}
 	n.heldCalls = nil
 }
--- a/internal/controller/simulation_peers_test.go
+++ b/internal/controller/simulation_peers_test.go
@@ -25,15 +25,15 @@
 	}
 	fail := func() { finish(nil, errUnreachable) }
 	i := slices.IndexFunc(sim.nodes, func(o *simulatedNode) bool { return o.name == member })
-	sim.clock.In(sim.lag(), func() {
+	sim.clock.Schedule(sim.lag(), func() {
 		if i < 0 {
-			sim.clock.In(tuning.ProgressTimeout, fail)
+			sim.clock.Schedule(tuning.ProgressTimeout, fail)
 			return
 		}
 		o := sim.nodes[i]
 		cut := e.node.peersCut || o.peersCut || sim.crossesZoneBoundary(e.node.zone, o.zone)
 		if cut || !o.alive || sim.clock.Now().Before(o.frozenUntil) {
-			sim.clock.In(tuning.ProgressTimeout, fail)
+			sim.clock.Schedule(tuning.ProgressTimeout, fail)
 			return
 		}
 		finish(call(o), nil)
--- a/internal/controller/simulation_state_test.go
+++ b/internal/controller/simulation_state_test.go
@@ -24,11 +24,11 @@
 		r.SentAt = sent
 		e.node.whenRunning(func() { then(sim.clock.Now(), r) })
 	}
-	sim.clock.In(c.Timeout(), func() { finish(store.Result{}) })
+	sim.clock.Schedule(c.Timeout(), func() { finish(store.Result{}) })
 	arrive := func() { e.executeStateCall(c, finish) }
 	if sim.rates.slowState > 0 {
 		sooner, lag := arrive, time.Duration(sim.rng.Int64N(int64(sim.rates.slowState)))
-		arrive = func() { sim.clock.In(lag, sooner) }
+		arrive = func() { sim.clock.Schedule(lag, sooner) }
 	}
 	e.deliverStateCall(c, arrive)
 }
@@ -54,7 +54,7 @@
 func (e *simulatedEffects) executeStateCall(c store.Call, finish func(store.Result)) {
 	sim, n := e.node.sim, e.node
 	if n.stateRefused && (c.Op != store.OpWatch || c.WatchWaitMs == 0) {
-		sim.clock.In(sim.lag(), func() { finish(store.Result{Status: 503}) })
+		sim.clock.Schedule(sim.lag(), func() { finish(store.Result{Status: 503}) })
 		return
 	}
 	if c.Op == store.OpWatch && n.silentWatches != "" && c.Prefix == n.silentWatches {
@@ -69,7 +69,7 @@
 		if sim.rates.slowState > 0 {
 			lag += time.Duration(sim.rng.Int64N(int64(sim.rates.slowState)))
 		}
-		sim.clock.In(lag, func() {
+		sim.clock.Schedule(lag, func() {
 			if !n.stateCut {
 				finish(r)
 			}
@@ -87,21 +87,21 @@
 	upTo := func(most time.Duration) time.Duration { return time.Duration(sim.rng.Int64N(int64(most))) }
 	switch {
 	case multi && fault < sim.rates.lateWrites:
-		sim.clock.In(2*time.Second+upTo(10*time.Second), execute)
+		sim.clock.Schedule(2*time.Second+upTo(10*time.Second), execute)
 	case multi && fault < sim.rates.lateWrites+sim.rates.lostAnswers && !n.stateCut && !n.stateRefused:
-		sim.clock.In(sim.lag(), execute)
+		sim.clock.Schedule(sim.lag(), execute)
 	case n.stateUnreachable():
 		if sim.rng.IntN(2) == 0 {
 			n.heldCalls = append(n.heldCalls, arrive) // comes late, even from a process that has ended
 		}
 	case sim.randomMessageFaults && roll < 4 && c.Op == store.OpTransaction:
-		sim.clock.In(upTo(30*time.Second), arrive)
+		sim.clock.Schedule(upTo(30*time.Second), arrive)
 	case sim.randomMessageFaults && roll < 8:
-		sim.clock.In(sim.lag(), execute)
+		sim.clock.Schedule(sim.lag(), execute)
 	case sim.randomMessageFaults && roll < 16 && c.Op == store.OpTransaction: // carried out, and repeated late
-		sim.clock.In(sim.lag(), arrive)
-		sim.clock.In(upTo(30*time.Second), execute)
+		sim.clock.Schedule(sim.lag(), arrive)
+		sim.clock.Schedule(upTo(30*time.Second), execute)
 	default:
-		sim.clock.In(sim.lag(), arrive)
+		sim.clock.Schedule(sim.lag(), arrive)
 	}
 }
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -36,7 +36,7 @@
 	digest   *digest // of all effects; nil: none is asked for
 
 	intentLog     bool // the intent log is switched on
-	intentChecker *standin.ActionCheck
+	intentChecker *standin.IntentChecker
 	startsOld     bool // its controllers start as the earlier version
 	scale         int  // how many times the usual size jobs and faults have; 0: once
 	checks        ruleChecks
@@ -110,10 +110,10 @@
 	}
 	sim.state = standin.NewStateService(clock, rng)
 	sim.cloud = standin.NewCloud(clock, rng, machineTypes)
-	sim.cloud.Booted = sim.booted
-	sim.cloud.Ended = sim.ended
+	sim.cloud.OnBooted = sim.booted
+	sim.cloud.OnRemoved = sim.ended
 	sim.cluster = standin.NewCluster(clock, rng, cfg.Platform, sim)
-	sim.cluster.CompletedHook = sim.jobCompleted
+	sim.cluster.OnCompleted = sim.jobCompleted
 	for i := range simulatedNodes {
 		zone := cfg.Platform.Zones[i%len(cfg.Platform.Zones)]
 		sim.nodes = append(sim.nodes, &simulatedNode{sim: sim, name: fmt.Sprintf("node-%d", i), zone: zone})
@@ -128,7 +128,7 @@
 // carries out.
 func (sim *simulation) enableIntentLog() {
 	sim.intentLog = true
-	sim.intentChecker = standin.NewActionCheck(sim.cluster, sim.state, sim.cloud)
+	sim.intentChecker = standin.NewIntentChecker(sim.cluster, sim.state, sim.cloud)
 	for _, n := range sim.nodes {
 		n.crash(0)
 	}
@@ -142,7 +142,7 @@
 	machineType := machineTypes[slices.IndexFunc(machineTypes, hasType)]
 	m := &machine{}
 	sim.machines[h.ID] = m
-	capacity := quota.Room{CPUs: machineType.Vcpus, GPUs: machineType.Gpus, MemGB: machineType.MemGb}
+	capacity := quota.Resources{CPUs: machineType.Vcpus, GPUs: machineType.Gpus, MemGB: machineType.MemGb}
 	m.Worker = sim.cluster.AddWorker(h.Machine, capacity)
 	m.Faulty = sim.rng.Float64() < faultyShare
 }
@@ -154,7 +154,7 @@
 }
 
 // machineNames lists the machines' names in order.
-func (sim *simulation) machineNames() []string { return sim.cluster.Names() }
+func (sim *simulation) machineNames() []string { return sim.cluster.MachineNames() }
 
 // logger logs in simulated time, to nowhere unless SIMULATION_LOG is set.
 func (sim *simulation) logger(name string) *slog.Logger {
@@ -178,11 +178,11 @@
 
 // addViolation records that something a test expects did not hold.
 func (sim *simulation) addViolation(format string, args ...any) {
-	sim.cluster.Break(standin.Expectation, format, args...)
+	sim.cluster.AddViolation(standin.Expectation, format, args...)
 }
 
 // violations are the rules broken so far.
-func (sim *simulation) violations() []standin.Violation { return sim.cluster.Broken }
+func (sim *simulation) violations() []standin.Violation { return sim.cluster.Violations }
 
 // runFor plays a time, checking the rules after each step.
 func (sim *simulation) runFor(d time.Duration) {
@@ -203,7 +203,7 @@
 			sim.releaseToNextLeaseHolder()
 		}
 	}
-	sim.clock.Set(end)
+	sim.clock.AdvanceTo(end)
 }
 
 // runUntil plays until something holds, and fails the test if it does not hold in time.
--- a/internal/controller/simulation_upgrade_test.go
+++ b/internal/controller/simulation_upgrade_test.go
@@ -12,7 +12,7 @@
 	sim.startsOld = true
 	sim.cfg.Platform.State.ValueKB = 1
 	sim.cfg.Platform.State.Next = config.UpcomingLimits{"value_kb": 0.5, "txn_ops": int64(4), "write_rps": 12.0}
-	sim.state.Limits.ValueBytes, sim.state.Limits.TxnOps = 1024, 8
+	sim.state.Limits.MaxValueBytes, sim.state.Limits.MaxTxnOps = 1024, 8
 	for _, n := range sim.nodes {
 		n.crash(0)
 	}
@@ -28,13 +28,13 @@
 			return
 		}
 	}
-	if sim.state.Limits.ValueBytes == 1024 {
-		sim.clock.In(time.Duration(sim.rng.IntN(20000))*time.Millisecond, func() {
-			sim.state.Limits.ValueBytes, sim.state.Limits.TxnOps, sim.state.Limits.Writes = 512, 4, 12
+	if sim.state.Limits.MaxValueBytes == 1024 {
+		sim.clock.Schedule(time.Duration(sim.rng.IntN(20000))*time.Millisecond, func() {
+			sim.state.Limits.MaxValueBytes, sim.state.Limits.MaxTxnOps, sim.state.Limits.WritesPerS = 512, 4, 12
 			switch sim.rng.IntN(3) {
 			case 0:
-				sim.state.SetDown(true)
-				sim.clock.In(4*time.Second, func() { sim.state.SetDown(false) })
+				sim.state.SetUnavailable(true)
+				sim.clock.Schedule(4*time.Second, func() { sim.state.SetUnavailable(false) })
 			case 1:
 				sim.nodes[sim.rng.IntN(len(sim.nodes))].crash(time.Second)
 			}
--- a/internal/controller/simulation_users_test.go
+++ b/internal/controller/simulation_users_test.go
@@ -36,7 +36,7 @@
 }
 
 func (sim *simulation) sendTo(n *simulatedNode, r request, then func(submission.Response)) {
-	sim.clock.In(sim.lag(), func() {
+	sim.clock.Schedule(sim.lag(), func() {
 		if !n.alive {
 			return
 		}
@@ -45,7 +45,7 @@
 			r(n, func(answer submission.Response) {
 				sim.recordUserAnswer(n.name, answer)
 				if n.alive && n.processNumber == generation {
-					sim.clock.In(sim.lag(), func() { then(answer) })
+					sim.clock.Schedule(sim.lag(), func() { then(answer) })
 				}
 			})
 		})
@@ -65,7 +65,7 @@
 
 // recordAnswer records the state of a job that a user got as an answer.
 func (sim *simulation) recordAnswer(j *standin.Job, stage, before string) {
-	if sim.cluster.Tell(j, stage, before) && sim.rates.burstsOfQueries {
+	if sim.cluster.RecordAnswer(j, stage, before) && sim.rates.burstsOfQueries {
 		sim.burstOfQueries(j)
 	}
 }
@@ -77,7 +77,7 @@
 		sim.recordAnswer(j, jobStateOf(r), before)
 		return
 	}
-	sim.cluster.Refused(j, before, r.Status)
+	sim.cluster.RecordRefusal(j, before, r.Status)
 }
 
 // add makes a user submit a job and ask about it until the end of the test.
@@ -85,7 +85,7 @@
 	j := standin.NewJob(spec, run)
 	sim.cluster.AddJob(j)
 	sim.submit(j)
-	sim.clock.In(time.Second, func() { sim.poll(j) })
+	sim.clock.Schedule(time.Second, func() { sim.poll(j) })
 	return j
 }
 
@@ -98,40 +98,40 @@
 		case 200, 201:
 			sim.recordAnswer(j, jobStateOf(r), "")
 		case 400, 422:
-			sim.cluster.Break(standin.Forgotten, "%s answered %d %v", j.Spec.ID, r.Status, r.Body)
+			sim.cluster.AddViolation(standin.JobForgotten, "%s answered %d %v", j.Spec.ID, r.Status, r.Body)
 		}
 	})
 	if sim.rates.burstsOfQueries { // questions that are on their way already when it is accepted
 		sim.burstOfQueries(j)
 	}
-	sim.clock.In(time.Duration(1000+sim.rng.IntN(2000))*time.Millisecond, func() { sim.submit(j) })
+	sim.clock.Schedule(time.Duration(1000+sim.rng.IntN(2000))*time.Millisecond, func() { sim.submit(j) })
 }
 
 func (sim *simulation) poll(j *standin.Job) {
-	before, accepted := j.Told, j.Accepted
+	before, accepted := j.KnownState, j.Accepted
 	sim.send(sim.query(j.Spec.ID), func(r submission.Response) {
 		switch {
 		case r.Status == 404 && accepted:
-			sim.cluster.Break(standin.Forgotten, "%s answered 404", j.Spec.ID)
+			sim.cluster.AddViolation(standin.JobForgotten, "%s answered 404", j.Spec.ID)
 		case r.Status == 200:
 			sim.recordAnswer(j, jobStateOf(r), before)
 		}
 	})
-	sim.clock.In(time.Duration(3000+sim.rng.IntN(3000))*time.Millisecond, func() { sim.poll(j) })
+	sim.clock.Schedule(time.Duration(3000+sim.rng.IntN(3000))*time.Millisecond, func() { sim.poll(j) })
 }
 
 func (sim *simulation) cancel(j *standin.Job) {
-	j.CancelAsked = true
+	j.CancelRequested = true
 	if j.Ended() {
 		return
 	}
-	before := j.Told
+	before := j.KnownState
 	sim.send(sim.cancellation(j.Spec.ID), func(r submission.Response) {
 		if r.Status == 200 {
 			sim.recordAnswer(j, jobStateOf(r), before)
 		}
 	})
-	sim.clock.In(2*time.Second, func() { sim.cancel(j) })
+	sim.clock.Schedule(2*time.Second, func() { sim.cancel(j) })
 }
 
 // burstOfQueries asks all nodes about a job, again and again within milliseconds, repeats
@@ -140,8 +140,8 @@
 	soon := func() time.Duration { return time.Duration(sim.rng.IntN(60000)) * time.Microsecond }
 	for range 3 {
 		for _, n := range sim.nodes {
-			sim.clock.In(soon(), func() {
-				before := j.Told
+			sim.clock.Schedule(soon(), func() {
+				before := j.KnownState
 				r := sim.query(j.Spec.ID)
 				if sim.rng.IntN(3) == 2 && before != "" {
 					r = sim.submission(j.Spec)
@@ -150,8 +150,8 @@
 			})
 		}
 	}
-	if j.Accepted && !j.CancelAsked && sim.rng.IntN(4) == 0 {
-		sim.clock.In(soon(), func() { sim.cancel(j) })
+	if j.Accepted && !j.CancelRequested && sim.rng.IntN(4) == 0 {
+		sim.clock.Schedule(soon(), func() { sim.cancel(j) })
 	}
 }
 
@@ -161,10 +161,10 @@
 		return
 	}
 	soon := func() time.Duration { return time.Duration(sim.rng.IntN(1500)) * time.Millisecond }
-	sim.clock.In(soon(), func() { sim.cancel(j) })
+	sim.clock.Schedule(soon(), func() { sim.cancel(j) })
 	for range 4 {
-		sim.clock.In(soon(), func() {
-			before := j.Told
+		sim.clock.Schedule(soon(), func() {
+			before := j.KnownState
 			sim.send(sim.query(j.Spec.ID), func(r submission.Response) { sim.handleAnswer(j, before, r) })
 			sim.send(sim.submission(j.Spec), func(r submission.Response) { sim.handleAnswer(j, before, r) })
 		})
@@ -227,7 +227,7 @@
 
 // repeatRequest repeats the submission of some job, and cancels it if it is done.
 func (sim *simulation) repeatRequest() {
-	jobs := sim.cluster.Order
+	jobs := sim.cluster.Submitted
 	if len(jobs) == 0 {
 		return
 	}
@@ -235,7 +235,7 @@
 	if !j.Accepted {
 		return
 	}
-	before := j.Told
+	before := j.KnownState
 	sim.send(sim.submission(j.Spec), func(r submission.Response) { sim.handleAnswer(j, before, r) })
 	if before == wire.JobDone {
 		sim.send(sim.cancellation(j.Spec.ID), func(r submission.Response) { sim.handleAnswer(j, before, r) })
--- a/internal/controller/steady_test.go
+++ b/internal/controller/steady_test.go
@@ -11,14 +11,14 @@
 
 // leanSimulation is a deployment of the size of a lean one in simulated time, loaded and
 // steady.
-func leanSimulation(load standin.Load) *simulation {
-	cfg := &config.Config{Member: "x", Area: "a", Platform: load.Facts()}
-	sim := newSimulation(nil, 5, cfg, 1, []wire.MachineType{standin.LargeType()})
-	sim.state.Page, sim.state.Kept, sim.cloud.Page = 1000, 10000, 500
-	sim.cloud.Room[standin.RoomKey(standin.LargeType().Name, "a", false)] = load.Machines
+func leanSimulation(load standin.Workload) *simulation {
+	cfg := &config.Config{Member: "x", Area: "a", Platform: load.Config()}
+	sim := newSimulation(nil, 5, cfg, 1, []wire.MachineType{standin.LargeMachineType()})
+	sim.state.PageSize, sim.state.MaxHistory, sim.cloud.PageSize = 1000, 10000, 500
+	sim.cloud.Available[standin.CapacityKey(standin.LargeMachineType().Name, "a", false)] = load.Machines
 	jobs := 0
-	array := func() { sim.add(load.Array(jobs), load.Run); jobs++ }
-	gang := func() { sim.add(load.Gang(jobs), load.Run); jobs++ }
+	array := func() { sim.add(load.Array(jobs), load.RunTime); jobs++ }
+	gang := func() { sim.add(load.Gang(jobs), load.RunTime); jobs++ }
 	for range load.Machines / 4 {
 		gang()
 		array()
@@ -35,7 +35,7 @@
 		for ; owedGangs >= 1; owedGangs-- {
 			gang()
 		}
-		sim.clock.In(every, more)
+		sim.clock.Schedule(every, more)
 	}
 	more()
 	sim.clock.RunUntil(standin.Epoch.Add(45 * time.Second))
@@ -45,7 +45,7 @@
 // BenchmarkSteady measures a second of a lean deployment's decisions, at all its
 // controllers, without what carries them out. The stand-ins' time is in it.
 func BenchmarkSteady(b *testing.B) {
-	for _, load := range append(standin.LeanLoads(), standin.LargestLoad()) {
+	for _, load := range append(standin.LeanWorkloads(), standin.LargestWorkload()) {
 		b.Run(load.Name, func(b *testing.B) {
 			sim := leanSimulation(load)
 			first := sim.longestEvent
--- a/internal/controller/term.go
+++ b/internal/controller/term.go
@@ -42,9 +42,9 @@
 	startedAt   time.Time
 	log         *slog.Logger
 	workers     *worker.Registry
-	ledger      *quota.Book
-	scheduler   *placement.Board
-	autoscaler  *fleet.Slice
+	ledger      *quota.Ledger
+	scheduler   *placement.Scheduler
+	autoscaler  *fleet.Autoscaler
 	// intents is the log of what is asked of the cloud; clean is call, with removals of
 	// records looked after by the same.
 	intents          *intentlog.Log
@@ -63,21 +63,21 @@
 		fencing:       fencing{askAt: map[string]time.Time{}, incarnations: map[string]uint64{}},
 		cancellations: newCancellations(c.config)}
 	t.workers = worker.NewRegistry(c.config.Platform.Workers, t.log)
-	t.ledger = quota.NewBook(c.config.Platform.Teams, l.Shard, c.shards)
-	t.scheduler = placement.NewBoard(c.config.Platform, l.Token, t.ledger, t.workers, c.rng, t.log,
+	t.ledger = quota.NewLedger(c.config.Platform.Teams, l.Shard, c.shards)
+	t.scheduler = placement.NewScheduler(c.config.Platform, l.Token, t.ledger, t.workers, c.rng, t.log,
 		func(now time.Time, j *placement.Job) { t.completions.taskCompleted(now, j) })
 	t.intents = intentlog.NewLog(intentlog.Options{Shard: l.Shard, Token: l.Token, TermCompare: t.termCompare(), ValueKB: c.config.Platform.State.StoredLimits().ValueKB,
 		StateCall: t.callState, WallClock: c.wallClock, Log: t.log, OnTermLost: t.onTermLost, Tracer: c.options.Tracer})
-	t.guardedStateCall = t.intents.GuardRemovals(t.callState, fleet.Rentals(l.Shard), fleet.UsedUnder(l.Shard), startMarkerPrefix(l.Shard), completionPrefix(l.Shard))
-	t.autoscaler = fleet.New(now, fleet.Options{Block: l.Shard, Token: l.Token, Tenure: t.termCompare(), Facts: c.config.Platform, Cloud: t.callCloud, State: t.guardedStateCall,
-		Log: t.log, Machines: t.workers, Board: t.scheduler, Duties: t.intents, Lost: t.onTermLost, Gone: t.scheduler.Forget,
-		Foreign: func(host string, there time.Time) bool { return c.mayBelongToOtherShard(l.Shard, host, there) }})
-	t.completions = newJobCompletions(t, newCompletionBitmaps(t.pages(completionPrefix(l.Shard), tuning.TallyEvery, store.PriorityCompletion), c.config.Platform.State.ValueKB))
-	t.startMarkers = t.pages(startMarkerPrefix(l.Shard), tuning.BegunEvery, store.PriorityTerm)
-	t.scheduler.Begin = t.writeStartMarker
+	t.guardedStateCall = t.intents.GuardRemovals(t.callState, fleet.ShardProvisioningPrefix(l.Shard), fleet.RegistrationPrefix(l.Shard), startMarkerPrefix(l.Shard), completionPrefix(l.Shard))
+	t.autoscaler = fleet.New(now, fleet.Options{Shard: l.Shard, Token: l.Token, TermCompare: t.termCompare(), Config: c.config.Platform, Cloud: t.callCloud, Store: t.guardedStateCall,
+		Log: t.log, Registry: t.workers, Scheduler: t.scheduler, Intents: t.intents, OnTermLost: t.onTermLost, OnDeleted: t.scheduler.RemoveMachine,
+		OwnedByOtherShard: func(host string, there time.Time) bool { return c.mayBelongToOtherShard(l.Shard, host, there) }})
+	t.completions = newJobCompletions(t, newCompletionBitmaps(t.pages(completionPrefix(l.Shard), tuning.CompletionWriteInterval, store.PriorityCompletion), c.config.Platform.State.ValueKB))
+	t.startMarkers = t.pages(startMarkerPrefix(l.Shard), tuning.StartMarkerInterval, store.PriorityTerm)
+	t.scheduler.RequestStartMarker = t.writeStartMarker
 	t.log.Info("tenure begins", "ended", l.PredecessorEnded)
 	for name, f := range c.machineTypes {
-		t.autoscaler.MachineType(f, c.machineTypeRecords[name])
+		t.autoscaler.ApplyMachineType(f, c.machineTypeRecords[name])
 	}
 	t.applySettings()
 	t.readRecords(now)
@@ -94,7 +94,7 @@
 // that is durable.
 func (t *term) writeStartMarker(now time.Time, j *placement.Job) {
 	t.startMarkers.Put(j.Spec.ID, 1, func(now time.Time) {
-		t.scheduler.Begun(j)
+		t.scheduler.StartMarkerWritten(j)
 		t.scheduleNow(now)
 	})
 	t.startMarkers.Tick(now)
@@ -116,8 +116,8 @@
 }
 
 // callCloud passes a call on, to be made only while this process surely holds the block.
-func (t *term) callCloud(c fleet.Call, then func(now time.Time, r fleet.Result)) {
-	c.By = t.controller.membership.LeaseDeadline()
+func (t *term) callCloud(c fleet.CloudCall, then func(now time.Time, r fleet.CloudResult)) {
+	c.Deadline = t.controller.membership.LeaseDeadline()
 	t.controller.effects.CallCloud(c, then)
 }
 
@@ -138,8 +138,8 @@
 
 func (t *term) applySettings() {
 	s := t.controller.settings
-	t.scheduler.Set = placement.Settings{DropThreshold: s.DropThreshold}
-	t.autoscaler.Set = fleet.Settings{MaxMachines: s.MaxMachines, Paused: s.ScaleOutPaused, IdleReturn: s.IdleTimeout}
+	t.scheduler.Settings = placement.Settings{DropThreshold: s.DropThreshold}
+	t.autoscaler.Settings = fleet.Settings{MaxMachines: s.MaxMachines, Paused: s.ScaleOutPaused, IdleTimeout: s.IdleTimeout}
 }
 
 // enableIntentLog has the log of duties kept from now on if that is switched on here and in
@@ -156,12 +156,12 @@
 	if t.state == termEnded {
 		return
 	}
-	if t.scheduler.AttemptsUsedUp {
+	if t.scheduler.AttemptNumbersExhausted {
 		t.end(now, "the attempt numbers of its token are used up")
 		return
 	}
-	for _, m := range t.workers.Quiet(now, t.unreconciledLeaseEnd()) {
-		t.scheduler.Lost(now, m, "lease surely over")
+	for _, m := range t.workers.ExpireLeases(now, t.unreconciledLeaseEnd()) {
+		t.scheduler.ReleaseMachine(now, m, "lease surely over")
 	}
 	if t.state == termLoading || !t.controller.membership.LeaseValid(now) {
 		return
@@ -171,7 +171,7 @@
 	t.detectIsolation(now)
 	t.completions.flush(now)
 	t.startMarkers.Tick(now)
-	t.autoscaler.Unreachable = t.fencing.unreachable
+	t.autoscaler.WorkersUnreachable = t.fencing.unreachable
 	t.autoscaler.Tick(now)
 	t.scheduleNow(now)
 	t.logCounters(now)
@@ -182,9 +182,9 @@
 	if now.Before(t.countersAt) {
 		return
 	}
-	t.countersAt = now.Add(tuning.CountEvery)
-	n := t.scheduler.Count
-	t.log.Info("copies so far", "mains", n.MainsStarted, "spares", n.SparesStarted, "spares_finished", n.SparesFinished,
-		"spares_yielded", n.SparesYielded, "spares_dropped", n.SparesDropped, "redrawn", n.Redrawn, "gangs", n.GangsPlaced,
-		"preempted", n.Preempted, "moved", n.Moved, "failed", n.Failed)
+	t.countersAt = now.Add(tuning.CounterLogInterval)
+	n := t.scheduler.Counters
+	t.log.Info("copies so far", "mains", n.PrimariesStarted, "spares", n.BackupsStarted, "spares_finished", n.BackupsCompleted,
+		"spares_yielded", n.BackupsPreempted, "spares_dropped", n.BackupsWithdrawn, "redrawn", n.Rescheduled, "gangs", n.GangsPlaced,
+		"preempted", n.Preempted, "moved", n.Relocated, "failed", n.Failed)
 }
--- a/internal/controller/unreadable_test.go
+++ b/internal/controller/unreadable_test.go
@@ -128,7 +128,7 @@
 		t.Fatal("nothing runs")
 	}
 	before := sim.runningTasks()[job]
-	key := submission.OpenKey(job.Spec.ID)
+	key := submission.OpenJobKey(job.Spec.ID)
 	readable := sim.state.Keys[key].Value
 	sim.leaseHolder().crash(time.Hour)
 	sim.state.Put(key, json.RawMessage(strings.ReplaceAll(c.value, "job-0", job.Spec.ID)))
@@ -142,8 +142,8 @@
 	// a version that can read it writes it again, or it is mended
 	sim.state.Put(key, readable)
 	sim.requireAllJobsEnd()
-	if job.Told != wire.JobDone {
-		t.Errorf("reported as %q", job.Told)
+	if job.KnownState != wire.JobDone {
+		t.Errorf("reported as %q", job.KnownState)
 	}
 }
 
@@ -202,8 +202,8 @@
 func TestUnannouncedStateLimit(t *testing.T) {
 	for _, valueBytes := range []int{1024, 600} {
 		sim := newSimulation(t, 11, testConfig(oneZone, steadyTeams, 1.5, 10), 1, oneZoneTypes)
-		sim.cloud.Room[standin.RoomKey(smallType.Name, "a", false)] = 80
-		sim.state.Limits.ValueBytes = valueBytes
+		sim.cloud.Available[standin.CapacityKey(smallType.Name, "a", false)] = 80
+		sim.state.Limits.MaxValueBytes = valueBytes
 		refused := map[string]int{}
 		sim.state.OnCall = func(c store.Call, status int) {
 			for _, w := range c.Transaction.Writes {
--- a/internal/fleet/cloud.go
+++ b/internal/fleet/cloud.go
@@ -16,30 +16,30 @@
 	"juniperchute/internal/wire"
 )
 
-// Op is a kind of call to the cloud.
-type Op int
+// CloudOperation is a kind of call to the cloud.
+type CloudOperation int
 
 // The calls of the cloud.
 const (
-	OpMachineTypes Op = iota
-	OpRent
-	OpDelete
-	OpList
+	ListMachineTypes CloudOperation = iota
+	CreateMachines
+	DeleteMachines
+	ListMachines
 )
 
-// Call is one request to the cloud.
-type Call struct {
-	Op     Op
-	Rental wire.ProvisionRequest
-	Hosts  []string // OpDelete
-	After  string   // OpList
-	// By is until when the call may be made; zero: any time. A process that stood
+// CloudCall is one request to the cloud.
+type CloudCall struct {
+	Operation CloudOperation
+	Request   wire.ProvisionRequest
+	Hosts     []string // OpDelete
+	After     string   // OpList
+	// Deadline is until when the call may be made; zero: any time. A process that stood
 	// still must not return machines on what it believed before.
-	By time.Time
+	Deadline time.Time
 }
 
-// Result is what came of a call.
-type Result struct {
+// CloudResult is what came of a call.
+type CloudResult struct {
 	Status       int // the HTTP status; 0 when no response came
 	Error        string
 	MachineTypes []wire.MachineType
@@ -48,7 +48,7 @@
 }
 
 // outcome is what came of a call that changes something.
-func (r Result) outcome() intentlog.Outcome {
+func (r CloudResult) outcome() intentlog.Outcome {
 	switch r.Status {
 	case http.StatusOK:
 		return intentlog.Done
@@ -61,56 +61,56 @@
 // NoCapacity is the cloud's word for a refusal that says: none available.
 const NoCapacity = "no capacity"
 
-// Caller carries out a call elsewhere and brings the result back to the
+// CloudCaller carries out a call elsewhere and brings the result back to the
 // goroutine that owns all state.
-type Caller func(Call, func(now time.Time, r Result))
+type CloudCaller func(CloudCall, func(now time.Time, result CloudResult))
 
-// Client speaks to the cloud over HTTP.
-type Client struct {
-	base string
-	http *http.Client
+// CloudClient speaks to the cloud over HTTP.
+type CloudClient struct {
+	baseURL string
+	http    *http.Client
 }
 
-// NewClient makes a client of the cloud at addr.
-func NewClient(addr string, rt http.RoundTripper) *Client {
-	return &Client{base: "http://" + addr, http: &http.Client{Transport: rt}}
+// NewCloudClient makes a client of the cloud at addr.
+func NewCloudClient(addr string, transport http.RoundTripper) *CloudClient {
+	return &CloudClient{baseURL: "http://" + addr, http: &http.Client{Transport: transport}}
 }
 
 // Do carries out a call. It blocks until the answer or the call's time limit.
-func (c *Client) Do(ctx context.Context, call Call) Result {
+func (c *CloudClient) Do(ctx context.Context, call CloudCall) CloudResult {
 	ctx, cancel := context.WithTimeout(ctx, tuning.CloudTimeout)
 	defer cancel()
 	method, path, body := call.request()
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, bytes.NewReader(body))
 	if err != nil {
-		return Result{}
+		return CloudResult{}
 	}
 	if body != nil {
-		req.Header.Set("Content-Type", "application/json")
+		request.Header.Set("Content-Type", "application/json")
 	}
-	resp, err := c.http.Do(req)
+	response, err := c.http.Do(request)
 	if err != nil {
-		return Result{}
+		return CloudResult{}
 	}
-	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, tuning.CloudAnswerBytes))
+	defer response.Body.Close()
+	raw, err := io.ReadAll(io.LimitReader(response.Body, tuning.MaxCloudResponseBytes))
 	if err != nil {
-		return Result{}
+		return CloudResult{}
 	}
-	return call.result(resp.StatusCode, raw)
+	return call.result(response.StatusCode, raw)
 }
 
 // request is the call's HTTP request; a nil body means none.
-func (c Call) request() (method, path string, body []byte) {
-	switch c.Op {
-	case OpRent:
-		body, _ = json.Marshal(c.Rental)
+func (c CloudCall) request() (method, path string, body []byte) {
+	switch c.Operation {
+	case CreateMachines:
+		body, _ = json.Marshal(c.Request)
 		return http.MethodPost, "/machines", body
-	case OpDelete:
+	case DeleteMachines:
 		body, _ = json.Marshal(wire.MachineNames{Names: c.Hosts})
 		return http.MethodPost, "/machines/delete", body
-	case OpList:
-		path = "/machines?Page=" + strconv.Itoa(tuning.CloudPage)
+	case ListMachines:
+		path = "/machines?Page=" + strconv.Itoa(tuning.CloudPageSize)
 		if c.After != "" {
 			path += "&After=" + url.QueryEscape(c.After)
 		}
@@ -120,32 +120,32 @@
 }
 
 // result reads the answer to the call. One that cannot be read is as good as none.
-func (c Call) result(status int, raw []byte) Result {
-	res := Result{Status: status}
+func (c CloudCall) result(status int, raw []byte) CloudResult {
+	result := CloudResult{Status: status}
 	if status != http.StatusOK {
-		var e struct {
+		var failure struct {
 			Error string `json:"error"`
 		}
-		if json.Unmarshal(raw, &e) == nil {
-			res.Error = e.Error
+		if json.Unmarshal(raw, &failure) == nil {
+			result.Error = failure.Error
 		}
-		return res
+		return result
 	}
 	var err error
-	switch c.Op {
-	case OpMachineTypes:
-		var f wire.MachineTypes
-		err = json.Unmarshal(raw, &f)
-		res.MachineTypes = f.Types
-	case OpRent:
-		var h wire.MachineNames
-		err = json.Unmarshal(raw, &h)
-		res.Hosts = h.Names
-	case OpList:
-		err = json.Unmarshal(raw, &res.Page)
+	switch c.Operation {
+	case ListMachineTypes:
+		var types wire.MachineTypes
+		err = json.Unmarshal(raw, &types)
+		result.MachineTypes = types.Types
+	case CreateMachines:
+		var names wire.MachineNames
+		err = json.Unmarshal(raw, &names)
+		result.Hosts = names.Names
+	case ListMachines:
+		err = json.Unmarshal(raw, &result.Page)
 	}
 	if err != nil {
-		return Result{}
+		return CloudResult{}
 	}
-	return res
+	return result
 }
--- a/internal/fleet/duties_test.go
+++ b/internal/fleet/duties_test.go
@@ -12,62 +12,62 @@
 	"juniperchute/internal/worker"
 )
 
-// logged is a fleet whose duties are logged; items are the pages of the log that an
+// newLoggedFixture is a fleet whose duties are logged; items are the pages of the log that an
 // earlier tenure left.
-func logged(t *testing.T, items ...wire.KeyValue) *zone {
-	y := newZone(t)
-	y.duties.EnableDurability()
-	y.duties.Load(y.now, items)
-	return y
+func newLoggedFixture(t *testing.T, items ...wire.KeyValue) *fixture {
+	f := newFixture(t)
+	f.intents.EnableDurability()
+	f.intents.Load(f.now, items)
+	return f
 }
 
-// entryPage is a page of the log with one entry.
-func entryPage(host string, d intentlog.Operation, token uint64) wire.KeyValue {
-	return wire.KeyValue{Key: "d/0/0", Value: fmt.Appendf(nil, `{%q:{"Duty":%q,"Token":%d,"At":0}}`, host, d, token), Version: 5}
+// intentPage is a page of the log with one entry.
+func intentPage(host string, operation intentlog.Operation, token uint64) wire.KeyValue {
+	return wire.KeyValue{Key: "d/0/0", Value: fmt.Appendf(nil, `{%q:{"Duty":%q,"Token":%d,"At":0}}`, host, operation, token), Version: 5}
 }
 
-func rentalItem(value string) wire.KeyValue {
+func requestItem(value string) wire.KeyValue {
 	return wire.KeyValue{Key: "h/0/b0-3-1", Value: []byte(value), Version: 4}
 }
 
-// taken loads what earlier tenures wrote: one rental, and its machine as used.
-func (y *zone) taken(rental string) {
-	y.s.Load(y.now, rentalItem(rental))
-	y.s.LoadUsed(y.now, []wire.KeyValue{{Key: "u/0/0", Value: []byte(`{"i-1":"addr"}`), Version: 3}})
+// loadRequest loads what earlier tenures wrote: one rental, and its machine as used.
+func (f *fixture) loadRequest(record string) {
+	f.autoscaler.LoadRequest(f.now, requestItem(record))
+	f.autoscaler.LoadRegistrations(f.now, []wire.KeyValue{{Key: "u/0/0", Value: []byte(`{"i-1":"addr"}`), Version: 3}})
 }
 
-// deleted is the machines of the deletions asked for.
-func (y *zone) deleted() (out []string) {
-	for _, c := range y.cloud {
-		if c.Op == OpDelete {
-			out = append(out, c.Hosts...)
+// deletedHosts is the machines of the deletions asked for.
+func (f *fixture) deletedHosts() (out []string) {
+	for _, call := range f.cloudCalls {
+		if call.Operation == DeleteMachines {
+			out = append(out, call.Hosts...)
 		}
 	}
 	return out
 }
 
 // What a successor, with token 7, does with an entry that it finds.
-func TestInheritedEntry(t *testing.T) {
+func TestRecoveredIntent(t *testing.T) {
 	const granted, unanswered = `{"Build":"g2","Yard":"a","Number":1,"Hosts":["i-1"]}`, `{"Build":"g2","Yard":"a","Number":1}`
 	work := func(token uint64) []wire.TaskStatus {
 		return []wire.TaskStatus{{Name: "job-1/0", Attempt: token<<tuning.AttemptBits | 1, State: wire.TaskRunning}}
 	}
-	heard := func(tasks []wire.TaskStatus) func(y *zone) {
-		return func(y *zone) {
-			m := y.reg.Get("i-1")
-			y.reg.Absorb(y.now, m, &wire.Heartbeat{Host: "i-1", Incarnation: 1, Sequence: 1, Type: "g2", Zone: "a", Tasks: tasks}, true)
-			y.s.Reporting(y.now, m)
+	heard := func(tasks []wire.TaskStatus) func(f *fixture) {
+		return func(f *fixture) {
+			machine := f.registry.Get("i-1")
+			f.registry.ApplyHeartbeat(f.now, machine, &wire.Heartbeat{Host: "i-1", Incarnation: 1, Sequence: 1, Type: "g2", Zone: "a", Tasks: tasks}, true)
+			f.autoscaler.HandleHeartbeat(f.now, machine)
 		}
 	}
-	leaseOver := func(y *zone) {
-		y.pass(y.reg.Expiry() + time.Minute)
-		y.reg.Quiet(y.now, y.now.Add(-time.Second))
+	leaseOver := func(f *fixture) {
+		f.advance(f.registry.LeaseExpiry() + time.Minute)
+		f.registry.ExpireLeases(f.now, f.now.Add(-time.Second))
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name    string
 		token   uint64 // of the entry
 		rental  string
-		play    func(y *zone)
+		play    func(f *fixture)
 		deletes bool
 		state   worker.State
 		kept    bool // the entry is still there
@@ -82,20 +82,20 @@
 		{"the same, and another tenure may have used it", 4, unanswered, nil, false, -1, true},
 		{"no rental names it: it is gone", 6, `{"Build":"g2","Yard":"a","Number":1,"Hosts":["i-8"]}`, nil, false, -1, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			y := logged(t, entryPage("i-1", intentlog.Deprovision, c.token))
-			y.taken(c.rental)
-			if c.play != nil {
-				c.play(y)
+		t.Run(test.name, func(t *testing.T) {
+			f := newLoggedFixture(t, intentPage("i-1", intentlog.Deprovision, test.token))
+			f.loadRequest(test.rental)
+			if test.play != nil {
+				test.play(f)
 			}
-			y.pass(time.Second)
-			if deletes := len(y.deleted()) > 0; deletes != c.deletes {
-				t.Errorf("deletions %v", y.deleted())
+			f.advance(time.Second)
+			if deletes := len(f.deletedHosts()) > 0; deletes != test.deletes {
+				t.Errorf("deletions %v", f.deletedHosts())
 			}
-			if m := y.reg.Get("i-1"); m == nil && c.state >= 0 || m != nil && m.State != c.state {
-				t.Errorf("machine %+v, want it %v", m, c.state)
+			if machine := f.registry.Get("i-1"); machine == nil && test.state >= 0 || machine != nil && machine.State != test.state {
+				t.Errorf("machine %+v, want it %v", machine, test.state)
 			}
-			if kept := y.duties.Get(intentlog.Deprovision, "i-1") != nil; kept != c.kept {
+			if kept := f.intents.Get(intentlog.Deprovision, "i-1") != nil; kept != test.kept {
 				t.Errorf("entry kept: %v", kept)
 			}
 		})
@@ -103,145 +103,145 @@
 }
 
 // A rental that turns out to name an entered machine brings none: it gets no work.
-func TestEnteredMachineOfALateAnswer(t *testing.T) {
-	y := logged(t, entryPage("i-1", intentlog.Deprovision, 4))
-	y.taken(`{"Build":"g2","Yard":"a","Number":2}`)
-	y.pass(time.Second)
-	y.take(OpRent, Result{Status: 200, Hosts: []string{"i-1", "i-2"}})
-	if m := y.reg.Get("i-1"); m == nil || m.State != worker.Deleting {
-		t.Errorf("entered: %+v", m)
+func TestLateGrantOfTerminatedMachine(t *testing.T) {
+	f := newLoggedFixture(t, intentPage("i-1", intentlog.Deprovision, 4))
+	f.loadRequest(`{"Build":"g2","Yard":"a","Number":2}`)
+	f.advance(time.Second)
+	f.answerCall(CreateMachines, CloudResult{Status: 200, Hosts: []string{"i-1", "i-2"}})
+	if machine := f.registry.Get("i-1"); machine == nil || machine.State != worker.Deleting {
+		t.Errorf("entered: %+v", machine)
 	}
-	if m := y.reg.Get("i-2"); m == nil || m.State != worker.Booting {
-		t.Errorf("not entered: %+v", m)
+	if machine := f.registry.Get("i-2"); machine == nil || machine.State != worker.Booting {
+		t.Errorf("not entered: %+v", machine)
 	}
 }
 
 // The entry of a deletion stays until the rental's record does not name the machine: a
 // successor that found the machine there and no entry would wait for it.
-func TestEntryOutlivesTheRecord(t *testing.T) {
-	y := logged(t, entryPage("i-1", intentlog.Deprovision, 6))
-	y.taken(`{"Build":"g2","Yard":"a","Number":2,"Hosts":["i-1","i-2"]}`)
-	y.pass(time.Second)
-	y.take(OpDelete, Result{Status: 200})
-	if a := y.duties.Get(intentlog.Deprovision, "i-1"); a == nil || a.State() != intentlog.Completed {
-		t.Fatalf("%+v", a)
-	}
-	y.pass(time.Second)
-	y.durable()
-	if y.duties.Get(intentlog.Deprovision, "i-1") != nil {
+func TestIntentOutlivesRecord(t *testing.T) {
+	f := newLoggedFixture(t, intentPage("i-1", intentlog.Deprovision, 6))
+	f.loadRequest(`{"Build":"g2","Yard":"a","Number":2,"Hosts":["i-1","i-2"]}`)
+	f.advance(time.Second)
+	f.answerCall(DeleteMachines, CloudResult{Status: 200})
+	if intent := f.intents.Get(intentlog.Deprovision, "i-1"); intent == nil || intent.State() != intentlog.Completed {
+		t.Fatalf("%+v", intent)
+	}
+	f.advance(time.Second)
+	f.commitWrites()
+	if f.intents.Get(intentlog.Deprovision, "i-1") != nil {
 		t.Error("kept although the record is durable")
 	}
 }
 
 // An older version of the record, which becomes durable later, names the machine still.
-func TestEntryOutlivesAnOlderVersion(t *testing.T) {
-	y := logged(t)
-	y.taken(`{"Build":"g2","Yard":"a","Number":3,"Hosts":["i-1","i-2","i-3"]}`)
+func TestIntentOutlivesOlderVersion(t *testing.T) {
+	f := newLoggedFixture(t)
+	f.loadRequest(`{"Build":"g2","Yard":"a","Number":3,"Hosts":["i-1","i-2","i-3"]}`)
 	end := func(host string) {
-		y.s.giveUp(y.now, y.reg.Get(host), returned("idle"))
-		y.durable() // its entry, and whatever is not durable yet
-		y.pass(tuning.EntriesEvery)
-		y.durable()
-		y.s.delete(y.now)
-		y.take(OpDelete, Result{Status: 200})
+		f.autoscaler.terminate(f.now, f.registry.Get(host), deprovision("idle"))
+		f.commitWrites() // its entry, and whatever is not durable yet
+		f.advance(tuning.IntentWriteInterval)
+		f.commitWrites()
+		f.autoscaler.deleteMachines(f.now)
+		f.answerCall(DeleteMachines, CloudResult{Status: 200})
 	}
 	end("i-1")
-	y.pass(0) // the record without i-1 is being written
-	older := y.kvs
-	y.kv, y.kvs = nil, nil
+	f.advance(0) // the record without i-1 is being written
+	older := f.storeReplies
+	f.storeCalls, f.storeReplies = nil, nil
 	if len(older) == 0 {
 		t.Fatal("the record is not written")
 	}
-	y.duties.Record(y.now, intentlog.Deprovision, "i-2", "idle")
-	y.s.strike(y.now, "i-2")
-	for _, then := range older {
-		then(y.now, store.Result{Status: 200, Revision: 20})
+	f.intents.Record(f.now, intentlog.Deprovision, "i-2", "idle")
+	f.autoscaler.removeFromRecord(f.now, "i-2")
+	for _, callback := range older {
+		callback(f.now, store.Result{Status: 200, Revision: 20})
 	}
-	h := y.s.by["i-3"]
-	if len(h.gone) != 1 || h.gone[0].host != "i-2" {
-		t.Errorf("waiting for the record: %+v", h.gone)
+	request := f.autoscaler.requestByHost["i-3"]
+	if len(request.deletedMachines) != 1 || request.deletedMachines[0].host != "i-2" {
+		t.Errorf("waiting for the record: %+v", request.deletedMachines)
 	}
-	y.durable()
-	y.pass(0)
-	y.durable()
-	if len(h.gone) != 0 {
-		t.Errorf("still waiting: %+v", h.gone)
+	f.commitWrites()
+	f.advance(0)
+	f.commitWrites()
+	if len(request.deletedMachines) != 0 {
+		t.Errorf("still waiting: %+v", request.deletedMachines)
 	}
 }
 
 // A refused rental's name while its call may be repeated late.
-func TestRefusedRental(t *testing.T) {
-	refused := Result{Status: 503, Error: NoCapacity}
-	rented := func(t *testing.T, y *zone) Call {
+func TestRefusedRequest(t *testing.T) {
+	refused := CloudResult{Status: 503, Error: NoCapacity}
+	refuseOne := func(t *testing.T, f *fixture) CloudCall {
 		t.Helper()
-		y.board.AddJob(y.now, wire.JobSpec{ID: "job-1", Team: "red", Class: "l", Shape: wire.ShapeGang, Priority: "low", Tasks: 1,
-			Vcpus: 10, Gpus: 2, MemGb: 77, AnyType: true}, y.now, 1, false)
-		y.pass(0)
-		y.durable()
-		y.pass(time.Second)
-		return y.take(OpRent, refused)
+		f.scheduler.AddJob(f.now, wire.JobSpec{ID: "job-1", Team: "red", Class: "l", Shape: wire.ShapeGang, Priority: "low", Tasks: 1,
+			Vcpus: 10, Gpus: 2, MemGb: 77, AnyType: true}, f.now, 1, false)
+		f.advance(0)
+		f.commitWrites()
+		f.advance(time.Second)
+		return f.answerCall(CreateMachines, refused)
 	}
 	t.Run("the next rental of the kind asks by the same name", func(t *testing.T) {
-		y := logged(t)
-		first := rented(t, y)
-		y.pass(tuning.CapacityRetry)
-		y.durable()
-		y.pass(tuning.DemandEvery)
-		if again := y.take(OpRent, Result{Status: 200, Hosts: []string{"i-1"}}); again.Rental != first.Rental {
-			t.Errorf("%+v, then %+v", first.Rental, again.Rental)
+		f := newLoggedFixture(t)
+		first := refuseOne(t, f)
+		f.advance(tuning.NoCapacityPause)
+		f.commitWrites()
+		f.advance(tuning.ScaleOutInterval)
+		if again := f.answerCall(CreateMachines, CloudResult{Status: 200, Hosts: []string{"i-1"}}); again.Request != first.Request {
+			t.Errorf("%+v, then %+v", first.Request, again.Request)
 		}
 	})
 	t.Run("a machine that no record explains: asked again", func(t *testing.T) {
-		y := logged(t)
-		first := rented(t, y)
-		y.s.Set.Paused = true // no demand
-		y.pass(tuning.CapacityRetry)
-		m := y.reg.Add(y.now, "i-5", worker.Booting)
-		m.Type, m.Zone = "g2", "a"
-		y.s.Reporting(y.now, m)
-		y.pass(time.Second)
-		if again := y.take(OpRent, Result{Status: 200, Hosts: []string{"i-5"}}); again.Rental != first.Rental {
-			t.Errorf("%+v, then %+v", first.Rental, again.Rental)
+		f := newLoggedFixture(t)
+		first := refuseOne(t, f)
+		f.autoscaler.Settings.Paused = true // no demand
+		f.advance(tuning.NoCapacityPause)
+		machine := f.registry.Add(f.now, "i-5", worker.Booting)
+		machine.Type, machine.Zone = "g2", "a"
+		f.autoscaler.HandleHeartbeat(f.now, machine)
+		f.advance(time.Second)
+		if again := f.answerCall(CreateMachines, CloudResult{Status: 200, Hosts: []string{"i-5"}}); again.Request != first.Request {
+			t.Errorf("%+v, then %+v", first.Request, again.Request)
 		}
-		y.durable()
-		if y.s.by["i-5"] == nil || y.s.by["i-5"].name != first.Rental.Name {
-			t.Errorf("explained by %+v", y.s.by["i-5"])
+		f.commitWrites()
+		if f.autoscaler.requestByHost["i-5"] == nil || f.autoscaler.requestByHost["i-5"].name != first.Request.Name {
+			t.Errorf("explained by %+v", f.autoscaler.requestByHost["i-5"])
 		}
 	})
 	t.Run("dropped when no repeat can come any more", func(t *testing.T) {
-		y := logged(t)
-		rented(t, y)
-		y.s.Set.Paused = true
-		y.pass(tuning.LateCall - time.Second)
-		if len(y.s.rentals) != 1 {
-			t.Fatalf("%d rentals", len(y.s.rentals))
+		f := newLoggedFixture(t)
+		refuseOne(t, f)
+		f.autoscaler.Settings.Paused = true
+		f.advance(tuning.LateCallWindow - time.Second)
+		if len(f.autoscaler.requests) != 1 {
+			t.Fatalf("%d rentals", len(f.autoscaler.requests))
 		}
-		y.pass(2 * time.Second)
-		y.durable()
-		if len(y.s.rentals) != 0 || y.duties.Pending() != 0 {
-			t.Errorf("%d rentals, %d open actions", len(y.s.rentals), y.duties.Pending())
+		f.advance(2 * time.Second)
+		f.commitWrites()
+		if len(f.autoscaler.requests) != 0 || f.intents.Pending() != 0 {
+			t.Errorf("%d rentals, %d open actions", len(f.autoscaler.requests), f.intents.Pending())
 		}
 	})
 	t.Run("dropped at once where duties are not logged", func(t *testing.T) {
-		y := newZone(t)
-		rented(t, y)
-		y.durable()
-		if len(y.s.rentals) != 0 {
-			t.Errorf("%d rentals", len(y.s.rentals))
+		f := newFixture(t)
+		refuseOne(t, f)
+		f.commitWrites()
+		if len(f.autoscaler.requests) != 0 {
+			t.Errorf("%d rentals", len(f.autoscaler.requests))
 		}
 	})
 }
 
 // A machine stays in use while the log has no room for its return.
-func TestNoRoomInTheLog(t *testing.T) {
-	y := logged(t)
-	for i := range tuning.EntriesMost {
-		y.duties.Record(y.now, intentlog.Reclaim, fmt.Sprintf("x-%d", i), "")
-	}
-	m := y.reg.Add(y.now, "i-1", worker.Up)
-	m.Session, m.Heard, m.IdleFrom = 1, y.now, y.now.Add(-time.Hour)
-	y.pass(time.Second)
-	if m.State != worker.Up {
-		t.Errorf("%v although its return is not entered", m.State)
+func TestIntentLogFull(t *testing.T) {
+	f := newLoggedFixture(t)
+	for i := range tuning.MaxOpenIntents {
+		f.intents.Record(f.now, intentlog.Reclaim, fmt.Sprintf("x-%d", i), "")
+	}
+	machine := f.registry.Add(f.now, "i-1", worker.Up)
+	machine.Incarnation, machine.LastContact, machine.IdleSince = 1, f.now, f.now.Add(-time.Hour)
+	f.advance(time.Second)
+	if machine.State != worker.Up {
+		t.Errorf("%v although its return is not entered", machine.State)
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -26,311 +26,313 @@
 type Settings struct {
 	MaxMachines int           // 0: no bound of ours
 	Paused      bool          // rent nothing
-	IdleReturn  time.Duration // how long a machine may stand idle
+	IdleTimeout time.Duration // how long a machine may stand idle
 }
 
 // Key prefixes: all blocks' rentals, and the machine types among the control
 // records.
 const (
-	UnderRentals      = "h/"
-	underMachineTypes = "c/f/"
+	ProvisioningPrefix = "h/"
+	machineTypePrefix  = "c/f/"
 )
 
-// Rentals is the key prefix of a block's rental records.
-func Rentals(block int) string { return fmt.Sprintf("%s%d/", UnderRentals, block) }
+// ShardProvisioningPrefix is the key prefix of a block's rental records.
+func ShardProvisioningPrefix(shard int) string {
+	return fmt.Sprintf("%s%d/", ProvisioningPrefix, shard)
+}
 
-// MachineTypeRec is a machine type as recorded for all nodes. Each tells how many there
+// MachineTypeRecord is a machine type as recorded for all nodes. Each tells how many there
 // are: until a node knows them all, it cannot say that a job fits none.
-type MachineTypeRec struct {
+type MachineTypeRecord struct {
 	wire.MachineType
-	Of int
+	Total int `json:"Of"`
 }
 
-// UsedUnder is the key prefix of the pages that name a block's machines that may
+// RegistrationPrefix is the key prefix of the pages that name a block's machines that may
 // have been given tasks, with their workers' addresses. A machine is entered
 // before its first task, so a successor need not wait for one that is not named.
-func UsedUnder(block int) string { return fmt.Sprintf("u/%d/", block) }
+func RegistrationPrefix(shard int) string { return fmt.Sprintf("u/%d/", shard) }
 
 // MachineTypeName tells whether a control key holds a machine type, and which.
-func MachineTypeName(key string) (string, bool) { return strings.CutPrefix(key, underMachineTypes) }
+func MachineTypeName(key string) (string, bool) { return strings.CutPrefix(key, machineTypePrefix) }
 
-// Slice is a block's part in the cloud during one tenure.
-type Slice struct {
-	Set          Settings
-	Unreachable  bool // no worker reaches this node: silence says nothing about a machine
-	block        int
-	token        uint64
-	tenure       wire.Compare
-	facts        config.Platform
-	cloud        Caller
-	state        store.Caller
-	log          *slog.Logger
-	reg          *worker.Registry
-	board        *placement.Board
-	duties       *intentlog.Log
-	lost         func(now time.Time)
-	gone         func(now time.Time, m *worker.Machine)
-	foreign      func(host string, there time.Time) bool
-	machineTypes map[string]wire.MachineType
-	known        map[string]string     // machine types as recorded for all nodes
-	files        []*store.DesiredValue // of the machine types
-	used         *store.Pages
-	entered      map[string]bool // machines that are being, or have been, entered as used
-	limit        *rate.Limiter
-	back         *backoff.ExponentialBackOff // of calls that fail in a row
-	born         time.Time
+// Autoscaler is a block's part in the cloud during one tenure.
+type Autoscaler struct {
+	Settings             Settings
+	WorkersUnreachable   bool // no worker reaches this node: silence says nothing about a machine
+	shard                int
+	token                uint64
+	termCompare          wire.Compare
+	config               config.Platform
+	cloud                CloudCaller
+	store                store.Caller
+	log                  *slog.Logger
+	registry             *worker.Registry
+	scheduler            *placement.Scheduler
+	intents              *intentlog.Log
+	onTermLost           func(now time.Time)
+	onDeleted            func(now time.Time, machine *worker.Machine)
+	ownedByOtherShard    func(host string, there time.Time) bool
+	machineTypes         map[string]wire.MachineType
+	recordedMachineTypes map[string]string     // machine types as recorded for all nodes
+	machineTypeWriters   []*store.DesiredValue // of the machine types
+	registrations        *store.Pages
+	registrationStarted  map[string]bool // machines that are being, or have been, entered as used
+	rateLimiter          *rate.Limiter
+	retryBackoff         *backoff.ExponentialBackOff // of calls that fail in a row
+	startedAt            time.Time
 
-	rentals   map[string]*rental
-	unread    int                // rental records that cannot be read: their machines are not known
-	most      int                // machines that one rental may have, as far as its record's size goes
-	by        map[string]*rental // machines by their rentals
-	seq       int
-	noneUntil map[string]time.Time
-	delBusy   bool
-	delRetry  time.Time
+	requests              map[string]*provisioningRequest
+	unreadableRecords     int                             // rental records that cannot be read: their machines are not known
+	maxMachinesPerRequest int                             // machines that one rental may have, as far as its record's size goes
+	requestByHost         map[string]*provisioningRequest // machines by their rentals
+	sequence              int
+	noCapacityUntil       map[string]time.Time
+	deletionInFlight      bool
+	deletionRetryAt       time.Time
 
-	machineTypesDue time.Time
-	demandDue       time.Time
-	listed          map[string]bool // hosts seen in some list
-	missing         map[string]int  // lists in a row that a once listed host was not in
-	listing         listing
-	few             bool // so few machines are unheard that what waits for them is worth more
+	machineTypesDueAt time.Time
+	scaleOutDueAt     time.Time
+	listed            map[string]bool // hosts seen in some list
+	missedLists       map[string]int  // lists in a row that a once listed host was not in
+	listProgress      listProgress
+	fewUnreconciled   bool // so few machines are unheard that what waits for them is worth more
 }
 
 // Options are what the slice needs of the tenure that it belongs to.
 type Options struct {
-	Block    int
-	Token    uint64
-	Tenure   wire.Compare // the condition of each write
-	Facts    config.Platform
-	Cloud    Caller
-	State    store.Caller
-	Log      *slog.Logger
-	Machines *worker.Registry
-	Board    *placement.Board
-	// Duties is the log of what is asked of the cloud.
-	Duties *intentlog.Log
-	// Lost is told when the tenure is over, Gone when a machine's deletion was answered.
-	Lost func(now time.Time)
-	Gone func(now time.Time, m *worker.Machine)
-	// Foreign tells whether a machine that was there at some time is or may turn out to be
+	Shard       int
+	Token       uint64
+	TermCompare wire.Compare // the condition of each write
+	Config      config.Platform
+	Cloud       CloudCaller
+	Store       store.Caller
+	Log         *slog.Logger
+	Registry    *worker.Registry
+	Scheduler   *placement.Scheduler
+	// Intents is the log of what is asked of the cloud.
+	Intents *intentlog.Log
+	// OnTermLost is told when the tenure is over, Gone when a machine's deletion was answered.
+	OnTermLost func(now time.Time)
+	OnDeleted  func(now time.Time, machine *worker.Machine)
+	// OwnedByOtherShard tells whether a machine that was there at some time is or may turn out to be
 	// another block's.
-	Foreign func(host string, there time.Time) bool
+	OwnedByOtherShard func(host string, there time.Time) bool
 }
 
 // New makes the slice of one tenure.
-func New(now time.Time, o Options) *Slice {
-	rps := o.Facts.Cloud.RPS * tuning.CloudShare
-	back := backoff.NewExponentialBackOff()
-	back.InitialInterval, back.MaxInterval = tuning.CloudRetry, tuning.CloudRetryMost
-	back.RandomizationFactor = 0 // one holder asks: there is no crowd to part, and tests repeat
-	back.Reset()
-	s := &Slice{
-		Set:   Settings{IdleReturn: tuning.IdleReturn},
-		block: o.Block, token: o.Token, tenure: o.Tenure, facts: o.Facts, cloud: o.Cloud, state: o.State, log: o.Log, reg: o.Machines, board: o.Board,
-		duties: o.Duties, lost: o.Lost, gone: o.Gone, foreign: o.Foreign, machineTypes: map[string]wire.MachineType{}, known: map[string]string{},
-		limit: rate.NewLimiter(rate.Limit(rps), max(1, int(rps))), back: back, born: now,
-		most:    tuning.RentalPage,
-		rentals: map[string]*rental{}, by: map[string]*rental{}, noneUntil: map[string]time.Time{},
-		listed: map[string]bool{}, missing: map[string]int{}, entered: map[string]bool{},
+func New(now time.Time, options Options) *Autoscaler {
+	rps := options.Config.Cloud.RPS * tuning.CloudRateShare
+	retryBackoff := backoff.NewExponentialBackOff()
+	retryBackoff.InitialInterval, retryBackoff.MaxInterval = tuning.CloudRetryInitial, tuning.CloudRetryMax
+	retryBackoff.RandomizationFactor = 0 // one holder asks: there is no crowd to part, and tests repeat
+	retryBackoff.Reset()
+	a := &Autoscaler{
+		Settings: Settings{IdleTimeout: tuning.MachineIdleTimeout},
+		shard:    options.Shard, token: options.Token, termCompare: options.TermCompare, config: options.Config, cloud: options.Cloud, store: options.Store, log: options.Log, registry: options.Registry, scheduler: options.Scheduler,
+		intents: options.Intents, onTermLost: options.OnTermLost, onDeleted: options.OnDeleted, ownedByOtherShard: options.OwnedByOtherShard, machineTypes: map[string]wire.MachineType{}, recordedMachineTypes: map[string]string{},
+		rateLimiter: rate.NewLimiter(rate.Limit(rps), max(1, int(rps))), retryBackoff: retryBackoff, startedAt: now,
+		maxMachinesPerRequest: tuning.MaxMachinesPerRequest,
+		requests:              map[string]*provisioningRequest{}, requestByHost: map[string]*provisioningRequest{}, noCapacityUntil: map[string]time.Time{},
+		listed: map[string]bool{}, missedLists: map[string]int{}, registrationStarted: map[string]bool{},
 	}
-	s.used = store.NewPages(UsedUnder(o.Block), o.Facts.State.StoredLimits().ValueKB, tuning.UsedEvery, store.PriorityTerm, o.Tenure, o.State, o.Log, o.Lost)
-	return s
+	a.registrations = store.NewPages(RegistrationPrefix(options.Shard), options.Config.State.StoredLimits().ValueKB, tuning.RegistrationInterval, store.PriorityTerm, options.TermCompare, options.Store, options.Log, options.OnTermLost)
+	return a
 }
 
-// sorted lists the rentals by name.
-func (s *Slice) sorted() []*rental {
-	out := make([]*rental, 0, len(s.rentals))
-	for _, name := range slices.Sorted(maps.Keys(s.rentals)) {
-		out = append(out, s.rentals[name])
+// sortedRequests lists the rentals by name.
+func (a *Autoscaler) sortedRequests() []*provisioningRequest {
+	requests := make([]*provisioningRequest, 0, len(a.requests))
+	for _, name := range slices.Sorted(maps.Keys(a.requests)) {
+		requests = append(requests, a.requests[name])
 	}
-	return out
+	return requests
 }
 
-// LoadUsed takes over the pages that name the machines used by earlier tenures, after
+// LoadRegistrations takes over the pages that name the machines used by earlier tenures, after
 // their rentals. One whose rental is gone is gone itself, if all rentals could be read.
-func (s *Slice) LoadUsed(now time.Time, items []wire.KeyValue) {
-	s.used.Load(items, func(host string, raw json.RawMessage) {
-		m := s.reg.Get(host)
-		if m == nil && s.unread > 0 {
-			m = s.addUnrecorded(now, host)
+func (a *Autoscaler) LoadRegistrations(now time.Time, items []wire.KeyValue) {
+	a.registrations.Load(items, func(host string, raw json.RawMessage) {
+		machine := a.registry.Get(host)
+		if machine == nil && a.unreadableRecords > 0 {
+			machine = a.addUnrecorded(now, host)
 		}
-		if m == nil || !m.Recorded && s.unread == 0 {
-			s.used.Delete(host)
+		if machine == nil || !machine.Recorded && a.unreadableRecords == 0 {
+			a.registrations.Delete(host)
 			return
 		}
-		s.entered[host], m.Used = true, true
-		if m.State == worker.Booting {
-			_ = json.Unmarshal(raw, &m.Address) // without one it is heard when it reports
-			s.reg.Set(now, m, worker.Unheard, "used by an earlier tenure")
+		a.registrationStarted[host], machine.Registered = true, true
+		if machine.State == worker.Booting {
+			_ = json.Unmarshal(raw, &machine.Address) // without one it is heard when it reports
+			a.registry.SetState(now, machine, worker.Unreconciled, "used by an earlier tenure")
 		}
 	})
-	if s.used.Unreadable() > 0 {
-		s.assumeUsed(now)
+	if a.registrations.Unreadable() > 0 {
+		a.assumeRegistered(now)
 	}
-	s.takeOverEndings(now)
+	a.recoverTerminations(now)
 }
 
-// assumeUsed takes all machines for ones that may have tasks: pages that name those that
+// assumeRegistered takes all machines for ones that may have tasks: pages that name those that
 // do cannot be read.
-func (s *Slice) assumeUsed(now time.Time) {
-	for _, m := range s.reg.All() {
-		if m.State == worker.Booting {
-			s.reg.Set(now, m, worker.Unheard, "may have been used by an earlier tenure")
+func (a *Autoscaler) assumeRegistered(now time.Time) {
+	for _, machine := range a.registry.All() {
+		if machine.State == worker.Booting {
+			a.registry.SetState(now, machine, worker.Unreconciled, "may have been used by an earlier tenure")
 		}
 	}
 }
 
 // addUnrecorded makes a machine known that was used and whose rental cannot be read. Its
 // type is not known, so it counts as the largest.
-func (s *Slice) addUnrecorded(now time.Time, host string) *worker.Machine {
-	m := s.addMachine(now, host, worker.Booting, "", "", false)
-	for _, f := range s.machineTypes {
-		m.Cap = m.Cap.Max(quota.Room{CPUs: f.Vcpus, GPUs: f.Gpus, MemGB: f.MemGb})
+func (a *Autoscaler) addUnrecorded(now time.Time, host string) *worker.Machine {
+	machine := a.addMachine(now, host, worker.Booting, "", "", false)
+	for _, machineType := range a.machineTypes {
+		machine.Capacity = machine.Capacity.Max(quota.Resources{CPUs: machineType.Vcpus, GPUs: machineType.Gpus, MemGB: machineType.MemGb})
 	}
-	return m
+	return machine
 }
 
 // addMachine makes a machine known to the registry.
-func (s *Slice) addMachine(now time.Time, host string, st worker.State, build, zone string, spot bool) *worker.Machine {
-	m := s.reg.Get(host)
-	if m == nil {
-		m = s.reg.Add(now, host, st)
-		m.IdleFrom = now
+func (a *Autoscaler) addMachine(now time.Time, host string, state worker.State, machineType, zone string, spot bool) *worker.Machine {
+	machine := a.registry.Get(host)
+	if machine == nil {
+		machine = a.registry.Add(now, host, state)
+		machine.IdleSince = now
 	}
-	m.Type, m.Zone, m.Spot = build, zone, spot
-	s.size(m)
-	s.heedEntry(now, m)
-	return m
+	machine.Type, machine.Zone, machine.Spot = machineType, zone, spot
+	a.setCapacity(machine)
+	a.applyRecoveredIntent(now, machine)
+	return machine
 }
 
-func (s *Slice) size(m *worker.Machine) {
-	if f, ok := s.machineTypes[m.Type]; ok {
-		if room := (quota.Room{CPUs: f.Vcpus, GPUs: f.Gpus, MemGB: f.MemGb}); m.Cap != room {
-			m.Cap, m.Fetch = room, f.FetchGbPerS
-			s.board.NoteChange(m)
+func (a *Autoscaler) setCapacity(machine *worker.Machine) {
+	if machineType, ok := a.machineTypes[machine.Type]; ok {
+		if capacity := (quota.Resources{CPUs: machineType.Vcpus, GPUs: machineType.Gpus, MemGB: machineType.MemGb}); machine.Capacity != capacity {
+			machine.Capacity, machine.ImagePullGBPerS = capacity, machineType.FetchGbPerS
+			a.scheduler.MarkMachineChanged(machine)
 		}
 	}
 }
 
-// MachineType takes note of a machine type as recorded for all nodes.
-func (s *Slice) MachineType(f wire.MachineType, raw string) {
-	s.known[f.Name] = raw
-	if _, ok := s.machineTypes[f.Name]; !ok {
-		s.machineTypes[f.Name] = f
+// ApplyMachineType takes note of a machine type as recorded for all nodes.
+func (a *Autoscaler) ApplyMachineType(machineType wire.MachineType, raw string) {
+	a.recordedMachineTypes[machineType.Name] = raw
+	if _, ok := a.machineTypes[machineType.Name]; !ok {
+		a.machineTypes[machineType.Name] = machineType
 	}
-	for _, m := range s.reg.All() {
-		s.size(m)
+	for _, machine := range a.registry.All() {
+		a.setCapacity(machine)
 	}
 }
 
-// Reporting takes note that a machine has reported: one that nobody expected
+// HandleHeartbeat takes note that a machine has reported: one that nobody expected
 // is adopted, and one not used before is entered as used.
-func (s *Slice) Reporting(now time.Time, m *worker.Machine) {
-	s.heedEntry(now, m)
-	if !m.Recorded && !m.Used {
-		s.adopt(now, m)
+func (a *Autoscaler) HandleHeartbeat(now time.Time, machine *worker.Machine) {
+	a.applyRecoveredIntent(now, machine)
+	if !machine.Recorded && !machine.Registered {
+		a.adopt(now, machine)
 	}
-	s.enter(now, m)
+	a.register(now, machine)
 }
 
-// Entering takes note of a machine's first word, which may be an old copy: it
+// RegisterOnFirstContact takes note of a machine's first word, which may be an old copy: it
 // is entered as used all the same, so that it can be given tasks as soon as it
 // is heard. A record may name too many, never too few.
-func (s *Slice) Entering(now time.Time, m *worker.Machine, rep *wire.Heartbeat) {
-	if m.State == worker.Booting {
-		m.Address = rep.Address
-		s.enter(now, m)
+func (a *Autoscaler) RegisterOnFirstContact(now time.Time, machine *worker.Machine, heartbeat *wire.Heartbeat) {
+	if machine.State == worker.Booting {
+		machine.Address = heartbeat.Address
+		a.register(now, machine)
 	}
 }
 
-func (s *Slice) enter(now time.Time, m *worker.Machine) {
+func (a *Autoscaler) register(now time.Time, machine *worker.Machine) {
 	// Its rental's record comes first: a successor that found the machine among
 	// the used ones and in no rental would take it for gone.
-	if h := s.by[m.Host]; m.Used || m.State == worker.Deleting || s.entered[m.Host] || h == nil || !h.kept {
+	if request := a.requestByHost[machine.Host]; machine.Registered || machine.State == worker.Deleting || a.registrationStarted[machine.Host] || request == nil || !request.recordDurable {
 		return
 	}
-	s.size(m)
-	s.entered[m.Host] = true
-	s.used.Put(m.Host, m.Address, func(now time.Time) {
-		m.Used = true
-		s.board.NoteChange(m)
+	a.setCapacity(machine)
+	a.registrationStarted[machine.Host] = true
+	a.registrations.Put(machine.Host, machine.Address, func(now time.Time) {
+		machine.Registered = true
+		a.scheduler.MarkMachineChanged(machine)
 	})
-	s.used.Tick(now)
+	a.registrations.Tick(now)
 }
 
-// call passes a call on and keeps count of failures in a row.
-func (s *Slice) call(c Call, then func(now time.Time, r Result)) {
-	s.cloud(c, func(now time.Time, r Result) {
-		if r.Status == 200 || r.Error == NoCapacity {
-			s.back.Reset()
+// callCloud passes a call on and keeps count of failures in a row.
+func (a *Autoscaler) callCloud(call CloudCall, callback func(now time.Time, result CloudResult)) {
+	a.cloud(call, func(now time.Time, result CloudResult) {
+		if result.Status == 200 || result.Error == NoCapacity {
+			a.retryBackoff.Reset()
 		}
-		then(now, r)
+		callback(now, result)
 	})
 }
 
-// pause is when a failed call may be made again.
-func (s *Slice) pause(now time.Time) time.Time { return now.Add(s.back.NextBackOff()) }
+// nextRetry is when a failed call may be made again.
+func (a *Autoscaler) nextRetry(now time.Time) time.Time { return now.Add(a.retryBackoff.NextBackOff()) }
 
-func (s *Slice) may(now time.Time) bool { return s.limit.AllowN(now, 1) }
+func (a *Autoscaler) allowCall(now time.Time) bool { return a.rateLimiter.AllowN(now, 1) }
 
 // Tick starts what is due.
-func (s *Slice) Tick(now time.Time) {
-	for _, f := range s.files {
-		f.Tick(now)
+func (a *Autoscaler) Tick(now time.Time) {
+	for _, writer := range a.machineTypeWriters {
+		writer.Tick(now)
 	}
-	s.used.Tick(now)
-	for _, h := range s.sorted() {
-		h.file.Tick(now)
-		s.dropRefused(now, h)
-		if h.state == rentalAsking && !h.busy && !now.Before(h.retry) && s.may(now) {
-			s.ask(now, h)
+	a.registrations.Tick(now)
+	for _, request := range a.sortedRequests() {
+		request.writer.Tick(now)
+		a.closeRefused(now, request)
+		if request.state == provisioningRequested && !request.inFlight && !now.Before(request.retryAt) && a.allowCall(now) {
+			a.sendRequest(now, request)
 		}
 	}
-	s.duties.Tick(now)
-	s.returns(now)
-	s.delete(now)
-	if !now.Before(s.machineTypesDue) && s.may(now) {
-		s.askMachineTypes(now)
+	a.intents.Tick(now)
+	a.scaleIn(now)
+	a.deleteMachines(now)
+	if !now.Before(a.machineTypesDueAt) && a.allowCall(now) {
+		a.refreshMachineTypes(now)
 	}
-	s.list(now)
+	a.continueList(now)
 	// Machines that this tenure has not heard yet look like none: hiring then
 	// would replace the whole fleet at each takeover.
-	if len(s.machineTypes) > 0 && !now.Before(s.demandDue) && (s.board.IsOpen() || now.Sub(s.born) > tuning.FenceDemand) {
-		s.demandDue = now.Add(tuning.DemandEvery)
-		s.demand(now)
+	if len(a.machineTypes) > 0 && !now.Before(a.scaleOutDueAt) && (a.scheduler.Reconciled() || now.Sub(a.startedAt) > tuning.ScaleOutDelay) {
+		a.scaleOutDueAt = now.Add(tuning.ScaleOutInterval)
+		a.scaleOut(now)
 	}
 }
 
-func (s *Slice) askMachineTypes(now time.Time) {
-	s.machineTypesDue = now.Add(tuning.CloudTimeout + tuning.CloudRetry)
-	s.call(Call{Op: OpMachineTypes}, func(now time.Time, r Result) {
-		if r.Status != 200 {
-			s.machineTypesDue = s.pause(now)
+func (a *Autoscaler) refreshMachineTypes(now time.Time) {
+	a.machineTypesDueAt = now.Add(tuning.CloudTimeout + tuning.CloudRetryInitial)
+	a.callCloud(CloudCall{Operation: ListMachineTypes}, func(now time.Time, result CloudResult) {
+		if result.Status != 200 {
+			a.machineTypesDueAt = a.nextRetry(now)
 			return
 		}
-		s.machineTypesDue = now.Add(tuning.MachineTypesEvery)
-		for _, f := range r.MachineTypes {
-			s.machineTypes[f.Name] = f
-			if s.block != 0 {
+		a.machineTypesDueAt = now.Add(tuning.MachineTypesInterval)
+		for _, machineType := range result.MachineTypes {
+			a.machineTypes[machineType.Name] = machineType
+			if a.shard != 0 {
 				continue
 			}
 			// Prices move all the time; the record is for what nodes need to
 			// check submissions.
-			f.Price, f.SpotPrice = 0, 0
-			all := MachineTypeRec{f, len(r.MachineTypes)}
-			raw, _ := json.Marshal(all)
-			if old, ok := s.known[f.Name]; ok && old == string(raw) {
+			machineType.Price, machineType.SpotPrice = 0, 0
+			record := MachineTypeRecord{machineType, len(result.MachineTypes)}
+			raw, _ := json.Marshal(record)
+			if old, ok := a.recordedMachineTypes[machineType.Name]; ok && old == string(raw) {
 				continue
 			}
-			s.known[f.Name] = string(raw)
-			rec := store.NewDesiredValue(underMachineTypes+f.Name, 0, store.PriorityTerm, s.tenure, s.state, func(time.Time, int) {}, s.lost)
-			rec.Set(all)
-			s.files = append(s.files, rec)
-			rec.Tick(now)
+			a.recordedMachineTypes[machineType.Name] = string(raw)
+			writer := store.NewDesiredValue(machineTypePrefix+machineType.Name, 0, store.PriorityTerm, a.termCompare, a.store, func(time.Time, int) {}, a.onTermLost)
+			writer.Set(record)
+			a.machineTypeWriters = append(a.machineTypeWriters, writer)
+			writer.Tick(now)
 		}
-		for _, m := range s.reg.All() {
-			s.size(m)
+		for _, machine := range a.registry.All() {
+			a.setCapacity(machine)
 		}
 	})
 }
