--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -21,129 +21,129 @@
 	"juniperchute/internal/worker"
 )
 
-// zone is a fleet whose calls are caught.
-type zone struct {
-	t     *testing.T
-	now   time.Time
-	s     *Slice
-	reg   *worker.Registry
-	board *placement.Board
-	cloud []Call
-	reply []func(time.Time, Result)
-	kv    []store.Call
-	kvs   []func(time.Time, store.Result)
-	gone  []string
+// fixture is a fleet whose calls are caught.
+type fixture struct {
+	t            *testing.T
+	now          time.Time
+	autoscaler   *Autoscaler
+	registry     *worker.Registry
+	scheduler    *placement.Scheduler
+	cloudCalls   []CloudCall
+	cloudReplies []func(time.Time, CloudResult)
+	storeCalls   []store.Call
+	storeReplies []func(time.Time, store.Result)
+	deleted      []string
 
-	tenure wire.Compare
-	duties *intentlog.Log
+	termCompare wire.Compare
+	intents     *intentlog.Log
 }
 
-func newZone(t *testing.T) *zone {
+func newFixture(t *testing.T) *fixture {
 	const token, valueKB = 7, 4
-	y := &zone{t: t, now: time.Unix(1000, 0)}
-	facts := config.Platform{Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}, Cloud: config.CloudLimits{RPS: 100, ListLagS: 3},
+	f := &fixture{t: t, now: time.Unix(1000, 0)}
+	deployment := config.Platform{Zones: []string{"a"}, Teams: []config.Team{{Name: "red"}}, Cloud: config.CloudLimits{RPS: 100, ListLagS: 3},
 		Workers: config.Workers{HeartbeatS: 1.5, LeaseS: 10}}
-	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
-	y.reg = worker.NewRegistry(facts.Workers, quiet)
-	y.board = placement.NewBoard(facts, 7, quota.NewBook(facts.Teams, 0, 1), y.reg, rand.New(rand.NewPCG(1, 1)), quiet, func(time.Time, *placement.Job) {})
-	y.board.Open(y.now)
-	state := func(c store.Call, then func(time.Time, store.Result)) {
-		y.kv, y.kvs = append(y.kv, c), append(y.kvs, then)
+	discardLogger := slog.New(slog.NewTextHandler(io.Discard, nil))
+	f.registry = worker.NewRegistry(deployment.Workers, discardLogger)
+	f.scheduler = placement.NewScheduler(deployment, 7, quota.NewLedger(deployment.Teams, 0, 1), f.registry, rand.New(rand.NewPCG(1, 1)), discardLogger, func(time.Time, *placement.Job) {})
+	f.scheduler.MarkReconciled(f.now)
+	callStore := func(call store.Call, callback func(time.Time, store.Result)) {
+		f.storeCalls, f.storeReplies = append(f.storeCalls, call), append(f.storeReplies, callback)
 	}
-	y.tenure = store.VersionEquals("c/b/0", 3)
-	y.duties = intentlog.NewLog(intentlog.Options{Token: token, TermCompare: y.tenure, ValueKB: valueKB, StateCall: state, WallClock: func() time.Time { return y.now }, Log: quiet, OnTermLost: func(time.Time) {}})
-	y.s = New(y.now, Options{Token: token, Tenure: y.tenure, Facts: facts,
-		Cloud: func(c Call, then func(time.Time, Result)) {
-			y.cloud, y.reply = append(y.cloud, c), append(y.reply, then)
+	f.termCompare = store.VersionEquals("c/b/0", 3)
+	f.intents = intentlog.NewLog(intentlog.Options{Token: token, TermCompare: f.termCompare, ValueKB: valueKB, StateCall: callStore, WallClock: func() time.Time { return f.now }, Log: discardLogger, OnTermLost: func(time.Time) {}})
+	f.autoscaler = New(f.now, Options{Token: token, TermCompare: f.termCompare, Config: deployment,
+		Cloud: func(call CloudCall, callback func(time.Time, CloudResult)) {
+			f.cloudCalls, f.cloudReplies = append(f.cloudCalls, call), append(f.cloudReplies, callback)
 		},
-		State: state, Log: quiet, Machines: y.reg, Board: y.board, Duties: y.duties,
-		Lost: func(time.Time) {}, Gone: func(_ time.Time, m *worker.Machine) { y.gone = append(y.gone, m.Host) },
-		Foreign: func(string, time.Time) bool { return false }})
-	y.s.MachineType(wire.MachineType{Name: "g2", Vcpus: 12, Gpus: 2, MemGb: 96, Price: 5, SpotPrice: 2, BootTimeS: 25, Zones: []string{"a"}}, "")
-	return y
+		Store: callStore, Log: discardLogger, Registry: f.registry, Scheduler: f.scheduler, Intents: f.intents,
+		OnTermLost: func(time.Time) {}, OnDeleted: func(_ time.Time, machine *worker.Machine) { f.deleted = append(f.deleted, machine.Host) },
+		OwnedByOtherShard: func(string, time.Time) bool { return false }})
+	f.autoscaler.ApplyMachineType(wire.MachineType{Name: "g2", Vcpus: 12, Gpus: 2, MemGb: 96, Price: 5, SpotPrice: 2, BootTimeS: 25, Zones: []string{"a"}}, "")
+	return f
 }
 
-// durable lets the state service take every write.
-func (y *zone) durable() {
-	for len(y.kvs) > 0 {
-		then := y.kvs[0]
-		y.kv, y.kvs = y.kv[1:], y.kvs[1:]
-		then(y.now, store.Result{Status: 200, Revision: 9})
+// commitWrites lets the state service take every write.
+func (f *fixture) commitWrites() {
+	for len(f.storeReplies) > 0 {
+		callback := f.storeReplies[0]
+		f.storeCalls, f.storeReplies = f.storeCalls[1:], f.storeReplies[1:]
+		callback(f.now, store.Result{Status: 200, Revision: 9})
 	}
 }
 
-// take answers the oldest call of a kind, and returns it.
-func (y *zone) take(op Op, r Result) Call {
-	y.t.Helper()
-	for i, c := range y.cloud {
-		if c.Op == op {
-			then := y.reply[i]
-			y.cloud, y.reply = append(y.cloud[:i:i], y.cloud[i+1:]...), append(y.reply[:i:i], y.reply[i+1:]...)
-			then(y.now, r)
-			return c
+// answerCall answers the oldest call of a kind, and returns it.
+func (f *fixture) answerCall(operation CloudOperation, result CloudResult) CloudCall {
+	f.t.Helper()
+	for i, call := range f.cloudCalls {
+		if call.Operation == operation {
+			callback := f.cloudReplies[i]
+			f.cloudCalls, f.cloudReplies = append(f.cloudCalls[:i:i], f.cloudCalls[i+1:]...), append(f.cloudReplies[:i:i], f.cloudReplies[i+1:]...)
+			callback(f.now, result)
+			return call
 		}
 	}
-	y.t.Fatalf("no call of kind %d", op)
-	return Call{}
+	f.t.Fatalf("no call of kind %d", operation)
+	return CloudCall{}
 }
 
-func (y *zone) asked(op Op) bool {
-	for _, c := range y.cloud {
-		if c.Op == op {
+func (f *fixture) hasCall(operation CloudOperation) bool {
+	for _, call := range f.cloudCalls {
+		if call.Operation == operation {
 			return true
 		}
 	}
 	return false
 }
 
-func (y *zone) pass(d time.Duration) {
-	y.now = y.now.Add(d)
-	y.s.Tick(y.now)
+func (f *fixture) advance(duration time.Duration) {
+	f.now = f.now.Add(duration)
+	f.autoscaler.Tick(f.now)
 }
 
 // A rental's name is durable before the cloud hears it, stays the same until the
 // answer is certain, and is never used for another rental.
-func TestRental(t *testing.T) {
-	for _, c := range []struct {
+func TestProvisioningRequest(t *testing.T) {
+	for _, test := range []struct {
 		name    string
-		answers []Result
+		answers []CloudResult
 		again   bool // the same name is asked for once more
 		hosts   int
 	}{
-		{"granted", []Result{{Status: 200, Hosts: []string{"i-1"}}}, false, 1},
-		{"no answer, then granted", []Result{{}, {Status: 200, Hosts: []string{"i-1"}}}, false, 1},
-		{"outage, then granted", []Result{{Status: 503, Error: "trouble"}, {Status: 200, Hosts: []string{"i-1"}}}, false, 1},
-		{"rate limit", []Result{{Status: 429}}, true, 0},
-		{"none to be had", []Result{{Status: 503, Error: NoCapacity}}, false, 0},
+		{"granted", []CloudResult{{Status: 200, Hosts: []string{"i-1"}}}, false, 1},
+		{"no answer, then granted", []CloudResult{{}, {Status: 200, Hosts: []string{"i-1"}}}, false, 1},
+		{"outage, then granted", []CloudResult{{Status: 503, Error: "trouble"}, {Status: 200, Hosts: []string{"i-1"}}}, false, 1},
+		{"rate limit", []CloudResult{{Status: 429}}, true, 0},
+		{"none to be had", []CloudResult{{Status: 503, Error: NoCapacity}}, false, 0},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			y := newZone(t)
-			y.board.AddJob(y.now, wire.JobSpec{ID: "job-1", Team: "red", Class: "l", Shape: wire.ShapeGang, Priority: "low", Tasks: 1,
-				Vcpus: 10, Gpus: 2, MemGb: 77, AnyType: true, Spot: true}, y.now, 1, false)
-			y.pass(0)
-			if y.asked(OpRent) {
+		t.Run(test.name, func(t *testing.T) {
+			f := newFixture(t)
+			f.scheduler.AddJob(f.now, wire.JobSpec{ID: "job-1", Team: "red", Class: "l", Shape: wire.ShapeGang, Priority: "low", Tasks: 1,
+				Vcpus: 10, Gpus: 2, MemGb: 77, AnyType: true, Spot: true}, f.now, 1, false)
+			f.advance(0)
+			if f.hasCall(CreateMachines) {
 				t.Fatal("asked the cloud before the name was durable")
 			}
-			y.durable()
+			f.commitWrites()
 			name := ""
-			for _, a := range c.answers {
-				y.pass(2 * time.Second)
-				h := y.take(OpRent, a).Rental
-				if name != "" && h.Name != name {
-					t.Errorf("asked for %s after %s", h.Name, name)
+			for _, answer := range test.answers {
+				f.advance(2 * time.Second)
+				sent := f.answerCall(CreateMachines, answer).Request
+				if name != "" && sent.Name != name {
+					t.Errorf("asked for %s after %s", sent.Name, name)
 				}
-				if name = h.Name; !h.Spot {
+				if name = sent.Name; !sent.Spot {
 					t.Error("asked for an ordinary machine where a cheap one would do")
 				}
 			}
-			y.durable()
-			y.pass(2 * time.Second)
+			f.commitWrites()
+			f.advance(2 * time.Second)
 			again := false
-			for _, call := range y.cloud {
-				again = again || call.Op == OpRent && call.Rental.Name == name
+			for _, call := range f.cloudCalls {
+				again = again || call.Operation == CreateMachines && call.Request.Name == name
 			}
-			if again != c.again || len(y.reg.All()) != c.hosts {
-				t.Errorf("asked again: %t, machines %d", again, len(y.reg.All()))
+			if again != test.again || len(f.registry.All()) != test.hosts {
+				t.Errorf("asked again: %t, machines %d", again, len(f.registry.All()))
 			}
 		})
 	}
@@ -151,34 +151,34 @@
 
 // A morning asks for hundreds of machines at once: in rentals of the cloud's size, and
 // never more than the operators' bound, those not yet granted counted.
-func TestRentalSizes(t *testing.T) {
-	for _, c := range []struct {
+func TestRequestSizes(t *testing.T) {
+	for _, test := range []struct {
 		name        string
 		most, total int
 	}{
 		{"no bound", 0, 300},
 		{"the operators' bound", 70, 70},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			y := newZone(t)
-			y.s.Set.MaxMachines = c.most
-			y.board.AddJob(y.now, wire.JobSpec{ID: "job-1", Team: "red", Class: "l", Shape: wire.ShapeGang, Priority: "low", Tasks: 150,
-				Vcpus: 10, Gpus: 2, MemGb: 77, AnyType: true, Spot: true}, y.now, 1, false)
-			y.board.AddJob(y.now, wire.JobSpec{ID: "job-2", Team: "red", Class: "l", Shape: wire.ShapeGang, Priority: "low", Tasks: 150,
-				Vcpus: 10, Gpus: 2, MemGb: 77, AnyType: true}, y.now, 2, false)
+		t.Run(test.name, func(t *testing.T) {
+			f := newFixture(t)
+			f.autoscaler.Settings.MaxMachines = test.most
+			f.scheduler.AddJob(f.now, wire.JobSpec{ID: "job-1", Team: "red", Class: "l", Shape: wire.ShapeGang, Priority: "low", Tasks: 150,
+				Vcpus: 10, Gpus: 2, MemGb: 77, AnyType: true, Spot: true}, f.now, 1, false)
+			f.scheduler.AddJob(f.now, wire.JobSpec{ID: "job-2", Team: "red", Class: "l", Shape: wire.ShapeGang, Priority: "low", Tasks: 150,
+				Vcpus: 10, Gpus: 2, MemGb: 77, AnyType: true}, f.now, 2, false)
 			total := 0
 			for range 5 {
-				y.pass(tuning.DemandEvery)
-				y.durable()
+				f.advance(tuning.ScaleOutInterval)
+				f.commitWrites()
 			}
-			for _, h := range y.s.sorted() {
-				total += h.rec.Number
-				if h.rec.Number < 1 || h.rec.Number > 50 {
-					t.Errorf("a rental of %d", h.rec.Number)
+			for _, request := range f.autoscaler.sortedRequests() {
+				total += request.record.Number
+				if request.record.Number < 1 || request.record.Number > 50 {
+					t.Errorf("a rental of %d", request.record.Number)
 				}
 			}
-			if total != c.total {
-				t.Errorf("%d machines asked for, want %d", total, c.total)
+			if total != test.total {
+				t.Errorf("%d machines asked for, want %d", total, test.total)
 			}
 		})
 	}
@@ -186,72 +186,72 @@
 
 // What a successor makes of rental records: a name without an answer is asked for
 // again, only machines that were used are waited for.
-func TestLoad(t *testing.T) {
-	y := newZone(t)
-	for name, rec := range map[string]RentalRec{
+func TestRecoverRequests(t *testing.T) {
+	f := newFixture(t)
+	for name, record := range map[string]ProvisioningRecord{
 		"b0-3-1": {Type: "g2", Zone: "a", Number: 2, Hosts: []string{"i-1", "i-2"}},
 		"b0-3-2": {Type: "g2", Zone: "a", Number: 1},
 	} {
-		raw, _ := json.Marshal(rec)
-		y.s.Load(y.now, wire.KeyValue{Key: "h/0/" + name, Value: raw, Version: 4})
+		raw, _ := json.Marshal(record)
+		f.autoscaler.LoadRequest(f.now, wire.KeyValue{Key: "h/0/" + name, Value: raw, Version: 4})
 	}
-	y.s.LoadUsed(y.now, []wire.KeyValue{{Key: "u/0/0", Value: json.RawMessage(`{"i-0":"10.1.0.9:9000","i-1":"10.1.0.1:9000"}`), Version: 5}})
-	if m := y.reg.Get("i-1"); m.State != worker.Unheard || m.Address != "10.1.0.1:9000" || m.Cap.GPUs != 2 {
-		t.Errorf("used machine: %+v", m)
+	f.autoscaler.LoadRegistrations(f.now, []wire.KeyValue{{Key: "u/0/0", Value: json.RawMessage(`{"i-0":"10.1.0.9:9000","i-1":"10.1.0.1:9000"}`), Version: 5}})
+	if machine := f.registry.Get("i-1"); machine.State != worker.Unreconciled || machine.Address != "10.1.0.1:9000" || machine.Capacity.GPUs != 2 {
+		t.Errorf("used machine: %+v", machine)
 	}
-	if m := y.reg.Get("i-2"); m.State != worker.Booting || m.Used {
-		t.Errorf("unused machine: %+v", m)
+	if machine := f.registry.Get("i-2"); machine.State != worker.Booting || machine.Registered {
+		t.Errorf("unused machine: %+v", machine)
 	}
-	y.pass(0)
-	if h := y.take(OpRent, Result{Status: 200, Hosts: []string{"i-3"}}); h.Rental.Name != "b0-3-2" {
-		t.Errorf("asked for %s", h.Rental.Name)
+	f.advance(0)
+	if call := f.answerCall(CreateMachines, CloudResult{Status: 200, Hosts: []string{"i-3"}}); call.Request.Name != "b0-3-2" {
+		t.Errorf("asked for %s", call.Request.Name)
 	}
-	if y.reg.Get("i-3") == nil {
+	if f.registry.Get("i-3") == nil {
 		t.Error("the answer's machine is not known")
 	}
 }
 
-// unreached makes a machine one whose reports come, and nothing reaches it.
-func unreached(m *worker.Machine, now time.Time) {
-	m.Proven, m.Wanted, m.Unproven, m.Checked = false, true, now, now.Add(time.Second)
+// makeUnreachable makes a machine one whose reports come, and nothing reaches it.
+func makeUnreachable(machine *worker.Machine, now time.Time) {
+	machine.ReplyConfirmed, machine.Needed, machine.UnconfirmedSince, machine.LastHeartbeat = false, true, now, now.Add(time.Second)
 }
 
 // Which machines go back, and that one with work never does.
-func TestReturns(t *testing.T) {
-	for _, c := range []struct {
+func TestScaleIn(t *testing.T) {
+	for _, test := range []struct {
 		name  string
 		state worker.State
-		set   func(m *worker.Machine, now time.Time)
+		set   func(machine *worker.Machine, now time.Time)
 		wait  time.Duration
 		goes  bool
 	}{
-		{"idle", worker.Up, nil, tuning.IdleReturn + time.Second, true},
-		{"not idle for long", worker.Up, nil, tuning.IdleReturn / 2, false},
-		{"working", worker.Up, func(m *worker.Machine, _ time.Time) { m.Busy = 1 }, time.Hour, false},
-		{"working and faulty", worker.Up, func(m *worker.Machine, _ time.Time) { m.Busy, m.Faulty = 1, true }, time.Hour, false},
-		{"faulty", worker.Up, func(m *worker.Machine, _ time.Time) { m.Faulty = true }, time.Second, true},
-		{"promised", worker.Up, func(m *worker.Machine, _ time.Time) { m.Promised = quota.Room{CPUs: 1} }, time.Minute, false},
-		{"an unanswered command, nothing else", worker.Up, func(m *worker.Machine, _ time.Time) { m.OpenDo = 1 }, time.Second, true},
-		{"no answer reaches it", worker.Up, unreached, 2*10*time.Second + time.Second, true},
-		{"no answer reached it for a lease", worker.Up, unreached, 12 * time.Second, false},
+		{"idle", worker.Up, nil, tuning.MachineIdleTimeout + time.Second, true},
+		{"not idle for long", worker.Up, nil, tuning.MachineIdleTimeout / 2, false},
+		{"working", worker.Up, func(machine *worker.Machine, _ time.Time) { machine.ActiveCopies = 1 }, time.Hour, false},
+		{"working and faulty", worker.Up, func(machine *worker.Machine, _ time.Time) { machine.ActiveCopies, machine.Quarantined = 1, true }, time.Hour, false},
+		{"faulty", worker.Up, func(machine *worker.Machine, _ time.Time) { machine.Quarantined = true }, time.Second, true},
+		{"promised", worker.Up, func(machine *worker.Machine, _ time.Time) { machine.Reserved = quota.Resources{CPUs: 1} }, time.Minute, false},
+		{"an unanswered command, nothing else", worker.Up, func(machine *worker.Machine, _ time.Time) { machine.UnansweredCommands = 1 }, time.Second, true},
+		{"no answer reaches it", worker.Up, makeUnreachable, 2*10*time.Second + time.Second, true},
+		{"no answer reached it for a lease", worker.Up, makeUnreachable, 12 * time.Second, false},
 		{"booting", worker.Booting, nil, 60 * time.Second, false},
 		{"stuck boot", worker.Booting, nil, 80 * time.Second, true},
-		{"silent", worker.Silent, nil, 9 * time.Second, false},
-		{"taken", worker.Silent, func(m *worker.Machine, now time.Time) { m.Recall = now }, 3 * time.Second, true},
-		{"silent past its lease", worker.Lapsed, nil, tuning.LapsedReturn + time.Second, true},
-		{"never heard after a takeover", worker.Unheard, nil, 11 * time.Second, true},
+		{"silent", worker.Unresponsive, nil, 9 * time.Second, false},
+		{"taken", worker.Unresponsive, func(machine *worker.Machine, now time.Time) { machine.PreemptionTime = now }, 3 * time.Second, true},
+		{"silent past its lease", worker.LeaseExpired, nil, tuning.LeaseExpiredTimeout + time.Second, true},
+		{"never heard after a takeover", worker.Unreconciled, nil, 11 * time.Second, true},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			y := newZone(t)
-			m := y.reg.Add(y.now, "i-1", c.state)
-			m.Type, m.Used, m.Recorded, m.IdleFrom = "g2", true, true, y.now
-			if c.set != nil {
-				c.set(m, y.now)
+		t.Run(test.name, func(t *testing.T) {
+			f := newFixture(t)
+			machine := f.registry.Add(f.now, "i-1", test.state)
+			machine.Type, machine.Registered, machine.Recorded, machine.IdleSince = "g2", true, true, f.now
+			if test.set != nil {
+				test.set(machine, f.now)
 			}
-			y.now = y.now.Add(c.wait)
-			y.s.returns(y.now)
-			if got := m.State == worker.Deleting; got != c.goes {
-				t.Errorf("returned: %t, want %t", got, c.goes)
+			f.now = f.now.Add(test.wait)
+			f.autoscaler.scaleIn(f.now)
+			if got := machine.State == worker.Deleting; got != test.goes {
+				t.Errorf("returned: %t, want %t", got, test.goes)
 			}
 		})
 	}
@@ -260,32 +260,32 @@
 // Whatever was begun before a takeover waits for the last machine that was not
 // heard: one that the cloud had taken held a fleet up for 19 s. A few are given up
 // soon; as many as a cut takes away are not.
-func TestFewUnheard(t *testing.T) {
-	for _, c := range []struct {
+func TestFewUnreconciled(t *testing.T) {
+	for _, test := range []struct {
 		name    string
 		fleet   int
 		unheard int
 		after   time.Duration
 		goes    bool
 	}{
-		{"one of a large fleet", 200, 1, tuning.FenceFew + time.Second, true},
-		{"one of a large fleet, at once", 200, 1, tuning.FenceFew / 2, false},
-		{"as many as a cut takes away", 200, 20, tuning.FenceFew + time.Second, false},
-		{"one of a small fleet", 30, 1, tuning.FenceFew + time.Second, false},
+		{"one of a large fleet", 200, 1, tuning.FewUnreconciledTimeout + time.Second, true},
+		{"one of a large fleet, at once", 200, 1, tuning.FewUnreconciledTimeout / 2, false},
+		{"as many as a cut takes away", 200, 20, tuning.FewUnreconciledTimeout + time.Second, false},
+		{"one of a small fleet", 30, 1, tuning.FewUnreconciledTimeout + time.Second, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			y := newZone(t)
-			for i := range c.fleet {
-				m := y.reg.Add(y.now, fmt.Sprintf("i-%03d", i), worker.Up)
-				m.Type, m.Used, m.Recorded, m.Busy = "g2", true, true, 1
-				if i < c.unheard {
-					y.reg.Set(y.now, m, worker.Unheard, "test")
+		t.Run(test.name, func(t *testing.T) {
+			f := newFixture(t)
+			for i := range test.fleet {
+				machine := f.registry.Add(f.now, fmt.Sprintf("i-%03d", i), worker.Up)
+				machine.Type, machine.Registered, machine.Recorded, machine.ActiveCopies = "g2", true, true, 1
+				if i < test.unheard {
+					f.registry.SetState(f.now, machine, worker.Unreconciled, "test")
 				}
 			}
-			y.now = y.now.Add(c.after)
-			y.s.returns(y.now)
-			if got := y.duties.Pending(); got != 0 != c.goes || c.goes && got != c.unheard {
-				t.Errorf("%d returned, want any: %t", got, c.goes)
+			f.now = f.now.Add(test.after)
+			f.autoscaler.scaleIn(f.now)
+			if got := f.intents.Pending(); got != 0 != test.goes || test.goes && got != test.unheard {
+				t.Errorf("%d returned, want any: %t", got, test.goes)
 			}
 		})
 	}
@@ -293,65 +293,65 @@
 
 // A takeover need not wait for the lease of a machine that the cloud no longer
 // lists; one list may be too old to show it.
-func TestUnheardAndNotListed(t *testing.T) {
-	y := newZone(t)
-	raw, _ := json.Marshal(RentalRec{Type: "g2", Zone: "a", Number: 2, Hosts: []string{"i-1", "i-2"}})
-	y.s.Load(y.now, wire.KeyValue{Key: "h/0/b0-3-1", Value: raw, Version: 4})
-	y.s.LoadUsed(y.now, []wire.KeyValue{{Key: "u/0/0", Value: json.RawMessage(`{"i-1":"10.1.0.1:9000","i-2":"10.1.0.2:9000"}`), Version: 5}})
-	y.pass(0)
-	for i := range tuning.UnheardLists {
-		if m := y.reg.Get("i-2"); m.State != worker.Unheard {
-			t.Fatalf("%v after %d lists", m.State, i)
+func TestUnreconciledAndNotListed(t *testing.T) {
+	f := newFixture(t)
+	raw, _ := json.Marshal(ProvisioningRecord{Type: "g2", Zone: "a", Number: 2, Hosts: []string{"i-1", "i-2"}})
+	f.autoscaler.LoadRequest(f.now, wire.KeyValue{Key: "h/0/b0-3-1", Value: raw, Version: 4})
+	f.autoscaler.LoadRegistrations(f.now, []wire.KeyValue{{Key: "u/0/0", Value: json.RawMessage(`{"i-1":"10.1.0.1:9000","i-2":"10.1.0.2:9000"}`), Version: 5}})
+	f.advance(0)
+	for i := range tuning.UnreconciledMissedListsLimit {
+		if machine := f.registry.Get("i-2"); machine.State != worker.Unreconciled {
+			t.Fatalf("%v after %d lists", machine.State, i)
 		}
-		y.take(OpList, Result{Status: 200, Page: wire.MachinePage{Machines: []wire.Machine{{ID: "i-1", Type: "g2", Zone: "a", State: wire.MachineRunning}}}})
-		y.pass(tuning.ListEvery)
+		f.answerCall(ListMachines, CloudResult{Status: 200, Page: wire.MachinePage{Machines: []wire.Machine{{ID: "i-1", Type: "g2", Zone: "a", State: wire.MachineRunning}}}})
+		f.advance(tuning.ListInterval)
 	}
-	if a, b := y.reg.Get("i-1").State, y.reg.Get("i-2").State; a != worker.Unheard || b != worker.Deleting {
-		t.Errorf("listed: %v, not listed: %v", a, b)
+	if listed, unlisted := f.registry.Get("i-1").State, f.registry.Get("i-2").State; listed != worker.Unreconciled || unlisted != worker.Deleting {
+		t.Errorf("listed: %v, not listed: %v", listed, unlisted)
 	}
 }
 
 // A machine that nobody expected is adopted once no rental under way may explain
 // it, and not because a list lags behind a deletion.
-func TestFound(t *testing.T) {
-	y := newZone(t)
-	list := Result{Status: 200, Page: wire.MachinePage{Machines: []wire.Machine{{ID: "i-9", Type: "g2", Zone: "a", State: wire.MachineRunning}}}}
-	for i := range tuning.UnexpectedLists + 1 {
-		y.pass(tuning.ListEvery + time.Second)
-		if known := y.reg.Get("i-9") != nil; known != (i >= tuning.UnexpectedLists) {
+func TestAdoptUnexpected(t *testing.T) {
+	f := newFixture(t)
+	list := CloudResult{Status: 200, Page: wire.MachinePage{Machines: []wire.Machine{{ID: "i-9", Type: "g2", Zone: "a", State: wire.MachineRunning}}}}
+	for i := range tuning.AdoptionLists + 1 {
+		f.advance(tuning.ListInterval + time.Second)
+		if known := f.registry.Get("i-9") != nil; known != (i >= tuning.AdoptionLists) {
 			t.Fatalf("after %d lists: known %t", i, known)
 		}
-		y.take(OpList, list)
+		f.answerCall(ListMachines, list)
 	}
-	m := y.reg.Get("i-9")
-	if m == nil || !m.Recorded || len(y.kv) == 0 || y.kv[len(y.kv)-1].Transaction.Writes == nil {
-		t.Fatalf("not adopted: %+v", m)
+	machine := f.registry.Get("i-9")
+	if machine == nil || !machine.Recorded || len(f.storeCalls) == 0 || f.storeCalls[len(f.storeCalls)-1].Transaction.Writes == nil {
+		t.Fatalf("not adopted: %+v", machine)
 	}
 }
 
 // A rental request's record names all its machines: it asks for no more than fit the state
 // service's limits, present and to come.
-func TestRentalFitsLimits(t *testing.T) {
-	for _, c := range []struct {
+func TestRequestFitsLimits(t *testing.T) {
+	for _, test := range []struct {
 		name    string
 		valueKB float64
 		most    int
 	}{
-		{"as now", 4, tuning.RentalPage},
-		{"half of that", 2, tuning.RentalPage},
+		{"as now", 4, tuning.MaxMachinesPerRequest},
+		{"half of that", 2, tuning.MaxMachinesPerRequest},
 		{"half a KiB", 0.5, 17},
 		{"next to nothing", 0.1, 1},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			y := newZone(t)
-			y.s.facts.State = config.StateLimits{ValueKB: 4, Next: config.UpcomingLimits{"value_kb": c.valueKB}}
-			n := y.s.rentalMost()
-			rec := RentalRec{Type: "g2", Zone: "a", Spot: true, Number: n}
+		t.Run(test.name, func(t *testing.T) {
+			f := newFixture(t)
+			f.autoscaler.config.State = config.StateLimits{ValueKB: 4, Next: config.UpcomingLimits{"value_kb": test.valueKB}}
+			n := f.autoscaler.maxRequestSize()
+			record := ProvisioningRecord{Type: "g2", Zone: "a", Spot: true, Number: n}
 			for i := range n {
-				rec.Hosts = append(rec.Hosts, fmt.Sprintf("i-%06d", i))
+				record.Hosts = append(record.Hosts, fmt.Sprintf("i-%06d", i))
 			}
-			raw, _ := json.Marshal(rec)
-			if n != c.most || n > 1 && float64(len(raw)) > c.valueKB*1024 {
+			raw, _ := json.Marshal(record)
+			if n != test.most || n > 1 && float64(len(raw)) > test.valueKB*1024 {
 				t.Errorf("%d machines, %d bytes", n, len(raw))
 			}
 		})
@@ -362,33 +362,33 @@
 // less often.
 func TestListPages(t *testing.T) {
 	const pages, rps = 8, 2
-	y := newZone(t)
-	y.s.facts.Cloud.RPS = rps
-	y.s.limit = rate.NewLimiter(rps*tuning.CloudShare, 1)
+	f := newFixture(t)
+	f.autoscaler.config.Cloud.RPS = rps
+	f.autoscaler.rateLimiter = rate.NewLimiter(rps*tuning.CloudRateShare, 1)
 	var asked []time.Time
-	began := y.now
+	start := f.now
 	for len(asked) < pages+1 {
-		y.pass(100 * time.Millisecond)
-		if y.now.Sub(began) > time.Minute {
+		f.advance(100 * time.Millisecond)
+		if f.now.Sub(start) > time.Minute {
 			t.Fatalf("%d pages in a minute", len(asked))
 		}
-		for y.asked(OpMachineTypes) {
-			y.take(OpMachineTypes, Result{Status: 200})
+		for f.hasCall(ListMachineTypes) {
+			f.answerCall(ListMachineTypes, CloudResult{Status: 200})
 		}
-		if !y.asked(OpList) {
+		if !f.hasCall(ListMachines) {
 			continue
 		}
 		n := len(asked) % pages
-		asked = append(asked, y.now)
+		asked = append(asked, f.now)
 		page := wire.MachinePage{Machines: []wire.Machine{{ID: fmt.Sprintf("i-%d", n), State: wire.MachineRunning}}, More: n < pages-1}
-		if call := y.take(OpList, Result{Status: 200, Page: page}); n > 0 && call.After != fmt.Sprintf("i-%d", n-1) {
+		if call := f.answerCall(ListMachines, CloudResult{Status: 200, Page: page}); n > 0 && call.After != fmt.Sprintf("i-%d", n-1) {
 			t.Errorf("page %d begins after %q", n, call.After)
 		}
 	}
 	if took := asked[pages-1].Sub(asked[0]); took < (pages-2)*time.Second/rps {
 		t.Errorf("%d pages within %v", pages, took)
 	}
-	if pause, share := asked[pages].Sub(asked[pages-1]), float64(pages)/(rps*tuning.ListShare); pause.Seconds() < share {
+	if pause, share := asked[pages].Sub(asked[pages-1]), float64(pages)/(rps*tuning.ListRateShare); pause.Seconds() < share {
 		t.Errorf("the next list began after %v, its share of the rate allows one in %v s", pause, share)
 	}
 }
--- a/internal/fleet/list.go
+++ b/internal/fleet/list.go
@@ -11,114 +11,114 @@
 )
 
 // adopt records a machine that no rental explains: a late rental of some tenure.
-func (s *Slice) adopt(now time.Time, m *worker.Machine) {
-	if s.unsettled() || s.foreign(m.Host, m.Born) {
+func (a *Autoscaler) adopt(now time.Time, machine *worker.Machine) {
+	if a.hasPendingRequests() || a.ownedByOtherShard(machine.Host, machine.CreatedAt) {
 		return // one of the rentals under way may explain it
 	}
-	if m.Type != "" && s.askAgain(now, kindOf(m.Type, m.Zone, m.Spot), math.MaxInt) != nil {
+	if machine.Type != "" && a.retryRefused(now, capacityKeyOf(machine.Type, machine.Zone, machine.Spot), math.MaxInt) != nil {
 		return // a refused one may have been granted late
 	}
-	if s.by[m.Host] != nil {
-		m.Recorded = true
+	if a.requestByHost[machine.Host] != nil {
+		machine.Recorded = true
 		return
 	}
-	s.log.Info("adopting a machine nobody expected", "host", m.Host)
-	s.size(m)
-	h := &rental{name: "found-" + m.Host, rec: RentalRec{
-		Type: m.Type, Zone: m.Zone, Spot: m.Spot, Number: 1, Hosts: []string{m.Host}}}
-	s.file(h, 0)
-	s.set(h, rentalGranted, "found")
-	s.rentals[h.name], s.by[m.Host] = h, h
-	h.file.Set(h.rec)
-	m.Recorded = true
+	a.log.Info("adopting a machine nobody expected", "host", machine.Host)
+	a.setCapacity(machine)
+	request := &provisioningRequest{name: "found-" + machine.Host, record: ProvisioningRecord{
+		Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot, Number: 1, Hosts: []string{machine.Host}}}
+	a.openWriter(request, 0)
+	a.setRequestState(request, provisioningGranted, "found")
+	a.requests[request.name], a.requestByHost[machine.Host] = request, request
+	request.writer.Set(request.record)
+	machine.Recorded = true
 }
 
-// listing is the reading of the cloud's list, a page at a time.
-type listing struct {
-	due   time.Time // when the next page, or a new list, is asked for
-	busy  bool      // a page is under way
-	after string    // the last machine of the pages read so far; "": a new list begins
-	hosts []wire.Machine
-	pages int
+// listProgress is the reading of the cloud's list, a page at a time.
+type listProgress struct {
+	nextAt   time.Time // when the next page, or a new list, is asked for
+	inFlight bool      // a page is under way
+	after    string    // the last machine of the pages read so far; "": a new list begins
+	hosts    []wire.Machine
+	pages    int
 }
 
-// list asks for the next page when it is due. Each page takes its part of the cloud's
+// continueList asks for the next page when it is due. Each page takes its part of the cloud's
 // rate: a large fleet's list has many.
-func (s *Slice) list(now time.Time) {
-	l := &s.listing
-	if l.busy || now.Before(l.due) || !s.may(now) {
+func (a *Autoscaler) continueList(now time.Time) {
+	progress := &a.listProgress
+	if progress.inFlight || now.Before(progress.nextAt) || !a.allowCall(now) {
 		return
 	}
-	l.busy = true
-	s.call(Call{Op: OpList, After: l.after}, func(now time.Time, r Result) {
-		l.busy = false
-		if r.Status != 200 {
-			*l = listing{due: s.pause(now)}
+	progress.inFlight = true
+	a.callCloud(CloudCall{Operation: ListMachines, After: progress.after}, func(now time.Time, result CloudResult) {
+		progress.inFlight = false
+		if result.Status != 200 {
+			*progress = listProgress{nextAt: a.nextRetry(now)}
 			return
 		}
-		l.pages++
-		l.hosts = append(l.hosts, r.Page.Machines...)
-		if n := len(r.Page.Machines); r.Page.More && n > 0 {
-			l.after = r.Page.Machines[n-1].ID
-			s.list(now)
+		progress.pages++
+		progress.hosts = append(progress.hosts, result.Page.Machines...)
+		if n := len(result.Page.Machines); result.Page.More && n > 0 {
+			progress.after = result.Page.Machines[n-1].ID
+			a.continueList(now)
 			return
 		}
-		hosts := l.hosts
-		*l = listing{due: now.Add(s.listPause(l.pages))}
-		s.compare(now, hosts)
+		hosts := progress.hosts
+		*progress = listProgress{nextAt: now.Add(a.listInterval(progress.pages))}
+		a.reconcileList(now, hosts)
 	})
 }
 
-// listPause is the time from one list of so many pages to the next: lists take no more
+// listInterval is the time from one list of so many pages to the next: lists take no more
 // than their share of the cloud's rate.
-func (s *Slice) listPause(pages int) time.Duration {
-	return max(tuning.ListEvery, config.Seconds(float64(pages)/(s.facts.Cloud.RPS*tuning.ListShare)))
+func (a *Autoscaler) listInterval(pages int) time.Duration {
+	return max(tuning.ListInterval, config.Seconds(float64(pages)/(a.config.Cloud.RPS*tuning.ListRateShare)))
 }
 
-// compare holds the cloud's list, which lags, against what is known.
-func (s *Slice) compare(now time.Time, hosts []wire.Machine) {
-	in := map[string]bool{}
-	for _, h := range hosts {
-		in[h.ID] = true
-		s.listed[h.ID] = true
-		m := s.reg.Get(h.ID)
-		if m == nil {
+// reconcileList holds the cloud's list, which lags, against what is known.
+func (a *Autoscaler) reconcileList(now time.Time, hosts []wire.Machine) {
+	present := map[string]bool{}
+	for _, host := range hosts {
+		present[host.ID] = true
+		a.listed[host.ID] = true
+		machine := a.registry.Get(host.ID)
+		if machine == nil {
 			// deleted machines stay listed for a while: only one that is
 			// still there well after the lag was rented by nobody we know
-			if s.block != 0 || s.unsettled() || s.foreign(h.ID, now.Add(-config.Seconds(h.AgeS))) || s.seenTooRarely(h.ID) {
+			if a.shard != 0 || a.hasPendingRequests() || a.ownedByOtherShard(host.ID, now.Add(-config.Seconds(host.AgeS))) || a.mayBeDeleted(host.ID) {
 				continue
 			}
-			m = s.addMachine(now, h.ID, worker.Booting, h.Type, h.Zone, h.Spot)
-			m.Born = now.Add(-config.Seconds(h.AgeS))
-			s.adopt(now, m)
+			machine = a.addMachine(now, host.ID, worker.Booting, host.Type, host.Zone, host.Spot)
+			machine.CreatedAt = now.Add(-config.Seconds(host.AgeS))
+			a.adopt(now, machine)
 		}
-		m.Address = h.Address
-		if h.State == wire.MachineFailed {
-			s.failed(now, m)
+		machine.Address = host.Address
+		if host.State == wire.MachineFailed {
+			a.handleFailedMachine(now, machine)
 		}
 	}
-	for _, m := range s.reg.All() {
-		if m.State == worker.Unheard {
+	for _, machine := range a.registry.All() {
+		if machine.State == worker.Unreconciled {
 			// it was up under an earlier tenure, so it should be listed
-			s.listed[m.Host] = true
+			a.listed[machine.Host] = true
 		}
 	}
-	for host := range s.listed {
-		if in[host] {
-			delete(s.missing, host)
+	for host := range a.listed {
+		if present[host] {
+			delete(a.missedLists, host)
 			continue
 		}
-		if s.reg.Get(host) == nil {
-			delete(s.listed, host)
+		if a.registry.Get(host) == nil {
+			delete(a.listed, host)
 			continue
 		}
-		s.missing[host]++
+		a.missedLists[host]++
 	}
 }
 
-// seenTooRarely tells whether a listed machine that is not known may still be
+// mayBeDeleted tells whether a listed machine that is not known may still be
 // one that was just deleted, as lists lag.
-func (s *Slice) seenTooRarely(host string) bool {
-	s.missing["?"+host]++
-	return s.missing["?"+host] < tuning.UnexpectedLists
+func (a *Autoscaler) mayBeDeleted(host string) bool {
+	a.missedLists["?"+host]++
+	return a.missedLists["?"+host] < tuning.AdoptionLists
 }
--- a/internal/fleet/rental.go
+++ b/internal/fleet/rental.go
@@ -19,9 +19,9 @@
 	"juniperchute/internal/worker"
 )
 
-// RentalRec is a rental request's record, durable before the cloud is asked and until the
+// ProvisioningRecord is a rental request's record, durable before the cloud is asked and until the
 // last of its machines is gone.
-type RentalRec struct {
+type ProvisioningRecord struct {
 	Type   string `json:"Build"`
 	Zone   string `json:"Yard"`
 	Spot   bool   `json:"Loaners"`
@@ -29,383 +29,387 @@
 	Hosts  []string `json:",omitempty"`
 }
 
-type rentalState int
+type provisioningState int
 
 const (
-	rentalRecording rentalState = iota // its name is being made durable
-	rentalAsking                       // the cloud is being asked, as often as it takes
-	rentalRefused                      // the cloud had none; a late repeat of the call may still be granted
-	rentalGranted                      // its machines are known
-	rentalEmpty                        // nothing left of it; its record goes
+	provisioningRecording provisioningState = iota // its name is being made durable
+	provisioningRequested                          // the cloud is being asked, as often as it takes
+	provisioningRefused                            // the cloud had none; a late repeat of the call may still be granted
+	provisioningGranted                            // its machines are known
+	provisioningClosed                             // nothing left of it; its record goes
 )
 
-func (s rentalState) String() string {
+func (s provisioningState) String() string {
 	return [...]string{"recording", "asking", "refused", "granted", "empty"}[s]
 }
 
-type rental struct {
-	name  string
-	rec   RentalRec
-	state rentalState
-	file  *store.DesiredValue
-	busy  bool
-	retry time.Time
-	kept  bool // its record names its machines durably
-	// action is the intended rental; the record is its entry.
-	action *intentlog.Intent
-	asked  time.Time     // when the cloud last answered
-	gone   []goneMachine // whose removal from the record is not durable yet
+type provisioningRequest struct {
+	name          string
+	record        ProvisioningRecord
+	state         provisioningState
+	writer        *store.DesiredValue
+	inFlight      bool
+	retryAt       time.Time
+	recordDurable bool // its record names its machines durably
+	// intent is the intended rental; the record is its entry.
+	intent          *intentlog.Intent
+	answeredAt      time.Time        // when the cloud last answered
+	deletedMachines []deletedMachine // whose removal from the record is not durable yet
 }
 
-// goneMachine is a machine that is gone and the version of the rental's record from which
+// deletedMachine is a machine that is gone and the version of the rental's record from which
 // on it is not named.
-type goneMachine struct {
+type deletedMachine struct {
 	host    string
 	version int
 }
 
-// coming tells whether machines are to be expected of a rental.
-func (h *rental) coming() bool {
-	return h.state == rentalRecording || h.state == rentalAsking
+// pending tells whether machines are to be expected of a rental.
+func (r *provisioningRequest) pending() bool {
+	return r.state == provisioningRecording || r.state == provisioningRequested
 }
 
-func (s *Slice) set(h *rental, st rentalState, why string) {
-	if h.state != st {
-		s.log.Debug("rental", "name", h.name, "from", h.state.String(), "to", st.String(), "why", why)
+func (a *Autoscaler) setRequestState(request *provisioningRequest, state provisioningState, reason string) {
+	if request.state != state {
+		a.log.Debug("rental", "name", request.name, "from", request.state.String(), "to", state.String(), "why", reason)
 	}
-	h.state = st
+	request.state = state
 }
 
-func (s *Slice) file(h *rental, version uint64) {
-	h.file = store.NewDesiredValue(Rentals(s.block)+h.name, version, store.PriorityTerm, s.tenure, s.state, func(now time.Time, ver int) {
-		s.forgetGone(h, ver)
-		switch h.state {
-		case rentalRecording:
-			s.duties.MarkRecorded(now, h.action)
-			s.set(h, rentalAsking, "recorded")
-		case rentalGranted:
-			h.kept = true
-			for _, host := range h.rec.Hosts {
-				if m := s.reg.Get(host); m != nil && m.SeenSession > 0 {
-					s.enter(now, m)
+func (a *Autoscaler) openWriter(request *provisioningRequest, version uint64) {
+	request.writer = store.NewDesiredValue(ShardProvisioningPrefix(a.shard)+request.name, version, store.PriorityTerm, a.termCompare, a.store, func(now time.Time, version int) {
+		a.forgetDeleted(request, version)
+		switch request.state {
+		case provisioningRecording:
+			a.intents.MarkRecorded(now, request.intent)
+			a.setRequestState(request, provisioningRequested, "recorded")
+		case provisioningGranted:
+			request.recordDurable = true
+			for _, host := range request.record.Hosts {
+				if machine := a.registry.Get(host); machine != nil && machine.SeenIncarnation > 0 {
+					a.register(now, machine)
 				}
 			}
-		case rentalEmpty:
-			if h.file.Durable() {
-				delete(s.rentals, h.name)
+		case provisioningClosed:
+			if request.writer.Durable() {
+				delete(a.requests, request.name)
 			}
 		}
-	}, s.lost)
-	h.file.OnTooLarge = func(now time.Time) bool { return s.divide(now, h) }
+	}, a.onTermLost)
+	request.writer.OnTooLarge = func(now time.Time) bool { return a.splitRecord(now, request) }
 }
 
-// divide gives half of a rental's machines a record of their own: the service has refused
+// splitRecord gives half of a rental's machines a record of their own: the service has refused
 // one that names them all, by a limit that nobody announced. Until its record is durable
 // no machine is used, so one that a crash leaves out of both is adopted as unexpected.
-func (s *Slice) divide(now time.Time, h *rental) bool {
-	n := len(h.rec.Hosts)
-	if h.state != rentalGranted || n < 2 {
+func (a *Autoscaler) splitRecord(now time.Time, request *provisioningRequest) bool {
+	count := len(request.record.Hosts)
+	if request.state != provisioningGranted || count < 2 {
 		return false
 	}
-	s.most = min(s.most, n/2)
-	s.log.Warn("the state service has refused a rental's record for its size", "name", h.name, "machines", n)
-	s.seq++
-	half := &rental{name: s.rentalName(), rec: h.rec}
-	half.rec.Hosts, half.rec.Number = h.rec.Hosts[n/2:], n-n/2
-	h.rec.Hosts = h.rec.Hosts[:n/2]
-	s.file(half, 0)
-	s.set(half, rentalGranted, "divided")
-	s.rentals[half.name] = half
-	for _, host := range half.rec.Hosts {
-		s.by[host] = half
+	a.maxMachinesPerRequest = min(a.maxMachinesPerRequest, count/2)
+	a.log.Warn("the state service has refused a rental's record for its size", "name", request.name, "machines", count)
+	a.sequence++
+	half := &provisioningRequest{name: a.requestName(), record: request.record}
+	half.record.Hosts, half.record.Number = request.record.Hosts[count/2:], count-count/2
+	request.record.Hosts = request.record.Hosts[:count/2]
+	a.openWriter(half, 0)
+	a.setRequestState(half, provisioningGranted, "divided")
+	a.requests[half.name] = half
+	for _, host := range half.record.Hosts {
+		a.requestByHost[host] = half
 	}
-	for _, r := range []*rental{h, half} {
-		r.file.Set(r.rec)
-		r.file.Tick(now)
+	for _, part := range []*provisioningRequest{request, half} {
+		part.writer.Set(part.record)
+		part.writer.Tick(now)
 	}
 	return true
 }
 
-// forgetGone forgets the actions that ended machines which a durable version of the
+// forgetDeleted forgets the actions that ended machines which a durable version of the
 // rental's record does not name any more.
-func (s *Slice) forgetGone(h *rental, version int) {
-	kept := h.gone[:0]
-	for _, g := range h.gone {
-		if g.version > version {
-			kept = append(kept, g)
+func (a *Autoscaler) forgetDeleted(request *provisioningRequest, version int) {
+	waiting := request.deletedMachines[:0]
+	for _, deleted := range request.deletedMachines {
+		if deleted.version > version {
+			waiting = append(waiting, deleted)
 			continue
 		}
-		s.forget(g.host)
+		a.forgetTermination(deleted.host)
 	}
-	h.gone = kept
-	if h.action != nil {
-		s.duties.Forget(h.action)
+	request.deletedMachines = waiting
+	if request.intent != nil {
+		a.intents.Forget(request.intent)
 	}
 }
 
-// forget forgets the settled action that ended a machine.
-func (s *Slice) forget(host string) {
-	for _, d := range []intentlog.Operation{intentlog.Deprovision, intentlog.Reclaim} {
-		if a := s.duties.Get(d, host); a != nil {
-			s.duties.Forget(a)
+// forgetTermination forgets the settled action that ended a machine.
+func (a *Autoscaler) forgetTermination(host string) {
+	for _, operation := range []intentlog.Operation{intentlog.Deprovision, intentlog.Reclaim} {
+		if intent := a.intents.Get(operation, host); intent != nil {
+			a.intents.Forget(intent)
 		}
 	}
 }
 
-// tokenOf is the token of the tenure that made a rental's name, 0 if it is of another form.
-func tokenOf(name string) uint64 {
-	var block, number int
+// tokenOfRequest is the token of the tenure that made a rental's name, 0 if it is of another form.
+func tokenOfRequest(name string) uint64 {
+	var shard, number int
 	var token uint64
-	if _, err := fmt.Sscanf(name, "b%d-%d-%d", &block, &token, &number); err != nil {
+	if _, err := fmt.Sscanf(name, "b%d-%d-%d", &shard, &token, &number); err != nil {
 		return 0
 	}
 	return token
 }
 
-func (s *Slice) rentalName() string { return fmt.Sprintf("b%d-%d-%d", s.block, s.token, s.seq) }
+func (a *Autoscaler) requestName() string {
+	return fmt.Sprintf("b%d-%d-%d", a.shard, a.token, a.sequence)
+}
 
-// Load takes over a rental record of an earlier tenure.
-func (s *Slice) Load(now time.Time, it wire.KeyValue) {
-	name := strings.TrimPrefix(it.Key, Rentals(s.block))
-	var rec RentalRec
-	if err := json.Unmarshal(it.Value, &rec); err != nil {
-		s.log.Error("rental record cannot be read", "key", it.Key, "error", err)
-		s.unread++
+// LoadRequest takes over a rental record of an earlier tenure.
+func (a *Autoscaler) LoadRequest(now time.Time, item wire.KeyValue) {
+	name := strings.TrimPrefix(item.Key, ShardProvisioningPrefix(a.shard))
+	var record ProvisioningRecord
+	if err := json.Unmarshal(item.Value, &record); err != nil {
+		a.log.Error("rental record cannot be read", "key", item.Key, "error", err)
+		a.unreadableRecords++
 		return
 	}
-	h := &rental{name: name, rec: rec}
-	s.file(h, it.Version)
-	s.rentals[name] = h
-	if len(rec.Hosts) == 0 {
+	request := &provisioningRequest{name: name, record: record}
+	a.openWriter(request, item.Version)
+	a.requests[name] = request
+	if len(record.Hosts) == 0 {
 		// The earlier holder did not get to write the answer down. Asking
 		// again by the same name tells it, or rents the machines now.
-		h.action = s.duties.RecoverElsewhere(now, intentlog.Provision, name, tokenOf(name))
-		s.set(h, rentalAsking, "taken over without an answer")
+		request.intent = a.intents.RecoverElsewhere(now, intentlog.Provision, name, tokenOfRequest(name))
+		a.setRequestState(request, provisioningRequested, "taken over without an answer")
 		return
 	}
-	s.set(h, rentalGranted, "taken over")
-	h.kept = true
-	for _, host := range rec.Hosts {
-		s.by[host] = h
-		s.addMachine(now, host, worker.Booting, rec.Type, rec.Zone, rec.Spot).Recorded = true
+	a.setRequestState(request, provisioningGranted, "taken over")
+	request.recordDurable = true
+	for _, host := range record.Hosts {
+		a.requestByHost[host] = request
+		a.addMachine(now, host, worker.Booting, record.Type, record.Zone, record.Spot).Recorded = true
 	}
 }
 
-// Named tells of a rental record whose block's it is and which machines it names,
+// RecordedHosts tells of a rental record whose block's it is and which machines it names,
 // none while it waits for them.
-func Named(it wire.KeyValue) (block int, hosts []string) {
-	num, _, _ := strings.Cut(strings.TrimPrefix(it.Key, UnderRentals), "/")
-	var rec RentalRec
-	block, err := strconv.Atoi(num)
-	if err != nil || json.Unmarshal(it.Value, &rec) != nil {
+func RecordedHosts(item wire.KeyValue) (shard int, hosts []string) {
+	shardText, _, _ := strings.Cut(strings.TrimPrefix(item.Key, ProvisioningPrefix), "/")
+	var record ProvisioningRecord
+	shard, err := strconv.Atoi(shardText)
+	if err != nil || json.Unmarshal(item.Value, &record) != nil {
 		return 0, nil
 	}
-	return block, rec.Hosts
+	return shard, record.Hosts
 }
 
-// Unanswered tells whether a rental record is one of a block's that names no machines yet,
+// UnansweredRequest tells whether a rental record is one of a block's that names no machines yet,
 // and under which token it was entered.
-func Unanswered(it wire.KeyValue, block int) (name string, token uint64, open bool) {
-	name, ok := strings.CutPrefix(it.Key, Rentals(block))
+func UnansweredRequest(item wire.KeyValue, shard int) (name string, token uint64, pending bool) {
+	name, ok := strings.CutPrefix(item.Key, ShardProvisioningPrefix(shard))
 	if !ok {
 		return "", 0, false
 	}
-	var rec RentalRec
-	if err := json.Unmarshal(it.Value, &rec); err != nil {
+	var record ProvisioningRecord
+	if err := json.Unmarshal(item.Value, &record); err != nil {
 		return "", 0, false
 	}
-	return name, tokenOf(name), len(rec.Hosts) == 0
+	return name, tokenOfRequest(name), len(record.Hosts) == 0
 }
 
-// unsettled tells whether some rental's machines are not known yet.
-func (s *Slice) unsettled() bool {
-	return slices.ContainsFunc(s.sorted(), (*rental).coming)
+// hasPendingRequests tells whether some rental's machines are not known yet.
+func (a *Autoscaler) hasPendingRequests() bool {
+	return slices.ContainsFunc(a.sortedRequests(), (*provisioningRequest).pending)
 }
 
-// ask asks the cloud for a rental's machines. The name stays the same until the
+// sendRequest asks the cloud for a rental's machines. The name stays the same until the
 // answer is certain: repeating it rents nothing twice.
-func (s *Slice) ask(now time.Time, h *rental) {
-	if !s.duties.StartCall(now, h.action) {
+func (a *Autoscaler) sendRequest(now time.Time, request *provisioningRequest) {
+	if !a.intents.StartCall(now, request.intent) {
 		return
 	}
-	h.busy = true
-	s.call(Call{Op: OpRent, Rental: wire.ProvisionRequest{Name: h.name, Type: h.rec.Type, Zone: h.rec.Zone, Spot: h.rec.Spot, Count: h.rec.Number}},
-		func(now time.Time, r Result) {
-			h.busy, h.asked = false, now
-			s.duties.FinishCall(now, h.action, r.outcome())
-			kind := h.kind()
+	request.inFlight = true
+	a.callCloud(CloudCall{Operation: CreateMachines, Request: wire.ProvisionRequest{Name: request.name, Type: request.record.Type, Zone: request.record.Zone, Spot: request.record.Spot, Count: request.record.Number}},
+		func(now time.Time, result CloudResult) {
+			request.inFlight, request.answeredAt = false, now
+			a.intents.FinishCall(now, request.intent, result.outcome())
+			capacityKey := request.capacityKey()
 			switch {
-			case r.Status == 200:
-				s.granted(now, h, r.Hosts)
-				if len(r.Hosts) < h.rec.Number {
-					s.noneUntil[kind] = now.Add(tuning.CapacityRetry)
+			case result.Status == 200:
+				a.handleGrant(now, request, result.Hosts)
+				if len(result.Hosts) < request.record.Number {
+					a.noCapacityUntil[capacityKey] = now.Add(tuning.NoCapacityPause)
 				}
-			case r.Status == 503 && r.Error == NoCapacity:
-				s.noneUntil[kind] = now.Add(tuning.CapacityRetry)
-				s.refused(now, h)
-			case r.Status == 400:
-				s.log.Error("rental refused as malformed", "name", h.name, "type", h.rec.Type)
-				s.noneUntil[kind] = now.Add(tuning.CapacityRetry)
-				s.drop(now, h, "malformed")
+			case result.Status == 503 && result.Error == NoCapacity:
+				a.noCapacityUntil[capacityKey] = now.Add(tuning.NoCapacityPause)
+				a.handleRefusal(now, request)
+			case result.Status == 400:
+				a.log.Error("rental refused as malformed", "name", request.name, "type", request.record.Type)
+				a.noCapacityUntil[capacityKey] = now.Add(tuning.NoCapacityPause)
+				a.closeRequest(now, request, "malformed")
 			default:
-				h.retry = s.pause(now)
+				request.retryAt = a.nextRetry(now)
 			}
 		})
 }
 
-// refused ends a rental of which the cloud had none. While duties are logged its name is
+// handleRefusal ends a rental of which the cloud had none. While duties are logged its name is
 // kept for as long as a repeat of the call may come late and be granted: the next rental
 // of the kind asks by the same name, and so does whoever finds machines that no record
 // explains.
-func (s *Slice) refused(now time.Time, h *rental) {
-	if s.duties.Durable() {
-		s.set(h, rentalRefused, "no capacity")
+func (a *Autoscaler) handleRefusal(now time.Time, request *provisioningRequest) {
+	if a.intents.Durable() {
+		a.setRequestState(request, provisioningRefused, "no capacity")
 		return
 	}
-	s.drop(now, h, "no capacity")
+	a.closeRequest(now, request, "no capacity")
 }
 
-// dropRefused ends a refused rental of which no call can come late any more.
-func (s *Slice) dropRefused(now time.Time, h *rental) {
-	if h.state == rentalRefused && now.Sub(h.asked) > tuning.LateCall {
-		s.drop(now, h, "no capacity")
+// closeRefused ends a refused rental of which no call can come late any more.
+func (a *Autoscaler) closeRefused(now time.Time, request *provisioningRequest) {
+	if request.state == provisioningRefused && now.Sub(request.answeredAt) > tuning.LateCallWindow {
+		a.closeRequest(now, request, "no capacity")
 	}
 }
 
-// askAgain asks for a refused rental of a kind once more, and tells whether there is one
+// retryRefused asks for a refused rental of a kind once more, and tells whether there is one
 // that the cloud has not just answered.
-func (s *Slice) askAgain(now time.Time, kind string, most int) *rental {
-	for _, h := range s.sorted() {
-		if h.state == rentalRefused && h.kind() == kind && h.rec.Number <= most && now.Sub(h.asked) >= tuning.CapacityRetry {
-			s.set(h, rentalAsking, "asked for again")
-			return h
+func (a *Autoscaler) retryRefused(now time.Time, capacityKey string, maxMachines int) *provisioningRequest {
+	for _, request := range a.sortedRequests() {
+		if request.state == provisioningRefused && request.capacityKey() == capacityKey && request.record.Number <= maxMachines && now.Sub(request.answeredAt) >= tuning.NoCapacityPause {
+			a.setRequestState(request, provisioningRequested, "asked for again")
+			return request
 		}
 	}
 	return nil
 }
 
-// kind is the kind of machine that a rental is for.
-func (h *rental) kind() string { return kindOf(h.rec.Type, h.rec.Zone, h.rec.Spot) }
+// capacityKey is the kind of machine that a rental is for.
+func (r *provisioningRequest) capacityKey() string {
+	return capacityKeyOf(r.record.Type, r.record.Zone, r.record.Spot)
+}
 
-func (s *Slice) drop(now time.Time, h *rental, why string) {
-	if h.action != nil {
-		s.duties.Complete(now, h.action, why)
+func (a *Autoscaler) closeRequest(now time.Time, request *provisioningRequest, reason string) {
+	if request.intent != nil {
+		a.intents.Complete(now, request.intent, reason)
 	}
-	s.set(h, rentalEmpty, why)
-	h.file.Set(nil)
-	h.file.Tick(now)
+	a.setRequestState(request, provisioningClosed, reason)
+	request.writer.Set(nil)
+	request.writer.Tick(now)
 }
 
-func (s *Slice) granted(now time.Time, h *rental, hosts []string) {
-	s.log.Info("machines rented", "name", h.name, "type", h.rec.Type, "zone", h.rec.Zone, "spot", h.rec.Spot, "asked", h.rec.Number, "got", len(hosts))
+func (a *Autoscaler) handleGrant(now time.Time, request *provisioningRequest, hosts []string) {
+	a.log.Info("machines rented", "name", request.name, "type", request.record.Type, "zone", request.record.Zone, "spot", request.record.Spot, "asked", request.record.Number, "got", len(hosts))
 	// some may have been adopted already, or deleted by an earlier tenure's entry
-	hosts = slices.DeleteFunc(slices.Clone(hosts), func(host string) bool { return s.by[host] != nil || s.reg.IsGone(host) })
+	hosts = slices.DeleteFunc(slices.Clone(hosts), func(host string) bool { return a.requestByHost[host] != nil || a.registry.WasDeleted(host) })
 	if len(hosts) == 0 {
-		s.drop(now, h, "no machines")
+		a.closeRequest(now, request, "no machines")
 		return
 	}
-	s.set(h, rentalGranted, "answered")
-	h.rec.Hosts = hosts
-	h.file.Set(h.rec)
+	a.setRequestState(request, provisioningGranted, "answered")
+	request.record.Hosts = hosts
+	request.writer.Set(request.record)
 	for _, host := range hosts {
-		s.by[host] = h
-		s.addMachine(now, host, worker.Booting, h.rec.Type, h.rec.Zone, h.rec.Spot).Recorded = true
+		a.requestByHost[host] = request
+		a.addMachine(now, host, worker.Booting, request.record.Type, request.record.Zone, request.record.Spot).Recorded = true
 	}
-	h.file.Tick(now)
+	request.writer.Tick(now)
 }
 
-func kindOf(build, zone string, spot bool) string {
-	return fmt.Sprintf("%s/%s/%t", build, zone, spot)
+func capacityKeyOf(machineType, zone string, spot bool) string {
+	return fmt.Sprintf("%s/%s/%t", machineType, zone, spot)
 }
 
-// demand compares the waiting work with the machines and rents the rest.
-func (s *Slice) demand(now time.Time) {
+// scaleOut compares the waiting work with the machines and rents the rest.
+func (a *Autoscaler) scaleOut(now time.Time) {
 	var offers []placement.Offer
 	// as many as can be asked for by the time of the next look
-	page := s.rentalMost()
-	left := page * max(1, int(s.facts.Cloud.RPS*tuning.CloudShare*tuning.RentalShare*tuning.DemandEvery.Seconds()))
-	room := s.room()
-	for _, name := range slices.Sorted(maps.Keys(s.machineTypes)) {
-		f := s.machineTypes[name]
-		for _, zone := range f.Zones {
+	requestSize := a.maxRequestSize()
+	remaining := requestSize * max(1, int(a.config.Cloud.RPS*tuning.CloudRateShare*tuning.ProvisioningRateShare*tuning.ScaleOutInterval.Seconds()))
+	allowed := a.machinesAllowed()
+	for _, name := range slices.Sorted(maps.Keys(a.machineTypes)) {
+		machineType := a.machineTypes[name]
+		for _, zone := range machineType.Zones {
 			for _, spot := range []bool{true, false} {
-				o := placement.Offer{Type: f.Name, Zone: zone, Spot: spot, Price: f.Price, BootS: f.BootTimeS, Left: left,
-					Cap: quota.Room{CPUs: f.Vcpus, GPUs: f.Gpus, MemGB: f.MemGb}}
+				offer := placement.Offer{Type: machineType.Name, Zone: zone, Spot: spot, Price: machineType.Price, BootSeconds: machineType.BootTimeS, Available: remaining,
+					Capacity: quota.Resources{CPUs: machineType.Vcpus, GPUs: machineType.Gpus, MemGB: machineType.MemGb}}
 				if spot {
-					o.Price = f.SpotPrice
+					offer.Price = machineType.SpotPrice
 				}
-				if now.Before(s.noneUntil[kindOf(f.Name, zone, spot)]) || s.Set.Paused || room == 0 {
-					o.Left = 0
+				if now.Before(a.noCapacityUntil[capacityKeyOf(machineType.Name, zone, spot)]) || a.Settings.Paused || allowed == 0 {
+					offer.Available = 0
 				}
-				offers = append(offers, o)
+				offers = append(offers, offer)
 			}
 		}
 	}
 	// machines asked for and not yet granted count as on their way
-	coming := make([]int, len(offers))
-	for _, h := range s.sorted() {
-		if h.coming() {
-			for i, o := range offers {
-				if o.Type == h.rec.Type && o.Zone == h.rec.Zone && o.Spot == h.rec.Spot {
-					coming[i] += h.rec.Number
+	pending := make([]int, len(offers))
+	for _, request := range a.sortedRequests() {
+		if request.pending() {
+			for index, offer := range offers {
+				if offer.Type == request.record.Type && offer.Zone == request.record.Zone && offer.Spot == request.record.Spot {
+					pending[index] += request.record.Number
 				}
 			}
 		}
 	}
-	need := s.board.Demand(now, offers, coming)
-	for i, n := range need {
-		if n <= 0 {
+	needed := a.scheduler.ProvisioningDemand(now, offers, pending)
+	for index, count := range needed {
+		if count <= 0 {
 			continue
 		}
-		o := offers[i]
-		n = min(n, room)
-		room -= n
-		for n > 0 {
-			h := s.askAgain(now, kindOf(o.Type, o.Zone, o.Spot), n)
-			if h == nil {
-				h = s.rental(now, RentalRec{Type: o.Type, Zone: o.Zone, Spot: o.Spot, Number: min(n, page)})
+		offer := offers[index]
+		count = min(count, allowed)
+		allowed -= count
+		for count > 0 {
+			request := a.retryRefused(now, capacityKeyOf(offer.Type, offer.Zone, offer.Spot), count)
+			if request == nil {
+				request = a.newRequest(now, ProvisioningRecord{Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot, Number: min(count, requestSize)})
 			}
-			n -= h.rec.Number
+			count -= request.record.Number
 		}
 	}
 }
 
-// rentalMost is how many machines one rental request may ask for: its record names them
+// maxRequestSize is how many machines one rental request may ask for: its record names them
 // all, and has to fit the state service now and after its limits fall.
-func (s *Slice) rentalMost() int {
-	bytes := int(s.facts.State.StoredLimits().ValueKB*1024*tuning.PageFill) - tuning.RentalBytes
-	return max(1, min(s.most, bytes/tuning.HostBytes))
+func (a *Autoscaler) maxRequestSize() int {
+	recordBytes := int(a.config.State.StoredLimits().ValueKB*1024*tuning.PageFillShare) - tuning.ProvisioningRecordBytes
+	return max(1, min(a.maxMachinesPerRequest, recordBytes/tuning.HostNameBytes))
 }
 
-// room is how many machines may still be rented by the operators' bound, which
+// machinesAllowed is how many machines may still be rented by the operators' bound, which
 // counts those asked for and not yet granted.
-func (s *Slice) room() int {
-	if s.Set.MaxMachines <= 0 {
+func (a *Autoscaler) machinesAllowed() int {
+	if a.Settings.MaxMachines <= 0 {
 		return math.MaxInt
 	}
-	room := s.Set.MaxMachines
-	for _, m := range s.reg.All() {
-		if m.State != worker.Deleting {
-			room--
+	allowed := a.Settings.MaxMachines
+	for _, machine := range a.registry.All() {
+		if machine.State != worker.Deleting {
+			allowed--
 		}
 	}
-	for _, h := range s.rentals {
-		if h.coming() {
-			room -= h.rec.Number
+	for _, request := range a.requests {
+		if request.pending() {
+			allowed -= request.record.Number
 		}
 	}
-	return max(0, room)
+	return max(0, allowed)
 }
 
-// rental makes a new one's name durable; the cloud is asked afterwards.
-func (s *Slice) rental(now time.Time, rec RentalRec) *rental {
-	s.seq++
-	h := &rental{name: s.rentalName(), rec: rec}
-	h.action = s.duties.RecordElsewhere(now, intentlog.Provision, h.name, "waiting work")
-	s.file(h, 0)
-	s.rentals[h.name] = h
-	s.log.Info("renting", "name", h.name, "type", rec.Type, "zone", rec.Zone, "spot", rec.Spot, "number", rec.Number)
-	h.file.Set(h.rec)
-	h.file.Tick(now)
-	return h
+// newRequest makes a new one's name durable; the cloud is asked afterwards.
+func (a *Autoscaler) newRequest(now time.Time, record ProvisioningRecord) *provisioningRequest {
+	a.sequence++
+	request := &provisioningRequest{name: a.requestName(), record: record}
+	request.intent = a.intents.RecordElsewhere(now, intentlog.Provision, request.name, "waiting work")
+	a.openWriter(request, 0)
+	a.requests[request.name] = request
+	a.log.Info("renting", "name", request.name, "type", record.Type, "zone", record.Zone, "spot", record.Spot, "number", record.Number)
+	request.writer.Set(request.record)
+	request.writer.Tick(now)
+	return request
 }
--- a/internal/fleet/returns.go
+++ b/internal/fleet/returns.go
@@ -12,238 +12,238 @@
 	"juniperchute/internal/worker"
 )
 
-// ending is why a machine is given up, and by which duty; without one it is kept.
-type ending struct {
-	duty intentlog.Operation
-	why  string
+// termination is why a machine is given up, and by which duty; without one it is kept.
+type termination struct {
+	operation intentlog.Operation
+	reason    string
 }
 
-func keep() ending                { return ending{} }
-func returned(why string) ending  { return ending{intentlog.Deprovision, why} }
-func reclaimed(why string) ending { return ending{intentlog.Reclaim, why} }
+func noTermination() termination            { return termination{} }
+func deprovision(reason string) termination { return termination{intentlog.Deprovision, reason} }
+func reclaim(reason string) termination     { return termination{intentlog.Reclaim, reason} }
 
-// returns looks for machines to give back.
-func (s *Slice) returns(now time.Time) {
-	unheard := 0
-	for _, m := range s.reg.All() {
-		if m.State == worker.Unheard {
-			unheard++
+// scaleIn looks for machines to give back.
+func (a *Autoscaler) scaleIn(now time.Time) {
+	unreconciled := 0
+	for _, machine := range a.registry.All() {
+		if machine.State == worker.Unreconciled {
+			unreconciled++
 		}
 	}
-	s.few = unheard*tuning.FenceFewPart <= len(s.reg.All())
-	for _, m := range s.reg.All() {
-		if e := s.ending(now, m); e.duty != "" {
-			s.giveUp(now, m, e)
+	a.fewUnreconciled = unreconciled*tuning.FewUnreconciledDivisor <= len(a.registry.All())
+	for _, machine := range a.registry.All() {
+		if decision := a.decideTermination(now, machine); decision.operation != "" {
+			a.terminate(now, machine, decision)
 		}
 	}
 }
 
-// giveUp enters a machine's end. From here on it gets no work; if there is no room in the
+// terminate enters a machine's end. From here on it gets no work; if there is no room in the
 // log it stays as it is, and is looked at again.
-func (s *Slice) giveUp(now time.Time, m *worker.Machine, e ending) {
-	if s.duties.Record(now, e.duty, m.Host, e.why) {
-		s.reg.Set(now, m, worker.Deleting, e.why)
+func (a *Autoscaler) terminate(now time.Time, machine *worker.Machine, decision termination) {
+	if a.intents.Record(now, decision.operation, machine.Host, decision.reason) {
+		a.registry.SetState(now, machine, worker.Deleting, decision.reason)
 	}
 }
 
-func (s *Slice) ending(now time.Time, m *worker.Machine) ending {
-	if s.Unreachable {
-		return keep()
+func (a *Autoscaler) decideTermination(now time.Time, machine *worker.Machine) termination {
+	if a.WorkersUnreachable {
+		return noTermination()
 	}
-	switch m.State {
+	switch machine.State {
 	case worker.Booting:
-		return s.endingOfBooting(now, m)
+		return a.decideBooting(now, machine)
 	case worker.Up:
-		return s.endingOfUp(now, m)
-	case worker.Silent:
-		if !m.Recall.IsZero() && now.After(m.Recall.Add(tuning.RecallOver)) {
-			return reclaimed("taken by the cloud")
+		return a.decideUp(now, machine)
+	case worker.Unresponsive:
+		if !machine.PreemptionTime.IsZero() && now.After(machine.PreemptionTime.Add(tuning.PreemptionGrace)) {
+			return reclaim("taken by the cloud")
 		}
-		if s.missing[m.Host] >= tuning.MissingLists {
-			return reclaimed("no longer listed")
+		if a.missedLists[machine.Host] >= tuning.MissedListsLimit {
+			return reclaim("no longer listed")
 		}
-	case worker.Unheard:
-		return s.endingOfUnheard(now, m)
-	case worker.Lapsed:
-		if now.Sub(m.Since) > tuning.LapsedReturn {
-			return reclaimed("silent")
+	case worker.Unreconciled:
+		return a.decideUnreconciled(now, machine)
+	case worker.LeaseExpired:
+		if now.Sub(machine.StateSince) > tuning.LeaseExpiredTimeout {
+			return reclaim("silent")
 		}
 	}
-	return keep()
+	return noTermination()
 }
 
-func (s *Slice) endingOfBooting(now time.Time, m *worker.Machine) ending {
-	boot := config.Seconds(s.machineTypes[m.Type].BootTimeS)
-	if boot > 0 && now.Sub(m.Born) > boot*tuning.StuckBoots {
-		return reclaimed("boot is stuck")
+func (a *Autoscaler) decideBooting(now time.Time, machine *worker.Machine) termination {
+	boot := config.Seconds(a.machineTypes[machine.Type].BootTimeS)
+	if boot > 0 && now.Sub(machine.CreatedAt) > boot*tuning.BootTimeoutFactor {
+		return reclaim("boot is stuck")
 	}
-	if s.missing[m.Host] >= tuning.MissingLists {
-		return reclaimed("no longer listed")
+	if a.missedLists[machine.Host] >= tuning.MissedListsLimit {
+		return reclaim("no longer listed")
 	}
-	return keep()
+	return noTermination()
 }
 
-func (s *Slice) endingOfUp(now time.Time, m *worker.Machine) ending {
-	lease := config.Seconds(s.facts.Workers.LeaseS)
-	if m.Mute(now, tuning.MuteLeases*lease) && m.Busy == 0 {
-		return reclaimed("no answer reaches it")
+func (a *Autoscaler) decideUp(now time.Time, machine *worker.Machine) termination {
+	lease := config.Seconds(a.config.Workers.LeaseS)
+	if machine.Unreachable(now, tuning.UnreachableLeases*lease) && machine.ActiveCopies == 0 {
+		return reclaim("no answer reaches it")
 	}
-	if m.OpenDo > 0 && s.board.InDoubt(m) {
+	if machine.UnansweredCommands > 0 && a.scheduler.OnlyUnconfirmedStops(machine) {
 		// A direct command that was never answered may still start its
 		// task there, minutes from now: only this machine's end settles it.
-		return reclaimed("a command was never answered")
+		return reclaim("a command was never answered")
 	}
 	switch {
-	case m.Busy > 0 || len(m.Tasks) > 0 && m.Stranger:
-		return keep()
-	case m.Faulty:
-		return returned("faulty")
-	case m.Closing:
-		return returned("its work went elsewhere")
-	case !m.Wanted && m.Promised == (quota.Room{}) && now.Sub(m.IdleFrom) > s.Set.IdleReturn:
-		return returned("idle")
-	}
-	return keep()
+	case machine.ActiveCopies > 0 || len(machine.Tasks) > 0 && machine.HasUnknownTasks:
+		return noTermination()
+	case machine.Quarantined:
+		return deprovision("faulty")
+	case machine.Cordoned:
+		return deprovision("its work went elsewhere")
+	case !machine.Needed && machine.Reserved == (quota.Resources{}) && now.Sub(machine.IdleSince) > a.Settings.IdleTimeout:
+		return deprovision("idle")
+	}
+	return noTermination()
 }
 
-func (s *Slice) endingOfUnheard(now time.Time, m *worker.Machine) ending {
-	lease := config.Seconds(s.facts.Workers.LeaseS)
+func (a *Autoscaler) decideUnreconciled(now time.Time, machine *worker.Machine) termination {
+	lease := config.Seconds(a.config.Workers.LeaseS)
 	switch {
-	case s.missing[m.Host] >= tuning.UnheardLists:
-		return reclaimed("no longer listed, and not heard")
-	case now.Sub(s.born) > lease:
-		return reclaimed("never heard in this tenure")
-	case s.few && now.Sub(s.born) > tuning.FenceFew:
-		return reclaimed("one of few not heard")
-	}
-	return keep()
+	case a.missedLists[machine.Host] >= tuning.UnreconciledMissedListsLimit:
+		return reclaim("no longer listed, and not heard")
+	case now.Sub(a.startedAt) > lease:
+		return reclaim("never heard in this tenure")
+	case a.fewUnreconciled && now.Sub(a.startedAt) > tuning.FewUnreconciledTimeout:
+		return reclaim("one of few not heard")
+	}
+	return noTermination()
 }
 
-// failed takes note that the cloud lists a machine as stopped on its own.
-func (s *Slice) failed(now time.Time, m *worker.Machine) {
-	if m.State != worker.Deleting {
-		s.giveUp(now, m, reclaimed("listed as failed"))
+// handleFailedMachine takes note that the cloud lists a machine as stopped on its own.
+func (a *Autoscaler) handleFailedMachine(now time.Time, machine *worker.Machine) {
+	if machine.State != worker.Deleting {
+		a.terminate(now, machine, reclaim("listed as failed"))
 	}
 }
 
-// takeOverEndings goes on with the machines that earlier tenures entered as given up:
+// recoverTerminations goes on with the machines that earlier tenures entered as given up:
 // they get no work, and are deleted, again if need be.
-func (s *Slice) takeOverEndings(now time.Time) {
-	for _, a := range s.duties.Recovered(intentlog.Deprovision, intentlog.Reclaim) {
-		if m := s.reg.Get(a.Target); m != nil {
-			s.heedEntry(now, m)
+func (a *Autoscaler) recoverTerminations(now time.Time) {
+	for _, intent := range a.intents.Recovered(intentlog.Deprovision, intentlog.Reclaim) {
+		if machine := a.registry.Get(intent.Target); machine != nil {
+			a.applyRecoveredIntent(now, machine)
 		}
 	}
 }
 
-// heedEntry gives up a machine that an earlier tenure entered, as soon as it is known.
-func (s *Slice) heedEntry(now time.Time, m *worker.Machine) {
-	if m.State == worker.Deleting {
+// applyRecoveredIntent gives up a machine that an earlier tenure entered, as soon as it is known.
+func (a *Autoscaler) applyRecoveredIntent(now time.Time, machine *worker.Machine) {
+	if machine.State == worker.Deleting {
 		return
 	}
-	for _, d := range []intentlog.Operation{intentlog.Deprovision, intentlog.Reclaim} {
-		if a := s.duties.Get(d, m.Host); a != nil && a.Recovered && a.State() != intentlog.Completed {
-			s.reg.Set(now, m, worker.Deleting, "entered by an earlier tenure")
+	for _, operation := range []intentlog.Operation{intentlog.Deprovision, intentlog.Reclaim} {
+		if intent := a.intents.Get(operation, machine.Host); intent != nil && intent.Recovered && intent.State() != intentlog.Completed {
+			a.registry.SetState(now, machine, worker.Deleting, "entered by an earlier tenure")
 		}
 	}
 }
 
-// next lists the machines that may be deleted now, as many as one call takes.
-func (s *Slice) next(now time.Time) []*intentlog.Intent {
-	var out []*intentlog.Intent
-	for _, a := range s.duties.Ready(intentlog.Deprovision, intentlog.Reclaim) {
-		if a.Recovered && !s.confirmed(now, a) {
+// readyDeletions lists the machines that may be deleted now, as many as one call takes.
+func (a *Autoscaler) readyDeletions(now time.Time) []*intentlog.Intent {
+	var ready []*intentlog.Intent
+	for _, intent := range a.intents.Ready(intentlog.Deprovision, intentlog.Reclaim) {
+		if intent.Recovered && !a.confirmRecovered(now, intent) {
 			continue
 		}
-		if out = append(out, a); len(out) == tuning.DeletePage {
+		if ready = append(ready, intent); len(ready) == tuning.MaxMachinesPerDeletion {
 			break
 		}
 	}
-	return out
+	return ready
 }
 
-// confirmed tells whether an inherited entry stands. A tenure of an earlier version may
+// confirmRecovered tells whether an inherited entry stands. A tenure of an earlier version may
 // have held the block since: it reads no log, and may have given the machine work. If no
 // other token lies between it cannot; otherwise the machine is heard first, or its lease
 // is surely over. The entry of one that has work of a later tenure than its own is void.
-func (s *Slice) confirmed(now time.Time, a *intentlog.Intent) bool {
-	m := s.reg.Get(a.Target)
-	if m == nil && !s.unsettled() && s.unread == 0 {
+func (a *Autoscaler) confirmRecovered(now time.Time, intent *intentlog.Intent) bool {
+	machine := a.registry.Get(intent.Target)
+	if machine == nil && !a.hasPendingRequests() && a.unreadableRecords == 0 {
 		// no rental names it: it is gone, and that is written down
-		s.duties.Complete(now, a, "gone already")
-		s.duties.Forget(a)
+		a.intents.Complete(now, intent, "gone already")
+		a.intents.Forget(intent)
 		return false
 	}
-	if a.Token+1 == s.token {
+	if intent.Token+1 == a.token {
 		return true
 	}
-	if m == nil {
+	if machine == nil {
 		return false // a rental that is not answered yet may name it
 	}
-	if m.Heard.IsZero() {
-		return m.LeaseOver || !m.Used
+	if machine.LastContact.IsZero() {
+		return machine.LeaseEnded || !machine.Registered
 	}
-	if slices.ContainsFunc(m.Tasks, func(t wire.TaskStatus) bool { return t.Attempt>>tuning.AttemptBits > a.Token }) {
-		s.duties.Complete(now, a, "a later tenure gave the machine work")
-		s.duties.Forget(a)
-		s.reg.Set(now, m, worker.Up, "a later tenure gave it work")
-		s.board.NoteChange(m)
+	if slices.ContainsFunc(machine.Tasks, func(t wire.TaskStatus) bool { return t.Attempt>>tuning.AttemptBits > intent.Token }) {
+		a.intents.Complete(now, intent, "a later tenure gave the machine work")
+		a.intents.Forget(intent)
+		a.registry.SetState(now, machine, worker.Up, "a later tenure gave it work")
+		a.scheduler.MarkMachineChanged(machine)
 		return false
 	}
 	return true
 }
 
-func (s *Slice) delete(now time.Time) {
-	if s.delBusy || now.Before(s.delRetry) {
+func (a *Autoscaler) deleteMachines(now time.Time) {
+	if a.deletionInFlight || now.Before(a.deletionRetryAt) {
 		return
 	}
-	actions := s.next(now)
-	if len(actions) == 0 || !s.may(now) {
+	ready := a.readyDeletions(now)
+	if len(ready) == 0 || !a.allowCall(now) {
 		return
 	}
-	hosts := make([]string, len(actions))
-	for i, a := range actions {
-		s.duties.StartCall(now, a)
-		hosts[i] = a.Target
+	hosts := make([]string, len(ready))
+	for i, intent := range ready {
+		a.intents.StartCall(now, intent)
+		hosts[i] = intent.Target
 	}
-	s.delBusy = true
-	s.call(Call{Op: OpDelete, Hosts: hosts}, func(now time.Time, r Result) {
-		s.delBusy = false
-		for _, a := range actions {
-			s.duties.FinishCall(now, a, r.outcome())
+	a.deletionInFlight = true
+	a.callCloud(CloudCall{Operation: DeleteMachines, Hosts: hosts}, func(now time.Time, result CloudResult) {
+		a.deletionInFlight = false
+		for _, intent := range ready {
+			a.intents.FinishCall(now, intent, result.outcome())
 		}
-		if r.Status != 200 {
-			s.delRetry = s.pause(now)
+		if result.Status != 200 {
+			a.deletionRetryAt = a.nextRetry(now)
 			return
 		}
 		for _, host := range hosts {
-			if m := s.reg.Get(host); m != nil {
-				s.gone(now, m)
-				s.reg.Set(now, m, worker.Gone, "deletion answered")
+			if machine := a.registry.Get(host); machine != nil {
+				a.onDeleted(now, machine)
+				a.registry.SetState(now, machine, worker.Deleted, "deletion answered")
 			} else {
-				s.reg.RememberGone(host)
+				a.registry.RememberDeleted(host)
 			}
-			s.strike(now, host)
+			a.removeFromRecord(now, host)
 		}
 	})
 }
 
-// strike takes a machine that is gone off its rental's record.
-func (s *Slice) strike(now time.Time, host string) {
-	delete(s.missing, host)
-	delete(s.entered, host)
-	s.used.Delete(host)
-	h := s.by[host]
-	if h == nil {
-		s.forget(host)
+// removeFromRecord takes a machine that is gone off its rental's record.
+func (a *Autoscaler) removeFromRecord(now time.Time, host string) {
+	delete(a.missedLists, host)
+	delete(a.registrationStarted, host)
+	a.registrations.Delete(host)
+	request := a.requestByHost[host]
+	if request == nil {
+		a.forgetTermination(host)
 		return
 	}
-	delete(s.by, host)
-	h.rec.Hosts = slices.DeleteFunc(slices.Clone(h.rec.Hosts), func(o string) bool { return o == host })
-	if len(h.rec.Hosts) == 0 {
-		h.gone = append(h.gone, goneMachine{host, h.file.WantedVersion() + 1})
-		s.drop(now, h, "all machines gone")
+	delete(a.requestByHost, host)
+	request.record.Hosts = slices.DeleteFunc(slices.Clone(request.record.Hosts), func(other string) bool { return other == host })
+	if len(request.record.Hosts) == 0 {
+		request.deletedMachines = append(request.deletedMachines, deletedMachine{host, request.writer.WantedVersion() + 1})
+		a.closeRequest(now, request, "all machines gone")
 		return
 	}
-	h.gone = append(h.gone, goneMachine{host, h.file.Set(h.rec)})
+	request.deletedMachines = append(request.deletedMachines, deletedMachine{host, request.writer.Set(request.record)})
 }
--- a/internal/integration/deployment_test.go
+++ b/internal/integration/deployment_test.go
@@ -22,93 +22,93 @@
 
 // Times of the deployment's own.
 const (
-	// driveEvery is how often the stand-ins' clock catches up with the wall clock.
-	driveEvery = 5 * time.Millisecond
-	// checkEvery is how often the rules that hold at every moment are checked.
-	checkEvery = 50 * time.Millisecond
-	// answerLimit is how long a worker or a user waits for an answer.
-	answerLimit = 4 * time.Second
-	// waitLimit is how long a test waits for something to come about.
-	waitLimit = 90 * time.Second
-	// machinesPerNet is how many loopback addresses one byte numbers.
-	machinesPerNet = 200
+	// driveInterval is how often the stand-ins' clock catches up with the wall clock.
+	driveInterval = 5 * time.Millisecond
+	// checkInterval is how often the rules that hold at every moment are checked.
+	checkInterval = 50 * time.Millisecond
+	// replyTimeout is how long a worker or a user waits for an answer.
+	replyTimeout = 4 * time.Second
+	// waitTimeout is how long a test waits for something to come about.
+	waitTimeout = 90 * time.Second
+	// machinesPerSubnet is how many loopback addresses one byte numbers.
+	machinesPerSubnet = 200
 )
 
 // deployment is controllers as processes of their own, and stand-ins for all parties
 // around them, driven by the wall clock.
 type deployment struct {
 	tb      testing.TB
-	facts   config.Platform
+	config   config.Platform
 	ctx     context.Context
-	running sync.WaitGroup
-	nodes   []*process
+	goroutines sync.WaitGroup
+	controllers   []*controllerProcess
 	users   *http.Client
-	doPort  int
-	gate    gate
+	workerPort  int
+	gate    callGate
 
-	mu        sync.Mutex // of all that follows, and of the stand-ins
-	clk       *standin.Clock
-	state     *standin.StateService
+	mutex        sync.Mutex // of all that follows, and of the stand-ins
+	clock       *standin.Clock
+	store     *standin.StateService
 	cloud     *standin.Cloud
 	cluster   *standin.Cluster
 	byAddress map[string]*standin.Worker
 	clients   map[string]*http.Client // of the workers, by machine
 	checkedAt time.Time
-	reports   reportStats
+	heartbeats   heartbeatStats
 }
 
-// reportStats tell how reports were answered.
-type reportStats struct {
+// heartbeatStats tell how reports were answered.
+type heartbeatStats struct {
 	sent int
-	wait time.Duration // in all
+	totalWait time.Duration // in all
 	slow int           // waited for more than a second, or got no 200
 }
 
 // newDeployment starts the stand-ins; the controllers are started by the test.
-func newDeployment(tb testing.TB, facts config.Platform, machineType wire.MachineType, machines int) *deployment {
+func newDeployment(tb testing.TB, settings config.Platform, machineType wire.MachineType, machines int) *deployment {
 	tb.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	d := &deployment{tb: tb, facts: facts, ctx: ctx, clk: standin.NewClock(time.Now()), byAddress: map[string]*standin.Worker{}, clients: map[string]*http.Client{},
-		users: &http.Client{Timeout: answerLimit, Transport: &http.Transport{MaxIdleConnsPerHost: 40, MaxConnsPerHost: 40}}}
+	d := &deployment{tb: tb, config: settings, ctx: ctx, clock: standin.NewClock(time.Now()), byAddress: map[string]*standin.Worker{}, clients: map[string]*http.Client{},
+		users: &http.Client{Timeout: replyTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 40, MaxConnsPerHost: 40}}}
 	rng := rand.New(rand.NewPCG(3, 3))
-	d.state, d.cloud = standin.NewStateService(d.clk, rng), standin.NewCloud(d.clk, rng, []wire.MachineType{machineType})
-	d.state.Page, d.state.Kept, d.cloud.Page = 1000, 10000, 500
-	d.cloud.Room[standin.RoomKey(machineType.Name, "a", false)] = machines
+	d.store, d.cloud = standin.NewStateService(d.clock, rng), standin.NewCloud(d.clock, rng, []wire.MachineType{machineType})
+	d.store.PageSize, d.store.MaxHistory, d.cloud.PageSize = 1000, 10000, 500
+	d.cloud.Available[standin.CapacityKey(machineType.Name, "a", false)] = machines
 	d.cloud.Address = func(n int) string {
-		return fmt.Sprintf("127.1.%d.%d:%d", n/machinesPerNet, n%machinesPerNet+1, d.doPort)
+		return fmt.Sprintf("127.1.%d.%d:%d", n/machinesPerSubnet, n%machinesPerSubnet+1, d.workerPort)
 	}
-	d.cloud.Booted, d.cloud.Ended = d.booted, d.ended
-	d.cluster = standin.NewCluster(d.clk, rng, facts, d)
-	external := config.External{State: d.serve("127.0.0.1:0", d.serveState), Cloud: d.serve("127.0.0.1:0", d.serveCloud)}
+	d.cloud.OnBooted, d.cloud.OnRemoved = d.startWorker, d.removeWorker
+	d.cluster = standin.NewCluster(d.clock, rng, settings, d)
+	external := config.External{State: d.serve("127.0.0.1:0", d.serveStore), Cloud: d.serve("127.0.0.1:0", d.serveCloud)}
 	_, port, _ := net.SplitHostPort(d.serve("0.0.0.0:0", d.serveWorker))
-	d.doPort, _ = strconv.Atoi(port)
-	d.addNodes(external)
-	d.running.Add(1)
-	go d.drive()
+	d.workerPort, _ = strconv.Atoi(port)
+	d.addControllers(external)
+	d.goroutines.Add(1)
+	go d.runClock()
 	tb.Cleanup(func() {
-		for _, n := range d.nodes {
-			n.end(syscall.SIGTERM)
+		for _, n := range d.controllers {
+			n.stop(syscall.SIGTERM)
 		}
 		cancel()
-		d.running.Wait()
+		d.goroutines.Wait()
 	})
 	return d
 }
 
-func (d *deployment) addNodes(external config.External) {
+func (d *deployment) addControllers(external config.External) {
 	dir := d.tb.TempDir()
 	var known []config.Peer
-	for i := range d.facts.Nodes {
+	for i := range d.config.Nodes {
 		known = append(known, config.Peer{Member: fmt.Sprintf("node-%d", i), Area: "a", Address: freeAddress(d.tb)})
 	}
-	for i, k := range known {
-		c := config.Config{Member: k.Member, Area: k.Area, PeerBind: k.Address, APIAddr: freeAddress(d.tb), External: external, Platform: d.facts}
-		for j, o := range known {
+	for i, member := range known {
+		controller := config.Config{Member: member.Member, Area: member.Area, PeerBind: member.Address, APIAddr: freeAddress(d.tb), External: external, Platform: d.config}
+		for j, other := range known {
 			if j != i {
-				c.Peers = append(c.Peers, o)
+				controller.Peers = append(controller.Peers, other)
 			}
 		}
-		d.nodes = append(d.nodes, &process{tb: d.tb, cfg: c, file: filepath.Join(dir, c.Member+".toml")})
+		d.controllers = append(d.controllers, &controllerProcess{tb: d.tb, config: controller, settingsFile: filepath.Join(dir, controller.Member+".toml")})
 	}
 }
 
@@ -133,56 +133,56 @@
 	return ln.Addr().String()
 }
 
-// catchUp runs what is due on the stand-ins' clock; the lock is held. Events run at
+// runDueEvents runs what is due on the stand-ins' clock; the lock is held. Events run at
 // their scheduled times, so that a lease's end that is executed late still comes before
 // a command that has just arrived.
-func (d *deployment) catchUp() { d.clk.RunUntil(time.Now()) }
+func (d *deployment) runDueEvents() { d.clock.RunUntil(time.Now()) }
 
-// locked does something with the stand-ins, at the present time.
-func (d *deployment) locked(f func()) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.catchUp()
+// withLock does something with the stand-ins, at the present time.
+func (d *deployment) withLock(f func()) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.runDueEvents()
 	f()
 }
 
-func (d *deployment) drive() {
-	defer d.running.Done()
+func (d *deployment) runClock() {
+	defer d.goroutines.Done()
 	for d.ctx.Err() == nil {
-		d.locked(func() {
-			if d.clk.Now().Sub(d.checkedAt) >= checkEvery {
-				d.checkedAt = d.clk.Now()
+		d.withLock(func() {
+			if d.clock.Now().Sub(d.checkedAt) >= checkInterval {
+				d.checkedAt = d.clock.Now()
 				d.cluster.Check()
 			}
 		})
-		time.Sleep(driveEvery)
+		time.Sleep(driveInterval)
 	}
 }
 
-// booted starts the worker of a machine.
-func (d *deployment) booted(h *standin.CloudHost) {
-	f := d.cloud.MachineTypes[0]
-	d.clients[h.ID] = &http.Client{Timeout: answerLimit, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
-	d.byAddress[h.Address] = d.cluster.AddWorker(h.Machine, quota.Room{CPUs: f.Vcpus, GPUs: f.Gpus, MemGB: f.MemGb})
+// startWorker starts the worker of a machine.
+func (d *deployment) startWorker(host *standin.CloudHost) {
+	machineType := d.cloud.MachineTypes[0]
+	d.clients[host.ID] = &http.Client{Timeout: replyTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
+	d.byAddress[host.Address] = d.cluster.AddWorker(host.Machine, quota.Resources{CPUs: machineType.Vcpus, GPUs: machineType.Gpus, MemGB: machineType.MemGb})
 }
 
-func (d *deployment) ended(h *standin.CloudHost) {
-	d.cluster.Remove(h.ID)
-	delete(d.byAddress, h.Address)
-	delete(d.clients, h.ID)
+func (d *deployment) removeWorker(host *standin.CloudHost) {
+	d.cluster.Remove(host.ID)
+	delete(d.byAddress, host.Address)
+	delete(d.clients, host.ID)
 }
 
-// until waits for something to hold.
-func (d *deployment) until(what string, ok func() bool) {
+// waitUntil waits for something to hold.
+func (d *deployment) waitUntil(what string, ok func() bool) {
 	d.tb.Helper()
-	for end := time.Now().Add(waitLimit); ; time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); ; time.Sleep(20 * time.Millisecond) {
 		holds := false
-		d.locked(func() { holds = ok() })
+		d.withLock(func() { holds = ok() })
 		if holds {
 			return
 		}
 		if time.Now().After(end) {
-			d.tb.Fatalf("after %v still not: %s", waitLimit, what)
+			d.tb.Fatalf("after %v still not: %s", waitTimeout, what)
 		}
 	}
 }
--- a/internal/integration/http_test.go
+++ b/internal/integration/http_test.go
@@ -17,132 +17,132 @@
 	"juniperchute/internal/wire"
 )
 
-func reply(w http.ResponseWriter, status int, body any) {
+func writeReply(w http.ResponseWriter, status int, body any) {
 	raw, _ := json.Marshal(body)
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_, _ = w.Write(raw)
 }
 
-// stateCall reads a request to the state service.
-func stateCall(req *http.Request) store.Call {
-	raw, _ := io.ReadAll(req.Body)
-	q := req.URL.Query()
+// parseStoreCall reads a request to the state service.
+func parseStoreCall(request *http.Request) store.Call {
+	raw, _ := io.ReadAll(request.Body)
+	query := request.URL.Query()
 	number := func(s string) uint64 { n, _ := strconv.ParseUint(s, 10, 64); return n }
-	c := store.Call{Op: store.OpTransaction, Prefix: q.Get("Under"), After: q.Get("After"), SinceRevision: number(q.Get("After")), WatchWaitMs: int(number(q.Get("WaitMs")))}
-	switch path := req.URL.Path; {
+	call := store.Call{Op: store.OpTransaction, Prefix: query.Get("Under"), After: query.Get("After"), SinceRevision: number(query.Get("After")), WatchWaitMs: int(number(query.Get("WaitMs")))}
+	switch path := request.URL.Path; {
 	case path == "/kv":
-		c.Op = store.OpList
+		call.Op = store.OpList
 	case strings.HasPrefix(path, "/kv/"):
-		c.Op, c.Key = store.OpGet, strings.TrimPrefix(path, "/kv/")
+		call.Op, call.Key = store.OpGet, strings.TrimPrefix(path, "/kv/")
 	case path == "/changes":
-		c.Op = store.OpWatch
+		call.Op = store.OpWatch
 	case path == "/grants":
-		var g struct{ LifeMs int64 }
-		_ = json.Unmarshal(raw, &g)
-		c.Op, c.LeaseTTL = store.OpGrantLease, time.Duration(g.LifeMs)*time.Millisecond
+		var grant struct{ LifeMs int64 }
+		_ = json.Unmarshal(raw, &grant)
+		call.Op, call.LeaseTTL = store.OpGrantLease, time.Duration(grant.LifeMs)*time.Millisecond
 	case strings.HasPrefix(path, "/grants/"):
-		c.Op, c.Lease = store.OpRenewLease, number(strings.TrimSuffix(strings.TrimPrefix(path, "/grants/"), "/touch"))
+		call.Op, call.Lease = store.OpRenewLease, number(strings.TrimSuffix(strings.TrimPrefix(path, "/grants/"), "/touch"))
 	default:
-		_ = json.Unmarshal(raw, &c.Transaction)
+		_ = json.Unmarshal(raw, &call.Transaction)
 	}
-	return c
+	return call
 }
 
-func (d *deployment) serveState(w http.ResponseWriter, req *http.Request) {
-	c := stateCall(req)
-	ch := make(chan store.Result, 1)
-	d.gate.pass(onTheWay, c)
-	d.locked(func() { d.state.Call(c, func(r store.Result) { ch <- r }) })
+func (d *deployment) serveStore(w http.ResponseWriter, request *http.Request) {
+	call := parseStoreCall(request)
+	results := make(chan store.Result, 1)
+	d.gate.pass(beforeCall, call)
+	d.withLock(func() { d.store.Call(call, func(result store.Result) { results <- result }) })
 	select {
-	case r := <-ch:
-		d.gate.pass(answered, c)
-		if c.Op == store.OpGet && r.Status == http.StatusOK {
-			reply(w, r.Status, r.KeyValue)
+	case result := <-results:
+		d.gate.pass(afterCall, call)
+		if call.Op == store.OpGet && result.Status == http.StatusOK {
+			writeReply(w, result.Status, result.KeyValue)
 			return
 		}
-		reply(w, r.Status, map[string]any{"Items": r.KeyValues, "More": r.More, "Epoch": r.Revision, "failed": r.FailedKeys, "Hold": r.Lease, "Events": r.Events})
-	case <-req.Context().Done():
+		writeReply(w, result.Status, map[string]any{"Items": result.KeyValues, "More": result.More, "Epoch": result.Revision, "failed": result.FailedKeys, "Hold": result.Lease, "Events": result.Events})
+	case <-request.Context().Done():
 	}
 }
 
-func (d *deployment) serveCloud(w http.ResponseWriter, req *http.Request) {
-	raw, _ := io.ReadAll(req.Body)
-	c := fleet.Call{Op: fleet.OpList, After: req.URL.Query().Get("After")}
+func (d *deployment) serveCloud(w http.ResponseWriter, request *http.Request) {
+	raw, _ := io.ReadAll(request.Body)
+	call := fleet.CloudCall{Operation: fleet.ListMachines, After: request.URL.Query().Get("After")}
 	switch {
-	case req.URL.Path == "/flavors":
-		c.Op = fleet.OpMachineTypes
-	case req.URL.Path == "/machines/delete":
-		var h wire.MachineNames
-		_ = json.Unmarshal(raw, &h)
-		c.Op, c.Hosts = fleet.OpDelete, h.Names
-	case req.Method == http.MethodPost:
-		c.Op = fleet.OpRent
-		_ = json.Unmarshal(raw, &c.Rental)
+	case request.URL.Path == "/flavors":
+		call.Operation = fleet.ListMachineTypes
+	case request.URL.Path == "/machines/delete":
+		var names wire.MachineNames
+		_ = json.Unmarshal(raw, &names)
+		call.Operation, call.Hosts = fleet.DeleteMachines, names.Names
+	case request.Method == http.MethodPost:
+		call.Operation = fleet.CreateMachines
+		_ = json.Unmarshal(raw, &call.Request)
 	}
-	var r fleet.Result
-	d.gate.pass(onTheWay, c)
-	d.locked(func() { r = d.cloud.Call(c) })
-	d.gate.pass(answered, c)
+	var result fleet.CloudResult
+	d.gate.pass(beforeCall, call)
+	d.withLock(func() { result = d.cloud.Call(call) })
+	d.gate.pass(afterCall, call)
 	switch {
-	case r.Status != http.StatusOK:
-		reply(w, r.Status, map[string]string{"error": r.Error})
-	case c.Op == fleet.OpMachineTypes:
-		reply(w, r.Status, wire.MachineTypes{Types: r.MachineTypes})
-	case c.Op == fleet.OpList:
-		reply(w, r.Status, r.Page)
+	case result.Status != http.StatusOK:
+		writeReply(w, result.Status, map[string]string{"error": result.Error})
+	case call.Operation == fleet.ListMachineTypes:
+		writeReply(w, result.Status, wire.MachineTypes{Types: result.MachineTypes})
+	case call.Operation == fleet.ListMachines:
+		writeReply(w, result.Status, result.Page)
 	default:
-		reply(w, r.Status, wire.MachineNames{Names: r.Hosts})
+		writeReply(w, result.Status, wire.MachineNames{Names: result.Hosts})
 	}
 }
 
 // serveWorker answers direct commands to all machines, told apart by their addresses.
-func (d *deployment) serveWorker(w http.ResponseWriter, req *http.Request) {
-	addr := req.Context().Value(http.LocalAddrContextKey).(net.Addr).String()
+func (d *deployment) serveWorker(w http.ResponseWriter, request *http.Request) {
+	addr := request.Context().Value(http.LocalAddrContextKey).(net.Addr).String()
 	var command wire.DirectCommands
-	_ = json.NewDecoder(req.Body).Decode(&command)
+	_ = json.NewDecoder(request.Body).Decode(&command)
 	status, report := http.StatusServiceUnavailable, (*wire.Heartbeat)(nil)
-	d.locked(func() {
+	d.withLock(func() {
 		worker := d.byAddress[addr]
 		switch {
 		case worker == nil || worker.Hung:
-		case req.URL.Path == "/show":
-			status, report = http.StatusOK, worker.Report()
+		case request.URL.Path == "/show":
+			status, report = http.StatusOK, worker.Heartbeat()
 		default:
-			status, report = worker.Command(command)
+			status, report = worker.HandleCommand(command)
 		}
 	})
-	reply(w, status, report)
+	writeReply(w, status, report)
 }
 
 // Nodes is part of standin.Network.
-func (d *deployment) Nodes() int { return len(d.nodes) }
+func (d *deployment) Nodes() int { return len(d.controllers) }
 
 // NodeIndex is part of standin.Network.
 func (d *deployment) NodeIndex(name string) int {
-	return slices.IndexFunc(d.nodes, func(n *process) bool { return n.cfg.Member == name })
+	return slices.IndexFunc(d.controllers, func(n *controllerProcess) bool { return n.config.Member == name })
 }
 
 // Send is part of standin.Network: it posts a report. The lock is held, and is taken
 // again for the answer.
-func (d *deployment) Send(w *standin.Worker, node int, report *wire.Heartbeat, answer standin.AnswerFunc) {
-	raw, _ := json.Marshal(report)
-	client, url := d.clients[w.Host.ID], "http://"+d.nodes[node].cfg.APIAddr+"/checkin"
-	d.running.Add(1)
+func (d *deployment) Send(sender *standin.Worker, node int, heartbeat *wire.Heartbeat, answer standin.ReplyFunc) {
+	raw, _ := json.Marshal(heartbeat)
+	client, url := d.clients[sender.Host.ID], "http://"+d.controllers[node].config.APIAddr+"/checkin"
+	d.goroutines.Add(1)
 	go func() {
-		defer d.running.Done()
+		defer d.goroutines.Done()
 		start := time.Now()
-		status, body := post(client, url, raw)
+		status, body := httpPost(client, url, raw)
 		var commands wire.HeartbeatResponse
 		var redirect wire.Redirect
 		_ = json.Unmarshal(body, &commands)
 		_ = json.Unmarshal(body, &redirect)
-		d.locked(func() {
-			took := time.Since(start)
-			d.reports.sent++
-			d.reports.wait += took
-			if took > time.Second || status == 0 || status == http.StatusServiceUnavailable {
-				d.reports.slow++
+		d.withLock(func() {
+			elapsed := time.Since(start)
+			d.heartbeats.sent++
+			d.heartbeats.totalWait += elapsed
+			if elapsed > time.Second || status == 0 || status == http.StatusServiceUnavailable {
+				d.heartbeats.slow++
 			}
 			if status != http.StatusOK {
 				client.CloseIdleConnections()
@@ -152,8 +152,8 @@
 	}()
 }
 
-// post sends a request; status 0 means that no answer came.
-func post(client *http.Client, url string, raw []byte) (status int, body []byte) {
+// httpPost sends a request; status 0 means that no answer came.
+func httpPost(client *http.Client, url string, raw []byte) (status int, body []byte) {
 	resp, err := client.Post(url, "application/json", bytes.NewReader(raw))
 	if err != nil {
 		return 0, nil
@@ -166,8 +166,8 @@
 	return resp.StatusCode, body
 }
 
-// get asks a question; status 0 means that no answer came.
-func get(client *http.Client, url string) (status int, body []byte) {
+// httpGet asks a question; status 0 means that no answer came.
+func httpGet(client *http.Client, url string) (status int, body []byte) {
 	resp, err := client.Get(url)
 	if err != nil {
 		return 0, nil
--- a/internal/integration/process_test.go
+++ b/internal/integration/process_test.go
@@ -13,55 +13,55 @@
 	"juniperchute/internal/config"
 )
 
-// process is one controller's place: its process comes and goes.
-type process struct {
+// controllerProcess is one controller's place: its process comes and goes.
+type controllerProcess struct {
 	tb   testing.TB
-	cfg  config.Config
-	file string // its settings
-	cmd  *exec.Cmd
+	config  config.Config
+	settingsFile string // its settings
+	command  *exec.Cmd
 }
 
 // start starts the controller; command makes the program's call for a settings file.
-func (p *process) start(command func(settings string) *exec.Cmd) {
+func (p *controllerProcess) start(command func(settings string) *exec.Cmd) {
 	p.tb.Helper()
-	raw, err := toml.Marshal(p.cfg)
+	raw, err := toml.Marshal(p.config)
 	if err != nil {
 		p.tb.Fatal(err)
 	}
-	if err := os.WriteFile(p.file, raw, 0o600); err != nil {
+	if err := os.WriteFile(p.settingsFile, raw, 0o600); err != nil {
 		p.tb.Fatal(err)
 	}
-	p.cmd = command(p.file)
-	if f := logFile(p.cfg.Member); f != nil {
-		p.cmd.Stderr = f
+	p.command = command(p.settingsFile)
+	if f := logFile(p.config.Member); f != nil {
+		p.command.Stderr = f
 		defer f.Close()
 	}
-	if err := p.cmd.Start(); err != nil {
+	if err := p.command.Start(); err != nil {
 		p.tb.Fatal(err)
 	}
 }
 
-// end ends the process, if there is one.
-func (p *process) end(sig os.Signal) {
-	if p.cmd == nil {
+// stop ends the process, if there is one.
+func (p *controllerProcess) stop(sig os.Signal) {
+	if p.command == nil {
 		return
 	}
-	_ = p.cmd.Process.Signal(sig)
-	_ = p.cmd.Wait()
-	p.cmd = nil
+	_ = p.command.Process.Signal(sig)
+	_ = p.command.Wait()
+	p.command = nil
 }
 
-// cpu is the processor time that the process has taken.
-func (p *process) cpu() time.Duration {
+// cpuTime is the processor time that the process has taken.
+func (p *controllerProcess) cpuTime() time.Duration {
 	p.tb.Helper()
-	var sum time.Duration
-	dir := fmt.Sprintf("/proc/%d/task", p.cmd.Process.Pid)
+	var total time.Duration
+	dir := fmt.Sprintf("/proc/%d/task", p.command.Process.Pid)
 	threads, err := os.ReadDir(dir)
 	if err != nil {
 		p.tb.Fatal(err)
 	}
-	for _, t := range threads {
-		raw, err := os.ReadFile(dir + "/" + t.Name() + "/schedstat")
+	for _, thread := range threads {
+		raw, err := os.ReadFile(dir + "/" + thread.Name() + "/schedstat")
 		if err != nil {
 			continue // the thread has ended
 		}
@@ -69,22 +69,22 @@
 		if _, err := fmt.Sscan(string(raw), &ns); err != nil {
 			p.tb.Skip("processor time is not told here")
 		}
-		sum += time.Duration(ns)
+		total += time.Duration(ns)
 	}
-	return sum
+	return total
 }
 
-// resident is the process's memory in MB, now and at most.
-func (p *process) resident() (now, most float64) {
+// residentMB is the process's memory in MB, now and at most.
+func (p *controllerProcess) residentMB() (now, peak float64) {
 	const kbPerMB = 1024
-	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
+	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.command.Process.Pid))
 	for line := range strings.Lines(string(raw)) {
 		var kb float64
 		if _, err := fmt.Sscanf(line, "VmRSS: %f kB", &kb); err == nil {
 			now = kb / kbPerMB
 		} else if _, err := fmt.Sscanf(line, "VmHWM: %f kB", &kb); err == nil {
-			most = kb / kbPerMB
+			peak = kb / kbPerMB
 		}
 	}
-	return now, most
+	return now, peak
 }
--- a/internal/integration/trace_test.go
+++ b/internal/integration/trace_test.go
@@ -5,22 +5,22 @@
 	"juniperchute/internal/tracing"
 )
 
-// checkJoined checks that the traces show some return's whole way through a takeover: one
+// checkTraces checks that the traces show some return's whole way through a takeover: one
 // controller decided and entered it, another took it over and settled it.
-func (f *freezes) checkJoined() {
-	f.t.Helper()
-	spans, err := tracing.Read(f.traces...)
+func (s *stallTest) checkTraces() {
+	s.t.Helper()
+	spans, err := tracing.Read(s.traces...)
 	if err != nil {
-		f.t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	for _, h := range intentlog.Histories(spans) {
-		first, last := h.Steps[0], h.Steps[len(h.Steps)-1]
-		if h.Operation == string(intentlog.Deprovision) && h.FailedOver && h.Completed && first.Member != last.Member && first.Token != last.Token {
-			for _, s := range h.Steps {
-				f.t.Logf("%s: %s under token %s %s", h.Target, s.Member, s.Token, s.Text)
+	for _, history := range intentlog.Histories(spans) {
+		first, last := history.Steps[0], history.Steps[len(history.Steps)-1]
+		if history.Operation == string(intentlog.Deprovision) && history.FailedOver && history.Completed && first.Member != last.Member && first.Token != last.Token {
+			for _, step := range history.Steps {
+				s.t.Logf("%s: %s under token %s %s", history.Target, step.Member, step.Token, step.Text)
 			}
 			return
 		}
 	}
-	f.t.Error("no trace shows a return through a takeover")
+	s.t.Error("no trace shows a return through a takeover")
 }
--- a/internal/integration/upgrade_test.go
+++ b/internal/integration/upgrade_test.go
@@ -23,209 +23,209 @@
 const (
 	upgradeMachines  = 34
 	presentValueKB   = 1.0
-	comingValueKB    = 0.5
+	nextValueKB    = 0.5
 	presentWrites    = 20.0
-	comingWrites     = 15.0
+	nextWrites     = 15.0
 	presentOps       = 8
-	comingOps        = 4
-	comingRequests   = 150.0
+	nextOps        = 4
+	nextRequests   = 150.0
 	presentRequests  = 200.0
-	processBack      = 800 * time.Millisecond // how long a process is away
-	betweenSteps     = 4 * time.Second        // of a roll
+	restartDelay      = 800 * time.Millisecond // how long a process is away
+	stepInterval     = 4 * time.Second        // of a roll
 	longArrayTasks   = 4500                   // of which tallies fill pages
 	serviceReplicas  = 3
-	submissionsEvery = 700 * time.Millisecond
+	submissionInterval = 700 * time.Millisecond
 )
 
 // oldVersion is a version that is upgraded.
 type oldVersion struct {
 	name, commit string
-	knowsLimits  bool // it writes nothing beyond the limits to come
+	heedsNextLimits  bool // it writes nothing beyond the limits to come
 	duties       bool // the new version has the log of duties switched on
 }
 
-// rollout is a deployment whose controllers are given another version.
-type rollout struct {
+// upgradeTest is a deployment whose controllers are given another version.
+type upgradeTest struct {
 	*deployment
 	t         *testing.T
 	old, new  string // programs
-	version   []string
+	versions   []string
 	switches  string // the new version's file of switches, "" for none
-	large     bool   // the old version fills values to the present limit
-	fallen    bool   // the limits have fallen
+	writesLargeValues     bool   // the old version fills values to the present limit
+	limitsLowered    bool   // the limits have fallen
 	jobs      int
 	rng       *rand.Rand // of the users; the lock is held
-	endLoad   chan struct{}
+	stopLoad   chan struct{}
 	longArray *standin.Job
 }
 
-// upgradeType is small, so that the names of the machines in use fill pages.
-func upgradeType() wire.MachineType {
+// upgradeMachineType is small, so that the names of the machines in use fill pages.
+func upgradeMachineType() wire.MachineType {
 	return wire.MachineType{Name: "g2", Vcpus: 16, Gpus: 2, MemGb: 96, FetchGbPerS: 1, Price: 5, SpotPrice: 2, BootTimeS: 2, Zones: []string{"a"}}
 }
 
-func upgradeFacts() config.Platform {
-	f := standin.Facts([]string{"a"}, []config.Team{{Name: "red", GPUs: 8, GPUsMax: 16}, {Name: "blue"}}, 1, 6)
-	f.Workers.CancelS, f.Workers.GangWaitS, f.Workers.GangPeerS = 20, 10, 3
-	f.State = config.StateLimits{RPS: presentRequests, WriteRPS: presentWrites, ValueKB: presentValueKB, TxnOps: presentOps, Next: config.UpcomingLimits{
-		"rps": comingRequests, "write_rps": comingWrites, "value_kb": comingValueKB, "txn_ops": int64(comingOps)}}
-	return f
+func upgradeConfig() config.Platform {
+	deploymentConfig := standin.DeploymentConfig([]string{"a"}, []config.Team{{Name: "red", GPUs: 8, GPUsMax: 16}, {Name: "blue"}}, 1, 6)
+	deploymentConfig.Workers.CancelS, deploymentConfig.Workers.GangWaitS, deploymentConfig.Workers.GangPeerS = 20, 10, 3
+	deploymentConfig.State = config.StateLimits{RPS: presentRequests, WriteRPS: presentWrites, ValueKB: presentValueKB, TxnOps: presentOps, Next: config.UpcomingLimits{
+		"rps": nextRequests, "write_rps": nextWrites, "value_kb": nextValueKB, "txn_ops": int64(nextOps)}}
+	return deploymentConfig
 }
 
-func newRollout(t *testing.T, from oldVersion) *rollout {
-	r := &rollout{t: t, large: !from.knowsLimits, old: binary(t, from.commit), new: binary(t, ""), rng: rand.New(rand.NewPCG(9, 9)), endLoad: make(chan struct{})}
-	r.deployment = newDeployment(t, upgradeFacts(), upgradeType(), upgradeMachines)
+func newUpgradeTest(t *testing.T, from oldVersion) *upgradeTest {
+	u := &upgradeTest{t: t, writesLargeValues: !from.heedsNextLimits, old: buildVersion(t, from.commit), new: buildVersion(t, ""), rng: rand.New(rand.NewPCG(9, 9)), stopLoad: make(chan struct{})}
+	u.deployment = newDeployment(t, upgradeConfig(), upgradeMachineType(), upgradeMachines)
 	if from.duties {
-		r.switches = filepath.Join(t.TempDir(), "switches.toml")
-		if err := os.WriteFile(r.switches, []byte("duties = true\n"), 0o600); err != nil {
+		u.switches = filepath.Join(t.TempDir(), "switches.toml")
+		if err := os.WriteFile(u.switches, []byte("duties = true\n"), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	r.cloud.QuickBoots = true
-	r.state.Limits = standin.StateLimits{ValueBytes: presentValueKB * 1024, TxnOps: presentOps, Writes: presentWrites, Requests: presentRequests}
-	r.state.OnCall = r.checkWrites
-	for i := range r.nodes {
-		r.version = append(r.version, r.old)
-		r.run(i)
+	u.cloud.FastBoot = true
+	u.store.Limits = standin.StateLimits{MaxValueBytes: presentValueKB * 1024, MaxTxnOps: presentOps, WritesPerS: presentWrites, RequestsPerS: presentRequests}
+	u.store.OnCall = u.checkWrites
+	for i := range u.controllers {
+		u.versions = append(u.versions, u.old)
+		u.start(i)
 	}
-	r.until("a holder", func() bool { return r.holder() >= 0 })
-	r.running.Add(1)
-	go r.load()
-	r.until("work on the machines", func() bool { return r.longArray != nil && slices.Contains(r.longArray.Done, true) })
-	return r
+	u.waitUntil("a holder", func() bool { return u.leaderIndex() >= 0 })
+	u.goroutines.Add(1)
+	go u.submitLoop()
+	u.waitUntil("work on the machines", func() bool { return u.longArray != nil && slices.Contains(u.longArray.Done, true) })
+	return u
 }
 
-// run starts a controller in its version.
-func (r *rollout) run(i int) {
-	program := r.version[i]
+// start starts a controller in its version.
+func (u *upgradeTest) start(i int) {
+	program := u.versions[i]
 	args := []string{"--config"}
-	if program == r.new && r.switches != "" {
-		args = []string{"--switches", r.switches, "--config"}
+	if program == u.new && u.switches != "" {
+		args = []string{"--switches", u.switches, "--config"}
 	}
-	r.nodes[i].start(func(settings string) *exec.Cmd { return exec.Command(program, append(args, settings)...) })
+	u.controllers[i].start(func(settings string) *exec.Cmd { return exec.Command(program, append(args, settings)...) })
 }
 
 // checkWrites checks that nothing is written beyond the limits once they have fallen.
 // From then on all writers are the new version.
-func (r *rollout) checkWrites(c store.Call, _ int) {
-	if !r.fallen {
+func (u *upgradeTest) checkWrites(call store.Call, _ int) {
+	if !u.limitsLowered {
 		return
 	}
-	for _, w := range c.Transaction.Writes {
-		if len(w.Value) > comingValueKB*1024 || len(c.Transaction.Writes) > comingOps {
-			r.cluster.Break(standin.Expectation, "%s is written with %d bytes, %d changes at once", w.Put, len(w.Value), len(c.Transaction.Writes))
+	for _, write := range call.Transaction.Writes {
+		if len(write.Value) > nextValueKB*1024 || len(call.Transaction.Writes) > nextOps {
+			u.cluster.AddViolation(standin.Expectation, "%s is written with %d bytes, %d changes at once", write.Put, len(write.Value), len(call.Transaction.Writes))
 		}
 	}
 }
 
-// holder is the controller that holds the block, -1 if there is none; the lock is held.
-func (r *rollout) holder() int { return r.NodeIndex(r.holderName()) }
+// leaderIndex is the controller that holds the block, -1 if there is none; the lock is held.
+func (u *upgradeTest) leaderIndex() int { return u.NodeIndex(u.leaderName()) }
 
 // restart kills a controller and starts it in a version.
-func (r *rollout) restart(i int, program string) {
-	r.nodes[i].end(syscall.SIGKILL)
-	r.sleep(processBack)
-	r.version[i] = program
-	r.run(i)
+func (u *upgradeTest) restart(i int, program string) {
+	u.controllers[i].stop(syscall.SIGKILL)
+	u.sleep(restartDelay)
+	u.versions[i] = program
+	u.start(i)
 }
 
 // roll gives all controllers a version, one after the other.
-func (r *rollout) roll(program string) {
-	for i := range r.nodes {
-		r.restart(i, program)
-		r.sleep(betweenSteps)
+func (u *upgradeTest) roll(program string) {
+	for i := range u.controllers {
+		u.restart(i, program)
+		u.sleep(stepInterval)
 	}
 }
 
-// leads waits until a given controller holds the block, restarting others, in their
+// waitForLeader waits until a given controller holds the block, restarting others, in their
 // versions, that hold it instead.
-func (r *rollout) leads(want int) {
-	r.t.Helper()
+func (u *upgradeTest) waitForLeader(want int) {
+	u.t.Helper()
 	for range 6 {
 		at := -1
-		r.until("a holder", func() bool { at = r.holder(); return at >= 0 })
+		u.waitUntil("a holder", func() bool { at = u.leaderIndex(); return at >= 0 })
 		if at == want {
 			return
 		}
 		// the one that joined last is chosen: the wanted one is to be that
-		r.restart(want, r.version[want])
-		r.sleep(2 * time.Second)
-		r.restart(at, r.version[at])
-		r.sleep(betweenSteps)
+		u.restart(want, u.versions[want])
+		u.sleep(2 * time.Second)
+		u.restart(at, u.versions[at])
+		u.sleep(stepInterval)
 	}
-	r.t.Fatalf("controller %d never holds the block", want)
+	u.t.Fatalf("controller %d never holds the block", want)
 }
 
-// lower has the state service lower its limits, in the midst of whatever is going on.
+// lowerLimits has the state service lower its limits, in the midst of whatever is going on.
 // A version that does not know the limits to come has left values that are larger.
-func (r *rollout) lower() {
+func (u *upgradeTest) lowerLimits() {
 	large := 0
-	r.locked(func() {
-		for _, it := range r.state.Keys {
-			if len(it.Value) > comingValueKB*1024 {
+	u.withLock(func() {
+		for _, item := range u.store.Keys {
+			if len(item.Value) > nextValueKB*1024 {
 				large++
 			}
 		}
-		r.state.Limits = standin.StateLimits{ValueBytes: comingValueKB * 1024, TxnOps: comingOps, Writes: comingWrites, Requests: comingRequests}
-		r.fallen = true
+		u.store.Limits = standin.StateLimits{MaxValueBytes: nextValueKB * 1024, MaxTxnOps: nextOps, WritesPerS: nextWrites, RequestsPerS: nextRequests}
+		u.limitsLowered = true
 	})
-	r.t.Logf("%d values are larger than the limits allow from now on", large)
-	if r.large && large == 0 {
-		r.t.Error("the old version left no value that is too large now: this tests nothing")
+	u.t.Logf("%d values are larger than the limits allow from now on", large)
+	if u.writesLargeValues && large == 0 {
+		u.t.Error("the old version left no value that is too large now: this tests nothing")
 	}
 }
 
-// load is the users: arrays, gangs, and cancellations, until the load is ended.
-func (r *rollout) load() {
-	defer r.running.Done()
-	long := r.add(wire.JobSpec{ID: "job-900000", Team: "blue", Class: "sweep", Shape: wire.ShapeBatch, Priority: "low", Tasks: longArrayTasks,
+// submitLoop is the users: arrays, gangs, and cancellations, until the load is ended.
+func (u *upgradeTest) submitLoop() {
+	defer u.goroutines.Done()
+	long := u.submit(wire.JobSpec{ID: "job-900000", Team: "blue", Class: "sweep", Shape: wire.ShapeBatch, Priority: "low", Tasks: longArrayTasks,
 		Vcpus: 1, Gpus: 0, MemGb: 1, Image: "img-long", ImageGb: 1, AnyType: true, EstimatedRunTimeS: 4}, 4*time.Second)
-	r.locked(func() { r.longArray = long })
-	r.add(wire.JobSpec{ID: "job-900001", Team: "blue", Class: "sweep", Shape: wire.ShapeBatch, Priority: "low", Tasks: longArrayTasks / 3,
+	u.withLock(func() { u.longArray = long })
+	u.submit(wire.JobSpec{ID: "job-900001", Team: "blue", Class: "sweep", Shape: wire.ShapeBatch, Priority: "low", Tasks: longArrayTasks / 3,
 		Vcpus: 1, Gpus: 0, MemGb: 1, Image: "img-long", ImageGb: 1, AnyType: true, EstimatedRunTimeS: 4}, 4*time.Second)
 	for {
 		select {
-		case <-r.endLoad:
+		case <-u.stopLoad:
 			return
-		case <-r.ctx.Done():
+		case <-u.ctx.Done():
 			return
-		case <-time.After(submissionsEvery):
-			r.submitRandom()
+		case <-time.After(submissionInterval):
+			u.submitRandom()
 		}
 	}
 }
 
 // submitRandom has a user submit an array or a gang, and perhaps cancel it soon.
-func (r *rollout) submitRandom() {
+func (u *upgradeTest) submitRandom() {
 	var spec wire.JobSpec
 	var run, cancelAfter time.Duration
-	r.locked(func() {
-		spec = wire.JobSpec{ID: fmt.Sprintf("job-%06d", r.jobs), Team: []string{"red", "blue"}[r.rng.IntN(2)], Class: "sweep", Shape: wire.ShapeBatch,
-			Priority: []string{"low", "normal", "high"}[r.rng.IntN(3)], Tasks: 1 + r.rng.IntN(6), Vcpus: 2, Gpus: 1, MemGb: 8,
-			Image: fmt.Sprintf("img-%d", r.rng.IntN(4)), ImageGb: 1, AnyType: true, EstimatedRunTimeS: 5}
-		if r.rng.IntN(3) == 0 {
-			spec.Class, spec.Shape, spec.Tasks, spec.CheckpointIntervalS, spec.CheckpointSaveTimeS = "model", wire.ShapeGang, 1+r.rng.IntN(3), 2, 1
+	u.withLock(func() {
+		spec = wire.JobSpec{ID: fmt.Sprintf("job-%06d", u.jobs), Team: []string{"red", "blue"}[u.rng.IntN(2)], Class: "sweep", Shape: wire.ShapeBatch,
+			Priority: []string{"low", "normal", "high"}[u.rng.IntN(3)], Tasks: 1 + u.rng.IntN(6), Vcpus: 2, Gpus: 1, MemGb: 8,
+			Image: fmt.Sprintf("img-%d", u.rng.IntN(4)), ImageGb: 1, AnyType: true, EstimatedRunTimeS: 5}
+		if u.rng.IntN(3) == 0 {
+			spec.Class, spec.Shape, spec.Tasks, spec.CheckpointIntervalS, spec.CheckpointSaveTimeS = "model", wire.ShapeGang, 1+u.rng.IntN(3), 2, 1
 		}
-		run = time.Duration(2000+r.rng.IntN(8000)) * time.Millisecond
-		if r.rng.IntN(5) == 0 {
-			cancelAfter = time.Duration(500+r.rng.IntN(8000)) * time.Millisecond
+		run = time.Duration(2000+u.rng.IntN(8000)) * time.Millisecond
+		if u.rng.IntN(5) == 0 {
+			cancelAfter = time.Duration(500+u.rng.IntN(8000)) * time.Millisecond
 		}
-		r.jobs++
+		u.jobs++
 	})
-	j := r.add(spec, run)
+	job := u.submit(spec, run)
 	if cancelAfter > 0 {
-		r.sleep(cancelAfter % submissionsEvery)
-		r.cancel(j)
+		u.sleep(cancelAfter % submissionInterval)
+		u.cancel(job)
 	}
 }
 
 // useServices plays services, which are asked for once all have the new version: a
 // service runs, a machine of it is lost, the replica comes back, and it is cancelled.
-func (r *rollout) useServices() {
-	service := r.add(wire.JobSpec{ID: "job-800000", Team: "red", Class: "portal", Shape: wire.ShapeService, Priority: "critical", Tasks: serviceReplicas,
+func (u *upgradeTest) useServices() {
+	service := u.submit(wire.JobSpec{ID: "job-800000", Team: "red", Class: "portal", Shape: wire.ShapeService, Priority: "critical", Tasks: serviceReplicas,
 		Vcpus: 1, Gpus: 1, MemGb: 4, Image: "img-portal", ImageGb: 1, AnyType: true}, 0)
 	replicas := func() (hosts []string) {
-		for name, w := range r.cluster.Workers {
+		for name, w := range u.cluster.Workers {
 			for _, t := range w.Tasks {
 				if t.Job == service && t.Stage == wire.TaskRunning {
 					hosts = append(hosts, name)
@@ -234,36 +234,36 @@
 		}
 		return hosts
 	}
-	r.until("a service's replicas", func() bool { return len(replicas()) == serviceReplicas })
-	r.locked(func() { r.cloud.Remove(replicas()[0]) })
-	r.until("a lost replica elsewhere", func() bool { return len(replicas()) == serviceReplicas })
-	r.cancel(service)
-	r.until("a cancelled service's end", func() bool { return len(replicas()) == 0 && service.Told == wire.JobCancelled })
+	u.waitUntil("a service's replicas", func() bool { return len(replicas()) == serviceReplicas })
+	u.withLock(func() { u.cloud.Remove(replicas()[0]) })
+	u.waitUntil("a lost replica elsewhere", func() bool { return len(replicas()) == serviceReplicas })
+	u.cancel(service)
+	u.waitUntil("a cancelled service's end", func() bool { return len(replicas()) == 0 && service.KnownState == wire.JobCancelled })
 }
 
 // finish ends the load and waits until every job has ended.
-func (r *rollout) finish() {
-	close(r.endLoad)
-	if r.switches != "" {
-		r.until("the log of duties in force", func() bool { return strings.Contains(string(r.state.Keys["c/switches"].Value), "duties") })
+func (u *upgradeTest) finish() {
+	close(u.stopLoad)
+	if u.switches != "" {
+		u.waitUntil("the log of duties in force", func() bool { return strings.Contains(string(u.store.Keys["c/switches"].Value), "duties") })
 	}
-	r.until("every job's end", func() bool {
-		return !slices.ContainsFunc(r.cluster.Order, func(j *standin.Job) bool { return !j.Ended() })
+	u.waitUntil("every job's end", func() bool {
+		return !slices.ContainsFunc(u.cluster.Submitted, func(job *standin.Job) bool { return !job.Ended() })
 	})
-	r.locked(func() {
-		r.cluster.Check()
+	u.withLock(func() {
+		u.cluster.Check()
 		done := 0
-		for _, j := range r.cluster.Order {
-			if j.Told == wire.JobDone {
+		for _, job := range u.cluster.Submitted {
+			if job.KnownState == wire.JobDone {
 				done++
 			}
 		}
-		r.t.Logf("%d jobs, %d done, %d slow reports of %d", len(r.cluster.Order), done, r.reports.slow, r.reports.sent)
+		u.t.Logf("%d jobs, %d done, %d slow reports of %d", len(u.cluster.Submitted), done, u.heartbeats.slow, u.heartbeats.sent)
 		if done == 0 {
-			r.t.Error("no job was done")
+			u.t.Error("no job was done")
 		}
-		for _, v := range r.cluster.Broken {
-			r.t.Error(v)
+		for _, violation := range u.cluster.Violations {
+			u.t.Error(violation)
 		}
 	})
 }
@@ -273,76 +273,76 @@
 func TestUpgrade(t *testing.T) {
 	scenarios := []struct {
 		name string
-		play func(r *rollout)
+		play func(u *upgradeTest)
 	}{
-		{"one after the other", func(r *rollout) { r.roll(r.new) }},
-		{"a rollback half-way, and a second roll", func(r *rollout) {
-			r.restart(0, r.new)
-			r.sleep(betweenSteps)
-			r.restart(1, r.new)
-			r.sleep(betweenSteps)
-			r.restart(1, r.old)
-			r.sleep(betweenSteps)
-			r.restart(0, r.old)
-			r.sleep(betweenSteps)
-			r.roll(r.new)
+		{"one after the other", func(u *upgradeTest) { u.roll(u.new) }},
+		{"a rollback half-way, and a second roll", func(u *upgradeTest) {
+			u.restart(0, u.new)
+			u.sleep(stepInterval)
+			u.restart(1, u.new)
+			u.sleep(stepInterval)
+			u.restart(1, u.old)
+			u.sleep(stepInterval)
+			u.restart(0, u.old)
+			u.sleep(stepInterval)
+			u.roll(u.new)
 		}},
-		{"an old process takes over from a new one, and a new one from an old one", func(r *rollout) {
-			r.restart(0, r.new)
-			r.leads(0)
-			r.sleep(betweenSteps)
-			r.nodes[0].end(syscall.SIGKILL)
-			r.until("an old holder", func() bool { return r.holder() > 0 })
-			r.sleep(betweenSteps)
-			r.run(0)
-			r.sleep(betweenSteps)
-			r.leads(0)
-			r.roll(r.new)
+		{"an old process takes over from a new one, and a new one from an old one", func(u *upgradeTest) {
+			u.restart(0, u.new)
+			u.waitForLeader(0)
+			u.sleep(stepInterval)
+			u.controllers[0].stop(syscall.SIGKILL)
+			u.waitUntil("an old holder", func() bool { return u.leaderIndex() > 0 })
+			u.sleep(stepInterval)
+			u.start(0)
+			u.sleep(stepInterval)
+			u.waitForLeader(0)
+			u.roll(u.new)
 		}},
-		{"an old process comes back old among new ones", func(r *rollout) {
-			r.restart(0, r.new)
-			r.restart(1, r.new)
-			r.sleep(betweenSteps)
-			r.restart(2, r.old)
-			r.sleep(betweenSteps)
-			r.restart(2, r.new)
-			r.sleep(betweenSteps)
+		{"an old process comes back old among new ones", func(u *upgradeTest) {
+			u.restart(0, u.new)
+			u.restart(1, u.new)
+			u.sleep(stepInterval)
+			u.restart(2, u.old)
+			u.sleep(stepInterval)
+			u.restart(2, u.new)
+			u.sleep(stepInterval)
 		}},
-		{"the state service is away during the roll", func(r *rollout) {
-			r.restart(0, r.new)
-			r.sleep(time.Second)
-			r.locked(func() { r.state.SetDown(true) })
-			r.restart(1, r.new)
-			r.sleep(5 * time.Second)
-			r.locked(func() { r.state.SetDown(false) })
-			r.sleep(betweenSteps)
-			r.restart(2, r.new)
-			r.sleep(betweenSteps)
+		{"the state service is away during the roll", func(u *upgradeTest) {
+			u.restart(0, u.new)
+			u.sleep(time.Second)
+			u.withLock(func() { u.store.SetUnavailable(true) })
+			u.restart(1, u.new)
+			u.sleep(5 * time.Second)
+			u.withLock(func() { u.store.SetUnavailable(false) })
+			u.sleep(stepInterval)
+			u.restart(2, u.new)
+			u.sleep(stepInterval)
 		}},
-		{"the limits fall right after the last process is new", func(r *rollout) {
-			r.roll(r.new)
-			r.lower()
+		{"the limits fall right after the last process is new", func(u *upgradeTest) {
+			u.roll(u.new)
+			u.lowerLimits()
 		}},
-		{"the limits fall in the takeover that the last process's end brings", func(r *rollout) {
-			r.leads(2)
-			r.restart(0, r.new)
-			r.restart(1, r.new)
-			r.sleep(betweenSteps)
-			r.leads(2)
-			r.nodes[2].end(syscall.SIGKILL)
-			r.lower()
-			r.version[2] = r.new
-			r.run(2)
+		{"the limits fall in the takeover that the last process's end brings", func(u *upgradeTest) {
+			u.waitForLeader(2)
+			u.restart(0, u.new)
+			u.restart(1, u.new)
+			u.sleep(stepInterval)
+			u.waitForLeader(2)
+			u.controllers[2].stop(syscall.SIGKILL)
+			u.lowerLimits()
+			u.versions[2] = u.new
+			u.start(2)
 		}},
 	}
-	for _, from := range []oldVersion{{"production", production(t), false, true}, {"predecessor", predecessor, true, false}} {
-		for _, s := range scenarios {
-			t.Run(from.name+"/"+s.name, func(t *testing.T) {
+	for _, from := range []oldVersion{{"production", productionCommit(t), false, true}, {"predecessor", predecessorCommit, true, false}} {
+		for _, scenario := range scenarios {
+			t.Run(from.name+"/"+scenario.name, func(t *testing.T) {
 				t.Parallel()
-				r := newRollout(t, from)
-				s.play(r)
-				r.useServices()
-				r.finish()
+				u := newUpgradeTest(t, from)
+				scenario.play(u)
+				u.useServices()
+				u.finish()
 			})
 		}
 	}
--- a/internal/integration/users_test.go
+++ b/internal/integration/users_test.go
@@ -10,82 +10,82 @@
 	"juniperchute/internal/wire"
 )
 
-// userPause is the pause between a user's requests.
-const userPause = time.Second
+// userInterval is the pause between a user's requests.
+const userInterval = time.Second
 
-// request is one request of a user.
-type request func(base string) (status int, body []byte)
+// sendFunc is one request of a user.
+type sendFunc func(base string) (status int, body []byte)
 
-func (d *deployment) submission(spec wire.JobSpec) request {
+func (d *deployment) submission(spec wire.JobSpec) sendFunc {
 	raw, _ := json.Marshal(standin.SubmissionBody(spec))
-	return func(base string) (int, []byte) { return post(d.users, base+"/submissions", raw) }
+	return func(base string) (int, []byte) { return httpPost(d.users, base+"/submissions", raw) }
 }
 
-func (d *deployment) query(id string) request {
-	return func(base string) (int, []byte) { return get(d.users, base+"/submissions/"+id) }
+func (d *deployment) query(id string) sendFunc {
+	return func(base string) (int, []byte) { return httpGet(d.users, base+"/submissions/"+id) }
 }
 
-func (d *deployment) cancellation(id string) request {
-	return func(base string) (int, []byte) { return post(d.users, base+"/submissions/"+id+"/cancel", nil) }
+func (d *deployment) cancellation(id string) sendFunc {
+	return func(base string) (int, []byte) { return httpPost(d.users, base+"/submissions/"+id+"/cancel", nil) }
 }
 
-// ask sends a request about a job to some node and records what its user was told.
-func (d *deployment) ask(j *standin.Job, r request) {
+// sendRequest sends a request about a job to some node and records what its user was told.
+func (d *deployment) sendRequest(job *standin.Job, send sendFunc) {
 	before := ""
-	d.locked(func() { before = j.Told })
-	n := d.nodes[rand.IntN(len(d.nodes))]
-	status, body := r("http://" + n.cfg.APIAddr)
+	d.withLock(func() { before = job.KnownState })
+	controller := d.controllers[rand.IntN(len(d.controllers))]
+	status, body := send("http://" + controller.config.APIAddr)
 	var state wire.JobState
 	_ = json.Unmarshal(body, &state)
-	d.locked(func() {
+	d.withLock(func() {
 		if status == http.StatusOK || status == http.StatusCreated {
-			d.cluster.Tell(j, state.State, before)
+			d.cluster.RecordAnswer(job, state.State, before)
 			return
 		}
-		d.cluster.Refused(j, before, status)
+		d.cluster.RecordRefusal(job, before, status)
 	})
 }
 
-// add has a user submit a job, and ask about it until it has ended.
-func (d *deployment) add(spec wire.JobSpec, run time.Duration) *standin.Job {
-	j := standin.NewJob(spec, run)
-	d.locked(func() { d.cluster.AddJob(j) })
-	d.running.Add(1)
+// submit has a user submit a job, and ask about it until it has ended.
+func (d *deployment) submit(spec wire.JobSpec, run time.Duration) *standin.Job {
+	job := standin.NewJob(spec, run)
+	d.withLock(func() { d.cluster.AddJob(job) })
+	d.goroutines.Add(1)
 	go func() {
-		defer d.running.Done()
-		d.follow(j)
+		defer d.goroutines.Done()
+		d.followJob(job)
 	}()
-	return j
+	return job
 }
 
-// follow is the user of a job.
-func (d *deployment) follow(j *standin.Job) {
-	submission, query := d.submission(j.Spec), d.query(j.Spec.ID)
+// followJob is the user of a job.
+func (d *deployment) followJob(job *standin.Job) {
+	submission, query := d.submission(job.Spec), d.query(job.Spec.ID)
 	for d.ctx.Err() == nil {
 		accepted, ended := false, false
-		d.locked(func() { accepted, ended = j.Accepted, j.Ended() })
+		d.withLock(func() { accepted, ended = job.Accepted, job.Ended() })
 		switch {
 		case ended:
 			return
 		case accepted:
-			d.ask(j, query)
+			d.sendRequest(job, query)
 		default:
-			d.ask(j, submission)
+			d.sendRequest(job, submission)
 		}
-		d.sleep(userPause)
+		d.sleep(userInterval)
 	}
 }
 
 // cancel has the job's user cancel it, again and again until it has ended.
-func (d *deployment) cancel(j *standin.Job) {
-	d.locked(func() { j.CancelAsked = true })
-	d.running.Add(1)
+func (d *deployment) cancel(job *standin.Job) {
+	d.withLock(func() { job.CancelRequested = true })
+	d.goroutines.Add(1)
 	go func() {
-		defer d.running.Done()
+		defer d.goroutines.Done()
 		for ended := false; !ended && d.ctx.Err() == nil; {
-			d.ask(j, d.cancellation(j.Spec.ID))
-			d.locked(func() { ended = j.Ended() })
-			d.sleep(userPause)
+			d.sendRequest(job, d.cancellation(job.Spec.ID))
+			d.withLock(func() { ended = job.Ended() })
+			d.sleep(userInterval)
 		}
 	}()
 }
--- a/internal/integration/versions_test.go
+++ b/internal/integration/versions_test.go
@@ -12,17 +12,17 @@
 	"testing"
 )
 
-// predecessor is the head of main before the upgrade tests were written: what ran then
+// predecessorCommit is the head of main before the upgrade tests were written: what ran then
 // can be upgraded as well as what production names.
-const predecessor = "288c544d9a91dd8711b6831b3f3e5cbb209030c9"
+const predecessorCommit = "288c544d9a91dd8711b6831b3f3e5cbb209030c9"
 
 // buildCommand is how deploy/service.toml builds the program.
 var buildCommand = []string{"go", "build", "-ldflags=-linkmode=external"}
 
 var errNoHistory = errors.New("the upgrade tests need the repository's history: check it out whole (git fetch --unshallow)")
 
-// binaries are the programs built so far, by commit; "" is the working tree.
-var binaries = struct {
+// builtBinaries are the programs built so far, by commit; "" is the working tree.
+var builtBinaries = struct {
 	sync.Mutex
 	dir  string
 	path map[string]string
@@ -30,16 +30,16 @@
 
 // TestMain runs the tests, or a controller for a benchmark, and removes what was built.
 func TestMain(m *testing.M) {
-	if file := os.Getenv(controllerVariable); file != "" {
-		if err := serveController(file); err != nil {
+	if file := os.Getenv(controllerEnv); file != "" {
+		if err := runController(file); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
 		return
 	}
 	status := m.Run()
-	if binaries.dir != "" {
-		_ = os.RemoveAll(binaries.dir)
+	if builtBinaries.dir != "" {
+		_ = os.RemoveAll(builtBinaries.dir)
 	}
 	os.Exit(status)
 }
@@ -52,19 +52,19 @@
 	return strings.TrimSpace(string(out)), nil
 }
 
-// binary is the program of a commit, or of the working tree.
-func binary(t *testing.T, commit string) string {
+// buildVersion is the program of a commit, or of the working tree.
+func buildVersion(t *testing.T, commit string) string {
 	t.Helper()
-	binaries.Lock()
-	defer binaries.Unlock()
-	if path := binaries.path[commit]; path != "" {
+	builtBinaries.Lock()
+	defer builtBinaries.Unlock()
+	if path := builtBinaries.path[commit]; path != "" {
 		return path
 	}
 	path, err := buildBinary(commit)
 	if err != nil {
 		t.Fatal(err)
 	}
-	binaries.path[commit] = path
+	builtBinaries.path[commit] = path
 	return path
 }
 
@@ -73,14 +73,14 @@
 	if err != nil {
 		return "", err
 	}
-	if binaries.dir == "" {
-		if binaries.dir, err = os.MkdirTemp("", "juniperchute-versions"); err != nil {
+	if builtBinaries.dir == "" {
+		if builtBinaries.dir, err = os.MkdirTemp("", "juniperchute-versions"); err != nil {
 			return "", err
 		}
 	}
-	sources, path := root, filepath.Join(binaries.dir, "present")
+	sources, path := root, filepath.Join(builtBinaries.dir, "present")
 	if commit != "" {
-		sources, path = filepath.Join(binaries.dir, "sources-"+commit), filepath.Join(binaries.dir, commit)
+		sources, path = filepath.Join(builtBinaries.dir, "sources-"+commit), filepath.Join(builtBinaries.dir, commit)
 		if err := checkOut(root, commit, sources); err != nil {
 			return "", err
 		}
@@ -112,8 +112,8 @@
 	return nil
 }
 
-// production is the commit that deploy/service.toml names.
-func production(t *testing.T) string {
+// productionCommit is the commit that deploy/service.toml names.
+func productionCommit(t *testing.T) string {
 	t.Helper()
 	root, err := repositoryRoot()
 	if err != nil {
@@ -137,7 +137,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, commit := range []string{production(t), predecessor} {
+	for _, commit := range []string{productionCommit(t), predecessorCommit} {
 		if err := exec.Command("git", "-C", root, "merge-base", "--is-ancestor", commit, "HEAD").Run(); err != nil {
 			t.Errorf("%s is no ancestor of this version: %v", commit, err)
 		}
--- a/internal/intentlog/history.go
+++ b/internal/intentlog/history.go
@@ -55,7 +55,7 @@
 // Histories puts the spans of all controllers together, action by action.
 func Histories(spans []tracing.Span) []History {
 	var out []History
-	for _, group := range tracing.ByTrace(spans) {
+	for _, group := range tracing.GroupByTrace(spans) {
 		if group[0].Attribute(attributeOperation) != "" {
 			out = append(out, history(group))
 		}
--- a/internal/intentlog/log.go
+++ b/internal/intentlog/log.go
@@ -44,7 +44,7 @@
 	for _, d := range Operations() {
 		l.intents[d] = map[string]*Intent{}
 	}
-	l.pages = store.NewPages(LogPrefix(options.Shard), options.ValueKB, tuning.EntriesEvery, store.PriorityTerm, options.TermCompare, options.StateCall, options.Log, options.OnTermLost)
+	l.pages = store.NewPages(LogPrefix(options.Shard), options.ValueKB, tuning.IntentWriteInterval, store.PriorityTerm, options.TermCompare, options.StateCall, options.Log, options.OnTermLost)
 	return l
 }
 
@@ -131,7 +131,7 @@
 func (l *Log) Pending() int { return l.pending }
 
 // Full tells whether the log takes no more actions until some are settled.
-func (l *Log) Full() bool { return l.pending >= tuning.EntriesMost }
+func (l *Log) Full() bool { return l.pending >= tuning.MaxOpenIntents }
 
 // Record decides on an action: it may be sent once its entry is durable. It tells false,
 // and changes nothing, if the log is full; an action that is there already stays as it is.
--- a/internal/intentlog/log_test.go
+++ b/internal/intentlog/log_test.go
@@ -125,7 +125,7 @@
 	if ready := len(x.Ready(Deprovision)); ready != 1 {
 		t.Errorf("%d are ready after the first write, which had one", ready)
 	}
-	now := now.Add(tuning.EntriesEvery)
+	now := now.Add(tuning.IntentWriteInterval)
 	x.Tick(now)
 	if len(x.sent) != 1 {
 		t.Fatalf("%d writes for the others", len(x.sent))
@@ -142,7 +142,7 @@
 // A full log takes no more actions until some are settled; nothing is changed by asking.
 func TestFullLog(t *testing.T) {
 	x := newTestLog(false)
-	for i := range tuning.EntriesMost {
+	for i := range tuning.MaxOpenIntents {
 		if !x.Record(now, Deprovision, fmt.Sprintf("i-%d", i), "idle") {
 			t.Fatalf("no room for action %d", i)
 		}
--- a/internal/leader/lease.go
+++ b/internal/leader/lease.go
@@ -11,7 +11,7 @@
 // leaseDeadlineAfter is how long a lease surely stands after a request sent at t was
 // granted: clocks may drift apart, and the holder stops a little early.
 func leaseDeadlineAfter(t time.Time) time.Time {
-	return t.Add(tuning.MemberLease - time.Duration(float64(tuning.MemberLease)*2*tuning.ClockDrift) - tuning.LeaseGuard)
+	return t.Add(tuning.MemberLease - time.Duration(float64(tuning.MemberLease)*2*tuning.MaxClockDrift) - tuning.LeaseSafetyMargin)
 }
 
 func (s *Membership) requestLease(now time.Time) {
@@ -23,7 +23,7 @@
 			return
 		}
 		s.lease, s.leaseDeadline, s.renewalsInFlight = r.Lease, leaseDeadlineAfter(r.SentAt), 0
-		s.renewAt = r.SentAt.Add(tuning.MemberTouch)
+		s.renewAt = r.SentAt.Add(tuning.MemberRenewInterval)
 		s.setState(memberJoining, "lease granted")
 		s.Tick(now)
 	})
@@ -33,11 +33,11 @@
 // before: on a starved machine an answer may take longer than a renewal is due, and
 // one that comes late still counts from when it was asked for.
 func (s *Membership) renewLease(now time.Time) {
-	if s.renewalsInFlight == tuning.TouchesAtOnce || now.Before(s.renewAt) {
+	if s.renewalsInFlight == tuning.MaxRenewalsInFlight || now.Before(s.renewAt) {
 		return
 	}
 	s.renewalsInFlight++
-	s.renewAt = now.Add(tuning.MemberTouch)
+	s.renewAt = now.Add(tuning.MemberRenewInterval)
 	lease := s.lease
 	s.stateCall(store.Call{Op: store.OpRenewLease, Lease: lease}, func(now time.Time, r store.Result) {
 		if s.lease != lease {
@@ -62,7 +62,7 @@
 	key := memberPrefix + s.self
 	lease := s.lease
 	rec := MemberRecord{Member: s.self, Incarnation: lease, JoinedAtMs: s.wallClock().UnixMilli(), Features: s.announcedFeatures}
-	s.retryAt = now.Add(tuning.StateTimeout + tuning.MemberRetry)
+	s.retryAt = now.Add(tuning.StoreTimeout + tuning.MemberRetry)
 	s.stateCall(store.Call{Op: store.OpTransaction, Transaction: wire.Transaction{
 		Compares: []wire.Compare{store.VersionEquals(key, s.cache.Version(key))},
 		Writes:   []wire.Write{store.Put(key, rec, lease)},
--- a/internal/leader/membership_test.go
+++ b/internal/leader/membership_test.go
@@ -162,22 +162,22 @@
 	if !at(0) || !at(tuning.MemberLease/2) {
 		t.Error("not entitled with a fresh lease")
 	}
-	if at(tuning.MemberLease) || at(tuning.MemberLease-tuning.LeaseGuard) {
+	if at(tuning.MemberLease) || at(tuning.MemberLease-tuning.LeaseSafetyMargin) {
 		t.Error("entitled when the lease may have ended")
 	}
-	e.now = start.Add(tuning.MemberTouch)
+	e.now = start.Add(tuning.MemberRenewInterval)
 	e.s.Tick(e.now)
 	e.answer(t, store.OpRenewLease, store.Result{Status: 503})
 	if at(tuning.MemberLease) {
 		t.Error("a refused renewal counts as one")
 	}
-	e.now = start.Add(2 * tuning.MemberTouch)
+	e.now = start.Add(2 * tuning.MemberRenewInterval)
 	e.s.Tick(e.now)
 	e.answer(t, store.OpRenewLease, store.Result{Status: 200})
 	if !at(tuning.MemberLease) {
 		t.Error("a renewal does not count")
 	}
-	e.now = start.Add(4 * tuning.MemberTouch)
+	e.now = start.Add(4 * tuning.MemberRenewInterval)
 	e.s.Tick(e.now)
 	e.answer(t, store.OpRenewLease, store.Result{Status: 404})
 	if e.s.LeaseValid(e.now) || e.s.Incarnation() != 0 || len(e.s.Terms()) != 0 {
@@ -192,7 +192,7 @@
 	e := newElect()
 	e.join(t)
 	sent := e.now
-	e.now = e.now.Add(tuning.MemberTouch)
+	e.now = e.now.Add(tuning.MemberRenewInterval)
 	touches := func() (n int) {
 		for _, c := range e.sent {
 			if c.Op == store.OpRenewLease {
@@ -203,19 +203,19 @@
 	}
 	for i := range 4 {
 		e.s.Tick(e.now)
-		if want := min(i+1, tuning.TouchesAtOnce); touches() != want {
+		if want := min(i+1, tuning.MaxRenewalsInFlight); touches() != want {
 			t.Fatalf("%d renewals under way after %v, want %d", touches(), e.now.Sub(sent), want)
 		}
-		e.now = e.now.Add(tuning.MemberTouch)
+		e.now = e.now.Add(tuning.MemberRenewInterval)
 	}
 	// the second was sent 2 s after the grant and is answered first
-	at, then := sent.Add(2*tuning.MemberTouch), e.then[len(e.then)-2]
+	at, then := sent.Add(2*tuning.MemberRenewInterval), e.then[len(e.then)-2]
 	then(e.now, store.Result{Status: 200, SentAt: at})
 	if got := e.s.LeaseDeadline(); !got.Equal(leaseDeadlineAfter(at)) {
 		t.Errorf("the lease stands until %v after the renewal, want %v", got.Sub(at), leaseDeadlineAfter(at).Sub(at))
 	}
 	// an earlier one's answer does not shorten it
-	e.then[len(e.then)-3](e.now, store.Result{Status: 200, SentAt: sent.Add(tuning.MemberTouch)})
+	e.then[len(e.then)-3](e.now, store.Result{Status: 200, SentAt: sent.Add(tuning.MemberRenewInterval)})
 	if got := e.s.LeaseDeadline(); !got.Equal(leaseDeadlineAfter(at)) {
 		t.Errorf("an earlier answer moved the end to %v", got.Sub(at))
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -45,7 +45,7 @@
 		grpc.WithDisableServiceConfig(),
 		grpc.WithReadBufferSize(4<<10), grpc.WithWriteBufferSize(4<<10),
 		grpc.WithConnectParams(grpc.ConnectParams{
-			Backoff:           backoff.Config{BaseDelay: tuning.PeerRetry, Multiplier: 1.6, Jitter: 0.2, MaxDelay: tuning.PeerRetryMost},
+			Backoff:           backoff.Config{BaseDelay: tuning.PeerRetryInitial, Multiplier: 1.6, Jitter: 0.2, MaxDelay: tuning.PeerRetryMax},
 			MinConnectTimeout: tuning.DialTimeout,
 		}))
 }
@@ -103,7 +103,7 @@
 func NewServer(h Handler) *grpc.Server {
 	s := grpc.NewServer(
 		grpc.ReadBufferSize(4<<10), grpc.WriteBufferSize(4<<10),
-		grpc.MaxRecvMsgSize(tuning.BodyBytes), grpc.MaxConcurrentStreams(tuning.PeerCalls),
+		grpc.MaxRecvMsgSize(tuning.MaxBodyBytes), grpc.MaxConcurrentStreams(tuning.PeerCallsInFlight),
 		grpc.ConnectionTimeout(5*time.Second),
 	)
 	svc := &service{handler: h}
--- a/internal/placement/array.go
+++ b/internal/placement/array.go
@@ -9,194 +9,194 @@
 	"juniperchute/internal/worker"
 )
 
-// arrayDraw is the draw of one array's waiting tasks in one pass.
-type arrayDraw struct {
-	b          *Board
-	j          *Job
-	pass       drawPass
-	imageOnly  bool           // only machines with the image come into question
-	spread     map[string]int // the job's tasks by zone, if its placement depends on them
-	candidates []candidate
-	kept       bool // a machine that would do is kept for a starving gang
+// arrayPlacement is the draw of one array's waiting tasks in one pass.
+type arrayPlacement struct {
+	scheduler       *Scheduler
+	job             *Job
+	filter          passFilter
+	imageOnly       bool           // only machines with the image come into question
+	tasksByZone     map[string]int // the job's tasks by zone, if its placement depends on them
+	candidates      []candidate
+	reservedForGang bool // a machine that would do is kept for a starving gang
 }
 
 // candidate is a machine that has room for a task, and its tier.
 type candidate struct {
-	m    *worker.Machine
-	tier int
+	machine *worker.Machine
+	rank    int
 }
 
-// missedIndex tells which of a job's notes of machines without room a draw uses.
-func (d *arrayDraw) missedIndex() int {
-	if d.imageOnly {
+// noRoomIndex tells which of a job's notes of machines without room a draw uses.
+func (p *arrayPlacement) noRoomIndex() int {
+	if p.imageOnly {
 		return 1
 	}
 	return 0
 }
 
-// drawArray queues an array's waiting tasks: a main at a random machine of the best tier,
+// scheduleArray queues an array's waiting tasks: a main at a random machine of the best tier,
 // and a spare at another.
-func (b *Board) drawArray(now time.Time, j *Job, pass drawPass) {
-	if pass.guaranteed && !b.book.Guaranteed(j.Spec.Team, j.need) || pass.image && j.late {
+func (s *Scheduler) scheduleArray(now time.Time, job *Job, filter passFilter) {
+	if filter.guaranteedOnly && !s.ledger.WithinGuarantee(job.Spec.Team, job.need) || filter.cachedImageOnly && job.pastImagePatience {
 		return
 	}
-	d := &arrayDraw{b: b, j: j, pass: pass, imageOnly: pass.image && !j.seeds, spread: j.spread(nil)}
-	d.findCandidates(now)
-	if len(d.candidates) > 0 && !b.mayBegin(now, j) {
+	p := &arrayPlacement{scheduler: s, job: job, filter: filter, imageOnly: filter.cachedImageOnly && !job.needsMoreImages, tasksByZone: job.constrainedTasksByZone(nil)}
+	p.findCandidates(now)
+	if len(p.candidates) > 0 && !s.ensureStartMarker(now, job) {
 		return
 	}
-	for n := 0; j.held() > 0; n++ {
-		if !d.mayDraw(n) || !d.drawTask(now) {
+	for placed := 0; job.pendingTasks() > 0; placed++ {
+		if !p.mayPlace(placed) || !p.placeTask(now) {
 			return
 		}
 	}
 }
 
 // fits tells whether one more task may be queued at a machine.
-func (d *arrayDraw) fits(m *worker.Machine) bool {
-	return m.FreeForMain().Fits(d.j.need) && (d.spread == nil || d.j.zoneOK(m.Zone, d.spread)) &&
-		(!d.imageOnly || d.b.hasImage(m, d.j.Spec.Image))
+func (p *arrayPlacement) fits(machine *worker.Machine) bool {
+	return machine.AvailableToPrimary().Fits(p.job.need) && (p.tasksByZone == nil || p.job.zoneAllowed(machine.Zone, p.tasksByZone)) &&
+		(!p.imageOnly || p.scheduler.hasImage(machine, p.job.Spec.Image))
 }
 
 // findCandidates looks at the machines that have changed since none had room.
-func (d *arrayDraw) findCandidates(now time.Time) {
-	j, missed := d.j, uint64(0)
-	if d.spread == nil {
-		missed = j.missed[d.missedIndex()]
+func (p *arrayPlacement) findCandidates(now time.Time) {
+	job, noRoomRevision := p.job, uint64(0)
+	if p.tasksByZone == nil {
+		noRoomRevision = job.noRoomRevisions[p.noRoomIndex()]
 	}
-	for _, h := range d.b.survey.withRoom {
-		m := h.m
+	for _, info := range p.scheduler.capacity.freeMachines {
+		machine := info.machine
 		switch {
-		case h.gainedAt < missed || !m.Usable(now) || !d.fits(m) || !j.allows(m.Type, m.Zone, m.Spot) || j.avoids(m):
-		case d.b.keptFor(now, j, m):
-			d.kept = true
+		case info.gainRevision < noRoomRevision || !machine.Schedulable(now) || !p.fits(machine) || !job.allows(machine.Type, machine.Zone, machine.Spot) || job.avoids(machine):
+		case p.scheduler.reservedForGang(now, job, machine):
+			p.reservedForGang = true
 		default:
-			d.candidates = append(d.candidates, candidate{m, d.b.tier(j, m)})
+			p.candidates = append(p.candidates, candidate{machine, p.scheduler.machineRank(job, machine)})
 		}
 	}
 }
 
-// mayDraw tells whether another task may be taken up after n in this draw.
-func (d *arrayDraw) mayDraw(n int) bool {
-	b, j := d.b, d.j
+// mayPlace tells whether another task may be taken up after n in this draw.
+func (p *arrayPlacement) mayPlace(placed int) bool {
+	s, job := p.scheduler, p.job
 	switch {
-	case b.drawn == tuning.DrawTasks:
-		b.survey.again() // what else there is to do goes first
+	case s.arrayTasksQueued == tuning.MaxTasksPerPass:
+		s.capacity.requestFullPass() // what else there is to do goes first
 		return false
-	case j.level >= wire.Priorities+j.priority && n == tuning.BeginTasks:
+	case job.effectivePriority >= wire.Priorities+job.priority && placed == tuning.FirstStartTasks:
 		return false // it has begun; the rest waits for its turn
-	case d.pass.guaranteed && !b.book.Guaranteed(j.Spec.Team, j.need):
+	case p.filter.guaranteedOnly && !s.ledger.WithinGuarantee(job.Spec.Team, job.need):
 		return false
-	case !b.book.Admits(j.Spec.Team, j.need, true):
-		b.waits(j, "team's limit")
+	case !s.ledger.Admits(job.Spec.Team, job.need, true):
+		s.setPendingReason(job, "team's limit")
 		return false
 	}
 	return true
 }
 
-// drawTask queues one task and tells whether there was a place for it.
-func (d *arrayDraw) drawTask(now time.Time) bool {
-	b, j := d.b, d.j
-	at := b.pick(d.candidates)
-	if at < 0 {
-		b.waits(j, "no room")
-		if !d.kept {
-			j.missed[d.missedIndex()] = b.survey.change + 1
+// placeTask queues one task and tells whether there was a place for it.
+func (p *arrayPlacement) placeTask(now time.Time) bool {
+	s, job := p.scheduler, p.job
+	chosen := s.pickLowestRank(p.candidates)
+	if chosen < 0 {
+		s.setPendingReason(job, "no room")
+		if !p.reservedForGang {
+			job.noRoomRevisions[p.noRoomIndex()] = s.capacity.revision + 1
 		}
 		return false
 	}
-	n, ok := j.take(now)
+	n, ok := job.takePendingTask(now)
 	if !ok {
-		b.waits(j, "pause after a failure")
+		s.setPendingReason(job, "pause after a failure")
 		return false
 	}
-	j.why = ""
-	m := d.candidates[at].m
-	t := &Task{Job: j, N: n}
-	j.tasks[n] = t
-	b.queueMain(now, t, m)
-	b.drawn++
-	d.used(at)
-	b.drawSpare(now, t)
+	job.pendingReason = ""
+	machine := p.candidates[chosen].machine
+	task := &Task{Job: job, Index: n}
+	job.tasks[n] = task
+	s.queuePrimary(now, task, machine)
+	s.arrayTasksQueued++
+	p.updateCandidates(chosen)
+	s.placeBackup(now, task)
 	return true
 }
 
-// used brings the candidates up to date after a task was queued at one of them.
-func (d *arrayDraw) used(at int) {
-	m := d.candidates[at].m
+// updateCandidates brings the candidates up to date after a task was queued at one of them.
+func (p *arrayPlacement) updateCandidates(chosen int) {
+	machine := p.candidates[chosen].machine
 	switch {
-	case d.spread != nil:
-		d.spread[m.Zone]++
-		d.candidates = slices.DeleteFunc(d.candidates, func(c candidate) bool { return !d.fits(c.m) })
-		for i := range d.candidates {
-			d.candidates[i].tier = d.b.tier(d.j, d.candidates[i].m)
+	case p.tasksByZone != nil:
+		p.tasksByZone[machine.Zone]++
+		p.candidates = slices.DeleteFunc(p.candidates, func(c candidate) bool { return !p.fits(c.machine) })
+		for i := range p.candidates {
+			p.candidates[i].rank = p.scheduler.machineRank(p.job, p.candidates[i].machine)
 		}
-	case d.fits(m):
-		d.candidates[at].tier = d.b.tier(d.j, m)
+	case p.fits(machine):
+		p.candidates[chosen].rank = p.scheduler.machineRank(p.job, machine)
 	default:
-		d.candidates = slices.Delete(d.candidates, at, at+1)
+		p.candidates = slices.Delete(p.candidates, chosen, chosen+1)
 	}
 }
 
-// tier ranks machines that fit: cheap ones for whoever may use them, then ones
+// machineRank ranks machines that fit: cheap ones for whoever may use them, then ones
 // that have the image or are about to, then the fuller ones, in steps, so that
 // others empty and can be returned.
-func (b *Board) tier(j *Job, m *worker.Machine) int {
-	s := 0
-	if j.Spec.Spot && !m.Spot {
-		s += 4 * tuning.FillSteps
+func (s *Scheduler) machineRank(job *Job, machine *worker.Machine) int {
+	rank := 0
+	if job.Spec.Spot && !machine.Spot {
+		rank += 4 * tuning.FillLevels
 	}
-	if !b.hasImage(m, j.Spec.Image) {
-		s += 2 * tuning.FillSteps
+	if !s.hasImage(machine, job.Spec.Image) {
+		rank += 2 * tuning.FillLevels
 	}
-	return s + int(tuning.FillSteps*m.FreeForMain().Share(m.Cap))
+	return rank + int(tuning.FillLevels*machine.AvailableToPrimary().DominantShare(machine.Capacity))
 }
 
 // hasImage tells whether a machine has an image, or some task there will have
 // it fetched.
-func (b *Board) hasImage(m *worker.Machine, bundle string) bool {
-	if _, ok := m.Images[bundle]; ok {
+func (s *Scheduler) hasImage(machine *worker.Machine, image string) bool {
+	if _, ok := machine.Images[image]; ok {
 		return true
 	}
-	has := func(t *Task) bool { return t.Job.Spec.Image == bundle }
-	h := b.host(m)
-	return slices.ContainsFunc(h.on, has) || slices.ContainsFunc(h.high, has)
+	has := func(task *Task) bool { return task.Job.Spec.Image == image }
+	info := s.machineInfo(machine)
+	return slices.ContainsFunc(info.assigned, has) || slices.ContainsFunc(info.primaryQueue, has)
 }
 
-// pick chooses at random among the machines of the lowest tier, -1 if there is none.
-func (b *Board) pick(among []candidate) int {
-	low, n := 0, 0
-	for i := range among {
-		switch tier := among[i].tier; {
-		case n == 0 || tier < low:
-			low, n = tier, 1
-		case tier == low:
-			n++
+// pickLowestRank chooses at random among the machines of the lowest tier, -1 if there is none.
+func (s *Scheduler) pickLowestRank(candidates []candidate) int {
+	lowest, ties := 0, 0
+	for i := range candidates {
+		switch rank := candidates[i].rank; {
+		case ties == 0 || rank < lowest:
+			lowest, ties = rank, 1
+		case rank == lowest:
+			ties++
 		}
 	}
-	if n == 0 {
+	if ties == 0 {
 		return -1
 	}
-	n = b.rng.IntN(n)
-	return slices.IndexFunc(among, func(c candidate) bool {
-		if c.tier == low {
-			n--
+	ties = s.rng.IntN(ties)
+	return slices.IndexFunc(candidates, func(c candidate) bool {
+		if c.rank == lowest {
+			ties--
 		}
-		return n < 0
+		return ties < 0
 	})
 }
 
-// drawSpare queues a task's spare low at another random worker whose whole
+// placeBackup queues a task's spare low at another random worker whose whole
 // room it fits. A few tries find one in most cases; a spare that finds none is
 // no loss, as mains are drawn into room that is there.
-func (b *Board) drawSpare(now time.Time, t *Task) {
-	j := t.Job
-	all := b.reg.All()
-	for range min(tuning.SpareDraws, 2*len(all)) {
-		m := all[b.rng.IntN(len(all))]
-		if m != t.main && m.Usable(now) && j.allows(m.Type, m.Zone, m.Spot) && m.Cap.Fits(j.need) &&
-			len(b.host(m).low) < tuning.LowDepth && !j.avoids(m) {
-			b.queueLow(t, m)
+func (s *Scheduler) placeBackup(now time.Time, task *Task) {
+	job := task.Job
+	machines := s.registry.All()
+	for range min(tuning.BackupSamples, 2*len(machines)) {
+		machine := machines[s.rng.IntN(len(machines))]
+		if machine != task.primary && machine.Schedulable(now) && job.allows(machine.Type, machine.Zone, machine.Spot) && machine.Capacity.Fits(job.need) &&
+			len(s.machineInfo(machine).backupQueue) < tuning.MaxBackupsPerWorker && !job.avoids(machine) {
+			s.queueBackup(task, machine)
 			return
 		}
 	}
--- a/internal/placement/commands.go
+++ b/internal/placement/commands.go
@@ -11,76 +11,76 @@
 	"juniperchute/internal/worker"
 )
 
-// yieldSpares stops running spares on a machine until what lacks is covered.
-func (b *Board) yieldSpares(now time.Time, m *worker.Machine, lacks quota.Room) {
-	for _, t := range slices.Clone(b.host(m).on) {
-		if lacks.CPUs <= 0 && lacks.GPUs <= 0 && lacks.MemGB <= 0 {
+// preemptBackups stops running spares on a machine until what lacks is covered.
+func (s *Scheduler) preemptBackups(now time.Time, machine *worker.Machine, missing quota.Resources) {
+	for _, task := range slices.Clone(s.machineInfo(machine).assigned) {
+		if missing.CPUs <= 0 && missing.GPUs <= 0 && missing.MemGB <= 0 {
 			return
 		}
-		if t.spare {
-			if t.phase != Stopping {
-				t.stops++
-				b.Count.SparesYielded++
-				if t.stops >= b.Set.DropThreshold {
-					b.Count.SparesDropped++
+		if task.isBackup {
+			if task.phase != Stopping {
+				task.backupStops++
+				s.Counters.BackupsPreempted++
+				if task.backupStops >= s.Settings.DropThreshold {
+					s.Counters.BackupsWithdrawn++
 				}
-				b.stop(now, t, t.Job.grace(), "spare gives way")
+				s.stop(now, task, task.Job.stopGrace(), "spare gives way")
 			}
-			lacks = lacks.Sub(t.Job.need)
+			missing = missing.Sub(task.Job.need)
 		}
 	}
 }
 
-// heads hands out what is at the head of a machine's queues: mains first, and
+// dispatchQueueHeads hands out what is at the head of a machine's queues: mains first, and
 // spares only while no main waits.
-func (b *Board) heads(now time.Time, m *worker.Machine) {
-	q := b.host(m)
-	if len(q.high)+len(q.low) == 0 || !m.Usable(now) {
+func (s *Scheduler) dispatchQueueHeads(now time.Time, machine *worker.Machine) {
+	info := s.machineInfo(machine)
+	if len(info.primaryQueue)+len(info.backupQueue) == 0 || !machine.Schedulable(now) {
 		return
 	}
-	room := m.Free()
-	for _, t := range slices.Clone(q.high) {
-		j := t.Job
-		if t.main != m {
+	free := machine.Available()
+	for _, task := range slices.Clone(info.primaryQueue) {
+		job := task.Job
+		if task.primary != machine {
 			continue
 		}
-		if j.Gang() {
-			room = room.Sub(j.need) // startGang hands these out
+		if job.IsGang() {
+			free = free.Sub(job.need) // startGang hands these out
 			continue
 		}
 		switch {
-		case t.phase != Idle:
+		case task.phase != Unassigned:
 			// its own spare runs: that has to stop and be reported first
-			if t.phase == Sent || t.phase == Live {
-				t.stops++
-				b.Count.SparesYielded++
-				b.stop(now, t, j.grace(), "its main is at the head")
+			if task.phase == Dispatched || task.phase == Active {
+				task.backupStops++
+				s.Counters.BackupsPreempted++
+				s.stop(now, task, job.stopGrace(), "its main is at the head")
 			}
-		case !b.book.Admits(j.Spec.Team, j.need, false) || !j.zoneOK(m.Zone, j.zones(false)):
-		case room.Fits(j.need):
-			b.Count.MainsStarted++
-			b.unqueue(t)
-			b.hand(now, t, m, b.nextAttempt(j), false, "main at the head")
+		case !s.ledger.Admits(job.Spec.Team, job.need, false) || !job.zoneAllowed(machine.Zone, job.tasksByZone(false)):
+		case free.Fits(job.need):
+			s.Counters.PrimariesStarted++
+			s.withdrawCopies(task)
+			s.dispatch(now, task, machine, s.nextAttemptID(job), false, "main at the head")
 		default:
-			b.yieldSpares(now, m, j.need.Sub(room))
+			s.preemptBackups(now, machine, job.need.Sub(free))
 		}
-		room = room.Sub(j.need)
+		free = free.Sub(job.need)
 	}
-	if len(q.high) > 0 {
+	if len(info.primaryQueue) > 0 {
 		return
 	}
-	stuck := config.Seconds(b.facts.Workers.HeartbeatS * tuning.SpareReports)
-	for _, t := range slices.Clone(q.low) {
-		j := t.Job
-		if t.low != m || t.phase != Idle || t.main == nil || now.Sub(t.mainSince) < stuck || !room.Fits(j.need) ||
+	stuckAfter := config.Seconds(s.platform.Workers.HeartbeatS * tuning.BackupStartHeartbeats)
+	for _, task := range slices.Clone(info.backupQueue) {
+		job := task.Job
+		if task.backup != machine || task.phase != Unassigned || task.primary == nil || now.Sub(task.primaryQueuedAt) < stuckAfter || !free.Fits(job.need) ||
 			// a main that can start at its next report would stop it at once
-			t.main.Usable(now) && t.main.Free().Fits(j.need) ||
-			!b.book.Admits(j.Spec.Team, j.need, true) || !j.zoneOK(m.Zone, j.zones(false)) {
+			task.primary.Schedulable(now) && task.primary.Available().Fits(job.need) ||
+			!s.ledger.Admits(job.Spec.Team, job.need, true) || !job.zoneAllowed(machine.Zone, job.tasksByZone(false)) {
 			continue
 		}
-		b.Count.SparesStarted++
-		b.hand(now, t, m, b.nextAttempt(j), true, "spare while no main waits")
-		room = room.Sub(j.need)
+		s.Counters.BackupsStarted++
+		s.dispatch(now, task, machine, s.nextAttemptID(job), true, "spare while no main waits")
+		free = free.Sub(job.need)
 	}
 }
 
@@ -89,92 +89,92 @@
 
 // The ways to a machine.
 const (
-	InAnswer Channel = iota // in the answer to its report
-	Direct                  // as a direct command
+	HeartbeatReply Channel = iota // in the answer to its report
+	DirectCommand                 // as a direct command
 )
 
 // Commands lists what a machine is to be told now.
-func (b *Board) Commands(now time.Time, m *worker.Machine, by Channel) []wire.Command {
-	b.heads(now, m)
-	var out []wire.Command
-	for i := range m.Tasks {
-		if len(out) == tuning.CommandsMost {
-			return out
+func (s *Scheduler) Commands(now time.Time, machine *worker.Machine, channel Channel) []wire.Command {
+	s.dispatchQueueHeads(now, machine)
+	var commands []wire.Command
+	for i := range machine.Tasks {
+		if len(commands) == tuning.MaxCommandsPerReply {
+			return commands
 		}
-		out = append(out, b.reportedCommands(m, &m.Tasks[i])...)
+		commands = append(commands, s.commandsForReported(machine, &machine.Tasks[i])...)
 	}
-	for _, t := range b.host(m).on {
-		if len(out) == tuning.CommandsMost {
-			return out
+	for _, task := range s.machineInfo(machine).assigned {
+		if len(commands) == tuning.MaxCommandsPerReply {
+			return commands
 		}
-		out = append(out, b.handedOutCommands(m, t, by)...)
+		commands = append(commands, s.commandsForDispatched(machine, task, channel)...)
 	}
-	return out
+	return commands
 }
 
-// reportedCommands are the commands, at most one, for a task that its machine reports: one
+// commandsForReported are the commands, at most one, for a task that its machine reports: one
 // that is not expected there stops, one that has ended is taken off its reports.
-func (b *Board) reportedCommands(m *worker.Machine, p *wire.TaskStatus) []wire.Command {
-	id, n, ok := wire.ParseTask(p.Name)
-	if b.unreadable[id] {
+func (s *Scheduler) commandsForReported(machine *worker.Machine, reported *wire.TaskStatus) []wire.Command {
+	id, index, ok := wire.ParseTask(reported.Name)
+	if s.unreadableJobs[id] {
 		return nil
 	}
-	var j *Job
+	var job *Job
 	if ok {
-		if j = b.jobs[id]; j != nil && n >= j.Spec.Tasks {
-			j = nil
+		if job = s.jobs[id]; job != nil && index >= job.Spec.Tasks {
+			job = nil
 		}
 	}
-	if p.State == wire.TaskExited {
-		if b.reapable(m, j, n, p) {
-			return []wire.Command{{Verb: wire.VerbReap, Task: p.Name, Attempt: p.Attempt}}
+	if reported.State == wire.TaskExited {
+		if s.reapable(machine, job, index, reported) {
+			return []wire.Command{{Verb: wire.VerbReap, Task: reported.Name, Attempt: reported.Attempt}}
 		}
 		return nil
 	}
-	var t *Task
-	if j != nil {
-		t = j.tasks[n]
+	var task *Task
+	if job != nil {
+		task = job.tasks[index]
 	}
 	switch {
-	case t == nil || t.at != m || t.attempt != p.Attempt:
-		return []wire.Command{stopCommand(p.Name, p.Attempt, 0)}
-	case t.phase == Stopping && (p.State != wire.TaskSaving || t.grace == 0):
-		t.stopDue = false
-		return []wire.Command{stopCommand(p.Name, p.Attempt, t.grace)}
+	case task == nil || task.machine != machine || task.attempt != reported.Attempt:
+		return []wire.Command{stopCommand(reported.Name, reported.Attempt, 0)}
+	case task.phase == Stopping && (reported.State != wire.TaskSaving || task.stopGrace == 0):
+		task.stopPending = false
+		return []wire.Command{stopCommand(reported.Name, reported.Attempt, task.stopGrace)}
 	}
 	return nil
 }
 
 // reapable tells whether an exited task may be taken off its machine's reports: a
 // completion stays there until it is kept elsewhere.
-func (b *Board) reapable(m *worker.Machine, j *Job, n int, p *wire.TaskStatus) bool {
-	kept := j == nil || j.closed || p.ExitReason != wire.ExitDone || j.Service() || j.durable.has(n)
-	return kept && !b.host(m).direct[attemptKey{p.Name, p.Attempt}]
+func (s *Scheduler) reapable(machine *worker.Machine, job *Job, index int, reported *wire.TaskStatus) bool {
+	settled := job == nil || job.closed || reported.ExitReason != wire.ExitDone || job.IsService() || job.durablyCompleted.has(index)
+	return settled && !s.machineInfo(machine).directAttempts[attemptKey{reported.Name, reported.Attempt}]
 }
 
-// handedOutCommands are the commands, at most one, for a task that was handed out to a
+// commandsForDispatched are the commands, at most one, for a task that was handed out to a
 // machine and that it has not reported yet.
-func (b *Board) handedOutCommands(m *worker.Machine, t *Task, by Channel) []wire.Command {
-	h := b.host(m)
+func (s *Scheduler) commandsForDispatched(machine *worker.Machine, task *Task, channel Channel) []wire.Command {
+	info := s.machineInfo(machine)
 	switch {
-	case t.phase == Sent && by == Direct && len(h.direct) >= tuning.DirectMost:
+	case task.phase == Dispatched && channel == DirectCommand && len(info.directAttempts) >= tuning.MaxDirectStarts:
 		// goes out with the answer to the next report
-	case t.phase == Sent:
-		t.ordered, t.session = true, m.Session
-		if by == Direct {
-			if h.direct == nil {
-				h.direct = map[attemptKey]bool{}
+	case task.phase == Dispatched:
+		task.commandSent, task.incarnation = true, machine.Incarnation
+		if channel == DirectCommand {
+			if info.directAttempts == nil {
+				info.directAttempts = map[attemptKey]bool{}
 			}
-			h.direct[attemptKey{t.Name(), t.attempt}] = true
-			t.openDo++
+			info.directAttempts[attemptKey{task.Name(), task.attempt}] = true
+			task.unansweredCommands++
 		} else {
-			t.seq = m.Seq
+			task.commandSeq = machine.Sequence
 		}
-		return []wire.Command{{Verb: wire.VerbRun, Task: t.Name(), Attempt: t.attempt}}
-	case t.phase == Stopping && !t.reported && t.ordered:
+		return []wire.Command{{Verb: wire.VerbRun, Task: task.Name(), Attempt: task.attempt}}
+	case task.phase == Stopping && !task.reported && task.commandSent:
 		// perhaps on its way: the stop follows it
-		t.stopDue = false
-		return []wire.Command{stopCommand(t.Name(), t.attempt, t.grace)}
+		task.stopPending = false
+		return []wire.Command{stopCommand(task.Name(), task.attempt, task.stopGrace)}
 	}
 	return nil
 }
@@ -183,71 +183,71 @@
 	return wire.Command{Verb: wire.VerbStop, Task: task, Attempt: attempt, GracePeriodS: &grace}
 }
 
-// Halts are the stops for those of a machine's tasks whose jobs are over. They may be
+// StopCommandsForClosedJobs are the stops for those of a machine's tasks whose jobs are over. They may be
 // given at any time, by whoever knows of the end.
-func (b *Board) Halts(tasks []wire.TaskStatus) []wire.Command {
-	var out []wire.Command
-	for _, p := range tasks {
-		id, _, ok := wire.ParseTask(p.Name)
-		if !ok || p.State == wire.TaskExited || b.unreadable[id] || len(out) == tuning.CommandsMost {
+func (s *Scheduler) StopCommandsForClosedJobs(tasks []wire.TaskStatus) []wire.Command {
+	var commands []wire.Command
+	for _, reported := range tasks {
+		id, _, ok := wire.ParseTask(reported.Name)
+		if !ok || reported.State == wire.TaskExited || s.unreadableJobs[id] || len(commands) == tuning.MaxCommandsPerReply {
 			continue
 		}
-		if j := b.jobs[id]; j == nil || j.closed {
-			out = append(out, stopCommand(p.Name, p.Attempt, 0))
+		if job := s.jobs[id]; job == nil || job.closed {
+			commands = append(commands, stopCommand(reported.Name, reported.Attempt, 0))
 		}
 	}
-	return out
+	return commands
 }
 
-// Overdue tells whether a closed job's start may still reach a machine when none of
+// MayStartAfterClose tells whether a closed job's start may still reach a machine when none of
 // its tasks may be left any more, if the machine's lease lasts until then. Direct
 // commands that were not answered may be carried out minutes later.
-func (b *Board) Overdue(m *worker.Machine, until time.Time) bool {
-	return slices.ContainsFunc(b.host(m).on, func(t *Task) bool {
-		return t.Job.closed && t.openDo > 0 && !t.reported && until.After(t.Job.goneBy)
+func (s *Scheduler) MayStartAfterClose(machine *worker.Machine, until time.Time) bool {
+	return slices.ContainsFunc(s.machineInfo(machine).assigned, func(task *Task) bool {
+		return task.Job.closed && task.unansweredCommands > 0 && !task.reported && until.After(task.Job.tasksGoneBy)
 	})
 }
 
-// Answered settles a direct command: executed or surely not.
-func (b *Board) Answered(m *worker.Machine, commands []wire.Command) {
-	for _, t := range b.host(m).on {
-		for _, o := range commands {
-			if o.Verb == wire.VerbRun && o.Attempt == t.attempt && o.Task == t.Name() && t.openDo > 0 {
-				t.openDo--
+// SettleDirectCommands settles a direct command: executed or surely not.
+func (s *Scheduler) SettleDirectCommands(machine *worker.Machine, commands []wire.Command) {
+	for _, task := range s.machineInfo(machine).assigned {
+		for _, command := range commands {
+			if command.Verb == wire.VerbRun && command.Attempt == task.attempt && command.Task == task.Name() && task.unansweredCommands > 0 {
+				task.unansweredCommands--
 			}
 		}
 	}
 }
 
-// InDoubt tells whether all that may be on a machine are tasks to be stopped
+// OnlyUnconfirmedStops tells whether all that may be on a machine are tasks to be stopped
 // that it has never reported.
-func (b *Board) InDoubt(m *worker.Machine) bool {
-	for _, t := range b.host(m).on {
-		if t.phase != Stopping || t.reported {
+func (s *Scheduler) OnlyUnconfirmedStops(machine *worker.Machine) bool {
+	for _, task := range s.machineInfo(machine).assigned {
+		if task.phase != Stopping || task.reported {
 			return false
 		}
 	}
 	return true
 }
 
-// Urgent lists the machines that should be told at once rather than with the
+// UrgentMachines lists the machines that should be told at once rather than with the
 // answer to their next report.
-func (b *Board) Urgent(now time.Time) []*worker.Machine {
-	var out []*worker.Machine
-	b.urgent = slices.DeleteFunc(b.urgent, func(h *host) bool {
+func (s *Scheduler) UrgentMachines(now time.Time) []*worker.Machine {
+	var machines []*worker.Machine
+	s.urgentMachines = slices.DeleteFunc(s.urgentMachines, func(info *machineInfo) bool {
 		pending, ready := false, false
-		for _, t := range h.on {
+		for _, task := range info.assigned {
 			switch {
-			case t.phase == Sent && !t.ordered && (t.Job.Gang() || t.Job.Service()) && len(h.direct) < tuning.DirectMost:
+			case task.phase == Dispatched && !task.commandSent && (task.Job.IsGang() || task.Job.IsService()) && len(info.directAttempts) < tuning.MaxDirectStarts:
 				pending, ready = true, true
-			case t.phase == Stopping && t.stopDue && !t.Job.closed:
-				pending, ready = true, ready || t.ordered
+			case task.phase == Stopping && task.stopPending && !task.Job.closed:
+				pending, ready = true, ready || task.commandSent
 			}
 		}
-		if h.urgent = pending; ready && h.m.State == worker.Up && !h.m.DoBusy && h.m.Used {
-			out = append(out, h.m)
+		if info.urgent = pending; ready && info.machine.State == worker.Up && !info.machine.CommandInFlight && info.machine.Registered {
+			machines = append(machines, info.machine)
 		}
 		return !pending
 	})
-	return out
+	return machines
 }
--- a/internal/placement/demand.go
+++ b/internal/placement/demand.go
@@ -10,164 +10,166 @@
 	"juniperchute/internal/worker"
 )
 
-// maxCount bounds how many tasks of no size are counted into a machine.
-const maxCount = wire.MaxTasksPerJob
+// maxTasksPerMachine bounds how many tasks of no size are counted into a machine.
+const maxTasksPerMachine = wire.MaxTasksPerJob
 
 // Offer is a kind of machine that can be rented now.
 type Offer struct {
-	Type, Zone string
-	Spot       bool
-	Cap        quota.Room
-	Price      float64
-	BootS      float64
-	Left       int // how many more may be asked for
+	Type, Zone  string
+	Spot        bool
+	Capacity    quota.Resources
+	Price       float64
+	BootSeconds float64
+	Available   int // how many more may be asked for
 }
 
 // bin is a machine, present or to be rented, in the packing of the demand.
 type bin struct {
-	m     *worker.Machine
-	build string
-	zone  string
-	spot  bool
-	cap   quota.Room
-	free  quota.Room // now, for gangs
+	machine     *worker.Machine
+	machineType string
+	zone        string
+	spot        bool
+	capacity    quota.Resources
+	free        quota.Resources // now, for gangs
 
 	committed float64 // machine time that what runs there will still take, seconds
-	spent     float64 // machine time given to waiting work
+	planned   float64 // machine time given to waiting work
 }
 
-// want marks a machine that is there as one that waiting work will use.
-func (bn *bin) want() {
-	if bn.m != nil {
-		bn.m.Wanted = true
+// markWanted marks a machine that is there as one that waiting work will use.
+func (b *bin) markWanted() {
+	if b.machine != nil {
+		b.machine.Needed = true
 	}
 }
 
-// Horizon is how long an array's work may wait and run in all for its class's
+// PlanningHorizon is how long an array's work may wait and run in all for its class's
 // aims to hold.
-func Horizon(objectives []config.Objective, class string) float64 {
-	h := 0.0
-	for _, o := range objectives {
-		if o.Kind == "finished" && o.Class == class && (h == 0 || o.WithinS < h) {
-			h = o.WithinS
+func PlanningHorizon(objectives []config.Objective, class string) float64 {
+	horizon := 0.0
+	for _, objective := range objectives {
+		if objective.Kind == "finished" && objective.Class == class && (horizon == 0 || objective.WithinS < horizon) {
+			horizon = objective.WithinS
 		}
 	}
-	if h == 0 {
-		h = tuning.DefaultAim.Seconds()
+	if horizon == 0 {
+		horizon = tuning.DefaultObjective.Seconds()
 	}
-	return h * tuning.HorizonShare
+	return horizon * tuning.BacklogObjectiveShare
 }
 
-// Expect estimates a task's run time in seconds.
-func (b *Board) Expect(j *Job) float64 {
-	e := j.Spec.EstimatedRunTimeS
-	if r, ok := b.runRatio[j.Spec.Class]; ok {
-		e *= r
+// EstimateRunTime estimates a task's run time in seconds.
+func (s *Scheduler) EstimateRunTime(job *Job) float64 {
+	estimate := job.Spec.EstimatedRunTimeS
+	if ratio, ok := s.runTimeRatio[job.Spec.Class]; ok {
+		estimate *= ratio
 	}
-	return max(e, tuning.LeastRun.Seconds())
+	return max(estimate, tuning.MinRunTime.Seconds())
 }
 
-// demand is one packing of all waiting work onto the machines there are and onto ones to
+// demandPlan is one packing of all waiting work onto the machines there are and onto ones to
 // be rented.
-type demand struct {
-	b       *Board
-	now     time.Time
-	offers  []Offer
-	rentals []int // of each offer
-	bins    []*bin
-	budget  map[string]quota.Room // by team: what the packing has admitted
+type demandPlan struct {
+	scheduler   *Scheduler
+	now         time.Time
+	offers      []Offer
+	toProvision []int // of each offer
+	bins        []*bin
+	admitted    map[string]quota.Resources // by team: what the packing has admitted
 }
 
-// Demand packs all waiting work onto the machines there are and returns how
+// ProvisioningDemand packs all waiting work onto the machines there are and returns how
 // many more of each offer would be needed for the rest. Machines that the
 // packing uses are marked as wanted.
-func (b *Board) Demand(now time.Time, offers []Offer, coming []int) []int {
-	if b.waiting(now) {
-		b.reopen()
+func (s *Scheduler) ProvisioningDemand(now time.Time, offers []Offer, provisioning []int) []int {
+	if s.arrayTasksPending(now) {
+		s.uncordonAll()
 	} else {
-		b.Close(now)
+		s.Consolidate(now)
 	}
-	d := &demand{b: b, now: now, offers: offers, rentals: make([]int, len(offers)), budget: map[string]quota.Room{}}
-	d.presentBins()
-	for i, o := range offers {
-		for range coming[i] {
-			d.bins = append(d.bins, newBin(o))
+	p := &demandPlan{scheduler: s, now: now, offers: offers, toProvision: make([]int, len(offers)), admitted: map[string]quota.Resources{}}
+	p.addMachineBins()
+	for i, offer := range offers {
+		for range provisioning[i] {
+			p.bins = append(p.bins, newBin(offer))
 		}
 	}
-	d.packWhole()
-	d.reserve()
-	d.packArrays()
-	return d.rentals
+	p.packGangsAndServices()
+	p.reserveForServices()
+	p.packArrays()
+	return p.toProvision
 }
 
 // newBin is a machine to be rented.
-func newBin(o Offer) *bin {
-	return &bin{build: o.Type, zone: o.Zone, spot: o.Spot, cap: o.Cap, free: o.Cap}
+func newBin(offer Offer) *bin {
+	return &bin{machineType: offer.Type, zone: offer.Zone, spot: offer.Spot, capacity: offer.Capacity, free: offer.Capacity}
 }
 
-// presentBins lists the machines that may take work.
-func (d *demand) presentBins() {
-	lease := config.Seconds(d.b.facts.Workers.LeaseS)
-	for _, m := range d.b.reg.All() {
-		m.Wanted = m.Busy > 0
-		if m.Faulty || m.Mute(d.now, lease) || m.Closing || !m.Recall.IsZero() || m.State != worker.Up && m.State != worker.Booting && m.State != worker.Silent {
+// addMachineBins lists the machines that may take work.
+func (p *demandPlan) addMachineBins() {
+	lease := config.Seconds(p.scheduler.platform.Workers.LeaseS)
+	for _, machine := range p.scheduler.registry.All() {
+		machine.Needed = machine.ActiveCopies > 0
+		if machine.Quarantined || machine.Unreachable(p.now, lease) || machine.Cordoned || !machine.PreemptionTime.IsZero() || machine.State != worker.Up && machine.State != worker.Booting && machine.State != worker.Unresponsive {
 			continue
 		}
-		bn := &bin{m: m, build: m.Type, committed: d.b.committed(d.now, m), zone: m.Zone, spot: m.Spot, cap: m.Cap, free: m.FreeForMain()}
-		if m.State == worker.Silent {
+		b := &bin{machine: machine, machineType: machine.Type, committed: p.scheduler.committedWork(p.now, machine), zone: machine.Zone, spot: machine.Spot, capacity: machine.Capacity, free: machine.AvailableToPrimary()}
+		if machine.State == worker.Unresponsive {
 			// takes nothing now, but is not replaced while its lease may stand:
 			// after a cut of the holder all of them are silent for a while
-			bn.free = quota.Room{}
+			b.free = quota.Resources{}
 		}
-		d.bins = append(d.bins, bn)
+		p.bins = append(p.bins, b)
 	}
 }
 
-// open rents the cheapest machine that would do for a job's tasks, in a zone if one is
+// openBin rents the cheapest machine that would do for a job's tasks, in a zone if one is
 // named; for services one that is not spot, if there is one. nil: none is to be had.
-func (d *demand) open(j *Job, zone string) *bin {
+func (p *demandPlan) openBin(job *Job, zone string) *bin {
 	best := -1
-	for i, o := range d.offers {
-		if o.Left-d.rentals[i] <= 0 || zone != "" && o.Zone != zone || !j.allows(o.Type, o.Zone, o.Spot) || !o.Cap.Fits(j.need) {
+	for i, offer := range p.offers {
+		if offer.Available-p.toProvision[i] <= 0 || zone != "" && offer.Zone != zone || !job.allows(offer.Type, offer.Zone, offer.Spot) || !offer.Capacity.Fits(job.need) {
 			continue
 		}
-		if best < 0 || betterOffer(j, o, d.offers[best]) {
+		if best < 0 || betterOffer(job, offer, p.offers[best]) {
 			best = i
 		}
 	}
 	if best < 0 {
 		return nil
 	}
-	d.rentals[best]++
-	return newBin(d.offers[best])
+	p.toProvision[best]++
+	return newBin(p.offers[best])
 }
 
 // betterOffer tells whether one offer is better for a job than another.
-func betterOffer(j *Job, o, other Offer) bool {
-	if j.Service() && o.Spot != other.Spot {
+func betterOffer(job *Job, offer, other Offer) bool {
+	if job.IsService() && offer.Spot != other.Spot {
 		return other.Spot
 	}
-	price := func(o Offer) float64 { return o.Price / float64(o.Cap.Count(j.need, maxCount)) }
-	return price(o) < price(other)
+	price := func(offer Offer) float64 {
+		return offer.Price / float64(offer.Capacity.FitCount(job.need, maxTasksPerMachine))
+	}
+	return price(offer) < price(other)
 }
 
 // admit tells whether a team's limit lets more start beside what the packing has admitted:
 // what it does not needs no machine.
-func (d *demand) admit(j *Job, r quota.Room) bool {
-	sum := d.budget[j.Spec.Team].Add(r)
-	if !d.b.book.Admits(j.Spec.Team, sum, true) {
+func (p *demandPlan) admit(job *Job, resources quota.Resources) bool {
+	sum := p.admitted[job.Spec.Team].Add(resources)
+	if !p.scheduler.ledger.Admits(job.Spec.Team, sum, true) {
 		return false
 	}
-	d.budget[j.Spec.Team] = sum
+	p.admitted[job.Spec.Team] = sum
 	return true
 }
 
-// committed is how much machine time what is on a machine will still take.
-func (b *Board) committed(now time.Time, m *worker.Machine) float64 {
+// committedWork is how much machine time what is on a machine will still take.
+func (s *Scheduler) committedWork(now time.Time, machine *worker.Machine) float64 {
 	sum := 0.0
-	for _, t := range b.host(m).on {
-		left := b.Expect(t.Job) - now.Sub(t.sentAt).Seconds()
-		sum += max(left, tuning.LeastRun.Seconds()) * t.Job.need.Share(m.Cap)
+	for _, task := range s.machineInfo(machine).assigned {
+		remaining := s.EstimateRunTime(task.Job) - now.Sub(task.dispatchedAt).Seconds()
+		sum += max(remaining, tuning.MinRunTime.Seconds()) * task.Job.need.DominantShare(machine.Capacity)
 	}
 	return sum
 }
--- a/internal/placement/demand_arrays.go
+++ b/internal/placement/demand_arrays.go
@@ -10,32 +10,32 @@
 
 // arrayLoad is an array's waiting work.
 type arrayLoad struct {
-	j *Job
-	n int // tasks
+	job   *Job
+	tasks int // tasks
 }
 
 // arrayLoads lists the arrays with waiting work, by priority.
-func (d *demand) arrayLoads() (out []arrayLoad) {
-	for _, j := range d.b.order {
-		if j.Gang() || j.Service() || d.now.Before(j.notBefore) {
+func (p *demandPlan) arrayLoads() (loads []arrayLoad) {
+	for _, job := range p.scheduler.openJobs {
+		if job.IsGang() || job.IsService() || p.now.Before(job.notBefore) {
 			continue
 		}
-		n := j.held()
-		for _, t := range j.tasks {
-			if t.phase == Idle {
-				n++
+		tasks := job.pendingTasks()
+		for _, task := range job.tasks {
+			if task.phase == Unassigned {
+				tasks++
 			}
 		}
-		if n > 0 {
-			out = append(out, arrayLoad{j, n})
+		if tasks > 0 {
+			loads = append(loads, arrayLoad{job, tasks})
 		}
 	}
-	slices.SortStableFunc(out, func(a, c arrayLoad) int { return cmp.Compare(c.j.priority, a.j.priority) })
-	return out
+	slices.SortStableFunc(loads, func(a, b arrayLoad) int { return cmp.Compare(b.job.priority, a.job.priority) })
+	return loads
 }
 
-// binKind is which of the bins an array's work is poured into, and by whose horizon.
-type binKind struct {
+// binGroup is which of the bins an array's work is poured into, and by whose horizon.
+type binGroup struct {
 	class string
 	spot  bool
 }
@@ -44,95 +44,95 @@
 // into what the gangs leave. Bins that have nothing left for any array of a class are
 // passed over: there may be thousands of both.
 type arrayPacking struct {
-	d     *demand
-	least quota.Room // no array's task needs less, of anything
-	left  map[binKind][]*bin
+	plan         *demandPlan
+	smallestNeed quota.Resources // no array's task needs less, of anything
+	binsByGroup  map[binGroup][]*bin
 }
 
 // packArrays packs the arrays.
-func (d *demand) packArrays() {
-	loads := d.arrayLoads()
-	p := &arrayPacking{d: d, least: quota.Unbounded(), left: map[binKind][]*bin{}}
-	for _, l := range loads {
-		p.least = p.least.Min(l.j.need)
+func (p *demandPlan) packArrays() {
+	loads := p.arrayLoads()
+	packing := &arrayPacking{plan: p, smallestNeed: quota.UnlimitedResources(), binsByGroup: map[binGroup][]*bin{}}
+	for _, load := range loads {
+		packing.smallestNeed = packing.smallestNeed.Min(load.job.need)
 	}
-	for _, l := range loads {
-		p.pack(l)
+	for _, load := range loads {
+		packing.pack(load)
 	}
 }
 
 // pack pours one array's work, the spot machines first, and rents for the rest.
-func (p *arrayPacking) pack(l arrayLoad) {
-	w := &arrayWork{j: l.j, left: float64(l.n), run: p.d.b.Expect(l.j), horizon: Horizon(p.d.b.facts.Objectives, l.j.Spec.Class)}
+func (p *arrayPacking) pack(load arrayLoad) {
+	work := &arrayWork{job: load.job, tasks: float64(load.tasks), taskSeconds: p.plan.scheduler.EstimateRunTime(load.job), horizon: PlanningHorizon(p.plan.scheduler.platform.Objectives, load.job.Spec.Class)}
 	for _, spot := range []bool{true, false} {
-		p.pourInto(binKind{l.j.Spec.Class, spot}, w)
+		p.packIntoGroup(binGroup{load.job.Spec.Class, spot}, work)
 	}
-	for w.left > tuning.RentalRest && p.d.admit(l.j, l.j.need) {
-		bn := p.d.open(l.j, "")
-		if bn == nil {
+	for work.tasks > tuning.NegligibleBacklog && p.plan.admit(load.job, load.job.need) {
+		b := p.plan.openBin(load.job, "")
+		if b == nil {
 			return
 		}
-		for kind := range p.left {
-			if kind.spot == bn.spot {
-				p.left[kind] = append(p.left[kind], bn)
+		for group := range p.binsByGroup {
+			if group.spot == b.spot {
+				p.binsByGroup[group] = append(p.binsByGroup[group], b)
 			}
 		}
-		p.d.bins = append(p.d.bins, bn)
-		before := w.left
-		if w.pour(bn); w.left == before {
+		p.plan.bins = append(p.plan.bins, b)
+		before := work.tasks
+		if work.packInto(b); work.tasks == before {
 			return
 		}
 	}
 }
 
-// pourInto pours work into the bins of a kind, and takes off those that are full.
-func (p *arrayPacking) pourInto(kind binKind, w *arrayWork) {
-	list, ok := p.left[kind]
+// packIntoGroup pours work into the bins of a kind, and takes off those that are full.
+func (p *arrayPacking) packIntoGroup(group binGroup, work *arrayWork) {
+	bins, ok := p.binsByGroup[group]
 	if !ok {
-		list = slices.DeleteFunc(slices.Clone(p.d.bins), func(bn *bin) bool { return bn.spot != kind.spot })
+		bins = slices.DeleteFunc(slices.Clone(p.plan.bins), func(b *bin) bool { return b.spot != group.spot })
 	}
-	kept := list[:0]
-	for i, bn := range list {
-		if w.left <= 0 {
-			kept = append(kept, list[i:]...)
+	remaining := bins[:0]
+	for i, b := range bins {
+		if work.tasks <= 0 {
+			remaining = append(remaining, bins[i:]...)
 			break
 		}
-		w.pour(bn)
-		if full := w.horizon-bn.spent-bn.committed <= 0 && !bn.free.Fits(p.least); !full {
-			kept = append(kept, bn)
+		work.packInto(b)
+		if full := work.horizon-b.planned-b.committed <= 0 && !b.free.Fits(p.smallestNeed); !full {
+			remaining = append(remaining, b)
 		}
 	}
-	p.left[kind] = kept
+	p.binsByGroup[group] = remaining
 }
 
 // arrayWork is what is left of an array's waiting work.
 type arrayWork struct {
-	j       *Job
-	left    float64 // tasks
-	run     float64 // of one, seconds
-	horizon float64 // seconds
+	job         *Job
+	tasks       float64 // tasks
+	taskSeconds float64 // of one, seconds
+	horizon     float64 // seconds
 }
 
-// pour has a bin take as much as it can.
-func (w *arrayWork) pour(bn *bin) {
-	j := w.j
+// packInto has a bin take as much as it can.
+func (w *arrayWork) packInto(b *bin) {
+	job := w.job
 	// machine time this bin can give to the job within the horizon; most have
 	// none left and no room, which is quickly told
-	t := w.horizon - bn.spent - bn.committed
-	if t <= 0 && !bn.free.Fits(j.need) {
+	machineTime := w.horizon - b.planned - b.committed
+	if machineTime <= 0 && !b.free.Fits(job.need) {
 		return
 	}
-	if !bn.cap.Fits(j.need) || !j.allows(bn.build, bn.zone, bn.spot) || bn.m != nil && j.avoids(bn.m) {
+	if !b.capacity.Fits(job.need) || !job.allows(b.machineType, b.zone, b.spot) || b.machine != nil && job.avoids(b.machine) {
 		return
 	}
 	// what is free now takes tasks at once, however long they run
-	t = max(t, w.run*float64(bn.free.Count(j.need, maxCount))*j.need.Share(bn.cap)-bn.spent)
-	each := w.run / float64(max(1, bn.cap.Count(j.need, maxCount)))
-	n := min(w.left, t/each)
-	if n <= 0 {
+	machineTime = max(machineTime, w.taskSeconds*float64(b.free.FitCount(job.need, maxTasksPerMachine))*job.need.DominantShare(b.capacity)-b.planned)
+	secondsPerTask := w.taskSeconds / float64(max(1, b.capacity.FitCount(job.need, maxTasksPerMachine)))
+	packed := min(w.tasks, machineTime/secondsPerTask)
+	if packed <= 0 {
 		return
 	}
-	bn.want()
-	bn.spent += n * each
-	w.left -= n
+	b.markWanted()
+	b.planned += packed * secondsPerTask
+	w.tasks -= packed
 }
