--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -11,335 +11,335 @@
 	"juniperchute/internal/worker"
 )
 
-// place is where a gang's task would go, and what it would cost.
-type place struct {
-	m     *worker.Machine
-	score float64
-	stop  []*Task // to be stopped for it
+// gangSlot is where a gang's task would go, and what it would cost.
+type gangSlot struct {
+	machine *worker.Machine
+	cost    float64
+	victims []*Task // to be stopped for it
 }
 
-// drawGang places a waiting gang whole, first fit, or not at all.
-func (b *Board) drawGang(now time.Time, j *Job, guaranteed bool) {
-	if j.located > 0 || j.broken {
-		if b.open && !j.broken && j.located < j.Spec.Tasks-j.done.count && j.attempt != 0 {
-			b.breakGang(now, j, "incomplete")
+// scheduleGang places a waiting gang whole, first fit, or not at all.
+func (s *Scheduler) scheduleGang(now time.Time, job *Job, guaranteed bool) {
+	if job.assigned > 0 || job.aborting {
+		if s.reconciled && !job.aborting && job.assigned < job.Spec.Tasks-job.completed.count && job.attempt != 0 {
+			s.abortGangAttempt(now, job, "incomplete")
 		}
 		return
 	}
-	if len(j.tasks) > 0 || j.Complete() || !b.mayDrawGang(now, j, guaranteed) {
+	if len(job.tasks) > 0 || job.IsComplete() || !s.mayPlaceGang(now, job, guaranteed) {
 		return
 	}
 	// before the places are chosen: thousands may wait for their marks
-	if !b.mayBegin(now, j) {
+	if !s.ensureStartMarker(now, job) {
 		return
 	}
-	places := b.cheapestZone(now, j, guaranteed)
-	if places == nil {
-		b.noRoom(now, j)
+	slots := s.cheapestGangPlacement(now, job, guaranteed)
+	if slots == nil {
+		s.recordNoRoom(now, job)
 		return
 	}
-	b.placeGang(now, j, places)
+	s.placeGang(now, job, slots)
 }
 
-// mayDrawGang tells whether a gang is to be placed now, if it fits.
-func (b *Board) mayDrawGang(now time.Time, j *Job, guaranteed bool) bool {
-	all := j.need.Times(float64(j.Spec.Tasks))
+// mayPlaceGang tells whether a gang is to be placed now, if it fits.
+func (s *Scheduler) mayPlaceGang(now time.Time, job *Job, guaranteed bool) bool {
+	all := job.need.Times(float64(job.Spec.Tasks))
 	switch {
-	case guaranteed && !b.book.Guaranteed(j.Spec.Team, all):
+	case guaranteed && !s.ledger.WithinGuarantee(job.Spec.Team, all):
 		return false
-	case !b.book.Admits(j.Spec.Team, all, true):
-		b.waits(j, "team's limit")
+	case !s.ledger.Admits(job.Spec.Team, all, true):
+		s.setPendingReason(job, "team's limit")
 		return false
-	case b.first != nil && b.first != j:
-		b.waits(j, "an older gang goes first")
+	case s.blockingGang != nil && s.blockingGang != job:
+		s.setPendingReason(job, "an older gang goes first")
 		return false
-	case b.tried >= tuning.GangsTried:
+	case s.gangsWithoutRoom >= tuning.MaxGangAttempts:
 		return false // there is no room for so many before it
-	case !b.reachable(now, j, guaranteed):
-		b.tried++
-		b.noRoom(now, j)
+	case !s.mayFit(now, job, guaranteed):
+		s.gangsWithoutRoom++
+		s.recordNoRoom(now, job)
 		return false
-	case b.fitted == tuning.DrawGangs:
-		b.survey.again() // what else there is to do goes first
+	case s.gangsPlaced == tuning.MaxGangsPerPass:
+		s.capacity.requestFullPass() // what else there is to do goes first
 		return false
 	}
 	return true
 }
 
-// cheapestZone finds a place for each task of a gang, in the zone that costs least if they
+// cheapestGangPlacement finds a place for each task of a gang, in the zone that costs least if they
 // have to share one; nil if there is none.
-func (b *Board) cheapestZone(now time.Time, j *Job, guaranteed bool) []place {
+func (s *Scheduler) cheapestGangPlacement(now time.Time, job *Job, guaranteed bool) []gangSlot {
 	zones := []string{""}
-	if j.Spec.SameZone {
-		zones = b.facts.Zones
+	if job.Spec.SameZone {
+		zones = s.platform.Zones
 	}
-	var best []place
-	least := 0.0
+	var best []gangSlot
+	lowestCost := 0.0
 	for _, zone := range zones {
-		places := b.fitGang(now, j, zone, guaranteed)
+		slots := s.findGangPlacement(now, job, zone, guaranteed)
 		cost := 0.0
-		for _, p := range places {
-			cost += p.score
+		for _, slot := range slots {
+			cost += slot.cost
 		}
-		if places != nil && (best == nil || cost < least) {
-			best, least = places, cost
+		if slots != nil && (best == nil || cost < lowestCost) {
+			best, lowestCost = slots, cost
 		}
 	}
 	return best
 }
 
 // placeGang queues a gang's tasks at their places and stops what gives way to them.
-func (b *Board) placeGang(now time.Time, j *Job, places []place) {
-	b.fitted++
-	b.Count.GangsPlaced++
-	j.why = ""
-	hurry := b.hurry(now, j, places)
-	for n, p := range places {
-		t := &Task{Job: j, N: n}
-		j.tasks[n] = t
-		b.queueMain(now, t, p.m)
-		for _, v := range p.stop {
-			if v.phase != Sent && v.phase != Live {
+func (s *Scheduler) placeGang(now time.Time, job *Job, slots []gangSlot) {
+	s.gangsPlaced++
+	s.Counters.GangsPlaced++
+	job.pendingReason = ""
+	atOnce := s.mustPreemptAtOnce(now, job, slots)
+	for index, slot := range slots {
+		task := &Task{Job: job, Index: index}
+		job.tasks[index] = task
+		s.queuePrimary(now, task, slot.machine)
+		for _, victim := range slot.victims {
+			if victim.phase != Dispatched && victim.phase != Active {
 				continue
 			}
-			b.Count.Preempted++
-			if hurry && !v.Job.Gang() {
-				b.stop(now, v, 0, "gives way at once to "+j.Spec.ID)
+			s.Counters.Preempted++
+			if atOnce && !victim.Job.IsGang() {
+				s.stop(now, victim, 0, "gives way at once to "+job.Spec.ID)
 			} else {
-				b.yield(now, v, "gives way to "+j.Spec.ID)
+				s.preempt(now, victim, "gives way to "+job.Spec.ID)
 			}
 		}
 	}
-	j.next, j.returned = j.Spec.Tasks, nil
+	job.nextIndex, job.returnedTasks = job.Spec.Tasks, nil
 }
 
-// noRoom notes that a gang found no room. Once it has waited for long, no gang
+// recordNoRoom notes that a gang found no room. Once it has waited for long, no gang
 // behind it is placed before it: many small ones would take each machine that
 // becomes free, and a large one would never see enough of them. Machines that
 // are not there yet are not waited for in this way.
-func (b *Board) noRoom(now time.Time, j *Job) {
-	b.waits(j, "no room for all tasks")
-	if b.first != nil || now.Sub(j.Since) <= tuning.GangPatience {
+func (s *Scheduler) recordNoRoom(now time.Time, job *Job) {
+	s.setPendingReason(job, "no room for all tasks")
+	if s.blockingGang != nil || now.Sub(job.KnownSince) <= tuning.GangPatience {
 		return
 	}
-	k, places := j.kind(false), 0
-	for _, m := range b.reg.All() {
-		if m.Usable(now) && k.allows(m) {
-			places += m.Cap.Count(j.need, maxCount)
+	class, slots := job.equivalenceClass(false), 0
+	for _, machine := range s.registry.All() {
+		if machine.Schedulable(now) && class.allows(machine) {
+			slots += machine.Capacity.FitCount(job.need, maxTasksPerMachine)
 		}
 	}
-	if places >= j.Spec.Tasks {
-		b.first = j
+	if slots >= job.Spec.Tasks {
+		s.blockingGang = job
 	}
 }
 
-// keptFor tells whether a machine is kept for a starving gang that an array's
+// reservedForGang tells whether a machine is kept for a starving gang that an array's
 // tasks would not give way to.
-func (b *Board) keptFor(now time.Time, j *Job, m *worker.Machine) bool {
-	f := b.first
-	return f != nil && f.starved(now) && !j.starved(now) && j.priority >= f.priority && f.allows(m.Type, m.Zone, m.Spot) && m.Cap.Fits(f.need)
+func (s *Scheduler) reservedForGang(now time.Time, job *Job, machine *worker.Machine) bool {
+	gang := s.blockingGang
+	return gang != nil && gang.starving(now) && !job.starving(now) && job.priority >= gang.priority && gang.allows(machine.Type, machine.Zone, machine.Spot) && machine.Capacity.Fits(gang.need)
 }
 
-// cand is a machine that may have places for a gang, and what one there costs; at
+// gangCandidate is a machine that may have places for a gang, and what one there costs; at
 // least that much while it is not known what has to give way.
-type cand struct {
-	place
-	room  quota.Room
-	known bool
+type gangCandidate struct {
+	gangSlot
+	free  quota.Resources
+	exact bool
 }
 
-// fitGang finds a place for each task of a gang, in one zone if one is named, on
+// findGangPlacement finds a place for each task of a gang, in one zone if one is named, on
 // the cheapest machines. What has to give way is worked out only for as many of
 // them as it takes.
-func (b *Board) fitGang(now time.Time, j *Job, zone string, guaranteed bool) []place {
-	var cands []*cand
-	k := j.kind(guaranteed)
-	places := b.survey.reaches[k].on // as counted when the gang was found reachable
-	for _, m := range b.reg.All() {
-		if places[m] == 0 || !m.Usable(now) || !j.allows(m.Type, m.Zone, m.Spot) || zone != "" && m.Zone != zone || j.avoids(m) {
+func (s *Scheduler) findGangPlacement(now time.Time, job *Job, zone string, guaranteed bool) []gangSlot {
+	var candidates []*gangCandidate
+	class := job.equivalenceClass(guaranteed)
+	slotsByMachine := s.capacity.slotsByClass[class].byMachine // as counted when the gang was found reachable
+	for _, machine := range s.registry.All() {
+		if slotsByMachine[machine] == 0 || !machine.Schedulable(now) || !job.allows(machine.Type, machine.Zone, machine.Spot) || zone != "" && machine.Zone != zone || job.avoids(machine) {
 			continue
 		}
-		c := &cand{place: place{m: m}, room: m.FreeForMain()}
-		if c.known = c.room.Fits(j.need); !c.known {
-			c.score = tuning.ScorePreempt
+		c := &gangCandidate{gangSlot: gangSlot{machine: machine}, free: machine.AvailableToPrimary()}
+		if c.exact = c.free.Fits(job.need); !c.exact {
+			c.cost = tuning.ScorePreempt
 		}
-		if _, ok := m.Images[j.Spec.Image]; !ok {
-			c.score += b.fetchScore(j, m)
+		if _, ok := machine.Images[job.Spec.Image]; !ok {
+			c.cost += s.imageFetchCost(job, machine)
 		}
-		if j.Spec.Spot && !m.Spot {
-			c.score += tuning.ScoreOrdinary
+		if job.Spec.Spot && !machine.Spot {
+			c.cost += tuning.ScoreOnDemand
 		}
-		cands = append(cands, c)
+		candidates = append(candidates, c)
 	}
-	byScore := func(a, c *cand) int { return cmp.Compare(a.score, c.score) }
-	slices.SortStableFunc(cands, byScore)
-	var sure []*cand // by score
-	for i := range cands {
-		if !j.Spec.SpreadAcrossZones && b.enough(sure, j, cands[i].score) {
+	byCost := func(a, c *gangCandidate) int { return cmp.Compare(a.cost, c.cost) }
+	slices.SortStableFunc(candidates, byCost)
+	var evaluated []*gangCandidate // by score
+	for i := range candidates {
+		if !job.Spec.SpreadAcrossZones && s.enoughSlots(evaluated, job, candidates[i].cost) {
 			break
 		}
-		c := cands[i]
-		if !c.known {
+		c := candidates[i]
+		if !c.exact {
 			cost := 0.0
-			c.stop, c.room, cost = b.victims(now, k, c.m, c.room)
-			c.score += cost
+			c.victims, c.free, cost = s.selectVictims(now, class, c.machine, c.free)
+			c.cost += cost
 		}
-		if c.room.Fits(j.need) {
-			at, _ := slices.BinarySearchFunc(sure, c.score, func(o *cand, score float64) int {
-				if o.score <= score {
+		if c.free.Fits(job.need) {
+			at, _ := slices.BinarySearchFunc(evaluated, c.cost, func(other *gangCandidate, cost float64) int {
+				if other.cost <= cost {
 					return -1
 				}
 				return 1
 			})
-			sure = slices.Insert(sure, at, c)
+			evaluated = slices.Insert(evaluated, at, c)
 		}
 	}
-	var out []place
+	var slots []gangSlot
 	inZone := map[string]int{}
-	for _, c := range sure {
-		for len(out) < j.Spec.Tasks && c.room.Fits(j.need) && j.zoneOK(c.m.Zone, inZone) {
-			c.room = c.room.Sub(j.need)
-			inZone[c.m.Zone]++
-			out = append(out, c.place)
-			c.stop, c.score = nil, 0
+	for _, c := range evaluated {
+		for len(slots) < job.Spec.Tasks && c.free.Fits(job.need) && job.zoneAllowed(c.machine.Zone, inZone) {
+			c.free = c.free.Sub(job.need)
+			inZone[c.machine.Zone]++
+			slots = append(slots, c.gangSlot)
+			c.victims, c.cost = nil, 0
 		}
 	}
-	if len(out) < j.Spec.Tasks {
+	if len(slots) < job.Spec.Tasks {
 		return nil
 	}
-	return out
+	return slots
 }
 
-// enough tells whether machines that cost no more than a score have places for a
+// enoughSlots tells whether machines that cost no more than a score have places for a
 // whole gang.
-func (b *Board) enough(sure []*cand, j *Job, score float64) bool {
-	n := 0
-	for _, c := range sure {
-		if n >= j.Spec.Tasks || c.score > score {
+func (s *Scheduler) enoughSlots(candidates []*gangCandidate, job *Job, cost float64) bool {
+	slots := 0
+	for _, c := range candidates {
+		if slots >= job.Spec.Tasks || c.cost > cost {
 			break
 		}
-		n += c.room.Count(j.need, maxCount)
+		slots += c.free.FitCount(job.need, maxTasksPerMachine)
 	}
-	return n >= j.Spec.Tasks
+	return slots >= job.Spec.Tasks
 }
 
-// fetchTime estimates how many seconds a machine takes to fetch a job's image.
-func (j *Job) fetchTime(m *worker.Machine) float64 {
-	if _, ok := m.Images[j.Spec.Image]; ok || m.Fetch <= 0 {
+// imageFetchTime estimates how many seconds a machine takes to fetch a job's image.
+func (j *Job) imageFetchTime(machine *worker.Machine) float64 {
+	if _, ok := machine.Images[j.Spec.Image]; ok || machine.ImagePullGBPerS <= 0 {
 		return 0
 	}
-	return j.Spec.ImageGb / m.Fetch
+	return j.Spec.ImageGb / machine.ImagePullGBPerS
 }
 
-// fetchScore is what it costs a gang that its image is not on a machine: little
+// imageFetchCost is what it costs a gang that its image is not on a machine: little
 // if it can be fetched within a time in which its class should have started.
-func (b *Board) fetchScore(j *Job, m *worker.Machine) float64 {
-	for _, o := range b.facts.Objectives {
-		if o.Kind == "wait" && o.Class == j.Spec.Class && m.Fetch > 0 &&
-			j.fetchTime(m)*tuning.FetchSlack+b.facts.Workers.HeartbeatS < o.WithinS {
-			return tuning.ScoreQuickImage
+func (s *Scheduler) imageFetchCost(job *Job, machine *worker.Machine) float64 {
+	for _, objective := range s.platform.Objectives {
+		if objective.Kind == "wait" && objective.Class == job.Spec.Class && machine.ImagePullGBPerS > 0 &&
+			job.imageFetchTime(machine)*tuning.ImagePullSlack+s.platform.Workers.HeartbeatS < objective.WithinS {
+			return tuning.ScoreImageInTime
 		}
 	}
 	return tuning.ScoreNoImage
 }
 
-// hurry tells whether a gang placed now starts within one of its class's times
+// mustPreemptAtOnce tells whether a gang placed now starts within one of its class's times
 // only if the work that gives way does not save first. What that work loses is
 // its progress since its last checkpoint, about as much as saving takes.
-func (b *Board) hurry(now time.Time, j *Job, places []place) bool {
+func (s *Scheduler) mustPreemptAtOnce(now time.Time, job *Job, slots []gangSlot) bool {
 	fetch, save := 0.0, 0.0
-	for _, p := range places {
-		fetch = max(fetch, j.fetchTime(p.m))
-		for _, v := range p.stop {
-			save = max(save, v.Job.grace())
+	for _, slot := range slots {
+		fetch = max(fetch, job.imageFetchTime(slot.machine))
+		for _, victim := range slot.victims {
+			save = max(save, victim.Job.stopGrace())
 		}
 	}
-	ready := now.Sub(j.Since).Seconds() + fetch + tuning.StartTime.Seconds()
-	return slices.ContainsFunc(b.facts.Objectives, func(o config.Objective) bool {
-		return o.Kind == "wait" && o.Class == j.Spec.Class && ready <= o.WithinS && ready+save > o.WithinS
+	ready := now.Sub(job.KnownSince).Seconds() + fetch + tuning.GangStartOverhead.Seconds()
+	return slices.ContainsFunc(s.platform.Objectives, func(objective config.Objective) bool {
+		return objective.Kind == "wait" && objective.Class == job.Spec.Class && ready <= objective.WithinS && ready+save > objective.WithinS
 	})
 }
 
-// yields tells whether a task may be stopped for a gang: work of lower priority, or of
+// preemptible tells whether a task may be stopped for a gang: work of lower priority, or of
 // a team beyond its guarantee for one within its own.
-func (b *Board) yields(now time.Time, t *Task, k kind) bool {
-	o := t.Job
-	if t.spare || o.closed {
+func (s *Scheduler) preemptible(now time.Time, task *Task, class equivalenceClass) bool {
+	victim := task.Job
+	if task.isBackup || victim.closed {
 		return false // its room counts as free already, or is about to be
 	}
-	if o.Spec.Team != k.team {
-		beyond := b.book.Beyond(o.Spec.Team)
-		if k.guaranteed && beyond {
+	if victim.Spec.Team != class.team {
+		overGuarantee := s.ledger.OverGuarantee(victim.Spec.Team)
+		if class.guaranteed && overGuarantee {
 			return true
 		}
 		// A team that has only its guarantee keeps it against other teams' work
 		// beyond theirs, whatever its priority: otherwise the two would stop each
 		// other in turn, one by priority and one by its guarantee, for ever.
-		if !k.guaranteed && !beyond {
+		if !class.guaranteed && !overGuarantee {
 			return false
 		}
 	}
-	return o.priority < k.priority && !o.starved(now)
+	return victim.priority < class.priority && !victim.starving(now)
 }
 
-// victims chooses the tasks to stop on a machine so that a gang's task fits.
-func (b *Board) victims(now time.Time, k kind, m *worker.Machine, room quota.Room) (stop []*Task, left quota.Room, cost float64) {
-	var may []*Task
-	for _, t := range b.host(m).on {
-		if b.yields(now, t, k) {
-			may = append(may, t)
+// selectVictims chooses the tasks to stop on a machine so that a gang's task fits.
+func (s *Scheduler) selectVictims(now time.Time, class equivalenceClass, machine *worker.Machine, free quota.Resources) (victims []*Task, freed quota.Resources, cost float64) {
+	var candidates []*Task
+	for _, task := range s.machineInfo(machine).assigned {
+		if s.preemptible(now, task, class) {
+			candidates = append(candidates, task)
 		}
 	}
-	slices.SortFunc(may, func(a, c *Task) int { return cmp.Compare(b.loss(now, a), b.loss(now, c)) })
-	for _, t := range may {
-		if room.Fits(k.need) {
+	slices.SortFunc(candidates, func(a, b *Task) int { return cmp.Compare(s.preemptionCost(now, a), s.preemptionCost(now, b)) })
+	for _, task := range candidates {
+		if free.Fits(class.need) {
 			break
 		}
-		room = room.Add(t.Job.need)
-		cost += b.loss(now, t)
-		stop = append(stop, t)
+		free = free.Add(task.Job.need)
+		cost += s.preemptionCost(now, task)
+		victims = append(victims, task)
 	}
-	return stop, room, cost
+	return victims, free, cost
 }
 
-// loss is the work, in seconds, that stopping a task throws away.
-func (b *Board) loss(now time.Time, t *Task) float64 {
-	ran := now.Sub(t.sentAt).Seconds()
-	if t.Job.Spec.CheckpointIntervalS > 0 {
-		ran = t.Job.Spec.CheckpointSaveTimeS
+// preemptionCost is the work, in seconds, that stopping a task throws away.
+func (s *Scheduler) preemptionCost(now time.Time, task *Task) float64 {
+	lost := now.Sub(task.dispatchedAt).Seconds()
+	if task.Job.Spec.CheckpointIntervalS > 0 {
+		lost = task.Job.Spec.CheckpointSaveTimeS
 	}
-	return ran * t.Job.need.Share(t.at.Cap)
+	return lost * task.Job.need.DominantShare(task.machine.Capacity)
 }
 
-// startGang hands out a placed gang once the room of each task is free.
-func (b *Board) startGang(now time.Time, j *Job) {
-	if len(j.tasks) != j.Spec.Tasks || j.located > 0 || j.broken {
+// dispatchGang hands out a placed gang once the room of each task is free.
+func (s *Scheduler) dispatchGang(now time.Time, job *Job) {
+	if len(job.tasks) != job.Spec.Tasks || job.assigned > 0 || job.aborting {
 		return
 	}
-	ahead := map[*worker.Machine]quota.Room{}
-	for n := range j.Spec.Tasks {
-		t := j.tasks[n]
-		if t == nil || t.main == nil || t.main.State != worker.Up {
+	freeByMachine := map[*worker.Machine]quota.Resources{}
+	for index := range job.Spec.Tasks {
+		task := job.tasks[index]
+		if task == nil || task.primary == nil || task.primary.State != worker.Up {
 			return
 		}
-		room, ok := ahead[t.main]
+		free, ok := freeByMachine[task.primary]
 		if !ok {
-			room = t.main.Free()
+			free = task.primary.Available()
 		}
-		if !room.Fits(j.need) {
-			b.yieldSpares(now, t.main, j.need.Sub(room))
+		if !free.Fits(job.need) {
+			s.preemptBackups(now, task.primary, job.need.Sub(free))
 			return
 		}
-		ahead[t.main] = room.Sub(j.need)
+		freeByMachine[task.primary] = free.Sub(job.need)
 	}
-	if !b.book.Admits(j.Spec.Team, j.need.Times(float64(j.Spec.Tasks)), false) {
+	if !s.ledger.Admits(job.Spec.Team, job.need.Times(float64(job.Spec.Tasks)), false) {
 		return
 	}
-	j.attempt = b.nextAttempt(j)
-	for n := range j.Spec.Tasks {
-		t := j.tasks[n]
-		m := t.main
-		b.unqueue(t)
-		b.hand(now, t, m, j.attempt, false, "gang starts")
+	job.attempt = s.nextAttemptID(job)
+	for index := range job.Spec.Tasks {
+		task := job.tasks[index]
+		machine := task.primary
+		s.withdrawCopies(task)
+		s.dispatch(now, task, machine, job.attempt, false, "gang starts")
 	}
 }
--- a/internal/placement/lifecycle.go
+++ b/internal/placement/lifecycle.go
@@ -11,195 +11,195 @@
 
 // setPhase is the one place that changes a task's phase, and with it the
 // accounts of its machine and team.
-func (b *Board) setPhase(now time.Time, t *Task, p Phase, why string) {
-	was := t.phase
-	if was == p {
+func (s *Scheduler) setPhase(now time.Time, task *Task, phase Phase, reason string) {
+	previous := task.phase
+	if previous == phase {
 		return
 	}
-	onBefore, onAfter := was >= Sent && was <= Stopping, p >= Sent && p <= Stopping
-	m := t.at
-	var h *host
-	if onBefore || onAfter {
-		h = b.host(m)
-		b.noteChange(h)
+	wasAssigned, isAssigned := previous >= Dispatched && previous <= Stopping, phase >= Dispatched && phase <= Stopping
+	machine := task.machine
+	var info *machineInfo
+	if wasAssigned || isAssigned {
+		info = s.machineInfo(machine)
+		s.markDirty(info)
 	}
 	switch {
-	case !onBefore && onAfter:
-		m.Taken = m.Taken.Add(t.Job.need)
-		if t.spare {
-			m.Spares = m.Spares.Add(t.Job.need)
+	case !wasAssigned && isAssigned:
+		machine.Allocated = machine.Allocated.Add(task.Job.need)
+		if task.isBackup {
+			machine.BackupAllocated = machine.BackupAllocated.Add(task.Job.need)
 		}
-		m.Busy++
-		b.book.Use(t.Job.Spec.Team, t.Job.need, 1)
-		t.Job.located++
-		h.on = append(h.on, t)
-		t.sentAt, t.runFrom, t.stage = now, time.Time{}, ""
-	case onBefore && !onAfter:
-		m.Taken = m.Taken.Sub(t.Job.need)
-		if t.spare {
-			m.Spares = m.Spares.Sub(t.Job.need)
+		machine.ActiveCopies++
+		s.ledger.AddUsed(task.Job.Spec.Team, task.Job.need, 1)
+		task.Job.assigned++
+		info.assigned = append(info.assigned, task)
+		task.dispatchedAt, task.runningSince, task.stage = now, time.Time{}, ""
+	case wasAssigned && !isAssigned:
+		machine.Allocated = machine.Allocated.Sub(task.Job.need)
+		if task.isBackup {
+			machine.BackupAllocated = machine.BackupAllocated.Sub(task.Job.need)
 		}
-		m.Busy--
-		if m.Busy == 0 {
-			m.IdleFrom = now
-			m.Taken, m.Spares = quota.Room{}, quota.Room{}
+		machine.ActiveCopies--
+		if machine.ActiveCopies == 0 {
+			machine.IdleSince = now
+			machine.Allocated, machine.BackupAllocated = quota.Resources{}, quota.Resources{}
 		}
-		b.book.Use(t.Job.Spec.Team, t.Job.need, -1)
-		t.Job.located--
-		if i := slices.Index(h.on, t); i >= 0 {
-			h.on = slices.Delete(h.on, i, i+1)
+		s.ledger.AddUsed(task.Job.Spec.Team, task.Job.need, -1)
+		task.Job.assigned--
+		if i := slices.Index(info.assigned, task); i >= 0 {
+			info.assigned = slices.Delete(info.assigned, i, i+1)
 		}
-		t.at = nil
+		task.machine = nil
 	}
-	t.phase = p
-	b.log.Debug("task", "task", t.Name(), "attempt", t.attempt, "host", m.Host, "from", was.String(), "to", p.String(), "spare", t.spare, "why", why)
+	task.phase = phase
+	s.log.Debug("task", "task", task.Name(), "attempt", task.attempt, "host", machine.Host, "from", previous.String(), "to", phase.String(), "spare", task.isBackup, "why", reason)
 }
 
-// hand puts a task's copy on a machine: the order goes out next.
-func (b *Board) hand(now time.Time, t *Task, m *worker.Machine, attempt uint64, spare bool, why string) {
-	t.at, t.attempt, t.spare = m, attempt, spare
-	t.reported, t.ordered, t.openDo, t.seq, t.session, t.stopDue, t.grace = false, false, 0, 0, 0, false, 0
-	b.setPhase(now, t, Sent, why)
-	if t.Job.Gang() || t.Job.Service() {
-		b.noteUrgent(m) // its mates, or its users, wait for it
+// dispatch puts a task's copy on a machine: the order goes out next.
+func (s *Scheduler) dispatch(now time.Time, task *Task, machine *worker.Machine, attempt uint64, isBackup bool, reason string) {
+	task.machine, task.attempt, task.isBackup = machine, attempt, isBackup
+	task.reported, task.commandSent, task.unansweredCommands, task.commandSeq, task.incarnation, task.stopPending, task.stopGrace = false, false, 0, 0, 0, false, 0
+	s.setPhase(now, task, Dispatched, reason)
+	if task.Job.IsGang() || task.Job.IsService() {
+		s.markUrgent(machine) // its mates, or its users, wait for it
 	}
 }
 
-// nextAttempt makes an attempt number that no earlier attempt of the job has: the
+// nextAttemptID makes an attempt number that no earlier attempt of the job has: the
 // tenure's token is in the high bits, so it grows without a write.
-func (b *Board) nextAttempt(j *Job) uint64 {
-	j.seq++
-	if j.seq >= 1<<tuning.AttemptBits-tuning.AttemptsLeft {
-		b.AttemptsUsedUp = true
+func (s *Scheduler) nextAttemptID(job *Job) uint64 {
+	job.attemptSequence++
+	if job.attemptSequence >= 1<<tuning.AttemptBits-tuning.AttemptReserve {
+		s.AttemptNumbersExhausted = true
 	}
-	return b.token<<tuning.AttemptBits | j.seq&(1<<tuning.AttemptBits-1)
+	return s.token<<tuning.AttemptBits | job.attemptSequence&(1<<tuning.AttemptBits-1)
 }
 
 // stop tells a task on a machine to stop.
-func (b *Board) stop(now time.Time, t *Task, grace float64, why string) {
-	if t.phase == Stopping && grace >= t.grace {
+func (s *Scheduler) stop(now time.Time, task *Task, grace float64, reason string) {
+	if task.phase == Stopping && grace >= task.stopGrace {
 		return
 	}
-	t.grace, t.stopDue = grace, true
-	b.setPhase(now, t, Stopping, why)
-	b.noteUrgent(t.at)
+	task.stopGrace, task.stopPending = grace, true
+	s.setPhase(now, task, Stopping, reason)
+	s.markUrgent(task.machine)
 }
 
-// grace is how long a job's running task is given to save.
-func (j *Job) grace() float64 {
+// stopGrace is how long a job's running task is given to save.
+func (j *Job) stopGrace() float64 {
 	if j.Spec.CheckpointIntervalS <= 0 {
 		return 0
 	}
-	return j.Spec.CheckpointSaveTimeS + tuning.SaveGrace.Seconds()
+	return j.Spec.CheckpointSaveTimeS + tuning.CheckpointGrace.Seconds()
 }
 
-// yield stops a task so that it can go on later; a gang stops as a whole.
-func (b *Board) yield(now time.Time, t *Task, why string) {
-	if !t.Job.Gang() {
-		b.stop(now, t, t.Job.grace(), why)
+// preempt stops a task so that it can go on later; a gang stops as a whole.
+func (s *Scheduler) preempt(now time.Time, task *Task, reason string) {
+	if !task.Job.IsGang() {
+		s.stop(now, task, task.Job.stopGrace(), reason)
 		return
 	}
-	t.Job.broken = true
-	for _, o := range t.Job.sorted() {
-		if o.phase == Sent || o.phase == Live {
-			b.stop(now, o, t.Job.grace(), why)
+	task.Job.aborting = true
+	for _, member := range task.Job.tasksByIndex() {
+		if member.phase == Dispatched || member.phase == Active {
+			s.stop(now, member, task.Job.stopGrace(), reason)
 		}
 	}
 }
 
-// gone takes a task off its machine; it may start again elsewhere.
-func (b *Board) gone(now time.Time, t *Task, wait time.Duration, why string) {
-	j := t.Job
-	spare := t.spare
-	stopped := t.phase == Stopping
-	b.setPhase(now, t, Idle, why)
-	t.attempt = 0
+// releaseTask takes a task off its machine; it may start again elsewhere.
+func (s *Scheduler) releaseTask(now time.Time, task *Task, pause time.Duration, reason string) {
+	job := task.Job
+	wasBackup := task.isBackup
+	wasStopping := task.phase == Stopping
+	s.setPhase(now, task, Unassigned, reason)
+	task.attempt = 0
 	switch {
-	case j.closed:
-		b.unqueue(t)
-		delete(j.tasks, t.N)
-	case j.Gang():
-		b.unqueue(t)
-		delete(j.tasks, t.N)
-		j.giveBack(t.N, now.Add(wait))
-		if !j.Complete() {
-			b.breakGang(now, j, why)
+	case job.closed:
+		s.withdrawCopies(task)
+		delete(job.tasks, task.Index)
+	case job.IsGang():
+		s.withdrawCopies(task)
+		delete(job.tasks, task.Index)
+		job.returnToPending(task.Index, now.Add(pause))
+		if !job.IsComplete() {
+			s.abortGangAttempt(now, job, reason)
 		}
-	case spare && t.main != nil && stopped:
+	case wasBackup && task.primary != nil && wasStopping:
 		// a spare that gave way: its main keeps its place, the spare waits
 		// again until it has been stopped too often
-		if t.low == nil || t.stops >= b.Set.DropThreshold {
-			b.dropLow(t)
+		if task.backup == nil || task.backupStops >= s.Settings.DropThreshold {
+			s.withdrawBackup(task)
 		}
 	default:
-		b.unqueue(t)
-		delete(j.tasks, t.N)
-		j.giveBack(t.N, now.Add(wait))
+		s.withdrawCopies(task)
+		delete(job.tasks, task.Index)
+		job.returnToPending(task.Index, now.Add(pause))
 	}
-	b.sweep(j)
+	s.removeIfUnassigned(job)
 }
 
-// breakGang ends a gang's attempt: whatever is left of it has to go before
+// abortGangAttempt ends a gang's attempt: whatever is left of it has to go before
 // the next one.
-func (b *Board) breakGang(now time.Time, j *Job, why string) {
-	j.broken = false
-	for _, o := range j.sorted() {
-		switch o.phase {
-		case Idle:
-			b.unqueue(o)
-			delete(j.tasks, o.N)
-			j.giveBack(o.N, now)
-		case Sent, Live:
-			j.broken = true
-			b.stop(now, o, 0, "attempt over: "+why)
+func (s *Scheduler) abortGangAttempt(now time.Time, job *Job, reason string) {
+	job.aborting = false
+	for _, member := range job.tasksByIndex() {
+		switch member.phase {
+		case Unassigned:
+			s.withdrawCopies(member)
+			delete(job.tasks, member.Index)
+			job.returnToPending(member.Index, now)
+		case Dispatched, Active:
+			job.aborting = true
+			s.stop(now, member, 0, "attempt over: "+reason)
 		case Stopping:
-			j.broken = true
+			job.aborting = true
 		}
 	}
 }
 
-// finish records a task's completion.
-func (b *Board) finish(now time.Time, t *Task) {
-	j := t.Job
-	if t.phase >= Sent && t.phase <= Stopping {
-		if t.spare {
-			b.Count.SparesFinished++
+// completeTask records a task's completion.
+func (s *Scheduler) completeTask(now time.Time, task *Task) {
+	job := task.Job
+	if task.phase >= Dispatched && task.phase <= Stopping {
+		if task.isBackup {
+			s.Counters.BackupsCompleted++
 		}
-		j.wellOn[t.at.Host] = true
-		if !t.runFrom.IsZero() && j.Spec.EstimatedRunTimeS > 0 && !j.Gang() {
-			ratio := now.Sub(t.runFrom).Seconds() / j.Spec.EstimatedRunTimeS
-			old, ok := b.runRatio[j.Spec.Class]
+		job.succeededOn[task.machine.Host] = true
+		if !task.runningSince.IsZero() && job.Spec.EstimatedRunTimeS > 0 && !job.IsGang() {
+			ratio := now.Sub(task.runningSince).Seconds() / job.Spec.EstimatedRunTimeS
+			previous, ok := s.runTimeRatio[job.Spec.Class]
 			if !ok {
-				old = 1
+				previous = 1
 			}
-			b.runRatio[j.Spec.Class] = old + (ratio-old)*tuning.PaceWeight
+			s.runTimeRatio[job.Spec.Class] = previous + (ratio-previous)*tuning.RunTimeAverageWeight
 		}
-		b.setPhase(now, t, Finished, "done")
+		s.setPhase(now, task, Completed, "done")
 	} else {
-		t.phase = Finished
+		task.phase = Completed
 	}
-	b.unqueue(t)
-	delete(j.tasks, t.N)
-	if j.done.add(t.N) && !j.closed {
-		b.finished(now, j)
+	s.withdrawCopies(task)
+	delete(job.tasks, task.Index)
+	if job.completed.add(task.Index) && !job.closed {
+		s.onTaskCompleted(now, job)
 	}
-	b.sweep(j)
+	s.removeIfUnassigned(job)
 }
 
-// Lost gives up everything on a machine: its lease is surely over, its
+// ReleaseMachine gives up everything on a machine: its lease is surely over, its
 // session is a new one, or its deletion was answered.
-func (b *Board) Lost(now time.Time, m *worker.Machine, why string) {
-	for h := b.host(m); len(h.on) > 0; {
-		b.gone(now, h.on[0], 0, why)
+func (s *Scheduler) ReleaseMachine(now time.Time, machine *worker.Machine, reason string) {
+	for info := s.machineInfo(machine); len(info.assigned) > 0; {
+		s.releaseTask(now, info.assigned[0], 0, reason)
 	}
-	delete(b.unexpected, m)
-	m.Stranger = false
+	delete(s.strayTasks, machine)
+	machine.HasUnknownTasks = false
 }
 
-// Forget drops a machine that is gone.
-func (b *Board) Forget(now time.Time, m *worker.Machine) {
-	b.Lost(now, m, "machine gone")
-	b.clearQueues(now, m)
-	b.survey.forget(b.host(m))
-	delete(b.hosts, m)
+// RemoveMachine drops a machine that is gone.
+func (s *Scheduler) RemoveMachine(now time.Time, machine *worker.Machine) {
+	s.ReleaseMachine(now, machine, "machine gone")
+	s.clearQueues(now, machine)
+	s.capacity.removeMachine(s.machineInfo(machine))
+	delete(s.machines, machine)
 }
--- a/internal/placement/recalled_test.go
+++ b/internal/placement/preemption_notice_test.go
@@ -13,7 +13,7 @@
 
 // Replicas on machines that the cloud takes back need places by then: machines are rented
 // for those that find none, also where their team is at its limit, and for no others.
-func TestRecalledReplicas(t *testing.T) {
+func TestReplicasUnderPreemptionNotice(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		machines int // that stay
@@ -27,35 +27,35 @@
 		{"the same at the team's limit", 0, 3, true, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			x := newBench(t, max(c.recalled, 1))
+			h := newHarness(t, max(c.recalled, 1))
 			for range 2 {
 				// two replicas of a machine's whole memory, one a machine
-				j := x.job("blue", wire.ShapeService, "critical", max(c.recalled, 1), 0)
-				j.Spec.MemGb, j.Spec.Vcpus = 40, 5
-				j.need = quota.Room{CPUs: 5, MemGB: 40}
+				job := h.addJob("blue", wire.ShapeService, "critical", max(c.recalled, 1), 0)
+				job.Spec.MemGb, job.Spec.Vcpus = 40, 5
+				job.need = quota.Resources{CPUs: 5, MemGB: 40}
 				if c.limit {
-					j.Spec.Gpus, j.need.GPUs = 1, 1
+					job.Spec.Gpus, job.need.GPUs = 1, 1
 				}
 			}
 			for range 3 {
-				x.direct()
+				h.deliverDirect()
 			}
 			if c.limit {
-				x.b.book.Block(quota.Room{GPUs: 8}) // nothing more is admitted
+				h.scheduler.ledger.SetUnknownUsage(quota.Resources{GPUs: 8}) // nothing more is admitted
 			}
-			for i, m := range x.reg.All() {
+			for i, machine := range h.registry.All() {
 				if i < c.recalled {
-					m.Recall = x.now.Add(12 * time.Second)
+					machine.PreemptionTime = h.now.Add(12 * time.Second)
 				}
 			}
 			for i := range c.machines {
-				m := x.reg.Add(x.now, fmt.Sprintf("i-9%d", i), worker.Booting)
-				m.Cap, m.Used, m.Type, m.Zone = quota.Room{CPUs: 12, GPUs: 2, MemGB: 96}, true, "g2", "a"
-				x.report(m)
+				machine := h.registry.Add(h.now, fmt.Sprintf("i-9%d", i), worker.Booting)
+				machine.Capacity, machine.Registered, machine.Type, machine.Zone = quota.Resources{CPUs: 12, GPUs: 2, MemGB: 96}, true, "g2", "a"
+				h.heartbeat(machine)
 			}
-			x.b.seen["l"] = true
-			offers := []Offer{{Type: "g2", Zone: "a", Cap: quota.Room{CPUs: 12, GPUs: 2, MemGB: 96}, Price: 3, BootS: 25, Left: 50}}
-			got := x.b.Demand(x.now, offers, []int{0})
+			h.scheduler.seenClasses["l"] = true
+			offers := []Offer{{Type: "g2", Zone: "a", Capacity: quota.Resources{CPUs: 12, GPUs: 2, MemGB: 96}, Price: 3, BootSeconds: 25, Available: 50}}
+			got := h.scheduler.ProvisioningDemand(h.now, offers, []int{0})
 			// beside them, room for one more service is kept on two machines
 			reserve := max(0, tuning.ReserveMachines-c.machines-max(c.recalled, 1)+c.recalled)
 			if got[0] < c.want || got[0] > c.want+reserve {
--- a/internal/placement/queues.go
+++ b/internal/placement/queues.go
@@ -9,88 +9,88 @@
 )
 
 // clearQueues sends a machine's queued copies back to be drawn elsewhere.
-func (b *Board) clearQueues(now time.Time, m *worker.Machine) {
-	h := b.host(m)
-	for len(h.high) > 0 {
-		b.takeBack(now, h.high[0])
+func (s *Scheduler) clearQueues(now time.Time, machine *worker.Machine) {
+	info := s.machineInfo(machine)
+	for len(info.primaryQueue) > 0 {
+		s.requeue(now, info.primaryQueue[0])
 	}
-	for len(h.low) > 0 {
-		b.dropLow(h.low[0])
+	for len(info.backupQueue) > 0 {
+		s.withdrawBackup(info.backupQueue[0])
 	}
 }
 
-// takeBack makes a queued main held again. A gang's place is kept or given
+// requeue makes a queued main held again. A gang's place is kept or given
 // up as a whole.
-func (b *Board) takeBack(now time.Time, t *Task) {
-	j := t.Job
-	if j.Gang() {
-		for _, o := range j.sorted() {
-			b.unqueue(o)
-			if o.phase == Idle {
-				delete(j.tasks, o.N)
-				j.giveBack(o.N, now)
+func (s *Scheduler) requeue(now time.Time, task *Task) {
+	job := task.Job
+	if job.IsGang() {
+		for _, member := range job.tasksByIndex() {
+			s.withdrawCopies(member)
+			if member.phase == Unassigned {
+				delete(job.tasks, member.Index)
+				job.returnToPending(member.Index, now)
 			}
 		}
 		return
 	}
-	if t.phase != Idle {
+	if task.phase != Unassigned {
 		// its spare runs: only the main's place is given up
-		b.dropMain(t)
+		s.withdrawPrimary(task)
 		return
 	}
-	b.unqueue(t)
-	delete(j.tasks, t.N)
-	j.giveBack(t.N, now)
+	s.withdrawCopies(task)
+	delete(job.tasks, task.Index)
+	job.returnToPending(task.Index, now)
 }
 
-func (b *Board) queueMain(now time.Time, t *Task, m *worker.Machine) {
-	t.main, t.mainSince = m, now
-	h := b.host(m)
-	h.high = append(h.high, t)
-	b.noteChange(h)
-	m.Promised = m.Promised.Add(t.Job.need)
-	if !m.FreeForMain().Fits(b.survey.least) {
-		b.survey.setRoom(h, false)
+func (s *Scheduler) queuePrimary(now time.Time, task *Task, machine *worker.Machine) {
+	task.primary, task.primaryQueuedAt = machine, now
+	info := s.machineInfo(machine)
+	info.primaryQueue = append(info.primaryQueue, task)
+	s.markDirty(info)
+	machine.Reserved = machine.Reserved.Add(task.Job.need)
+	if !machine.AvailableToPrimary().Fits(s.capacity.smallestNeed) {
+		s.capacity.setFree(info, false)
 	}
-	b.book.Promise(t.Job.Spec.Team, t.Job.need, 1)
+	s.ledger.AddReserved(task.Job.Spec.Team, task.Job.need, 1)
 }
 
-func (b *Board) dropMain(t *Task) {
-	m := t.main
-	if m == nil {
+func (s *Scheduler) withdrawPrimary(task *Task) {
+	machine := task.primary
+	if machine == nil {
 		return
 	}
-	h := b.host(m)
-	b.noteChange(h)
-	if i := slices.Index(h.high, t); i >= 0 {
-		h.high = slices.Delete(h.high, i, i+1)
+	info := s.machineInfo(machine)
+	s.markDirty(info)
+	if i := slices.Index(info.primaryQueue, task); i >= 0 {
+		info.primaryQueue = slices.Delete(info.primaryQueue, i, i+1)
 	}
-	m.Promised = m.Promised.Sub(t.Job.need)
-	if len(h.high) == 0 {
-		m.Promised = quota.Room{}
+	machine.Reserved = machine.Reserved.Sub(task.Job.need)
+	if len(info.primaryQueue) == 0 {
+		machine.Reserved = quota.Resources{}
 	}
-	b.book.Promise(t.Job.Spec.Team, t.Job.need, -1)
-	t.main = nil
+	s.ledger.AddReserved(task.Job.Spec.Team, task.Job.need, -1)
+	task.primary = nil
 }
 
-func (b *Board) queueLow(t *Task, m *worker.Machine) {
-	t.low = m
-	h := b.host(m)
-	h.low = append(h.low, t)
+func (s *Scheduler) queueBackup(task *Task, machine *worker.Machine) {
+	task.backup = machine
+	info := s.machineInfo(machine)
+	info.backupQueue = append(info.backupQueue, task)
 }
 
-func (b *Board) dropLow(t *Task) {
-	if t.low == nil {
+func (s *Scheduler) withdrawBackup(task *Task) {
+	if task.backup == nil {
 		return
 	}
-	h := b.host(t.low)
-	if i := slices.Index(h.low, t); i >= 0 {
-		h.low = slices.Delete(h.low, i, i+1)
+	info := s.machineInfo(task.backup)
+	if i := slices.Index(info.backupQueue, task); i >= 0 {
+		info.backupQueue = slices.Delete(info.backupQueue, i, i+1)
 	}
-	t.low = nil
+	task.backup = nil
 }
 
-func (b *Board) unqueue(t *Task) {
-	b.dropMain(t)
-	b.dropLow(t)
+func (s *Scheduler) withdrawCopies(task *Task) {
+	s.withdrawPrimary(task)
+	s.withdrawBackup(task)
 }
--- a/internal/placement/draw_test.go
+++ b/internal/placement/scheduling_pass_test.go
@@ -11,8 +11,8 @@
 // A burst is drawn in several goes, each of them short, and the next ones go on
 // although nothing has changed in between: a draw that placed all of a burst kept a
 // starved holder from its lease for a second.
-func TestDrawsAreShort(t *testing.T) {
-	const machines = 3 * tuning.DrawTasks
+func TestPassesAreBounded(t *testing.T) {
+	const machines = 3 * tuning.MaxTasksPerPass
 	for _, c := range []struct {
 		name  string
 		jobs  int
@@ -21,30 +21,30 @@
 		gpus  float64
 		most  int // tasks in one go
 	}{
-		{"a large array", 1, wire.ShapeBatch, 2 * machines, 0, tuning.DrawTasks},
-		{"many arrays", machines, wire.ShapeBatch, 2, 0, tuning.DrawTasks},
-		{"many gangs", 3 * tuning.DrawGangs, wire.ShapeGang, 2, 0, 2 * tuning.DrawGangs},
+		{"a large array", 1, wire.ShapeBatch, 2 * machines, 0, tuning.MaxTasksPerPass},
+		{"many arrays", machines, wire.ShapeBatch, 2, 0, tuning.MaxTasksPerPass},
+		{"many gangs", 3 * tuning.MaxGangsPerPass, wire.ShapeGang, 2, 0, 2 * tuning.MaxGangsPerPass},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			x := newBench(t, machines)
+			h := newHarness(t, machines)
 			var jobs []*Job
 			for range c.jobs {
-				j := x.job("blue", c.shape, "normal", c.tasks, c.gpus)
-				jobs = append(jobs, j)
+				job := h.addJob("blue", c.shape, "normal", c.tasks, c.gpus)
+				jobs = append(jobs, job)
 			}
-			x.now = x.now.Add(time.Second)
-			drawn := func() (n int) {
-				for _, j := range jobs {
-					n += len(j.tasks)
+			h.now = h.now.Add(time.Second)
+			queued := func() (n int) {
+				for _, job := range jobs {
+					n += len(job.tasks)
 				}
 				return n
 			}
-			all := c.jobs * c.tasks
-			for goes := 0; drawn() < all; goes++ {
-				before := drawn()
-				x.b.Draw(x.now)
-				if n := drawn() - before; n == 0 || n > c.most {
-					t.Fatalf("go %d drew %d tasks, %d of %d before; want 1 to %d", goes, n, before, all, c.most)
+			total := c.jobs * c.tasks
+			for pass := 0; queued() < total; pass++ {
+				before := queued()
+				h.scheduler.Schedule(h.now)
+				if n := queued() - before; n == 0 || n > c.most {
+					t.Fatalf("go %d drew %d tasks, %d of %d before; want 1 to %d", pass, n, before, total, c.most)
 				}
 			}
 		})
@@ -52,8 +52,8 @@
 }
 
 // The choice is among the machines of the lowest tier, and each of them may be it.
-func TestPick(t *testing.T) {
-	b := newBench(t, 0).b
+func TestPickLowestRank(t *testing.T) {
+	scheduler := newHarness(t, 0).scheduler
 	for _, c := range []struct {
 		name  string
 		tiers []int
@@ -65,13 +65,13 @@
 		{"any of the lowest", []int{2, 1, 4, 1, 1}, []int{1, 3, 4}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var among []candidate
-			for _, tier := range c.tiers {
-				among = append(among, candidate{tier: tier})
+			var candidates []candidate
+			for _, rank := range c.tiers {
+				candidates = append(candidates, candidate{rank: rank})
 			}
 			got := map[int]bool{}
 			for range 200 {
-				got[b.pick(among)] = true
+				got[scheduler.pickLowestRank(candidates)] = true
 			}
 			for _, i := range c.want {
 				if !got[i] {
--- a/internal/placement/service.go
+++ b/internal/placement/service.go
@@ -14,28 +14,28 @@
 // queued behind others: it is handed out as soon as there is room, by a direct command, and
 // lower work gives way to it where there is none.
 
-// imageNeed tells which machines come into question for a replica.
-type imageNeed bool
+// imageRequirement tells which machines come into question for a replica.
+type imageRequirement bool
 
 const (
-	anyMachine imageNeed = false
-	withImage  imageNeed = true // only ones that have the replica's image
+	anyMachine  imageRequirement = false
+	cachedImage imageRequirement = true // only ones that have the replica's image
 )
 
-// drawService places a service's waiting replicas, one machine each if it can.
-func (b *Board) drawService(now time.Time, j *Job, guaranteed bool) {
-	if !b.mayBegin(now, j) {
+// scheduleService places a service's waiting replicas, one machine each if it can.
+func (s *Scheduler) scheduleService(now time.Time, job *Job, guaranteed bool) {
+	if !s.ensureStartMarker(now, job) {
 		return
 	}
-	for j.held() > 0 {
-		if guaranteed && !b.book.Guaranteed(j.Spec.Team, j.need) {
+	for job.pendingTasks() > 0 {
+		if guaranteed && !s.ledger.WithinGuarantee(job.Spec.Team, job.need) {
 			return
 		}
-		if !b.book.Admits(j.Spec.Team, j.need, true) && !b.yieldQuota(now, j) {
-			b.waits(j, "team's limit")
+		if !s.ledger.Admits(job.Spec.Team, job.need, true) && !s.preemptForQuota(now, job) {
+			s.setPendingReason(job, "team's limit")
 			return
 		}
-		if !b.placeReplica(now, j, guaranteed) {
+		if !s.placeReplica(now, job, guaranteed) {
 			return
 		}
 	}
@@ -43,95 +43,95 @@
 
 // placeReplica finds a place for one of a service's waiting replicas and hands it out
 // there, or queues it at the head of a machine where lower work gives way.
-func (b *Board) placeReplica(now time.Time, j *Job, guaranteed bool) bool {
-	m := b.replicaPlace(now, j, nil, anyMachine)
-	var stop []*Task
-	if m == nil {
-		if m, stop = b.replicaVictims(now, j, guaranteed); m == nil {
-			b.waits(j, "no room")
+func (s *Scheduler) placeReplica(now time.Time, job *Job, guaranteed bool) bool {
+	machine := s.findReplicaMachine(now, job, nil, anyMachine)
+	var victims []*Task
+	if machine == nil {
+		if machine, victims = s.findReplicaVictims(now, job, guaranteed); machine == nil {
+			s.setPendingReason(job, "no room")
 			return false
 		}
 	}
-	n, ok := j.take(now)
+	index, ok := job.takePendingTask(now)
 	if !ok {
-		b.waits(j, "pause after a failure")
+		s.setPendingReason(job, "pause after a failure")
 		return false
 	}
-	j.why = ""
-	t := &Task{Job: j, N: n}
-	j.tasks[n] = t
-	if len(stop) == 0 && m.Free().Sub(m.Promised).Fits(j.need) {
-		b.Count.MainsStarted++
-		b.hand(now, t, m, b.nextAttempt(j), false, "replica starts")
+	job.pendingReason = ""
+	task := &Task{Job: job, Index: index}
+	job.tasks[index] = task
+	if len(victims) == 0 && machine.Available().Sub(machine.Reserved).Fits(job.need) {
+		s.Counters.PrimariesStarted++
+		s.dispatch(now, task, machine, s.nextAttemptID(job), false, "replica starts")
 		return true
 	}
-	b.queueMain(now, t, m)
-	for _, v := range stop {
-		b.Count.Preempted++
-		b.yield(now, v, "gives way to "+j.Spec.ID)
+	s.queuePrimary(now, task, machine)
+	for _, victim := range victims {
+		s.Counters.Preempted++
+		s.preempt(now, victim, "gives way to "+job.Spec.ID)
 	}
 	return true
 }
 
-// yieldQuota makes room for a replica below its team's limit: lower work of the same team
+// preemptForQuota makes room for a replica below its team's limit: lower work of the same team
 // that is only queued goes back, and if that is not enough, running work is stopped, that
 // which loses least first. It tells whether the replica may start now.
-func (b *Board) yieldQuota(now time.Time, j *Job) bool {
-	lower := func(t *Task) bool {
-		o := t.Job
-		return o.Spec.Team == j.Spec.Team && o.priority < j.priority && !o.closed
+func (s *Scheduler) preemptForQuota(now time.Time, job *Job) bool {
+	lower := func(task *Task) bool {
+		other := task.Job
+		return other.Spec.Team == job.Spec.Team && other.priority < job.priority && !other.closed
 	}
-	coming := quota.Room{} // what is stopping already will give back
-	admits := func() bool { return b.book.Admits(j.Spec.Team, j.need.Sub(coming), true) }
+	releasing := quota.Resources{} // what is stopping already will give back
+	admits := func() bool { return s.ledger.Admits(job.Spec.Team, job.need.Sub(releasing), true) }
 	var running []*Task
-	for _, m := range b.reg.All() {
-		h := b.host(m)
-		for _, t := range slices.Clone(h.high) {
-			if !admits() && lower(t) && t.main == m {
-				b.takeBack(now, t)
+	for _, machine := range s.registry.All() {
+		info := s.machineInfo(machine)
+		for _, task := range slices.Clone(info.primaryQueue) {
+			if !admits() && lower(task) && task.primary == machine {
+				s.requeue(now, task)
 			}
 		}
-		for _, t := range h.on {
+		for _, task := range info.assigned {
 			switch {
-			case t.phase == Stopping && t.Job.Spec.Team == j.Spec.Team:
-				coming = coming.Add(t.Job.need)
-			case lower(t) && !t.Job.starved(now):
-				running = append(running, t)
+			case task.phase == Stopping && task.Job.Spec.Team == job.Spec.Team:
+				releasing = releasing.Add(task.Job.need)
+			case lower(task) && !task.Job.starving(now):
+				running = append(running, task)
 			}
 		}
 	}
-	if coming == (quota.Room{}) && admits() {
+	if releasing == (quota.Resources{}) && admits() {
 		return true
 	}
-	slices.SortFunc(running, func(a, c *Task) int { return cmp.Compare(b.loss(now, a), b.loss(now, c)) })
-	var stop []*Task
-	for _, t := range running {
+	slices.SortFunc(running, func(a, b *Task) int { return cmp.Compare(s.preemptionCost(now, a), s.preemptionCost(now, b)) })
+	var victims []*Task
+	for _, task := range running {
 		if admits() {
 			break
 		}
-		stop = append(stop, t)
-		coming = coming.Add(t.Job.need)
+		victims = append(victims, task)
+		releasing = releasing.Add(task.Job.need)
 	}
 	if !admits() {
 		return false // stopping them would not help
 	}
-	for _, t := range stop {
-		if t.phase == Stopping {
+	for _, task := range victims {
+		if task.phase == Stopping {
 			continue // its gang has been stopped as a whole
 		}
-		b.Count.Preempted++
-		b.yield(now, t, "gives its team's quota to "+j.Spec.ID)
+		s.Counters.Preempted++
+		s.preempt(now, task, "gives its team's quota to "+job.Spec.ID)
 	}
 	return false // once they are gone
 }
 
-// siblings is how many of a service's replicas are on a machine or about to be.
-func (b *Board) siblings(j *Job, m *worker.Machine) int {
-	h := b.host(m)
+// replicasOn is how many of a service's replicas are on a machine or about to be.
+func (s *Scheduler) replicasOn(job *Job, machine *worker.Machine) int {
+	info := s.machineInfo(machine)
 	n := 0
-	for _, list := range [][]*Task{h.on, h.high} {
-		for _, t := range list {
-			if t.Job == j {
+	for _, list := range [][]*Task{info.assigned, info.primaryQueue} {
+		for _, task := range list {
+			if task.Job == job {
 				n++
 			}
 		}
@@ -139,143 +139,143 @@
 	return n
 }
 
-// serves tells whether a machine has replicas of any service.
-func (b *Board) serves(m *worker.Machine) bool {
-	return slices.ContainsFunc(b.host(m).on, func(t *Task) bool { return t.Job.Service() })
+// hostsService tells whether a machine has replicas of any service.
+func (s *Scheduler) hostsService(machine *worker.Machine) bool {
+	return slices.ContainsFunc(s.machineInfo(machine).assigned, func(task *Task) bool { return task.Job.IsService() })
 }
 
-// replicaPlace finds the best machine with room for one more replica; moving is the one
+// findReplicaMachine finds the best machine with room for one more replica; moving is the one
 // that leaves its machine for it, nil if none does.
-func (b *Board) replicaPlace(now time.Time, j *Job, moving *Task, image imageNeed) *worker.Machine {
-	spread := j.spread(moving)
+func (s *Scheduler) findReplicaMachine(now time.Time, job *Job, moving *Task, requirement imageRequirement) *worker.Machine {
+	tasksByZone := job.constrainedTasksByZone(moving)
 	var best []*worker.Machine
-	low := 0
-	for _, m := range b.reg.All() {
-		if !m.Usable(now) || !m.FreeForMain().Fits(j.need) || !j.allows(m.Type, m.Zone, m.Spot) || j.avoids(m) ||
-			spread != nil && !j.zoneOK(m.Zone, spread) {
+	lowest := 0
+	for _, machine := range s.registry.All() {
+		if !machine.Schedulable(now) || !machine.AvailableToPrimary().Fits(job.need) || !job.allows(machine.Type, machine.Zone, machine.Spot) || job.avoids(machine) ||
+			tasksByZone != nil && !job.zoneAllowed(machine.Zone, tasksByZone) {
 			continue
 		}
-		if image == withImage && !b.hasImage(m, j.Spec.Image) {
+		if requirement == cachedImage && !s.hasImage(machine, job.Spec.Image) {
 			continue
 		}
-		switch rank := b.replicaRank(j, m); {
-		case len(best) == 0 || rank < low:
-			best, low = append(best[:0], m), rank
-		case rank == low:
-			best = append(best, m)
+		switch rank := s.replicaRank(job, machine); {
+		case len(best) == 0 || rank < lowest:
+			best, lowest = append(best[:0], machine), rank
+		case rank == lowest:
+			best = append(best, machine)
 		}
 	}
 	if len(best) == 0 {
 		return nil
 	}
-	return best[b.rng.IntN(len(best))]
+	return best[s.rng.IntN(len(best))]
 }
 
-// spread counts a job's tasks by zone if its placement depends on them, without one that
+// constrainedTasksByZone counts a job's tasks by zone if its placement depends on them, without one that
 // is about to leave its machine; nil if it does not.
-func (j *Job) spread(leaving *Task) map[string]int {
-	if !j.constrained() {
+func (j *Job) constrainedTasksByZone(leaving *Task) map[string]int {
+	if !j.zoneConstrained() {
 		return nil
 	}
-	n := j.zones(true)
-	if leaving != nil && leaving.at != nil {
-		n[leaving.at.Zone]--
+	tasksByZone := j.tasksByZone(true)
+	if leaving != nil && leaving.machine != nil {
+		tasksByZone[leaving.machine.Zone]--
 	}
-	return n
+	return tasksByZone
 }
 
 // replicaRank ranks a machine with room for a replica, the lowest first: with as few of
 // its siblings as can be, so that one loss takes few; not spot, if there are others; with
 // the image; where other services are, so that few machines are held by them; then the
 // fuller ones.
-func (b *Board) replicaRank(j *Job, m *worker.Machine) int {
+func (s *Scheduler) replicaRank(job *Job, machine *worker.Machine) int {
 	const (
-		step     = 2 * tuning.FillSteps // more than any fill
+		step     = 2 * tuning.FillLevels // more than any fill
 		alone    = 1 * step             // no service there
 		noImage  = 2 * step
 		onSpot   = 4 * step
 		siblings = 8 * step // each
 	)
-	rank := int(tuning.FillSteps*m.FreeForMain().Share(m.Cap)) + siblings*b.siblings(j, m)
-	if !b.serves(m) {
+	rank := int(tuning.FillLevels*machine.AvailableToPrimary().DominantShare(machine.Capacity)) + siblings*s.replicasOn(job, machine)
+	if !s.hostsService(machine) {
 		rank += alone
 	}
-	if !b.hasImage(m, j.Spec.Image) {
+	if !s.hasImage(machine, job.Spec.Image) {
 		rank += noImage
 	}
-	if m.Spot {
+	if machine.Spot {
 		rank += onSpot
 	}
 	return rank
 }
 
-// replicaVictims finds a machine where lower work gives way to a replica, and that
+// findReplicaVictims finds a machine where lower work gives way to a replica, and that
 // work: where least is lost.
-func (b *Board) replicaVictims(now time.Time, j *Job, guaranteed bool) (*worker.Machine, []*Task) {
-	spread := j.spread(nil)
-	k := j.kind(guaranteed)
-	var at *worker.Machine
-	var stop []*Task
-	least := 0.0
-	for _, m := range b.reg.All() {
-		if b.places(now, k, m) == 0 || j.avoids(m) || spread != nil && !j.zoneOK(m.Zone, spread) {
+func (s *Scheduler) findReplicaVictims(now time.Time, job *Job, guaranteed bool) (*worker.Machine, []*Task) {
+	tasksByZone := job.constrainedTasksByZone(nil)
+	class := job.equivalenceClass(guaranteed)
+	var chosen *worker.Machine
+	var victims []*Task
+	lowestCost := 0.0
+	for _, machine := range s.registry.All() {
+		if s.feasibleSlots(now, class, machine) == 0 || job.avoids(machine) || tasksByZone != nil && !job.zoneAllowed(machine.Zone, tasksByZone) {
 			continue
 		}
-		vs, room, cost := b.victims(now, k, m, m.FreeForMain())
-		if !room.Fits(j.need) {
+		candidates, free, cost := s.selectVictims(now, class, machine, machine.AvailableToPrimary())
+		if !free.Fits(job.need) {
 			continue
 		}
-		if cost += float64(b.siblings(j, m)) * tuning.ScorePreempt; at == nil || cost < least {
-			at, stop, least = m, vs, cost
+		if cost += float64(s.replicasOn(job, machine)) * tuning.ScorePreempt; chosen == nil || cost < lowestCost {
+			chosen, victims, lowestCost = machine, candidates, cost
 		}
 	}
-	return at, stop
+	return chosen, victims
 }
 
-// servedWell notes that a replica has run for a while: what fails later elsewhere is
+// recordServiceSuccess notes that a replica has run for a while: what fails later elsewhere is
 // that machine's fault, not the service's.
-func (j *Job) servedWell(now time.Time, t *Task) {
-	if j.Service() && !t.runFrom.IsZero() && now.Sub(t.runFrom) >= tuning.ServiceWell {
-		j.wellOn[t.at.Host] = true
-		j.errors, j.shortRuns = 0, 0
+func (j *Job) recordServiceSuccess(now time.Time, task *Task) {
+	if j.IsService() && !task.runningSince.IsZero() && now.Sub(task.runningSince) >= tuning.ServiceHealthyAfter {
+		j.succeededOn[task.machine.Host] = true
+		j.failures, j.shortRuns = 0, 0
 	}
 }
 
 // restartPause is how long a replica that has ended by itself waits before it runs again:
 // not at all, unless it ended as soon as it had begun. While none of the service's replicas
 // lasts, the pause doubles.
-func (j *Job) restartPause(now time.Time, t *Task) time.Duration {
-	if j.servedWell(now, t); !t.runFrom.IsZero() && now.Sub(t.runFrom) >= tuning.ServiceWell {
+func (j *Job) restartPause(now time.Time, task *Task) time.Duration {
+	if j.recordServiceSuccess(now, task); !task.runningSince.IsZero() && now.Sub(task.runningSince) >= tuning.ServiceHealthyAfter {
 		return 0
 	}
-	pause := tuning.RetryPause << min(j.shortRuns, tuning.RetryDoublings)
+	pause := tuning.RetryInitial << min(j.shortRuns, tuning.RetryDoublings)
 	j.shortRuns++
 	return pause
 }
 
-// moveReplica stops a replica whose machine is about to go once another machine would
+// migrateReplica stops a replica whose machine is about to go once another machine would
 // take it at once, or when there is no more time to wait for one. Two copies may not be
 // there at a time: the gap is from this stop to the next start.
-func (b *Board) moveReplica(now time.Time, t *Task, last bool) {
-	if last || b.replicaPlace(now, t.Job, t, withImage) != nil {
-		b.Count.Moved++
-		b.stop(now, t, 0, "its machine is recalled")
+func (s *Scheduler) migrateReplica(now time.Time, task *Task, lastMoment bool) {
+	if lastMoment || s.findReplicaMachine(now, task.Job, task, cachedImage) != nil {
+		s.Counters.Relocated++
+		s.stop(now, task, 0, "its machine is recalled")
 	}
 }
 
-// leaving tells whether a replica has to leave its machine, which the cloud takes back.
-func (t *Task) leaving() bool {
-	return t.Job.Service() && t.phase == Live && !t.at.Recall.IsZero()
+// mustLeave tells whether a replica has to leave its machine, which the cloud takes back.
+func (t *Task) mustLeave() bool {
+	return t.Job.IsService() && t.phase == Active && !t.machine.PreemptionTime.IsZero()
 }
 
-// replacements is how many of a service's replicas have to leave their machines: each needs
+// replacementsNeeded is how many of a service's replicas have to leave their machines: each needs
 // a place that is there by then. They are within their team's limit already.
-func (j *Job) replacements() (n int) {
-	if !j.Service() {
+func (j *Job) replacementsNeeded() (n int) {
+	if !j.IsService() {
 		return 0
 	}
-	for _, t := range j.tasks {
-		if t.leaving() {
+	for _, task := range j.tasks {
+		if task.mustLeave() {
 			n++
 		}
 	}
@@ -284,11 +284,11 @@
 
 // stayingZones counts a job's tasks by zone, without replicas that have to leave.
 func (j *Job) stayingZones() map[string]int {
-	n := j.zones(true)
-	for _, t := range j.tasks {
-		if t.leaving() {
-			n[t.at.Zone]--
+	tasksByZone := j.tasksByZone(true)
+	for _, task := range j.tasks {
+		if task.mustLeave() {
+			tasksByZone[task.machine.Zone]--
 		}
 	}
-	return n
+	return tasksByZone
 }
--- a/internal/placement/reserve_test.go
+++ b/internal/placement/service_reserve_test.go
@@ -9,7 +9,7 @@
 
 // Room for the next service, or for the replicas of a lost machine, is there before it
 // is needed, on two machines that are not spot, and no more than that.
-func TestReserve(t *testing.T) {
+func TestServiceReserve(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		machines int
@@ -28,23 +28,23 @@
 		{"one whose jobs have come", 3, true, 0, "l", 25, [2]int{}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			x := newBench(t, c.machines)
-			for _, m := range x.reg.All() {
-				m.Spot = c.spot
+			h := newHarness(t, c.machines)
+			for _, machine := range h.registry.All() {
+				machine.Spot = c.spot
 			}
-			x.job("red", wire.ShapeBatch, "low", 1, 1).closed = true // its class is known
-			x.b.order = nil
+			h.addJob("red", wire.ShapeBatch, "low", 1, 1).closed = true // its class is known
+			h.scheduler.openJobs = nil
 			if c.class != "" {
-				x.b.facts.Objectives = append(x.b.facts.Objectives, objective(c.class, 4))
+				h.scheduler.platform.Objectives = append(h.scheduler.platform.Objectives, waitObjective(c.class, 4))
 			}
 			for range c.services {
-				j := x.job("blue", wire.ShapeService, "critical", 2, 0)
-				j.Spec.Spot = c.spot
-				x.direct()
-				j.Spec.Spot = false
+				job := h.addJob("blue", wire.ShapeService, "critical", 2, 0)
+				job.Spec.Spot = c.spot
+				h.deliverDirect()
+				job.Spec.Spot = false
 			}
-			offers := []Offer{{Type: "g2", Zone: "a", Spot: true, Cap: x.reg.All()[0].Cap, Price: 1, BootS: c.boot, Left: 50}, {Type: "g2", Zone: "a", Cap: x.reg.All()[0].Cap, Price: 3, BootS: c.boot, Left: 50}}
-			got := x.b.Demand(x.now, offers, []int{0, 0})
+			offers := []Offer{{Type: "g2", Zone: "a", Spot: true, Capacity: h.registry.All()[0].Capacity, Price: 1, BootSeconds: c.boot, Available: 50}, {Type: "g2", Zone: "a", Capacity: h.registry.All()[0].Capacity, Price: 3, BootSeconds: c.boot, Available: 50}}
+			got := h.scheduler.ProvisioningDemand(h.now, offers, []int{0, 0})
 			if got[0] != c.want[0] || got[1] != c.want[1] {
 				t.Errorf("to be rented: %v, want %v", got, c.want)
 			}
@@ -52,6 +52,6 @@
 	}
 }
 
-func objective(class string, within float64) config.Objective {
+func waitObjective(class string, within float64) config.Objective {
 	return config.Objective{Kind: "wait", Class: class, WithinS: within, Share: 0.8}
 }
--- a/internal/placement/service_test.go
+++ b/internal/placement/service_test.go
@@ -11,114 +11,114 @@
 	"juniperchute/internal/worker"
 )
 
-// direct lets the board send what does not wait for reports, and the machines answer.
-func (x *bench) direct() string {
-	x.t.Helper()
-	x.now = x.now.Add(tuning.DrawEvery)
-	x.b.Draw(x.now)
+// deliverDirect lets the board send what does not wait for reports, and the machines answer.
+func (h *testHarness) deliverDirect() string {
+	h.t.Helper()
+	h.now = h.now.Add(tuning.PassInterval)
+	h.scheduler.Schedule(h.now)
 	sent := ""
-	for _, m := range x.b.Urgent(x.now) {
-		commands := x.b.Commands(x.now, m, Direct)
-		sent += x.verbs(commands)
-		x.b.Answered(m, commands)
-		x.report(m)
+	for _, machine := range h.scheduler.UrgentMachines(h.now) {
+		commands := h.scheduler.Commands(h.now, machine, DirectCommand)
+		sent += h.describe(commands)
+		h.scheduler.SettleDirectCommands(machine, commands)
+		h.heartbeat(machine)
 	}
 	return sent
 }
 
 // twoZones puts every other machine into another zone.
-func (x *bench) twoZones() {
-	x.b.facts.Zones = []string{"a", "b"}
-	for i, m := range x.reg.All() {
-		m.Zone = x.b.facts.Zones[i%2]
+func (h *testHarness) twoZones() {
+	h.scheduler.platform.Zones = []string{"a", "b"}
+	for i, machine := range h.registry.All() {
+		machine.Zone = h.scheduler.platform.Zones[i%2]
 	}
 }
 
-// on names the machines of a service's replicas.
-func (x *bench) on(j *Job) map[string]int {
-	out := map[string]int{}
-	for _, t := range j.tasks {
-		if t.at != nil {
-			out[t.at.Host]++
+// machinesOf names the machines of a service's replicas.
+func (h *testHarness) machinesOf(job *Job) map[string]int {
+	counts := map[string]int{}
+	for _, task := range job.tasks {
+		if task.machine != nil {
+			counts[task.machine.Host]++
 		}
 	}
-	return out
+	return counts
 }
 
 // A replica is handed out at once, by a direct command, with few of its siblings beside
 // it; it runs again when it ends, fails or has to move; lower work gives way to it.
 func TestServices(t *testing.T) {
-	service := func(x *bench, tasks int) *Job { return x.job("blue", wire.ShapeService, "critical", tasks, 0) }
+	service := func(h *testHarness, tasks int) *Job { return h.addJob("blue", wire.ShapeService, "critical", tasks, 0) }
 	for _, c := range []struct {
 		name     string
 		machines int
-		play     func(x *bench) string
+		play     func(h *testHarness) string
 	}{
-		{"at once, one a machine", 3, func(x *bench) string {
-			j := service(x, 3)
-			if sent := x.direct(); strings.Count(sent, "run ") != 3 || len(x.on(j)) != 3 {
+		{"at once, one a machine", 3, func(h *testHarness) string {
+			job := service(h, 3)
+			if sent := h.deliverDirect(); strings.Count(sent, "run ") != 3 || len(h.machinesOf(job)) != 3 {
 				return "sent " + sent
 			}
 			return ""
 		}},
-		{"more replicas than machines", 2, func(x *bench) string {
-			j := service(x, 4)
-			x.direct()
-			if on := x.on(j); on["i-0"] != 2 || on["i-1"] != 2 {
+		{"more replicas than machines", 2, func(h *testHarness) string {
+			job := service(h, 4)
+			h.deliverDirect()
+			if on := h.machinesOf(job); on["i-0"] != 2 || on["i-1"] != 2 {
 				return "not spread"
 			}
 			return ""
 		}},
-		{"not on spot while there are others", 2, func(x *bench) string {
-			x.reg.All()[0].Spot = true
-			j := service(x, 2)
-			j.Spec.Spot = true
-			x.direct()
-			if on := x.on(j); on["i-1"] != 1 || on["i-0"] != 1 {
+		{"not on spot while there are others", 2, func(h *testHarness) string {
+			h.registry.All()[0].Spot = true
+			job := service(h, 2)
+			job.Spec.Spot = true
+			h.deliverDirect()
+			if on := h.machinesOf(job); on["i-1"] != 1 || on["i-0"] != 1 {
 				return "siblings share a machine"
 			}
-			k := service(x, 1)
-			k.Spec.Spot = true
-			x.direct()
-			if x.on(k)["i-1"] != 1 {
+			second := service(h, 1)
+			second.Spec.Spot = true
+			h.deliverDirect()
+			if h.machinesOf(second)["i-1"] != 1 {
 				return "on spot"
 			}
 			return ""
 		}},
-		{"one that ends runs again, and is never done", 1, func(x *bench) string {
-			j := service(x, 1)
-			x.direct()
-			m := x.reg.All()[0]
-			x.now = x.now.Add(tuning.ServiceWell + time.Second)
-			x.report(m, wire.TaskStatus{Name: j.Spec.ID + "/0", State: wire.TaskExited, ExitReason: wire.ExitDone})
-			if sent := x.direct(); j.Done() != 0 || !strings.Contains(sent, "run ") && j.Located() != 1 {
+		{"one that ends runs again, and is never done", 1, func(h *testHarness) string {
+			job := service(h, 1)
+			h.deliverDirect()
+			machine := h.registry.All()[0]
+			h.now = h.now.Add(tuning.ServiceHealthyAfter + time.Second)
+			h.heartbeat(machine, wire.TaskStatus{Name: job.Spec.ID + "/0", State: wire.TaskExited, ExitReason: wire.ExitDone})
+			if sent := h.deliverDirect(); job.CompletedTasks() != 0 || !strings.Contains(sent, "run ") && job.AssignedTasks() != 1 {
 				return "not started again: " + sent
 			}
 			return ""
 		}},
-		{"one that ends as it begins waits", 1, func(x *bench) string {
-			j := service(x, 1)
-			x.direct()
-			x.report(x.reg.All()[0], wire.TaskStatus{Name: j.Spec.ID + "/0", State: wire.TaskExited, ExitReason: wire.ExitDone})
-			if x.direct(); j.Located() != 0 {
+		{"one that ends as it begins waits", 1, func(h *testHarness) string {
+			job := service(h, 1)
+			h.deliverDirect()
+			h.heartbeat(h.registry.All()[0], wire.TaskStatus{Name: job.Spec.ID + "/0", State: wire.TaskExited, ExitReason: wire.ExitDone})
+			if h.deliverDirect(); job.AssignedTasks() != 0 {
 				return "started again at once"
 			}
-			x.now = x.now.Add(tuning.RetryPause + time.Second)
-			if x.direct(); j.Located() != 1 {
+			h.now = h.now.Add(tuning.RetryInitial + time.Second)
+			if h.deliverDirect(); job.AssignedTasks() != 1 {
 				return "not started again"
 			}
 			return ""
 		}},
-		{"lower work gives way", 1, func(x *bench) string {
-			low := x.job("blue", wire.ShapeBatch, "low", 2, 1) // ten of the twelve CPUs
-			m := x.reg.All()[0]
-			x.b.Draw(x.now)
-			x.report(m)
-			x.report(m)
-			j := service(x, 1)
-			x.direct()
+		{"lower work gives way", 1, func(h *testHarness) string {
+			low := h.addJob("blue", wire.ShapeBatch, "low", 2, 1) // ten of the twelve CPUs
+			machine := h.registry.All()[0]
+			h.scheduler.Schedule(h.now)
+			h.heartbeat(machine)
+			h.heartbeat(machine)
+			job := service(h, 1)
+			h.deliverDirect()
 			stopping := ""
-			for _, t := range low.sorted() {
+			for _, t := range low.tasksByIndex() {
 				if t.phase == Stopping {
 					stopping += t.Name()
 				}
@@ -126,71 +126,71 @@
 			if stopping == "" || strings.Count(stopping, "job-") != 1 {
 				return "stopped: " + stopping
 			}
-			x.report(m, wire.TaskStatus{Name: stopping, State: wire.TaskExited, ExitReason: wire.ExitStopped})
-			x.direct()
-			if j.Located() != 1 {
+			h.heartbeat(machine, wire.TaskStatus{Name: stopping, State: wire.TaskExited, ExitReason: wire.ExitStopped})
+			h.deliverDirect()
+			if job.AssignedTasks() != 1 {
 				return "the replica did not get the room"
 			}
 			return ""
 		}},
-		{"its machine is recalled: stopped only when another takes it at once", 2, func(x *bench) string {
-			j := service(x, 1)
-			x.direct()
-			from := x.b.host(j.tasks[0].at)
-			other := x.reg.All()[0]
-			if other == from.m {
-				other = x.reg.All()[1]
+		{"its machine is recalled: stopped only when another takes it at once", 2, func(h *testHarness) string {
+			job := service(h, 1)
+			h.deliverDirect()
+			from := h.scheduler.machineInfo(job.tasks[0].machine)
+			other := h.registry.All()[0]
+			if other == from.machine {
+				other = h.registry.All()[1]
 			}
 			delete(other.Images, "img")
-			from.m.Recall = x.now.Add(30 * time.Second)
-			x.now = x.now.Add(time.Second)
-			if sent := x.direct(); strings.Contains(sent, "stop") {
+			from.machine.PreemptionTime = h.now.Add(30 * time.Second)
+			h.now = h.now.Add(time.Second)
+			if sent := h.deliverDirect(); strings.Contains(sent, "stop") {
 				return "stopped before its image is anywhere else"
 			}
-			other.Images["img"] = x.now
-			x.now = x.now.Add(time.Second)
-			if sent := x.direct(); !strings.Contains(sent, "stop") {
+			other.Images["img"] = h.now
+			h.now = h.now.Add(time.Second)
+			if sent := h.deliverDirect(); !strings.Contains(sent, "stop") {
 				return "not moved"
 			}
-			x.report(from.m, wire.TaskStatus{Name: j.Spec.ID + "/0", State: wire.TaskExited, ExitReason: wire.ExitStopped})
-			x.direct()
-			if x.on(j)[other.Host] != 1 {
+			h.heartbeat(from.machine, wire.TaskStatus{Name: job.Spec.ID + "/0", State: wire.TaskExited, ExitReason: wire.ExitStopped})
+			h.deliverDirect()
+			if h.machinesOf(job)[other.Host] != 1 {
 				return "not started on the other machine"
 			}
 			return ""
 		}},
-		{"its machine is recalled and no other has its image: moved at the last moment", 2, func(x *bench) string {
-			j := service(x, 1)
-			x.direct()
-			from := j.tasks[0].at
-			for _, m := range x.reg.All() {
-				if m != from {
-					delete(m.Images, "img")
+		{"its machine is recalled and no other has its image: moved at the last moment", 2, func(h *testHarness) string {
+			job := service(h, 1)
+			h.deliverDirect()
+			from := job.tasks[0].machine
+			for _, machine := range h.registry.All() {
+				if machine != from {
+					delete(machine.Images, "img")
 				}
 			}
-			from.Recall = x.now.Add(30 * time.Second)
-			x.now = x.now.Add(28 * time.Second)
-			if sent := x.direct(); !strings.Contains(sent, "stop") {
+			from.PreemptionTime = h.now.Add(30 * time.Second)
+			h.now = h.now.Add(28 * time.Second)
+			if sent := h.deliverDirect(); !strings.Contains(sent, "stop") {
 				return "left to go with its machine"
 			}
 			return ""
 		}},
-		{"one that fails everywhere backs off and blames no machine", 4, func(x *bench) string {
-			j := service(x, 1)
+		{"one that fails everywhere backs off and blames no machine", 4, func(h *testHarness) string {
+			job := service(h, 1)
 			starts := 0
 			for range 40 {
-				x.direct()
-				for _, m := range x.reg.All() {
-					if x.on(j)[m.Host] > 0 {
+				h.deliverDirect()
+				for _, machine := range h.registry.All() {
+					if h.machinesOf(job)[machine.Host] > 0 {
 						starts++
-						x.report(m, wire.TaskStatus{Name: j.Spec.ID + "/0", State: wire.TaskExited, ExitReason: wire.ExitError})
+						h.heartbeat(machine, wire.TaskStatus{Name: job.Spec.ID + "/0", State: wire.TaskExited, ExitReason: wire.ExitError})
 					}
 				}
-				x.now = x.now.Add(time.Second)
+				h.now = h.now.Add(time.Second)
 			}
-			for _, m := range x.reg.All() {
-				if m.Faulty {
-					return "blamed " + m.Host
+			for _, machine := range h.registry.All() {
+				if machine.Quarantined {
+					return "blamed " + machine.Host
 				}
 			}
 			if starts < 4 || starts > 12 {
@@ -198,57 +198,57 @@
 			}
 			return ""
 		}},
-		{"one that served well and then fails on some machines is not at fault", 5, func(x *bench) string {
-			j := service(x, 1)
-			x.direct()
-			x.now = x.now.Add(tuning.ServiceWell + time.Second)
+		{"one that served well and then fails on some machines is not at fault", 5, func(h *testHarness) string {
+			job := service(h, 1)
+			h.deliverDirect()
+			h.now = h.now.Add(tuning.ServiceHealthyAfter + time.Second)
 			for range 4 {
-				for _, m := range x.reg.All() {
-					if x.on(j)[m.Host] > 0 {
-						x.report(m)
-						x.report(m, wire.TaskStatus{Name: j.Spec.ID + "/0", State: wire.TaskExited, ExitReason: wire.ExitError})
+				for _, machine := range h.registry.All() {
+					if h.machinesOf(job)[machine.Host] > 0 {
+						h.heartbeat(machine)
+						h.heartbeat(machine, wire.TaskStatus{Name: job.Spec.ID + "/0", State: wire.TaskExited, ExitReason: wire.ExitError})
 						break
 					}
 				}
-				x.now = x.now.Add(tuning.RetryPause + 100*time.Millisecond)
-				if x.direct(); j.Located() != 1 {
+				h.now = h.now.Add(tuning.RetryInitial + 100*time.Millisecond)
+				if h.deliverDirect(); job.AssignedTasks() != 1 {
 					return "held back"
 				}
 			}
 			return ""
 		}},
-		{"its age raises it over nobody", 1, func(x *bench) string {
-			old := x.job("blue", wire.ShapeService, "low", 9, 0)
-			x.now = x.now.Add(tuning.StarveAfter + time.Hour)
-			young := x.job("blue", wire.ShapeBatch, "normal", 1, 1)
-			x.b.Draw(x.now)
-			if old.starved(x.now) || x.b.raised(x.now, old) != 0 || old.level > young.level {
+		{"its age raises it over nobody", 1, func(h *testHarness) string {
+			old := h.addJob("blue", wire.ShapeService, "low", 9, 0)
+			h.now = h.now.Add(tuning.StarvationTimeout + time.Hour)
+			young := h.addJob("blue", wire.ShapeBatch, "normal", 1, 1)
+			h.scheduler.Schedule(h.now)
+			if old.starving(h.now) || h.scheduler.starvationBoost(h.now, old) != 0 || old.effectivePriority > young.effectivePriority {
 				return "raised"
 			}
 			return ""
 		}},
-		{"a machine with a replica is not emptied", 2, func(x *bench) string {
-			service(x, 2)
-			x.direct()
-			x.now = x.now.Add(time.Minute)
-			x.b.Close(x.now)
-			for _, m := range x.reg.All() {
-				if m.Closing {
-					return "emptied " + m.Host
+		{"a machine with a replica is not emptied", 2, func(h *testHarness) string {
+			service(h, 2)
+			h.deliverDirect()
+			h.now = h.now.Add(time.Minute)
+			h.scheduler.Consolidate(h.now)
+			for _, machine := range h.registry.All() {
+				if machine.Cordoned {
+					return "emptied " + machine.Host
 				}
 			}
 			return ""
 		}},
-		{"one that ends at once again and again is started less and less often", 1, func(x *bench) string {
-			j := service(x, 1)
+		{"one that ends at once again and again is started less and less often", 1, func(h *testHarness) string {
+			job := service(h, 1)
 			starts := 0
 			for range 120 {
-				x.direct()
-				x.now = x.now.Add(time.Second)
-				for _, m := range x.reg.All() {
-					if x.on(j)[m.Host] > 0 {
+				h.deliverDirect()
+				h.now = h.now.Add(time.Second)
+				for _, machine := range h.registry.All() {
+					if h.machinesOf(job)[machine.Host] > 0 {
 						starts++
-						x.report(m, wire.TaskStatus{Name: j.Spec.ID + "/0", State: wire.TaskExited, ExitReason: wire.ExitDone})
+						h.heartbeat(machine, wire.TaskStatus{Name: job.Spec.ID + "/0", State: wire.TaskExited, ExitReason: wire.ExitDone})
 					}
 				}
 			}
@@ -257,111 +257,111 @@
 			}
 			return ""
 		}},
-		{"its machine hangs: it runs elsewhere only once the lease is over", 2, func(x *bench) string {
-			j := service(x, 1)
-			x.direct()
-			at := j.tasks[0].at
-			x.reg.Set(x.now, at, worker.Silent, "test")
+		{"its machine hangs: it runs elsewhere only once the lease is over", 2, func(h *testHarness) string {
+			job := service(h, 1)
+			h.deliverDirect()
+			at := job.tasks[0].machine
+			h.registry.SetState(h.now, at, worker.Unresponsive, "test")
 			for range 50 {
-				if sent := x.direct(); strings.Contains(sent, "run ") {
+				if sent := h.deliverDirect(); strings.Contains(sent, "run ") {
 					return "started beside the one that hangs"
 				}
 			}
-			x.reg.Set(x.now, at, worker.Lapsed, "test")
-			x.b.Lost(x.now, at, "test")
-			if x.direct(); j.Located() != 1 || x.on(j)[at.Host] != 0 {
+			h.registry.SetState(h.now, at, worker.LeaseExpired, "test")
+			h.scheduler.ReleaseMachine(h.now, at, "test")
+			if h.deliverDirect(); job.AssignedTasks() != 1 || h.machinesOf(job)[at.Host] != 0 {
 				return "not started elsewhere"
 			}
 			return ""
 		}},
-		{"cancelled while it moves: stopped, and started nowhere", 2, func(x *bench) string {
-			j := service(x, 1)
-			x.direct()
-			from := j.tasks[0].at
-			from.Recall = x.now.Add(30 * time.Second)
-			x.now = x.now.Add(time.Second)
-			if sent := x.direct(); !strings.Contains(sent, "stop") {
+		{"cancelled while it moves: stopped, and started nowhere", 2, func(h *testHarness) string {
+			job := service(h, 1)
+			h.deliverDirect()
+			from := job.tasks[0].machine
+			from.PreemptionTime = h.now.Add(30 * time.Second)
+			h.now = h.now.Add(time.Second)
+			if sent := h.deliverDirect(); !strings.Contains(sent, "stop") {
 				return "does not move"
 			}
-			x.b.CloseJob(x.now, j.Spec.ID, x.now.Add(time.Minute))
-			x.report(from, wire.TaskStatus{Name: j.Spec.ID + "/0", State: wire.TaskExited, ExitReason: wire.ExitStopped})
+			h.scheduler.CloseJob(h.now, job.Spec.ID, h.now.Add(time.Minute))
+			h.heartbeat(from, wire.TaskStatus{Name: job.Spec.ID + "/0", State: wire.TaskExited, ExitReason: wire.ExitStopped})
 			for range 20 {
-				if sent := x.direct(); strings.Contains(sent, "run ") {
+				if sent := h.deliverDirect(); strings.Contains(sent, "run ") {
 					return "started again"
 				}
 			}
-			if j.Located() != 0 {
+			if job.AssignedTasks() != 0 {
 				return "left on a machine"
 			}
 			return ""
 		}},
-		{"apart, its machine is recalled: it moves within its zone", 4, func(x *bench) string {
-			x.twoZones()
-			j := service(x, 2)
-			j.Spec.SpreadAcrossZones = true
-			x.direct()
-			if zones := j.zones(false); zones["a"] != 1 || zones["b"] != 1 {
+		{"apart, its machine is recalled: it moves within its zone", 4, func(h *testHarness) string {
+			h.twoZones()
+			job := service(h, 2)
+			job.Spec.SpreadAcrossZones = true
+			h.deliverDirect()
+			if zones := job.tasksByZone(false); zones["a"] != 1 || zones["b"] != 1 {
 				return "not apart"
 			}
-			from := j.tasks[0].at
-			for _, m := range x.reg.All() {
-				if m.Zone != from.Zone && x.on(j)[m.Host] == 0 {
-					m.Faulty = true // only a machine of the same zone is left
+			from := job.tasks[0].machine
+			for _, machine := range h.registry.All() {
+				if machine.Zone != from.Zone && h.machinesOf(job)[machine.Host] == 0 {
+					machine.Quarantined = true // only a machine of the same zone is left
 				}
 			}
-			from.Recall = x.now.Add(30 * time.Second)
-			x.now = x.now.Add(time.Second)
-			if sent := x.direct(); !strings.Contains(sent, "stop") {
+			from.PreemptionTime = h.now.Add(30 * time.Second)
+			h.now = h.now.Add(time.Second)
+			if sent := h.deliverDirect(); !strings.Contains(sent, "stop") {
 				return "does not move while there is a place"
 			}
 			zone := from.Zone
-			x.report(from, wire.TaskStatus{Name: j.Spec.ID + "/0", State: wire.TaskExited, ExitReason: wire.ExitStopped})
-			x.direct()
-			if at := j.tasks[0].at; at == nil || at.Zone != zone || at == from {
+			h.heartbeat(from, wire.TaskStatus{Name: job.Spec.ID + "/0", State: wire.TaskExited, ExitReason: wire.ExitStopped})
+			h.deliverDirect()
+			if at := job.tasks[0].machine; at == nil || at.Zone != zone || at == from {
 				return "not moved within its zone"
 			}
 			return ""
 		}},
-		{"together, a machine is lost: its replica stays in the zone of the others", 4, func(x *bench) string {
-			x.twoZones()
-			j := service(x, 2)
-			j.Spec.SameZone = true
-			x.direct()
-			zone := j.tasks[1].at.Zone
-			lost := j.tasks[0].at
-			x.reg.Set(x.now, lost, worker.Lapsed, "test")
-			x.b.Lost(x.now, lost, "test")
-			x.direct()
-			if at := j.tasks[0].at; at == nil || at.Zone != zone {
+		{"together, a machine is lost: its replica stays in the zone of the others", 4, func(h *testHarness) string {
+			h.twoZones()
+			job := service(h, 2)
+			job.Spec.SameZone = true
+			h.deliverDirect()
+			zone := job.tasks[1].machine.Zone
+			lost := job.tasks[0].machine
+			h.registry.SetState(h.now, lost, worker.LeaseExpired, "test")
+			h.scheduler.ReleaseMachine(h.now, lost, "test")
+			h.deliverDirect()
+			if at := job.tasks[0].machine; at == nil || at.Zone != zone {
 				return "in another zone"
 			}
 			return ""
 		}},
-		{"its team is at its limit: queued lower work goes back, and the replica starts", 4, func(x *bench) string {
-			low := x.job("red", wire.ShapeBatch, "low", 4, 1) // the limit is 4 GPUs
-			x.b.Draw(x.now)
+		{"its team is at its limit: queued lower work goes back, and the replica starts", 4, func(h *testHarness) string {
+			low := h.addJob("red", wire.ShapeBatch, "low", 4, 1) // the limit is 4 GPUs
+			h.scheduler.Schedule(h.now)
 			if len(low.tasks) != 4 {
 				return "not queued"
 			}
-			j := x.job("red", wire.ShapeService, "critical", 1, 1)
-			x.direct()
-			if j.Located() != 1 || len(low.tasks) != 3 {
-				return fmt.Sprintf("%d replicas, %d queued", j.Located(), len(low.tasks))
+			job := h.addJob("red", wire.ShapeService, "critical", 1, 1)
+			h.deliverDirect()
+			if job.AssignedTasks() != 1 || len(low.tasks) != 3 {
+				return fmt.Sprintf("%d replicas, %d queued", job.AssignedTasks(), len(low.tasks))
 			}
 			return ""
 		}},
-		{"its team is at its limit: as much of its lower work as it takes is stopped", 4, func(x *bench) string {
-			low := x.job("red", wire.ShapeBatch, "low", 4, 1)
-			other := x.job("blue", wire.ShapeBatch, "low", 2, 1)
-			x.b.Draw(x.now)
+		{"its team is at its limit: as much of its lower work as it takes is stopped", 4, func(h *testHarness) string {
+			low := h.addJob("red", wire.ShapeBatch, "low", 4, 1)
+			other := h.addJob("blue", wire.ShapeBatch, "low", 2, 1)
+			h.scheduler.Schedule(h.now)
 			for range 2 {
-				for _, m := range x.reg.All() {
-					x.report(m)
+				for _, machine := range h.registry.All() {
+					h.heartbeat(machine)
 				}
 			}
-			j := x.job("red", wire.ShapeService, "critical", 1, 1)
+			job := h.addJob("red", wire.ShapeService, "critical", 1, 1)
 			for range 5 {
-				x.direct()
+				h.deliverDirect()
 			}
 			stopping := func(job *Job) (n int) {
 				for _, t := range job.tasks {
@@ -371,59 +371,59 @@
 				}
 				return n
 			}
-			if stopping(low) != 1 || stopping(other) != 0 || j.Located() != 0 {
-				return fmt.Sprintf("%d of its team's and %d of another's stopped, %d replicas", stopping(low), stopping(other), j.Located())
+			if stopping(low) != 1 || stopping(other) != 0 || job.AssignedTasks() != 0 {
+				return fmt.Sprintf("%d of its team's and %d of another's stopped, %d replicas", stopping(low), stopping(other), job.AssignedTasks())
 			}
-			for _, t := range low.sorted() {
+			for _, t := range low.tasksByIndex() {
 				if t.phase == Stopping {
-					x.report(t.at, wire.TaskStatus{Name: t.Name(), State: wire.TaskExited, ExitReason: wire.ExitStopped})
+					h.heartbeat(t.machine, wire.TaskStatus{Name: t.Name(), State: wire.TaskExited, ExitReason: wire.ExitStopped})
 				}
 			}
-			x.direct()
-			if j.Located() != 1 {
+			h.deliverDirect()
+			if job.AssignedTasks() != 1 {
 				return "not started"
 			}
 			return ""
 		}},
-		{"its team is at its limit with work as important: nothing is stopped", 4, func(x *bench) string {
-			same := x.job("red", wire.ShapeBatch, "critical", 4, 1)
-			x.b.Draw(x.now)
+		{"its team is at its limit with work as important: nothing is stopped", 4, func(h *testHarness) string {
+			same := h.addJob("red", wire.ShapeBatch, "critical", 4, 1)
+			h.scheduler.Schedule(h.now)
 			for range 2 {
-				for _, m := range x.reg.All() {
-					x.report(m)
+				for _, machine := range h.registry.All() {
+					h.heartbeat(machine)
 				}
 			}
-			j := x.job("red", wire.ShapeService, "critical", 1, 1)
-			x.direct()
+			job := h.addJob("red", wire.ShapeService, "critical", 1, 1)
+			h.deliverDirect()
 			for _, t := range same.tasks {
 				if t.phase == Stopping {
 					return "stopped " + t.Name()
 				}
 			}
-			if j.Located() != 0 || j.WaitsFor() != "team's limit" {
-				return "waits for " + j.WaitsFor()
+			if job.AssignedTasks() != 0 || job.PendingReason() != "team's limit" {
+				return "waits for " + job.PendingReason()
 			}
 			return ""
 		}},
-		{"a lost machine's replica runs elsewhere at once", 2, func(x *bench) string {
-			j := service(x, 1)
-			x.direct()
-			at := j.tasks[0].at
-			x.reg.Set(x.now, at, worker.Lapsed, "test")
-			x.b.Lost(x.now, at, "test")
-			if sent := x.direct(); !strings.Contains(sent, "run ") || x.on(j)[at.Host] != 0 {
+		{"a lost machine's replica runs elsewhere at once", 2, func(h *testHarness) string {
+			job := service(h, 1)
+			h.deliverDirect()
+			at := job.tasks[0].machine
+			h.registry.SetState(h.now, at, worker.LeaseExpired, "test")
+			h.scheduler.ReleaseMachine(h.now, at, "test")
+			if sent := h.deliverDirect(); !strings.Contains(sent, "run ") || h.machinesOf(job)[at.Host] != 0 {
 				return "sent " + sent
 			}
 			return ""
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			x := newBench(t, c.machines)
-			for _, m := range x.reg.All() {
-				m.Images["img"] = x.now
+			h := newHarness(t, c.machines)
+			for _, machine := range h.registry.All() {
+				machine.Images["img"] = h.now
 			}
-			if bad := c.play(x); bad != "" {
-				t.Error(bad)
+			if problem := c.play(h); problem != "" {
+				t.Error(problem)
 			}
 		})
 	}
--- a/internal/placement/task.go
+++ b/internal/placement/task.go
@@ -18,16 +18,16 @@
 
 // The phases of a task.
 const (
-	// Idle: on no machine.
-	Idle Phase = iota
-	// Sent: handed out to a machine that has not yet reported it.
-	Sent
-	// Live: on its machine, as reported.
-	Live
+	// Unassigned: on no machine.
+	Unassigned Phase = iota
+	// Dispatched: handed out to a machine that has not yet reported it.
+	Dispatched
+	// Active: on its machine, as reported.
+	Active
 	// Stopping: told to stop and not yet known gone.
 	Stopping
-	// Finished: completed.
-	Finished
+	// Completed: completed.
+	Completed
 )
 
 func (p Phase) String() string {
@@ -37,152 +37,152 @@
 // Task is a task that is queued or on a machine.
 type Task struct {
 	Job   *Job
-	N     int
+	Index int
 	phase Phase
 
 	// the copy handed out
-	at       *worker.Machine
-	attempt  uint64
-	spare    bool
-	reported bool      // a report has shown this attempt
-	ordered  bool      // the run order has gone out at least once
-	session  uint64    // the worker's session when it was ordered
-	seq      uint64    // the newest report whose answer carried the order
-	openDo   int       // direct commands with the order that were not answered
-	sentAt   time.Time // when it was handed out
-	runFrom  time.Time // when first reported running
-	stage    string
-	grace    float64 // of the stop
-	stopDue  bool    // a stop is to go out directly
+	machine            *worker.Machine
+	attempt            uint64
+	isBackup           bool
+	reported           bool      // a report has shown this attempt
+	commandSent        bool      // the run order has gone out at least once
+	incarnation        uint64    // the worker's session when it was ordered
+	commandSeq         uint64    // the newest report whose answer carried the order
+	unansweredCommands int       // direct commands with the order that were not answered
+	dispatchedAt       time.Time // when it was handed out
+	runningSince       time.Time // when first reported running
+	stage              string
+	stopGrace          float64 // of the stop
+	stopPending        bool    // a stop is to go out directly
 
 	// the copies in queues
-	main      *worker.Machine
-	mainSince time.Time
-	low       *worker.Machine
-	stops     int // how often its spare was stopped
+	primary         *worker.Machine
+	primaryQueuedAt time.Time
+	backup          *worker.Machine
+	backupStops     int // how often its spare was stopped
 }
 
 // Name is the task's name.
-func (t *Task) Name() string { return wire.TaskName(t.Job.Spec.ID, t.N) }
+func (t *Task) Name() string { return wire.TaskName(t.Job.Spec.ID, t.Index) }
 
 // Job is an open job, or a closed one whose tasks are not all gone yet.
 type Job struct {
-	Spec    wire.JobSpec
-	At      time.Time // when it was accepted, by the time of day
-	Since   time.Time // since when it has been known, by the steady clock
-	Version uint64    // version of its record
-	Early   bool      // accepted before this tenure: its tasks may be on machines not heard yet
-
-	Before bool // marked as begun by an earlier tenure
-
-	priority int
-	level    int // the priority, raised for age
-	need     quota.Room
-	closed   bool
-	goneBy   time.Time // of a closed job: when none of its tasks may be left
-
-	tasks    map[int]*Task // queued or on a machine
-	next     int           // the first task never taken up
-	returned []comeback    // tasks that were taken up and came back
-	done     bitset
-	durable  bitset
-	located  int // tasks on machines
-
-	attempt   uint64 // the gang's attempt
-	broken    bool   // the gang's attempt is over; its tasks have to go
-	seq       uint64
-	notBefore time.Time
-	failedOn  map[string]int
-	errors    int
-	shortRuns int             // of a service's replicas, one after the other, that ended as soon as they had begun
-	wellOn    map[string]bool // machines on which a task of it completed
-	turn      float64         // its place in the order, a time of day in seconds
-	begin     beginning
-	late      bool      // its turn is too late to go first where its image is
-	seeds     bool      // its image is on fewer machines than its work could fill
-	missed    [2]uint64 // the change up to which no machine had room for it, with its image there and without
-	why       string    // why it waits, as last logged
+	Spec            wire.JobSpec
+	AcceptedAt      time.Time // when it was accepted, by the time of day
+	KnownSince      time.Time // since when it has been known, by the steady clock
+	Version         uint64    // version of its record
+	FromEarlierTerm bool      // accepted before this tenure: its tasks may be on machines not heard yet
+
+	StartedInEarlierTerm bool // marked as begun by an earlier tenure
+
+	priority          int
+	effectivePriority int // the priority, raised for age
+	need              quota.Resources
+	closed            bool
+	tasksGoneBy       time.Time // of a closed job: when none of its tasks may be left
+
+	tasks            map[int]*Task  // queued or on a machine
+	nextIndex        int            // the first task never taken up
+	returnedTasks    []returnedTask // tasks that were taken up and came back
+	completed        bitset
+	durablyCompleted bitset
+	assigned         int // tasks on machines
+
+	attempt           uint64 // the gang's attempt
+	aborting          bool   // the gang's attempt is over; its tasks have to go
+	attemptSequence   uint64
+	notBefore         time.Time
+	failedOn          map[string]int
+	failures          int
+	shortRuns         int             // of a service's replicas, one after the other, that ended as soon as they had begun
+	succeededOn       map[string]bool // machines on which a task of it completed
+	fairSharePosition float64         // its place in the order, a time of day in seconds
+	startMarker       startMarkerState
+	pastImagePatience bool      // its turn is too late to go first where its image is
+	needsMoreImages   bool      // its image is on fewer machines than its work could fill
+	noRoomRevisions   [2]uint64 // the change up to which no machine had room for it, with its image there and without
+	pendingReason     string    // why it waits, as last logged
 }
 
-// beginning tells whether a job is marked as begun: a successor then knows that
+// startMarkerState tells whether a job is marked as begun: a successor then knows that
 // the tasks of jobs without the mark are on no machine.
-type beginning int
+type startMarkerState int
 
 const (
-	unbegun    beginning = iota
-	beginAsked           // the mark is on its way to the state service
-	begun                // the mark is durable: its tasks may start
+	startMarkerAbsent    startMarkerState = iota
+	startMarkerRequested                  // the mark is on its way to the state service
+	startMarkerDurable                    // the mark is durable: its tasks may start
 )
 
-type comeback struct {
-	n  int
-	at time.Time
+type returnedTask struct {
+	index     int
+	notBefore time.Time
 }
 
-// Gang tells whether all tasks run together or none.
-func (j *Job) Gang() bool { return j.Spec.Shape == wire.ShapeGang }
+// IsGang tells whether all tasks run together or none.
+func (j *Job) IsGang() bool { return j.Spec.Shape == wire.ShapeGang }
 
-// Service tells whether the job is a service, which ends only when cancelled.
-func (j *Job) Service() bool { return j.Spec.Shape == wire.ShapeService }
+// IsService tells whether the job is a service, which ends only when cancelled.
+func (j *Job) IsService() bool { return j.Spec.Shape == wire.ShapeService }
 
 // Priority is the job's own, as its user gave it: a larger one goes first.
 func (j *Job) Priority() int { return j.priority }
 
-// Done is how many tasks have completed.
-func (j *Job) Done() int { return j.done.count }
+// CompletedTasks is how many tasks have completed.
+func (j *Job) CompletedTasks() int { return j.completed.count }
 
-// Located is how many tasks are on machines.
-func (j *Job) Located() int { return j.located }
+// AssignedTasks is how many tasks are on machines.
+func (j *Job) AssignedTasks() int { return j.assigned }
 
-// WaitsFor says why the job's next task does not start, "" when none waits.
-func (j *Job) WaitsFor() string {
-	if j.why == "" && j.held() > 0 {
+// PendingReason says why the job's next task does not start, "" when none waits.
+func (j *Job) PendingReason() string {
+	if j.pendingReason == "" && j.pendingTasks() > 0 {
 		return "its turn"
 	}
-	return j.why
+	return j.pendingReason
 }
 
-// Complete tells whether every task has completed.
-func (j *Job) Complete() bool { return j.done.count == j.Spec.Tasks }
+// IsComplete tells whether every task has completed.
+func (j *Job) IsComplete() bool { return j.completed.count == j.Spec.Tasks }
 
-// held is how many tasks are neither done nor taken up.
-func (j *Job) held() int { return j.Spec.Tasks - j.done.count - len(j.tasks) }
+// pendingTasks is how many tasks are neither done nor taken up.
+func (j *Job) pendingTasks() int { return j.Spec.Tasks - j.completed.count - len(j.tasks) }
 
-// sorted lists the tasks that are queued or on a machine, by number.
-func (j *Job) sorted() []*Task {
-	out := make([]*Task, 0, len(j.tasks))
+// tasksByIndex lists the tasks that are queued or on a machine, by number.
+func (j *Job) tasksByIndex() []*Task {
+	tasks := make([]*Task, 0, len(j.tasks))
 	for _, n := range slices.Sorted(maps.Keys(j.tasks)) {
-		out = append(out, j.tasks[n])
+		tasks = append(tasks, j.tasks[n])
 	}
-	return out
+	return tasks
 }
 
-// take finds a held task's number.
-func (j *Job) take(now time.Time) (int, bool) {
-	for i, c := range j.returned {
-		if c.at.After(now) {
+// takePendingTask finds a held task's number.
+func (j *Job) takePendingTask(now time.Time) (int, bool) {
+	for i, returned := range j.returnedTasks {
+		if returned.notBefore.After(now) {
 			continue
 		}
-		j.returned = append(j.returned[:i:i], j.returned[i+1:]...)
-		if j.done.has(c.n) || j.tasks[c.n] != nil {
-			return j.take(now)
+		j.returnedTasks = append(j.returnedTasks[:i:i], j.returnedTasks[i+1:]...)
+		if j.completed.has(returned.index) || j.tasks[returned.index] != nil {
+			return j.takePendingTask(now)
 		}
-		return c.n, true
+		return returned.index, true
 	}
-	for j.next < j.Spec.Tasks {
-		n := j.next
-		j.next++
-		if !j.done.has(n) && j.tasks[n] == nil {
-			return n, true
+	for j.nextIndex < j.Spec.Tasks {
+		index := j.nextIndex
+		j.nextIndex++
+		if !j.completed.has(index) && j.tasks[index] == nil {
+			return index, true
 		}
 	}
 	return 0, false
 }
 
-// giveBack makes a task held again.
-func (j *Job) giveBack(n int, at time.Time) {
-	if !j.done.has(n) {
-		j.returned = append(j.returned, comeback{n, at})
+// returnToPending makes a task held again.
+func (j *Job) returnToPending(index int, notBefore time.Time) {
+	if !j.completed.has(index) {
+		j.returnedTasks = append(j.returnedTasks, returnedTask{index, notBefore})
 	}
 }
 
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -8,202 +8,204 @@
 	"juniperchute/internal/config"
 )
 
-// Room is an amount of a machine's resources.
-type Room struct {
+// Resources is an amount of a machine's resources.
+type Resources struct {
 	CPUs, GPUs, MemGB float64
 }
 
-// slack absorbs the rounding of sums of decimal amounts.
-const slack = 1e-6
+// roundingTolerance absorbs the rounding of sums of decimal amounts.
+const roundingTolerance = 1e-6
 
 // Add returns the sum of two rooms.
-func (r Room) Add(o Room) Room {
-	return Room{r.CPUs + o.CPUs, r.GPUs + o.GPUs, r.MemGB + o.MemGB}
+func (r Resources) Add(other Resources) Resources {
+	return Resources{r.CPUs + other.CPUs, r.GPUs + other.GPUs, r.MemGB + other.MemGB}
 }
 
 // Sub returns the difference of two rooms.
-func (r Room) Sub(o Room) Room {
-	return Room{r.CPUs - o.CPUs, r.GPUs - o.GPUs, r.MemGB - o.MemGB}
+func (r Resources) Sub(other Resources) Resources {
+	return Resources{r.CPUs - other.CPUs, r.GPUs - other.GPUs, r.MemGB - other.MemGB}
 }
 
 // Min returns the lesser of two rooms in each resource.
-func (r Room) Min(o Room) Room {
-	return Room{min(r.CPUs, o.CPUs), min(r.GPUs, o.GPUs), min(r.MemGB, o.MemGB)}
+func (r Resources) Min(other Resources) Resources {
+	return Resources{min(r.CPUs, other.CPUs), min(r.GPUs, other.GPUs), min(r.MemGB, other.MemGB)}
 }
 
 // Max returns the greater of two rooms in each resource.
-func (r Room) Max(o Room) Room {
-	return Room{max(r.CPUs, o.CPUs), max(r.GPUs, o.GPUs), max(r.MemGB, o.MemGB)}
+func (r Resources) Max(other Resources) Resources {
+	return Resources{max(r.CPUs, other.CPUs), max(r.GPUs, other.GPUs), max(r.MemGB, other.MemGB)}
 }
 
-// Unbounded is more than any room there is.
-func Unbounded() Room { return Room{math.Inf(1), math.Inf(1), math.Inf(1)} }
+// UnlimitedResources is more than any room there is.
+func UnlimitedResources() Resources { return Resources{math.Inf(1), math.Inf(1), math.Inf(1)} }
 
 // Times returns a multiple of a room.
-func (r Room) Times(n float64) Room { return Room{r.CPUs * n, r.GPUs * n, r.MemGB * n} }
+func (r Resources) Times(factor float64) Resources {
+	return Resources{r.CPUs * factor, r.GPUs * factor, r.MemGB * factor}
+}
 
 // Fits tells whether need fits into r.
-func (r Room) Fits(need Room) bool {
-	return need.CPUs <= r.CPUs+slack && need.GPUs <= r.GPUs+slack && need.MemGB <= r.MemGB+slack
+func (r Resources) Fits(need Resources) bool {
+	return need.CPUs <= r.CPUs+roundingTolerance && need.GPUs <= r.GPUs+roundingTolerance && need.MemGB <= r.MemGB+roundingTolerance
 }
 
-// Share is the largest part of a whole that r takes in any resource.
-func (r Room) Share(whole Room) float64 {
-	s := 0.0
-	for _, p := range [][2]float64{{r.CPUs, whole.CPUs}, {r.GPUs, whole.GPUs}, {r.MemGB, whole.MemGB}} {
-		if p[0] > 0 && p[1] > 0 {
-			s = max(s, p[0]/p[1])
+// DominantShare is the largest part of a whole that r takes in any resource.
+func (r Resources) DominantShare(whole Resources) float64 {
+	share := 0.0
+	for _, pair := range [][2]float64{{r.CPUs, whole.CPUs}, {r.GPUs, whole.GPUs}, {r.MemGB, whole.MemGB}} {
+		if pair[0] > 0 && pair[1] > 0 {
+			share = max(share, pair[0]/pair[1])
 		}
 	}
-	return s
+	return share
 }
 
-// Count is how many tasks of size need fit into r, at most limit.
-func (r Room) Count(need Room, limit int) int {
-	n := limit
-	for _, p := range [][2]float64{{need.CPUs, r.CPUs}, {need.GPUs, r.GPUs}, {need.MemGB, r.MemGB}} {
-		if p[0] > 0 {
-			n = min(n, int((p[1]+slack)/p[0]))
+// FitCount is how many tasks of size need fit into r, at most limit.
+func (r Resources) FitCount(need Resources, limit int) int {
+	count := limit
+	for _, pair := range [][2]float64{{need.CPUs, r.CPUs}, {need.GPUs, r.GPUs}, {need.MemGB, r.MemGB}} {
+		if pair[0] > 0 {
+			count = min(count, int((pair[1]+roundingTolerance)/pair[0]))
 		}
 	}
-	return max(n, 0)
+	return max(count, 0)
 }
 
-type team struct {
+type teamAccount struct {
 	config.Team
-	home     int // the block that has a limited team's whole limit
-	used     Room
-	promised Room
+	homeShard int // the block that has a limited team's whole limit
+	used      Resources
+	reserved  Resources
 }
 
-func (t *team) limited() bool { return t.CPUsMax > 0 || t.GPUsMax > 0 }
+func (a *teamAccount) hasLimit() bool { return a.CPUsMax > 0 || a.GPUsMax > 0 }
 
-// Book is the account of one block.
-type Book struct {
-	teams map[string]*team
-	// blocked is the room of machines whose tasks are not known: any team
+// Ledger is the account of one block.
+type Ledger struct {
+	teams map[string]*teamAccount
+	// unknownUsage is the room of machines whose tasks are not known: any team
 	// may be using all of it.
-	blocked Room
+	unknownUsage Resources
 }
 
-// NewBook opens the account of a block that has the given share of each
+// NewLedger opens the account of a block that has the given share of each
 // team's limit and guarantee.
-func NewBook(teams []config.Team, block, blocks int) *Book {
-	b := &Book{teams: map[string]*team{}}
-	for _, t := range teams {
-		home := Home(teams, t.Name, blocks)
-		if t.CPUsMax == 0 && t.GPUsMax == 0 {
-			t.CPUs, t.GPUs = t.CPUs/float64(blocks), t.GPUs/float64(blocks)
+func NewLedger(teams []config.Team, shard, shards int) *Ledger {
+	ledger := &Ledger{teams: map[string]*teamAccount{}}
+	for _, team := range teams {
+		home := HomeShard(teams, team.Name, shards)
+		if team.CPUsMax == 0 && team.GPUsMax == 0 {
+			team.CPUs, team.GPUs = team.CPUs/float64(shards), team.GPUs/float64(shards)
 		}
-		b.teams[t.Name] = &team{Team: t, home: home}
+		ledger.teams[team.Name] = &teamAccount{Team: team, homeShard: home}
 	}
-	return b
+	return ledger
 }
 
-// Home is the block of a limited team: a limit is never split, so that it
+// HomeShard is the block of a limited team: a limit is never split, so that it
 // holds exactly whatever the other blocks do.
-func Home(teams []config.Team, name string, blocks int) int {
-	n := 0
-	for _, t := range teams {
-		if t.Name == name {
+func HomeShard(teams []config.Team, name string, shards int) int {
+	limitedTeams := 0
+	for _, team := range teams {
+		if team.Name == name {
 			break
 		}
-		if t.CPUsMax > 0 || t.GPUsMax > 0 {
-			n++
+		if team.CPUsMax > 0 || team.GPUsMax > 0 {
+			limitedTeams++
 		}
 	}
-	return n % blocks
+	return limitedTeams % shards
 }
 
-// Limited tells whether a team has a limit.
-func Limited(teams []config.Team, name string) bool {
-	for _, t := range teams {
-		if t.Name == name {
-			return t.CPUsMax > 0 || t.GPUsMax > 0
+// HasLimit tells whether a team has a limit.
+func HasLimit(teams []config.Team, name string) bool {
+	for _, team := range teams {
+		if team.Name == name {
+			return team.CPUsMax > 0 || team.GPUsMax > 0
 		}
 	}
 	return false
 }
 
-func within(limit, v float64) bool { return limit == 0 || v <= limit+slack }
+func withinLimit(limit, amount float64) bool { return limit == 0 || amount <= limit+roundingTolerance }
 
 // Admits tells whether a team's limit allows it to take need in addition to
 // what it uses; drawn says whether what is promised to its queued copies
 // counts too.
-func (b *Book) Admits(name string, need Room, drawn bool) bool {
-	t := b.teams[name]
-	if t == nil {
+func (l *Ledger) Admits(name string, need Resources, includeReserved bool) bool {
+	account := l.teams[name]
+	if account == nil {
 		return false
 	}
-	if !t.limited() {
+	if !account.hasLimit() {
 		return true
 	}
-	sum := t.used.Add(need).Add(b.blocked)
-	if drawn {
-		sum = sum.Add(t.promised)
+	sum := account.used.Add(need).Add(l.unknownUsage)
+	if includeReserved {
+		sum = sum.Add(account.reserved)
 	}
-	return within(t.CPUsMax, sum.CPUs) && within(t.GPUsMax, sum.GPUs)
+	return withinLimit(account.CPUsMax, sum.CPUs) && withinLimit(account.GPUsMax, sum.GPUs)
 }
 
-// Guaranteed tells whether a team stays within its guarantee with need in
+// WithinGuarantee tells whether a team stays within its guarantee with need in
 // addition to what it uses and was promised.
-func (b *Book) Guaranteed(name string, need Room) bool {
-	t := b.teams[name]
-	if t == nil || (t.CPUs == 0 && t.GPUs == 0) {
+func (l *Ledger) WithinGuarantee(name string, need Resources) bool {
+	account := l.teams[name]
+	if account == nil || (account.CPUs == 0 && account.GPUs == 0) {
 		return false
 	}
-	sum := t.used.Add(t.promised).Add(need)
-	return within(t.CPUs, sum.CPUs) && within(t.GPUs, sum.GPUs)
+	sum := account.used.Add(account.reserved).Add(need)
+	return withinLimit(account.CPUs, sum.CPUs) && withinLimit(account.GPUs, sum.GPUs)
 }
 
-// Guarantees tells whether any team has a guarantee.
-func (b *Book) Guarantees() bool {
-	for _, t := range b.teams {
-		if t.CPUs > 0 || t.GPUs > 0 {
+// HasGuarantees tells whether any team has a guarantee.
+func (l *Ledger) HasGuarantees() bool {
+	for _, account := range l.teams {
+		if account.CPUs > 0 || account.GPUs > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// Beyond tells whether a team uses more than its guarantee.
-func (b *Book) Beyond(name string) bool {
-	t := b.teams[name]
-	if t == nil {
+// OverGuarantee tells whether a team uses more than its guarantee.
+func (l *Ledger) OverGuarantee(name string) bool {
+	account := l.teams[name]
+	if account == nil {
 		return true
 	}
-	return !within(t.CPUs, t.used.CPUs) || !within(t.GPUs, t.used.GPUs) || (t.CPUs == 0 && t.GPUs == 0)
+	return !withinLimit(account.CPUs, account.used.CPUs) || !withinLimit(account.GPUs, account.used.GPUs) || (account.CPUs == 0 && account.GPUs == 0)
 }
 
-// Use adds to what a team's tasks may be using; a negative amount takes away.
-func (b *Book) Use(name string, r Room, sign float64) {
-	if t := b.teams[name]; t != nil {
-		t.used = t.used.Add(r.Times(sign))
+// AddUsed adds to what a team's tasks may be using; a negative amount takes away.
+func (l *Ledger) AddUsed(name string, resources Resources, sign float64) {
+	if account := l.teams[name]; account != nil {
+		account.used = account.used.Add(resources.Times(sign))
 	}
 }
 
-// Promise adds to what a team's queued copies are to get.
-func (b *Book) Promise(name string, r Room, sign float64) {
-	if t := b.teams[name]; t != nil {
-		t.promised = t.promised.Add(r.Times(sign))
+// AddReserved adds to what a team's queued copies are to get.
+func (l *Ledger) AddReserved(name string, resources Resources, sign float64) {
+	if account := l.teams[name]; account != nil {
+		account.reserved = account.reserved.Add(resources.Times(sign))
 	}
 }
 
-// Block sets the room that any team may be using unseen.
-func (b *Book) Block(r Room) { b.blocked = r }
+// SetUnknownUsage sets the room that any team may be using unseen.
+func (l *Ledger) SetUnknownUsage(resources Resources) { l.unknownUsage = resources }
 
-// Usage is one team's line in a status.
-type Usage struct {
-	Team           string
-	Used, Promised Room
-	Guarantee, Max Room
+// TeamUsage is one team's line in a status.
+type TeamUsage struct {
+	Team             string
+	Used, Reserved   Resources
+	Guarantee, Limit Resources
 }
 
-// Usages lists all teams' lines.
-func (b *Book) Usages() []Usage {
-	var out []Usage
-	for _, t := range b.teams {
-		out = append(out, Usage{t.Name, t.used, t.promised, Room{CPUs: t.CPUs, GPUs: t.GPUs}, Room{CPUs: t.CPUsMax, GPUs: t.GPUsMax}})
+// TeamUsages lists all teams' lines.
+func (l *Ledger) TeamUsages() []TeamUsage {
+	var usages []TeamUsage
+	for _, account := range l.teams {
+		usages = append(usages, TeamUsage{account.Name, account.used, account.reserved, Resources{CPUs: account.CPUs, GPUs: account.GPUs}, Resources{CPUs: account.CPUsMax, GPUs: account.GPUsMax}})
 	}
-	return out
+	return usages
 }
--- a/internal/standin/actions_test.go
+++ b/internal/standin/actions_test.go
@@ -11,53 +11,53 @@
 	"juniperchute/internal/wire"
 )
 
-// actionTest is stand-ins with two machines and a checker of the log of duties.
-type actionTest struct {
+// intentFixture is stand-ins with two machines and a checker of the log of duties.
+type intentFixture struct {
 	*Cluster
-	state *StateService
+	store *StateService
 	cloud *Cloud
-	check *ActionCheck
+	checker *IntentChecker
 }
 
-func newActionTest(t *testing.T) *actionTest {
-	c := testCluster()
+func newIntentFixture(t *testing.T) *intentFixture {
+	cluster := testCluster()
 	rng := rand.New(rand.NewPCG(1, 1))
-	x := &actionTest{Cluster: c, state: NewStateService(c.Clock, rng), cloud: NewCloud(c.Clock, rng, nil)}
-	x.cloud.Room[RoomKey("g", "a", false)] = 5
-	x.cloud.Booted = func(*CloudHost) {}
-	x.cloud.Ended = func(h *CloudHost) { c.Remove(h.ID) }
+	f := &intentFixture{Cluster: cluster, store: NewStateService(cluster.Clock, rng), cloud: NewCloud(cluster.Clock, rng, nil)}
+	f.cloud.Available[CapacityKey("g", "a", false)] = 5
+	f.cloud.OnBooted = func(*CloudHost) {}
+	f.cloud.OnRemoved = func(h *CloudHost) { cluster.Remove(h.ID) }
 	for _, id := range []string{"a1", "a2"} {
-		x.cloud.Hosts[id] = &CloudHost{Machine: c.Workers[id].Host}
+		f.cloud.Hosts[id] = &CloudHost{Machine: cluster.Workers[id].Host}
 	}
-	x.check = NewActionCheck(c, x.state, x.cloud)
-	x.write(t, inForceKey, `{"InForce":["duties"]}`)
-	return x
+	f.checker = NewIntentChecker(cluster, f.store, f.cloud)
+	f.write(t, featureGatesKey, `{"InForce":["duties"]}`)
+	return f
 }
 
-func (x *actionTest) write(t *testing.T, key, value string) {
+func (f *intentFixture) write(t *testing.T, key, value string) {
 	t.Helper()
 	w := wire.Write{Put: key, Value: json.RawMessage(value)}
 	if value == "" {
 		w = store.Delete(key)
 	}
-	x.state.Call(store.Call{Op: store.OpTransaction, Transaction: wire.Transaction{Writes: []wire.Write{w}}}, func(r store.Result) {
+	f.store.Call(store.Call{Op: store.OpTransaction, Transaction: wire.Transaction{Writes: []wire.Write{w}}}, func(r store.Result) {
 		if !r.OK() {
 			t.Fatalf("write of %s: %d", key, r.Status)
 		}
 	})
 }
 
-func (x *actionTest) delete(hosts ...string) {
-	x.cloud.Call(fleet.Call{Op: fleet.OpDelete, Hosts: hosts})
+func (f *intentFixture) delete(hosts ...string) {
+	f.cloud.Call(fleet.CloudCall{Operation: fleet.DeleteMachines, Hosts: hosts})
 }
 
-func (x *actionTest) rent(name string) {
-	x.cloud.Call(fleet.Call{Op: fleet.OpRent, Rental: wire.ProvisionRequest{Name: name, Type: "g", Zone: "a", Count: 1}})
+func (f *intentFixture) createMachine(name string) {
+	f.cloud.Call(fleet.CloudCall{Operation: fleet.CreateMachines, Request: wire.ProvisionRequest{Name: name, Type: "g", Zone: "a", Count: 1}})
 }
 
 // The checker of the log of duties finds a planted violation of each rule, and none where
 // there is none.
-func TestActionCheck(t *testing.T) {
+func TestIntentChecker(t *testing.T) {
 	const (
 		log          = "d/0/0"
 		returnUnder1 = `{"a1":{"Duty":"return","Token":1,"At":5}}`
@@ -67,61 +67,61 @@
 		attempt1     = 1<<tuning.AttemptBits | 7
 		attempt2     = 2<<tuning.AttemptBits | 7
 	)
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
 		rule Rule // "" for none
-		play func(x *actionTest)
+		play func(f *intentFixture)
 	}{
-		{"returned after it was entered", "", func(x *actionTest) { x.write(t, log, returnUnder1); x.delete("a1") }},
-		{"deleted twice: the second call does nothing", "", func(x *actionTest) {
-			x.write(t, log, returnUnder1)
-			x.delete("a1")
-			x.write(t, log, "")
-			x.delete("a1")
+		{"returned after it was entered", "", func(f *intentFixture) { f.write(t, log, returnUnder1); f.delete("a1") }},
+		{"deleted twice: the second call does nothing", "", func(f *intentFixture) {
+			f.write(t, log, returnUnder1)
+			f.delete("a1")
+			f.write(t, log, "")
+			f.delete("a1")
 		}},
-		{"returned and never entered", NotEntered, func(x *actionTest) { x.delete("a1") }},
-		{"another one returned than was entered", NotEntered, func(x *actionTest) { x.write(t, log, returnUnder1); x.delete("a1", "a2") }},
-		{"returned after the entry was settled", StaleAction, func(x *actionTest) { x.write(t, log, returnUnder1); x.write(t, log, ""); x.delete("a1") }},
-		{"returned with work on it", WorkReturned, func(x *actionTest) {
-			x.testJob(nil)
-			x.start("a1", "job-1/0", attempt1)
-			x.write(t, log, returnUnder1)
-			x.delete("a1")
+		{"returned and never entered", NotRecorded, func(f *intentFixture) { f.delete("a1") }},
+		{"another one returned than was entered", NotRecorded, func(f *intentFixture) { f.write(t, log, returnUnder1); f.delete("a1", "a2") }},
+		{"returned after the entry was settled", StaleIntent, func(f *intentFixture) { f.write(t, log, returnUnder1); f.write(t, log, ""); f.delete("a1") }},
+		{"returned with work on it", BusyMachineDeleted, func(f *intentFixture) {
+			f.addTestJob(nil)
+			f.startTask("a1", "job-1/0", attempt1)
+			f.write(t, log, returnUnder1)
+			f.delete("a1")
 		}},
-		{"reclaimed with work that its own tenure had started", "", func(x *actionTest) {
-			x.testJob(nil)
-			x.start("a1", "job-1/0", attempt1)
-			x.write(t, log, reclaim)
-			x.delete("a1")
+		{"reclaimed with work that its own tenure had started", "", func(f *intentFixture) {
+			f.addTestJob(nil)
+			f.startTask("a1", "job-1/0", attempt1)
+			f.write(t, log, reclaim)
+			f.delete("a1")
 		}},
-		{"work of a later tenure on a machine that was entered", WorkGiven, func(x *actionTest) {
-			x.testJob(nil)
-			x.write(t, log, reclaim)
-			x.start("a1", "job-1/0", attempt2)
+		{"work of a later tenure on a machine that was entered", WorkOnTerminatingMachine, func(f *intentFixture) {
+			f.addTestJob(nil)
+			f.write(t, log, reclaim)
+			f.startTask("a1", "job-1/0", attempt2)
 		}},
-		{"reclaimed with work of a later tenure", WorkReturned, func(x *actionTest) {
-			x.testJob(nil)
-			x.start("a1", "job-1/0", attempt2)
-			x.write(t, log, reclaim)
-			x.delete("a1")
+		{"reclaimed with work of a later tenure", BusyMachineDeleted, func(f *intentFixture) {
+			f.addTestJob(nil)
+			f.startTask("a1", "job-1/0", attempt2)
+			f.write(t, log, reclaim)
+			f.delete("a1")
 		}},
-		{"rented after it was entered, and asked for again", "", func(x *actionTest) {
-			x.write(t, rental, asked)
-			x.rent("b0-1-1")
-			x.rent("b0-1-1")
+		{"rented after it was entered, and asked for again", "", func(f *intentFixture) {
+			f.write(t, rental, asked)
+			f.createMachine("b0-1-1")
+			f.createMachine("b0-1-1")
 		}},
-		{"rented and never entered", NotEntered, func(x *actionTest) { x.rent("b0-1-1") }},
-		{"rented after it was settled", StaleAction, func(x *actionTest) { x.write(t, rental, asked); x.write(t, rental, ""); x.rent("b0-1-1") }},
-		{"a page that cannot be read", Expectation, func(x *actionTest) { x.write(t, log, `"x"`) }},
+		{"rented and never entered", NotRecorded, func(f *intentFixture) { f.createMachine("b0-1-1") }},
+		{"rented after it was settled", StaleIntent, func(f *intentFixture) { f.write(t, rental, asked); f.write(t, rental, ""); f.createMachine("b0-1-1") }},
+		{"a page that cannot be read", Expectation, func(f *intentFixture) { f.write(t, log, `"x"`) }},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			x := newActionTest(t)
-			c.play(x)
+		t.Run(test.name, func(t *testing.T) {
+			f := newIntentFixture(t)
+			test.play(f)
 			switch {
-			case c.rule == "" && len(x.Broken) > 0:
-				t.Errorf("found %v", x.Broken[0])
-			case c.rule != "" && (len(x.Broken) == 0 || x.Broken[0].Rule != c.rule):
-				t.Errorf("found %v, want %s", x.Broken, c.rule)
+			case test.rule == "" && len(f.Violations) > 0:
+				t.Errorf("found %v", f.Violations[0])
+			case test.rule != "" && (len(f.Violations) == 0 || f.Violations[0].Rule != test.rule):
+				t.Errorf("found %v, want %s", f.Violations, test.rule)
 			}
 		})
 	}
--- a/internal/standin/clock.go
+++ b/internal/standin/clock.go
@@ -33,7 +33,7 @@
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push is part of heap.Interface.
-func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
+func (q *eventQueue) Push(f any) { *q = append(*q, f.(event)) }
 
 // Pop is part of heap.Interface.
 func (q *eventQueue) Pop() any {
@@ -49,10 +49,10 @@
 // Now is the time that the clock shows.
 func (c *Clock) Now() time.Time { return c.now }
 
-// In schedules f after d.
-func (c *Clock) In(d time.Duration, f func()) {
+// Schedule schedules f after d.
+func (c *Clock) Schedule(delay time.Duration, run func()) {
 	c.sequence++
-	heap.Push(&c.queue, event{c.now.Add(d), c.sequence, f})
+	heap.Push(&c.queue, event{c.now.Add(delay), c.sequence, run})
 }
 
 // Due tells whether an event is scheduled for a time no later than end.
@@ -67,8 +67,8 @@
 	next.run()
 }
 
-// Set moves the clock on to a time before which no event is due.
-func (c *Clock) Set(now time.Time) { c.now = now }
+// AdvanceTo moves the clock on to a time before which no event is due.
+func (c *Clock) AdvanceTo(now time.Time) { c.now = now }
 
 // RunUntil runs all events that are due by a time and sets the clock to it.
 func (c *Clock) RunUntil(end time.Time) {
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -13,29 +13,29 @@
 // Cloud is a stand-in for the cloud, by the protocol.
 type Cloud struct {
 	MachineTypes []wire.MachineType
-	Room         map[string]int // machines left of each kind, by RoomKey
+	Available         map[string]int // machines left of each kind, by RoomKey
 	Hosts        map[string]*CloudHost
 	Created      int     // machines created so far
-	Down         bool    // its interface answers 503
-	QuickBoots   bool    // machines are up within two seconds
-	NeverBoot    float64 // share of the boots that never end
-	Page         int     // machines that a list shows at most
+	Unavailable         bool    // its interface answers 503
+	FastBoot   bool    // machines are up within two seconds
+	BootFailureShare    float64 // share of the boots that never end
+	PageSize         int     // machines that a list shows at most
 	Address      func(n int) string
-	Booted       func(h *CloudHost)
-	Ended        func(h *CloudHost)
-	OnRent       func(name string) // told of each rental carried out; nil: nobody
+	OnBooted       func(h *CloudHost)
+	OnRemoved        func(h *CloudHost)
+	OnCreate       func(name string) // told of each rental carried out; nil: nobody
 	OnDelete     func(host string) // told of each machine about to be deleted; nil: nobody
 
-	clk     *Clock
+	clock     *Clock
 	rng     *rand.Rand
-	rentals map[string][]string
+	granted map[string][]string
 	history []snapshot
 }
 
 // CloudHost is a rented machine.
 type CloudHost struct {
 	wire.Machine
-	Born time.Time
+	CreatedAt time.Time
 }
 
 type snapshot struct {
@@ -44,130 +44,130 @@
 }
 
 const (
-	// cloudPage is small, so that lists of several pages happen in short tests.
-	cloudPage = 10
-	// snapshotEvery and snapshotsKept say how old a list may be.
-	snapshotEvery = 500 * time.Millisecond
-	snapshotsKept = 40
-	// listLag is how many snapshots a list lags behind at most.
-	listLag = 8
+	// cloudPageSize is small, so that lists of several pages happen in short tests.
+	cloudPageSize = 10
+	// snapshotInterval and snapshotsKept say how old a list may be.
+	snapshotInterval = 500 * time.Millisecond
+	maxSnapshots = 40
+	// maxListLag is how many snapshots a list lags behind at most.
+	maxListLag = 8
 )
 
 // NewCloud makes a cloud that has no machines rented and, until Room is set, none left.
-func NewCloud(clk *Clock, rng *rand.Rand, machineTypes []wire.MachineType) *Cloud {
-	c := &Cloud{clk: clk, rng: rng, MachineTypes: machineTypes, Room: map[string]int{}, rentals: map[string][]string{}, Hosts: map[string]*CloudHost{},
-		Page: cloudPage, Address: func(n int) string { return fmt.Sprintf("addr-i-%06d", n) }}
-	c.snap()
-	return c
+func NewCloud(clock *Clock, rng *rand.Rand, machineTypes []wire.MachineType) *Cloud {
+	cloud := &Cloud{clock: clock, rng: rng, MachineTypes: machineTypes, Available: map[string]int{}, granted: map[string][]string{}, Hosts: map[string]*CloudHost{},
+		PageSize: cloudPageSize, Address: func(n int) string { return fmt.Sprintf("addr-i-%06d", n) }}
+	cloud.takeSnapshot()
+	return cloud
 }
 
-func (c *Cloud) snap() {
-	s := snapshot{at: c.clk.Now()}
-	for _, h := range c.Hosts {
-		w := h.Machine
-		w.AgeS = c.clk.Now().Sub(h.Born).Seconds()
-		s.hosts = append(s.hosts, w)
+func (c *Cloud) takeSnapshot() {
+	taken := snapshot{at: c.clock.Now()}
+	for _, host := range c.Hosts {
+		listed := host.Machine
+		listed.AgeS = c.clock.Now().Sub(host.CreatedAt).Seconds()
+		taken.hosts = append(taken.hosts, listed)
 	}
-	sort.Slice(s.hosts, func(i, j int) bool { return s.hosts[i].ID < s.hosts[j].ID })
-	c.history = append(c.history, s)
-	if len(c.history) > snapshotsKept {
+	sort.Slice(taken.hosts, func(i, j int) bool { return taken.hosts[i].ID < taken.hosts[j].ID })
+	c.history = append(c.history, taken)
+	if len(c.history) > maxSnapshots {
 		c.history = c.history[1:]
 	}
-	c.clk.In(snapshotEvery, c.snap)
+	c.clock.Schedule(snapshotInterval, c.takeSnapshot)
 }
 
-// RoomKey names a kind of machine.
-func RoomKey(machineType, zone string, spot bool) string { return fmt.Sprint(machineType, zone, spot) }
+// CapacityKey names a kind of machine.
+func CapacityKey(machineType, zone string, spot bool) string { return fmt.Sprint(machineType, zone, spot) }
 
 // Call executes a call.
-func (c *Cloud) Call(call fleet.Call) fleet.Result {
-	if c.Down {
-		return fleet.Result{Status: 503, Error: "trouble"}
+func (c *Cloud) Call(call fleet.CloudCall) fleet.CloudResult {
+	if c.Unavailable {
+		return fleet.CloudResult{Status: 503, Error: "trouble"}
 	}
-	switch call.Op {
-	case fleet.OpMachineTypes:
-		return fleet.Result{Status: 200, MachineTypes: c.MachineTypes}
-	case fleet.OpRent:
-		return c.rent(call.Rental)
-	case fleet.OpDelete:
+	switch call.Operation {
+	case fleet.ListMachineTypes:
+		return fleet.CloudResult{Status: 200, MachineTypes: c.MachineTypes}
+	case fleet.CreateMachines:
+		return c.createMachines(call.Request)
+	case fleet.DeleteMachines:
 		for _, id := range call.Hosts {
 			if c.OnDelete != nil && c.Hosts[id] != nil {
 				c.OnDelete(id)
 			}
 			c.Remove(id)
 		}
-		return fleet.Result{Status: 200}
+		return fleet.CloudResult{Status: 200}
 	}
 	return c.list(call.After)
 }
 
-// rent rents machines. A request that was granted before gets the same answer.
-func (c *Cloud) rent(request wire.ProvisionRequest) fleet.Result {
-	if hosts, ok := c.rentals[request.Name]; ok {
-		return fleet.Result{Status: 200, Hosts: hosts}
+// createMachines rents machines. A request that was granted before gets the same answer.
+func (c *Cloud) createMachines(request wire.ProvisionRequest) fleet.CloudResult {
+	if hosts, ok := c.granted[request.Name]; ok {
+		return fleet.CloudResult{Status: 200, Hosts: hosts}
 	}
-	kind := RoomKey(request.Type, request.Zone, request.Spot)
-	n := min(request.Count, c.Room[kind])
-	if n <= 0 {
-		return fleet.Result{Status: 503, Error: fleet.NoCapacity}
+	capacityKey := CapacityKey(request.Type, request.Zone, request.Spot)
+	count := min(request.Count, c.Available[capacityKey])
+	if count <= 0 {
+		return fleet.CloudResult{Status: 503, Error: fleet.NoCapacity}
 	}
-	if c.OnRent != nil {
-		c.OnRent(request.Name)
+	if c.OnCreate != nil {
+		c.OnCreate(request.Name)
 	}
-	c.Room[kind] -= n
+	c.Available[capacityKey] -= count
 	var names []string
-	for range n {
-		names = append(names, c.create(request))
+	for range count {
+		names = append(names, c.startMachine(request))
 	}
-	c.rentals[request.Name] = names
-	return fleet.Result{Status: 200, Hosts: names}
+	c.granted[request.Name] = names
+	return fleet.CloudResult{Status: 200, Hosts: names}
 }
 
-// create starts the boot of one machine and returns its name.
-func (c *Cloud) create(request wire.ProvisionRequest) string {
-	id, addr := fmt.Sprintf("i-%06d", c.Created), c.Address(c.Created)
+// startMachine starts the boot of one machine and returns its name.
+func (c *Cloud) startMachine(request wire.ProvisionRequest) string {
+	id, address := fmt.Sprintf("i-%06d", c.Created), c.Address(c.Created)
 	c.Created++
-	host := &CloudHost{Born: c.clk.Now(), Machine: wire.Machine{ID: id, Address: addr, Type: request.Type, Zone: request.Zone, Spot: request.Spot, State: wire.MachineBooting}}
+	host := &CloudHost{CreatedAt: c.clock.Now(), Machine: wire.Machine{ID: id, Address: address, Type: request.Type, Zone: request.Zone, Spot: request.Spot, State: wire.MachineBooting}}
 	c.Hosts[id] = host
-	if c.rng.Float64() < c.NeverBoot {
+	if c.rng.Float64() < c.BootFailureShare {
 		return id
 	}
 	boot := time.Duration(1+c.rng.IntN(8)) * time.Second
-	if c.QuickBoots {
+	if c.FastBoot {
 		boot = time.Duration(c.rng.IntN(2000)) * time.Millisecond
 	}
-	c.clk.In(boot, func() {
+	c.clock.Schedule(boot, func() {
 		if c.Hosts[id] == host {
 			host.State = wire.MachineRunning
-			c.Booted(host)
+			c.OnBooted(host)
 		}
 	})
 	return id
 }
 
 // list shows the machines as they were a while ago.
-func (c *Cloud) list(after string) fleet.Result {
-	i := max(0, len(c.history)-1-c.rng.IntN(listLag))
-	r := fleet.Result{Status: 200}
-	for _, h := range c.history[i].hosts {
-		if h.ID > after {
-			r.Page.Machines = append(r.Page.Machines, h)
+func (c *Cloud) list(after string) fleet.CloudResult {
+	index := max(0, len(c.history)-1-c.rng.IntN(maxListLag))
+	result := fleet.CloudResult{Status: 200}
+	for _, host := range c.history[index].hosts {
+		if host.ID > after {
+			result.Page.Machines = append(result.Page.Machines, host)
 		}
-		if len(r.Page.Machines) == c.Page {
-			r.Page.More = true
+		if len(result.Page.Machines) == c.PageSize {
+			result.Page.More = true
 			break
 		}
 	}
-	return r
+	return result
 }
 
 // Remove ends a machine: deleted, or taken by the cloud.
 func (c *Cloud) Remove(id string) {
-	h := c.Hosts[id]
-	if h == nil {
+	host := c.Hosts[id]
+	if host == nil {
 		return
 	}
 	delete(c.Hosts, id)
-	c.Room[RoomKey(h.Type, h.Zone, h.Spot)]++
-	c.Ended(h)
+	c.Available[CapacityKey(host.Type, host.Zone, host.Spot)]++
+	c.OnRemoved(host)
 }
--- a/internal/standin/cluster.go
+++ b/internal/standin/cluster.go
@@ -14,14 +14,14 @@
 // Job is a job and what its user knows of it.
 type Job struct {
 	Spec       wire.JobSpec
-	Run        time.Duration // how long each task runs
+	RunTime        time.Duration // how long each task runs
 	Faulty     bool          // its tasks fail on every machine
-	Impossible bool          // it can never run, so it must not be accepted
+	Infeasible bool          // it can never run, so it must not be accepted
 	Done       []bool        // by task
 
 	Accepted    bool
-	Told        string // newest state that its user was told
-	CancelAsked bool
+	KnownState        string // newest state that its user was told
+	CancelRequested bool
 	CancelledAt time.Time // when its user was told that it is cancelled
 	AnsweredAt  time.Time // when a question about it was last answered
 
@@ -38,25 +38,25 @@
 }
 
 // NewJob makes a job that nobody has submitted yet.
-func NewJob(spec wire.JobSpec, run time.Duration) *Job {
-	return &Job{Spec: spec, Run: run, Done: make([]bool, spec.Tasks)}
+func NewJob(spec wire.JobSpec, runTime time.Duration) *Job {
+	return &Job{Spec: spec, RunTime: runTime, Done: make([]bool, spec.Tasks)}
 }
 
 // Complete tells whether all tasks have completed.
 func (j *Job) Complete() bool { return !slices.Contains(j.Done, false) }
 
 // Ended tells whether the user was told a final state.
-func (j *Job) Ended() bool { return isFinal(j.Told) }
+func (j *Job) Ended() bool { return isFinal(j.KnownState) }
 
 func isFinal(stage string) bool { return stage == wire.JobDone || stage == wire.JobCancelled }
 
-func (j *Job) need() quota.Room {
-	return quota.Room{CPUs: j.Spec.Vcpus, GPUs: j.Spec.Gpus, MemGB: j.Spec.MemGb}
+func (j *Job) resources() quota.Resources {
+	return quota.Resources{CPUs: j.Spec.Vcpus, GPUs: j.Spec.Gpus, MemGB: j.Spec.MemGb}
 }
 
-// AnswerFunc takes the answer to a report: the status and, with 200, the commands, with
+// ReplyFunc takes the answer to a report: the status and, with 200, the commands, with
 // 421 the node to report to.
-type AnswerFunc func(status int, commands wire.HeartbeatResponse, reportsTo string)
+type ReplyFunc func(status int, commands wire.HeartbeatResponse, reportsTo string)
 
 // Network carries workers' reports to controllers.
 type Network interface {
@@ -65,84 +65,84 @@
 	// NodeIndex finds a controller by name, -1 if there is none.
 	NodeIndex(name string) int
 	// Send delivers a report to a controller. answer may be called late or never.
-	Send(w *Worker, node int, report *wire.Heartbeat, answer AnswerFunc)
+	Send(w *Worker, node int, report *wire.Heartbeat, answer ReplyFunc)
 }
 
 // Cluster is the workers and the jobs, and the record of the rules broken by them.
 type Cluster struct {
 	Clock   *Clock
-	Facts   config.Platform
+	Config   config.Platform
 	Workers map[string]*Worker // by machine name
 	Jobs    map[string]*Job
-	Order   []*Job // in the order of their submission
-	Broken  []Violation
-	// CompletedHook is told of each job whose last task has just completed; nil: nobody.
-	CompletedHook func(j *Job)
-	// Started is told of each start of a task; nil: nobody.
-	Started func(w *Worker, t *Task)
+	Submitted   []*Job // in the order of their submission
+	Violations  []Violation
+	// OnCompleted is told of each job whose last task has just completed; nil: nobody.
+	OnCompleted func(j *Job)
+	// OnTaskStart is told of each start of a task; nil: nobody.
+	OnTaskStart func(w *Worker, t *Task)
 
 	rng     *rand.Rand
 	network Network
-	began   time.Time
-	names   []string // of the workers, in order; nil: to be sorted anew
+	startedAt   time.Time
+	machineNames   []string // of the workers, in order; nil: to be sorted anew
 }
 
 // NewCluster makes a cluster without machines.
-func NewCluster(clk *Clock, rng *rand.Rand, facts config.Platform, network Network) *Cluster {
-	return &Cluster{Clock: clk, Facts: facts, Workers: map[string]*Worker{}, Jobs: map[string]*Job{}, rng: rng, network: network, began: clk.Now()}
+func NewCluster(clock *Clock, rng *rand.Rand, deployment config.Platform, network Network) *Cluster {
+	return &Cluster{Clock: clock, Config: deployment, Workers: map[string]*Worker{}, Jobs: map[string]*Job{}, rng: rng, network: network, startedAt: clock.Now()}
 }
 
 // AddJob makes a job known to the workers.
-func (c *Cluster) AddJob(j *Job) {
-	c.Jobs[j.Spec.ID] = j
-	c.Order = append(c.Order, j)
+func (c *Cluster) AddJob(job *Job) {
+	c.Jobs[job.Spec.ID] = job
+	c.Submitted = append(c.Submitted, job)
 }
 
-// Names lists the workers' machines in order.
-func (c *Cluster) Names() []string {
-	if c.names == nil {
+// MachineNames lists the workers' machines in order.
+func (c *Cluster) MachineNames() []string {
+	if c.machineNames == nil {
 		for name := range c.Workers {
-			c.names = append(c.names, name)
+			c.machineNames = append(c.machineNames, name)
 		}
-		sort.Strings(c.names)
+		sort.Strings(c.machineNames)
 	}
-	return c.names
+	return c.machineNames
 }
 
 // Remove ends a machine and all that is on it.
 func (c *Cluster) Remove(host string) {
-	w := c.Workers[host]
-	if w == nil {
+	worker := c.Workers[host]
+	if worker == nil {
 		return
 	}
-	w.Dead, w.Tasks = true, nil
+	worker.Terminated, worker.Tasks = true, nil
 	delete(c.Workers, host)
-	c.names = nil
+	c.machineNames = nil
 }
 
-// member is a task of a gang's attempt and its worker.
-type member struct {
+// gangMember is a task of a gang's attempt and its worker.
+type gangMember struct {
 	worker *Worker
 	task   *Task
 }
 
-// members lists the tasks of a gang's attempt that are on machines.
-func (c *Cluster) members(t *Task) []member {
-	var out []member
-	for _, w := range t.Job.workersWithTasks() {
-		for _, o := range w.Tasks {
-			if o.Job == t.Job && o.Attempt == t.Attempt && o.OnMachine() {
-				out = append(out, member{w, o})
+// gangMembers lists the tasks of a gang's attempt that are on machines.
+func (c *Cluster) gangMembers(task *Task) []gangMember {
+	var members []gangMember
+	for _, worker := range task.Job.workersWithTasks() {
+		for _, other := range worker.Tasks {
+			if other.Job == task.Job && other.Attempt == task.Attempt && other.OnMachine() {
+				members = append(members, gangMember{worker, other})
 			}
 		}
 	}
-	return out
+	return members
 }
 
-// completed is told of each job whose tasks may all have completed.
-func (c *Cluster) completed(j *Job) {
-	if c.CompletedHook != nil && j.Complete() {
-		c.CompletedHook(j)
+// notifyCompleted is told of each job whose tasks may all have completed.
+func (c *Cluster) notifyCompleted(job *Job) {
+	if c.OnCompleted != nil && job.Complete() {
+		c.OnCompleted(job)
 	}
 }
 
@@ -150,18 +150,18 @@
 var Epoch = time.Unix(1_700_000_000, 0)
 
 // SubmissionBody is the protocol's JSON of a submission.
-func SubmissionBody(s wire.JobSpec) map[string]any {
+func SubmissionBody(spec wire.JobSpec) map[string]any {
 	body := map[string]any{
-		"Id": s.ID, "Lane": s.Class, "Crew": s.Team, "Shape": s.Shape, "Rank": s.Priority, "Pieces": s.Tasks,
-		"Vcpus": s.Vcpus, "Gpus": s.Gpus, "MemGb": s.MemGb, "Bundle": s.Image, "ImageGb": s.ImageGb,
-		"Builds": nil, "Yard": nil, "Together": s.SameZone, "Apart": s.SpreadAcrossZones, "Loaners": s.Spot,
-		"GuessS": s.EstimatedRunTimeS, "BookmarkS": s.CheckpointIntervalS, "StowS": s.CheckpointSaveTimeS, "DueS": nil,
+		"Id": spec.ID, "Lane": spec.Class, "Crew": spec.Team, "Shape": spec.Shape, "Rank": spec.Priority, "Pieces": spec.Tasks,
+		"Vcpus": spec.Vcpus, "Gpus": spec.Gpus, "MemGb": spec.MemGb, "Bundle": spec.Image, "ImageGb": spec.ImageGb,
+		"Builds": nil, "Yard": nil, "Together": spec.SameZone, "Apart": spec.SpreadAcrossZones, "Loaners": spec.Spot,
+		"GuessS": spec.EstimatedRunTimeS, "BookmarkS": spec.CheckpointIntervalS, "StowS": spec.CheckpointSaveTimeS, "DueS": nil,
 	}
-	if !s.AnyType {
-		body["Builds"] = s.Types
+	if !spec.AnyType {
+		body["Builds"] = spec.Types
 	}
-	if s.Zone != "" {
-		body["Yard"] = s.Zone
+	if spec.Zone != "" {
+		body["Yard"] = spec.Zone
 	}
 	return body
 }
--- a/internal/standin/load.go
+++ b/internal/standin/load.go
@@ -8,9 +8,9 @@
 	"juniperchute/internal/wire"
 )
 
-// Facts are the settings of a small deployment with the given zones, teams and times of
+// DeploymentConfig are the settings of a small deployment with the given zones, teams and times of
 // its workers.
-func Facts(zones []string, teams []config.Team, reportS, leaseS float64) config.Platform {
+func DeploymentConfig(zones []string, teams []config.Team, reportS, leaseS float64) config.Platform {
 	return config.Platform{
 		Nodes: 3, Zones: zones, TimeBoundMS: 100, Teams: teams,
 		Objectives:    []config.Objective{{Kind: "finished", Class: "sweep", WithinS: 60, Share: 0.8}},
@@ -21,59 +21,59 @@
 	}
 }
 
-// Load is the size of a deployment that benchmarks play, and what its users submit.
-type Load struct {
+// Workload is the size of a deployment that benchmarks play, and what its users submit.
+type Workload struct {
 	Name            string
 	Nodes, Machines int
 	Limits          config.MachineLimits
 	ReportS, LeaseS float64
 	ArraysPerS      float64
 	GangsPerS       float64
-	Tasks           int // of an array
-	Run             time.Duration
+	TasksPerArray           int // of an array
+	RunTime             time.Duration
 	RequestsPerS    float64 // that the state service takes
 	WritesPerS      float64
 }
 
-// LeanLoads are the sizes of the lean deployments.
-func LeanLoads() []Load {
-	return []Load{
+// LeanWorkloads are the sizes of the lean deployments.
+func LeanWorkloads() []Workload {
+	return []Workload{
 		{Name: "exams", Nodes: 3, Machines: 180, Limits: config.MachineLimits{CPU: 0.036, MemoryMB: 65, Sockets: 900}, ReportS: 1.5, LeaseS: 10,
-			ArraysPerS: 0.4, GangsPerS: 0.4, Tasks: 20, Run: 70 * time.Second, RequestsPerS: 200, WritesPerS: 20},
+			ArraysPerS: 0.4, GangsPerS: 0.4, TasksPerArray: 20, RunTime: 70 * time.Second, RequestsPerS: 200, WritesPerS: 20},
 		{Name: "dispatch", Nodes: 7, Machines: 600, Limits: config.MachineLimits{CPU: 0.09, MemoryMB: 114, Sockets: 1500}, ReportS: 4, LeaseS: 18,
-			ArraysPerS: 1, GangsPerS: 0.9, Tasks: 75, Run: 40 * time.Second, RequestsPerS: 250, WritesPerS: 25},
+			ArraysPerS: 1, GangsPerS: 0.9, TasksPerArray: 75, RunTime: 40 * time.Second, RequestsPerS: 250, WritesPerS: 25},
 	}
 }
 
-// LargestLoad is one of 4,000 machines, the most that one holder was measured with.
-func LargestLoad() Load {
-	return Load{Name: "4,000 machines", Nodes: 3, Machines: 4000, Limits: config.MachineLimits{CPU: 0.432, MemoryMB: 271, Sockets: 2179}, ReportS: 5, LeaseS: 26.5,
-		ArraysPerS: 2.4, GangsPerS: 3.5, Tasks: 150, Run: 60 * time.Second, RequestsPerS: 400, WritesPerS: 40}
+// LargestWorkload is one of 4,000 machines, the most that one holder was measured with.
+func LargestWorkload() Workload {
+	return Workload{Name: "4,000 machines", Nodes: 3, Machines: 4000, Limits: config.MachineLimits{CPU: 0.432, MemoryMB: 271, Sockets: 2179}, ReportS: 5, LeaseS: 26.5,
+		ArraysPerS: 2.4, GangsPerS: 3.5, TasksPerArray: 150, RunTime: 60 * time.Second, RequestsPerS: 400, WritesPerS: 40}
 }
 
-// LargeType is the machine type that loads are played on.
-func LargeType() wire.MachineType {
+// LargeMachineType is the machine type that loads are played on.
+func LargeMachineType() wire.MachineType {
 	return wire.MachineType{Name: "g8", Vcpus: 64, Gpus: 8, MemGb: 384, FetchGbPerS: 1, Price: 5, SpotPrice: 2, BootTimeS: 5, Zones: []string{"a"}}
 }
 
-// Facts are the settings of the load's deployment.
-func (l Load) Facts() config.Platform {
-	f := Facts([]string{"a"}, []config.Team{{Name: "red"}}, l.ReportS, l.LeaseS)
-	f.Nodes, f.MachineLimits = l.Nodes, l.Limits
-	f.State = config.StateLimits{RPS: l.RequestsPerS, WriteRPS: l.WritesPerS, ValueKB: 8, TxnOps: 16}
-	f.Objectives = []config.Objective{{Kind: "finished", Class: "sweep", WithinS: 250}, {Kind: "finished", Class: "model", WithinS: 350}}
-	return f
+// Config are the settings of the load's deployment.
+func (l Workload) Config() config.Platform {
+	deployment := DeploymentConfig([]string{"a"}, []config.Team{{Name: "red"}}, l.ReportS, l.LeaseS)
+	deployment.Nodes, deployment.MachineLimits = l.Nodes, l.Limits
+	deployment.State = config.StateLimits{RPS: l.RequestsPerS, WriteRPS: l.WritesPerS, ValueKB: 8, TxnOps: 16}
+	deployment.Objectives = []config.Objective{{Kind: "finished", Class: "sweep", WithinS: 250}, {Kind: "finished", Class: "model", WithinS: 350}}
+	return deployment
 }
 
 // Array is one of the load's arrays.
-func (l Load) Array(number int) wire.JobSpec {
-	return wire.JobSpec{ID: fmt.Sprintf("job-%06d", number), Team: "red", Class: "sweep", Shape: wire.ShapeBatch, Priority: "low", Tasks: l.Tasks,
-		Vcpus: 6, Gpus: 1, MemGb: 36, Image: fmt.Sprintf("img-%d", number%12), ImageGb: 2, AnyType: true, EstimatedRunTimeS: l.Run.Seconds(), CheckpointIntervalS: 20, CheckpointSaveTimeS: 3}
+func (l Workload) Array(number int) wire.JobSpec {
+	return wire.JobSpec{ID: fmt.Sprintf("job-%06d", number), Team: "red", Class: "sweep", Shape: wire.ShapeBatch, Priority: "low", Tasks: l.TasksPerArray,
+		Vcpus: 6, Gpus: 1, MemGb: 36, Image: fmt.Sprintf("img-%d", number%12), ImageGb: 2, AnyType: true, EstimatedRunTimeS: l.RunTime.Seconds(), CheckpointIntervalS: 20, CheckpointSaveTimeS: 3}
 }
 
 // Gang is one of the load's gangs.
-func (l Load) Gang(number int) wire.JobSpec {
-	s := l.Array(number)
-	s.Class, s.Shape, s.Priority, s.Tasks, s.Vcpus, s.Gpus, s.MemGb = "model", wire.ShapeGang, "normal", 2, 57, 8, 310
-	return s
+func (l Workload) Gang(number int) wire.JobSpec {
+	spec := l.Array(number)
+	spec.Class, spec.Shape, spec.Priority, spec.Tasks, spec.Vcpus, spec.Gpus, spec.MemGb = "model", wire.ShapeGang, "normal", 2, 57, 8, 310
+	return spec
 }
--- a/internal/standin/rules.go
+++ b/internal/standin/rules.go
@@ -16,12 +16,12 @@
 // The protocol's rules that the cluster checks.
 const (
 	RanTwice     Rule = "ran_twice"
-	QuotaBroken  Rule = "quota"
-	WrongPlace   Rule = "wrong_place"
+	QuotaExceeded  Rule = "quota"
+	PlacementViolated   Rule = "wrong_place"
 	RanCancelled Rule = "ran_cancelled"
-	Forgotten    Rule = "forgotten"
-	NotDone      Rule = "not_done"
-	WentBack     Rule = "went_back"
+	JobForgotten    Rule = "forgotten"
+	CompletedEarly      Rule = "not_done"
+	StateRegressed     Rule = "went_back"
 	// Expectation is anything else that a test expects.
 	Expectation Rule = "expectation"
 )
@@ -29,83 +29,83 @@
 // Violation is a broken rule.
 type Violation struct {
 	Rule   Rule
-	After  time.Duration // since the cluster's beginning
+	Elapsed  time.Duration // since the cluster's beginning
 	Detail string
 }
 
 func (v Violation) String() string {
-	return fmt.Sprintf("after %v: %s: %s", v.After, v.Rule, v.Detail)
+	return fmt.Sprintf("after %v: %s: %s", v.Elapsed, v.Rule, v.Detail)
 }
 
-// ForgottenAfter is how long after the last trouble a job may go without an answered
+// JobForgottenAfter is how long after the last trouble a job may go without an answered
 // question.
-const ForgottenAfter = 75 * time.Second
+const JobForgottenAfter = 75 * time.Second
 
 // roundingSlack absorbs the rounding of sums of decimal amounts.
 const roundingSlack = 1e-6
 
-// Break records a broken rule.
-func (c *Cluster) Break(rule Rule, format string, args ...any) {
-	c.Broken = append(c.Broken, Violation{rule, c.Clock.Now().Sub(c.began), fmt.Sprintf(format, args...)})
+// AddViolation records a broken rule.
+func (c *Cluster) AddViolation(rule Rule, format string, args ...any) {
+	c.Violations = append(c.Violations, Violation{rule, c.Clock.Now().Sub(c.startedAt), fmt.Sprintf(format, args...)})
 }
 
-func (c *Cluster) cancelTime() time.Duration { return config.Seconds(c.Facts.Workers.CancelS) }
+func (c *Cluster) cancelTimeout() time.Duration { return config.Seconds(c.Config.Workers.CancelS) }
 
-// overdue tells whether a job was cancelled so long ago that none of its tasks may be
+// cancelOverdue tells whether a job was cancelled so long ago that none of its tasks may be
 // left.
-func (c *Cluster) overdue(j *Job) bool {
-	return j.Told == wire.JobCancelled && c.Clock.Now().Sub(j.CancelledAt) > c.cancelTime()
+func (c *Cluster) cancelOverdue(job *Job) bool {
+	return job.KnownState == wire.JobCancelled && c.Clock.Now().Sub(job.CancelledAt) > c.cancelTimeout()
 }
 
 // checkStart checks the rules that the start of a task may break.
-func (c *Cluster) checkStart(w *Worker, j *Job, n int) {
-	name := wire.TaskName(j.Spec.ID, n)
+func (c *Cluster) checkStart(worker *Worker, job *Job, index int) {
+	name := wire.TaskName(job.Spec.ID, index)
 	zones := map[string]int{}
-	for _, other := range j.workersWithTasks() {
-		for _, t := range other.Tasks {
-			if t.Job != j || !t.OnMachine() {
+	for _, other := range job.workersWithTasks() {
+		for _, task := range other.Tasks {
+			if task.Job != job || !task.OnMachine() {
 				continue
 			}
 			zones[other.Host.Zone]++
-			if t.N == n {
-				c.Break(RanTwice, "%s starts on %s while on %s", name, w.Host.ID, other.Host.ID)
+			if task.Index == index {
+				c.AddViolation(RanTwice, "%s starts on %s while on %s", name, worker.Host.ID, other.Host.ID)
 			}
 		}
 	}
-	c.checkPlace(w, j, name, zones)
-	if c.overdue(j) {
-		c.Break(RanCancelled, "%s starts", name)
+	c.checkPlacement(worker, job, name, zones)
+	if c.cancelOverdue(job) {
+		c.AddViolation(RanCancelled, "%s starts", name)
 	}
 }
 
-// checkPlace checks a start against the placement conditions; zones counts the job's
+// checkPlacement checks a start against the placement conditions; zones counts the job's
 // other tasks.
-func (c *Cluster) checkPlace(w *Worker, j *Job, name string, zones map[string]int) {
-	s := &j.Spec
-	typeAllowed := s.AnyType || slices.Contains(s.Types, w.Host.Type)
-	zoneAllowed := s.Zone == "" || s.Zone == w.Host.Zone
-	if !typeAllowed || !zoneAllowed || w.Host.Spot && !s.Spot {
-		c.Break(WrongPlace, "%s on %s", name, w.Host.ID)
-	}
-	for zone, n := range zones {
-		if s.SameZone && n > 0 && zone != w.Host.Zone {
-			c.Break(WrongPlace, "%s is in another zone than its siblings", name)
+func (c *Cluster) checkPlacement(worker *Worker, job *Job, name string, zones map[string]int) {
+	spec := &job.Spec
+	typeAllowed := spec.AnyType || slices.Contains(spec.Types, worker.Host.Type)
+	zoneAllowed := spec.Zone == "" || spec.Zone == worker.Host.Zone
+	if !typeAllowed || !zoneAllowed || worker.Host.Spot && !spec.Spot {
+		c.AddViolation(PlacementViolated, "%s on %s", name, worker.Host.ID)
+	}
+	for zone, count := range zones {
+		if spec.SameZone && count > 0 && zone != worker.Host.Zone {
+			c.AddViolation(PlacementViolated, "%s is in another zone than its siblings", name)
 		}
 	}
-	if s.SpreadAcrossZones && zones[w.Host.Zone]+1 > (s.Tasks+1)/2 {
-		c.Break(WrongPlace, "%s is one too many in its zone", name)
+	if spec.SpreadAcrossZones && zones[worker.Host.Zone]+1 > (spec.Tasks+1)/2 {
+		c.AddViolation(PlacementViolated, "%s is one too many in its zone", name)
 	}
 }
 
-// Used is what each team's tasks use, with the tasks on machines by job.
-func (c *Cluster) Used() (teams map[string]quota.Room, jobs map[*Job]int) {
-	teams, jobs = map[string]quota.Room{}, map[*Job]int{}
-	for _, w := range c.Workers {
-		for _, t := range w.Tasks {
-			if t.OnMachine() {
-				team := t.Job.Spec.Team
-				teams[team] = teams[team].Add(t.Job.need())
-				jobs[t.Job]++
+// Usage is what each team's tasks use, with the tasks on machines by job.
+func (c *Cluster) Usage() (teams map[string]quota.Resources, jobs map[*Job]int) {
+	teams, jobs = map[string]quota.Resources{}, map[*Job]int{}
+	for _, worker := range c.Workers {
+		for _, task := range worker.Tasks {
+			if task.OnMachine() {
+				team := task.Job.Spec.Team
+				teams[team] = teams[team].Add(task.Job.resources())
+				jobs[task.Job]++
 			}
 		}
 	}
@@ -115,70 +115,70 @@
 // Check checks the rules that hold at every moment. It is called after each step, so it
 // looks at each task once.
 func (c *Cluster) Check() {
-	used := make([]quota.Room, len(c.Facts.Teams))
-	for _, w := range c.Workers {
-		for _, t := range w.Tasks {
+	used := make([]quota.Resources, len(c.Config.Teams))
+	for _, worker := range c.Workers {
+		for _, t := range worker.Tasks {
 			if !t.OnMachine() {
 				continue
 			}
-			for i := range c.Facts.Teams {
-				if c.Facts.Teams[i].Name == t.Job.Spec.Team {
-					used[i] = used[i].Add(t.Job.need())
+			for i := range c.Config.Teams {
+				if c.Config.Teams[i].Name == t.Job.Spec.Team {
+					used[i] = used[i].Add(t.Job.resources())
 				}
 			}
-			if c.overdue(t.Job) {
-				c.Break(RanCancelled, "%s/%d still on %s", t.Job.Spec.ID, t.N, w.Host.ID)
+			if c.cancelOverdue(t.Job) {
+				c.AddViolation(RanCancelled, "%s/%d still on %s", t.Job.Spec.ID, t.Index, worker.Host.ID)
 			}
 		}
 	}
-	for i, t := range c.Facts.Teams {
+	for i, t := range c.Config.Teams {
 		if exceeds(used[i].CPUs, t.CPUsMax) || exceeds(used[i].GPUs, t.GPUsMax) {
-			c.Break(QuotaBroken, "%s uses %v", t.Name, used[i])
+			c.AddViolation(QuotaExceeded, "%s uses %v", t.Name, used[i])
 		}
 	}
 }
 
 func exceeds(used, limit float64) bool { return limit > 0 && used > limit+roundingSlack }
 
-// CheckForgotten checks that a question about each accepted job was answered lately.
-func (c *Cluster) CheckForgotten() {
-	for _, j := range c.Order {
-		if silent := c.Clock.Now().Sub(j.AnsweredAt); j.Accepted && silent > ForgottenAfter {
-			c.Break(Forgotten, "no question about %s was answered for %v", j.Spec.ID, silent)
+// CheckJobsForgotten checks that a question about each accepted job was answered lately.
+func (c *Cluster) CheckJobsForgotten() {
+	for _, job := range c.Submitted {
+		if unanswered := c.Clock.Now().Sub(job.AnsweredAt); job.Accepted && unanswered > JobForgottenAfter {
+			c.AddViolation(JobForgotten, "no question about %s was answered for %v", job.Spec.ID, unanswered)
 		}
 	}
 }
 
-// Tell records that a user was told a job's state; before is the state that the user had
+// RecordAnswer records that a user was told a job's state; before is the state that the user had
 // been told when the request was sent. It tells whether this was the first news of an
 // acceptance or of an end.
-func (c *Cluster) Tell(j *Job, stage, before string) (news bool) {
+func (c *Cluster) RecordAnswer(job *Job, stage, before string) (isNews bool) {
 	switch {
 	case isFinal(before) && stage != before:
-		c.Break(WentBack, "%s was told %s, now %s", j.Spec.ID, before, stage)
-	case stage == wire.JobDone && !j.Complete():
-		c.Break(NotDone, "%s", j.Spec.ID)
-	case stage == wire.JobCancelled && !j.CancelAsked:
-		c.Break(WentBack, "%s was never cancelled", j.Spec.ID)
+		c.AddViolation(StateRegressed, "%s was told %s, now %s", job.Spec.ID, before, stage)
+	case stage == wire.JobDone && !job.Complete():
+		c.AddViolation(CompletedEarly, "%s", job.Spec.ID)
+	case stage == wire.JobCancelled && !job.CancelRequested:
+		c.AddViolation(StateRegressed, "%s was never cancelled", job.Spec.ID)
 	}
-	if j.Impossible {
-		c.Break(Expectation, "%s was accepted, though it can never run", j.Spec.ID)
+	if job.Infeasible {
+		c.AddViolation(Expectation, "%s was accepted, though it can never run", job.Spec.ID)
 	}
-	j.AnsweredAt = c.Clock.Now()
-	if j.Ended() {
+	job.AnsweredAt = c.Clock.Now()
+	if job.Ended() {
 		return false
 	}
-	news = !j.Accepted || isFinal(stage)
+	isNews = !job.Accepted || isFinal(stage)
 	if stage == wire.JobCancelled {
-		j.CancelledAt = c.Clock.Now()
+		job.CancelledAt = c.Clock.Now()
 	}
-	j.Accepted, j.Told = true, stage
-	return news
+	job.Accepted, job.KnownState = true, stage
+	return isNews
 }
 
-// Refused records that a request about a job was refused: before is the state that its
+// RecordRefusal records that a request about a job was refused: before is the state that its
 // user had been told when it was sent.
-func (c *Cluster) Refused(j *Job, before string, status int) {
+func (c *Cluster) RecordRefusal(job *Job, before string, status int) {
 	switch status {
 	case 429, 503, 0:
 		return
@@ -187,39 +187,39 @@
 			return // not accepted yet as far as any user was told
 		}
 	}
-	c.Break(Forgotten, "%s, told %q before, answered %d", j.Spec.ID, before, status)
+	c.AddViolation(JobForgotten, "%s, told %q before, answered %d", job.Spec.ID, before, status)
 }
 
 // Fits tells whether a job, or one task of an array, could start now on machines that
 // usable approves of, while its team uses what is given.
-func (c *Cluster) Fits(j *Job, used quota.Room, usable func(w *Worker) bool) bool {
-	s := &j.Spec
-	need := 1
-	if s.Shape != wire.ShapeBatch {
-		need = s.Tasks
-	}
-	for _, t := range c.Facts.Teams {
-		if t.Name == s.Team && (exceeds(used.CPUs+float64(need)*s.Vcpus, t.CPUsMax) || exceeds(used.GPUs+float64(need)*s.Gpus, t.GPUsMax)) {
+func (c *Cluster) Fits(job *Job, used quota.Resources, usable func(worker *Worker) bool) bool {
+	spec := &job.Spec
+	needed := 1
+	if spec.Shape != wire.ShapeBatch {
+		needed = spec.Tasks
+	}
+	for _, team := range c.Config.Teams {
+		if team.Name == spec.Team && (exceeds(used.CPUs+float64(needed)*spec.Vcpus, team.CPUsMax) || exceeds(used.GPUs+float64(needed)*spec.Gpus, team.GPUsMax)) {
 			return false
 		}
 	}
-	places := map[string]int{}
-	for _, w := range c.Workers {
-		wrongType := !s.AnyType && !slices.Contains(s.Types, w.Host.Type)
-		if w.Hung || w.Faulty || w.Dead || !w.Recall.IsZero() || wrongType || s.Zone != "" && s.Zone != w.Host.Zone || w.Host.Spot && !s.Spot || !usable(w) {
+	slots := map[string]int{}
+	for _, worker := range c.Workers {
+		wrongType := !spec.AnyType && !slices.Contains(spec.Types, worker.Host.Type)
+		if worker.Hung || worker.Faulty || worker.Terminated || !worker.PreemptionTime.IsZero() || wrongType || spec.Zone != "" && spec.Zone != worker.Host.Zone || worker.Host.Spot && !spec.Spot || !usable(worker) {
 			continue
 		}
-		places[w.Host.Zone] += w.Free().Count(j.need(), s.Tasks)
+		slots[worker.Host.Zone] += worker.Available().FitCount(job.resources(), spec.Tasks)
 	}
-	total, most := 0, 0
-	for _, n := range places {
-		if s.SpreadAcrossZones {
-			n = min(n, (s.Tasks+1)/2)
+	total, largest := 0, 0
+	for _, n := range slots {
+		if spec.SpreadAcrossZones {
+			n = min(n, (spec.Tasks+1)/2)
 		}
-		total, most = total+n, max(most, n)
+		total, largest = total+n, max(largest, n)
 	}
-	if s.SameZone {
-		total = most
+	if spec.SameZone {
+		total = largest
 	}
-	return total >= need
+	return total >= needed
 }
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -14,25 +14,25 @@
 
 // StateLimits are the limits that the state service enforces; 0 means none.
 type StateLimits struct {
-	ValueBytes int     // of one value
-	TxnOps     int     // puts and deletes in one transaction
-	Writes     float64 // puts and deletes a second
-	Requests   float64 // requests a second
+	MaxValueBytes int     // of one value
+	MaxTxnOps     int     // puts and deletes in one transaction
+	WritesPerS     float64 // puts and deletes a second
+	RequestsPerS   float64 // requests a second
 }
 
-// bucket holds one second's worth of a rate.
-type bucket struct {
+// tokenBucket holds one second's worth of a rate.
+type tokenBucket struct {
 	spent float64
-	at    time.Time
+	updatedAt    time.Time
 }
 
 // take spends n of a rate, or tells that it is exceeded.
-func (b *bucket) take(now time.Time, rate, n float64) bool {
+func (b *tokenBucket) take(now time.Time, rate, n float64) bool {
 	if rate <= 0 {
 		return true
 	}
-	b.spent = max(0, b.spent-now.Sub(b.at).Seconds()*rate)
-	b.at = now
+	b.spent = max(0, b.spent-now.Sub(b.updatedAt).Seconds()*rate)
+	b.updatedAt = now
 	if b.spent+n > rate {
 		return false
 	}
@@ -46,259 +46,259 @@
 	Keys     map[string]wire.KeyValue
 	Revision uint64
 	Limits   StateLimits
-	Page     int // keys that a list shows at most
-	Kept     int // changes that are remembered
+	PageSize     int // keys that a list shows at most
+	MaxHistory     int // changes that are remembered
 	// OnCall is told of each call that has been decided, before its reply; nil: nobody.
 	OnCall func(c store.Call, status int)
 
-	clk         *Clock
+	clock         *Clock
 	rng         *rand.Rand
 	leases      map[uint64]*lease
-	log         []wire.Event
-	oldest      uint64 // changes up to here have been forgotten
-	nextLease   uint64
+	history         []wire.Event
+	compactedRevision      uint64 // changes up to here have been forgotten
+	lastLease   uint64
 	watches     []*watch
-	down        bool
-	writeRate   bucket
-	requestRate bucket
+	unavailable        bool
+	writeBucket   tokenBucket
+	requestBucket tokenBucket
 }
 
 type lease struct {
-	life time.Duration
-	ends time.Time
+	ttl time.Duration
+	expiresAt time.Time
 }
 
 type watch struct {
-	under string
+	prefix string
 	since uint64
 	reply func(store.Result)
 }
 
 // Sizes with which paging and forgotten changes happen in short tests.
 const (
-	smallPage    = 25
-	smallHistory = 400
+	defaultPageSize    = 25
+	defaultHistory = 400
 )
 
 // NewStateService makes an empty state service.
-func NewStateService(clk *Clock, rng *rand.Rand) *StateService {
-	s := &StateService{clk: clk, rng: rng, Keys: map[string]wire.KeyValue{}, leases: map[uint64]*lease{},
-		Page: smallPage, Kept: smallHistory}
-	s.sweep()
-	return s
+func NewStateService(clock *Clock, rng *rand.Rand) *StateService {
+	service := &StateService{clock: clock, rng: rng, Keys: map[string]wire.KeyValue{}, leases: map[uint64]*lease{},
+		PageSize: defaultPageSize, MaxHistory: defaultHistory}
+	service.expireLeases()
+	return service
 }
 
-// sweep ends leases that were not renewed, up to 100 ms late.
-func (s *StateService) sweep() {
-	if !s.down {
-		var over []uint64
-		for id, h := range s.leases {
-			if s.clk.Now().After(h.ends) {
-				over = append(over, id)
+// expireLeases ends leases that were not renewed, up to 100 ms late.
+func (s *StateService) expireLeases() {
+	if !s.unavailable {
+		var expired []uint64
+		for id, lease := range s.leases {
+			if s.clock.Now().After(lease.expiresAt) {
+				expired = append(expired, id)
 			}
 		}
-		sort.Slice(over, func(i, j int) bool { return over[i] < over[j] })
-		for _, id := range over {
+		sort.Slice(expired, func(i, j int) bool { return expired[i] < expired[j] })
+		for _, id := range expired {
 			delete(s.leases, id)
 			var keys []string
-			for k, it := range s.Keys {
-				if it.Lease == id {
-					keys = append(keys, k)
+			for key, item := range s.Keys {
+				if item.Lease == id {
+					keys = append(keys, key)
 				}
 			}
 			sort.Strings(keys)
-			for _, k := range keys {
+			for _, key := range keys {
 				s.Revision++
-				s.change(wire.Write{Delete: k})
+				s.apply(wire.Write{Delete: key})
 			}
-			s.wake()
+			s.notifyWatches()
 		}
 	}
-	s.clk.In(50*time.Millisecond, s.sweep)
+	s.clock.Schedule(50*time.Millisecond, s.expireLeases)
 }
 
-// SetDown begins or ends an outage. After one every lease has its full time again.
-func (s *StateService) SetDown(down bool) {
-	if s.down && !down {
-		for _, h := range s.leases {
-			h.ends = s.clk.Now().Add(h.life)
+// SetUnavailable begins or ends an outage. After one every lease has its full time again.
+func (s *StateService) SetUnavailable(unavailable bool) {
+	if s.unavailable && !unavailable {
+		for _, lease := range s.leases {
+			lease.expiresAt = s.clock.Now().Add(lease.ttl)
 		}
 	}
-	s.down = down
-	s.wake()
+	s.unavailable = unavailable
+	s.notifyWatches()
 }
 
 // Put sets a key, as a test's own change.
 func (s *StateService) Put(key string, value json.RawMessage) {
 	s.Revision++
-	s.change(wire.Write{Put: key, Value: value})
-	s.wake()
+	s.apply(wire.Write{Put: key, Value: value})
+	s.notifyWatches()
 }
 
-func (s *StateService) change(w wire.Write) {
-	if w.Delete != "" {
-		if _, ok := s.Keys[w.Delete]; ok {
-			delete(s.Keys, w.Delete)
-			s.log = append(s.log, wire.Event{Delete: w.Delete, Version: s.Revision})
+func (s *StateService) apply(write wire.Write) {
+	if write.Delete != "" {
+		if _, ok := s.Keys[write.Delete]; ok {
+			delete(s.Keys, write.Delete)
+			s.history = append(s.history, wire.Event{Delete: write.Delete, Version: s.Revision})
 		}
 	} else {
-		s.Keys[w.Put] = wire.KeyValue{Key: w.Put, Value: w.Value, Version: s.Revision, Lease: w.Lease}
-		s.log = append(s.log, wire.Event{Put: w.Put, Value: w.Value, Version: s.Revision})
+		s.Keys[write.Put] = wire.KeyValue{Key: write.Put, Value: write.Value, Version: s.Revision, Lease: write.Lease}
+		s.history = append(s.history, wire.Event{Put: write.Put, Value: write.Value, Version: s.Revision})
 	}
-	if len(s.log) > s.Kept {
-		s.oldest = s.log[s.Kept/2].Version
-		s.log = append([]wire.Event{}, s.log[s.Kept/2+1:]...)
+	if len(s.history) > s.MaxHistory {
+		s.compactedRevision = s.history[s.MaxHistory/2].Version
+		s.history = append([]wire.Event{}, s.history[s.MaxHistory/2+1:]...)
 	}
 }
 
-func (s *StateService) wake() {
-	if s.down {
+func (s *StateService) notifyWatches() {
+	if s.unavailable {
 		return
 	}
-	var left []*watch
+	var waiting []*watch
 	for _, w := range s.watches {
-		if r, ok := s.changes(w.under, w.since); ok {
+		if r, ok := s.eventsSince(w.prefix, w.since); ok {
 			w.reply(r)
 		} else {
-			left = append(left, w)
+			waiting = append(waiting, w)
 		}
 	}
-	s.watches = left
+	s.watches = waiting
 }
 
-func (s *StateService) changes(under string, since uint64) (store.Result, bool) {
-	if since < s.oldest {
+func (s *StateService) eventsSince(prefix string, since uint64) (store.Result, bool) {
+	if since < s.compactedRevision {
 		return store.Result{Status: 410}, true
 	}
-	r := store.Result{Status: 200, Revision: s.Revision}
-	for _, c := range s.log {
-		if c.Version > since && strings.HasPrefix(c.Put+c.Delete, under) {
-			r.Events = append(r.Events, c)
+	result := store.Result{Status: 200, Revision: s.Revision}
+	for _, change := range s.history {
+		if change.Version > since && strings.HasPrefix(change.Put+change.Delete, prefix) {
+			result.Events = append(result.Events, change)
 		}
 	}
-	return r, len(r.Events) > 0
+	return result, len(result.Events) > 0
 }
 
 // Call executes a call; reply may come later, for watches.
-func (s *StateService) Call(c store.Call, reply func(store.Result)) {
+func (s *StateService) Call(call store.Call, reply func(store.Result)) {
 	if s.OnCall != nil {
-		then := reply
+		next := reply
 		reply = func(r store.Result) {
-			s.OnCall(c, r.Status)
-			then(r)
+			s.OnCall(call, r.Status)
+			next(r)
 		}
 	}
-	if s.down && (c.Op != store.OpWatch || c.WatchWaitMs == 0) {
+	if s.unavailable && (call.Op != store.OpWatch || call.WatchWaitMs == 0) {
 		reply(store.Result{Status: 503})
 		return
 	}
-	if !s.requestRate.take(s.clk.Now(), s.Limits.Requests, 1) {
+	if !s.requestBucket.take(s.clock.Now(), s.Limits.RequestsPerS, 1) {
 		reply(store.Result{Status: 429})
 		return
 	}
-	switch c.Op {
+	switch call.Op {
 	case store.OpGet:
-		if it, ok := s.Keys[c.Key]; ok {
-			reply(store.Result{Status: 200, KeyValue: it})
+		if item, ok := s.Keys[call.Key]; ok {
+			reply(store.Result{Status: 200, KeyValue: item})
 		} else {
 			reply(store.Result{Status: 404, Revision: s.Revision})
 		}
 	case store.OpList:
-		reply(s.list(c))
+		reply(s.list(call))
 	case store.OpGrantLease:
-		s.nextLease++
-		s.leases[s.nextLease] = &lease{c.LeaseTTL, s.clk.Now().Add(c.LeaseTTL)}
-		reply(store.Result{Status: 200, Lease: s.nextLease})
+		s.lastLease++
+		s.leases[s.lastLease] = &lease{call.LeaseTTL, s.clock.Now().Add(call.LeaseTTL)}
+		reply(store.Result{Status: 200, Lease: s.lastLease})
 	case store.OpRenewLease:
-		h := s.leases[c.Lease]
-		if h == nil {
+		held := s.leases[call.Lease]
+		if held == nil {
 			reply(store.Result{Status: 404})
 			return
 		}
-		h.ends = s.clk.Now().Add(h.life)
-		reply(store.Result{Status: 200, Lease: c.Lease})
+		held.expiresAt = s.clock.Now().Add(held.ttl)
+		reply(store.Result{Status: 200, Lease: call.Lease})
 	case store.OpTransaction:
-		reply(s.multi(c.Transaction))
+		reply(s.transact(call.Transaction))
 	case store.OpWatch:
-		s.watch(c, reply)
+		s.watch(call, reply)
 	}
 }
 
 // list answers with the keys under a prefix, a page at a time.
-func (s *StateService) list(c store.Call) store.Result {
+func (s *StateService) list(call store.Call) store.Result {
 	var keys []string
-	for k := range s.Keys {
-		if strings.HasPrefix(k, c.Prefix) && k > c.After {
-			keys = append(keys, k)
+	for key := range s.Keys {
+		if strings.HasPrefix(key, call.Prefix) && key > call.After {
+			keys = append(keys, key)
 		}
 	}
 	sort.Strings(keys)
-	r := store.Result{Status: 200, Revision: s.Revision}
-	for _, k := range keys {
-		if len(r.KeyValues) == s.Page {
-			r.More = true
+	result := store.Result{Status: 200, Revision: s.Revision}
+	for _, key := range keys {
+		if len(result.KeyValues) == s.PageSize {
+			result.More = true
 			break
 		}
-		r.KeyValues = append(r.KeyValues, s.Keys[k])
+		result.KeyValues = append(result.KeyValues, s.Keys[key])
 	}
-	return r
+	return result
 }
 
 // watch answers once a key with the prefix has changed, or when the time has run out.
-func (s *StateService) watch(c store.Call, reply func(store.Result)) {
-	if r, ok := s.changes(c.Prefix, c.SinceRevision); (ok || c.WatchWaitMs == 0) && !s.down {
+func (s *StateService) watch(call store.Call, reply func(store.Result)) {
+	if r, ok := s.eventsSince(call.Prefix, call.SinceRevision); (ok || call.WatchWaitMs == 0) && !s.unavailable {
 		reply(r)
 		return
 	}
-	w := &watch{c.Prefix, c.SinceRevision, reply}
-	s.watches = append(s.watches, w)
-	s.clk.In(time.Duration(c.WatchWaitMs)*time.Millisecond, func() {
-		i := slices.Index(s.watches, w)
+	pending := &watch{call.Prefix, call.SinceRevision, reply}
+	s.watches = append(s.watches, pending)
+	s.clock.Schedule(time.Duration(call.WatchWaitMs)*time.Millisecond, func() {
+		i := slices.Index(s.watches, pending)
 		if i < 0 {
 			return
 		}
 		s.watches = slices.Delete(s.watches, i, i+1)
-		if !s.down {
+		if !s.unavailable {
 			reply(store.Result{Status: 200, Revision: s.Revision})
 		}
 	})
 }
 
-// multi executes a transaction.
-func (s *StateService) multi(m wire.Transaction) store.Result {
-	if !s.allowed(m) {
+// transact executes a transaction.
+func (s *StateService) transact(transaction wire.Transaction) store.Result {
+	if !s.allowed(transaction) {
 		return store.Result{Status: 400}
 	}
-	if n := float64(len(m.Writes)); n > 0 && !s.writeRate.take(s.clk.Now(), s.Limits.Writes, n) {
+	if n := float64(len(transaction.Writes)); n > 0 && !s.writeBucket.take(s.clock.Now(), s.Limits.WritesPerS, n) {
 		return store.Result{Status: 429}
 	}
 	var failed []string
-	for _, c := range m.Compares {
-		if s.Keys[c.Key].Version != c.Version {
-			failed = append(failed, c.Key)
+	for _, compare := range transaction.Compares {
+		if s.Keys[compare.Key].Version != compare.Version {
+			failed = append(failed, compare.Key)
 		}
 	}
 	if len(failed) > 0 {
 		return store.Result{Status: 409, FailedKeys: failed, Revision: s.Revision}
 	}
-	if len(m.Writes) > 0 {
+	if len(transaction.Writes) > 0 {
 		s.Revision++
-		for _, w := range m.Writes {
-			s.change(w)
+		for _, write := range transaction.Writes {
+			s.apply(write)
 		}
-		s.wake()
+		s.notifyWatches()
 	}
 	return store.Result{Status: 200, Revision: s.Revision}
 }
 
 // allowed tells whether a transaction is within the limits of size and names no lease
 // that has ended.
-func (s *StateService) allowed(m wire.Transaction) bool {
-	if s.Limits.TxnOps > 0 && len(m.Writes) > s.Limits.TxnOps {
+func (s *StateService) allowed(transaction wire.Transaction) bool {
+	if s.Limits.MaxTxnOps > 0 && len(transaction.Writes) > s.Limits.MaxTxnOps {
 		return false
 	}
-	return !slices.ContainsFunc(m.Writes, func(w wire.Write) bool {
-		return s.Limits.ValueBytes > 0 && len(w.Value) > s.Limits.ValueBytes ||
-			w.Lease != 0 && s.leases[w.Lease] == nil
+	return !slices.ContainsFunc(transaction.Writes, func(write wire.Write) bool {
+		return s.Limits.MaxValueBytes > 0 && len(write.Value) > s.Limits.MaxValueBytes ||
+			write.Lease != 0 && s.leases[write.Lease] == nil
 	})
 }
--- a/internal/standin/task.go
+++ b/internal/standin/task.go
@@ -11,112 +11,112 @@
 // Task is one attempt of a task on a worker.
 type Task struct {
 	Job     *Job
-	N       int
+	Index       int
 	Attempt uint64
 	Stage   string
 	Cause   string
 	Stored  bool
-	Until   time.Time // the end of what it is doing
+	StageEnds   time.Time // the end of what it is doing
 
-	lostAt time.Time // when a gang's task found another one gone; zero: not
+	peerLostAt time.Time // when a gang's task found another one gone; zero: not
 }
 
 // OnMachine tells whether the task takes room on its machine.
 func (t *Task) OnMachine() bool { return t.Stage != wire.TaskExited }
 
 // advance lets a task go on with what it is doing.
-func (w *Worker) advance(t *Task) {
-	switch t.Stage {
+func (w *Worker) advance(task *Task) {
+	switch task.Stage {
 	case wire.TaskFetching:
-		w.advanceFetching(t)
+		w.advanceFetching(task)
 	case wire.TaskWaiting:
-		w.advanceWaiting(t)
+		w.advanceWaiting(task)
 	case wire.TaskRunning, wire.TaskSaving:
-		w.advanceRunning(t)
+		w.advanceRunning(task)
 	}
 }
 
-func (w *Worker) advanceFetching(t *Task) {
+func (w *Worker) advanceFetching(task *Task) {
 	now := w.cluster.Clock.Now()
-	if now.Before(t.Until) {
+	if now.Before(task.StageEnds) {
 		return
 	}
-	w.Images[t.Job.Spec.Image] = true
-	w.changed = true
+	w.Images[task.Job.Spec.Image] = true
+	w.heartbeatRequested = true
 	switch {
-	case w.Faulty || t.Job.Faulty:
-		w.exit(t, wire.ExitError, false)
-	case t.Job.Done[t.N]:
-		w.exit(t, wire.ExitDone, false)
-	case t.Job.Spec.Shape == wire.ShapeGang:
-		t.Stage, t.Until = wire.TaskWaiting, now.Add(config.Seconds(w.cluster.Facts.Workers.GangWaitS))
+	case w.Faulty || task.Job.Faulty:
+		w.exit(task, wire.ExitError, false)
+	case task.Job.Done[task.Index]:
+		w.exit(task, wire.ExitDone, false)
+	case task.Job.Spec.Shape == wire.ShapeGang:
+		task.Stage, task.StageEnds = wire.TaskWaiting, now.Add(config.Seconds(w.cluster.Config.Workers.GangWaitS))
 	default:
-		t.Stage, t.Until = wire.TaskRunning, now.Add(t.Job.Run)
+		task.Stage, task.StageEnds = wire.TaskRunning, now.Add(task.Job.RunTime)
 	}
 }
 
 // advanceWaiting starts a gang once its last task has its image.
-func (w *Worker) advanceWaiting(t *Task) {
+func (w *Worker) advanceWaiting(task *Task) {
 	now := w.cluster.Clock.Now()
-	members := w.cluster.members(t)
-	if len(members) < t.Job.Spec.Tasks {
-		if now.After(t.Until) {
-			w.exit(t, wire.ExitGangWaitTimeout, false)
+	members := w.cluster.gangMembers(task)
+	if len(members) < task.Job.Spec.Tasks {
+		if now.After(task.StageEnds) {
+			w.exit(task, wire.ExitGangWaitTimeout, false)
 		}
 		return
 	}
-	if slices.ContainsFunc(members, func(m member) bool { return m.task.Stage != wire.TaskWaiting }) {
+	if slices.ContainsFunc(members, func(peer gangMember) bool { return peer.task.Stage != wire.TaskWaiting }) {
 		return
 	}
-	for _, m := range members {
-		m.task.Stage, m.task.Until = wire.TaskRunning, now.Add(t.Job.Run)
-		m.worker.changed = true
+	for _, peer := range members {
+		peer.task.Stage, peer.task.StageEnds = wire.TaskRunning, now.Add(task.Job.RunTime)
+		peer.worker.heartbeatRequested = true
 	}
 }
 
-func (w *Worker) advanceRunning(t *Task) {
+func (w *Worker) advanceRunning(task *Task) {
 	now := w.cluster.Clock.Now()
-	gang := t.Job.Spec.Shape == wire.ShapeGang
-	if gang && len(w.cluster.members(t)) < t.Job.Spec.Tasks {
-		if t.lostAt.IsZero() {
-			t.lostAt = now
+	gang := task.Job.Spec.Shape == wire.ShapeGang
+	if gang && len(w.cluster.gangMembers(task)) < task.Job.Spec.Tasks {
+		if task.peerLostAt.IsZero() {
+			task.peerLostAt = now
 		}
-		if now.Sub(t.lostAt) > membersLost {
-			w.exit(t, wire.ExitGangMemberLost, false)
+		if now.Sub(task.peerLostAt) > peerLossTimeout {
+			w.exit(task, wire.ExitGangMemberLost, false)
 			return
 		}
-		if t.Stage == wire.TaskRunning {
+		if task.Stage == wire.TaskRunning {
 			return
 		}
 	}
 	switch {
-	case now.Before(t.Until):
-	case t.Stage == wire.TaskSaving:
-		w.exit(t, wire.ExitStopped, true)
-	case t.Job.Spec.Shape == wire.ShapeService:
+	case now.Before(task.StageEnds):
+	case task.Stage == wire.TaskSaving:
+		w.exit(task, wire.ExitStopped, true)
+	case task.Job.Spec.Shape == wire.ShapeService:
 	case gang:
-		w.completeGang(t)
+		w.completeGang(task)
 	default:
-		t.Job.Done[t.N] = true
-		w.exit(t, wire.ExitDone, false)
-		w.cluster.completed(t.Job)
+		task.Job.Done[task.Index] = true
+		w.exit(task, wire.ExitDone, false)
+		w.cluster.notifyCompleted(task.Job)
 	}
 }
 
 // completeGang completes all tasks of a gang together.
-func (w *Worker) completeGang(t *Task) {
-	members := w.cluster.members(t)
-	if slices.ContainsFunc(members, func(m member) bool { return m.task.Stage != wire.TaskRunning }) {
+func (w *Worker) completeGang(task *Task) {
+	members := w.cluster.gangMembers(task)
+	if slices.ContainsFunc(members, func(peer gangMember) bool { return peer.task.Stage != wire.TaskRunning }) {
 		return
 	}
-	for _, m := range members {
-		t.Job.Done[m.task.N] = true
-		m.worker.exit(m.task, wire.ExitDone, false)
+	for _, peer := range members {
+		task.Job.Done[peer.task.Index] = true
+		peer.worker.exit(peer.task, wire.ExitDone, false)
 	}
-	w.cluster.completed(t.Job)
+	w.cluster.notifyCompleted(task.Job)
 }
 
-func (w *Worker) exit(t *Task, cause string, stored bool) {
-	t.Stage, t.Cause, t.Stored = wire.TaskExited, cause, stored
-	w.changed = true
+func (w *Worker) exit(task *Task, cause string, stored bool) {
+	task.Stage, task.Cause, task.Stored = wire.TaskExited, cause, stored
+	w.heartbeatRequested = true
 }
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -45,11 +45,11 @@
 		return res
 	}
 	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, tuning.StateAnswerBytes+1))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, tuning.MaxStoreResponseBytes+1))
 	if err != nil {
 		return res
 	}
-	if len(raw) > tuning.StateAnswerBytes && call.Op == OpWatch {
+	if len(raw) > tuning.MaxStoreResponseBytes && call.Op == OpWatch {
 		// Asked again the same changes would come, and more: the keys have to be read
 		// anew, a page at a time.
 		res.Status = http.StatusGone
--- a/internal/store/desired_value.go
+++ b/internal/store/desired_value.go
@@ -101,7 +101,7 @@
 			r.markDurable(now, ver)
 		case res.Status == 409 && slices.Contains(res.FailedKeys, r.termCompare.Key):
 			r.setState(valueDirty)
-			r.retryAt = now.Add(tuning.RecordRetry)
+			r.retryAt = now.Add(tuning.WriterRetryInitial)
 			r.onTermLost(now)
 		case res.Status == 409:
 			r.readVersion(now)
@@ -109,7 +109,7 @@
 			r.handleTooLarge(now, ver)
 		default:
 			r.setState(valueDirty)
-			r.retryAt = now.Add(tuning.RecordRetry)
+			r.retryAt = now.Add(tuning.WriterRetryInitial)
 		}
 	})
 }
@@ -128,7 +128,7 @@
 		}
 		r.setState(valueDirty)
 	}
-	r.sizeRetryPause = min(max(2*r.sizeRetryPause, tuning.RecordRetry), tuning.RecordRetryMost)
+	r.sizeRetryPause = min(max(2*r.sizeRetryPause, tuning.WriterRetryInitial), tuning.WriterRetryMax)
 	r.retryAt = now.Add(r.sizeRetryPause)
 }
 
@@ -153,7 +153,7 @@
 		case 404:
 			r.version = 0
 		default:
-			r.retryAt = now.Add(tuning.RecordRetry)
+			r.retryAt = now.Add(tuning.WriterRetryInitial)
 		}
 	})
 }
--- a/internal/store/pages.go
+++ b/internal/store/pages.go
@@ -57,7 +57,7 @@
 // NewPages makes empty pages under a prefix. Each page is written at most once
 // in a while.
 func NewPages(under string, valueKB float64, every time.Duration, class Priority, tenure wire.Compare, call Caller, log *slog.Logger, lost func(now time.Time)) *Pages {
-	return &Pages{prefix: under, maxPageBytes: int(valueKB * 1024 * tuning.PageFill), writeInterval: every, priority: class, termCompare: tenure, stateCall: call, log: log, onTermLost: lost,
+	return &Pages{prefix: under, maxPageBytes: int(valueKB * 1024 * tuning.PageFillShare), writeInterval: every, priority: class, termCompare: tenure, stateCall: call, log: log, onTermLost: lost,
 		pageOf: map[string]*page{}, stalePagesOf: map[string][]*page{}}
 }
 
@@ -85,11 +85,11 @@
 // lowerLimit makes the limit of all pages smaller, as the service has refused one of them,
 // and tells whether it could be.
 func (p *Pages) lowerLimit(g *page) bool {
-	if p.maxPageBytes <= tuning.PageLeast {
+	if p.maxPageBytes <= tuning.MinPageBytes {
 		p.log.Error("the state service refuses even a small page", "key", g.value.Key, "bytes", g.size)
 		return false
 	}
-	p.maxPageBytes = max(tuning.PageLeast, min(p.maxPageBytes, g.size)/2)
+	p.maxPageBytes = max(tuning.MinPageBytes, min(p.maxPageBytes, g.size)/2)
 	p.log.Warn("the state service has refused a page for its size", "key", g.value.Key, "bytes", g.size, "limit", p.maxPageBytes)
 	g.dirty = true
 	if p.OnLimitLowered != nil {
@@ -106,7 +106,7 @@
 func (p *Pages) Load(items []wire.KeyValue, each func(key string, value json.RawMessage)) {
 	for _, it := range items {
 		n, err := strconv.Atoi(strings.TrimPrefix(it.Key, p.prefix))
-		if err != nil || n < 0 || n > tuning.PagesMost {
+		if err != nil || n < 0 || n > tuning.MaxPages {
 			p.log.Error("page's name cannot be read", "key", it.Key)
 			p.unreadable++
 			continue
@@ -254,7 +254,7 @@
 // writeDue tells whether a page is to be written now.
 func (g *page) writeDue(now time.Time) bool {
 	if g.entriesRemoved && g.removalWriteAt.IsZero() {
-		g.removalWriteAt = now.Add(tuning.PruneEvery)
+		g.removalWriteAt = now.Add(tuning.PageRemovalInterval)
 	}
 	return g.dirty && !now.Before(g.writeAt) || g.entriesRemoved && !now.Before(g.removalWriteAt)
 }
--- a/internal/store/pages_test.go
+++ b/internal/store/pages_test.go
@@ -86,7 +86,7 @@
 	if writes != before {
 		t.Errorf("%d writes for removals", writes-before)
 	}
-	p.Tick(now.Add(tuning.PruneEvery))
+	p.Tick(now.Add(tuning.PageRemovalInterval))
 	if len(kv) != 0 {
 		t.Errorf("%d empty pages are left", len(kv))
 	}
@@ -234,7 +234,7 @@
 					t.Errorf("refused again: %.40s", v)
 				}
 			}
-			if most := 60 * 60 / int(tuning.RecordRetryMost.Seconds()) * (len(times) + 1); len(s.refused) > most {
+			if most := 60 * 60 / int(tuning.WriterRetryMax.Seconds()) * (len(times) + 1); len(s.refused) > most {
 				t.Errorf("%d refusals in an hour, %d values", len(s.refused), len(times))
 			}
 		})
--- a/internal/store/rate_limiter.go
+++ b/internal/store/rate_limiter.go
@@ -49,7 +49,7 @@
 
 // NewRateLimiter makes the budget of one of n nodes.
 func NewRateLimiter(limits config.StateLimits, n int) *RateLimiter {
-	b := &RateLimiter{nodes: max(1, n), currentLimits: limits, upcomingLimits: limits.Upcoming(), loweredFor: tuning.RaiseAfter}
+	b := &RateLimiter{nodes: max(1, n), currentLimits: limits, upcomingLimits: limits.Upcoming(), loweredFor: tuning.RateRaiseInitial}
 	b.share = b.minShare()
 	b.applyLimits(limits)
 	return b
@@ -60,7 +60,7 @@
 	if b.nodes == 1 {
 		return 1
 	}
-	return tuning.StateShare
+	return tuning.StoreRateShare
 }
 
 // growShare lets the node use more of the rates while its writes wait and the service
@@ -69,12 +69,12 @@
 	if now.Before(b.shareReviewAt) {
 		return
 	}
-	b.shareReviewAt = now.Add(tuning.ShareEvery)
+	b.shareReviewAt = now.Add(tuning.RateShareInterval)
 	if !b.writesWaited {
 		return
 	}
 	b.writesWaited = false
-	b.setShare(now, min(1, b.share+tuning.ShareStep))
+	b.setShare(now, min(1, b.share+tuning.RateShareStep))
 }
 
 // setShare changes the rates to another share, without a new burst.
@@ -117,10 +117,10 @@
 	switch level {
 	case limitsLowered:
 		b.levelChangeAt = now.Add(b.loweredFor)
-		b.loweredFor = min(2*b.loweredFor, tuning.RaiseAfterMost)
+		b.loweredFor = min(2*b.loweredFor, tuning.RateRaiseMax)
 		b.applyLimits(b.upcomingLimits)
 	case limitsTrial:
-		b.levelChangeAt = now.Add(tuning.LowerWithin)
+		b.levelChangeAt = now.Add(tuning.RateLowerWindow)
 		b.applyLimits(b.currentLimits)
 	}
 }
@@ -133,10 +133,10 @@
 func (b *RateLimiter) Observe(now time.Time, c Call, status int) (lowered bool) {
 	switch {
 	case rejectedForSize(c, status):
-		b.rejections = tuning.LowerAfter
+		b.rejections = tuning.RateLowerRefusals
 	case status == http.StatusTooManyRequests:
 		b.setShare(now, b.minShare())
-		b.shareReviewAt = now.Add(tuning.SharePause)
+		b.shareReviewAt = now.Add(tuning.RateSharePause)
 		b.drainBucket(now, c)
 		b.countRejection(now)
 	default:
@@ -169,13 +169,13 @@
 }
 
 func (b *RateLimiter) countRejection(now time.Time) {
-	if now.Sub(b.rejectionsSince) > tuning.LowerWithin {
+	if now.Sub(b.rejectionsSince) > tuning.RateLowerWindow {
 		b.rejections, b.rejectionsSince = 0, now
 	}
 	b.rejections++
 	if b.level == limitsLowered {
 		// even the lowered rate is refused: others have not noticed yet
-		b.levelChangeAt = latest(b.levelChangeAt, now.Add(tuning.RaiseAfter))
+		b.levelChangeAt = latest(b.levelChangeAt, now.Add(tuning.RateRaiseInitial))
 	}
 }
 
@@ -189,9 +189,9 @@
 // rejectionsToLower is how many refusals within LowerWithin lower the rate.
 func (b *RateLimiter) rejectionsToLower() int {
 	if b.level == limitsTrial {
-		return tuning.LowerAfterTrial
+		return tuning.RateTrialRefusals
 	}
-	return tuning.LowerAfter
+	return tuning.RateLowerRefusals
 }
 
 // reviewLevel moves on to a trial of the present rate, or back to it for good, when it is time.
@@ -213,7 +213,7 @@
 	b.reviewLevel(now)
 	b.growShare(now)
 	if b.calls.TokensAt(now) < 1 {
-		return tuning.BudgetRetry, false
+		return tuning.RateLimitRetry, false
 	}
 	if n := len(c.Transaction.Writes); n > 0 {
 		need := float64(n)
@@ -224,7 +224,7 @@
 		}
 		if b.writes.TokensAt(now) < need+b.reservedWrites[c.Priority] {
 			b.writesWaited = true
-			return tuning.BudgetRetry, false
+			return tuning.RateLimitRetry, false
 		}
 		b.writes.AllowN(now, min(n, b.writes.Burst()))
 	}
--- a/internal/store/rate_limiter_test.go
+++ b/internal/store/rate_limiter_test.go
@@ -103,7 +103,7 @@
 			b := NewRateLimiter(config.StateLimits{RPS: 100, WriteRPS: 20, Next: config.UpcomingLimits{"write_rps": 10.0}}, 1)
 			start := time.Unix(100, 0)
 			now := start
-			for range tuning.LowerAfter {
+			for range tuning.RateLowerRefusals {
 				now = now.Add(100 * time.Millisecond)
 				b.Observe(now, write, http.StatusTooManyRequests)
 			}
@@ -217,8 +217,8 @@
 		finalShare float64
 	}{
 		{"more than its part is wanted, and there is room", 30, false, 180, 201, 1},
-		{"less than its part is wanted", 5, false, 49, 51, tuning.StateShare},
-		{"the others use theirs: refusals", 30, true, 0, 125, tuning.StateShare},
+		{"less than its part is wanted", 5, false, 49, 51, tuning.StoreRateShare},
+		{"the others use theirs: refusals", 30, true, 0, 125, tuning.StoreRateShare},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := NewRateLimiter(config.StateLimits{RPS: 1000, WriteRPS: 20}, 3)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -58,11 +58,11 @@
 func (c Call) Timeout() time.Duration {
 	switch c.Op {
 	case OpWatch:
-		return time.Duration(c.WatchWaitMs)*time.Millisecond + tuning.StateTimeout
+		return time.Duration(c.WatchWaitMs)*time.Millisecond + tuning.StoreTimeout
 	case OpRenewLease:
-		return tuning.TouchTimeout
+		return tuning.RenewTimeout
 	}
-	return tuning.StateTimeout
+	return tuning.StoreTimeout
 }
 
 // Result is what came of a call.
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -155,7 +155,7 @@
 // An answer to a watch that is longer than a node reads: asked for again it would be as
 // long, so the mirror reads the keys anew.
 func TestTooManyChanges(t *testing.T) {
-	long := `{"Epoch":9,"Events":[{"Remove":"` + strings.Repeat("x", tuning.StateAnswerBytes) + `"}]}`
+	long := `{"Epoch":9,"Events":[{"Remove":"` + strings.Repeat("x", tuning.MaxStoreResponseBytes) + `"}]}`
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, long) }))
 	defer srv.Close()
 	c := NewClient(strings.TrimPrefix(srv.URL, "http://"), http.DefaultTransport, time.Now)
--- a/internal/store/watch_cache.go
+++ b/internal/store/watch_cache.go
@@ -159,13 +159,13 @@
 
 func (m *WatchCache) backOff(now time.Time) {
 	m.setState(watchIdle)
-	m.retryAt = now.Add(tuning.MirrorRetry)
+	m.retryAt = now.Add(tuning.WatchCacheRetry)
 }
 
 func (m *WatchCache) list(now time.Time, after string) {
 	m.setState(watchListing)
 	round := m.round
-	m.stateCall(Call{Op: OpList, Priority: PriorityLease, Prefix: m.prefix, After: after, PageSize: tuning.ListPage}, func(now time.Time, r Result) {
+	m.stateCall(Call{Op: OpList, Priority: PriorityLease, Prefix: m.prefix, After: after, PageSize: tuning.ListPageSize}, func(now time.Time, r Result) {
 		if m.round != round {
 			return
 		}
@@ -213,7 +213,7 @@
 	m.setState(watchFollowing)
 	m.round++
 	round := m.round
-	m.stateCall(Call{Op: OpWatch, Priority: PriorityLease, Prefix: m.prefix, SinceRevision: m.revision, WatchWaitMs: int(tuning.WatchWait.Milliseconds())}, func(now time.Time, r Result) {
+	m.stateCall(Call{Op: OpWatch, Priority: PriorityLease, Prefix: m.prefix, SinceRevision: m.revision, WatchWaitMs: int(tuning.WatchTimeout.Milliseconds())}, func(now time.Time, r Result) {
 		if m.round != round {
 			return
 		}
--- a/internal/submission/cancel.go
+++ b/internal/submission/cancel.go
@@ -9,58 +9,58 @@
 )
 
 // Cancel withdraws a job unless it is done already.
-func (s *Slice) Cancel(now time.Time, id string, reply func(Response)) {
+func (s *Service) Cancel(now time.Time, id string, reply func(Response)) {
 	if !wire.ValidID(id) {
-		reply(refuse(404, "no such job", 0))
+		reply(errorResponse(404, "no such job", 0))
 		return
 	}
-	if f, ok := s.finals.m[id]; ok {
-		reply(Response{Status: 200, Body: wire.JobAccepted{ID: id, State: f.State}})
+	if ended, ok := s.endedJobs.byID[id]; ok {
+		reply(Response{Status: 200, Body: wire.JobAccepted{ID: id, State: ended.State}})
 		return
 	}
-	if s.inHand >= tuning.SubmitsInHand {
-		reply(Busy())
+	if s.writesInFlight >= tuning.MaxSubmissionsInFlight {
+		reply(BusyResponse())
 		return
 	}
-	s.inHand++
+	s.writesInFlight++
 	s.cancel(now, id, 0, func(r Response) {
-		s.inHand--
+		s.writesInFlight--
 		reply(r)
 	})
 }
 
-func (s *Slice) cancel(now time.Time, id string, tries int, reply func(Response)) {
-	s.find(now, id, func(f found) {
+func (s *Service) cancel(now time.Time, id string, attempt int, reply func(Response)) {
+	s.lookUp(now, id, func(lookup jobLookup) {
 		switch {
-		case !f.sure:
-			reply(Unable("state service does not answer"))
+		case !lookup.certain:
+			reply(UnavailableResponse("state service does not answer"))
 			return
-		case f.stage == "":
-			reply(refuse(404, "no such job", 0))
+		case lookup.stage == "":
+			reply(errorResponse(404, "no such job", 0))
 			return
-		case f.stage != wire.JobPending:
-			reply(Response{Status: 200, Body: wire.JobAccepted{ID: id, State: f.stage}})
+		case lookup.stage != wire.JobPending:
+			reply(Response{Status: 200, Body: wire.JobAccepted{ID: id, State: lookup.stage}})
 			return
 		}
-		s.call(store.Call{Op: store.OpTransaction, Priority: store.PriorityUser, Transaction: wire.Transaction{
-			Compares: []wire.Compare{store.VersionEquals(OpenKey(id), f.version)},
+		s.callStore(store.Call{Op: store.OpTransaction, Priority: store.PriorityUser, Transaction: wire.Transaction{
+			Compares: []wire.Compare{store.VersionEquals(OpenJobKey(id), lookup.version)},
 			Writes: []wire.Write{
-				store.Put(JobKey(id), JobRec{Stage: wire.JobCancelled}, 0),
-				store.Delete(OpenKey(id)),
+				store.Put(JobEndKey(id), JobEndRecord{Stage: wire.JobCancelled}, 0),
+				store.Delete(OpenJobKey(id)),
 			},
-		}}, func(now time.Time, r store.Result) {
+		}}, func(now time.Time, result store.Result) {
 			switch {
-			case r.OK():
+			case result.OK():
 				s.log.Debug("job cancelled", "job", id)
-				s.final(now, wire.JobState{ID: id, State: wire.JobCancelled})
+				s.rememberEnd(now, wire.JobState{ID: id, State: wire.JobCancelled})
 				reply(Response{Status: 200, Body: wire.JobAccepted{ID: id, State: wire.JobCancelled}})
-			case (r.Status == 409 || r.Status == 0) && tries < tuning.CancelTries:
+			case (result.Status == 409 || result.Status == 0) && attempt < tuning.MaxCancelTries:
 				// changed under us, or perhaps written: look again
-				s.cancel(now, id, tries+1, reply)
-			case r.Status == 429:
-				reply(Busy())
+				s.cancel(now, id, attempt+1, reply)
+			case result.Status == 429:
+				reply(BusyResponse())
 			default:
-				reply(Unable("state service does not answer"))
+				reply(UnavailableResponse("state service does not answer"))
 			}
 		})
 	})
--- a/internal/submission/cancellation_log.go
+++ b/internal/submission/cancellation_log.go
@@ -11,80 +11,80 @@
 // from the state service cannot read them there, and goes on renewing workers'
 // leases: it has to hear of them from whoever told.
 type CancellationLog struct {
-	blocks int
-	keep   time.Duration        // past it the job's tasks are gone, whoever holds its block
-	most   int                  // how many are noted
-	items  []*notedCancellation // in the order in which they were noted
-	byID   map[string]*notedCancellation
-	lost   time.Time // when the last one was left out for want of room; zero: never
+	shards    int
+	retention time.Duration        // past it the job's tasks are gone, whoever holds its block
+	capacity  int                  // how many are noted
+	entries   []*cancellationEntry // in the order in which they were noted
+	byID      map[string]*cancellationEntry
+	droppedAt time.Time // when the last one was left out for want of room; zero: never
 }
 
-type notedCancellation struct {
-	id  string
-	at  time.Time
-	had []uint64 // for each block, the highest token under which its holder said it has it
+type cancellationEntry struct {
+	id           string
+	toldAt       time.Time
+	acknowledged []uint64 // for each block, the highest token under which its holder said it has it
 }
 
 // NewCancellationLog makes an empty list for a deployment in which cancelled jobs' tasks are
 // gone within cancel and the state service takes so many changes a second: it has room for
 // as many cancellations as can be written in the time for which they are kept.
-func NewCancellationLog(blocks int, cancel time.Duration, writesPerS float64) *CancellationLog {
-	keep := cancel * tuning.CancellationKeep
-	written := int(keep.Seconds() * writesPerS / tuning.CancelWrites)
-	return &CancellationLog{blocks: blocks, keep: keep, most: max(tuning.CancellationsKept, written), byID: map[string]*notedCancellation{}}
+func NewCancellationLog(shards int, cancelTime time.Duration, writesPerS float64) *CancellationLog {
+	retention := cancelTime * tuning.CancellationRetentionFactor
+	written := int(retention.Seconds() * writesPerS / tuning.WritesPerCancellation)
+	return &CancellationLog{shards: shards, retention: retention, capacity: max(tuning.MinCancellationsKept, written), byID: map[string]*cancellationEntry{}}
 }
 
 // Add enters a cancellation, before its user is told.
-func (t *CancellationLog) Add(now time.Time, id string) {
-	t.prune(now)
-	if t.byID[id] != nil {
+func (l *CancellationLog) Add(now time.Time, id string) {
+	l.prune(now)
+	if l.byID[id] != nil {
 		return
 	}
-	if len(t.items) == t.most {
-		t.lost = now
+	if len(l.entries) == l.capacity {
+		l.droppedAt = now
 		return
 	}
-	e := &notedCancellation{id: id, at: now, had: make([]uint64, t.blocks)}
-	t.items = append(t.items, e)
-	t.byID[id] = e
+	entry := &cancellationEntry{id: id, toldAt: now, acknowledged: make([]uint64, l.shards)}
+	l.entries = append(l.entries, entry)
+	l.byID[id] = entry
 }
 
-// Had notes that the holder of a block under a token knows of cancellations. A later
+// Acknowledge notes that the holder of a block under a token knows of cancellations. A later
 // holder may not: what it read last may be older.
-func (t *CancellationLog) Had(ids []string, block int, token uint64) {
+func (l *CancellationLog) Acknowledge(ids []string, shard int, token uint64) {
 	for _, id := range ids {
-		if e := t.byID[id]; e != nil && block >= 0 && block < t.blocks {
-			e.had[block] = max(e.had[block], token)
+		if entry := l.byID[id]; entry != nil && shard >= 0 && shard < l.shards {
+			entry.acknowledged[shard] = max(entry.acknowledged[shard], token)
 		}
 	}
 }
 
 // Pending lists the cancellations that some holder of these tokens, by block, has not
 // said it has, and tells whether they are all there are.
-func (t *CancellationLog) Pending(now time.Time, tokens []uint64) (ids []string, whole bool) {
-	t.prune(now)
-	for _, e := range t.items {
-		for b, token := range tokens {
-			if e.had[b] < token || token == 0 {
-				ids = append(ids, e.id)
+func (l *CancellationLog) Pending(now time.Time, tokens []uint64) (ids []string, complete bool) {
+	l.prune(now)
+	for _, entry := range l.entries {
+		for shard, token := range tokens {
+			if entry.acknowledged[shard] < token || token == 0 {
+				ids = append(ids, entry.id)
 				break
 			}
 		}
-		if len(ids) > tuning.CancellationsAtOnce {
-			return ids[:tuning.CancellationsAtOnce], false
+		if len(ids) > tuning.MaxCancellationsPerMessage {
+			return ids[:tuning.MaxCancellationsPerMessage], false
 		}
 	}
-	return ids, t.lost.IsZero()
+	return ids, l.droppedAt.IsZero()
 }
 
-func (t *CancellationLog) prune(now time.Time) {
-	n := 0
-	for n < len(t.items) && now.Sub(t.items[n].at) > t.keep {
-		delete(t.byID, t.items[n].id)
-		n++
+func (l *CancellationLog) prune(now time.Time) {
+	expired := 0
+	for expired < len(l.entries) && now.Sub(l.entries[expired].toldAt) > l.retention {
+		delete(l.byID, l.entries[expired].id)
+		expired++
 	}
-	t.items = slices.Delete(t.items, 0, n)
-	if now.Sub(t.lost) > t.keep {
-		t.lost = time.Time{}
+	l.entries = slices.Delete(l.entries, 0, expired)
+	if now.Sub(l.droppedAt) > l.retention {
+		l.droppedAt = time.Time{}
 	}
 }
--- a/internal/submission/query.go
+++ b/internal/submission/query.go
@@ -8,72 +8,72 @@
 )
 
 // Query tells a job's state.
-func (s *Slice) Query(now time.Time, id string, reply func(Response)) {
+func (s *Service) Query(now time.Time, id string, reply func(Response)) {
 	if !wire.ValidID(id) {
-		reply(refuse(404, "no such job", 0))
+		reply(errorResponse(404, "no such job", 0))
 		return
 	}
-	if f, ok := s.finals.m[id]; ok {
-		reply(Response{Status: 200, Body: f})
+	if ended, ok := s.endedJobs.byID[id]; ok {
+		reply(Response{Status: 200, Body: ended})
 		return
 	}
-	if s.queries >= tuning.ReadsInHand {
-		reply(Busy())
+	if s.queriesInFlight >= tuning.MaxQueriesInFlight {
+		reply(BusyResponse())
 		return
 	}
-	s.queries++
+	s.queriesInFlight++
 	answer := func(r Response) {
-		s.queries--
+		s.queriesInFlight--
 		reply(r)
 	}
 	// One look at what has changed among the open jobs answers all questions
 	// that came before it.
-	s.open.WaitCurrent(now, s.gap, func(now time.Time, ok bool) {
+	s.openJobs.WaitCurrent(now, s.refreshInterval, func(now time.Time, ok bool) {
 		if !ok {
-			answer(Unable("state service does not answer"))
+			answer(UnavailableResponse("state service does not answer"))
 			return
 		}
-		s.state(now, id, answer)
+		s.answerOpen(now, id, answer)
 	})
 }
 
-// state tells a job's state as the records have it that were just read.
-func (s *Slice) state(now time.Time, id string, answer func(Response)) {
-	it, open := s.open.Get(OpenKey(id))
+// answerOpen tells a job's state as the records have it that were just read.
+func (s *Service) answerOpen(now time.Time, id string, answer func(Response)) {
+	item, open := s.openJobs.Get(OpenJobKey(id))
 	if !open {
-		s.ended(now, id, answer)
+		s.answerEnded(now, id, answer)
 		return
 	}
-	rec, err := ReadOpen(it)
+	record, err := ParseOpenJob(item)
 	if err != nil {
-		s.log.Error("job entry cannot be read", "key", it.Key, "error", err)
-		answer(Unable("the job's record cannot be read"))
+		s.log.Error("job entry cannot be read", "key", item.Key, "error", err)
+		answer(UnavailableResponse("the job's record cannot be read"))
 		return
 	}
-	s.progress(now, rec.Block, id, func(now time.Time, p Progress) {
-		if _, open := s.open.Get(OpenKey(id)); !open {
+	s.queryProgress(now, record.Shard, id, func(now time.Time, progress Progress) {
+		if _, open := s.openJobs.Get(OpenJobKey(id)); !open {
 			// it ended while its holder was asked, and somebody may have been told
-			s.ended(now, id, answer)
+			s.answerEnded(now, id, answer)
 			return
 		}
-		st := wire.JobState{ID: id, State: wire.JobPending, Done: p.Done, Running: p.Running}
-		if p.Running > 0 {
-			st.State = wire.JobRunning
+		state := wire.JobState{ID: id, State: wire.JobPending, Done: progress.Done, Running: progress.Running}
+		if progress.Running > 0 {
+			state.State = wire.JobRunning
 		}
-		answer(Response{Status: 200, Body: st})
+		answer(Response{Status: 200, Body: state})
 	})
 }
 
-// ended tells how a job that is not open ended, if there was one.
-func (s *Slice) ended(now time.Time, id string, answer func(Response)) {
-	s.end(now, id, func(f found) {
+// answerEnded tells how a job that is not open ended, if there was one.
+func (s *Service) answerEnded(now time.Time, id string, answer func(Response)) {
+	s.lookUpEnd(now, id, func(lookup jobLookup) {
 		switch {
-		case !f.sure:
-			answer(Unable("state service does not answer"))
-		case f.stage == "":
-			answer(refuse(404, "no such job", 0))
+		case !lookup.certain:
+			answer(UnavailableResponse("state service does not answer"))
+		case lookup.stage == "":
+			answer(errorResponse(404, "no such job", 0))
 		default:
-			answer(Response{Status: 200, Body: wire.JobState{ID: id, State: f.stage, Done: f.done}})
+			answer(Response{Status: 200, Body: wire.JobState{ID: id, State: lookup.stage, Done: lookup.done}})
 		}
 	})
 }
