--- a/internal/submission/record.go
+++ b/internal/submission/record.go
@@ -11,48 +11,48 @@
 	"juniperchute/internal/wire"
 )
 
-// JobRec tells how a job ended. It is written when the job's open entry is
+// JobEndRecord tells how a job ended. It is written when the job's open entry is
 // removed, in one transaction, and never removed itself: a job is open or ended,
 // never both.
-type JobRec struct {
+type JobEndRecord struct {
 	Stage string // done or withdrawn
 	Done  int    `json:",omitempty"`
 }
 
-// OpenRec is an open job's entry. Each change is conditioned on its version.
-type OpenRec struct {
-	Spec  wire.JobSpec
-	At    int64 // when it was accepted, ms of the time of day
-	Block int   `json:",omitempty"`
+// OpenJobRecord is an open job's entry. Each change is conditioned on its version.
+type OpenJobRecord struct {
+	Spec       wire.JobSpec
+	AcceptedAt int64 `json:"At"` // when it was accepted, ms of the time of day
+	Shard      int   `json:"Block,omitempty"`
 }
 
-// ReadOpen reads an open job's entry. An error means that this version cannot tell what
+// ParseOpenJob reads an open job's entry. An error means that this version cannot tell what
 // the job is: its shape or its form may be of a later one.
-func ReadOpen(it wire.KeyValue) (OpenRec, error) {
-	var rec OpenRec
-	if err := json.Unmarshal(it.Value, &rec); err != nil {
-		return OpenRec{}, err
+func ParseOpenJob(item wire.KeyValue) (OpenJobRecord, error) {
+	var record OpenJobRecord
+	if err := json.Unmarshal(item.Value, &record); err != nil {
+		return OpenJobRecord{}, err
 	}
-	s := &rec.Spec
-	_, known := wire.Priority(s.Priority)
+	spec := &record.Spec
+	_, known := wire.Priority(spec.Priority)
 	switch {
-	case s.ID != strings.TrimPrefix(it.Key, OpenUnder):
-		return OpenRec{}, errors.New("it names another job")
-	case s.Tasks < 1 || s.Tasks > wire.MaxTasksPerJob:
-		return OpenRec{}, fmt.Errorf("%d tasks", s.Tasks)
-	case !wire.KnownShape(s.Shape):
-		return OpenRec{}, fmt.Errorf("unknown shape %q", s.Shape)
+	case spec.ID != strings.TrimPrefix(item.Key, OpenJobPrefix):
+		return OpenJobRecord{}, errors.New("it names another job")
+	case spec.Tasks < 1 || spec.Tasks > wire.MaxTasksPerJob:
+		return OpenJobRecord{}, fmt.Errorf("%d tasks", spec.Tasks)
+	case !wire.KnownShape(spec.Shape):
+		return OpenJobRecord{}, fmt.Errorf("unknown shape %q", spec.Shape)
 	case !known:
-		return OpenRec{}, fmt.Errorf("unknown priority %q", s.Priority)
+		return OpenJobRecord{}, fmt.Errorf("unknown priority %q", spec.Priority)
 	}
-	return rec, nil
+	return record, nil
 }
 
-// OpenUnder is the prefix of all open jobs' entries.
-const OpenUnder = "q/"
+// OpenJobPrefix is the prefix of all open jobs' entries.
+const OpenJobPrefix = "q/"
 
-// JobKey is the key of a job's end.
-func JobKey(id string) string { return "j/" + id }
+// JobEndKey is the key of a job's end.
+func JobEndKey(id string) string { return "j/" + id }
 
-// OpenKey is the key of an open job's entry.
-func OpenKey(id string) string { return OpenUnder + id }
+// OpenJobKey is the key of an open job's entry.
+func OpenJobKey(id string) string { return OpenJobPrefix + id }
--- a/internal/submission/response.go
+++ b/internal/submission/response.go
@@ -13,17 +13,21 @@
 	RetryAfter int // seconds; 0: none
 }
 
-// Problem is the body of a refusal.
-type Problem struct {
+// ErrorBody is the body of a refusal.
+type ErrorBody struct {
 	Error string `json:"error"`
 }
 
-func refuse(status int, why string, retry int) Response {
-	return Response{Status: status, Body: Problem{why}, RetryAfter: retry}
+func errorResponse(status int, reason string, retryAfter int) Response {
+	return Response{Status: status, Body: ErrorBody{reason}, RetryAfter: retryAfter}
 }
 
-// Busy is the answer when a stage is full.
-func Busy() Response { return refuse(503, "too many requests at once", tuning.RetryAfterBusy) }
+// BusyResponse is the answer when a stage is full.
+func BusyResponse() Response {
+	return errorResponse(503, "too many requests at once", tuning.RetryAfterBusyS)
+}
 
-// Unable is the answer while a node cannot decide.
-func Unable(why string) Response { return refuse(503, why, tuning.RetryAfterUnable) }
+// UnavailableResponse is the answer while a node cannot decide.
+func UnavailableResponse(reason string) Response {
+	return errorResponse(503, reason, tuning.RetryAfterUnavailableS)
+}
--- a/internal/submission/submission.go
+++ b/internal/submission/submission.go
@@ -21,109 +21,109 @@
 	Done, Running int
 }
 
-// Slice is this node's part in answering users.
-type Slice struct {
-	facts        config.Platform
-	blocks       int
-	wall         func() time.Time
-	call         store.Caller
-	log          *slog.Logger
-	machineTypes func() map[string]wire.MachineType
-	open         *store.WatchCache
-	gap          time.Duration // between two looks at the open jobs
-	progress     func(now time.Time, block int, id string, then func(now time.Time, p Progress))
-	told         func(now time.Time, id string) // of a cancellation that a user is about to be told of
+// Service is this node's part in answering users.
+type Service struct {
+	config             config.Platform
+	shards             int
+	wallClock          func() time.Time
+	callStore          store.Caller
+	log                *slog.Logger
+	machineTypes       func() map[string]wire.MachineType
+	openJobs           *store.WatchCache
+	refreshInterval    time.Duration // between two looks at the open jobs
+	queryProgress      func(now time.Time, shard int, id string, callback func(now time.Time, p Progress))
+	recordCancellation func(now time.Time, id string) // of a cancellation that a user is about to be told of
 
-	inHand  int // submissions and cancellations under way
-	queries int // questions under way
-	finals  finals
+	writesInFlight  int // submissions and cancellations under way
+	queriesInFlight int // questions under way
+	endedJobs       endedJobCache
 }
 
 // New makes the slice.
-func New(facts config.Platform, blocks int, wall func() time.Time, call store.Caller, log *slog.Logger,
-	machineTypes func() map[string]wire.MachineType, open *store.WatchCache,
-	progress func(now time.Time, block int, id string, then func(now time.Time, p Progress)),
-	told func(now time.Time, id string)) *Slice {
-	gap := time.Duration(0)
-	if facts.State.RPS > 0 {
-		gap = time.Duration(float64(max(1, facts.Nodes)) / (facts.State.RPS * tuning.SyncShare) * float64(time.Second))
+func New(deployment config.Platform, shards int, wallClock func() time.Time, callStore store.Caller, log *slog.Logger,
+	machineTypes func() map[string]wire.MachineType, openJobs *store.WatchCache,
+	queryProgress func(now time.Time, shard int, id string, callback func(now time.Time, p Progress)),
+	recordCancellation func(now time.Time, id string)) *Service {
+	refreshInterval := time.Duration(0)
+	if deployment.State.RPS > 0 {
+		refreshInterval = time.Duration(float64(max(1, deployment.Nodes)) / (deployment.State.RPS * tuning.QueryRateShare) * float64(time.Second))
 	}
-	return &Slice{facts: facts, blocks: blocks, wall: wall, call: call, log: log, machineTypes: machineTypes, open: open, gap: gap, progress: progress, told: told,
-		finals: finals{m: map[string]wire.JobState{}}}
+	return &Service{config: deployment, shards: shards, wallClock: wallClock, callStore: callStore, log: log, machineTypes: machineTypes, openJobs: openJobs, refreshInterval: refreshInterval, queryProgress: queryProgress, recordCancellation: recordCancellation,
+		endedJobs: endedJobCache{byID: map[string]wire.JobState{}}}
 }
 
-// finals remembers how jobs ended, the newest ones.
-type finals struct {
-	m    map[string]wire.JobState
+// endedJobCache remembers how jobs ended, the newest ones.
+type endedJobCache struct {
+	byID map[string]wire.JobState
 	ring []string
-	at   int
+	next int
 }
 
-func (f *finals) put(s wire.JobState) {
-	if _, ok := f.m[s.ID]; ok {
+func (c *endedJobCache) put(job wire.JobState) {
+	if _, ok := c.byID[job.ID]; ok {
 		return
 	}
-	if len(f.ring) < tuning.FinalsKept {
-		f.ring = append(f.ring, s.ID)
+	if len(c.ring) < tuning.EndedJobsKept {
+		c.ring = append(c.ring, job.ID)
 	} else {
-		delete(f.m, f.ring[f.at])
-		f.ring[f.at] = s.ID
-		f.at = (f.at + 1) % len(f.ring)
+		delete(c.byID, c.ring[c.next])
+		c.ring[c.next] = job.ID
+		c.next = (c.next + 1) % len(c.ring)
 	}
-	f.m[s.ID] = s
+	c.byID[job.ID] = job
 }
 
-// final remembers how a job ended, before any user is told of it.
-func (s *Slice) final(now time.Time, st wire.JobState) {
-	if st.State == wire.JobCancelled {
-		s.told(now, st.ID)
+// rememberEnd remembers how a job ended, before any user is told of it.
+func (s *Service) rememberEnd(now time.Time, job wire.JobState) {
+	if job.State == wire.JobCancelled {
+		s.recordCancellation(now, job.ID)
 	}
-	s.finals.put(st)
+	s.endedJobs.put(job)
 }
 
-// block chooses the block of a new job.
-func (s *Slice) block(spec *wire.JobSpec) int {
-	if quota.Limited(s.facts.Teams, spec.Team) {
-		return quota.Home(s.facts.Teams, spec.Team, s.blocks)
+// chooseShard chooses the block of a new job.
+func (s *Service) chooseShard(spec *wire.JobSpec) int {
+	if quota.HasLimit(s.config.Teams, spec.Team) {
+		return quota.HomeShard(s.config.Teams, spec.Team, s.shards)
 	}
-	n := 0
-	for _, c := range spec.ID {
-		n = (n*31 + int(c)) % 1000003
+	hash := 0
+	for _, letter := range spec.ID {
+		hash = (hash*31 + int(letter)) % 1000003
 	}
-	return n % s.blocks
+	return hash % s.shards
 }
 
-// check tells why a job can never run; undecided means that this node cannot
+// checkFeasible tells why a job can never run; undecided means that this node cannot
 // tell yet.
-func (s *Slice) check(spec *wire.JobSpec) (why string, undecided bool) {
-	i := slices.IndexFunc(s.facts.Teams, func(t config.Team) bool { return t.Name == spec.Team })
-	if i < 0 {
+func (s *Service) checkFeasible(spec *wire.JobSpec) (reason string, undecided bool) {
+	teamIndex := slices.IndexFunc(s.config.Teams, func(candidate config.Team) bool { return candidate.Name == spec.Team })
+	if teamIndex < 0 {
 		return "unknown team", false
 	}
-	team := s.facts.Teams[i]
-	n := 1.0
+	team := s.config.Teams[teamIndex]
+	tasks := 1.0
 	if spec.Shape != wire.ShapeBatch {
-		n = float64(spec.Tasks)
+		tasks = float64(spec.Tasks)
 	}
-	if team.CPUsMax > 0 && n*spec.Vcpus > team.CPUsMax+1e-6 || team.GPUsMax > 0 && n*spec.Gpus > team.GPUsMax+1e-6 {
+	if team.CPUsMax > 0 && tasks*spec.Vcpus > team.CPUsMax+1e-6 || team.GPUsMax > 0 && tasks*spec.Gpus > team.GPUsMax+1e-6 {
 		return "needs more than the team's limit", false
 	}
 	machineTypes := s.machineTypes()
 	if len(machineTypes) == 0 {
 		return "", true
 	}
-	need := quota.Room{CPUs: spec.Vcpus, GPUs: spec.Gpus, MemGB: spec.MemGb}
+	required := quota.Resources{CPUs: spec.Vcpus, GPUs: spec.Gpus, MemGB: spec.MemGb}
 	zones := map[string]bool{}
-	for _, f := range machineTypes {
-		if !spec.AnyType && !slices.Contains(spec.Types, f.Name) {
+	for _, machineType := range machineTypes {
+		if !spec.AnyType && !slices.Contains(spec.Types, machineType.Name) {
 			continue
 		}
-		if !(quota.Room{CPUs: f.Vcpus, GPUs: f.Gpus, MemGB: f.MemGb}).Fits(need) {
+		if !(quota.Resources{CPUs: machineType.Vcpus, GPUs: machineType.Gpus, MemGB: machineType.MemGb}).Fits(required) {
 			continue
 		}
-		for _, y := range f.Zones {
-			if spec.Zone == "" || spec.Zone == y {
-				zones[y] = true
+		for _, zone := range machineType.Zones {
+			if spec.Zone == "" || spec.Zone == zone {
+				zones[zone] = true
 			}
 		}
 	}
@@ -137,148 +137,148 @@
 }
 
 // Submit takes a well-formed submission.
-func (s *Slice) Submit(now time.Time, spec wire.JobSpec, reply func(Response)) {
-	if f, ok := s.finals.m[spec.ID]; ok {
-		reply(Response{Status: 200, Body: wire.JobAccepted{ID: f.ID, State: f.State}})
+func (s *Service) Submit(now time.Time, spec wire.JobSpec, reply func(Response)) {
+	if job, ok := s.endedJobs.byID[spec.ID]; ok {
+		reply(Response{Status: 200, Body: wire.JobAccepted{ID: job.ID, State: job.State}})
 		return
 	}
-	why, undecided := s.check(&spec)
-	if s.inHand >= tuning.SubmitsInHand {
-		reply(Busy())
+	reason, undecided := s.checkFeasible(&spec)
+	if s.writesInFlight >= tuning.MaxSubmissionsInFlight {
+		reply(BusyResponse())
 		return
 	}
 	status := 422
-	if !spec.AnyType && why == "" && !undecided {
+	if !spec.AnyType && reason == "" && !undecided {
 		// names of no type would only take room in the record
-		spec.Types = slices.DeleteFunc(slices.Clone(spec.Types), func(b string) bool { _, ok := s.machineTypes()[b]; return !ok })
+		spec.Types = slices.DeleteFunc(slices.Clone(spec.Types), func(name string) bool { _, ok := s.machineTypes()[name]; return !ok })
 	}
-	rec := OpenRec{Spec: spec, At: s.wall().UnixMilli(), Block: s.block(&spec)}
-	if why == "" && !s.fits(rec) {
-		why, status = tooLarge, 400
+	record := OpenJobRecord{Spec: spec, AcceptedAt: s.wallClock().UnixMilli(), Shard: s.chooseShard(&spec)}
+	if reason == "" && !s.recordFits(record) {
+		reason, status = reasonTooLarge, 400
 	}
-	s.inHand++
+	s.writesInFlight++
 	answer := func(r Response) {
-		s.inHand--
+		s.writesInFlight--
 		reply(r)
 	}
 	switch {
 	case undecided:
-		s.find(now, spec.ID, func(f found) {
-			if f.stage == "" {
-				answer(Unable("cannot tell yet"))
+		s.lookUp(now, spec.ID, func(job jobLookup) {
+			if job.stage == "" {
+				answer(UnavailableResponse("cannot tell yet"))
 				return
 			}
-			answer(Response{Status: 200, Body: wire.JobAccepted{ID: spec.ID, State: f.stage}})
+			answer(Response{Status: 200, Body: wire.JobAccepted{ID: spec.ID, State: job.stage}})
 		})
-	case why != "":
-		s.refuseUnlessKnown(now, spec.ID, status, why, answer)
+	case reason != "":
+		s.refuseUnlessAccepted(now, spec.ID, status, reason, answer)
 	default:
-		s.write(now, rec, 0, answer)
+		s.create(now, record, 0, answer)
 	}
 }
 
-// fits tells whether a job's record fits the state service, now and after its limits fall.
-func (s *Slice) fits(rec OpenRec) bool {
-	raw, err := json.Marshal(rec)
-	limit := int(s.facts.State.StoredLimits().ValueKB * 1024 * tuning.PageFill)
-	return err == nil && (s.facts.State.ValueKB <= 0 || len(raw) <= limit)
+// recordFits tells whether a job's record fits the state service, now and after its limits fall.
+func (s *Service) recordFits(record OpenJobRecord) bool {
+	raw, err := json.Marshal(record)
+	limit := int(s.config.State.StoredLimits().ValueKB * 1024 * tuning.PageFillShare)
+	return err == nil && (s.config.State.ValueKB <= 0 || len(raw) <= limit)
 }
 
-// found is what a look at the records told of a job.
-type found struct {
-	sure    bool   // the records were read
+// jobLookup is what a look at the records told of a job.
+type jobLookup struct {
+	certain bool   // the records were read
 	stage   string // "" if there is no such job
 	done    int
 	version uint64 // of the open entry
 }
 
-// find reads a job's records: the open entry first, then the end. As a job goes
+// lookUp reads a job's records: the open entry first, then the end. As a job goes
 // from one to the other in one transaction, it cannot be missed in between.
-func (s *Slice) find(now time.Time, id string, then func(f found)) {
-	s.call(store.Call{Op: store.OpGet, Priority: store.PriorityUser, Key: OpenKey(id)}, func(now time.Time, r store.Result) {
+func (s *Service) lookUp(now time.Time, id string, callback func(lookup jobLookup)) {
+	s.callStore(store.Call{Op: store.OpGet, Priority: store.PriorityUser, Key: OpenJobKey(id)}, func(now time.Time, result store.Result) {
 		switch {
-		case r.Status == 404:
-			s.end(now, id, then)
+		case result.Status == 404:
+			s.lookUpEnd(now, id, callback)
 			return
-		case !r.OK():
-			then(found{})
+		case !result.OK():
+			callback(jobLookup{})
 			return
 		}
-		r.KeyValue.Key = OpenKey(id)
-		if _, err := ReadOpen(r.KeyValue); err != nil {
-			s.log.Error("job entry cannot be read", "key", r.KeyValue.Key, "error", err)
-			then(found{})
+		result.KeyValue.Key = OpenJobKey(id)
+		if _, err := ParseOpenJob(result.KeyValue); err != nil {
+			s.log.Error("job entry cannot be read", "key", result.KeyValue.Key, "error", err)
+			callback(jobLookup{})
 			return
 		}
-		then(found{sure: true, stage: wire.JobPending, version: r.KeyValue.Version})
+		callback(jobLookup{certain: true, stage: wire.JobPending, version: result.KeyValue.Version})
 	})
 }
 
-// end reads how a job that is not open ended.
-func (s *Slice) end(now time.Time, id string, then func(f found)) {
-	s.call(store.Call{Op: store.OpGet, Priority: store.PriorityUser, Key: JobKey(id)}, func(now time.Time, r store.Result) {
-		var rec JobRec
+// lookUpEnd reads how a job that is not open ended.
+func (s *Service) lookUpEnd(now time.Time, id string, callback func(lookup jobLookup)) {
+	s.callStore(store.Call{Op: store.OpGet, Priority: store.PriorityUser, Key: JobEndKey(id)}, func(now time.Time, result store.Result) {
+		var record JobEndRecord
 		switch {
-		case r.Status == 404:
-			then(found{sure: true})
-		case !r.OK():
-			then(found{})
-		case json.Unmarshal(r.KeyValue.Value, &rec) != nil || rec.Stage != wire.JobDone && rec.Stage != wire.JobCancelled:
-			s.log.Error("job record cannot be read", "key", JobKey(id))
-			then(found{})
+		case result.Status == 404:
+			callback(jobLookup{certain: true})
+		case !result.OK():
+			callback(jobLookup{})
+		case json.Unmarshal(result.KeyValue.Value, &record) != nil || record.Stage != wire.JobDone && record.Stage != wire.JobCancelled:
+			s.log.Error("job record cannot be read", "key", JobEndKey(id))
+			callback(jobLookup{})
 		default:
-			s.final(now, wire.JobState{ID: id, State: rec.Stage, Done: rec.Done})
-			then(found{sure: true, stage: rec.Stage, done: rec.Done})
+			s.rememberEnd(now, wire.JobState{ID: id, State: record.Stage, Done: record.Done})
+			callback(jobLookup{certain: true, stage: record.Stage, done: record.Done})
 		}
 	})
 }
 
-func (s *Slice) write(now time.Time, rec OpenRec, tries int, reply func(Response)) {
-	id := rec.Spec.ID
-	s.call(store.Call{Op: store.OpTransaction, Priority: store.PriorityUser, Transaction: wire.Transaction{
-		Compares: []wire.Compare{store.VersionEquals(OpenKey(id), 0), store.VersionEquals(JobKey(id), 0)},
-		Writes:   []wire.Write{store.Put(OpenKey(id), rec, 0)},
-	}}, func(now time.Time, r store.Result) {
+func (s *Service) create(now time.Time, record OpenJobRecord, attempt int, reply func(Response)) {
+	id := record.Spec.ID
+	s.callStore(store.Call{Op: store.OpTransaction, Priority: store.PriorityUser, Transaction: wire.Transaction{
+		Compares: []wire.Compare{store.VersionEquals(OpenJobKey(id), 0), store.VersionEquals(JobEndKey(id), 0)},
+		Writes:   []wire.Write{store.Put(OpenJobKey(id), record, 0)},
+	}}, func(now time.Time, result store.Result) {
 		switch {
-		case r.OK():
-			s.log.Debug("job accepted", "job", id, "class", rec.Spec.Class, "block", rec.Block)
+		case result.OK():
+			s.log.Debug("job accepted", "job", id, "class", record.Spec.Class, "block", record.Shard)
 			reply(Response{Status: 201, Body: wire.JobAccepted{ID: id, State: wire.JobPending}})
-		case r.Status == 409:
-			s.find(now, id, func(f found) {
-				if f.stage == "" {
-					reply(Unable("state service does not answer"))
+		case result.Status == 409:
+			s.lookUp(now, id, func(lookup jobLookup) {
+				if lookup.stage == "" {
+					reply(UnavailableResponse("state service does not answer"))
 					return
 				}
-				reply(Response{Status: 200, Body: wire.JobAccepted{ID: id, State: f.stage}})
+				reply(Response{Status: 200, Body: wire.JobAccepted{ID: id, State: lookup.stage}})
 			})
-		case r.Status == 0 && tries == 0:
+		case result.Status == 0 && attempt == 0:
 			// perhaps written: the same transaction then finds the key there
-			s.write(now, rec, tries+1, reply)
-		case r.Status == 429:
-			reply(Busy())
-		case r.Status == 400:
+			s.create(now, record, attempt+1, reply)
+		case result.Status == 429:
+			reply(BusyResponse())
+		case result.Status == 400:
 			// too large by a limit that nobody announced; accepted before that, perhaps
-			s.refuseUnlessKnown(now, id, 400, tooLarge, reply)
+			s.refuseUnlessAccepted(now, id, 400, reasonTooLarge, reply)
 		default:
-			reply(Unable("state service does not answer"))
+			reply(UnavailableResponse("state service does not answer"))
 		}
 	})
 }
 
-// tooLarge is why a job is refused whose record the state service does not take.
-const tooLarge = "too large to be kept"
+// reasonTooLarge is why a job is refused whose record the state service does not take.
+const reasonTooLarge = "too large to be kept"
 
-// refuseUnlessKnown refuses a submission for good, unless the job was accepted before: it
+// refuseUnlessAccepted refuses a submission for good, unless the job was accepted before: it
 // stays accepted, whatever the settings, the limits or the machine types have become.
-func (s *Slice) refuseUnlessKnown(now time.Time, id string, status int, why string, reply func(Response)) {
-	s.find(now, id, func(f found) {
+func (s *Service) refuseUnlessAccepted(now time.Time, id string, status int, reason string, reply func(Response)) {
+	s.lookUp(now, id, func(lookup jobLookup) {
 		switch {
-		case f.stage != "":
-			reply(Response{Status: 200, Body: wire.JobAccepted{ID: id, State: f.stage}})
-		case !f.sure:
-			reply(Unable("cannot tell yet"))
+		case lookup.stage != "":
+			reply(Response{Status: 200, Body: wire.JobAccepted{ID: id, State: lookup.stage}})
+		case !lookup.certain:
+			reply(UnavailableResponse("cannot tell yet"))
 		default:
-			reply(refuse(status, why, 0))
+			reply(errorResponse(status, reason, 0))
 		}
 	})
 }
--- a/internal/tracing/file.go
+++ b/internal/tracing/file.go
@@ -7,40 +7,40 @@
 	"sync"
 )
 
-// earlierSuffix is that of the file before the present one.
-const earlierSuffix = ".1"
+// previousSuffix is that of the file before the present one.
+const previousSuffix = ".1"
 
-// boundedFile is a file that is begun anew when it has taken half of what is allowed; the
+// rotatingFile is a file that is begun anew when it has taken half of what is allowed; the
 // one before it is kept.
-type boundedFile struct {
-	lock sync.Mutex
+type rotatingFile struct {
+	mutex sync.Mutex
 	name string
-	half int64
+	maxSize int64
 	file *os.File
 	size int64
 }
 
-func openBounded(name string, most int64) (*boundedFile, error) {
-	f, err := os.OpenFile(name, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+func openRotating(name string, maxBytes int64) (*rotatingFile, error) {
+	file, err := os.OpenFile(name, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("trace.file: %w", err)
 	}
-	info, err := f.Stat()
+	info, err := file.Stat()
 	if err != nil {
-		return nil, errors.Join(fmt.Errorf("trace.file: %w", err), f.Close())
+		return nil, errors.Join(fmt.Errorf("trace.file: %w", err), file.Close())
 	}
-	return &boundedFile{name: name, half: max(1, most/2), file: f, size: info.Size()}, nil
+	return &rotatingFile{name: name, maxSize: max(1, maxBytes/2), file: file, size: info.Size()}, nil
 }
 
 // Write is part of io.Writer. A span that alone is larger than the file may be is dropped.
-func (b *boundedFile) Write(p []byte) (int, error) {
-	b.lock.Lock()
-	defer b.lock.Unlock()
-	if int64(len(p)) > b.half {
+func (b *rotatingFile) Write(p []byte) (int, error) {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	if int64(len(p)) > b.maxSize {
 		return len(p), nil
 	}
-	if b.size+int64(len(p)) > b.half {
-		if err := b.turn(); err != nil {
+	if b.size+int64(len(p)) > b.maxSize {
+		if err := b.rotate(); err != nil {
 			return 0, err
 		}
 	}
@@ -49,25 +49,25 @@
 	return n, err
 }
 
-// turn keeps the present file as the earlier one and begins another.
-func (b *boundedFile) turn() error {
+// rotate keeps the present file as the earlier one and begins another.
+func (b *rotatingFile) rotate() error {
 	if err := b.file.Close(); err != nil {
 		return err
 	}
-	if err := os.Rename(b.name, b.name+earlierSuffix); err != nil {
+	if err := os.Rename(b.name, b.name+previousSuffix); err != nil {
 		return err
 	}
-	f, err := os.OpenFile(b.name, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
+	file, err := os.OpenFile(b.name, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
 	}
-	b.file, b.size = f, 0
+	b.file, b.size = file, 0
 	return nil
 }
 
 // Close closes the file.
-func (b *boundedFile) Close() {
-	b.lock.Lock()
-	defer b.lock.Unlock()
+func (b *rotatingFile) Close() {
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
 	_ = b.file.Close()
 }
--- a/internal/tracing/read.go
+++ b/internal/tracing/read.go
@@ -12,12 +12,12 @@
 	"time"
 )
 
-// maxLine is the longest line of a trace that is read: spans are some hundred bytes long.
-const maxLine = 1 << 20
+// maxLineBytes is the longest line of a trace that is read: spans are some hundred bytes long.
+const maxLineBytes = 1 << 20
 
 // Span is a span as read from a trace.
 type Span struct {
-	Trace      string // the number of the trace that it belongs to
+	TraceID      string // the number of the trace that it belongs to
 	Name       string
 	Member     string // the controller that made it
 	Start, End time.Time
@@ -44,20 +44,20 @@
 
 // span is the stored span in the form in which it is used.
 func (s storedSpan) span() Span {
-	out := Span{Trace: s.SpanContext.TraceID, Name: s.Name, Start: s.StartTime, End: s.EndTime, attributes: map[string]string{}}
+	out := Span{TraceID: s.SpanContext.TraceID, Name: s.Name, Start: s.StartTime, End: s.EndTime, attributes: map[string]string{}}
 	for _, a := range s.Attributes {
-		out.attributes[a.Key] = text(a.Value.Value)
+		out.attributes[a.Key] = attributeText(a.Value.Value)
 	}
 	for _, a := range s.Resource {
-		if a.Key == memberKey {
-			out.Member = text(a.Value.Value)
+		if a.Key == memberAttribute {
+			out.Member = attributeText(a.Value.Value)
 		}
 	}
 	return out
 }
 
-// text is an attribute's value in words; JSON numbers are whole ones here.
-func text(value any) string {
+// attributeText is an attribute's value in words; JSON numbers are whole ones here.
+func attributeText(value any) string {
 	if n, ok := value.(float64); ok {
 		return strconv.FormatFloat(n, 'f', -1, 64)
 	}
@@ -74,7 +74,7 @@
 		if err != nil {
 			return nil, err
 		}
-		earlier, err := readFile(file + earlierSuffix)
+		earlier, err := readFile(file + previousSuffix)
 		if err != nil && !errors.Is(err, os.ErrNotExist) {
 			return nil, err
 		}
@@ -85,25 +85,25 @@
 }
 
 func readFile(file string) ([]Span, error) {
-	f, err := os.Open(file)
+	input, err := os.Open(file)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer input.Close()
 	var out []Span
-	var unread error
-	lines := bufio.NewScanner(f)
-	lines.Buffer(nil, maxLine)
-	for n := 1; lines.Scan(); n++ {
-		if unread != nil {
-			return nil, unread // it was not the last line
+	var unreadable error
+	lines := bufio.NewScanner(input)
+	lines.Buffer(nil, maxLineBytes)
+	for number := 1; lines.Scan(); number++ {
+		if unreadable != nil {
+			return nil, unreadable // it was not the last line
 		}
-		var s storedSpan
-		if err := json.Unmarshal(lines.Bytes(), &s); err != nil {
-			unread = fmt.Errorf("%s: line %d is no span: %w", file, n, err)
+		var stored storedSpan
+		if err := json.Unmarshal(lines.Bytes(), &stored); err != nil {
+			unreadable = fmt.Errorf("%s: line %d is no span: %w", file, number, err)
 			continue
 		}
-		out = append(out, s.span())
+		out = append(out, stored.span())
 	}
 	if err := lines.Err(); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
@@ -111,15 +111,15 @@
 	return out, nil
 }
 
-// ByTrace groups spans by their traces, in the order in which these begin.
-func ByTrace(spans []Span) [][]Span {
+// GroupByTrace groups spans by their traces, in the order in which these begin.
+func GroupByTrace(spans []Span) [][]Span {
 	var out [][]Span
 	index := map[string]int{}
 	for _, s := range spans {
-		i, known := index[s.Trace]
+		i, known := index[s.TraceID]
 		if !known {
 			i = len(out)
-			index[s.Trace] = i
+			index[s.TraceID] = i
 			out = append(out, nil)
 		}
 		out[i] = append(out[i], s)
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -19,21 +19,21 @@
 	"juniperchute/internal/tuning"
 )
 
-// memberKey names the attribute that tells whose a trace is.
-const memberKey = "member"
+// memberAttribute names the attribute that tells whose a trace is.
+const memberAttribute = "member"
 
 // Recorder makes spans and writes them to a file. It is safe for use by several goroutines.
 type Recorder struct {
 	provider *sdktrace.TracerProvider
 	tracer   trace.Tracer
-	file     *boundedFile
-	wall     func() time.Time
+	file     *rotatingFile
+	wallClock     func() time.Time
 }
 
 // Open makes a recorder of one controller's spans. The file and the one before it,
 // which has the suffix ".1", together take no more than mostBytes.
-func Open(file string, mostBytes int64, member string, wall func() time.Time, rng *rand.Rand) (*Recorder, error) {
-	out, err := openBounded(file, mostBytes)
+func Open(file string, maxBytes int64, member string, wallClock func() time.Time, rng *rand.Rand) (*Recorder, error) {
+	out, err := openRotating(file, maxBytes)
 	if err != nil {
 		return nil, err
 	}
@@ -42,17 +42,17 @@
 		return nil, err
 	}
 	provider := sdktrace.NewTracerProvider(
-		sdktrace.WithBatcher(exporter, sdktrace.WithMaxQueueSize(tuning.TraceQueue), sdktrace.WithBatchTimeout(tuning.TraceEvery)),
+		sdktrace.WithBatcher(exporter, sdktrace.WithMaxQueueSize(tuning.TraceQueueSize), sdktrace.WithBatchTimeout(tuning.TraceWriteInterval)),
 		sdktrace.WithIDGenerator(&idGenerator{rng: rng}),
 		sdktrace.WithSampler(sdktrace.AlwaysSample()),
-		sdktrace.WithResource(resource.NewSchemaless(attribute.String("service.name", "juniperchute"), attribute.String(memberKey, member))),
+		sdktrace.WithResource(resource.NewSchemaless(attribute.String("service.name", "juniperchute"), attribute.String(memberAttribute, member))),
 	)
-	return &Recorder{provider: provider, tracer: provider.Tracer("juniperchute"), file: out, wall: wall}, nil
+	return &Recorder{provider: provider, tracer: provider.Tracer("juniperchute"), file: out, wallClock: wallClock}, nil
 }
 
 // Close writes what is left and closes the file.
 func (r *Recorder) Close() {
-	ctx, cancel := context.WithTimeout(context.Background(), tuning.TraceEvery)
+	ctx, cancel := context.WithTimeout(context.Background(), tuning.TraceWriteInterval)
 	defer cancel()
 	_ = r.provider.Shutdown(ctx) // spans that cannot be written are lost: nothing depends on them
 	r.file.Close()
@@ -61,13 +61,13 @@
 // Begin begins a span of the trace that the identity names.
 func (r *Recorder) Begin(identity, name string, attributes ...attribute.KeyValue) trace.Span {
 	parent := trace.ContextWithRemoteSpanContext(context.Background(), SpanContext(identity))
-	_, span := r.tracer.Start(parent, name, trace.WithTimestamp(r.wall()), trace.WithAttributes(attributes...))
+	_, span := r.tracer.Start(parent, name, trace.WithTimestamp(r.wallClock()), trace.WithAttributes(attributes...))
 	return span
 }
 
 // Event makes a span that is over at once.
 func (r *Recorder) Event(identity, name string, attributes ...attribute.KeyValue) {
-	r.Begin(identity, name, attributes...).End(trace.WithTimestamp(r.wall()))
+	r.Begin(identity, name, attributes...).End(trace.WithTimestamp(r.wallClock()))
 }
 
 // SpanContext is the parent that all spans of one thing have, in whichever controller.
@@ -81,24 +81,24 @@
 
 // idGenerator draws the numbers of spans from the randomness passed in.
 type idGenerator struct {
-	lock sync.Mutex
+	mutex sync.Mutex
 	rng  *rand.Rand
 }
 
 // NewIDs is part of sdktrace.IDGenerator.
 func (g *idGenerator) NewIDs(ctx context.Context) (id trace.TraceID, span trace.SpanID) {
-	g.lock.Lock()
+	g.mutex.Lock()
 	for i := range id {
 		id[i] = byte(g.rng.Uint32())
 	}
-	g.lock.Unlock()
+	g.mutex.Unlock()
 	return id, g.NewSpanID(ctx, id)
 }
 
 // NewSpanID is part of sdktrace.IDGenerator.
 func (g *idGenerator) NewSpanID(context.Context, trace.TraceID) (span trace.SpanID) {
-	g.lock.Lock()
-	defer g.lock.Unlock()
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
 	for i := range span {
 		span[i] = byte(g.rng.Uint32())
 	}
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -13,25 +13,25 @@
 
 // Two controllers' spans of one action are in one trace, another action's in another, and
 // each tells whose it is.
-func TestJoined(t *testing.T) {
+func TestSpansShareTrace(t *testing.T) {
 	dir := t.TempDir()
 	var files []string
 	for i, member := range []string{"one", "two"} {
 		file := filepath.Join(dir, member)
-		r, err := Open(file, 1<<20, member, time.Now, rand.New(rand.NewPCG(uint64(i), 1)))
+		recorder, err := Open(file, 1<<20, member, time.Now, rand.New(rand.NewPCG(uint64(i), 1)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.Begin("d/0/return/i-7", "call", attribute.String("target", "i-7")).End()
-		r.Event("d/0/return/i-8", "decision")
-		r.Close()
+		recorder.Begin("d/0/return/i-7", "call", attribute.String("target", "i-7")).End()
+		recorder.Event("d/0/return/i-8", "decision")
+		recorder.Close()
 		files = append(files, file)
 	}
 	spans, err := Read(files...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	traces := ByTrace(spans)
+	traces := GroupByTrace(spans)
 	if len(spans) != 4 {
 		t.Fatalf("%d spans", len(spans))
 	}
@@ -46,7 +46,7 @@
 // A file whose writer has ended in a line is read up to it, any other damage is told.
 func TestReadDamaged(t *testing.T) {
 	const line = `{"Name":"call","SpanContext":{"TraceID":"1"}}` + "\n"
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, file string
 		spans      int
 		fault      bool
@@ -56,33 +56,33 @@
 		{"damaged before", line[:20] + "\n" + line, 0, true},
 	} {
 		file := filepath.Join(t.TempDir(), "trace")
-		if err := os.WriteFile(file, []byte(c.file), 0o600); err != nil {
+		if err := os.WriteFile(file, []byte(test.file), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if spans, err := Read(file); len(spans) != c.spans || (err != nil) != c.fault {
-			t.Errorf("%s: %d spans, %v", c.name, len(spans), err)
+		if spans, err := Read(file); len(spans) != test.spans || (err != nil) != test.fault {
+			t.Errorf("%s: %d spans, %v", test.name, len(spans), err)
 		}
 	}
 }
 
 // However many spans there are, the files take no more than allowed, and the newest are
 // there.
-func TestBounded(t *testing.T) {
+func TestRotation(t *testing.T) {
 	const most, spans = 20_000, 400
 	file := filepath.Join(t.TempDir(), "trace")
-	r, err := Open(file, most, "one", time.Now, rand.New(rand.NewPCG(1, 1)))
+	recorder, err := Open(file, most, "one", time.Now, rand.New(rand.NewPCG(1, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range spans {
-		r.Event("x", "span", attribute.Int("number", i))
+		recorder.Event("x", "span", attribute.Int("number", i))
 		if i%50 == 0 {
-			_ = r.provider.ForceFlush(t.Context())
+			_ = recorder.provider.ForceFlush(t.Context())
 		}
 	}
-	r.Close()
+	recorder.Close()
 	var size int64
-	for _, f := range []string{file, file + earlierSuffix} {
+	for _, f := range []string{file, file + previousSuffix} {
 		info, err := os.Stat(f)
 		if err != nil {
 			t.Fatal(err)
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestFileCannotBeOpened(t *testing.T) {
+func TestOpenFails(t *testing.T) {
 	if _, err := Open(filepath.Join(t.TempDir(), "no", "such"), 1000, "one", time.Now, rand.New(rand.NewPCG(1, 1))); err == nil || !strings.Contains(err.Error(), "trace.file") {
 		t.Errorf("%v", err)
 	}
--- a/internal/tuning/state.go
+++ b/internal/tuning/state.go
@@ -4,65 +4,65 @@
 
 // The state service.
 const (
-	// StateTimeout bounds a call: answers usually take under 10 ms.
-	StateTimeout = 1500 * time.Millisecond
-	// StateAnswerBytes bounds an answer: lists are at most 512 KiB, a watch
+	// StoreTimeout bounds a call: answers usually take under 10 ms.
+	StoreTimeout = 1500 * time.Millisecond
+	// MaxStoreResponseBytes bounds an answer: lists are at most 512 KiB, a watch
 	// may say more.
-	StateAnswerBytes = 8 << 20
-	// StateShare is one node's least part of the service's rates when there are
+	MaxStoreResponseBytes = 8 << 20
+	// StoreRateShare is one node's least part of the service's rates when there are
 	// several: they rarely need it at the same time. It grows by ShareStep each
 	// ShareEvery while writes wait and nothing is refused, as a holder writes most; a
 	// refusal ends that, for SharePause at least.
-	StateShare = 0.6
-	ShareStep  = 0.05
-	ShareEvery = 500 * time.Millisecond
-	SharePause = 5 * time.Second
-	// BudgetRetry is the pause before a call that found no rate left tries
+	StoreRateShare = 0.6
+	RateShareStep  = 0.05
+	RateShareInterval = 500 * time.Millisecond
+	RateSharePause = 5 * time.Second
+	// RateLimitRetry is the pause before a call that found no rate left tries
 	// again, in the client's own queue.
-	BudgetRetry = 50 * time.Millisecond
-	// ListPage is how many keys one call lists, the service's largest page.
-	ListPage = 1000
-	// WatchWait is how long one watch waits: short, so that one whose
+	RateLimitRetry = 50 * time.Millisecond
+	// ListPageSize is how many keys one call lists, the service's largest page.
+	ListPageSize = 1000
+	// WatchTimeout is how long one watch waits: short, so that one whose
 	// connection died in silence is soon replaced.
-	WatchWait = 4 * time.Second
-	// MirrorRetry is the pause after a failed list or watch.
-	MirrorRetry = 250 * time.Millisecond
-	// PageFill is the part of a value's limit that a page's entries may take:
+	WatchTimeout = 4 * time.Second
+	// WatchCacheRetry is the pause after a failed list or watch.
+	WatchCacheRetry = 250 * time.Millisecond
+	// PageFillShare is the part of a value's limit that a page's entries may take:
 	// the service counts the JSON around them too.
-	PageFill = 0.85
-	// TxnOpsLeast is how many puts and deletes one transaction needs: a job's end and
+	PageFillShare = 0.85
+	// MinTxnOps is how many puts and deletes one transaction needs: a job's end and
 	// its entry, a token and the block that gets it.
-	TxnOpsLeast = 2
-	// LowerAfter is how many refusals for the rate, or one for a value's size, within
+	MinTxnOps = 2
+	// RateLowerRefusals is how many refusals for the rate, or one for a value's size, within
 	// LowerWithin tell a node that the service has lowered its limits: a few come in
 	// bursts, as the nodes share the rate without asking each other.
-	LowerAfter  = 12
-	LowerWithin = 10 * time.Second
-	// RaiseAfter is how long a lowered rate is kept before the present one is tried
+	RateLowerRefusals  = 12
+	RateLowerWindow = 10 * time.Second
+	// RateRaiseInitial is how long a lowered rate is kept before the present one is tried
 	// again, in case a burst was taken for a change. It doubles each time, up to
 	// RaiseAfterMost: a trial costs a few refusals. LowerAfterTrial of them end it.
-	RaiseAfter      = 2 * time.Minute
-	RaiseAfterMost  = 30 * time.Minute
-	LowerAfterTrial = 4
-	// PruneEvery is how long a page from which entries were only removed waits for its next
+	RateRaiseInitial      = 2 * time.Minute
+	RateRaiseMax  = 30 * time.Minute
+	RateTrialRefusals = 4
+	// PageRemovalInterval is how long a page from which entries were only removed waits for its next
 	// write: what is removed does no harm, and each write takes some of the rate.
-	PruneEvery = 10 * time.Second
-	// PagesMost bounds the numbers of pages, far above any use.
-	PagesMost = 10000
-	// RecordRetry is the pause after a failed write of a record. After a refusal for the
+	PageRemovalInterval = 10 * time.Second
+	// MaxPages bounds the numbers of pages, far above any use.
+	MaxPages = 10000
+	// WriterRetryInitial is the pause after a failed write of a record. After a refusal for the
 	// size of one that cannot be made smaller it doubles up to RecordRetryMost.
-	RecordRetry     = 300 * time.Millisecond
-	RecordRetryMost = 20 * time.Second
-	// PageLeast is the size, in bytes, below which a page is not made smaller, whatever
+	WriterRetryInitial     = 300 * time.Millisecond
+	WriterRetryMax = 20 * time.Second
+	// MinPageBytes is the size, in bytes, below which a page is not made smaller, whatever
 	// the service refuses: its longest entries, names with addresses, take half of it.
-	PageLeast = 128
-	// StateReads is how many questions to the state service may be under way at
+	MinPageBytes = 128
+	// StoreReadsInFlight is how many questions to the state service may be under way at
 	// once, StateWrites how many writes of each class, StateExtra how many leases
 	// and watches may be beside them. A write may wait long for its rate: nothing
 	// else waits behind it.
-	StateReads  = 8
-	StateWrites = 8
-	StateExtra  = 6
+	StoreReadsInFlight  = 8
+	StoreWritesInFlight = 8
+	StoreExtraInFlight  = 6
 )
 
 // WriteReserve is the part of a full write bucket that each class of calls,
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -12,32 +12,32 @@
 	// would lose their tasks before a successor could renew them. A third of
 	// that leaves time for a takeover and for two lost renewals.
 	MemberLease = 3500 * time.Millisecond
-	// MemberTouch is how long after a renewal the next is sent: three may be
+	// MemberRenewInterval is how long after a renewal the next is sent: three may be
 	// lost before the lease ends.
-	MemberTouch = 1000 * time.Millisecond
-	// TouchesAtOnce is how many renewals may be under way, and TouchTimeout how long
+	MemberRenewInterval = 1000 * time.Millisecond
+	// MaxRenewalsInFlight is how many renewals may be under way, and TouchTimeout how long
 	// one may take: an answer later than the lease is of no use.
-	TouchesAtOnce = 3
-	TouchTimeout  = 3 * time.Second
+	MaxRenewalsInFlight = 3
+	RenewTimeout  = 3 * time.Second
 	// MemberRetry is the pause after a failed renewal or grant.
 	MemberRetry = 250 * time.Millisecond
-	// LeaseGuard is how long before its lease may end a holder stops acting:
+	// LeaseSafetyMargin is how long before its lease may end a holder stops acting:
 	// covers a late timer and the way to the network.
-	LeaseGuard = 150 * time.Millisecond
-	// ClockDrift is the largest drift between two steady clocks, as a part.
-	ClockDrift = 0.0005
+	LeaseSafetyMargin = 150 * time.Millisecond
+	// MaxClockDrift is the largest drift between two steady clocks, as a part.
+	MaxClockDrift = 0.0005
 	// ElectionPause follows each election or assignment transaction, so that
 	// its outcome has arrived before the next.
 	ElectionPause = 50 * time.Millisecond
-	// Blocks is the number of machine blocks: one packs best, keeps quotas exact and
+	// Shards is the number of machine blocks: one packs best, keeps quotas exact and
 	// is carried by one holder up to 1,850 machines, with an average of a fifth of its
 	// share of a processor at most (docs/design.md).
-	Blocks = 1
-	// RenewMargin is kept of the time for a cancellation when a holder that
+	Shards = 1
+	// CancellationRenewMargin is kept of the time for a cancellation when a holder that
 	// lost touch with the state service goes on renewing workers.
-	RenewMargin = 5 * time.Second
-	// RenewLeast is how long past its horizon a holder answers reports at least: a
+	CancellationRenewMargin = 5 * time.Second
+	// MinRenewBeyondWatermark is how long past its horizon a holder answers reports at least: a
 	// watch without news and the wait for the next take so long. Only where a lease
 	// is nearly as long as a cancellation has does it matter.
-	RenewLeast = 6 * time.Second
+	MinRenewBeyondWatermark = 6 * time.Second
 )
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -21,18 +21,18 @@
 const (
 	// Booting: rented, and never used by any tenure: nothing can be on it.
 	Booting State = iota
-	// Unheard: used by an earlier tenure and not heard in this one.
-	Unheard
+	// Unreconciled: used by an earlier tenure and not heard in this one.
+	Unreconciled
 	// Up: reports.
 	Up
-	// Silent: reports have stopped, its lease may still stand.
-	Silent
-	// Lapsed: silent until its lease was surely over: nothing is on it.
-	Lapsed
+	// Unresponsive: reports have stopped, its lease may still stand.
+	Unresponsive
+	// LeaseExpired: silent until its lease was surely over: nothing is on it.
+	LeaseExpired
 	// Deleting: a deletion is under way.
 	Deleting
-	// Gone: its deletion was answered.
-	Gone
+	// Deleted: its deletion was answered.
+	Deleted
 )
 
 func (s State) String() string {
@@ -46,267 +46,267 @@
 	Type    string
 	Zone    string
 	Spot    bool
-	Cap     quota.Room
-	Fetch   float64 // GB of images a second, 0: not known
+	Capacity     quota.Resources
+	ImagePullGBPerS   float64 // GB of images a second, 0: not known
 
 	State   State
-	Since   time.Time // of the state
-	Born    time.Time // when this tenure learned of it, less its age if known
-	Session uint64
-	Seq     uint64
-	Heard   time.Time // last report or answer
-	Checked time.Time // last report
-	// Answered is when the last report that was answered came in. The
+	StateSince   time.Time // of the state
+	CreatedAt    time.Time // when this tenure learned of it, less its age if known
+	Incarnation uint64
+	Sequence     uint64
+	LastContact   time.Time // last report or answer
+	LastHeartbeat time.Time // last report
+	// LeaseRenewedAt is when the last report that was answered came in. The
 	// worker's lease counts from when it sent it, so not later.
-	Answered time.Time
-	// Proven: its newest reports show that an answer or a command has reached
+	LeaseRenewedAt time.Time
+	// ReplyConfirmed: its newest reports show that an answer or a command has reached
 	// the worker since the ones before. One whose reports come and to which
 	// nothing gets through holds no lease and carries nothing out.
-	Proven bool
-	// Unproven is since when its reports have come without being so; zero: not.
-	Unproven time.Time
+	ReplyConfirmed bool
+	// UnconfirmedSince is since when its reports have come without being so; zero: not.
+	UnconfirmedSince time.Time
 	// The newest session and report seen in any message, absorbed or not.
-	SeenSession, SeenSeq uint64
-	Recall               time.Time // when the cloud takes it away; zero: no notice
+	SeenIncarnation, SeenSequence uint64
+	PreemptionTime               time.Time // when the cloud takes it away; zero: no notice
 	Tasks                []wire.TaskStatus
-	Stranger             bool // has tasks that no open job explains
+	HasUnknownTasks             bool // has tasks that no open job explains
 	Recorded             bool // its rental record names it
-	Used                 bool // its rental record says that it may have tasks
-	Faulty               bool
-	Wanted               bool // a demand pass found a use for it
-	Closing              bool // nothing more is drawn to it, so that it can be returned
-	IdleFrom             time.Time
+	Registered                 bool // its rental record says that it may have tasks
+	Quarantined               bool
+	Needed               bool // a demand pass found a use for it
+	Cordoned              bool // nothing more is drawn to it, so that it can be returned
+	IdleSince             time.Time
 
 	// The account of what may be on it, kept by placement.
-	Taken    quota.Room // by copies handed out, until they are known gone
-	Spares   quota.Room // the part of Taken that spares have
-	Promised quota.Room // to queued mains
-	Busy     int        // copies handed out and not known gone
+	Allocated    quota.Resources // by copies handed out, until they are known gone
+	BackupAllocated   quota.Resources // the part of Taken that spares have
+	Reserved quota.Resources // to queued mains
+	ActiveCopies     int             // copies handed out and not known gone
 	Images   map[string]time.Time
-	Blames   map[string]int // failures by job
-	DoBusy   bool           // a direct command is under way
-	OpenDo   int            // direct commands that nobody answered, in this session
-	// LeaseOver: it is being deleted and its lease is surely over: nothing is on it.
-	LeaseOver bool
+	FailuresByJob   map[string]int // failures by job
+	CommandInFlight   bool           // a direct command is under way
+	UnansweredCommands   int            // direct commands that nobody answered, in this session
+	// LeaseEnded: it is being deleted and its lease is surely over: nothing is on it.
+	LeaseEnded bool
 }
 
-// Usable tells whether new work may be drawn to the machine.
-func (m *Machine) Usable(now time.Time) bool {
-	return m.State == Up && m.Recall.IsZero() && !m.Faulty && !m.Closing && m.OpenDo == 0 && m.Used && !m.Stranger && m.Proven
+// Schedulable tells whether new work may be drawn to the machine.
+func (m *Machine) Schedulable(now time.Time) bool {
+	return m.State == Up && m.PreemptionTime.IsZero() && !m.Quarantined && !m.Cordoned && m.UnansweredCommands == 0 && m.Registered && !m.HasUnknownTasks && m.ReplyConfirmed
 }
 
-// Mute tells whether a machine's reports have come for longer than its lease
+// Unreachable tells whether a machine's reports have come for longer than its lease
 // without a sign that any answer or command reaches it.
-func (m *Machine) Mute(now time.Time, lease time.Duration) bool {
-	return !m.Proven && !m.Unproven.IsZero() && m.Checked.After(m.Unproven) && now.Sub(m.Unproven) > lease
+func (m *Machine) Unreachable(now time.Time, lease time.Duration) bool {
+	return !m.ReplyConfirmed && !m.UnconfirmedSince.IsZero() && m.LastHeartbeat.After(m.UnconfirmedSince) && now.Sub(m.UnconfirmedSince) > lease
 }
 
-// Free is the room not taken.
-func (m *Machine) Free() quota.Room { return m.Cap.Sub(m.Taken) }
+// Available is the room not taken.
+func (m *Machine) Available() quota.Resources { return m.Capacity.Sub(m.Allocated) }
 
-// FreeForMain is the room a main may claim: spares give way to it.
-func (m *Machine) FreeForMain() quota.Room {
-	return m.Cap.Sub(m.Taken).Add(m.Spares).Sub(m.Promised)
+// AvailableToPrimary is the room a main may claim: spares give way to it.
+func (m *Machine) AvailableToPrimary() quota.Resources {
+	return m.Capacity.Sub(m.Allocated).Add(m.BackupAllocated).Sub(m.Reserved)
 }
 
 // Registry is all machines of a block in one tenure.
 type Registry struct {
-	facts  config.Workers
+	config  config.Workers
 	log    *slog.Logger
-	hosts  map[string]*Machine
-	order  []*Machine      // in the order in which they became known
-	gone   map[string]bool // machines whose deletion was answered
-	expiry time.Duration
-	// Behind is how long the newest report handled had waited for its turn: while
+	byHost  map[string]*Machine
+	ordered  []*Machine      // in the order in which they became known
+	deleted   map[string]bool // machines whose deletion was answered
+	leaseExpiry time.Duration
+	// HeartbeatDelay is how long the newest report handled had waited for its turn: while
 	// that is long, machines that seem silent have their reports waiting here.
-	Behind time.Duration
+	HeartbeatDelay time.Duration
 }
 
 // NewRegistry makes an empty registry.
-func NewRegistry(facts config.Workers, log *slog.Logger) *Registry {
-	lease := config.Seconds(facts.LeaseS)
-	return &Registry{facts: facts, log: log, hosts: map[string]*Machine{}, gone: map[string]bool{},
-		expiry: lease + time.Duration(float64(lease)*2*tuning.ClockDrift) + tuning.LeaseMargin}
+func NewRegistry(workers config.Workers, log *slog.Logger) *Registry {
+	lease := config.Seconds(workers.LeaseS)
+	return &Registry{config: workers, log: log, byHost: map[string]*Machine{}, deleted: map[string]bool{},
+		leaseExpiry: lease + time.Duration(float64(lease)*2*tuning.MaxClockDrift) + tuning.WorkerLeaseMargin}
 }
 
-// Expiry is how long after its last answered report came in a worker's lease
+// LeaseExpiry is how long after its last answered report came in a worker's lease
 // is surely over.
-func (r *Registry) Expiry() time.Duration { return r.expiry }
+func (r *Registry) LeaseExpiry() time.Duration { return r.leaseExpiry }
 
 // Get returns a machine, or nil.
-func (r *Registry) Get(host string) *Machine { return r.hosts[host] }
+func (r *Registry) Get(host string) *Machine { return r.byHost[host] }
 
 // All lists the machines in the order in which they became known.
-func (r *Registry) All() []*Machine { return r.order }
+func (r *Registry) All() []*Machine { return r.ordered }
 
 // Add makes a machine known.
 func (r *Registry) Add(now time.Time, host string, state State) *Machine {
-	m := &Machine{Host: host, Since: now, Born: now, State: state, Images: map[string]time.Time{}, Blames: map[string]int{}}
-	r.hosts[host] = m
-	r.order = append(r.order, m)
-	return m
+	machine := &Machine{Host: host, StateSince: now, CreatedAt: now, State: state, Images: map[string]time.Time{}, FailuresByJob: map[string]int{}}
+	r.byHost[host] = machine
+	r.ordered = append(r.ordered, machine)
+	return machine
 }
 
-// Set changes a machine's state. It is the only place that does.
-func (r *Registry) Set(now time.Time, m *Machine, s State, why string) {
-	if m.State == s {
+// SetState changes a machine's state. It is the only place that does.
+func (r *Registry) SetState(now time.Time, machine *Machine, state State, reason string) {
+	if machine.State == state {
 		return
 	}
-	r.log.Info("machine", "host", m.Host, "from", m.State.String(), "to", s.String(), "why", why)
-	m.State, m.Since = s, now
-	if s == Gone {
-		delete(r.hosts, m.Host)
-		r.RememberGone(m.Host)
-		for i, o := range r.order {
-			if o == m {
-				r.order = append(r.order[:i:i], r.order[i+1:]...)
+	r.log.Info("machine", "host", machine.Host, "from", machine.State.String(), "to", state.String(), "why", reason)
+	machine.State, machine.StateSince = state, now
+	if state == Deleted {
+		delete(r.byHost, machine.Host)
+		r.RememberDeleted(machine.Host)
+		for i, other := range r.ordered {
+			if other == machine {
+				r.ordered = append(r.ordered[:i:i], r.ordered[i+1:]...)
 				break
 			}
 		}
 	}
 }
 
-// RememberGone remembers a machine that is gone: a late copy of one of its reports must
+// RememberDeleted remembers a machine that is gone: a late copy of one of its reports must
 // not bring it back. Names come in the order of creation, so the smallest are
 // the oldest.
-func (r *Registry) RememberGone(host string) {
-	r.gone[host] = true
-	if len(r.gone) > tuning.GoneKept {
-		for _, h := range slices.Sorted(maps.Keys(r.gone))[:tuning.GoneKept/2] {
-			delete(r.gone, h)
+func (r *Registry) RememberDeleted(host string) {
+	r.deleted[host] = true
+	if len(r.deleted) > tuning.DeletedMachinesKept {
+		for _, oldest := range slices.Sorted(maps.Keys(r.deleted))[:tuning.DeletedMachinesKept/2] {
+			delete(r.deleted, oldest)
 		}
 	}
 }
 
-// IsGone tells whether a machine's deletion was answered in this tenure.
-func (r *Registry) IsGone(host string) bool { return r.gone[host] }
+// WasDeleted tells whether a machine's deletion was answered in this tenure.
+func (r *Registry) WasDeleted(host string) bool { return r.deleted[host] }
 
-// Verdict is what a report amounts to.
-type Verdict int
+// HeartbeatResult is what a report amounts to.
+type HeartbeatResult int
 
 // The verdicts on a report.
 const (
-	Fresh Verdict = iota
-	// Stale: an older or repeated message; nothing may be concluded from it.
-	Stale
-	// Renewed: fresh, and the worker's lease had expired since the last one.
-	Renewed
+	HeartbeatCurrent HeartbeatResult = iota
+	// HeartbeatStale: an older or repeated message; nothing may be concluded from it.
+	HeartbeatStale
+	// HeartbeatNewIncarnation: fresh, and the worker's lease had expired since the last one.
+	HeartbeatNewIncarnation
 )
 
-// Glimpse takes note of a report from which nothing else may be concluded, as
+// ObserveSequence takes note of a report from which nothing else may be concluded, as
 // it may be a late copy, and tells whether it is at least the newest one seen.
-func (m *Machine) Glimpse(rep *wire.Heartbeat) bool {
-	if rep.Incarnation < m.SeenSession || rep.Incarnation == m.SeenSession && rep.Sequence <= m.SeenSeq {
+func (m *Machine) ObserveSequence(status *wire.Heartbeat) bool {
+	if status.Incarnation < m.SeenIncarnation || status.Incarnation == m.SeenIncarnation && status.Sequence <= m.SeenSequence {
 		return false
 	}
-	m.SeenSession, m.SeenSeq = rep.Incarnation, rep.Sequence
+	m.SeenIncarnation, m.SeenSequence = status.Incarnation, status.Sequence
 	return true
 }
 
-// proves tells whether a report shows that the answer to the one before, or a
+// confirmsReply tells whether a report shows that the answer to the one before, or a
 // command since, has reached the worker. A worker that gets no answer gives up
 // after some seconds and goes to the next node, so that it comes back late and
 // with other reports in between.
-func (m *Machine) proves(now time.Time, rep *wire.Heartbeat, checkin bool) bool {
+func (m *Machine) confirmsReply(now time.Time, status *wire.Heartbeat, isHeartbeat bool) bool {
 	switch {
-	case !checkin || m.Session == 0:
+	case !isHeartbeat || m.Incarnation == 0:
 		return true // the command has just been answered; the token has reached it
-	case rep.Incarnation != m.Session:
+	case status.Incarnation != m.Incarnation:
 		return false
 	}
-	return rep.Sequence == m.Seq+1 || !m.Checked.IsZero() && now.Sub(m.Checked) < tuning.WorkerPatience
+	return status.Sequence == m.Sequence+1 || !m.LastHeartbeat.IsZero() && now.Sub(m.LastHeartbeat) < tuning.WorkerReplyTimeout
 }
 
-// Absorb takes in a worker's account of itself. checkin tells a report from
+// ApplyHeartbeat takes in a worker's account of itself. checkin tells a report from
 // the answer to a direct command.
-func (r *Registry) Absorb(now time.Time, m *Machine, rep *wire.Heartbeat, checkin bool) Verdict {
+func (r *Registry) ApplyHeartbeat(now time.Time, machine *Machine, status *wire.Heartbeat, isHeartbeat bool) HeartbeatResult {
 	// Reports held back by a cut arrive late and out of order: their task
 	// list is as old as they are.
-	if m.Session != 0 && (rep.Incarnation < m.Session || rep.Incarnation == m.Session && rep.Sequence <= m.Seq) {
-		return Stale
+	if machine.Incarnation != 0 && (status.Incarnation < machine.Incarnation || status.Incarnation == machine.Incarnation && status.Sequence <= machine.Sequence) {
+		return HeartbeatStale
 	}
 	// What a session that is surely over had to say is old, however late it
 	// comes.
-	if m.State == Lapsed && rep.Incarnation <= m.SeenSession {
-		return Stale
+	if machine.State == LeaseExpired && status.Incarnation <= machine.SeenIncarnation {
+		return HeartbeatStale
 	}
-	m.Glimpse(rep)
+	machine.ObserveSequence(status)
 	switch {
-	case m.proves(now, rep, checkin):
-		m.Proven, m.Unproven = true, time.Time{}
-	case m.Unproven.IsZero():
+	case machine.confirmsReply(now, status, isHeartbeat):
+		machine.ReplyConfirmed, machine.UnconfirmedSince = true, time.Time{}
+	case machine.UnconfirmedSince.IsZero():
 		// once is nothing: an answer was lost, or the holder is a new one
-		m.Proven, m.Unproven = m.Proven && rep.Incarnation == m.Session, now
+		machine.ReplyConfirmed, machine.UnconfirmedSince = machine.ReplyConfirmed && status.Incarnation == machine.Incarnation, now
 	default:
-		m.Proven = false
+		machine.ReplyConfirmed = false
 	}
-	v := Fresh
-	if m.Session != 0 && rep.Incarnation > m.Session {
-		v = Renewed
-		m.OpenDo = 0 // commands of an earlier session are void
+	result := HeartbeatCurrent
+	if machine.Incarnation != 0 && status.Incarnation > machine.Incarnation {
+		result = HeartbeatNewIncarnation
+		machine.UnansweredCommands = 0 // commands of an earlier session are void
 	}
-	if m.Answered.IsZero() || rep.Incarnation > m.Session {
+	if machine.LeaseRenewedAt.IsZero() || status.Incarnation > machine.Incarnation {
 		// From here on the worker drops whatever an earlier tenure answers. A session's
 		// lease counts from when it began, which may be a moment ago: an answer to an
 		// earlier session, or to an old copy of its report, says nothing of its end.
-		m.Answered = now
+		machine.LeaseRenewedAt = now
 	}
-	m.Session, m.Seq, m.Heard = rep.Incarnation, rep.Sequence, now
-	if checkin {
-		m.Checked = now
+	machine.Incarnation, machine.Sequence, machine.LastContact = status.Incarnation, status.Sequence, now
+	if isHeartbeat {
+		machine.LastHeartbeat = now
 	}
-	m.Address, m.Type, m.Zone, m.Spot = rep.Address, rep.Type, rep.Zone, rep.Spot
-	m.Recall = time.Time{}
-	if rep.PreemptionNoticeS != nil {
-		m.Recall = now.Add(config.Seconds(*rep.PreemptionNoticeS))
+	machine.Address, machine.Type, machine.Zone, machine.Spot = status.Address, status.Type, status.Zone, status.Spot
+	machine.PreemptionTime = time.Time{}
+	if status.PreemptionNoticeS != nil {
+		machine.PreemptionTime = now.Add(config.Seconds(*status.PreemptionNoticeS))
 	}
-	m.Tasks = rep.Tasks
-	if m.State != Deleting && m.State != Gone {
-		r.Set(now, m, Up, "reported")
+	machine.Tasks = status.Tasks
+	if machine.State != Deleting && machine.State != Deleted {
+		r.SetState(now, machine, Up, "reported")
 	}
-	return v
+	return result
 }
 
-// Quiet moves machines that have stopped reporting on, and returns those
+// ExpireLeases moves machines that have stopped reporting on, and returns those
 // whose leases have just become surely over.
-func (r *Registry) Quiet(now time.Time, unheardUntil time.Time) []*Machine {
-	var over []*Machine
-	for _, m := range r.order {
-		switch m.State {
+func (r *Registry) ExpireLeases(now time.Time, reconcileDeadline time.Time) []*Machine {
+	var expired []*Machine
+	for _, machine := range r.ordered {
+		switch machine.State {
 		case Up:
-			if now.Sub(m.Heard) > r.silence()+r.Behind {
-				r.Set(now, m, Silent, "no report")
+			if now.Sub(machine.LastContact) > r.heartbeatTimeout()+r.HeartbeatDelay {
+				r.SetState(now, machine, Unresponsive, "no report")
 			}
-		case Silent, Deleting:
-			if !now.After(m.leaseEnd(r.expiry, unheardUntil)) {
+		case Unresponsive, Deleting:
+			if !now.After(machine.leaseExpiresAt(r.leaseExpiry, reconcileDeadline)) {
 				continue
 			}
-			if m.State == Silent {
-				r.Set(now, m, Lapsed, "lease surely over")
-			} else if now.After(unheardUntil) {
-				m.LeaseOver = true
+			if machine.State == Unresponsive {
+				r.SetState(now, machine, LeaseExpired, "lease surely over")
+			} else if now.After(reconcileDeadline) {
+				machine.LeaseEnded = true
 			}
-			if m.Busy > 0 {
-				over = append(over, m)
+			if machine.ActiveCopies > 0 {
+				expired = append(expired, machine)
 			}
-		case Unheard:
-			if now.After(unheardUntil) && now.After(m.leaseEnd(r.expiry, unheardUntil)) {
-				r.Set(now, m, Lapsed, "lease surely over, never heard")
-				over = append(over, m)
+		case Unreconciled:
+			if now.After(reconcileDeadline) && now.After(machine.leaseExpiresAt(r.leaseExpiry, reconcileDeadline)) {
+				r.SetState(now, machine, LeaseExpired, "lease surely over, never heard")
+				expired = append(expired, machine)
 			}
 		}
 	}
-	return over
+	return expired
 }
 
-// leaseEnd is when the worker's lease is surely over if nothing more is heard.
-func (m *Machine) leaseEnd(expiry time.Duration, unheardUntil time.Time) time.Time {
-	if m.Answered.IsZero() {
-		return unheardUntil
+// leaseExpiresAt is when the worker's lease is surely over if nothing more is heard.
+func (m *Machine) leaseExpiresAt(expiry time.Duration, reconcileDeadline time.Time) time.Time {
+	if m.LeaseRenewedAt.IsZero() {
+		return reconcileDeadline
 	}
-	return m.Answered.Add(expiry)
+	return m.LeaseRenewedAt.Add(expiry)
 }
 
-func (r *Registry) silence() time.Duration {
-	return config.Seconds(r.facts.HeartbeatS*tuning.SilentReports) + tuning.SilentGrace
+func (r *Registry) heartbeatTimeout() time.Duration {
+	return config.Seconds(r.config.HeartbeatS*tuning.UnresponsiveHeartbeats) + tuning.UnresponsiveGrace
 }
