--- a/internal/controller/connection_limits_test.go
+++ b/internal/controller/connection_limits_test.go
@@ -10,7 +10,7 @@
 // Every worker keeps a connection to the block's one holder: the machines of a
 // fleet half as large again as the settings' must fit beside users and the
 // controller's own calls.
-func TestPools(t *testing.T) {
+func TestConnectionLimits(t *testing.T) {
 	for _, c := range []struct {
 		name              string
 		sockets, peers    int
--- a/internal/controller/http_test.go
+++ b/internal/controller/http_test.go
@@ -17,8 +17,8 @@
 )
 
 // front is a controller whose outside services cannot be reached.
-func front(tb testing.TB, owner bool) *Runtime {
-	cfg := facts([]string{"a"}, []config.Team{{Name: "red"}}, 1.5, 10)
+func newUnreachableRuntime(tb testing.TB, owner bool) *Runtime {
+	cfg := testConfig([]string{"a"}, []config.Team{{Name: "red"}}, 1.5, 10)
 	cfg.External = config.External{Cloud: "127.0.0.1:1", State: "127.0.0.1:1"}
 	r := NewRuntime(cfg, Options{Blocks: tuning.Shards}, clock.New(nil), slog.New(slog.NewTextHandler(io.Discard, nil)), rand.New(rand.NewPCG(1, 1)))
 	r.effects.ctx = tb.Context()
@@ -47,15 +47,15 @@
 }
 
 // web is a controller's HTTP side.
-func web(t *testing.T, owner bool) *httptest.Server {
-	srv := httptest.NewServer(front(t, owner).api.Handler())
+func newTestServer(t *testing.T, owner bool) *httptest.Server {
+	srv := httptest.NewServer(newUnreachableRuntime(t, owner).api.Handler())
 	t.Cleanup(srv.Close)
 	return srv
 }
 
 func TestHTTP(t *testing.T) {
-	srv := web(t, true)
-	busy := web(t, false)
+	srv := newTestServer(t, true)
+	busy := newTestServer(t, false)
 	report := `{"Host":"i-1","Address":"1.2.3.4:5","Build":"g","Yard":"a","Loaners":false,"Stint":1,"Tally":1,"Baton":0,"RecallS":null,"Pieces":[],"New":{}}`
 	for _, c := range []struct {
 		name, method, path, body string
