--- a/internal/controller/completions_test.go
+++ b/internal/controller/completions_test.go
@@ -14,12 +14,13 @@
 // important job's end must not wait behind hundreds of others that completed before it.
 func TestOrderOfEnds(t *testing.T) {
 	now := time.Unix(1000, 0)
-	board, _ := singleJobScheduler(wire.JobSpec{ID: "job-9", Shape: wire.ShapeBatch, Tasks: 1})
-	o := newJobCompletions(nil, nil)
+	scheduler, _ := singleJobScheduler(wire.JobSpec{ID: "job-9", Shape: wire.ShapeBatch, Tasks: 1})
+	completions := newJobCompletions(nil, nil)
 	add := func(id, priority string, ago time.Duration) {
-		j := board.AddJob(now, wire.JobSpec{ID: id, Shape: wire.ShapeBatch, Priority: priority, Tasks: 1}, now, 1, false)
+		spec := wire.JobSpec{ID: id, Shape: wire.ShapeBatch, Priority: priority, Tasks: 1}
+		j := scheduler.AddJob(now, spec, now, 1, false)
 		j.RestoreCompleted(0)
-		o.taskCompleted(now.Add(-ago), j)
+		completions.taskCompleted(now.Add(-ago), j)
 	}
 	add("job-1", "low", 3*time.Second)
 	add("job-2", "low", 5*time.Second)
@@ -27,10 +28,10 @@
 	add("job-4", "normal", 9*time.Second)
 	add("job-5", "critical", 0)
 	add("job-6", "low", 5*time.Second)
-	o.endsInFlight["job-5"] = true
-	o.retryAt["job-4"] = now.Add(time.Second)
+	completions.endsInFlight["job-5"] = true
+	completions.retryAt["job-4"] = now.Add(time.Second)
 	var got []string
-	for _, j := range o.jobsToEnd(now) {
+	for _, j := range completions.jobsToEnd(now) {
 		got = append(got, j.Spec.ID)
 	}
 	if want := []string{"job-3", "job-2", "job-6", "job-1"}; !slices.Equal(got, want) {
@@ -38,18 +39,18 @@
 	}
 }
 
-// While the state service takes few writes, the ends of jobs that matter more are told
-// first, and no more than a few are asked for at once.
+// While the state service takes few writes, the ends of jobs of higher priority are reported
+// first, and no more than a few are written at once.
 func TestEndsUnderAShortRate(t *testing.T) {
-	sim := newSimulation(t, 5, testConfig([]string{"a"}, steadyTeams, 1.5, 10), 1, []wire.MachineType{smallType})
+	sim := newSimulation(t, 5, testConfig(oneZone, steadyTeams, 1.5, 10), 1, oneZoneTypes)
 	sim.cloud.Available[standin.CapacityKey(smallType.Name, "a", false)] = 40
 	for i := range 150 {
-		s := steadyJob(i)
-		s.Tasks, s.Gpus, s.Vcpus, s.MemGb, s.Priority = 1, 0, 1, 1, "low"
+		spec := steadyJob(i)
+		spec.Tasks, spec.Gpus, spec.Vcpus, spec.MemGb, spec.Priority = 1, 0, 1, 1, "low"
 		if i%15 == 0 {
-			s.Priority = "high"
+			spec.Priority = "high"
 		}
-		sim.add(s, 20*time.Second)
+		sim.add(spec, 20*time.Second)
 	}
 	sim.runFor(26 * time.Second)
 	sim.state.Limits.WritesPerS = 4 // two ends a second
@@ -58,8 +59,12 @@
 	for range 120 {
 		sim.runFor(500 * time.Millisecond)
 		for _, n := range sim.nodes {
-			if te := n.controller.terms[0]; te != nil && len(te.completions.endsInFlight) > tuning.MaxJobEndsInFlight {
-				t.Fatalf("%d ends are under way", len(te.completions.endsInFlight))
+			shardTerm := n.controller.terms[0]
+			if shardTerm == nil {
+				continue
+			}
+			if inFlight := len(shardTerm.completions.endsInFlight); inFlight > tuning.MaxJobEndsInFlight {
+				t.Fatalf("%d ends are under way", inFlight)
 			}
 		}
 		for j, at := range completed {
--- a/internal/controller/fault_combinations_state_test.go
+++ b/internal/controller/fault_combinations_state_test.go
@@ -17,7 +17,8 @@
 		s.runFor(s.randomMillis(300, 1200))
 		s.stateOutage(s.randomMillis(40000, 60000))
 		if s.rng.IntN(2) == 0 {
-			s.clock.Schedule(s.randomMillis(2000, 20000), func() { s.nodes[s.rng.IntN(3)].crash(s.randomMillis(100, 900)) })
+			crashAny := func() { s.nodes[s.rng.IntN(3)].crash(s.randomMillis(100, 900)) }
+			s.clock.Schedule(s.randomMillis(2000, 20000), crashAny)
 		}
 		if s.rng.IntN(3) == 0 {
 			n.peersCut = true
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -111,7 +111,13 @@
 		name: "a provisioning request",
 		text: `{"Build":"g8","Yard":"a","Loaners":true,"Number":2,"Hosts":["i-000001","i-000002"]}`,
 		into: &fleet.ProvisioningRecord{},
-		want: &fleet.ProvisioningRecord{Type: "g8", Zone: "a", Spot: true, Number: 2, Hosts: []string{"i-000001", "i-000002"}},
+		want: &fleet.ProvisioningRecord{
+			Type:   "g8",
+			Zone:   "a",
+			Spot:   true,
+			Number: 2,
+			Hosts:  []string{"i-000001", "i-000002"},
+		},
 	},
 	{
 		name: "a machine type",
--- a/internal/controller/http_test.go
+++ b/internal/controller/http_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"encoding/json"
-	"io"
-	"log/slog"
 	"math/rand/v2"
 	"net/http"
 	"net/http/httptest"
@@ -16,88 +14,230 @@
 	"juniperchute/internal/tuning"
 )
 
-// front is a controller whose outside services cannot be reached.
-func newUnreachableRuntime(tb testing.TB, owner bool) *Runtime {
-	cfg := testConfig([]string{"a"}, []config.Team{{Name: "red"}}, 1.5, 10)
-	cfg.External = config.External{Cloud: "127.0.0.1:1", State: "127.0.0.1:1"}
-	r := NewRuntime(cfg, Options{Blocks: tuning.Shards}, clock.New(nil), slog.New(slog.NewTextHandler(io.Discard, nil)), rand.New(rand.NewPCG(1, 1)))
+// unreachableAddress is the address of an outside service that cannot be reached.
+const unreachableAddress = "127.0.0.1:1"
+
+// newUnreachableRuntime is a controller whose outside services cannot be reached, and whose
+// events nobody handles yet.
+func newUnreachableRuntime(tb testing.TB) *Runtime {
+	cfg := testConfig(oneZone, steadyTeams, 1.5, 10)
+	cfg.External = config.External{Cloud: unreachableAddress, State: unreachableAddress}
+	rng := rand.New(rand.NewPCG(1, 1))
+	r := NewRuntime(cfg, Options{Blocks: tuning.Shards}, clock.New(nil), discardLogger(), rng)
 	r.effects.ctx = tb.Context()
-	if owner {
-		go func() {
-			for {
-				select {
-				case f := <-r.events:
-					f(time.Now())
-				case f := <-r.heartbeats:
-					f(time.Now())
-				case f := <-r.requests:
-					f(time.Now())
-				case <-tb.Context().Done():
-					return
-				}
-			}
-		}()
-	} else {
-		for range cap(r.requests) { // the owner is far behind
-			r.requests <- func(time.Time) {}
-			r.heartbeats <- func(time.Time) {}
+	return r
+}
+
+// handleEvents handles what comes to a controller until the test ends.
+func handleEvents(tb testing.TB, r *Runtime) {
+	for {
+		select {
+		case f := <-r.events:
+			f(time.Now())
+		case f := <-r.heartbeats:
+			f(time.Now())
+		case f := <-r.requests:
+			f(time.Now())
+		case <-tb.Context().Done():
+			return
 		}
 	}
-	return r
 }
 
-// web is a controller's HTTP side.
-func newTestServer(t *testing.T, owner bool) *httptest.Server {
-	srv := httptest.NewServer(newUnreachableRuntime(t, owner).api.Handler())
+// fillQueues makes a controller whose owner loop is far behind.
+func fillQueues(r *Runtime) {
+	for range cap(r.requests) {
+		r.requests <- func(time.Time) {}
+		r.heartbeats <- func(time.Time) {}
+	}
+}
+
+// serve is a controller's HTTP server.
+func serve(t *testing.T, r *Runtime) *httptest.Server {
+	srv := httptest.NewServer(r.api.Handler())
 	t.Cleanup(srv.Close)
 	return srv
 }
 
+// testHeartbeat is a worker's first heartbeat.
+const testHeartbeat = `{"Host":"i-1","Address":"1.2.3.4:5","Build":"g","Yard":"a","Loaners":false,` +
+	`"Stint":1,"Tally":1,"Baton":0,"RecallS":null,"Pieces":[],"New":{}}`
+
+// httpCase is a request and what it must be answered with.
+type httpCase struct {
+	name       string
+	method     string
+	path       string
+	body       string
+	queuesFull bool // the controller's owner loop is far behind
+	status     int
+	header     string // a header that must have the value
+	value      string
+}
+
+var httpCases = []httpCase{
+	{
+		name:   "unknown path",
+		method: http.MethodGet,
+		path:   "/nothing",
+		status: http.StatusNotFound,
+	},
+	{
+		name:   "path below a job",
+		method: http.MethodGet,
+		path:   "/submissions/job-1/x",
+		status: http.StatusNotFound,
+	},
+	{
+		name:   "wrong method",
+		method: http.MethodPut,
+		path:   "/submissions",
+		body:   "{}",
+		status: http.StatusMethodNotAllowed,
+		header: "Allow",
+		value:  "POST",
+	},
+	{
+		name:   "wrong method on a job",
+		method: http.MethodDelete,
+		path:   "/submissions/job-1",
+		status: http.StatusMethodNotAllowed,
+		header: "Allow",
+		value:  "GET",
+	},
+	{
+		name:   "get on cancel",
+		method: http.MethodGet,
+		path:   "/submissions/job-1/cancel",
+		status: http.StatusMethodNotAllowed,
+		header: "Allow",
+		value:  "POST",
+	},
+	{
+		name:   "not JSON",
+		method: http.MethodPost,
+		path:   "/submissions",
+		body:   "hello",
+		status: http.StatusBadRequest,
+	},
+	{
+		name:   "not an object",
+		method: http.MethodPost,
+		path:   "/submissions",
+		body:   "[1]",
+		status: http.StatusBadRequest,
+	},
+	{
+		name:   "oversized",
+		method: http.MethodPost,
+		path:   "/submissions",
+		body:   `{"Id":"` + strings.Repeat("x", tuning.MaxBodyBytes) + `"}`,
+		status: http.StatusBadRequest,
+	},
+	{
+		name:   "an id that cannot be",
+		method: http.MethodGet,
+		path:   "/submissions/bad%20id",
+		status: http.StatusNotFound,
+	},
+	{
+		name:   "cancel of an id that cannot be",
+		method: http.MethodPost,
+		path:   "/submissions/bad/cancel",
+		status: http.StatusNotFound,
+	},
+	{
+		name:   "health before anything is known",
+		method: http.MethodGet,
+		path:   "/healthz",
+		status: http.StatusServiceUnavailable,
+		header: "Retry-After",
+		value:  "2",
+	},
+	{
+		name:   "a heartbeat while nobody holds the shard's lease",
+		method: http.MethodPost,
+		path:   "/checkin",
+		body:   testHeartbeat,
+		status: http.StatusMisdirectedRequest,
+	},
+	{
+		name:   "a truncated heartbeat",
+		method: http.MethodPost,
+		path:   "/checkin",
+		body:   testHeartbeat[:50],
+		status: http.StatusBadRequest,
+	},
+	{
+		name:   "a heartbeat of nobody",
+		method: http.MethodPost,
+		path:   "/checkin",
+		body:   "{}",
+		status: http.StatusBadRequest,
+	},
+	{
+		name:   "state service out of reach",
+		method: http.MethodGet,
+		path:   "/submissions/job-1",
+		status: http.StatusServiceUnavailable,
+		header: "Retry-After",
+		value:  "2",
+	},
+	{
+		name:       "a full request queue",
+		method:     http.MethodGet,
+		path:       "/submissions/job-1",
+		queuesFull: true,
+		status:     http.StatusServiceUnavailable,
+		header:     "Retry-After",
+		value:      "1",
+	},
+	{
+		name:       "a full heartbeat queue: not before the worker has waited",
+		method:     http.MethodPost,
+		path:       "/checkin",
+		body:       testHeartbeat,
+		queuesFull: true,
+		status:     http.StatusServiceUnavailable,
+		header:     "Retry-After",
+		value:      "2",
+	},
+}
+
 func TestHTTP(t *testing.T) {
-	srv := newTestServer(t, true)
-	busy := newTestServer(t, false)
-	report := `{"Host":"i-1","Address":"1.2.3.4:5","Build":"g","Yard":"a","Loaners":false,"Stint":1,"Tally":1,"Baton":0,"RecallS":null,"Pieces":[],"New":{}}`
-	for _, c := range []struct {
-		name, method, path, body string
-		to                       *httptest.Server
-		status                   int
-		header, value            string
-	}{
-		{"unknown path", "GET", "/nothing", "", srv, 404, "", ""},
-		{"path below a job", "GET", "/submissions/job-1/x", "", srv, 404, "", ""},
-		{"wrong method", "PUT", "/submissions", "{}", srv, 405, "Allow", "POST"},
-		{"wrong method on a job", "DELETE", "/submissions/job-1", "", srv, 405, "Allow", "GET"},
-		{"get on cancel", "GET", "/submissions/job-1/cancel", "", srv, 405, "Allow", "POST"},
-		{"not JSON", "POST", "/submissions", "hello", srv, 400, "", ""},
-		{"not an object", "POST", "/submissions", "[1]", srv, 400, "", ""},
-		{"oversized", "POST", "/submissions", `{"Id":"` + strings.Repeat("x", tuning.MaxBodyBytes) + `"}`, srv, 400, "", ""},
-		{"an id that cannot be", "GET", "/submissions/bad%20id", "", srv, 404, "", ""},
-		{"cancel of an id that cannot be", "POST", "/submissions/bad/cancel", "", srv, 404, "", ""},
-		{"health before anything is known", "GET", "/healthz", "", srv, 503, "Retry-After", "2"},
-		{"a report while nobody holds the block", "POST", "/checkin", report, srv, 421, "", ""},
-		{"a broken report", "POST", "/checkin", report[:50], srv, 400, "", ""},
-		{"a report of nobody", "POST", "/checkin", "{}", srv, 400, "", ""},
-		{"state service out of reach", "GET", "/submissions/job-1", "", srv, 503, "Retry-After", "2"},
-		{"a full owner", "GET", "/submissions/job-1", "", busy, 503, "Retry-After", "1"},
-		{"a full owner, to a worker: not before it has waited", "POST", "/checkin", report, busy, 503, "Retry-After", "2"},
-	} {
+	ready := newUnreachableRuntime(t)
+	go handleEvents(t, ready)
+	readyServer := serve(t, ready)
+	full := newUnreachableRuntime(t)
+	fillQueues(full)
+	fullServer := serve(t, full)
+	for _, c := range httpCases {
 		t.Run(c.name, func(t *testing.T) {
-			req, err := http.NewRequest(c.method, c.to.URL+c.path, strings.NewReader(c.body))
-			if err != nil {
-				t.Fatal(err)
-			}
-			resp, err := http.DefaultClient.Do(req)
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer resp.Body.Close()
-			var body map[string]any
-			if resp.StatusCode != c.status || resp.Header.Get(c.header) != c.value {
-				t.Errorf("%d, %s %q; want %d, %q", resp.StatusCode, c.header, resp.Header.Get(c.header), c.status, c.value)
-			}
-			if json.NewDecoder(resp.Body).Decode(&body) != nil {
-				t.Error("the body is not a JSON object")
+			if c.queuesFull {
+				c.run(t, fullServer)
+			} else {
+				c.run(t, readyServer)
 			}
 		})
 	}
 }
+
+func (c httpCase) run(t *testing.T, srv *httptest.Server) {
+	req, err := http.NewRequest(c.method, srv.URL+c.path, strings.NewReader(c.body))
+	if err != nil {
+		t.Fatal(err)
+	}
+	resp, err := http.DefaultClient.Do(req)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer resp.Body.Close()
+	value := resp.Header.Get(c.header)
+	if resp.StatusCode != c.status || value != c.value {
+		t.Errorf("%d, %s %q; want %d, %q", resp.StatusCode, c.header, value, c.status, c.value)
+	}
+	var body map[string]any
+	if json.NewDecoder(resp.Body).Decode(&body) != nil {
+		t.Error("the body is not a JSON object")
+	}
+}
--- a/internal/controller/intents_failover_test.go
+++ b/internal/controller/intents_failover_test.go
@@ -27,7 +27,7 @@
 	const perRequest, perPage = 50, 80
 	page, names := map[string]storedIntent{}, []string{}
 	for i := range machines {
-		id := sim.addRunningMachine(i)
+		id := sim.addRunningMachine(i, smallType.Name)
 		page[id] = storedIntent{Duty: intentlog.Deprovision, At: sim.clock.Now().UnixMilli()}
 		names = append(names, id)
 		if len(names) == perRequest {
@@ -43,13 +43,13 @@
 	sim.cloud.Created = machines
 }
 
-// addRunningMachine adds a machine of the small type that runs already.
-func (sim *simulation) addRunningMachine(number int) string {
+// addRunningMachine adds a machine that runs already.
+func (sim *simulation) addRunningMachine(number int, machineType string) string {
 	id := fmt.Sprintf("i-%06d", number)
 	host := wire.Machine{
 		ID:      id,
 		Address: machineAddressPrefix + id,
-		Type:    smallType.Name,
+		Type:    machineType,
 		Zone:    "a",
 		State:   wire.MachineRunning,
 	}
@@ -76,7 +76,12 @@
 	sim.enableIntentLog()
 	sim.leaveIntents(largeFleet)
 	sim.cloud.Available[standin.CapacityKey(smallType.Name, "a", false)] = 8
-	sim.state.Limits = standin.StateLimits{MaxValueBytes: 4 << 10, MaxTxnOps: 8, WritesPerS: writesPerS, RequestsPerS: 200}
+	sim.state.Limits = standin.StateLimits{
+		MaxValueBytes: 4 << 10,
+		MaxTxnOps:     8,
+		WritesPerS:    writesPerS,
+		RequestsPerS:  200,
+	}
 	return sim
 }
 
--- a/internal/controller/runtime_test.go
+++ b/internal/controller/runtime_test.go
@@ -4,7 +4,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"log/slog"
 	"math/rand/v2"
 	"net"
 	"net/http"
@@ -23,33 +22,42 @@
 	"juniperchute/internal/wire"
 )
 
-// effects is a runtime whose effects' results are caught.
-func newTestRuntime(t *testing.T, state string) *Runtime {
-	cfg := testConfig([]string{"a"}, []config.Team{{Name: "red"}}, 1.5, 10)
-	cfg.External = config.External{Cloud: "127.0.0.1:1", State: state}
+// newTestRuntime is a controller whose effects' results wait to be handled by the test.
+func newTestRuntime(t *testing.T, stateAddress string) *Runtime {
+	cfg := testConfig(oneZone, steadyTeams, 1.5, 10)
+	cfg.External = config.External{Cloud: unreachableAddress, State: stateAddress}
 	cfg.Platform.State.WriteRPS = 0.1
 	cfg.Platform.MachineLimits.Sockets = 2179
-	r := NewRuntime(cfg, Options{Blocks: tuning.Shards}, clock.New(nil), slog.New(slog.NewTextHandler(io.Discard, nil)), rand.New(rand.NewPCG(1, 1)))
+	rng := rand.New(rand.NewPCG(1, 1))
+	r := NewRuntime(cfg, Options{Blocks: tuning.Shards}, clock.New(nil), discardLogger(), rng)
 	r.effects.ctx = t.Context()
 	t.Cleanup(func() { close(r.done) })
 	return r
 }
 
-// A question goes out although writes of every class wait for the service's rate:
-// users timed out behind a morning's submissions.
+// A read goes out although writes of every priority wait for the service's rate: users
+// timed out behind a morning's submissions.
 func TestReadsBesideWrites(t *testing.T) {
-	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, `{"Epoch":1}`) }))
+	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		fmt.Fprint(w, `{"Epoch":1}`)
+	}))
 	defer srv.Close()
 	r := newTestRuntime(t, srv.Listener.Addr().String())
 	written := 0
-	for class := range store.Priorities {
+	deletion := wire.Transaction{Writes: []wire.Write{store.Delete("a")}}
+	for priority := range store.Priorities {
+		write := store.Call{
+			Op:          store.OpTransaction,
+			Priority:    store.Priority(priority),
+			Transaction: deletion,
+		}
 		for range 3 * tuning.StoreWritesInFlight {
-			r.effects.CallState(store.Call{Op: store.OpTransaction, Priority: store.Priority(class), Transaction: wire.Transaction{Writes: []wire.Write{store.Delete("a")}}},
-				func(time.Time, store.Result) { written++ })
+			r.effects.CallState(write, func(time.Time, store.Result) { written++ })
 		}
 	}
 	read := false
-	r.effects.CallState(store.Call{Op: store.OpWatch, Priority: store.PriorityUser, Prefix: "q/"}, func(_ time.Time, res store.Result) { read = res.OK() })
+	watch := store.Call{Op: store.OpWatch, Priority: store.PriorityUser, Prefix: "q/"}
+	r.effects.CallState(watch, func(_ time.Time, res store.Result) { read = res.OK() })
 	for !read {
 		(<-r.events)(time.Now())
 	}
@@ -59,7 +67,7 @@
 }
 
 // A command that could only be sent when the lease may be over is not sent, and one
-// that starts tasks does not wait behind questions to machines that hang.
+// that starts tasks does not wait behind heartbeat requests to machines that hang.
 func TestDirectCommands(t *testing.T) {
 	var asked []string
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -73,32 +81,38 @@
 		t.Fatal(err)
 	}
 	defer hangs.Close()
-	r := newTestRuntime(t, "127.0.0.1:1")
+	r := newTestRuntime(t, unreachableAddress)
 	later := time.Now().Add(time.Hour)
-	hung := 0
-	for range 2 * cap(r.effects.commandSlots) {
-		r.effects.SendCommands(hangs.Addr().String(), wire.DirectCommands{Commands: []wire.Command{}}, later, func(time.Time, *wire.Heartbeat, error) { hung++ })
+	hung, hanging := 0, 2*cap(r.effects.commandSlots)
+	noCommands := wire.DirectCommands{Commands: []wire.Command{}}
+	for range hanging {
+		r.effects.SendCommands(hangs.Addr().String(), noCommands, later,
+			func(time.Time, *wire.Heartbeat, error) { hung++ })
 	}
 	results := map[string]error{}
 	for name, by := range map[string]time.Time{"in time": later, "too late": time.Now()} {
-		r.effects.SendCommands(srv.Listener.Addr().String(), wire.DirectCommands{Commands: []wire.Command{{Verb: wire.VerbRun, Task: name}}}, by,
+		start := wire.DirectCommands{Commands: []wire.Command{{Verb: wire.VerbRun, Task: name}}}
+		r.effects.SendCommands(srv.Listener.Addr().String(), start, by,
 			func(_ time.Time, _ *wire.Heartbeat, err error) { results[name] = err })
 	}
 	for len(results) < 2 {
 		(<-r.events)(time.Now())
 	}
-	if results["in time"] != nil || !errors.Is(results["too late"], ErrDeadlinePassed) || len(asked) != 1 || !strings.Contains(asked[0], "in time") {
-		t.Errorf("%v, asked %v", results, asked)
+	if results["in time"] != nil || !errors.Is(results["too late"], ErrDeadlinePassed) {
+		t.Errorf("%v", results)
+	}
+	if len(asked) != 1 || !strings.Contains(asked[0], "in time") {
+		t.Errorf("sent %v", asked)
 	}
 	if hung > 0 {
-		t.Errorf("%d questions to hanging machines came first", hung)
+		t.Errorf("%d heartbeat requests to hanging machines came first", hung)
 	}
 	if n := threadCount(t); n > 200 {
-		t.Errorf("%d threads with %d connections hanging", n, 2*cap(r.effects.commandSlots))
+		t.Errorf("%d threads with %d connections hanging", n, hanging)
 	}
 }
 
-// threads is how many threads this process has, 0 where that is not told.
+// threadCount is how many threads this process has.
 func threadCount(t *testing.T) (n int) {
 	raw, err := os.ReadFile("/proc/self/status")
 	if err != nil {
@@ -112,7 +126,7 @@
 }
 
 // What a lease that ended while the machine was suspended must not do is not sent, and
-// the owner is told before it handles anything else.
+// the owner loop knows of it before it handles anything else.
 func TestSuspendedBeforeAnEffect(t *testing.T) {
 	asked := make(chan string, 10)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -121,18 +135,22 @@
 	}))
 	defer srv.Close()
 	address := srv.Listener.Addr().String()
-	r := newTestRuntime(t, "127.0.0.1:1")
+	r := newTestRuntime(t, unreachableAddress)
 	r.effects.cloud = fleet.NewCloudClient(address, http.DefaultTransport)
 	var suspended atomic.Int64
-	r.effects.clock = clock.New(func() (time.Duration, error) { return time.Duration(suspended.Load()), nil })
+	suspendedFor := func() (time.Duration, error) { return time.Duration(suspended.Load()), nil }
+	r.effects.clock = clock.New(suspendedFor)
 	deadline := r.effects.clock.Now().Add(10 * time.Second)
 	cloudStatus, commandError := 0, error(nil)
+	deletion := fleet.CloudCall{Operation: fleet.DeleteMachines, Hosts: []string{"i-1"}, Deadline: deadline}
 	call := func() {
-		r.effects.CallCloud(fleet.CloudCall{Operation: fleet.DeleteMachines, Hosts: []string{"i-1"}, Deadline: deadline}, func(_ time.Time, res fleet.CloudResult) { cloudStatus = res.Status })
+		r.effects.CallCloud(deletion, func(_ time.Time, res fleet.CloudResult) { cloudStatus = res.Status })
 		(<-r.events)(r.effects.clock.Now())
 	}
+	start := wire.DirectCommands{Commands: []wire.Command{{Verb: wire.VerbRun}}}
 	command := func() {
-		r.effects.SendCommands(address, wire.DirectCommands{Commands: []wire.Command{{Verb: wire.VerbRun}}}, deadline, func(_ time.Time, _ *wire.Heartbeat, err error) { commandError = err })
+		r.effects.SendCommands(address, start, deadline,
+			func(_ time.Time, _ *wire.Heartbeat, err error) { commandError = err })
 		(<-r.events)(r.effects.clock.Now())
 	}
 	call()
@@ -142,45 +160,61 @@
 	}
 	suspended.Store(int64(time.Minute))
 	call()
-	r.effects.clock = clock.New(func() (time.Duration, error) { return time.Duration(suspended.Load()), nil })
+	r.effects.clock = clock.New(suspendedFor)
 	suspended.Store(int64(2 * time.Minute)) // the command has to look for itself
 	command()
 	if len(asked) != 2 || cloudStatus != 0 || !errors.Is(commandError, ErrDeadlinePassed) {
 		t.Errorf("after: cloud %d, worker %v, %d calls", cloudStatus, commandError, len(asked))
 	}
 	r.clock = r.effects.clock
-	told := time.Duration(0)
-	r.runEvent("event", func(time.Time) { told = r.suspendedFor })
-	if told < time.Minute {
-		t.Errorf("the owner was told of %v", told)
+	reported := time.Duration(0)
+	r.runEvent("event", func(time.Time) { reported = r.suspendedFor })
+	if reported < time.Minute {
+		t.Errorf("the owner loop knows of a suspension of %v", reported)
 	}
 }
 
-// A machine that is younger than what is known of the rentals may be another block's.
+// A machine that is newer than what is known of the provisioning requests may belong to
+// another shard.
 func TestMayBelongToOtherShard(t *testing.T) {
 	now := time.Unix(1000, 0)
-	cfg := testConfig([]string{"a"}, []config.Team{{Name: "red"}}, 1.5, 10)
 	held := &heldStateCalls{}
-	core := NewController(cfg, Options{Blocks: 2}, held, rand.New(rand.NewPCG(1, 1)), func() time.Time { return now }, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	core.provisionRequests.Tick(now)
-	held.then(now, store.Result{SentAt: now, Revision: 5, KeyValues: []wire.KeyValue{
-		{Key: "h/1/b1-2-1", Value: []byte(`{"Number":1,"Hosts":["i-1"]}`), Version: 4}}})
+	controller := newTestController(testConfig(oneZone, steadyTeams, 1.5, 10), 2, held, now)
+	controller.provisionRequests.Tick(now)
+	request := wire.KeyValue{Key: "h/1/b1-2-1", Value: []byte(`{"Number":1,"Hosts":["i-1"]}`), Version: 4}
+	held.then(now, store.Result{SentAt: now, Revision: 5, KeyValues: []wire.KeyValue{request}})
 	for _, c := range []struct {
-		name, host string
-		there      time.Time
-		want       bool
+		name      string
+		host      string
+		createdAt time.Time
+		want      bool
 	}{
-		{"named by the other block's rental", "i-1", now.Add(-time.Minute), true},
-		{"named by none", "i-2", now.Add(-time.Minute), false},
-		{"there after the rentals were read", "i-2", now.Add(time.Second), true},
+		{
+			name:      "named by the other shard's provisioning request",
+			host:      "i-1",
+			createdAt: now.Add(-time.Minute),
+			want:      true,
+		},
+		{
+			name:      "named by none",
+			host:      "i-2",
+			createdAt: now.Add(-time.Minute),
+			want:      false,
+		},
+		{
+			name:      "created after the provisioning requests were read",
+			host:      "i-2",
+			createdAt: now.Add(time.Second),
+			want:      true,
+		},
 	} {
-		if got := core.mayBelongToOtherShard(0, c.host, c.there); got != c.want {
-			t.Errorf("%s: foreign %v", c.name, got)
+		if got := controller.mayBelongToOtherShard(0, c.host, c.createdAt); got != c.want {
+			t.Errorf("%s: may belong to another shard %v", c.name, got)
 		}
 	}
 }
 
-// heldStateCalls is an Effects that keeps the newest call of the state service.
+// heldStateCalls is a double of Effects that keeps the newest call of the state service.
 type heldStateCalls struct {
 	Effects
 	then func(now time.Time, r store.Result)
--- a/internal/controller/simulation_deployments_test.go
+++ b/internal/controller/simulation_deployments_test.go
@@ -76,9 +76,25 @@
 	mixedTypes   = []wire.MachineType{mediumType, cpuOnlyType}
 )
 
+// largeMachineType is a machine type with eight GPUs.
+func largeMachineType(bootTimeS float64) wire.MachineType {
+	return wire.MachineType{
+		Name:        "g8",
+		Vcpus:       64,
+		Gpus:        8,
+		MemGb:       384,
+		FetchGbPerS: 1,
+		Price:       5,
+		SpotPrice:   2,
+		BootTimeS:   bootTimeS,
+		Zones:       oneZone,
+	}
+}
+
 // testConfig is the configuration of a small deployment.
 func testConfig(zones []string, teams []config.Team, heartbeatS, leaseS float64) *config.Config {
-	return &config.Config{Member: "x", Area: zones[0], Platform: standin.DeploymentConfig(zones, teams, heartbeatS, leaseS)}
+	platform := standin.DeploymentConfig(zones, teams, heartbeatS, leaseS)
+	return &config.Config{Member: "x", Area: zones[0], Platform: platform}
 }
 
 // steadySimulation is a deployment without random faults, with work under way.
