--- a/internal/controller/cancellation_loading_test.go
+++ b/internal/controller/cancellation_loading_test.go
@@ -11,6 +11,7 @@
 	"juniperchute/internal/quota"
 	"juniperchute/internal/standin"
 	"juniperchute/internal/submission"
+	"juniperchute/internal/term"
 	"juniperchute/internal/wire"
 )
 
@@ -18,7 +19,7 @@
 const maxStepsToFailover = 100000
 
 // stepUntilTermIn plays until a controller's term is in a state.
-func (sim *simulation) stepUntilTermIn(state termState) *term {
+func (sim *simulation) stepUntilTermIn(state term.State) *term.Term {
 	sim.t.Helper()
 	for range maxStepsToFailover {
 		sim.clock.Step()
@@ -50,7 +51,7 @@
 	sim.cancel(cancelled)
 	sim.runFor(3 * time.Second)
 	holder.crash(time.Hour)
-	for sim.termInState(termLoading) == nil {
+	for sim.termInState(term.Loading) == nil {
 		sim.clock.Step()
 	}
 	if cancelled.KnownState != wire.JobCancelled {
@@ -78,7 +79,7 @@
 func (sim *simulation) renewalsWhileLoading(cancelled *standin.Job) (ofCancelled, ofOthers int) {
 	for _, n := range sim.nodes {
 		t := n.controller.terms[0]
-		if !n.alive || t == nil || t.state != termLoading {
+		if !n.alive || t == nil || t.State() != term.Loading {
 			continue
 		}
 		for _, id := range sim.machineNames() {
@@ -107,7 +108,7 @@
 func TestCancellationReceivedWhileLoading(t *testing.T) {
 	sim := steadySimulation(t, 6, 8)
 	sim.leaseHolder().crash(time.Hour)
-	loading := sim.stepUntilTermIn(termLoading)
+	loading := sim.stepUntilTermIn(term.Loading)
 	n := sim.nodeOf(loading)
 	id, openID := sim.cluster.Submitted[3].Spec.ID, sim.cluster.Submitted[4].Spec.ID
 	if _, open := n.controller.openJobs.Get(submission.OpenJobKey(id)); !open {
@@ -117,12 +118,12 @@
 	if !slices.Contains(r.AcknowledgedCancelled, id) {
 		t.Fatal("it does not acknowledge the cancellation")
 	}
-	for loading.state == termLoading {
+	for loading.State() == term.Loading {
 		sim.clock.Step()
 	}
-	cancelled := loading.scheduler.OpenJob(id)
-	if loading.state != termFencing || cancelled != nil || loading.scheduler.OpenJob(openID) == nil {
-		t.Errorf("%v: the job that was cancelled is open: %v", loading.state, cancelled != nil)
+	cancelled := loading.Scheduler().OpenJob(id)
+	if loading.State() != term.Fencing || cancelled != nil || loading.Scheduler().OpenJob(openID) == nil {
+		t.Errorf("%v: the job that was cancelled is open: %v", loading.State(), cancelled != nil)
 	}
 }
 
@@ -137,7 +138,7 @@
 	}
 	sim.runFor(2 * time.Second)
 	shardTerm := n.controller.terms[0]
-	cancelled, open := shardTerm.scheduler.OpenJob("job-900"), shardTerm.scheduler.OpenJob("job-901")
+	cancelled, open := shardTerm.Scheduler().OpenJob("job-900"), shardTerm.Scheduler().OpenJob("job-901")
 	if cancelled != nil || open == nil {
 		t.Errorf("cancelled and open: %v; another open: %v", cancelled != nil, open != nil)
 	}
@@ -155,9 +156,9 @@
 		m.partitioned = true
 	}
 	sim.leaseHolder().crash(time.Hour)
-	fencing := sim.stepUntilTermIn(termFencing)
+	fencing := sim.stepUntilTermIn(term.Fencing)
 	all := quota.Resources{GPUs: 12}
-	if fencing.ledger.Admits("red", all, false) {
+	if fencing.Ledger().AdmitsStart("red", all) {
 		t.Error("the whole limit may be used, though no machine has been reconciled")
 	}
 }
@@ -172,10 +173,10 @@
 	cut.partitioned = true
 	sim.leaseHolder().crash(time.Hour)
 	sim.cancel(cancelled)
-	var successor *term
+	var successor *term.Term
 	for range 200 {
 		sim.runFor(50 * time.Millisecond)
-		if successor = sim.termInState(termFencing); successor != nil {
+		if successor = sim.termInState(term.Fencing); successor != nil {
 			break
 		}
 	}
@@ -219,7 +220,7 @@
 }
 
 // nodeOf is the controller whose term it is.
-func (sim *simulation) nodeOf(t *term) *simulatedNode {
+func (sim *simulation) nodeOf(t *term.Term) *simulatedNode {
 	for _, n := range sim.nodes {
 		if n.controller.terms[0] == t {
 			return n
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -41,7 +41,7 @@
 func (sim *simulation) commandsInTransit() int {
 	count := 0
 	shardTerm := sim.leaseHolder().controller.terms[0]
-	for _, w := range shardTerm.workers.All() {
+	for _, w := range shardTerm.Workers().All() {
 		if w.CommandInFlight {
 			count++
 		}
--- a/internal/controller/cancellation_watermark_test.go
+++ b/internal/controller/cancellation_watermark_test.go
@@ -61,7 +61,7 @@
 	{
 		name: "nobody's while the records are being read: what is cancelled cannot be stopped yet",
 		change: func(holder *simulatedNode, _ *peerpb.PeerHeartbeat) {
-			holder.controller.terms[0].state = termLoading
+			holder.restartTerm()
 		},
 	},
 }
@@ -91,8 +91,8 @@
 		n.peersCut = true
 	}
 	shardTerm := holder.controller.terms[0]
-	shardTerm.cancellationsKnownUntil(sim.clock.Now())
-	before := shardTerm.cancellationsKnownUntil(sim.clock.Now())
+	shardTerm.CancellationsKnownUntil(sim.clock.Now())
+	before := shardTerm.CancellationsKnownUntil(sim.clock.Now())
 	sim.runFor(200 * time.Millisecond)
 	for _, m := range heartbeats {
 		m.ClockNs += int64(time.Second)
@@ -100,7 +100,7 @@
 		holder.controller.HandlePeerHeartbeat(sim.clock.Now(), m)
 	}
 	shardTerm = holder.controller.terms[0]
-	after := shardTerm.cancellationsKnownUntil(sim.clock.Now())
+	after := shardTerm.CancellationsKnownUntil(sim.clock.Now())
 	if advanced := after.After(before); advanced != c.advances || after.After(sim.clock.Now()) {
 		t.Errorf("watermark advanced by %v, want %v", after.Sub(before), c.advances)
 	}
@@ -117,7 +117,7 @@
 		t.Fatal("it is not the lease holder any more")
 	}
 	shardTerm := holder.controller.terms[0]
-	watermark := shardTerm.cancellationsKnownUntil(sim.clock.Now())
+	watermark := shardTerm.CancellationsKnownUntil(sim.clock.Now())
 	if age := sim.clock.Now().Sub(watermark); age < 4*time.Second {
 		t.Errorf("its watermark is %v old, and it may have lost the shard's lease since", age)
 	}
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"fmt"
+	"io"
+	"log/slog"
 	"math/rand/v2"
 	"strconv"
 	"testing"
@@ -13,11 +15,14 @@
 	"juniperchute/internal/wire"
 )
 
+// discardLogger logs to nowhere.
+func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+
 // newTestController is a controller without timers, whose clock stands still.
 func newTestController(cfg *config.Config, shards int, effects Effects, now time.Time) *Controller {
 	rng := rand.New(rand.NewPCG(1, 1))
 	clock := func() time.Time { return now }
-	return NewController(cfg, Options{Blocks: shards}, effects, rng, clock, discardLogger())
+	return NewController(cfg, Options{Shards: shards}, effects, rng, clock, discardLogger())
 }
 
 // redirectCase is what a controller knows of the lease holder from its peers.
--- a/internal/controller/fault_scenario_test.go
+++ b/internal/controller/fault_scenario_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"juniperchute/internal/standin"
+	"juniperchute/internal/term"
 	"juniperchute/internal/wire"
 )
 
@@ -70,7 +71,7 @@
 func (s *faultScenario) leaderOrAny() *simulatedNode {
 	for _, n := range s.nodes {
 		t := n.controller.terms[0]
-		if n.alive && t != nil && t.state != termEnded && n.controller.membership.LeaseValid(s.clock.Now()) {
+		if n.alive && t != nil && t.State() != term.Ended && n.controller.membership.LeaseValid(s.clock.Now()) {
 			return n
 		}
 	}
--- a/internal/controller/faults_controllers_test.go
+++ b/internal/controller/faults_controllers_test.go
@@ -5,6 +5,7 @@
 	"strings"
 	"time"
 
+	"juniperchute/internal/term"
 	"juniperchute/internal/tuning"
 	"juniperchute/internal/wire"
 )
@@ -109,10 +110,10 @@
 	started := 0
 	for _, n := range sim.nodes {
 		t := n.controller.terms[0]
-		if !n.alive || n == before || t == nil || t.state != termFencing {
+		if !n.alive || n == before || t == nil || t.State() != term.Fencing {
 			continue
 		}
-		for _, j := range t.scheduler.OpenJobs() {
+		for _, j := range t.Scheduler().OpenJobs() {
 			if j.FromEarlierTerm && j.AssignedTasks() > 0 && !strings.Contains(startMarkers, `"`+j.Spec.ID+`"`) {
 				started++
 			}
--- a/internal/controller/faults_workers_test.go
+++ b/internal/controller/faults_workers_test.go
@@ -45,7 +45,7 @@
 	sim.runFor(40 * time.Second)
 	holder := sim.leaseHolder()
 	sim.deliverLateHeartbeats(holder, heartbeat)
-	workers := holder.controller.terms[0].workers
+	workers := holder.controller.terms[0].Workers()
 	if w := workers.Get(m.Host.ID); w != nil {
 		sim.addViolation("%s is back: %v", m.Host.ID, w.State)
 	}
@@ -57,7 +57,7 @@
 		return
 	}
 	sim.deliverLateHeartbeats(successor, heartbeat)
-	workers = successor.controller.terms[0].workers
+	workers = successor.controller.terms[0].Workers()
 	if w := workers.Get(m.Host.ID); w != nil {
 		sim.addViolation("%s is back at the successor: %v", m.Host.ID, w.State)
 	}
@@ -76,7 +76,7 @@
 // has expired: what its incarnation reports no longer counts.
 func playLateHeartbeatsOfExpiredIncarnation(sim *simulation) {
 	holder := sim.leaseHolder()
-	workers := holder.controller.terms[0].workers
+	workers := holder.controller.terms[0].Workers()
 	m := sim.randomMachine()
 	heartbeat := m.Heartbeat()
 	m.partitioned, m.Hung = true, true
--- a/internal/controller/fleet_limits_test.go
+++ b/internal/controller/fleet_limits_test.go
@@ -78,7 +78,7 @@
 func TestAttemptNumbersUsedUp(t *testing.T) {
 	sim := steadySimulation(t, 6, 8)
 	before := sim.leaseHolder().controller.terms[0]
-	before.scheduler.AttemptNumbersExhausted = true
+	before.Scheduler().AttemptNumbersExhausted = true
 	sim.runFor(10 * time.Second)
 	next := sim.leaseHolder()
 	if next == nil || next.controller.terms[0].Token <= before.Token {
--- a/internal/controller/http_test.go
+++ b/internal/controller/http_test.go
@@ -23,7 +23,7 @@
 	cfg := testConfig(oneZone, steadyTeams, 1.5, 10)
 	cfg.External = config.External{Cloud: unreachableAddress, State: unreachableAddress}
 	rng := rand.New(rand.NewPCG(1, 1))
-	r := NewRuntime(cfg, Options{Blocks: tuning.Shards}, clock.New(nil), discardLogger(), rng)
+	r := NewRuntime(cfg, Options{Shards: tuning.Shards}, clock.New(nil), discardLogger(), rng)
 	r.effects.ctx = tb.Context()
 	return r
 }
--- a/internal/controller/intents_status_test.go
+++ b/internal/controller/intents_status_test.go
@@ -63,9 +63,9 @@
 	sim.stateOutage(20 * time.Second)
 	sim.runFor(5 * time.Second)
 	r := sim.queryIntents(other)
-	if r.EntriesAgeMs < 4000 || r.HoldersAgeMs < 3000 || len(intentTargets(r)) == 0 {
+	if r.IntentsAgeMs < 4000 || r.HoldersAgeMs < 3000 || len(intentTargets(r)) == 0 {
 		t.Errorf("in an outage: intents %d ms old, lease holders %d ms, %v",
-			r.EntriesAgeMs, r.HoldersAgeMs, intentTargets(r))
+			r.IntentsAgeMs, r.HoldersAgeMs, intentTargets(r))
 	}
 	sim.cloud.Unavailable = false
 	sim.runFor(30 * time.Second)
@@ -80,7 +80,7 @@
 		r := sim.queryIntents(n)
 		shard := r.Shards[0]
 		known := r.InForce && shard.Holder == holder.name && shard.Live && shard.Token == token
-		if !known || shard.SinceMs == 0 || (shard.State == "open") != (n == holder) {
+		if !known || shard.AssignedAtMs == 0 || (shard.State == "open") != (n == holder) {
 			sim.t.Errorf("%s: %+v", n.name, r)
 		}
 		if !strings.Contains(strings.Join(intentTargets(r), " "), target) {
--- a/internal/controller/intents_test.go
+++ b/internal/controller/intents_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"juniperchute/internal/intentlog"
+	"juniperchute/internal/term"
 	"juniperchute/internal/worker"
 )
 
@@ -95,7 +96,7 @@
 	sim.runUntil("a successor", 20*time.Second, func() bool {
 		for _, n := range sim.nodes {
 			t := n.controller.terms[0]
-			if n.alive && n != holder && t != nil && t.state != termEnded {
+			if n.alive && n != holder && t != nil && t.State() != term.Ended {
 				n.crash(300 * time.Millisecond)
 				return true
 			}
@@ -138,12 +139,12 @@
 	sim.leaseHolder().crash(time.Hour)
 	deleting := sim.runUntilMachineDeleting(cut)
 	deleting.HandleHeartbeat(sim.clock.Now(), cut.Heartbeat(), func(int, any) {})
-	if w := deleting.workers.Get(cut.Host.ID); w.LeaseRenewedAt.IsZero() {
+	if w := deleting.Workers().Get(cut.Host.ID); w.LeaseRenewedAt.IsZero() {
 		t.Fatal("the older heartbeat was not answered: this tests nothing")
 	}
 	sim.runFor(500 * time.Millisecond)
-	if deleting.state != termFencing {
-		t.Errorf("%v although it is not known what is on %s", deleting.state, cut.Host.ID)
+	if deleting.State() != term.Fencing {
+		t.Errorf("%v although it is not known what is on %s", deleting.State(), cut.Host.ID)
 	}
 	sim.cloud.Unavailable, cut.partitioned = false, false
 	sim.release(cut)
@@ -151,16 +152,16 @@
 }
 
 // runUntilMachineDeleting plays until a term that is fencing deletes a machine.
-func (sim *simulation) runUntilMachineDeleting(m *machine) *term {
+func (sim *simulation) runUntilMachineDeleting(m *machine) *term.Term {
 	sim.t.Helper()
-	var deleting *term
+	var deleting *term.Term
 	sim.runUntil("a term that deletes the machine", 20*time.Second, func() bool {
 		for _, n := range sim.nodes {
 			t := n.controller.terms[0]
-			if !n.alive || t == nil || t.state != termFencing {
+			if !n.alive || t == nil || t.State() != term.Fencing {
 				continue
 			}
-			if w := t.workers.Get(m.Host.ID); w != nil && w.State == worker.Deleting {
+			if w := t.Workers().Get(m.Host.ID); w != nil && w.State == worker.Deleting {
 				deleting = t
 				return true
 			}
@@ -177,8 +178,8 @@
 	holder := sim.leaseHolder()
 	before := holder.controller.terms[0]
 	holder.controller.EndTermsAfterSuspension(sim.clock.Now())
-	if before.state != termEnded {
-		t.Fatalf("the term is %v", before.state)
+	if before.State() != term.Ended {
+		t.Fatalf("the term is %v", before.State())
 	}
 	sim.runFor(10 * time.Second)
 	if next := sim.leaseHolder(); next == nil || next.controller.terms[0].Token <= before.Token {
--- a/internal/controller/runtime_test.go
+++ b/internal/controller/runtime_test.go
@@ -18,6 +18,7 @@
 	"juniperchute/internal/config"
 	"juniperchute/internal/fleet"
 	"juniperchute/internal/store"
+	"juniperchute/internal/term"
 	"juniperchute/internal/tuning"
 	"juniperchute/internal/wire"
 )
@@ -29,7 +30,7 @@
 	cfg.Platform.State.WriteRPS = 0.1
 	cfg.Platform.MachineLimits.Sockets = 2179
 	rng := rand.New(rand.NewPCG(1, 1))
-	r := NewRuntime(cfg, Options{Blocks: tuning.Shards}, clock.New(nil), discardLogger(), rng)
+	r := NewRuntime(cfg, Options{Shards: tuning.Shards}, clock.New(nil), discardLogger(), rng)
 	r.effects.ctx = t.Context()
 	t.Cleanup(func() { close(r.done) })
 	return r
@@ -98,7 +99,7 @@
 	for len(results) < 2 {
 		(<-r.events)(time.Now())
 	}
-	if results["in time"] != nil || !errors.Is(results["too late"], ErrDeadlinePassed) {
+	if results["in time"] != nil || !errors.Is(results["too late"], term.ErrDeadlinePassed) {
 		t.Errorf("%v", results)
 	}
 	if len(asked) != 1 || !strings.Contains(asked[0], "in time") {
@@ -163,7 +164,7 @@
 	r.effects.clock = clock.New(suspendedFor)
 	suspended.Store(int64(2 * time.Minute)) // the command has to look for itself
 	command()
-	if len(asked) != 2 || cloudStatus != 0 || !errors.Is(commandError, ErrDeadlinePassed) {
+	if len(asked) != 2 || cloudStatus != 0 || !errors.Is(commandError, term.ErrDeadlinePassed) {
 		t.Errorf("after: cloud %d, worker %v, %d calls", cloudStatus, commandError, len(asked))
 	}
 	r.clock = r.effects.clock
@@ -208,7 +209,7 @@
 			want:      true,
 		},
 	} {
-		if got := controller.mayBelongToOtherShard(0, c.host, c.createdAt); got != c.want {
+		if got := controller.MayBelongToOtherShard(0, c.host, c.createdAt); got != c.want {
 			t.Errorf("%s: may belong to another shard %v", c.name, got)
 		}
 	}
--- a/internal/controller/simulation_commands_test.go
+++ b/internal/controller/simulation_commands_test.go
@@ -4,6 +4,7 @@
 	"strings"
 	"time"
 
+	"juniperchute/internal/term"
 	"juniperchute/internal/tuning"
 	"juniperchute/internal/wire"
 )
@@ -30,13 +31,13 @@
 		}
 	}
 	if !sim.clock.Now().Before(by) {
-		sim.clock.Schedule(0, func() { finish(nil, ErrDeadlinePassed) })
+		sim.clock.Schedule(0, func() { finish(nil, term.ErrDeadlinePassed) })
 		return
 	}
 	if len(d.Commands) > 0 {
 		e.checkLeaseValid("a command")
 	}
-	sim.clock.Schedule(tuning.CommandTimeout, func() { finish(nil, ErrNoReply) })
+	sim.clock.Schedule(tuning.CommandTimeout, func() { finish(nil, term.ErrNoReply) })
 	m := sim.machines[strings.TrimPrefix(address, machineAddressPrefix)]
 	if m == nil || m.inboundCut {
 		return
--- a/internal/controller/simulation_node_test.go
+++ b/internal/controller/simulation_node_test.go
@@ -62,10 +62,17 @@
 	n.sim.clock.Schedule(time.Duration(n.sim.rng.IntN(100))*time.Millisecond, tick)
 }
 
+// restartTerm has the controller start its term of the first shard once more: it is loading
+// until the state service answers.
+func (n *simulatedNode) restartTerm() {
+	c := n.controller
+	c.terms[0] = c.startTerm(n.sim.clock.Now(), c.terms[0].Term)
+}
+
 // options are what the node's process is started with.
 func (n *simulatedNode) options() Options {
-	options := Options{Blocks: n.sim.shards}
-	options.Switches.IntentLog = n.sim.intentLog && (n.upgraded || !n.sim.startsOld)
+	options := Options{Shards: n.sim.shards}
+	options.Features.IntentLog = n.sim.intentLog && (n.upgraded || !n.sim.startsOld)
 	return options
 }
 
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -14,6 +14,7 @@
 	"juniperchute/internal/config"
 	"juniperchute/internal/quota"
 	"juniperchute/internal/standin"
+	"juniperchute/internal/term"
 	"juniperchute/internal/wire"
 )
 
@@ -251,7 +252,7 @@
 func (sim *simulation) leaseHolder() *simulatedNode {
 	for _, n := range sim.nodes {
 		t := n.controller.terms[0]
-		if n.alive && t != nil && t.state == termOpen && n.controller.membership.LeaseValid(sim.clock.Now()) {
+		if n.alive && t != nil && t.State() == term.Open && n.controller.membership.LeaseValid(sim.clock.Now()) {
 			return n
 		}
 	}
@@ -290,10 +291,10 @@
 }
 
 // termInState is the first term of a live controller in a state, nil if there is none.
-func (sim *simulation) termInState(state termState) *term {
+func (sim *simulation) termInState(state term.State) *term.Term {
 	for _, n := range sim.nodes {
 		t := n.controller.terms[0]
-		if n.alive && t != nil && t.state == state {
+		if n.alive && t != nil && t.State() == state {
 			return t
 		}
 	}
--- a/internal/fleet/provisioning.go
+++ b/internal/fleet/provisioning.go
@@ -77,11 +77,13 @@
 }
 
 func (a *Autoscaler) openWriter(request *provisioningRequest, version uint64) {
-	request.writer = store.NewDesiredValue(ShardProvisioningPrefix(a.shard)+request.name, version, store.PriorityTerm, a.termCompare, a.store, func(now time.Time, version int) {
+	file := store.DesiredValueOptions{Key: ShardProvisioningPrefix(a.shard) + request.name, KeyVersion: version, Priority: store.PriorityTerm,
+		TermCompare: a.termCompare, StateCall: a.store, OnTermLost: a.onTermLost}
+	file.OnDurable = func(now time.Time, version int) {
 		a.forgetDeleted(request, version)
 		switch request.state {
 		case provisioningRecording:
-			a.intents.MarkRecorded(now, request.intent)
+			a.intents.MarkRecorded(request.intent)
 			a.setRequestState(request, provisioningRequested, "recorded")
 		case provisioningGranted:
 			request.recordDurable = true
@@ -95,8 +97,9 @@
 				delete(a.requests, request.name)
 			}
 		}
-	}, a.onTermLost)
-	request.writer.OnTooLarge = func(now time.Time) bool { return a.splitRecord(now, request) }
+	}
+	file.OnTooLarge = func(now time.Time) bool { return a.splitRecord(now, request) }
+	request.writer = store.NewDesiredValue(file)
 }
 
 // splitRecord gives half of a rental's machines a record of their own: the service has refused
@@ -181,7 +184,7 @@
 	if len(record.Hosts) == 0 {
 		// The earlier holder did not get to write the answer down. Asking
 		// again by the same name tells it, or rents the machines now.
-		request.intent = a.intents.RecoverElsewhere(now, intentlog.Provision, name, tokenOfRequest(name))
+		request.intent = a.intents.RecoverElsewhere(intentlog.Provision, name, tokenOfRequest(name))
 		a.setRequestState(request, provisioningRequested, "taken over without an answer")
 		return
 	}
@@ -227,14 +230,14 @@
 // sendRequest asks the cloud for a rental's machines. The name stays the same until the
 // answer is certain: repeating it rents nothing twice.
 func (a *Autoscaler) sendRequest(now time.Time, request *provisioningRequest) {
-	if !a.intents.StartCall(now, request.intent) {
+	if !a.intents.StartCall(request.intent) {
 		return
 	}
 	request.inFlight = true
 	a.callCloud(CloudCall{Operation: CreateMachines, Request: wire.ProvisionRequest{Name: request.name, Type: request.record.Type, Zone: request.record.Zone, Spot: request.record.Spot, Count: request.record.Number}},
 		func(now time.Time, result CloudResult) {
 			request.inFlight, request.answeredAt = false, now
-			a.intents.FinishCall(now, request.intent, result.outcome())
+			a.intents.FinishCall(request.intent, result.outcome())
 			capacityKey := request.capacityKey()
 			switch {
 			case result.Status == 200:
@@ -293,7 +296,7 @@
 
 func (a *Autoscaler) closeRequest(now time.Time, request *provisioningRequest, reason string) {
 	if request.intent != nil {
-		a.intents.Complete(now, request.intent, reason)
+		a.intents.Complete(request.intent, reason)
 	}
 	a.setRequestState(request, provisioningClosed, reason)
 	request.writer.Set(nil)
@@ -405,7 +408,7 @@
 func (a *Autoscaler) newRequest(now time.Time, record ProvisioningRecord) *provisioningRequest {
 	a.sequence++
 	request := &provisioningRequest{name: a.requestName(), record: record}
-	request.intent = a.intents.RecordElsewhere(now, intentlog.Provision, request.name, "waiting work")
+	request.intent = a.intents.RecordElsewhere(intentlog.Provision, request.name, "waiting work")
 	a.openWriter(request, 0)
 	a.requests[request.name] = request
 	a.log.Info("renting", "name", request.name, "type", record.Type, "zone", record.Zone, "spot", record.Spot, "number", record.Number)
--- a/internal/controller/completion_bitmaps_limits_test.go
+++ b/internal/term/completion_bitmaps_limits_test.go
@@ -1,4 +1,4 @@
-package controller
+package term
 
 import (
 	"encoding/json"
@@ -60,9 +60,9 @@
 	s.revision = 100
 	completed := s.storeEarlierVersion(id, c.tasks)
 	for round := range 2 { // and what was written is read again
-		term := s.newTerm(id, c.tasks)
-		term.writePages(rounds)
-		c.checkCompletions(t, term, completed, round)
+		loaded := s.newTerm(id, c.tasks)
+		loaded.writePages(rounds)
+		c.checkCompletions(t, loaded, completed, round)
 	}
 	entries := s.storedEntries()
 	if len(entries) != c.entries || c.firstStays != slices.Contains(entries, id+"/0") {
@@ -106,9 +106,9 @@
 
 // checkCompletions checks that a term knows exactly the completions that were stored, and
 // that all of them are durable.
-func (c storedBitmapCase) checkCompletions(t *testing.T, term *bitmapTerm, completed map[int]bool, round int) {
+func (c storedBitmapCase) checkCompletions(t *testing.T, loaded *bitmapTerm, completed map[int]bool, round int) {
 	t.Helper()
-	unsaved, bits := term.job.UnsavedCompletions(0, c.tasks)
+	unsaved, bits := loaded.job.UnsavedCompletions(0, c.tasks)
 	found := 0
 	for n := range c.tasks {
 		if bits[n/8]&(1<<(n%8)) == 0 {
--- a/internal/controller/completion_bitmaps_test.go
+++ b/internal/term/completion_bitmaps_test.go
@@ -1,4 +1,4 @@
-package controller
+package term
 
 import (
 	"encoding/json"
@@ -11,6 +11,7 @@
 
 	"juniperchute/internal/placement"
 	"juniperchute/internal/quota"
+	"juniperchute/internal/standin"
 	"juniperchute/internal/store"
 	"juniperchute/internal/wire"
 	"juniperchute/internal/worker"
@@ -87,10 +88,16 @@
 // newTerm starts a term that reads what is stored of a job's completions.
 func (s *bitmapStore) newTerm(id string, tasks int) *bitmapTerm {
 	scheduler, job := singleJobScheduler(wire.JobSpec{ID: id, Shape: wire.ShapeBatch, Tasks: tasks})
-	leaseHeld := store.VersionEquals("c/b/0", 1)
-	lost := func(time.Time) { s.t.Error("lost") }
-	pages := store.NewPages("t/0/", upcomingKB, time.Second, store.PriorityCompletion, leaseHeld, s.call,
-		discardLogger(), lost)
+	pages := store.NewPages(store.PagesOptions{
+		Prefix:        "t/0/",
+		ValueKB:       upcomingKB,
+		WriteInterval: time.Second,
+		Priority:      store.PriorityCompletion,
+		TermCompare:   store.VersionEquals("c/b/0", 1),
+		StateCall:     s.call,
+		Log:           discardLogger(),
+		OnTermLost:    func(time.Time) { s.t.Error("lost") },
+	})
 	bitmaps := newCompletionBitmaps(pages, presentKB)
 	bitmaps.load(slices.Collect(maps.Values(s.keys)), scheduler.OpenJob)
 	return &bitmapTerm{store: s, bitmaps: bitmaps, scheduler: scheduler, job: job}
@@ -109,7 +116,11 @@
 
 // completeEveryNth has a machine report that every nth task of a job has completed.
 func completeEveryNth(scheduler *placement.Scheduler, j *placement.Job, nth int) {
-	m := &worker.Machine{Host: "i-1", State: worker.Up, Images: map[string]time.Time{}}
+	m := &worker.Machine{
+		Identity:   worker.Identity{Host: "i-1"},
+		Lifecycle:  worker.Lifecycle{State: worker.Up},
+		ImageCache: worker.ImageCache{Images: map[string]time.Time{}},
+	}
 	for n := 0; n < j.Spec.Tasks; n += nth {
 		m.Tasks = append(m.Tasks, wire.TaskStatus{
 			Name:       wire.TaskName(j.Spec.ID, n),
@@ -123,11 +134,11 @@
 
 // singleJobScheduler is a scheduler with one job.
 func singleJobScheduler(spec wire.JobSpec) (*placement.Scheduler, *placement.Job) {
-	cfg := testConfig(oneZone, nil, 1.5, 10)
-	workers := worker.NewRegistry(cfg.Platform.Workers, discardLogger())
-	ledger := quota.NewLedger(nil, 0, 1)
+	platform := standin.DeploymentConfig([]string{"a"}, nil, 1.5, 10)
+	workers := worker.NewRegistry(platform.Workers, discardLogger())
+	ledger := quota.NewLedger(nil, 1)
 	completed := func(time.Time, *placement.Job) {}
-	scheduler := placement.NewScheduler(cfg.Platform, 1, ledger, workers, nil, discardLogger(), completed)
+	scheduler := placement.NewScheduler(platform, 1, ledger, workers, nil, discardLogger(), completed)
 	return scheduler, scheduler.AddJob(time.Unix(0, 0), spec, time.Unix(0, 0), 1, true)
 }
 
