--- a/internal/integration/deployment_test.go
+++ b/internal/integration/deployment_test.go
@@ -97,12 +97,13 @@
 
 func (d *deployment) addControllers(external config.External) {
 	dir := d.tb.TempDir()
+	addresses := reserveAddresses(d.tb, d.config.Nodes)
 	var known []config.Peer
-	for i := range d.config.Nodes {
-		known = append(known, config.Peer{Member: fmt.Sprintf("node-%d", i), Area: "a", Address: freeAddress(d.tb)})
+	for i, a := range addresses {
+		known = append(known, config.Peer{Member: fmt.Sprintf("node-%d", i), Area: "a", Address: a.peer})
 	}
 	for i, member := range known {
-		controller := config.Config{Member: member.Member, Area: member.Area, PeerBind: member.Address, APIAddr: freeAddress(d.tb), External: external, Platform: d.config}
+		controller := config.Config{Member: member.Member, Area: member.Area, PeerBind: member.Address, APIAddr: addresses[i].api, External: external, Platform: d.config}
 		for j, other := range known {
 			if j != i {
 				controller.Peers = append(controller.Peers, other)
@@ -112,16 +113,6 @@
 	}
 }
 
-func freeAddress(tb testing.TB) string {
-	tb.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		tb.Fatal(err)
-	}
-	defer ln.Close()
-	return ln.Addr().String()
-}
-
 func (d *deployment) serve(addr string, h http.HandlerFunc) string {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/internal/integration/process_test.go
+++ b/internal/integration/process_test.go
@@ -41,13 +41,17 @@
 	}
 }
 
-// stop ends the process, if there is one.
+// stop ends the process, if there is one. One that has ended by itself is an error: it
+// was missing in whatever the test saw since.
 func (p *controllerProcess) stop(sig os.Signal) {
 	if p.command == nil {
 		return
 	}
 	_ = p.command.Process.Signal(sig)
 	_ = p.command.Wait()
+	if status := p.command.ProcessState.ExitCode(); status > 0 {
+		p.tb.Errorf("%s ended by itself, with status %d", p.config.Member, status)
+	}
 	p.command = nil
 }
 
--- a/internal/integration/upgrade_test.go
+++ b/internal/integration/upgrade_test.go
@@ -118,9 +118,6 @@
 	}
 }
 
-// leaderIndex is the controller that holds the block, -1 if there is none; the lock is held.
-func (u *upgradeTest) leaderIndex() int { return u.NodeIndex(u.leaderName()) }
-
 // restart kills a controller and starts it in a version.
 func (u *upgradeTest) restart(i int, program string) {
 	u.controllers[i].stop(syscall.SIGKILL)
@@ -137,25 +134,6 @@
 	}
 }
 
-// waitForLeader waits until a given controller holds the block, restarting others, in their
-// versions, that hold it instead.
-func (u *upgradeTest) waitForLeader(want int) {
-	u.t.Helper()
-	for range 6 {
-		at := -1
-		u.waitUntil("a holder", func() bool { at = u.leaderIndex(); return at >= 0 })
-		if at == want {
-			return
-		}
-		// the one that joined last is chosen: the wanted one is to be that
-		u.restart(want, u.versions[want])
-		u.sleep(2 * time.Second)
-		u.restart(at, u.versions[at])
-		u.sleep(stepInterval)
-	}
-	u.t.Fatalf("controller %d never holds the block", want)
-}
-
 // lowerLimits has the state service lower its limits, in the midst of whatever is going on.
 // A version that does not know the limits to come has left values that are larger.
 func (u *upgradeTest) lowerLimits() {
