--- a/internal/integration/deployment_test.go
+++ b/internal/integration/deployment_test.go
@@ -97,12 +97,13 @@
 
 func (d *deployment) addNodes(external config.External) {
 	dir := d.tb.TempDir()
+	addresses := reserveAddresses(d.tb, d.facts.Nodes)
 	var known []config.Known
-	for i := range d.facts.Nodes {
-		known = append(known, config.Known{Member: fmt.Sprintf("node-%d", i), Area: "a", Address: freeAddress(d.tb)})
+	for i, a := range addresses {
+		known = append(known, config.Known{Member: fmt.Sprintf("node-%d", i), Area: "a", Address: a.peer})
 	}
 	for i, k := range known {
-		c := config.Config{Member: k.Member, Area: k.Area, PeerBind: k.Address, APIAddr: freeAddress(d.tb), External: external, Facts: d.facts}
+		c := config.Config{Member: k.Member, Area: k.Area, PeerBind: k.Address, APIAddr: addresses[i].api, External: external, Facts: d.facts}
 		for j, o := range known {
 			if j != i {
 				c.Known = append(c.Known, o)
@@ -112,16 +113,6 @@
 	}
 }
 
-func freeAddress(tb testing.TB) string {
-	tb.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		tb.Fatal(err)
-	}
-	defer ln.Close()
-	return ln.Addr().String()
-}
-
 func (d *deployment) serve(addr string, h http.HandlerFunc) string {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/internal/integration/process_test.go
+++ b/internal/integration/process_test.go
@@ -41,13 +41,17 @@
 	}
 }
 
-// end ends the process, if there is one.
+// end ends the process, if there is one. One that has ended by itself is an error: it
+// was missing in whatever the test saw since.
 func (p *process) end(sig os.Signal) {
 	if p.cmd == nil {
 		return
 	}
 	_ = p.cmd.Process.Signal(sig)
 	_ = p.cmd.Wait()
+	if status := p.cmd.ProcessState.ExitCode(); status > 0 {
+		p.tb.Errorf("%s ended by itself, with status %d", p.cfg.Member, status)
+	}
 	p.cmd = nil
 }
 
--- a/internal/integration/upgrade_test.go
+++ b/internal/integration/upgrade_test.go
@@ -118,9 +118,6 @@
 	}
 }
 
-// holder is the controller that holds the block, -1 if there is none; the lock is held.
-func (r *rollout) holder() int { return r.NodeIndex(r.holderName()) }
-
 // restart kills a controller and starts it in a version.
 func (r *rollout) restart(i int, program string) {
 	r.nodes[i].end(syscall.SIGKILL)
@@ -137,25 +134,6 @@
 	}
 }
 
-// leads waits until a given controller holds the block, restarting others, in their
-// versions, that hold it instead.
-func (r *rollout) leads(want int) {
-	r.t.Helper()
-	for range 6 {
-		at := -1
-		r.until("a holder", func() bool { at = r.holder(); return at >= 0 })
-		if at == want {
-			return
-		}
-		// the one that joined last is chosen: the wanted one is to be that
-		r.restart(want, r.version[want])
-		r.sleep(2 * time.Second)
-		r.restart(at, r.version[at])
-		r.sleep(betweenSteps)
-	}
-	r.t.Fatalf("controller %d never holds the block", want)
-}
-
 // lower has the state service lower its limits, in the midst of whatever is going on.
 // A version that does not know the limits to come has left values that are larger.
 func (r *rollout) lower() {
