--- a/internal/intentlog/log.go
+++ b/internal/intentlog/log.go
@@ -46,8 +46,16 @@
 	for _, operation := range Operations() {
 		l.intents[operation] = map[string]*Intent{}
 	}
-	l.pages = store.NewPages(LogPrefix(options.Shard), options.ValueKB, tuning.IntentWriteInterval, store.PriorityTerm,
-		options.TermCompare, options.StateCall, options.Log, options.OnTermLost)
+	l.pages = store.NewPages(store.PagesOptions{
+		Prefix:        LogPrefix(options.Shard),
+		ValueKB:       options.ValueKB,
+		WriteInterval: tuning.IntentWriteInterval,
+		Priority:      store.PriorityTerm,
+		TermCompare:   options.TermCompare,
+		StateCall:     options.StateCall,
+		Log:           options.Log,
+		OnTermLost:    options.OnTermLost,
+	})
 	return l
 }
 
--- a/internal/leader/membership.go
+++ b/internal/leader/membership.go
@@ -79,7 +79,11 @@
 // New makes a Membership that has no lease and has read nothing; Tick starts both.
 func New(options Options) *Membership {
 	m := &Membership{options: options, records: newControlRecords(options.Log)}
-	m.cache = store.NewWatchCache(ControlPrefix, options.StateCall, m.applyRecord)
+	m.cache = store.NewWatchCache(store.WatchCacheOptions{
+		Prefix:    ControlPrefix,
+		StateCall: options.StateCall,
+		OnChange:  m.applyRecord,
+	})
 	return m
 }
 
--- a/internal/term/term.go
+++ b/internal/term/term.go
@@ -82,7 +82,7 @@
 	}
 	platform := options.Platform
 	t.workers = worker.NewRegistry(platform.Workers, t.log)
-	t.ledger = quota.NewLedger(platform.Teams, t.Shard, options.Shards)
+	t.ledger = quota.NewLedger(platform.Teams, options.Shards)
 	t.scheduler = placement.NewScheduler(platform, t.Token, t.ledger, t.workers, options.Rand, t.log,
 		func(now time.Time, job *placement.Job) { t.completions.taskCompleted(now, job) })
 	t.intents = t.newIntentLog()
@@ -132,8 +132,16 @@
 
 // newPages makes pages under a prefix that only this term may write.
 func (t *Term) newPages(prefix string, interval time.Duration, priority store.Priority) *store.Pages {
-	valueKB := t.options.Platform.State.StoredLimits().ValueKB
-	return store.NewPages(prefix, valueKB, interval, priority, t.compare(), t.guardedStateCall, t.log, t.onTermLost)
+	return store.NewPages(store.PagesOptions{
+		Prefix:        prefix,
+		ValueKB:       t.options.Platform.State.StoredLimits().ValueKB,
+		WriteInterval: interval,
+		Priority:      priority,
+		TermCompare:   t.compare(),
+		StateCall:     t.guardedStateCall,
+		Log:           t.log,
+		OnTermLost:    t.onTermLost,
+	})
 }
 
 // Start begins the term: it reads what earlier terms wrote down.
