--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,9 +1,10 @@
-// Package clock tells the time by which leases are judged. It only goes forward, and it
-// counts the time in which the machine was suspended, which the system's monotonic clock
-// does not: a lease may end early by that, never late.
+// Package clock is the steady clock by which leases are judged. It never goes back, and it counts
+// the time for which the machine was suspended, which the system's monotonic clock does not: a
+// lease may expire early by that, but never late.
 package clock
 
 import (
+	"fmt"
 	"sync/atomic"
 	"time"
 
@@ -14,53 +15,52 @@
 
 // Clock is a steady clock. It may be used by several goroutines.
 type Clock struct {
-	readSuspended func() (time.Duration, error)
-	base          time.Duration // of what suspended told at the start
-	suspendedFor  atomic.Int64  // suspended time since the start
+	// timeSuspended is how long the machine has been suspended in all; nil if that is not known.
+	timeSuspended func() (time.Duration, error)
+	atStart       time.Duration // timeSuspended when the clock was made
+	suspendedFor  atomic.Int64  // nanoseconds since then, as of the last Advance
 }
 
-// New makes a clock. suspended tells how long the machine has been suspended in all, nil:
-// that is not looked at.
-func New(suspended func() (time.Duration, error)) *Clock {
-	c := &Clock{readSuspended: suspended}
-	if suspended == nil {
-		return c
+// New makes a clock. timeSuspended returns how long the machine has been suspended in all, such as
+// the function TimeSuspended. If it is nil or fails now, suspension is not counted.
+func New(timeSuspended func() (time.Duration, error)) *Clock {
+	if timeSuspended == nil {
+		return &Clock{}
 	}
-	base, err := suspended()
+	atStart, err := timeSuspended()
 	if err != nil {
-		c.readSuspended = nil
-		return c
+		return &Clock{}
 	}
-	c.base = base
-	return c
+	return &Clock{timeSuspended: timeSuspended, atStart: atStart}
 }
 
-// Now is the time, as of the last Advance if the machine was suspended since.
-func (c *Clock) Now() time.Time { return time.Now().Add(time.Duration(c.suspendedFor.Load())) }
+// Now is the time. It lacks a suspension since the last Advance.
+func (c *Clock) Now() time.Time { return time.Now().Add(c.SuspendedFor()) }
 
-// SuspendedFor is by how much the clock has been moved forward since the start.
+// SuspendedFor is how long the machine has been suspended since the clock was made, as of the last
+// Advance.
 func (c *Clock) SuspendedFor() time.Duration { return time.Duration(c.suspendedFor.Load()) }
 
-// Advance looks whether the machine was suspended, and tells the time. It is called before
-// whatever a lease that may have ended must not do.
+// Advance counts any suspension up to now, and returns the time. It is called before whatever must
+// not be done for a lease that may have expired.
 func (c *Clock) Advance() time.Time {
-	if c.readSuspended != nil {
-		if total, err := c.readSuspended(); err == nil {
-			c.advanceTo(total - c.base)
+	if c.timeSuspended != nil {
+		if total, err := c.timeSuspended(); err == nil {
+			c.advanceTo(total - c.atStart)
 		}
 	}
 	return c.Now()
 }
 
-// advanceTo moves the clock forward; differences that reading two clocks one after the other
-// explains are not heeded.
-func (c *Clock) advanceTo(total time.Duration) {
+// advanceTo moves the clock forward. A difference too small for a suspension comes from reading
+// two clocks one after the other, and does not count.
+func (c *Clock) advanceTo(suspended time.Duration) {
 	for {
-		old := c.suspendedFor.Load()
-		if int64(total)-old < int64(tuning.MinSuspension) {
+		current := c.suspendedFor.Load()
+		if suspended-time.Duration(current) < tuning.MinSuspension {
 			return
 		}
-		if c.suspendedFor.CompareAndSwap(old, int64(total)) {
+		if c.suspendedFor.CompareAndSwap(current, int64(suspended)) {
 			return
 		}
 	}
@@ -70,10 +70,10 @@
 func TimeSuspended() (time.Duration, error) {
 	var monotonic, boot unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic); err != nil {
-		return 0, err
+		return 0, fmt.Errorf("reading the monotonic clock: %w", err)
 	}
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot); err != nil {
-		return 0, err
+		return 0, fmt.Errorf("reading the boot time clock: %w", err)
 	}
 	return time.Duration(boot.Nano() - monotonic.Nano()), nil
 }
