--- a/internal/featuregate/featuregate.go
+++ b/internal/featuregate/featuregate.go
@@ -1,5 +1,5 @@
-// Package featuregate reads the file that tells what a controller may do beyond what all
-// versions do. Everything in it is off unless it is switched on there.
+// Package featuregate reads the switches file, which turns on what a controller may do beyond what
+// all versions do. Everything in it is off by default.
 package featuregate
 
 import (
@@ -12,13 +12,14 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// IntentLogFeature is the name under which a controller announces that it can keep a log of duties.
+// IntentLogFeature is the name under which members announce that they can keep an intent log. The
+// name is compared across versions.
 const IntentLogFeature = "duties"
 
-// Gates are what a controller may do.
+// Gates are the feature gates of one controller.
 type Gates struct {
-	// IntentLog: what is asked of the cloud is entered in a durable log first. It is in
-	// force once every member announces it.
+	// IntentLog: an operation on the cloud is recorded in a durable log before it is sent. It is
+	// in force once every member announces it.
 	IntentLog bool  `toml:"duties"`
 	Trace     Trace `toml:"trace"`
 }
@@ -26,59 +27,61 @@
 // Trace tells where spans are written; none are made without a file.
 type Trace struct {
 	File string `toml:"file"`
-	// MaxMB bounds the file and the one before it together.
+	// MaxMB bounds the file and its predecessor together, in units of 1,024^2 bytes.
 	MaxMB float64 `toml:"most_mb"`
 }
 
-// defaultTraceMB is the size of a trace when the file gives none.
+// defaultTraceMB is Trace.MaxMB where the file names none.
 const defaultTraceMB = 16
 
-// Announced lists the switches that concern several controllers and are on here.
-func (s Gates) Announced() []string {
-	if s.IntentLog {
+// Announced lists, by the names that members announce, the gates that are open here and take
+// effect once all members have them.
+func (g Gates) Announced() []string {
+	if g.IntentLog {
 		return []string{IntentLogFeature}
 	}
 	return nil
 }
 
-// Load reads a file of switches. An error names the file and the field in one line.
+// Load reads a switches file. An error is one line that names the file and the field.
 func Load(file string) (Gates, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return Gates{}, fmt.Errorf("switches: %w", err)
 	}
-	s, err := parse(raw)
+	gates, err := parse(raw)
 	if err != nil {
 		return Gates{}, fmt.Errorf("switches: %s: %w", file, err)
 	}
-	return s, nil
+	return gates, nil
 }
 
 func parse(raw []byte) (Gates, error) {
-	s := Gates{Trace: Trace{MaxMB: defaultTraceMB}}
-	d := toml.NewDecoder(bytes.NewReader(raw)).DisallowUnknownFields()
-	if err := d.Decode(&s); err != nil {
+	gates := Gates{Trace: Trace{MaxMB: defaultTraceMB}}
+	decoder := toml.NewDecoder(bytes.NewReader(raw)).DisallowUnknownFields()
+	if err := decoder.Decode(&gates); err != nil {
 		return Gates{}, singleLineError(err)
 	}
-	if !(s.Trace.MaxMB > 0) {
-		return Gates{}, fmt.Errorf("trace.most_mb: %g is not above 0", s.Trace.MaxMB)
+	if !(gates.Trace.MaxMB > 0) { // not a number is not above 0 either
+		return Gates{}, fmt.Errorf("trace.most_mb: %g is not above 0", gates.Trace.MaxMB)
 	}
-	return s, nil
+	return gates, nil
 }
 
-// singleLineError puts an error of the decoder in one line that names the field.
+// singleLineError puts an error of the decoder, whose text has several lines, in one line that
+// names the field.
 func singleLineError(err error) error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) && len(unknown.Errors) > 0 {
 		return fmt.Errorf("%s: unknown switch", strings.Join(unknown.Errors[0].Key(), "."))
 	}
-	var wrong *toml.DecodeError
-	if errors.As(err, &wrong) {
-		row, _ := wrong.Position()
-		if key := strings.Join(wrong.Key(), "."); key != "" {
-			return fmt.Errorf("%s: %s", key, wrong.Error())
+	var invalid *toml.DecodeError
+	if errors.As(err, &invalid) {
+		if key := strings.Join(invalid.Key(), "."); key != "" {
+			return fmt.Errorf("%s: %w", key, invalid)
 		}
-		return fmt.Errorf("line %d: %s", row, wrong.Error())
+		row, _ := invalid.Position()
+		return fmt.Errorf("line %d: %w", row, invalid)
 	}
 	return err
 }
--- a/internal/featuregate/featuregate_test.go
+++ b/internal/featuregate/featuregate_test.go
@@ -7,41 +7,78 @@
 	"testing"
 )
 
-// What a file switches on, and the one line that ends the start when it cannot be read.
+var loadCases = []struct {
+	name  string
+	file  string // its content
+	want  Gates
+	fault string // named by the error; "" for none
+}{
+	{
+		name: "empty: all off",
+		want: Gates{Trace: Trace{MaxMB: defaultTraceMB}},
+	},
+	{
+		name: "intent log on",
+		file: "duties = true\n",
+		want: Gates{IntentLog: true, Trace: Trace{MaxMB: defaultTraceMB}},
+	},
+	{
+		name: "a trace",
+		file: "[trace]\nfile = \"trace.json\"\nmost_mb = 2.5\n",
+		want: Gates{Trace: Trace{File: "trace.json", MaxMB: 2.5}},
+	},
+	{
+		name:  "unknown switch",
+		file:  "dutys = true\n",
+		fault: "dutys: unknown switch",
+	},
+	{
+		name:  "unknown field of a table",
+		file:  "[trace]\nfil = \"x\"\n",
+		fault: "trace.fil: unknown switch",
+	},
+	{
+		name:  "wrong type",
+		file:  "duties = \"yes\"\n",
+		fault: "duties",
+	},
+	{
+		name:  "wrong type in a table",
+		file:  "[trace]\nmost_mb = true\n",
+		fault: "most_mb",
+	},
+	{
+		name:  "not above 0",
+		file:  "[trace]\nmost_mb = 0\n",
+		fault: "trace.most_mb",
+	},
+	{
+		name:  "not a number",
+		file:  "[trace]\nmost_mb = nan\n",
+		fault: "trace.most_mb",
+	},
+	{
+		name:  "not TOML",
+		file:  "duties\n",
+		fault: "line 1",
+	},
+}
+
+// What a file turns on, and the one line that ends the start of the process if it is invalid.
 func TestLoad(t *testing.T) {
-	for _, c := range []struct {
-		name, file string
-		want       Gates
-		fault      string // named in the error
-	}{
-		{"empty: all off", "", Gates{Trace: Trace{MaxMB: defaultTraceMB}}, ""},
-		{"duties on", "duties = true\n", Gates{IntentLog: true, Trace: Trace{MaxMB: defaultTraceMB}}, ""},
-		{"a trace", "[trace]\nfile = \"/tmp/trace\"\nmost_mb = 2.5\n", Gates{Trace: Trace{File: "/tmp/trace", MaxMB: 2.5}}, ""},
-		{"unknown switch", "dutys = true\n", Gates{}, "dutys: unknown switch"},
-		{"unknown field of a table", "[trace]\nfil = \"x\"\n", Gates{}, "trace.fil: unknown switch"},
-		{"wrong type", "duties = \"yes\"\n", Gates{}, "duties"},
-		{"wrong type in a table", "[trace]\nmost_mb = true\n", Gates{}, "most_mb"},
-		{"not above 0", "[trace]\nmost_mb = 0\n", Gates{}, "trace.most_mb"},
-		{"not a number", "[trace]\nmost_mb = nan\n", Gates{}, "trace.most_mb"},
-		{"not TOML", "duties\n", Gates{}, "line 1"},
-	} {
+	for _, c := range loadCases {
 		t.Run(c.name, func(t *testing.T) {
 			file := filepath.Join(t.TempDir(), "switches.toml")
 			if err := os.WriteFile(file, []byte(c.file), 0o600); err != nil {
 				t.Fatal(err)
 			}
 			got, err := Load(file)
-			if c.fault == "" {
-				if err != nil || got != c.want {
-					t.Fatalf("%+v, %v; want %+v", got, err, c.want)
-				}
+			if c.fault != "" {
+				checkFault(t, err, file, c.fault)
 				return
 			}
-			if err == nil {
-				t.Fatal("accepted")
-			}
-			if msg := err.Error(); !strings.Contains(msg, c.fault) || !strings.Contains(msg, file) || strings.Contains(msg, "\n") {
-				t.Errorf("%q does not name %q of the file in one line", msg, c.fault)
+			if err != nil || got != c.want {
+				t.Fatalf("%+v, %v; want %+v", got, err, c.want)
 			}
 		})
 	}
@@ -50,14 +87,25 @@
 	}
 }
 
+func checkFault(t *testing.T, err error, file, fault string) {
+	t.Helper()
+	if err == nil {
+		t.Fatal("accepted")
+	}
+	text := err.Error()
+	if !strings.Contains(text, fault) || !strings.Contains(text, file) || strings.Contains(text, "\n") {
+		t.Errorf("%q does not name %q of the file in one line", text, fault)
+	}
+}
+
 // The files that come with the program can be read.
-func TestShipped(t *testing.T) {
+func TestShippedFiles(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/switches*.toml")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("no files: %v", err)
 	}
-	for _, f := range files {
-		if _, err := Load(f); err != nil {
+	for _, file := range files {
+		if _, err := Load(file); err != nil {
 			t.Error(err)
 		}
 	}
