--- a/internal/admin/settings.go
+++ b/internal/admin/settings.go
@@ -17,15 +17,15 @@
 
 // Settings are what operators may change while the service runs.
 type Settings struct {
-	DropThreshold  int
-	MaxMachines    int
-	ScaleOutPaused bool
-	IdleTimeout    time.Duration
+	BackupWithdrawThreshold int
+	MaxMachines             int
+	ScaleOutPaused          bool
+	IdleTimeout             time.Duration
 }
 
 // Defaults are the settings where operators have said nothing.
 func Defaults() Settings {
-	return Settings{DropThreshold: tuning.BackupWithdrawThreshold, IdleTimeout: tuning.MachineIdleTimeout}
+	return Settings{BackupWithdrawThreshold: tuning.BackupWithdrawThreshold, IdleTimeout: tuning.MachineIdleTimeout}
 }
 
 type setting struct {
@@ -43,8 +43,8 @@
 
 var settings = map[string]setting{
 	"placement.drop_threshold": {
-		func(s *Settings) string { return strconv.Itoa(s.DropThreshold) },
-		func(s *Settings, v string) (err error) { s.DropThreshold, err = parseInt(v, 1, 1000); return },
+		func(s *Settings) string { return strconv.Itoa(s.BackupWithdrawThreshold) },
+		func(s *Settings, v string) (err error) { s.BackupWithdrawThreshold, err = parseInt(v, 1, 1000); return },
 	},
 	"fleet.max_machines": {
 		func(s *Settings) string { return strconv.Itoa(s.MaxMachines) },
--- a/internal/term/term.go
+++ b/internal/term/term.go
@@ -207,7 +207,7 @@
 
 // ApplySettings puts the operators' settings into force.
 func (t *Term) ApplySettings(s admin.Settings) {
-	t.scheduler.Settings = placement.Settings{DropThreshold: s.DropThreshold}
+	t.scheduler.Settings = placement.Settings{DropThreshold: s.BackupWithdrawThreshold}
 	t.autoscaler.Settings = fleet.Settings{
 		MaxMachines: s.MaxMachines,
 		Paused:      s.ScaleOutPaused,
