--- a/internal/admin/settings_test.go
+++ b/internal/admin/settings_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"io"
 	"log/slog"
 	"testing"
 	"time"
@@ -11,27 +10,33 @@
 func TestSettings(t *testing.T) {
 	for _, c := range []struct {
 		name, value string
-		ok          bool
+		valid       bool
 	}{
-		{"fleet.max_machines", "20", true}, {"fleet.max_machines", "-1", false}, {"fleet.max_machines", "many", false},
-		{"fleet.hire_paused", "true", true}, {"fleet.hire_paused", "perhaps", false},
-		{"fleet.idle_return_s", "60", true}, {"fleet.idle_return_s", "1", false},
-		{"placement.drop_threshold", "3", true}, {"placement.drop_threshold", "0", false},
-		{"nobody.knows", "1", false},
+		{name: "fleet.max_machines", value: "20", valid: true},
+		{name: "fleet.max_machines", value: "-1"},
+		{name: "fleet.max_machines", value: "many"},
+		{name: "fleet.hire_paused", value: "true", valid: true},
+		{name: "fleet.hire_paused", value: "perhaps"},
+		{name: "fleet.idle_return_s", value: "60", valid: true},
+		{name: "fleet.idle_return_s", value: "1"},
+		{name: "placement.drop_threshold", value: "3", valid: true},
+		{name: "placement.drop_threshold", value: "0"},
+		{name: "nobody.knows", value: "1"},
 	} {
 		s, err := Defaults().With(c.name, c.value)
-		if (err == nil) != c.ok {
+		if (err == nil) != c.valid {
 			t.Errorf("%s = %s: %v", c.name, c.value, err)
 		}
-		if c.ok && s.Values()[c.name] != c.value {
+		if c.valid && s.Values()[c.name] != c.value {
 			t.Errorf("%s = %s reads back as %s", c.name, c.value, s.Values()[c.name])
 		}
-		if !c.ok && s != Defaults() {
+		if !c.valid && s != Defaults() {
 			t.Errorf("%s = %s changed something", c.name, c.value)
 		}
 	}
 	// another version's settings do no harm
-	s := Decode(json.RawMessage(`{"fleet.idle_return_s":"90","of.another.version":"x","fleet.max_machines":"-5"}`), slog.New(slog.NewTextHandler(io.Discard, nil)))
+	record := `{"fleet.idle_return_s":"90","of.another.version":"x","fleet.max_machines":"-5"}`
+	s := Decode(json.RawMessage(record), slog.New(slog.DiscardHandler))
 	if s.IdleTimeout != 90*time.Second || s.MaxMachines != 0 {
 		t.Errorf("read %+v", s)
 	}
