--- a/Makefile
+++ b/Makefile
@@ -9,6 +9,7 @@
 	./internal/featuregate \
 	./internal/leader \
 	./internal/peer/... \
+	./internal/store \
 	./internal/tools/... \
 	./internal/wire
 
--- a/internal/term/term.go
+++ b/internal/term/term.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"juniperchute/internal/admin"
+	"juniperchute/internal/cloud"
 	"juniperchute/internal/featuregate"
 	"juniperchute/internal/fleet"
 	"juniperchute/internal/intentlog"
@@ -83,8 +84,18 @@
 	platform := options.Platform
 	t.workers = worker.NewRegistry(platform.Workers, t.log)
 	t.ledger = quota.NewLedger(platform.Teams, options.Shards)
-	t.scheduler = placement.NewScheduler(platform, t.Token, t.ledger, t.workers, options.Rand, t.log,
-		func(now time.Time, job *placement.Job) { t.completions.taskCompleted(now, job) })
+	t.scheduler = placement.NewScheduler(placement.Options{
+		Platform:           platform,
+		Token:              t.Token,
+		Ledger:             t.ledger,
+		Registry:           t.workers,
+		Rand:               options.Rand,
+		Log:                t.log,
+		RequestStartMarker: t.writeStartMarker,
+		OnTaskCompleted: func(now time.Time, job *placement.Job) {
+			t.completions.taskCompleted(now, job)
+		},
+	})
 	t.intents = t.newIntentLog()
 	t.guardedStateCall = t.intents.GuardRemovals(t.callState,
 		fleet.ShardProvisioningPrefix(t.Shard), fleet.RegistrationPrefix(t.Shard),
@@ -92,7 +103,6 @@
 	t.autoscaler = t.newAutoscaler(now)
 	t.completions = newJobCompletions(t.completionOptions())
 	t.startMarkers = t.newPages(startMarkerPrefix(t.Shard), tuning.StartMarkerInterval, store.PriorityTerm)
-	t.scheduler.RequestStartMarker = t.writeStartMarker
 	return t
 }
 
@@ -185,7 +195,7 @@
 
 // callCloud sends a call of the cloud, to be made only while this process surely owns the
 // shard.
-func (t *Term) callCloud(call fleet.CloudCall, then func(now time.Time, result fleet.CloudResult)) {
+func (t *Term) callCloud(call cloud.Call, then func(now time.Time, result cloud.Result)) {
 	call.Deadline = t.options.Membership.LeaseDeadline()
 	t.options.Effects.CallCloud(call, then)
 }
