--- a/internal/fleet/autoscaler.go
+++ b/internal/fleet/autoscaler.go
@@ -110,8 +110,16 @@
 }
 
 func (a *Autoscaler) newRegistrations(options Options) *registrations {
-	pages := store.NewPages(RegistrationPrefix(options.Shard), options.Config.State.StoredLimits().ValueKB,
-		tuning.RegistrationInterval, store.PriorityTerm, options.TermCompare, options.Store, options.Log, options.OnTermLost)
+	pages := store.NewPages(store.PagesOptions{
+		Prefix:        RegistrationPrefix(options.Shard),
+		ValueKB:       options.Config.State.StoredLimits().ValueKB,
+		WriteInterval: tuning.RegistrationInterval,
+		Priority:      store.PriorityTerm,
+		TermCompare:   options.TermCompare,
+		StateCall:     options.Store,
+		Log:           options.Log,
+		OnTermLost:    options.OnTermLost,
+	})
 	return &registrations{machines: a.machines, provisioner: a.provisioner, scheduler: options.Scheduler,
 		pages: pages, started: map[string]bool{}}
 }
--- a/internal/fleet/fixture_test.go
+++ b/internal/fleet/fixture_test.go
@@ -39,7 +39,7 @@
 		Cloud: config.CloudLimits{RPS: 100, ListLagS: 3}, Workers: config.Workers{HeartbeatS: 1.5, LeaseS: 10}}
 	discardLogger := slog.New(slog.NewTextHandler(io.Discard, nil))
 	f.registry = worker.NewRegistry(platform.Workers, discardLogger)
-	f.scheduler = placement.NewScheduler(platform, token, quota.NewLedger(platform.Teams, 0, 1), f.registry,
+	f.scheduler = placement.NewScheduler(platform, token, quota.NewLedger(platform.Teams, 1), f.registry,
 		rand.New(rand.NewPCG(1, 1)), discardLogger, func(time.Time, *placement.Job) {})
 	f.scheduler.MarkReconciled(f.now)
 	termCompare := store.VersionEquals("c/b/0", 3)
--- a/internal/fleet/records.go
+++ b/internal/fleet/records.go
@@ -108,8 +108,11 @@
 	onTermLost  func(now time.Time)
 }
 
-// newValue makes the writer of a key that is stored at a version, 0 for none.
-func (s *termStore) newValue(key string, version uint64,
-	onDurable func(now time.Time, version int)) *store.DesiredValue {
-	return store.NewDesiredValue(key, version, store.PriorityTerm, s.termCompare, s.call, onDurable, s.onTermLost)
+// newValue makes the writer of a value. Options say its key, its version and what is specific to it.
+func (s *termStore) newValue(options store.DesiredValueOptions) *store.DesiredValue {
+	options.Priority = store.PriorityTerm
+	options.TermCompare = s.termCompare
+	options.StateCall = s.call
+	options.OnTermLost = s.onTermLost
+	return store.NewDesiredValue(options)
 }
