--- a/Makefile
+++ b/Makefile
@@ -4,7 +4,10 @@
 # nothing is, this becomes ./... and the target goes.
 READABLE_PACKAGES = \
 	./internal/clock \
-	./internal/tools/...
+	./internal/cloud \
+	./internal/fleet \
+	./internal/tools/... \
+	./internal/worker
 
 # The one test command: format, vet, linters, limits, tests with the race detector. A test that
 # fails fails this, unless KNOWN-RED.txt lists it: see internal/tools/knownfailures.
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -16,13 +16,41 @@
 		body   string
 		want   error
 	}{
-		{name: "created", status: http.StatusOK, body: `{"Hosts":["i-1"]}`, want: nil},
-		{name: "unreadable", status: http.StatusOK, body: `{"Hosts":`, want: ErrNoResponse},
-		{name: "malformed", status: http.StatusBadRequest, body: `{"error":"bad Build"}`, want: ErrInvalid},
-		{name: "too many calls", status: http.StatusTooManyRequests, body: `{}`, want: ErrThrottled},
-		{name: "no capacity", status: http.StatusServiceUnavailable, body: `{"error":"no capacity"}`, want: ErrNoCapacity},
-		{name: "outage", status: http.StatusServiceUnavailable, body: `{"error":"trouble"}`, want: ErrUnavailable},
-		{name: "outage behind a proxy", status: http.StatusServiceUnavailable, body: `<html>`, want: ErrUnavailable},
+		{
+			name:   "created",
+			status: http.StatusOK, body: `{"Hosts":["i-1"]}`,
+			want: nil,
+		},
+		{
+			name:   "unreadable",
+			status: http.StatusOK, body: `{"Hosts":`,
+			want: ErrNoResponse,
+		},
+		{
+			name:   "malformed",
+			status: http.StatusBadRequest, body: `{"error":"bad Build"}`,
+			want: ErrInvalid,
+		},
+		{
+			name:   "too many calls",
+			status: http.StatusTooManyRequests, body: `{}`,
+			want: ErrThrottled,
+		},
+		{
+			name:   "no capacity",
+			status: http.StatusServiceUnavailable, body: `{"error":"no capacity"}`,
+			want: ErrNoCapacity,
+		},
+		{
+			name:   "outage",
+			status: http.StatusServiceUnavailable, body: `{"error":"trouble"}`,
+			want: ErrUnavailable,
+		},
+		{
+			name:   "outage behind a proxy",
+			status: http.StatusServiceUnavailable, body: `<html>`,
+			want: ErrUnavailable,
+		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -53,7 +53,8 @@
 		allowed -= count
 		offer := offers[index]
 		for count > 0 {
-			record := ProvisioningRecord{Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot, Number: min(count, requestSize)}
+			record := ProvisioningRecord{Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot,
+				Number: min(count, requestSize)}
 			count -= d.provisioner.request(now, record, count)
 		}
 	}
--- a/internal/fleet/provisioner_test.go
+++ b/internal/fleet/provisioner_test.go
@@ -9,40 +9,44 @@
 	"juniperchute/internal/worker"
 )
 
+type provisioningTest struct {
+	name    string
+	answers []cloud.Result
+	again   bool // the same name is asked for once more
+	hosts   int
+}
+
+var provisioningTests = []provisioningTest{
+	{
+		name:    "granted",
+		answers: []cloud.Result{granted("i-1")},
+		hosts:   1,
+	},
+	{
+		name:    "no response, then granted",
+		answers: []cloud.Result{cloud.Failure(cloud.ErrNoResponse), granted("i-1")},
+		hosts:   1,
+	},
+	{
+		name:    "outage, then granted",
+		answers: []cloud.Result{cloud.Failure(cloud.ErrUnavailable), granted("i-1")},
+		hosts:   1,
+	},
+	{
+		name:    "throttled",
+		answers: []cloud.Result{cloud.Failure(cloud.ErrThrottled)},
+		again:   true,
+	},
+	{
+		name:    "no capacity",
+		answers: []cloud.Result{cloud.Failure(cloud.ErrNoCapacity)},
+	},
+}
+
 // A request's name is durable before the cloud is called, stays the same until the answer is
 // certain, and is never used for another request.
 func TestProvisioningRequest(t *testing.T) {
-	for _, test := range []struct {
-		name    string
-		answers []cloud.Result
-		again   bool // the same name is asked for once more
-		hosts   int
-	}{
-		{
-			name:    "granted",
-			answers: []cloud.Result{granted("i-1")},
-			hosts:   1,
-		},
-		{
-			name:    "no response, then granted",
-			answers: []cloud.Result{cloud.Failure(cloud.ErrNoResponse), granted("i-1")},
-			hosts:   1,
-		},
-		{
-			name:    "outage, then granted",
-			answers: []cloud.Result{cloud.Failure(cloud.ErrUnavailable), granted("i-1")},
-			hosts:   1,
-		},
-		{
-			name:    "throttled",
-			answers: []cloud.Result{cloud.Failure(cloud.ErrThrottled)},
-			again:   true,
-		},
-		{
-			name:    "no capacity",
-			answers: []cloud.Result{cloud.Failure(cloud.ErrNoCapacity)},
-		},
-	} {
+	for _, test := range provisioningTests {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t)
 			f.addGang(1, 1, true)
--- a/internal/worker/heartbeat_test.go
+++ b/internal/worker/heartbeat_test.go
@@ -29,8 +29,9 @@
 			heartbeats: []heartbeat{{1, 7, HeartbeatCurrent}, {1, 4, HeartbeatStale}, {1, 8, HeartbeatCurrent}},
 		},
 		{
-			name:       "a new incarnation",
-			heartbeats: []heartbeat{{1, 7, HeartbeatCurrent}, {2, 8, HeartbeatNewIncarnation}, {2, 9, HeartbeatCurrent}},
+			name: "a new incarnation",
+			heartbeats: []heartbeat{{1, 7, HeartbeatCurrent}, {2, 8, HeartbeatNewIncarnation},
+				{2, 9, HeartbeatCurrent}},
 		},
 		{
 			name:       "from an earlier incarnation",
--- a/internal/worker/registry_test.go
+++ b/internal/worker/registry_test.go
@@ -16,64 +16,70 @@
 	return NewRegistry(config.Workers{HeartbeatS: 1.5, LeaseS: 10}, discardLogger)
 }
 
+// neverRenewed stands for a lease that this term has not renewed.
+const neverRenewed = -1
+
+type leaseExpiryTest struct {
+	name         string
+	state        State
+	renewedAfter time.Duration // since start, or neverRenewed
+	after        time.Duration // since start
+	want         State
+}
+
+var leaseExpiryTests = []leaseExpiryTest{
+	{
+		name:  "heartbeats arrive",
+		state: Up, after: time.Second,
+		want: Up,
+	},
+	{
+		name:  "two heartbeats missed",
+		state: Up, after: 4 * time.Second,
+		want: Unresponsive,
+	},
+	{
+		name:  "unresponsive within its lease",
+		state: Unresponsive, after: 10 * time.Second,
+		want: Unresponsive,
+	},
+	{
+		name:  "unresponsive past its lease",
+		state: Unresponsive, after: 10*time.Second + 400*time.Millisecond,
+		want: LeaseExpired,
+	},
+	{
+		name:  "lease renewed later",
+		state: Unresponsive, renewedAfter: 5 * time.Second, after: 12 * time.Second,
+		want: Unresponsive,
+	},
+	{
+		name:  "unreconciled before the deadline",
+		state: Unreconciled, renewedAfter: neverRenewed, after: 29 * time.Second,
+		want: Unreconciled,
+	},
+	{
+		name:  "unreconciled past the deadline",
+		state: Unreconciled, renewedAfter: neverRenewed, after: 31 * time.Second,
+		want: LeaseExpired,
+	},
+	{
+		name:  "unreconciled but renewed in this term",
+		state: Unreconciled, renewedAfter: 25 * time.Second, after: 31 * time.Second,
+		want: Unreconciled,
+	},
+	{
+		name:  "a booting machine has no lease to lose",
+		state: Booting, renewedAfter: neverRenewed, after: time.Hour,
+		want: Booting,
+	},
+}
+
 // A machine whose heartbeats stop goes through its states; its lease has not expired before
 // the worker's own clock says so, however that drifts.
 func TestExpireLeases(t *testing.T) {
 	start := time.Unix(1000, 0)
-	const neverRenewed = -1
-	for _, test := range []struct {
-		name         string
-		state        State
-		renewedAfter time.Duration // since start, or neverRenewed
-		after        time.Duration // since start
-		want         State
-	}{
-		{
-			name:  "heartbeats arrive",
-			state: Up, after: time.Second,
-			want: Up,
-		},
-		{
-			name:  "two heartbeats missed",
-			state: Up, after: 4 * time.Second,
-			want: Unresponsive,
-		},
-		{
-			name:  "unresponsive within its lease",
-			state: Unresponsive, after: 10 * time.Second,
-			want: Unresponsive,
-		},
-		{
-			name:  "unresponsive past its lease",
-			state: Unresponsive, after: 10*time.Second + 400*time.Millisecond,
-			want: LeaseExpired,
-		},
-		{
-			name:  "lease renewed later",
-			state: Unresponsive, renewedAfter: 5 * time.Second, after: 12 * time.Second,
-			want: Unresponsive,
-		},
-		{
-			name:  "unreconciled before the deadline",
-			state: Unreconciled, renewedAfter: neverRenewed, after: 29 * time.Second,
-			want: Unreconciled,
-		},
-		{
-			name:  "unreconciled past the deadline",
-			state: Unreconciled, renewedAfter: neverRenewed, after: 31 * time.Second,
-			want: LeaseExpired,
-		},
-		{
-			name:  "unreconciled but renewed in this term",
-			state: Unreconciled, renewedAfter: 25 * time.Second, after: 31 * time.Second,
-			want: Unreconciled,
-		},
-		{
-			name:  "a booting machine has no lease to lose",
-			state: Booting, renewedAfter: neverRenewed, after: time.Hour,
-			want: Booting,
-		},
-	} {
+	for _, test := range leaseExpiryTests {
 		t.Run(test.name, func(t *testing.T) {
 			registry := newTestRegistry()
 			machine := registry.Add(start, "i-1", test.state)
