--- a/internal/fleet/deprovisioner.go
+++ b/internal/fleet/deprovisioner.go
@@ -89,7 +89,7 @@
 	}
 	hosts := make([]string, len(ready))
 	for i, intent := range ready {
-		d.intents.StartCall(now, intent)
+		d.intents.StartCall(intent)
 		hosts[i] = intent.Target
 	}
 	d.inFlight = true
@@ -101,7 +101,7 @@
 func (d *deprovisioner) handleResult(now time.Time, intents []*intentlog.Intent, err error) {
 	d.inFlight = false
 	for _, intent := range intents {
-		d.intents.FinishCall(now, intent, outcomeOf(err))
+		d.intents.FinishCall(intent, outcomeOf(err))
 	}
 	if err != nil {
 		d.retryAt = d.cloud.nextRetry(now)
@@ -141,7 +141,7 @@
 	machine := d.registry.Get(intent.Target)
 	if machine == nil && !d.provisioner.hasPending() && d.provisioner.unreadableRecords == 0 {
 		// No record names it: it is deleted, and that is recorded.
-		d.intents.Complete(now, intent, "deleted already")
+		d.intents.Complete(intent, "deleted already")
 		d.intents.Forget(intent)
 		return false
 	}
@@ -155,7 +155,7 @@
 		return machine.LeaseEnded || !machine.Registered
 	}
 	if hasWorkAfter(machine, intent.Token) {
-		d.intents.Complete(now, intent, "superseded by a later term")
+		d.intents.Complete(intent, "superseded by a later term")
 		d.intents.Forget(intent)
 		d.registry.SetState(now, machine, worker.Up, "given work by a later term")
 		d.scheduler.MarkMachineChanged(machine)
--- a/internal/fleet/provisioner.go
+++ b/internal/fleet/provisioner.go
@@ -86,7 +86,7 @@
 func (p *provisioner) newRequest(now time.Time, record ProvisioningRecord) *provisioningRequest {
 	p.sequence++
 	request := &provisioningRequest{name: requestName(p.shard, p.token, p.sequence), record: record}
-	request.intent = p.intents.RecordElsewhere(now, intentlog.Provision, request.name, "demand")
+	request.intent = p.intents.RecordElsewhere(intentlog.Provision, request.name, "demand")
 	p.openWriter(request, 0)
 	p.requests[request.name] = request
 	p.log.Info("provisioning machines", "request", request.name,
@@ -98,7 +98,7 @@
 
 // send calls the cloud for a request's machines.
 func (p *provisioner) send(now time.Time, request *provisioningRequest) {
-	if !p.intents.StartCall(now, request.intent) {
+	if !p.intents.StartCall(request.intent) {
 		return
 	}
 	request.inFlight = true
@@ -111,7 +111,7 @@
 func (p *provisioner) handleResult(now time.Time, request *provisioningRequest, result cloud.Result) {
 	request.inFlight, request.answeredAt = false, now
 	response, err := result.Response()
-	p.intents.FinishCall(now, request.intent, outcomeOf(err))
+	p.intents.FinishCall(request.intent, outcomeOf(err))
 	noCapacityUntil := now.Add(tuning.NoCapacityPause)
 	switch {
 	case err == nil:
--- a/internal/fleet/provisioner_records.go
+++ b/internal/fleet/provisioner_records.go
@@ -26,7 +26,7 @@
 	if len(record.Hosts) == 0 {
 		// The earlier lease holder did not get to record the answer. Calling again by the
 		// same name gets it, or creates the machines now.
-		request.intent = p.intents.RecoverElsewhere(now, intentlog.Provision, name, tokenOfRequest(name))
+		request.intent = p.intents.RecoverElsewhere(intentlog.Provision, name, tokenOfRequest(name))
 		request.setState(p.log, provisioningRequested, "recovered without an answer")
 		return
 	}
@@ -56,7 +56,7 @@
 	p.forgetUnrecorded(request, version)
 	switch request.state {
 	case provisioningRecording:
-		p.intents.MarkRecorded(now, request.intent)
+		p.intents.MarkRecorded(request.intent)
 		request.setState(p.log, provisioningRequested, "recorded")
 	case provisioningGranted:
 		request.recordDurable = true
@@ -99,7 +99,7 @@
 // close ends a request without machines and deletes its record.
 func (p *provisioner) close(now time.Time, request *provisioningRequest, reason string) {
 	if request.intent != nil {
-		p.intents.Complete(now, request.intent, reason)
+		p.intents.Complete(request.intent, reason)
 	}
 	request.setState(p.log, provisioningClosed, reason)
 	request.writer.Set(nil)
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// isLive tells whether the process that a record names is still a member.
+// isLive reports whether the process that a record names is still a member.
 func (c *controlRecords) isLive(member string, incarnation uint64) bool {
 	record, ok := c.members[member]
 	return ok && record.value.Incarnation == incarnation
--- a/internal/wire/heartbeat_parse.go
+++ b/internal/wire/heartbeat_parse.go
@@ -28,7 +28,7 @@
 	return fastjson.Unmarshal(raw, heartbeat)
 }
 
-// hasLongNumber tells whether there are so many digits in a row that the number may exceed 64
+// hasLongNumber reports whether there are so many digits in a row that the number may exceed 64
 // bits.
 func hasLongNumber(raw []byte) bool {
 	// Looking at every longNumberDigits-th byte suffices: one of them is in such a row.
