--- a/Makefile
+++ b/Makefile
@@ -5,13 +5,16 @@
 READABLE_PACKAGES = \
 	./internal/admin \
 	./internal/clock \
+	./internal/cloud \
 	./internal/config \
 	./internal/featuregate \
+	./internal/fleet \
 	./internal/leader \
 	./internal/peer/... \
 	./internal/store \
 	./internal/tools/... \
-	./internal/wire
+	./internal/wire \
+	./internal/worker \
 
 # The one test command: format, vet, linters, limits, tests with the race detector. A test that
 # fails fails this, unless KNOWN-RED.txt lists it: see internal/tools/knownfailures.
--- a/internal/fleet/provisioner_records.go
+++ b/internal/fleet/provisioner_records.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"juniperchute/internal/intentlog"
+	"juniperchute/internal/store"
 	"juniperchute/internal/wire"
 )
 
@@ -40,12 +41,14 @@
 	return request != nil && request.recordDurable
 }
 
-// openWriter makes the writer of a request's record; version is as for termStore.newValue.
+// openWriter makes the writer of a request's record, which is stored at a version, 0 for none.
 func (p *provisioner) openWriter(request *provisioningRequest, version uint64) {
-	key := ShardProvisioningPrefix(p.shard) + request.name
-	onDurable := func(now time.Time, version int) { p.handleDurable(now, request, version) }
-	onTooLarge := func(now time.Time) bool { return p.splitRecord(now, request) }
-	request.writer = p.store.newValue(key, version, onDurable, onTooLarge)
+	request.writer = p.store.newValue(store.DesiredValueOptions{
+		Key:        ShardProvisioningPrefix(p.shard) + request.name,
+		KeyVersion: version,
+		OnDurable:  func(now time.Time, version int) { p.handleDurable(now, request, version) },
+		OnTooLarge: func(now time.Time) bool { return p.splitRecord(now, request) },
+	})
 }
 
 // handleDurable goes on with a request of whose record a version has become durable.
