--- a/cmd/juniperchute/admin_client.go
+++ b/cmd/juniperchute/admin_client.go
@@ -1,9 +1,8 @@
-// Command juniperchute is a cluster scheduler's controller, and an operator's
-// way to it.
 package main
 
 import (
 	"context"
+	"io"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -14,8 +13,40 @@
 	"juniperchute/internal/peer/peerpb"
 )
 
-// errorMessage is what an error says to an operator: a controller's refusal without the words
-// of the call that carried it.
+// adminTimeout bounds a call of the administration API. A frozen controller does not answer.
+const adminTimeout = 5 * time.Second
+
+// adminCommand makes the action of a command that calls the administration API of the
+// controller at an address and prints the reply.
+func adminCommand[Reply any](
+	address *string,
+	call func(ctx context.Context, client peerpb.AdminClient, args []string) (Reply, error),
+	print func(out io.Writer, reply Reply),
+) func(command *cobra.Command, args []string) error {
+	return func(command *cobra.Command, args []string) error {
+		connection, err := peer.Dial(*address)
+		if err != nil {
+			return err
+		}
+		defer connection.Close()
+		ctx, cancel := context.WithTimeout(command.Context(), adminTimeout)
+		defer cancel()
+		reply, err := call(ctx, peerpb.NewAdminClient(connection), args)
+		if err != nil {
+			return err
+		}
+		print(command.OutOrStdout(), reply)
+		return nil
+	}
+}
+
+func addAddressFlag(command *cobra.Command, address *string) {
+	command.PersistentFlags().StringVar(address, "addr", "", "a controller's peer_bind address")
+	_ = command.MarkPersistentFlagRequired("addr")
+}
+
+// errorMessage is the text of an error for an operator: of a controller's refusal, without
+// that of the call that carried it.
 func errorMessage(err error) string {
 	s, ok := status.FromError(err)
 	switch {
@@ -26,20 +57,3 @@
 	}
 	return s.Message()
 }
-
-// callAdmin calls the administration API of one controller.
-func callAdmin(command *cobra.Command, address string, call func(ctx context.Context, client peerpb.AdminClient) error) error {
-	connection, err := peer.Dial(address)
-	if err != nil {
-		return err
-	}
-	defer connection.Close()
-	ctx, cancel := context.WithTimeout(command.Context(), 5*time.Second)
-	defer cancel()
-	return call(ctx, peerpb.NewAdminClient(connection))
-}
-
-func addAddressFlag(command *cobra.Command, address *string) {
-	command.PersistentFlags().StringVar(address, "addr", "", "a controller's peer_bind address")
-	_ = command.MarkPersistentFlagRequired("addr")
-}
--- a/cmd/juniperchute/duties.go
+++ b/cmd/juniperchute/duties.go
@@ -4,8 +4,6 @@
 	"context"
 	"fmt"
 	"io"
-	"text/tabwriter"
-	"time"
 
 	"github.com/spf13/cobra"
 
@@ -15,46 +13,64 @@
 func newDutiesCommand() *cobra.Command {
 	var address string
 	command := &cobra.Command{
-		Use:   "duties --addr ADDR",
-		Short: "Show which controller carries out each duty, and what is not settled",
-		Args:  cobra.NoArgs,
-		RunE: func(command *cobra.Command, _ []string) error {
-			return callAdmin(command, address, func(ctx context.Context, client peerpb.AdminClient) error {
-				reply, err := client.Duties(ctx, &peerpb.IntentsRequest{})
-				if err == nil {
-					printOperations(command.OutOrStdout(), reply)
-				}
-				return err
-			})
-		},
+		Use:     "duties --addr ADDR",
+		Aliases: []string{"intents"},
+		Short:   "Show each shard's lease holder, and the cloud operations that are not completed",
+		Long: "duties, or intents, shows who holds the lease of each shard, and which operations (provisioning,\n" +
+			"deprovisioning and reclaiming machines, deleting records) are recorded or in flight. Any controller\n" +
+			"can be asked, also during a failover.\n\n" +
+			"Sentences come first. The tables below them keep the form and the names of earlier versions, for\n" +
+			"scripts: duty = operation, block = shard, holder = lease holder, entered = recorded, sent = in flight,\n" +
+			"settled = completed.",
+		Example: "  juniperchute duties --addr 10.0.0.1:8081\n" +
+			"  juniperchute intents --addr 10.0.0.1:8081",
+		Args: cobra.NoArgs,
+		RunE: adminCommand(&address, getIntents, printIntents),
 	}
 	addAddressFlag(command, &address)
 	return command
 }
 
-// formatAge is an age in milliseconds as told, -1: not known.
-func formatAge(ms int64) string {
-	if ms < 0 {
-		return "not known"
+func getIntents(ctx context.Context, client peerpb.AdminClient, _ []string) (*peerpb.IntentsReply, error) {
+	return client.Duties(ctx, &peerpb.IntentsRequest{})
+}
+
+func printIntents(out io.Writer, reply *peerpb.IntentsReply) {
+	printIntentsSummary(out, reply)
+	fmt.Fprintln(out)
+	printIntentLogTable(out, reply)
+	for _, shard := range reply.Shards {
+		fmt.Fprintln(out)
+		printShardTables(out, shard)
 	}
-	return (time.Duration(ms) * time.Millisecond).Round(100 * time.Millisecond).String()
 }
 
-func printOperations(out io.Writer, reply *peerpb.IntentsReply) {
-	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+// printIntentLogTable prints what the controller that was asked knows of the intent log.
+func printIntentLogTable(out io.Writer, reply *peerpb.IntentsReply) {
+	table := newTable(out)
 	defer table.Flush()
 	logState := "not in force: actions are not entered before they are sent"
 	if reply.InForce {
 		logState = "in force"
 	}
-	fmt.Fprintf(table, "asked\t%s\nlog of duties\t%s\nholders as of\t%s ago\nentries as of\t%s ago\n",
-		reply.Member, logState, formatAge(reply.HoldersAgeMs), formatAge(reply.EntriesAgeMs))
-	for _, shard := range reply.Shards {
-		printShardOperations(table, shard)
+	fmt.Fprintf(table, "asked\t%s\n", reply.Member)
+	fmt.Fprintf(table, "log of duties\t%s\n", logState)
+	fmt.Fprintf(table, "holders as of\t%s ago\n", formatAge(reply.HoldersAgeMs))
+	fmt.Fprintf(table, "entries as of\t%s ago\n", formatAge(reply.EntriesAgeMs))
+}
+
+// printShardTables prints a shard's lease, its operations and their intents.
+func printShardTables(out io.Writer, shard *peerpb.ShardIntents) {
+	table := newTable(out)
+	defer table.Flush()
+	printLease(table, shard)
+	printOperations(table, shard)
+	for _, operation := range shard.Operations {
+		printOperationIntents(table, operation)
 	}
 }
 
-func printShardOperations(table io.Writer, shard *peerpb.ShardIntents) {
+func printLease(table io.Writer, shard *peerpb.ShardIntents) {
 	holder := shard.Holder
 	switch {
 	case holder == "":
@@ -66,27 +82,34 @@
 	}
 	since := "not told"
 	if shard.SinceMs != 0 {
-		since = time.UnixMilli(shard.SinceMs).UTC().Format(time.DateTime) + " UTC"
+		since = formatUTC(shard.SinceMs)
 	}
-	fmt.Fprintf(table, "\nblock %d\theld by %s\nsince\t%s\ntoken\t%d\n", shard.Shard, holder, since, shard.Token)
+	fmt.Fprintf(table, "block %d\theld by %s\n", shard.Shard, holder)
+	fmt.Fprintf(table, "since\t%s\n", since)
+	fmt.Fprintf(table, "token\t%d\n", shard.Token)
 	if shard.UnreadablePages > 0 {
 		fmt.Fprintf(table, "pages of the log that cannot be read\t%d\n", shard.UnreadablePages)
 	}
+}
+
+func printOperations(table io.Writer, shard *peerpb.ShardIntents) {
 	fmt.Fprintln(table, "duty\tholder\tnot settled\toldest")
 	for _, operation := range shard.Operations {
 		oldest := "-"
 		if len(operation.Intents) > 0 {
 			oldest = formatAge(operation.Intents[0].AgeMs)
 		}
-		unsettled := operation.Pending + operation.RemovalsInFlight
-		fmt.Fprintf(table, "%s\t%s\t%d\t%s\n", operation.Operation, shard.Holder, unsettled, oldest)
+		incomplete := operation.Pending + operation.RemovalsInFlight
+		fmt.Fprintf(table, "%s\t%s\t%d\t%s\n", operation.Operation, shard.Holder, incomplete, oldest)
 	}
-	for _, operation := range shard.Operations {
-		for _, intent := range operation.Intents {
-			fmt.Fprintf(table, "%s\t%s\t%s\tentered under token %d, %s ago\n", operation.Operation, intent.Target, intent.State, intent.Token, formatAge(intent.AgeMs))
-		}
-		if remaining := int(operation.Pending) - len(operation.Intents); remaining > 0 {
-			fmt.Fprintf(table, "%s\tand %d more\n", operation.Operation, remaining)
-		}
+}
+
+func printOperationIntents(table io.Writer, operation *peerpb.OperationStatus) {
+	for _, intent := range operation.Intents {
+		fmt.Fprintf(table, "%s\t%s\t%s\tentered under token %d, %s ago\n",
+			operation.Operation, intent.Target, intent.State, intent.Token, formatAge(intent.AgeMs))
+	}
+	if unlisted := int(operation.Pending) - len(operation.Intents); unlisted > 0 {
+		fmt.Fprintf(table, "%s\tand %d more\n", operation.Operation, unlisted)
 	}
 }
--- a/cmd/juniperchute/settings.go
+++ b/cmd/juniperchute/settings.go
@@ -1,52 +1,53 @@
-// Command juniperchute is a cluster scheduler's controller, and an operator's
-// way to it.
 package main
 
 import (
 	"context"
 	"fmt"
+	"io"
+	"maps"
+	"slices"
 
 	"github.com/spf13/cobra"
 
 	"juniperchute/internal/peer/peerpb"
 )
 
-func printSettings(command *cobra.Command, s *peerpb.Settings) {
-	for _, k := range sortedKeys(s.Values) {
-		fmt.Fprintf(command.OutOrStdout(), "%s = %s\n", k, s.Values[k])
-	}
-}
-
 func newSettingsCommand() *cobra.Command {
 	var address string
 	command := &cobra.Command{
-		Use:   "settings --addr ADDR",
-		Short: "Show the operators' settings",
-		Args:  cobra.NoArgs,
-		RunE: func(command *cobra.Command, _ []string) error {
-			return callAdmin(command, address, func(ctx context.Context, client peerpb.AdminClient) error {
-				s, err := client.GetSettings(ctx, &peerpb.GetSettingsRequest{})
-				if err == nil {
-					printSettings(command, s)
-				}
-				return err
-			})
-		},
+		Use:     "settings --addr ADDR",
+		Short:   "Show the operators' settings",
+		Long:    "settings shows the settings that operators may change while the controllers run, one a line.",
+		Example: "  juniperchute settings --addr 10.0.0.1:8081",
+		Args:    cobra.NoArgs,
+		RunE:    adminCommand(&address, getSettings, printSettings),
 	}
 	addAddressFlag(command, &address)
 	command.AddCommand(&cobra.Command{
 		Use:   "set NAME VALUE",
 		Short: "Change one of the operators' settings",
-		Args:  cobra.ExactArgs(2),
-		RunE: func(command *cobra.Command, args []string) error {
-			return callAdmin(command, address, func(ctx context.Context, client peerpb.AdminClient) error {
-				s, err := client.SetSetting(ctx, &peerpb.SetSettingRequest{Name: args[0], Value: args[1]})
-				if err == nil {
-					printSettings(command, s)
-				}
-				return err
-			})
-		},
+		Long: "set changes a setting for all controllers, which apply it at once, and shows the settings\n" +
+			"after the change.",
+		Example: "  juniperchute settings set fleet.max_machines 20 --addr 10.0.0.1:8081\n" +
+			"  juniperchute settings set fleet.hire_paused true --addr 10.0.0.1:8081",
+		Args: cobra.ExactArgs(2),
+		RunE: adminCommand(&address, setSetting, printSettings),
 	})
 	return command
 }
+
+func getSettings(ctx context.Context, client peerpb.AdminClient, _ []string) (*peerpb.Settings, error) {
+	return client.GetSettings(ctx, &peerpb.GetSettingsRequest{})
+}
+
+func setSetting(ctx context.Context, client peerpb.AdminClient, args []string) (*peerpb.Settings, error) {
+	return client.SetSetting(ctx, &peerpb.SetSettingRequest{Name: args[0], Value: args[1]})
+}
+
+// printSettings prints a comment and then lines of "name = value", which scripts read.
+func printSettings(out io.Writer, settings *peerpb.Settings) {
+	fmt.Fprintln(out, "# All controllers apply these settings. A change needs no restart: see settings set --help.")
+	for _, name := range slices.Sorted(maps.Keys(settings.Values)) {
+		fmt.Fprintf(out, "%s = %s\n", name, settings.Values[name])
+	}
+}
--- a/cmd/juniperchute/status.go
+++ b/cmd/juniperchute/status.go
@@ -1,16 +1,17 @@
-// Command juniperchute is a cluster scheduler's controller, and an operator's
-// way to it.
 package main
 
 import (
 	"context"
 	"fmt"
-	"sort"
-	"text/tabwriter"
+	"io"
+	"maps"
+	"slices"
+	"strings"
 
 	"github.com/spf13/cobra"
 
 	"juniperchute/internal/peer/peerpb"
+	"juniperchute/internal/tuning"
 	"juniperchute/internal/wire"
 )
 
@@ -18,78 +19,158 @@
 	var address string
 	command := &cobra.Command{
 		Use:   "status --addr ADDR",
-		Short: "Show members, blocks, machines, teams and queues",
-		Args:  cobra.NoArgs,
-		RunE: func(command *cobra.Command, _ []string) error {
-			return callAdmin(command, address, func(ctx context.Context, client peerpb.AdminClient) error {
-				reply, err := client.Status(ctx, &peerpb.StatusRequest{})
-				if err == nil {
-					printStatus(command, reply)
-				}
-				return err
-			})
-		},
+		Short: "Show members and lease holders, and a shard's machines, teams and jobs",
+		Long: "status shows the members of the deployment, their versions and each shard's lease holder. Of its own\n" +
+			"shards a lease holder also shows machines, teams, services, jobs and counters: ask that controller.",
+		Example: "  juniperchute status --addr 10.0.0.1:8081",
+		Args:    cobra.NoArgs,
+		RunE:    adminCommand(&address, getStatus, printStatus),
 	}
 	addAddressFlag(command, &address)
 	return command
 }
 
-func printStatus(command *cobra.Command, reply *peerpb.StatusReply) {
-	table := tabwriter.NewWriter(command.OutOrStdout(), 0, 4, 2, ' ', 0)
+func getStatus(ctx context.Context, client peerpb.AdminClient, _ []string) (*peerpb.StatusReply, error) {
+	return client.Status(ctx, &peerpb.StatusRequest{})
+}
+
+func printStatus(out io.Writer, reply *peerpb.StatusReply) {
+	fmt.Fprintf(out, "Controller %s answers. ", reply.Member)
+	if reply.Leader == "" {
+		fmt.Fprintln(out, "It knows of no leader: shards without a lease holder get none until one is elected.")
+	} else {
+		fmt.Fprintf(out, "The leader is %s.\n", reply.Leader)
+	}
+	printMembers(out, reply)
+	printLeaseHolders(out, reply)
+	for _, shard := range reply.Shards {
+		printShardStatus(out, reply.Member, shard)
+	}
+	if len(reply.Shards) == 0 {
+		fmt.Fprintf(out, "\n%s holds no lease: ask a lease holder for its machines, teams and jobs.\n", reply.Member)
+	}
+}
+
+func printShardStatus(out io.Writer, member string, shard *peerpb.ShardStatus) {
+	fmt.Fprintf(out, "\nShard %d: %s holds the lease and %s.\n", shard.Shard, member, describeTerm(shard.State))
+	printMachines(out, shard.Machines)
+	printTeams(out, shard.Teams)
+	services, jobs := splitJobs(shard.Jobs)
+	printServices(out, services)
+	printJobs(out, jobs)
+	if len(shard.Jobs) == tuning.MaxStatusJobs {
+		fmt.Fprintf(out, "Only the first %d open jobs and services are shown.\n", tuning.MaxStatusJobs)
+	}
+	printCounters(out, shard.Counters)
+}
+
+func printMembers(out io.Writer, reply *peerpb.StatusReply) {
+	table := newTable(out)
 	defer table.Flush()
-	fmt.Fprintf(table, "asked\t%s\nleader\t%s\nmembers\t%v\n", reply.Member, reply.Leader, reply.Members)
-	for _, m := range reply.Members {
-		version := reply.Versions[m]
+	fmt.Fprintln(table, "\nmember\tversion")
+	for _, member := range reply.Members {
+		version := reply.Versions[member]
 		if version == "" {
-			version = "not told, as before 0.2.0"
+			version = "not reported: older than 0.2.0, or no heartbeat of it arrives"
 		}
-		fmt.Fprintf(table, "version of %s\t%s\n", m, version)
+		fmt.Fprintf(table, "%s\t%s\n", member, version)
 	}
-	for _, shard := range reply.Claims {
-		fmt.Fprintf(table, "block %d\theld by %s\ttoken %d\n", shard.Shard, shard.Holder, shard.Token)
+}
+
+func printLeaseHolders(out io.Writer, reply *peerpb.StatusReply) {
+	table := newTable(out)
+	defer table.Flush()
+	fmt.Fprintln(table, "\nshard\tlease holder\ttoken")
+	for _, claim := range reply.Claims {
+		fmt.Fprintf(table, "%d\t%s\t%d\n", claim.Shard, claim.Holder, claim.Token)
 	}
-	for _, shard := range reply.Shards {
-		fmt.Fprintf(table, "\nblock %d\t%s\n", shard.Shard, shard.State)
-		fmt.Fprintln(table, "machine\ttype\tzone\tspot\tstate\ttasks\tnotes")
-		for _, m := range shard.Machines {
-			notes := ""
-			if m.Quarantined {
-				notes += "faulty "
-			}
-			if m.PreemptionNotice {
-				notes += "recalled"
-			}
-			fmt.Fprintf(table, "%s\t%s\t%s\t%t\t%s\t%d\t%s\n", m.Host, m.Type, m.Zone, m.Spot, m.State, m.Tasks, notes)
-		}
-		fmt.Fprintln(table, "\nteam\tcpus\tof\tgpus\tof")
-		for _, team := range shard.Teams {
-			fmt.Fprintf(table, "%s\t%g\t%g\t%g\t%g\n", team.Name, team.CpusUsed, team.CpusMax, team.GpusUsed, team.GpusMax)
+}
+
+// machineStates describes the states of a machine whose names in the administration API do
+// not say what they mean.
+var machineStates = map[string]string{
+	"unheard": "unreconciled: its worker has not answered this term",
+	"silent":  "unresponsive: its heartbeat is late",
+	"lapsed":  "its worker's lease has expired",
+	"gone":    "deleted",
+}
+
+func printMachines(out io.Writer, machines []*peerpb.Machine) {
+	table := newTable(out)
+	defer table.Flush()
+	fmt.Fprintln(table, "\nmachine\ttype\tzone\tspot\tstate\ttasks\tnotes")
+	for _, machine := range machines {
+		var notes []string
+		if text, ok := machineStates[machine.State]; ok {
+			notes = append(notes, text)
 		}
-		fmt.Fprintln(table, "\nservice\tclass\tteam\treplicas wanted\trunning\ton machines\twaits for")
-		for _, job := range shard.Jobs {
-			if job.Shape == wire.ShapeService {
-				fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%d\t%d\t%s\n", job.Id, job.Class, job.Team, job.Tasks, job.Running, job.OnMachines, job.WaitsFor)
-			}
+		if machine.Quarantined {
+			notes = append(notes, "quarantined: tasks of several jobs failed on it")
 		}
-		fmt.Fprintln(table, "\njob\tclass\tteam\tpriority\ttasks\tdone\ton machines\twaits for")
-		for _, job := range shard.Jobs {
-			if job.Shape == wire.ShapeService {
-				continue
-			}
-			fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%s\n", job.Id, job.Class, job.Team, job.Priority, job.Tasks, job.Done, job.OnMachines, job.WaitsFor)
+		if machine.PreemptionNotice {
+			notes = append(notes, "preemption notice from the cloud")
 		}
-		fmt.Fprintln(table)
-		for _, name := range sortedKeys(shard.Counters) {
-			fmt.Fprintf(table, "%s\t%d\n", name, shard.Counters[name])
+		fmt.Fprintf(table, "%s\t%s\t%s\t%t\t%s\t%d\t%s\n", machine.Host, machine.Type, machine.Zone, machine.Spot,
+			machine.State, machine.Tasks, strings.Join(notes, "; "))
+	}
+}
+
+func printTeams(out io.Writer, teams []*peerpb.Team) {
+	table := newTable(out)
+	defer table.Flush()
+	fmt.Fprintln(table, "\nteam\tcpus used\tlimit\tgpus used\tlimit")
+	for _, team := range teams {
+		fmt.Fprintf(table, "%s\t%g\t%s\t%g\t%s\n",
+			team.Name, team.CpusUsed, formatLimit(team.CpusMax), team.GpusUsed, formatLimit(team.GpusMax))
+	}
+}
+
+// formatLimit formats a team's limit; 0 means that there is none.
+func formatLimit(limit float64) string {
+	if limit == 0 {
+		return "none"
+	}
+	return fmt.Sprintf("%g", limit)
+}
+
+// splitJobs tells services, which run until they are cancelled, from jobs that complete.
+func splitJobs(all []*peerpb.Job) (services, jobs []*peerpb.Job) {
+	for _, job := range all {
+		if job.Shape == wire.ShapeService {
+			services = append(services, job)
+		} else {
+			jobs = append(jobs, job)
 		}
 	}
+	return services, jobs
+}
+
+func printServices(out io.Writer, services []*peerpb.Job) {
+	table := newTable(out)
+	defer table.Flush()
+	fmt.Fprintln(table, "\nservice\tclass\tteam\treplicas wanted\trunning\ton machines\twaits for")
+	for _, service := range services {
+		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%d\t%d\t%s\n", service.Id, service.Class, service.Team,
+			service.Tasks, service.Running, service.OnMachines, service.WaitsFor)
+	}
 }
 
-func sortedKeys[V any](m map[string]V) []string {
-	var out []string
-	for k := range m {
-		out = append(out, k)
+func printJobs(out io.Writer, jobs []*peerpb.Job) {
+	table := newTable(out)
+	defer table.Flush()
+	fmt.Fprintln(table, "\njob\tclass\tteam\tpriority\ttasks\tcompleted\ton machines\twaits for")
+	for _, job := range jobs {
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%d\t%d\t%s\n", job.Id, job.Class, job.Team, job.Priority,
+			job.Tasks, job.Done, job.OnMachines, job.WaitsFor)
+	}
+}
+
+func printCounters(out io.Writer, counters map[string]int64) {
+	fmt.Fprintln(out, "\nCounters of tasks (mains: primary copies, spares: backup copies), and call times in ms:")
+	table := newTable(out)
+	defer table.Flush()
+	fmt.Fprintln(table, "counter\tvalue")
+	for _, name := range slices.Sorted(maps.Keys(counters)) {
+		fmt.Fprintf(table, "%s\t%d\n", name, counters[name])
 	}
-	sort.Strings(out)
-	return out
 }
--- /dev/null
+++ b/cmd/juniperchute/term_state.go
@@ -0,0 +1,18 @@
+package main
+
+// termStates are the states of a term, by their names in the administration API, as the
+// end of a sentence about the lease holder.
+var termStates = map[string]string{
+	"loading": "is still taking over: it loads the records of the shard",
+	"fencing": "is still taking over: it waits until the machines of earlier terms have answered, " +
+		"or their leases have expired",
+	"open": "is in service",
+	"over": "has ended its term",
+}
+
+func describeTerm(state string) string {
+	if text, ok := termStates[state]; ok {
+		return text
+	}
+	return "is in the state " + state
+}
--- a/cmd/juniperchute/trace.go
+++ b/cmd/juniperchute/trace.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"io"
-	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -12,24 +11,18 @@
 	"juniperchute/internal/tracing"
 )
 
-// traceFilter tells which actions of a trace are shown.
-type traceFilter struct {
-	target     string
-	recovered  bool
-	incomplete bool
-}
-
-func (f traceFilter) shows(history intentlog.History) bool {
-	return (f.target == "" || f.target == history.Target) && (!f.recovered || history.FailedOver) && (!f.incomplete || !history.Completed)
-}
-
 func newTraceCommand() *cobra.Command {
 	var filter traceFilter
 	command := &cobra.Command{
 		Use:   "trace FILE...",
-		Short: "Show what became of actions, from the traces of several controllers",
-		Long: "trace puts the traces of several controllers together and tells, action by action, who decided on it,\n" +
-			"entered it, called the cloud and settled it. Each file is read with the one before it (FILE.1).",
+		Short: "Show the course of cloud operations, from the traces of several controllers",
+		Long: "trace joins the traces of several controllers and shows for each operation who decided it,\n" +
+			"recorded it, called the cloud, recovered it after a failover and completed it. Each file is\n" +
+			"read with the one that was rotated before it (FILE.1).\n\n" +
+			"The first line of an operation and its steps keep the names of earlier versions, for scripts:\n" +
+			"block = shard, settled = completed, entered = recorded, takes over = recovers.",
+		Example: "  juniperchute trace node-0.json node-1.json node-2.json\n" +
+			"  juniperchute trace --taken-over --target i-000010 node-0.json node-1.json",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
 			spans, err := tracing.Read(args...)
@@ -39,16 +32,36 @@
 			return printTrace(command.OutOrStdout(), intentlog.Histories(spans), filter)
 		},
 	}
-	command.Flags().StringVar(&filter.target, "target", "", "show one rental or machine only")
-	command.Flags().BoolVar(&filter.recovered, "taken-over", false, "show only what a successor took over")
-	command.Flags().BoolVar(&filter.incomplete, "unsettled", false, "show only what is not settled in the traces")
+	command.Flags().StringVar(&filter.target, "target", "", "show one machine or provisioning request only")
+	command.Flags().BoolVar(&filter.recovered, "taken-over", false, "show only operations that a successor recovered")
+	command.Flags().BoolVar(&filter.incomplete, "unsettled", false,
+		"show only operations whose completion is not in the traces")
 	return command
 }
 
+// traceFilter selects the operations that are shown.
+type traceFilter struct {
+	target     string // "": any
+	recovered  bool
+	incomplete bool
+}
+
+func (f traceFilter) matches(history intentlog.History) bool {
+	switch {
+	case f.target != "" && f.target != history.Target:
+		return false
+	case f.recovered && !history.FailedOver:
+		return false
+	case f.incomplete && history.Completed:
+		return false
+	}
+	return true
+}
+
 func printTrace(out io.Writer, histories []intentlog.History, filter traceFilter) error {
 	shown := 0
 	for _, history := range histories {
-		if !filter.shows(history) {
+		if !filter.matches(history) {
 			continue
 		}
 		if shown++; shown > 1 {
@@ -57,20 +70,49 @@
 		printHistory(out, history)
 	}
 	if shown == 0 {
-		return fmt.Errorf("none of the %d actions in these traces is asked for", len(histories))
+		return fmt.Errorf("none of the %d operations in these traces matches the flags", len(histories))
 	}
 	return nil
 }
 
 func printHistory(out io.Writer, history intentlog.History) {
-	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	defer table.Flush()
 	end := "not settled in these traces"
 	if history.Completed {
 		end = "settled"
 	}
-	fmt.Fprintf(table, "%s %s, block %s: %s, %v in all\n", history.Operation, history.Target, history.Shard, end, history.Duration().Round(time.Millisecond))
+	fmt.Fprintf(out, "%s %s, block %s: %s, %v in all\n", history.Operation, history.Target, history.Shard,
+		end, formatDuration(history))
+	fmt.Fprintf(out, "Shard %s, %s, target %s: %s.\n", history.Shard, describeOperation(history.Operation),
+		history.Target, describeCourse(history))
+	table := newTable(out)
+	defer table.Flush()
 	for _, step := range history.Steps {
-		fmt.Fprintf(table, "  %s\t%s\ttoken %s\t%s\n", step.At.UTC().Format("15:04:05.000"), step.Member, step.Token, step.Text)
+		fmt.Fprintf(table, "  %s\t%s\ttoken %s\t%s\n",
+			step.At.UTC().Format("15:04:05.000"), step.Member, step.Token, step.Text)
+	}
+}
+
+// describeCourse says who handled an operation, and whether it was completed.
+func describeCourse(history intentlog.History) string {
+	if len(history.Steps) == 0 {
+		return "no step of it is in these traces"
+	}
+	first, last := history.Steps[0], history.Steps[len(history.Steps)-1]
+	text := "first handled by " + describeActor(first)
+	if history.FailedOver {
+		text += ", then recovered after a failover"
 	}
+	if history.Completed {
+		return text + fmt.Sprintf(", and completed by %s after %v", describeActor(last), formatDuration(history))
+	}
+	return text + fmt.Sprintf("; its completion is not in these traces, which end %v later with %s",
+		formatDuration(history), describeActor(last))
+}
+
+func describeActor(step intentlog.Step) string {
+	return fmt.Sprintf("%s under token %s", step.Member, step.Token)
+}
+
+func formatDuration(history intentlog.History) string {
+	return history.Duration().Round(time.Millisecond).String()
 }
