--- a/cmd/juniperchute/duties.go
+++ b/cmd/juniperchute/duties.go
@@ -56,7 +56,7 @@
 	fmt.Fprintf(table, "asked\t%s\n", reply.Member)
 	fmt.Fprintf(table, "log of duties\t%s\n", logState)
 	fmt.Fprintf(table, "holders as of\t%s ago\n", formatAge(reply.HoldersAgeMs))
-	fmt.Fprintf(table, "entries as of\t%s ago\n", formatAge(reply.EntriesAgeMs))
+	fmt.Fprintf(table, "entries as of\t%s ago\n", formatAge(reply.IntentsAgeMs))
 }
 
 // printShardTables prints a shard's lease, its operations and their intents.
@@ -81,8 +81,8 @@
 		holder += ", still taking over (" + shard.State + ")"
 	}
 	since := "not told"
-	if shard.SinceMs != 0 {
-		since = formatUTC(shard.SinceMs)
+	if shard.AssignedAtMs != 0 {
+		since = formatUTC(shard.AssignedAtMs)
 	}
 	fmt.Fprintf(table, "block %d\theld by %s\n", shard.Shard, holder)
 	fmt.Fprintf(table, "since\t%s\n", since)
--- a/cmd/juniperchute/duties_summary.go
+++ b/cmd/juniperchute/duties_summary.go
@@ -28,20 +28,24 @@
 // whether it goes on.
 func printIntentsSummary(out io.Writer, reply *peerpb.IntentsReply) {
 	fmt.Fprintf(out, "Controller %s answers. Its view of the lease holders is %s, that of the intent logs %s.\n",
-		reply.Member, describeAge(reply.HoldersAgeMs), describeAge(reply.EntriesAgeMs))
+		reply.Member, describeAge(reply.HoldersAgeMs), describeAge(reply.IntentsAgeMs))
 	if reply.InForce {
 		fmt.Fprintln(out, "The intent log is in force: each cloud operation is recorded before its call is sent.")
 	} else {
 		fmt.Fprintln(out, "The intent log is not in force: calls are sent to the cloud without being recorded first.")
 	}
 	for _, shard := range reply.Shards {
-		fmt.Fprintf(out, "Shard %d: %s.\n", shard.Shard, describeLease(shard))
-		if shard.UnreadablePages > 0 {
-			fmt.Fprintf(out, "  %s of its intent log cannot be read: the operations recorded there are not completed.\n",
-				plural(shard.UnreadablePages, "page"))
-		}
-		printPendingOperations(out, shard)
+		printShardSummary(out, shard)
+	}
+}
+
+func printShardSummary(out io.Writer, shard *peerpb.ShardIntents) {
+	fmt.Fprintf(out, "Shard %d: %s.\n", shard.Shard, describeLease(shard))
+	if shard.UnreadablePages > 0 {
+		fmt.Fprintf(out, "  %s of its intent log cannot be read: operations recorded there are not completed.\n",
+			plural(shard.UnreadablePages, "page"))
 	}
+	printPendingOperations(out, shard)
 }
 
 // describeLease says who holds a shard's lease, and whether the shard is served.
@@ -50,8 +54,8 @@
 		return "nobody holds the lease, so a failover is in progress"
 	}
 	text := fmt.Sprintf("%s holds the lease under token %d", shard.Holder, shard.Token)
-	if shard.SinceMs != 0 {
-		text += ", since " + formatUTC(shard.SinceMs)
+	if shard.AssignedAtMs != 0 {
+		text += ", since " + formatUTC(shard.AssignedAtMs)
 	}
 	switch {
 	case !shard.Live:
--- a/cmd/juniperchute/duties_test.go
+++ b/cmd/juniperchute/duties_test.go
@@ -13,7 +13,7 @@
 		Member:  "node-0",
 		InForce: true,
 		Shards: []*peerpb.ShardIntents{{
-			Holder: "node-1", Token: 2, SinceMs: 1796207677000, Live: true,
+			Holder: "node-1", Token: 2, AssignedAtMs: 1796207677000, Live: true,
 			Operations: []*peerpb.OperationStatus{
 				{Operation: "rent"},
 				{Operation: "return", Pending: 1, Intents: []*peerpb.IntentStatus{
@@ -81,7 +81,7 @@
 	{
 		name: "state service never contacted",
 		change: func(reply *peerpb.IntentsReply, _ *peerpb.ShardIntents) {
-			reply.HoldersAgeMs, reply.EntriesAgeMs = -1, -1
+			reply.HoldersAgeMs, reply.IntentsAgeMs = -1, -1
 		},
 		wantSentence: "Its view of the lease holders is of unknown age, that of the intent logs of unknown age.",
 		wantRow:      "holders as of not known ago",
@@ -113,7 +113,7 @@
 	{
 		name: "lease holder in service, start not reported",
 		change: func(_ *peerpb.IntentsReply, shard *peerpb.ShardIntents) {
-			shard.State, shard.SinceMs = "open", 0
+			shard.State, shard.AssignedAtMs = "open", 0
 		},
 		wantSentence: "Shard 0: node-1 holds the lease under token 2, and is in service.",
 		wantRow:      "since not told",
@@ -123,7 +123,7 @@
 		change: func(_ *peerpb.IntentsReply, shard *peerpb.ShardIntents) {
 			shard.UnreadablePages = 1
 		},
-		wantSentence: "1 page of its intent log cannot be read: the operations recorded there are not completed.",
+		wantSentence: "1 page of its intent log cannot be read: operations recorded there are not completed.",
 		wantRow:      "pages of the log that cannot be read 1",
 	},
 	{
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -88,14 +88,35 @@
 	}
 	c.cancellationLog = submission.NewCancellationLog(options.Shards,
 		config.Seconds(cfg.Platform.Workers.CancelS), cfg.Platform.State.WriteRPS)
-	c.membership = leader.New(cfg.Member, options.Shards, options.Features.Announced(), wallClock,
-		c.callState, log, c.applyControlRecord)
-	c.openJobs = store.NewWatchCache(submission.OpenJobPrefix, c.callState, c.applyOpenJob)
-	c.provisionRequests = store.NewWatchCache(fleet.ProvisioningPrefix, c.callState, c.applyProvisionRequest)
+	c.membership = leader.New(leader.Options{
+		Member:        cfg.Member,
+		Shards:        options.Shards,
+		Features:      options.Features.Announced(),
+		WallClock:     wallClock,
+		StateCall:     c.callState,
+		Log:           log,
+		OnOtherRecord: c.applyControlRecord,
+	})
+	c.openJobs = store.NewWatchCache(store.WatchCacheOptions{
+		Prefix:    submission.OpenJobPrefix,
+		StateCall: c.callState,
+		OnChange:  c.applyOpenJob,
+	})
+	c.provisionRequests = store.NewWatchCache(store.WatchCacheOptions{
+		Prefix:    fleet.ProvisioningPrefix,
+		StateCall: c.callState,
+		OnChange:  c.applyProvisionRequest,
+	})
 	c.submissions = submission.New(submission.Options{
-		Platform: cfg.Platform, Shards: options.Shards, WallClock: wallClock, CallStore: c.callState, Log: log,
-		MachineTypes: c.allMachineTypes, OpenJobs: c.openJobs,
-		QueryProgress: c.jobProgress, RecordCancellation: c.recordCancellation,
+		Platform:           cfg.Platform,
+		Shards:             options.Shards,
+		WallClock:          wallClock,
+		CallStore:          c.callState,
+		Log:                log,
+		MachineTypes:       c.allMachineTypes,
+		OpenJobs:           c.openJobs,
+		QueryProgress:      c.jobProgress,
+		RecordCancellation: c.recordCancellation,
 	})
 	for _, peer := range cfg.Peers {
 		c.peers[peer.Member] = &peerStatus{}
--- a/internal/submission/fixture_test.go
+++ b/internal/submission/fixture_test.go
@@ -41,7 +41,11 @@
 
 func newFixture(machineTypes map[string]wire.MachineType) *fixture {
 	f := &fixture{}
-	f.openJobs = store.NewWatchCache(OpenJobPrefix, f.callStore, func(time.Time, string, wire.KeyValue, bool) {})
+	f.openJobs = store.NewWatchCache(store.WatchCacheOptions{
+		Prefix:    OpenJobPrefix,
+		StateCall: f.callStore,
+		OnChange:  func(time.Time, string, wire.KeyValue, bool) {},
+	})
 	f.openJobs.Tick(startTime)
 	f.complete(store.Result{Revision: 10})
 	f.complete(noResponse) // the watch ends: only queries refresh the cache
--- a/internal/term/lower_limits_test.go
+++ b/internal/term/lower_limits_test.go
@@ -25,7 +25,7 @@
 	quiet := slog.New(slog.NewTextHandler(io.Discard, nil))
 	platform := standin.DeploymentConfig([]string{"a"}, nil, 1.5, 10)
 	reg := worker.NewRegistry(platform.Workers, quiet)
-	board := placement.NewScheduler(platform, 1, quota.NewLedger(nil, 0, 1), reg, nil, quiet, func(time.Time, *placement.Job) {})
+	board := placement.NewScheduler(platform, 1, quota.NewLedger(nil, 1), reg, nil, quiet, func(time.Time, *placement.Job) {})
 	add := func(id string, tasks int) *placement.Job {
 		return board.AddJob(now, wire.JobSpec{ID: id, Shape: wire.ShapeBatch, Tasks: tasks}, now, 1, true)
 	}
@@ -79,7 +79,16 @@
 			tenure := func() (*completionBitmaps, *placement.Job) {
 				board.CloseJob(now, id, now)
 				j := add(id, c.tasks)
-				tl := newCompletionBitmaps(store.NewPages("t/0/", limitKB, time.Second, store.PriorityCompletion, store.VersionEquals("c/b/0", 1), call, quiet, func(time.Time) { t.Error("lost") }), presentKB)
+				tl := newCompletionBitmaps(store.NewPages(store.PagesOptions{
+					Prefix:        "t/0/",
+					ValueKB:       limitKB,
+					WriteInterval: time.Second,
+					Priority:      store.PriorityCompletion,
+					TermCompare:   store.VersionEquals("c/b/0", 1),
+					StateCall:     call,
+					Log:           quiet,
+					OnTermLost:    func(time.Time) { t.Error("lost") },
+				}), presentKB)
 				var all []wire.KeyValue
 				for _, it := range kv {
 					all = append(all, it)
