--- /dev/null
+++ b/internal/tuning/controller.go
@@ -0,0 +1,64 @@
+package tuning
+
+import "time"
+
+// The event loop, used by package controller.
+const (
+	// TickInterval is how often everything that acts at a time looks for what is due.
+	TickInterval = 100 * time.Millisecond
+	// SlowEventThreshold is how long one event may take before that is logged: a tenth of a
+	// member's lease.
+	SlowEventThreshold = 350 * time.Millisecond
+	// LateTickThreshold is how late a tick may be before that is logged: later than a member's
+	// renewal, it is about to lose its lease.
+	LateTickThreshold = 1 * time.Second
+	// EventQueueSize is how many events of one kind may wait for the loop.
+	EventQueueSize = 256
+	// FollowerWatchInterval is the least time between two watches of the open jobs, and of the
+	// provisioning requests, on a controller that owns no shard: queries refresh its cache.
+	FollowerWatchInterval = 1 * time.Second
+	// OwnerWatchInterval is the same on a shard's owner, which has to act on them.
+	OwnerWatchInterval = 50 * time.Millisecond
+	// IsolatedAfter is how long the state service must have been unreachable for a controller,
+	// while a peer reaches it, for the controller to report itself unhealthy.
+	IsolatedAfter = 4 * time.Second
+)
+
+// The process's share of its machine, used by packages controller and config.
+const (
+	// MeasuredCPU, in cores, is the smallest share of a processor with which the service was
+	// seen to keep up with a fleet, of up to 260 simulated machines (docs/operations.md); with
+	// less it warns.
+	MeasuredCPU = 0.036
+	// MeasuredMemoryMB is the same for memory, in MiB.
+	MeasuredMemoryMB = 65
+	// MeasuredSockets is the same for open sockets.
+	MeasuredSockets = 900
+	// GCPercent lets the heap grow several times over what is live before it is collected: what
+	// is live is small, and the memory limit bounds the rest.
+	GCPercent = 400
+	// HeapMemoryShare is the part of the memory limit given to the Go heap; the program's text
+	// and the runtime's own memory take the rest.
+	HeapMemoryShare = 0.6
+	// ReservedSockets are kept for listeners, operators and connections that are being closed.
+	ReservedSockets = 60
+	// MinClientConnections is how many connections workers and users get, however low the
+	// limit of sockets.
+	MinClientConnections = 64
+)
+
+// Suspension of the machine, used by package clock.
+const (
+	// MinSuspension is the least difference of two clocks of the machine that counts as a
+	// suspension: they are read one after the other.
+	MinSuspension = 100 * time.Millisecond
+)
+
+// Spans, used by package tracing.
+const (
+	// TraceQueueSize is how many spans may wait to be written. Further ones are dropped, as
+	// nothing waits for them.
+	TraceQueueSize = 2048
+	// TraceWriteInterval is how often the spans that wait are written.
+	TraceWriteInterval = 1 * time.Second
+)
--- /dev/null
+++ b/internal/tuning/peers.go
@@ -0,0 +1,32 @@
+package tuning
+
+import "time"
+
+// Calls between the controllers, used by packages controller and peer.
+const (
+	// PeerHeartbeatInterval is how often the controllers exchange heartbeats.
+	PeerHeartbeatInterval = 1 * time.Second
+	// PeerHeartbeatTimeout bounds a heartbeat.
+	PeerHeartbeatTimeout = 800 * time.Millisecond
+	// ProgressTimeout bounds a query of jobs' progress: a user waits 2 s for a response.
+	ProgressTimeout = 400 * time.Millisecond
+	// MaxProgressJobs is about how many jobs one query of progress asks a shard's owner for.
+	MaxProgressJobs = 500
+	// PeerCallsInFlight is how many calls of peers may be in flight.
+	PeerCallsInFlight = 32
+	// DialTimeout bounds the making of a connection: one that takes longer leads into a
+	// network partition.
+	DialTimeout = 1 * time.Second
+	// PeerRetryInitial is the first pause between attempts to connect to a peer: one that was
+	// restarted should be reached again at once.
+	PeerRetryInitial = 200 * time.Millisecond
+	// PeerRetryMax bounds the growth of PeerRetryInitial.
+	PeerRetryMax = 1 * time.Second
+	// ProbeWorkers is how many workers a peer is asked to probe by a shard's owner that
+	// suspects that it is isolated from them itself.
+	ProbeWorkers = 3
+	// ProbeTimeout is how long the peer tries.
+	ProbeTimeout = 700 * time.Millisecond
+	// MaxStatusJobs bounds the jobs in a status.
+	MaxStatusJobs = 200
+)
--- a/internal/tuning/store.go
+++ b/internal/tuning/store.go
@@ -2,69 +2,87 @@
 
 import "time"
 
-// The state service.
+// Calls of the state service, used by package store.
 const (
-	// StoreTimeout bounds a call: answers usually take under 10 ms.
+	// StoreTimeout bounds a call: responses usually take under 10 ms.
 	StoreTimeout = 1500 * time.Millisecond
-	// MaxStoreResponseBytes bounds an answer: lists are at most 512 KiB, a watch
-	// may say more.
+	// MaxStoreResponseBytes bounds a response: lists are at most 512 KiB, a watch may return
+	// more.
 	MaxStoreResponseBytes = 8 << 20
-	// StoreRateShare is one node's least part of the service's rates when there are
-	// several: they rarely need it at the same time. It grows by ShareStep each
-	// ShareEvery while writes wait and nothing is refused, as a holder writes most; a
-	// refusal ends that, for SharePause at least.
-	StoreRateShare    = 0.6
-	RateShareStep     = 0.05
-	RateShareInterval = 500 * time.Millisecond
-	RateSharePause    = 5 * time.Second
-	// RateLimitRetry is the pause before a call that found no rate left tries
-	// again, in the client's own queue.
-	RateLimitRetry = 50 * time.Millisecond
 	// ListPageSize is how many keys one call lists, the service's largest page.
 	ListPageSize = 1000
-	// WatchTimeout is how long one watch waits: short, so that one whose
-	// connection died in silence is soon replaced.
+	// WatchTimeout is how long one watch waits for events: short, so that one whose connection
+	// broke without a sign is soon replaced.
 	WatchTimeout = 4 * time.Second
 	// WatchCacheRetry is the pause after a failed list or watch.
 	WatchCacheRetry = 250 * time.Millisecond
-	// PageFillShare is the part of a value's limit that a page's entries may take:
-	// the service counts the JSON around them too.
-	PageFillShare = 0.85
-	// MinTxnOps is how many puts and deletes one transaction needs: a job's end and
-	// its entry, a token and the block that gets it.
+	// MinTxnOps is how many writes one transaction must take, whatever the service's limits: a
+	// job's end and the deletion of its open record, or a token and the shard that gets it.
 	MinTxnOps = 2
-	// RateLowerRefusals is how many refusals for the rate, or one for a value's size, within
-	// LowerWithin tell a node that the service has lowered its limits: a few come in
-	// bursts, as the nodes share the rate without asking each other.
+)
+
+// The rate limiter of the state service, used by package store.
+const (
+	// StoreRateShare is the least part of the service's rates that one of several members
+	// uses: they rarely need them at the same time.
+	StoreRateShare = 0.6
+	// RateShareStep is by how much the part grows each RateShareInterval while writes wait and
+	// none is rejected, as the owner of a shard writes most.
+	RateShareStep = 0.05
+	// RateShareInterval is the time between two steps of the part.
+	RateShareInterval = 500 * time.Millisecond
+	// RateSharePause is how long the part does not grow after a rejection.
+	RateSharePause = 5 * time.Second
+	// RateLimitRetry is the pause, in the client's own queue, before a call for which no rate
+	// was left is tried again.
+	RateLimitRetry = 50 * time.Millisecond
+	// RateLowerRefusals is how many rejections for the rate within RateLowerWindow, or one for
+	// a value's size, show that the service has lowered its limits: a few come in bursts, as
+	// the members share the rate without coordination.
 	RateLowerRefusals = 12
-	RateLowerWindow   = 10 * time.Second
-	// RateRaiseInitial is how long a lowered rate is kept before the present one is tried
-	// again, in case a burst was taken for a change. It doubles each time, up to
-	// RaiseAfterMost: a trial costs a few refusals. LowerAfterTrial of them end it.
-	RateRaiseInitial  = 2 * time.Minute
-	RateRaiseMax      = 30 * time.Minute
+	// RateLowerWindow is the time within which rejections for the rate are counted.
+	RateLowerWindow = 10 * time.Second
+	// RateRaiseInitial is how long a lowered rate is kept before the earlier one is tried again,
+	// in case a burst was taken for lower limits. It doubles each time, as a trial costs some
+	// rejections.
+	RateRaiseInitial = 2 * time.Minute
+	// RateRaiseMax bounds the doubling of RateRaiseInitial.
+	RateRaiseMax = 30 * time.Minute
+	// RateTrialRefusals is how many rejections end a trial of the earlier rate.
 	RateTrialRefusals = 4
-	// PageRemovalInterval is how long a page from which entries were only removed waits for its next
-	// write: what is removed does no harm, and each write takes some of the rate.
+)
+
+// WriteReserve is, for each priority of calls (leases, terms, users, ends of jobs, completions),
+// the part of a full bucket of writes that it leaves to the priorities before it.
+var WriteReserve = [...]float64{0, 0.1, 0.1, 0.2, 0.4}
+
+// Pages and desired values, used by package store.
+const (
+	// PageFillShare is the part of a value's limit that the entries of a page may take: the
+	// service counts the JSON around them too.
+	PageFillShare = 0.85
+	// PageRemovalInterval is how long a page from which entries were only removed waits for its
+	// next write: what was removed does no harm, and each write takes some of the rate.
 	PageRemovalInterval = 10 * time.Second
 	// MaxPages bounds the numbers of pages, far above any use.
 	MaxPages = 10000
-	// WriterRetryInitial is the pause after a failed write of a record. After a refusal for the
-	// size of one that cannot be made smaller it doubles up to RecordRetryMost.
-	WriterRetryInitial = 300 * time.Millisecond
-	WriterRetryMax     = 20 * time.Second
-	// MinPageBytes is the size, in bytes, below which a page is not made smaller, whatever
-	// the service refuses: its longest entries, names with addresses, take half of it.
+	// MinPageBytes is the size below which a page is not made smaller, whatever the service
+	// rejects: its longest entries, names with addresses, take half of it.
 	MinPageBytes = 128
-	// StoreReadsInFlight is how many questions to the state service may be under way at
-	// once, StateWrites how many writes of each class, StateExtra how many leases
-	// and watches may be beside them. A write may wait long for its rate: nothing
-	// else waits behind it.
-	StoreReadsInFlight  = 8
-	StoreWritesInFlight = 8
-	StoreExtraInFlight  = 6
+	// WriterRetryInitial is the pause after a failed write of a desired value. It doubles after
+	// each rejection for the size of a value that cannot be made smaller.
+	WriterRetryInitial = 300 * time.Millisecond
+	// WriterRetryMax bounds the doubling of WriterRetryInitial.
+	WriterRetryMax = 20 * time.Second
 )
 
-// WriteReserve is the part of a full write bucket that each class of calls,
-// in order leases, tenures, users, finals, tallies, leaves for the ones before it.
-var WriteReserve = [...]float64{0, 0.1, 0.1, 0.2, 0.4}
+// Connections to the state service, used by package controller.
+const (
+	// StoreReadsInFlight is how many reads may be in flight.
+	StoreReadsInFlight = 8
+	// StoreWritesInFlight is how many writes of each priority may be in flight. A write may
+	// wait long for its rate: nothing of another priority waits behind it.
+	StoreWritesInFlight = 8
+	// StoreExtraInFlight is how many renewals and watches may be in flight beside them.
+	StoreExtraInFlight = 6
+)
