--- a/internal/tuning/fleet.go
+++ b/internal/tuning/fleet.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Calls of the cloud, used by packages fleet and controller.
+// Calls of the cloud, used by packages cloud, fleet and controller.
 const (
 	// CloudTimeout bounds a call.
 	CloudTimeout = 5 * time.Second
@@ -70,7 +70,8 @@
 const (
 	// MaxMachinesPerDeletion is the most machines in one deletion, by the protocol.
 	MaxMachinesPerDeletion = 100
-	// MachineIdleTimeout is how long a machine without work is kept.
+	// MachineIdleTimeout is how long a machine without work is kept, unless operators have set
+	// another time.
 	MachineIdleTimeout = 6 * time.Second
 	// LeaseExpiredTimeout is how long a machine whose lease has expired may stay unresponsive
 	// before it is deleted: it costs as much as one that works.
@@ -87,7 +88,7 @@
 	FewUnreconciledDivisor = 100
 )
 
-// The intent log, used by packages intentlog, fleet and controller.
+// The intent log, used by packages intentlog and fleet.
 const (
 	// IntentWriteInterval is how often a page of the intent log is written: machines are
 	// deleted by tens at a time, and each waits for its entry.
@@ -98,6 +99,4 @@
 	// LateCallWindow is how long a call without a response may still be executed: until then a
 	// provisioning request that was refused meanwhile is repeated under its own name.
 	LateCallWindow = 3 * time.Minute
-	// MaxIntentsShown bounds the intents of one operation in a reply to an operator.
-	MaxIntentsShown = 50
 )
--- a/internal/tuning/peers.go
+++ b/internal/tuning/peers.go
@@ -27,6 +27,4 @@
 	ProbeWorkers = 3
 	// ProbeTimeout is how long the peer tries.
 	ProbeTimeout = 700 * time.Millisecond
-	// MaxStatusJobs bounds the jobs in a status.
-	MaxStatusJobs = 200
 )
--- a/internal/tuning/placement.go
+++ b/internal/tuning/placement.go
@@ -5,7 +5,7 @@
 // Primary and backup copies of an array's tasks, used by package placement.
 const (
 	// BackupWithdrawThreshold is the design document's count of preemptions after which a
-	// backup copy is withdrawn.
+	// backup copy is withdrawn, unless operators have set another.
 	BackupWithdrawThreshold = 10
 	// MaxBackupsPerWorker is how many backup copies may queue at one worker.
 	MaxBackupsPerWorker = 8
--- a/internal/tuning/store.go
+++ b/internal/tuning/store.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Calls of the state service, used by package store.
+// Calls of the state service, used by package store and, for lists and retries of their own, by
+// packages leader, term and config.
 const (
 	// StoreTimeout bounds a call: responses usually take under 10 ms.
 	StoreTimeout = 1500 * time.Millisecond
@@ -56,7 +57,7 @@
 // the part of a full bucket of writes that it leaves to the priorities before it.
 var WriteReserve = [...]float64{0, 0.1, 0.1, 0.2, 0.4}
 
-// Pages and desired values, used by package store.
+// Pages and desired values, used by package store and by those that write records themselves.
 const (
 	// PageFillShare is the part of a value's limit that the entries of a page may take: the
 	// service counts the JSON around them too.
