--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -25,14 +25,19 @@
 	"juniperchute/internal/wire"
 )
 
-// Controller is all state of one controller.
+// Environment is what a controller needs of the process that it runs in.
+type Environment struct {
+	Effects   Effects
+	Rand      *rand.Rand
+	WallClock func() time.Time // the time of day, for records that operators read
+	Log       *slog.Logger
+}
+
+// Controller is all state of one controller. It belongs to one goroutine.
 type Controller struct {
-	config    *config.Config
-	options   Options
-	effects   Effects
-	rand      *rand.Rand
-	wallClock func() time.Time
-	log       *slog.Logger
+	config      *config.Config
+	options     Options
+	environment Environment
 
 	processID uint64    // drawn at the start: tells this process from others of its name
 	startedAt time.Time // of its first tick
@@ -71,12 +76,11 @@
 	total   int               // how many there are, known or not
 }
 
-// NewController makes the state of one controller. wallClock is the time of day.
-func NewController(cfg *config.Config, options Options, effects Effects, rng *rand.Rand,
-	wallClock func() time.Time, log *slog.Logger) *Controller {
+// NewController makes the state of one controller. It does nothing before the first Tick.
+func NewController(cfg *config.Config, options Options, environment Environment) *Controller {
 	c := &Controller{
-		config: cfg, options: options, effects: effects, rand: rng, wallClock: wallClock, log: log,
-		processID:       rng.Uint64() | 1,
+		config: cfg, options: options, environment: environment,
+		processID:       environment.Rand.Uint64() | 1,
 		terms:           map[int]*term.Term{},
 		settings:        admin.Defaults(),
 		machines:        machineTypes{byName: map[string]wire.MachineType{}, records: map[string]string{}},
@@ -92,9 +96,9 @@
 		Member:        cfg.Member,
 		Shards:        options.Shards,
 		Features:      options.Features.Announced(),
-		WallClock:     wallClock,
+		WallClock:     environment.WallClock,
 		StateCall:     c.callState,
-		Log:           log,
+		Log:           environment.Log,
 		OnOtherRecord: c.applyControlRecord,
 	})
 	c.openJobs = store.NewWatchCache(store.WatchCacheOptions{
@@ -110,9 +114,9 @@
 	c.submissions = submission.New(submission.Options{
 		Platform:           cfg.Platform,
 		Shards:             options.Shards,
-		WallClock:          wallClock,
+		WallClock:          environment.WallClock,
 		CallStore:          c.callState,
-		Log:                log,
+		Log:                environment.Log,
 		MachineTypes:       c.allMachineTypes,
 		OpenJobs:           c.openJobs,
 		QueryProgress:      c.jobProgress,
@@ -127,7 +131,7 @@
 // callState sends a call of the state service, and reconciles the terms when its result has
 // been handled.
 func (c *Controller) callState(call store.Call, then func(time.Time, store.Result)) {
-	c.effects.CallState(call, func(now time.Time, result store.Result) {
+	c.environment.Effects.CallState(call, func(now time.Time, result store.Result) {
 		then(now, result)
 		c.ReconcileTerms(now)
 	})
@@ -172,7 +176,7 @@
 func (c *Controller) applySettings(kv wire.KeyValue, deleted bool) {
 	c.settings = admin.Defaults()
 	if !deleted {
-		c.settings = admin.Decode(kv.Value, c.log)
+		c.settings = admin.Decode(kv.Value, c.environment.Log)
 	}
 	for _, t := range c.terms {
 		t.ApplySettings(c.settings)
@@ -187,7 +191,7 @@
 	}
 	var record fleet.MachineTypeRecord
 	if err := json.Unmarshal(kv.Value, &record); err != nil {
-		c.log.Error("machine type's record unreadable", "key", kv.Key, "error", err)
+		c.environment.Log.Error("machine type's record unreadable", "key", kv.Key, "error", err)
 		return
 	}
 	c.machines.byName[name] = record.MachineType
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -22,7 +22,9 @@
 func newTestController(cfg *config.Config, shards int, effects Effects, now time.Time) *Controller {
 	rng := rand.New(rand.NewPCG(1, 1))
 	clock := func() time.Time { return now }
-	return NewController(cfg, Options{Shards: shards}, effects, rng, clock, discardLogger())
+	return NewController(cfg, Options{Shards: shards}, Environment{
+		Effects: effects, Rand: rng, WallClock: clock, Log: discardLogger(),
+	})
 }
 
 // redirectCase is what a controller knows of the lease holder from its peers.
--- a/internal/controller/intents.go
+++ b/internal/controller/intents.go
@@ -4,37 +4,28 @@
 	"cmp"
 	"errors"
 	"slices"
-	"strconv"
-	"strings"
 	"time"
 
 	"juniperchute/internal/featuregate"
 	"juniperchute/internal/fleet"
 	"juniperchute/internal/intentlog"
 	"juniperchute/internal/peer/peerpb"
-	"juniperchute/internal/store"
 	"juniperchute/internal/tuning"
 	"juniperchute/internal/wire"
 )
 
-// storedIntents are the logs of all blocks as this node last read them.
-type storedIntents struct {
-	entries    map[int][]intentlog.Entry
-	unreadable map[int]int // pages that cannot be read
-	readAt     time.Time   // when they were read; zero: never
-}
-
-// errRecordsNotRead tells that this node has not read what it is asked for yet.
+// errRecordsNotRead tells that this controller has not read what it is asked for yet.
 var errRecordsNotRead = errors.New("the control records have not been read yet")
 
-// Intents tells who carries out the duties and what is not settled. The logs are read
-// anew; if the state service does not answer, what was read last is told with its age.
+// Intents tells an operator who owns the shards and which cloud operations are not completed.
+// The intent logs are read anew; if the state service does not answer, what was read last is
+// shown with its age.
 func (c *Controller) Intents(now time.Time, reply func(*peerpb.IntentsReply, error)) {
 	if !c.membership.Synced() {
 		reply(nil, errRecordsNotRead)
 		return
 	}
-	read := storedIntents{entries: map[int][]intentlog.Entry{}, unreadable: map[int]int{}, readAt: now}
+	read := newStoredIntents(now)
 	c.readIntentLogs(read, "", func(now time.Time, ok bool) {
 		if ok {
 			c.storedLogs = read
@@ -43,38 +34,6 @@
 	})
 }
 
-// readIntentLogs reads the pages of all blocks' logs.
-func (c *Controller) readIntentLogs(into storedIntents, after string, then func(now time.Time, ok bool)) {
-	c.callState(store.Call{Op: store.OpList, Priority: store.PriorityUser, Prefix: intentlog.Prefix, After: after, PageSize: tuning.ListPageSize}, func(now time.Time, r store.Result) {
-		if !r.OK() {
-			then(now, false)
-			return
-		}
-		for _, it := range r.KeyValues {
-			into.add(it)
-		}
-		if n := len(r.KeyValues); r.More && n > 0 {
-			c.readIntentLogs(into, r.KeyValues[n-1].Key, then)
-			return
-		}
-		then(now, true)
-	})
-}
-
-func (l *storedIntents) add(it wire.KeyValue) {
-	number, _, _ := strings.Cut(strings.TrimPrefix(it.Key, intentlog.Prefix), "/")
-	block, err := strconv.Atoi(number)
-	if err != nil {
-		return
-	}
-	entries, err := intentlog.ReadPage(it.Value)
-	if err != nil {
-		l.unreadable[block]++
-		return
-	}
-	l.entries[block] = append(l.entries[block], entries...)
-}
-
 // ageMs is how long ago something was, in milliseconds, -1 if it never was.
 func ageMs(now, at time.Time) int64 {
 	if at.IsZero() {
@@ -84,60 +43,94 @@
 }
 
 func (c *Controller) intentsReply(now time.Time) *peerpb.IntentsReply {
-	out := &peerpb.IntentsReply{Member: c.config.Member, InForce: c.membership.FeatureInForce(featuregate.IntentLogFeature),
-		HoldersAgeMs: ageMs(now, c.membership.LastContact()), IntentsAgeMs: ageMs(now, c.storedLogs.readAt)}
-	for b := range c.options.Shards {
-		out.Shards = append(out.Shards, c.shardIntents(b))
+	reply := &peerpb.IntentsReply{
+		Member:       c.config.Member,
+		InForce:      c.membership.FeatureInForce(featuregate.IntentLogFeature),
+		HoldersAgeMs: ageMs(now, c.membership.LastContact()),
+		IntentsAgeMs: ageMs(now, c.storedLogs.readAt),
 	}
-	return out
+	for shard := range c.options.Shards {
+		reply.Shards = append(reply.Shards, c.shardIntents(shard))
+	}
+	return reply
 }
 
-func (c *Controller) shardIntents(block int) *peerpb.ShardIntents {
-	holder, token, live := c.membership.Holder(block)
-	out := &peerpb.ShardIntents{Shard: int32(block), Holder: holder, Token: token, Live: live, UnreadablePages: int32(c.storedLogs.unreadable[block])}
-	if since := c.membership.ShardAssignedAt(block); !since.IsZero() {
-		out.AssignedAtMs = since.UnixMilli()
+// shardIntents are the operations of one shard: as its term in this process knows them, or
+// else as they are stored.
+func (c *Controller) shardIntents(shard int) *peerpb.ShardIntents {
+	holder, token, live := c.membership.Holder(shard)
+	out := &peerpb.ShardIntents{
+		Shard:           int32(shard),
+		Holder:          holder,
+		Token:           token,
+		Live:            live,
+		UnreadablePages: int32(c.storedLogs.unreadable[shard]),
 	}
-	statuses := c.recordedIntents(block)
-	if t := c.liveTerm(block); t != nil {
+	if assignedAt := c.membership.ShardAssignedAt(shard); !assignedAt.IsZero() {
+		out.AssignedAtMs = assignedAt.UnixMilli()
+	}
+	operations := c.storedOperations(shard)
+	if t := c.liveTerm(shard); t != nil {
 		out.State = t.State().String()
 		if known, ok := t.Operations(); ok {
-			statuses = known
+			operations = known
 		}
 	}
-	for _, s := range statuses {
-		out.Operations = append(out.Operations, c.operationStatus(s))
+	for _, operation := range operations {
+		out.Operations = append(out.Operations, c.operationStatus(operation))
 	}
 	return out
 }
 
-// recordedIntents tells of a block's duties what is stored: the entries of its log, and
-// the rentals that name no machines yet.
-func (c *Controller) recordedIntents(block int) []intentlog.OperationStatus {
-	actions := map[intentlog.Operation][]intentlog.IntentStatus{}
-	for _, e := range c.storedLogs.entries[block] {
-		actions[e.Operation] = append(actions[e.Operation], intentlog.IntentStatus{Operation: e.Operation, Target: e.Target, Token: e.Token, State: intentlog.Recorded, DecidedAt: e.DecidedAt})
+// storedOperations are a shard's operations as stored: the entries of its intent log, and the
+// provision requests that name no machines yet.
+func (c *Controller) storedOperations(shard int) []intentlog.OperationStatus {
+	intents := map[intentlog.Operation][]intentlog.IntentStatus{}
+	for _, entry := range c.storedLogs.entries[shard] {
+		intents[entry.Operation] = append(intents[entry.Operation], intentlog.IntentStatus{
+			Operation: entry.Operation,
+			Target:    entry.Target,
+			Token:     entry.Token,
+			State:     intentlog.Recorded,
+			DecidedAt: entry.DecidedAt,
+		})
 	}
-	c.provisionRequests.Each(func(it wire.KeyValue) {
-		if name, token, open := fleet.UnansweredRequest(it, block); open {
-			actions[intentlog.Provision] = append(actions[intentlog.Provision], intentlog.IntentStatus{Operation: intentlog.Provision, Target: name, Token: token, State: intentlog.Recorded})
+	c.provisionRequests.Each(func(kv wire.KeyValue) {
+		if name, token, open := fleet.UnansweredRequest(kv, shard); open {
+			intents[intentlog.Provision] = append(intents[intentlog.Provision], intentlog.IntentStatus{
+				Operation: intentlog.Provision,
+				Target:    name,
+				Token:     token,
+				State:     intentlog.Recorded,
+			})
 		}
 	})
 	var out []intentlog.OperationStatus
-	for _, d := range intentlog.Operations() {
-		out = append(out, intentlog.OperationStatus{Operation: d, Intents: actions[d]})
+	for _, operation := range intentlog.Operations() {
+		out = append(out, intentlog.OperationStatus{Operation: operation, Intents: intents[operation]})
 	}
 	return out
 }
 
-// operationStatus tells of one duty, the oldest actions first.
-func (c *Controller) operationStatus(s intentlog.OperationStatus) *peerpb.OperationStatus {
-	out := &peerpb.OperationStatus{Operation: string(s.Operation), Pending: int32(len(s.Intents)), RemovalsInFlight: int32(s.RemovalsInFlight), RemovalsDone: int64(s.RemovalsDone)}
-	slices.SortStableFunc(s.Intents, func(a, b intentlog.IntentStatus) int {
+// operationStatus is one kind of operation as the administration API has it, the oldest
+// intents first.
+func (c *Controller) operationStatus(status intentlog.OperationStatus) *peerpb.OperationStatus {
+	out := &peerpb.OperationStatus{
+		Operation:        string(status.Operation),
+		Pending:          int32(len(status.Intents)),
+		RemovalsInFlight: int32(status.RemovalsInFlight),
+		RemovalsDone:     int64(status.RemovalsDone),
+	}
+	slices.SortStableFunc(status.Intents, func(a, b intentlog.IntentStatus) int {
 		return cmp.Or(a.DecidedAt.Compare(b.DecidedAt), cmp.Compare(a.Target, b.Target))
 	})
-	for _, a := range s.Intents[:min(len(s.Intents), tuning.MaxIntentsShown)] {
-		out.Intents = append(out.Intents, &peerpb.IntentStatus{Target: a.Target, Token: a.Token, State: adminIntentState(a.State), AgeMs: ageMs(c.wallClock(), a.DecidedAt)})
+	for _, intent := range status.Intents[:min(len(status.Intents), tuning.MaxIntentsShown)] {
+		out.Intents = append(out.Intents, &peerpb.IntentStatus{
+			Target: intent.Target,
+			Token:  intent.Token,
+			State:  adminIntentState(intent.State),
+			AgeMs:  ageMs(c.environment.WallClock(), intent.DecidedAt),
+		})
 	}
 	return out
 }
--- a/internal/controller/latency.go
+++ b/internal/controller/latency.go
@@ -7,45 +7,55 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The kinds of calls whose times are kept.
+// callKind is a kind of call whose latency is recorded.
+type callKind int
+
 const (
-	latencyUser = iota
+	latencyUser callKind = iota
 	latencyState
 	latencyCloud
-	latencyKinds
+	callKinds
 )
 
-var latencyNames = [latencyKinds]string{"requests", "state", "cloud"}
+// latencyNames begin the names of the counters in the status.
+var latencyNames = [callKinds]string{"requests", "state", "cloud"}
+
+// Bounds of the recorded latencies, in milliseconds, and their precision in digits.
+const (
+	latencyMinMs  = 1
+	latencyMaxMs  = 60_000
+	latencyDigits = 2
+)
 
-// latencyRecorder keeps the times of calls, in milliseconds, for the status.
+// latencyRecorder records how long calls took. It may be used by several goroutines.
 type latencyRecorder struct {
-	lock       *sync.Mutex
-	histograms [latencyKinds]*hdrhistogram.Histogram
+	lock       sync.Mutex
+	histograms [callKinds]*hdrhistogram.Histogram
 }
 
-func newLatencyRecorder() latencyRecorder {
-	l := latencyRecorder{lock: &sync.Mutex{}}
-	for i := range l.histograms {
-		l.histograms[i] = hdrhistogram.New(1, time.Minute.Milliseconds(), 2)
+func newLatencyRecorder() *latencyRecorder {
+	recorder := &latencyRecorder{}
+	for kind := range recorder.histograms {
+		recorder.histograms[kind] = hdrhistogram.New(latencyMinMs, latencyMaxMs, latencyDigits)
 	}
-	return l
+	return recorder
 }
 
-func (l *latencyRecorder) record(kind int, d time.Duration) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	// a time beyond the range counts as the largest
-	_ = l.histograms[kind].RecordValue(min(max(d.Milliseconds(), 1), time.Minute.Milliseconds()))
+func (r *latencyRecorder) record(kind callKind, latency time.Duration) {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	// a latency beyond the bounds counts as the nearest one, so there is no error
+	_ = r.histograms[kind].RecordValue(min(max(latency.Milliseconds(), latencyMinMs), latencyMaxMs))
 }
 
-// values lists the median and the 99th percentile of each kind.
-func (l *latencyRecorder) values() map[string]int64 {
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	out := map[string]int64{}
-	for i, h := range l.histograms {
-		out[latencyNames[i]+"_p50_ms"] = h.ValueAtQuantile(50)
-		out[latencyNames[i]+"_p99_ms"] = h.ValueAtQuantile(99)
+// values are the median and the 99th percentile of each kind, by the counters' names.
+func (r *latencyRecorder) values() map[string]int64 {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	values := map[string]int64{}
+	for kind, histogram := range r.histograms {
+		values[latencyNames[kind]+"_p50_ms"] = histogram.ValueAtQuantile(50)
+		values[latencyNames[kind]+"_p99_ms"] = histogram.ValueAtQuantile(99)
 	}
-	return out
+	return values
 }
--- a/internal/controller/options.go
+++ b/internal/controller/options.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"fmt"
 	"math/rand/v2"
 	"time"
 
@@ -12,22 +13,26 @@
 
 // Options are what a controller is started with beside the platform's settings.
 type Options struct {
-	Shards   int
-	Features featuregate.Gates
-	Tracer   intentlog.Tracer // nil: no spans are made
+	Shards   int               // of the deployment; the same for all members
+	Features featuregate.Gates // that this process has switched on
+	Tracer   intentlog.Tracer  // nil: no spans are made
 }
 
-// NewOptions makes the options of a member that has some switches on. finish writes what
+// bytesPerMB is the unit of the trace's size.
+const bytesPerMB = 1 << 20
+
+// NewOptions makes the options of a member that has some feature gates on. closeTrace writes what
 // is left of its trace.
-func NewOptions(s featuregate.Gates, member string, rng *rand.Rand) (o Options, finish func(), err error) {
-	o = Options{Shards: tuning.Shards, Features: s}
-	if s.Trace.File == "" {
-		return o, func() {}, nil
+func NewOptions(gates featuregate.Gates, member string, rng *rand.Rand) (
+	options Options, closeTrace func(), err error) {
+	options = Options{Shards: tuning.Shards, Features: gates}
+	if gates.Trace.File == "" {
+		return options, func() {}, nil
 	}
-	recorder, err := tracing.Open(s.Trace.File, int64(s.Trace.MaxMB*(1<<20)), member, time.Now, rng)
+	recorder, err := tracing.Open(gates.Trace.File, int64(gates.Trace.MaxMB*bytesPerMB), member, time.Now, rng)
 	if err != nil {
-		return Options{}, nil, err
+		return Options{}, nil, fmt.Errorf("open trace: %w", err)
 	}
-	o.Tracer = recorder
-	return o, recorder.Close, nil
+	options.Tracer = recorder
+	return options, recorder.Close, nil
 }
--- a/internal/controller/peer_heartbeat.go
+++ b/internal/controller/peer_heartbeat.go
@@ -95,7 +95,7 @@
 
 // exchange sends a heartbeat to another controller and applies its answer.
 func (c *Controller) exchange(now time.Time, member string, then func(now time.Time)) {
-	c.effects.SendHeartbeat(member, c.peerHeartbeat(now, member),
+	c.environment.Effects.SendHeartbeat(member, c.peerHeartbeat(now, member),
 		func(now time.Time, answer *peerpb.PeerHeartbeat, err error) {
 			if err == nil {
 				c.applyPeerHeartbeat(now, member, answer)
--- a/internal/controller/process_effects.go
+++ b/internal/controller/process_effects.go
@@ -28,15 +28,20 @@
 	return func() { <-s }
 }
 
+// effectOptions are what the effects of a process need of it.
+type effectOptions struct {
+	clock     *clock.Clock
+	log       *slog.Logger
+	latencies *latencyRecorder
+	post      func(event func(now time.Time)) // hands a result to the owner
+}
+
 // processEffects carries out a controller's effects with real connections. Each call runs on
 // a goroutine of its own, which ends with the call's time limit or with the process's
 // context; its result is posted to the owner.
 type processEffects struct {
-	ctx       context.Context // of the process; set before the first effect
-	clock     *clock.Clock
-	log       *slog.Logger
-	latencies *latencyRecorder
-	post      func(event func(now time.Time))
+	effectOptions
+	ctx context.Context // of the process; set before the first effect
 
 	state   *store.Client
 	cloud   *cloud.Client
@@ -54,13 +59,17 @@
 	peerSlots    slots
 }
 
-func newProcessEffects(cfg *config.Config, connections connectionLimits, steady *clock.Clock, log *slog.Logger,
-	latencies *latencyRecorder, post func(event func(now time.Time))) *processEffects {
+func newProcessEffects(cfg *config.Config, connections connectionLimits, options effectOptions) *processEffects {
+	toState := transport(stateConnections(), tuning.DialTimeout)
+	toCloud := transport(tuning.CloudCallsInFlight, tuning.DialTimeout)
+	toWorkers := transport(tuning.CommandIdleConnections, tuning.WorkerDialTimeout)
 	e := &processEffects{
-		ctx: context.Background(), clock: steady, log: log, latencies: latencies, post: post,
-		state:        store.NewClient(cfg.External.State, transport(stateConnections(), tuning.DialTimeout), steady.Now),
-		cloud:        cloud.NewClient(cfg.External.Cloud, transport(tuning.CloudCallsInFlight, tuning.DialTimeout)),
-		workers:      workerClient{&http.Client{Transport: transport(tuning.CommandIdleConnections, tuning.WorkerDialTimeout)}},
+		effectOptions: options,
+		ctx:           context.Background(),
+
+		state:        store.NewClient(cfg.External.State, toState, options.clock.Now),
+		cloud:        cloud.NewClient(cfg.External.Cloud, toCloud),
+		workers:      workerClient{&http.Client{Transport: toWorkers}},
 		peers:        peer.NewClients(cfg.Peers),
 		rateLimiter:  store.NewRateLimiter(cfg.Platform.State, len(cfg.Peers)+1),
 		readSlots:    make(slots, tuning.StoreReadsInFlight),
--- a/internal/controller/rpc_handlers.go
+++ b/internal/controller/rpc_handlers.go
@@ -10,13 +10,15 @@
 )
 
 // HandleHeartbeat is part of peer.Handler.
-func (r *Runtime) HandleHeartbeat(ctx context.Context, heartbeat *peerpb.PeerHeartbeat) (answer *peerpb.PeerHeartbeat, err error) {
+func (r *Runtime) HandleHeartbeat(ctx context.Context,
+	heartbeat *peerpb.PeerHeartbeat) (answer *peerpb.PeerHeartbeat, err error) {
 	err = r.Ask(ctx, func(now time.Time) { answer = r.controller.HandlePeerHeartbeat(now, heartbeat) })
 	return answer, err
 }
 
 // HandleProgress is part of peer.Handler.
-func (r *Runtime) HandleProgress(ctx context.Context, request *peerpb.ProgressRequest) (reply *peerpb.ProgressReply, err error) {
+func (r *Runtime) HandleProgress(ctx context.Context,
+	request *peerpb.ProgressRequest) (reply *peerpb.ProgressReply, err error) {
 	err = r.Ask(ctx, func(time.Time) { reply = r.controller.HandleProgress(request) })
 	return reply, err
 }
--- a/internal/controller/runtime.go
+++ b/internal/controller/runtime.go
@@ -48,7 +48,7 @@
 	controller *Controller
 	effects    *processEffects
 	api        *httpapi.Server
-	latencies  latencyRecorder
+	latencies  *latencyRecorder
 
 	// What waits for the owner, each in a small buffer: results of its effects and peers'
 	// calls first, then workers' heartbeats and users' requests in turn.
@@ -72,8 +72,12 @@
 		requests:   make(queue, tuning.EventQueueSize),
 		done:       make(chan struct{}),
 	}
-	r.effects = newProcessEffects(cfg, connections, steady, log, &r.latencies, r.post)
-	r.controller = NewController(cfg, options, r.effects, rng, time.Now, log)
+	r.effects = newProcessEffects(cfg, connections, effectOptions{
+		clock: steady, log: log, latencies: r.latencies, post: r.post,
+	})
+	r.controller = NewController(cfg, options, Environment{
+		Effects: r.effects, Rand: rng, WallClock: time.Now, Log: log,
+	})
 	r.api = httpapi.NewServer(httpapi.Options{
 		Controller:     r.controller,
 		Heartbeats:     r.heartbeats,
--- a/internal/controller/settings.go
+++ b/internal/controller/settings.go
@@ -15,9 +15,10 @@
 
 // Errors of SetSetting beside those of a value that is refused. Operators read the texts.
 var (
-	errSettingsNotRead     = errors.New("settings have not been read yet")
-	errSettingsUnwritten   = errors.New("the state service does not answer")
-	errSettingsChangedElse = status.Error(codes.Aborted, "the settings were changed by somebody else just now; look at them again")
+	errSettingsNotRead   = errors.New("settings have not been read yet")
+	errSettingsUnwritten = errors.New("the state service does not answer")
+	errSettingsConflict  = status.Error(codes.Aborted,
+		"the settings were changed by somebody else just now; look at them again")
 )
 
 // SetSetting checks a change of the operators' settings and writes it. reply gets the settings
@@ -42,10 +43,10 @@
 	c.callState(call, func(now time.Time, result store.Result) {
 		switch {
 		case result.OK():
-			c.log.Info("setting changed", "name", name, "value", value)
+			c.environment.Log.Info("setting changed", "name", name, "value", value)
 			reply(next, nil)
 		case errors.Is(result.Err, store.ErrConflict):
-			reply(c.settings, errSettingsChangedElse)
+			reply(c.settings, errSettingsConflict)
 		default:
 			reply(c.settings, errSettingsUnwritten)
 		}
--- a/internal/controller/simulation_node_test.go
+++ b/internal/controller/simulation_node_test.go
@@ -49,7 +49,9 @@
 	}
 	rng := rand.New(rand.NewPCG(n.sim.rng.Uint64(), 1))
 	effects := &simulatedEffects{node: n, processNumber: processNumber}
-	n.controller = NewController(&cfg, n.options(), effects, rng, n.sim.clock.Now, n.sim.logger(n.name))
+	n.controller = NewController(&cfg, n.options(), Environment{
+		Effects: effects, Rand: rng, WallClock: n.sim.clock.Now, Log: n.sim.logger(n.name),
+	})
 	var tick func()
 	tick = func() {
 		if n.alive && n.processNumber == processNumber {
--- /dev/null
+++ b/internal/controller/stored_intents.go
@@ -0,0 +1,64 @@
+package controller
+
+import (
+	"strconv"
+	"strings"
+	"time"
+
+	"juniperchute/internal/intentlog"
+	"juniperchute/internal/store"
+	"juniperchute/internal/tuning"
+	"juniperchute/internal/wire"
+)
+
+// storedIntents are the intent logs of all shards as this controller last read them.
+type storedIntents struct {
+	entries    map[int][]intentlog.Entry // by shard
+	unreadable map[int]int               // pages that cannot be read, by shard
+	readAt     time.Time                 // zero: never
+}
+
+func newStoredIntents(now time.Time) storedIntents {
+	return storedIntents{entries: map[int][]intentlog.Entry{}, unreadable: map[int]int{}, readAt: now}
+}
+
+// add takes in a page of a shard's intent log.
+func (s *storedIntents) add(page wire.KeyValue) {
+	number, _, _ := strings.Cut(strings.TrimPrefix(page.Key, intentlog.Prefix), "/")
+	shard, err := strconv.Atoi(number)
+	if err != nil {
+		return
+	}
+	entries, err := intentlog.ReadPage(page.Value)
+	if err != nil {
+		s.unreadable[shard]++
+		return
+	}
+	s.entries[shard] = append(s.entries[shard], entries...)
+}
+
+// readIntentLogs reads the intent logs of all shards, from the key after the given one on. ok
+// tells whether all pages have been read.
+func (c *Controller) readIntentLogs(into storedIntents, after string, then func(now time.Time, ok bool)) {
+	call := store.Call{
+		Op:       store.OpList,
+		Priority: store.PriorityUser,
+		Prefix:   intentlog.Prefix,
+		After:    after,
+		PageSize: tuning.ListPageSize,
+	}
+	c.callState(call, func(now time.Time, result store.Result) {
+		if !result.OK() {
+			then(now, false)
+			return
+		}
+		for _, page := range result.KeyValues {
+			into.add(page)
+		}
+		if n := len(result.KeyValues); result.More && n > 0 {
+			c.readIntentLogs(into, result.KeyValues[n-1].Key, then)
+			return
+		}
+		then(now, true)
+	})
+}
--- a/internal/controller/terms.go
+++ b/internal/controller/terms.go
@@ -70,16 +70,16 @@
 		Shards:            c.options.Shards,
 		Platform:          c.config.Platform,
 		Peers:             c.peerNames(),
-		Effects:           c.effects,
+		Effects:           c.environment.Effects,
 		Membership:        c.membership,
 		Host:              c,
 		OpenJobs:          c.openJobs,
 		ProvisionRequests: c.provisionRequests,
 		IntentLog:         c.options.Features.IntentLog,
 		Tracer:            c.options.Tracer,
-		Rand:              c.rand,
-		WallClock:         c.wallClock,
-		Log:               c.log,
+		Rand:              c.environment.Rand,
+		WallClock:         c.environment.WallClock,
+		Log:               c.environment.Log,
 	})
 	for name, machineType := range c.machines.byName {
 		t.ApplyMachineType(machineType, c.machines.records[name])
--- a/internal/httpapi/listener.go
+++ b/internal/httpapi/listener.go
@@ -27,7 +27,13 @@
 }
 
 func newLimitedListener(l net.Listener, limit int, clock func() time.Time) *limitedListener {
-	return &limitedListener{Listener: l, limit: limit, sharedFrom: int(float64(limit) * tuning.KeepAliveConnectionShare), clock: clock, open: map[*clientConnection]bool{}}
+	return &limitedListener{
+		Listener:   l,
+		limit:      limit,
+		sharedFrom: int(float64(limit) * tuning.KeepAliveConnectionShare),
+		clock:      clock,
+		open:       map[*clientConnection]bool{},
+	}
 }
 
 // clientConnection is one connection.
--- a/internal/term/completion_bitmaps.go
+++ b/internal/term/completion_bitmaps.go
@@ -38,7 +38,11 @@
 
 // newCompletionBitmaps makes an empty record; valueKB is the present limit for a value.
 func newCompletionBitmaps(pages *store.Pages, valueKB float64) *completionBitmaps {
-	t := &completionBitmaps{pages: pages, chunkTasks: int(valueKB*1024) * tuning.CompletionBitsPerByte, entries: map[string]map[string][]byte{}}
+	t := &completionBitmaps{
+		pages:      pages,
+		chunkTasks: int(valueKB*1024) * tuning.CompletionBitsPerByte,
+		entries:    map[string]map[string][]byte{},
+	}
 	t.entryTasks = tasksPerEntry(pages.MaxEntryBytes())
 	pages.OnLimitLowered = t.splitLargeEntries
 	return t
--- a/internal/term/status.go
+++ b/internal/term/status.go
@@ -48,7 +48,8 @@
 			break
 		}
 		out.Jobs = append(out.Jobs, &peerpb.Job{
-			Id: job.Spec.ID, Class: job.Spec.Class, Team: job.Spec.Team, Priority: job.Spec.Priority, Shape: job.Spec.Shape,
+			Id: job.Spec.ID, Class: job.Spec.Class, Team: job.Spec.Team,
+			Priority: job.Spec.Priority, Shape: job.Spec.Shape,
 			Tasks: int32(job.Spec.Tasks), Done: int32(job.CompletedTasks()), Running: int32(job.RunningTasks()),
 			OnMachines: int32(job.AssignedTasks()), WaitsFor: job.PendingReason(),
 		})
