--- a/internal/controller/runtime_test.go
+++ b/internal/controller/runtime_test.go
@@ -164,7 +164,8 @@
 	r.effects.clock = clock.New(suspendedFor)
 	suspended.Store(int64(2 * time.Minute)) // the command has to look for itself
 	command()
-	if len(asked) != 2 || !errors.Is(cloudError, cloud.ErrNoResponse) || !errors.Is(commandError, term.ErrDeadlinePassed) {
+	notSent := errors.Is(cloudError, cloud.ErrNoResponse) && errors.Is(commandError, term.ErrDeadlinePassed)
+	if len(asked) != 2 || !notSent {
 		t.Errorf("after: cloud %v, worker %v, %d calls", cloudError, commandError, len(asked))
 	}
 	r.clock = r.effects.clock
--- a/internal/controller/steady_test.go
+++ b/internal/controller/steady_test.go
@@ -43,7 +43,7 @@
 }
 
 // BenchmarkSteady measures a second of a lean deployment's decisions, at all its
-// controllers, without what carries them out. The stand-ins' time is in it.
+// controllers, without what carries them out. The fakes' time is in it.
 func BenchmarkSteady(b *testing.B) {
 	for _, load := range append(standin.LeanWorkloads(), standin.LargestWorkload()) {
 		b.Run(load.Name, func(b *testing.B) {
--- a/internal/term/completion_bitmaps_test.go
+++ b/internal/term/completion_bitmaps_test.go
@@ -139,7 +139,12 @@
 	ledger := quota.NewLedger(nil, 1)
 	completed := func(time.Time, *placement.Job) {}
 	scheduler := placement.NewScheduler(placement.Options{
-		Platform: platform, Token: 1, Ledger: ledger, Registry: workers, Log: discardLogger(), OnTaskCompleted: completed,
+		Platform:        platform,
+		Token:           1,
+		Ledger:          ledger,
+		Registry:        workers,
+		Log:             discardLogger(),
+		OnTaskCompleted: completed,
 	})
 	return scheduler, scheduler.AddJob(time.Unix(0, 0), spec, time.Unix(0, 0), 1, true)
 }
