--- a/Makefile
+++ b/Makefile
@@ -10,6 +10,7 @@
 	./internal/config \
 	./internal/featuregate \
 	./internal/fleet \
+	./internal/intentlog \
 	./internal/leader \
 	./internal/peer/... \
 	./internal/store \
--- a/internal/intentlog/log.go
+++ b/internal/intentlog/log.go
@@ -102,7 +102,7 @@
 
 // hasTarget reports whether any operation has an intent for a target.
 func (l *Log) hasTarget(target string) bool {
-	return slices.ContainsFunc(Operations(), func(operation Operation) bool { return l.intents[operation][target] != nil })
+	return slices.ContainsFunc(Operations(), func(operation Operation) bool { return l.Get(operation, target) != nil })
 }
 
 // add takes in an intent that is not completed.
