--- a/internal/placement/array.go
+++ b/internal/placement/array.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"juniperchute/internal/tuning"
-	"juniperchute/internal/worker"
 )
 
 // scheduleArray queues an array's pending tasks, each as the paper's two
@@ -57,26 +56,27 @@
 	}
 	for _, info := range p.scheduler.capacity.freeMachines {
 		machine := info.machine
-		if info.gainRevision < noRoomRevision || !p.fits(machine) || !p.job.eligible(now, machine) {
+		if info.gainRevision < noRoomRevision || !p.fits(info) || !p.job.eligible(now, machine) {
 			continue
 		}
-		if p.scheduler.reservedForGang(now, p.job, machine) {
+		if p.scheduler.pass.reservedForGang(now, p.job, machine) {
 			p.reservedForGang = true
 			continue
 		}
-		p.candidates = append(p.candidates, candidate{machine, p.scheduler.machineRank(p.job, machine)})
+		p.candidates = append(p.candidates, candidate{info, info.rankFor(p.job)})
 	}
 }
 
 // fits reports whether a machine has room, in an allowed zone, for one more task.
-func (p *arrayPlacement) fits(machine *worker.Machine) bool {
+func (p *arrayPlacement) fits(info *machineInfo) bool {
+	machine := info.machine
 	if !machine.AvailableToPrimary().Fits(p.job.need) {
 		return false
 	}
 	if p.tasksByZone != nil && !p.job.zoneAllowed(machine.Zone, p.tasksByZone) {
 		return false
 	}
-	return p.requirement == anyMachine || p.scheduler.hasImage(machine, p.job.Spec.Image)
+	return p.requirement == anyMachine || info.hasImage(p.job.Spec.Image)
 }
 
 // mayPlace reports whether another task may be queued after those placed in this round.
@@ -84,7 +84,7 @@
 	s, job := p.scheduler, p.job
 	switch {
 	case s.pass.arrayTasksQueued == tuning.MaxTasksPerPass:
-		s.capacity.requestFullPass() // the next pass goes on
+		s.pass.requestFull() // the next pass goes on
 		return false
 	case job.startsFirst() && placed == tuning.FirstStartTasks:
 		return false // the rest waits for its turn
@@ -115,7 +115,7 @@
 	}
 	job.pendingReason = ""
 	task := job.addTask(index)
-	s.queuePrimary(now, task, p.candidates[chosen].machine)
+	s.queuePrimary(now, task, p.candidates[chosen].info.machine)
 	s.pass.arrayTasksQueued++
 	p.updateCandidates(chosen)
 	s.placeBackup(now, task)
--- a/internal/placement/array_candidates.go
+++ b/internal/placement/array_candidates.go
@@ -9,40 +9,40 @@
 
 // candidate is a machine with room for an array's task, and its rank; the lowest is best.
 type candidate struct {
-	machine *worker.Machine
-	rank    int
+	info *machineInfo
+	rank int
 }
 
 // updateCandidates brings the candidates up to date after a task was queued at one of them.
 func (p *arrayPlacement) updateCandidates(chosen int) {
-	machine := p.candidates[chosen].machine
+	info := p.candidates[chosen].info
 	switch {
 	case p.tasksByZone != nil:
-		p.tasksByZone[machine.Zone]++
-		p.candidates = slices.DeleteFunc(p.candidates, func(c candidate) bool { return !p.fits(c.machine) })
+		p.tasksByZone[info.machine.Zone]++
+		p.candidates = slices.DeleteFunc(p.candidates, func(c candidate) bool { return !p.fits(c.info) })
 		for i := range p.candidates {
-			p.candidates[i].rank = p.scheduler.machineRank(p.job, p.candidates[i].machine)
+			p.candidates[i].rank = p.candidates[i].info.rankFor(p.job)
 		}
-	case p.fits(machine):
-		p.candidates[chosen].rank = p.scheduler.machineRank(p.job, machine)
+	case p.fits(info):
+		p.candidates[chosen].rank = info.rankFor(p.job)
 	default:
 		p.candidates = slices.Delete(p.candidates, chosen, chosen+1)
 	}
 }
 
-// machineRank ranks machines that fit: spot machines first for jobs that may
+// rankFor ranks machines that fit an array's task: spot machines first for jobs that may
 // use them, then machines that have the image or are about to, then the fuller
 // ones, in steps, so that others become empty and can be terminated.
-func (s *Scheduler) machineRank(job *Job, machine *worker.Machine) int {
+func (info *machineInfo) rankFor(job *Job) int {
 	const (
 		noImage  = 2 * tuning.FillLevels // more than any fill
 		onDemand = 4 * tuning.FillLevels
 	)
-	rank := freeLevel(machine)
-	if job.Spec.Spot && !machine.Spot {
+	rank := freeLevel(info.machine)
+	if job.Spec.Spot && !info.machine.Spot {
 		rank += onDemand
 	}
-	if !s.hasImage(machine, job.Spec.Image) {
+	if !info.hasImage(job.Spec.Image) {
 		rank += noImage
 	}
 	return rank
@@ -53,13 +53,12 @@
 	return int(tuning.FillLevels * machine.AvailableToPrimary().DominantShare(machine.Capacity))
 }
 
-// hasImage reports whether a machine has an image, or a task there will have it fetched.
-func (s *Scheduler) hasImage(machine *worker.Machine, image string) bool {
-	if _, ok := machine.Images[image]; ok {
+// hasImage reports whether the machine has an image, or a task there will have it fetched.
+func (info *machineInfo) hasImage(image string) bool {
+	if _, ok := info.machine.Images[image]; ok {
 		return true
 	}
 	usesImage := func(task *Task) bool { return task.Job.Spec.Image == image }
-	info := s.machineInfo(machine)
 	return slices.ContainsFunc(info.assigned, usesImage) || slices.ContainsFunc(info.primaryQueue, usesImage)
 }
 
--- a/internal/placement/capacity_index.go
+++ b/internal/placement/capacity_index.go
@@ -16,13 +16,12 @@
 //     pass ends where there are none;
 //   - it counts the places that each class of gangs could have.
 type capacityIndex struct {
-	dirtyMachines  []*machineInfo  // changed since the last refresh
-	revision       uint64          // the newest change by which a machine gained something
-	smallestNeed   quota.Resources // no task of an open array needs less, of any resource
-	freeMachines   []*machineInfo  // schedulable machines with room for that
-	overGuarantee  uint64          // bit set of the teams over their guarantees
-	slotsByClass   map[equivalenceClass]*slotCounts
-	fullPassNeeded bool // jobs, limits or the order have changed since the last pass
+	dirtyMachines []*machineInfo  // changed since the last refresh
+	revision      uint64          // the newest change by which a machine gained something
+	smallestNeed  quota.Resources // no task of an open array needs less, of any resource
+	freeMachines  []*machineInfo  // schedulable machines with room for that
+	overGuarantee uint64          // bit set of the teams over their guarantees
+	slotsByClass  map[equivalenceClass]*slotCounts
 }
 
 // capacitySnapshot is what a machine had to offer when the index was refreshed.
@@ -60,9 +59,6 @@
 	return capacityIndex{slotsByClass: map[equivalenceClass]*slotCounts{}}
 }
 
-// requestFullPass makes the next pass go through all jobs.
-func (c *capacityIndex) requestFullPass() { c.fullPassNeeded = true }
-
 // removeMachine removes a deleted machine.
 func (c *capacityIndex) removeMachine(info *machineInfo) {
 	c.setFree(info, false)
--- a/internal/placement/fair_share.go
+++ b/internal/placement/fair_share.go
@@ -35,27 +35,25 @@
 // invalidateOrder has the jobs sorted anew.
 func (s *Scheduler) invalidateOrder() {
 	s.orderStale = true
-	s.capacity.requestFullPass()
+	s.pass.requestFull()
 }
 
-// priorityTiers returns the open jobs by priority and fair-share order, as of a moment ago.
-func (s *Scheduler) priorityTiers(now time.Time) []priorityTier {
+// sortIfDue sorts the open jobs by priority and fair-share order, unless that
+// was done a moment ago, and reports whether it has.
+func (s *Scheduler) sortIfDue(now time.Time) bool {
 	sinceSort := now.Sub(s.sortedAt)
 	if sinceSort < tuning.FairShareInterval && (!s.orderStale || sinceSort < tuning.FairShareMinInterval) {
-		return s.tiers
+		return false
 	}
 	s.sortedAt, s.orderStale = now, false
 	byPriority := s.jobsByPriority(now)
-	s.setSmallestNeed(now, s.smallestArrayNeed())
-	images := s.machinesByImage()
 	s.tiers = nil
 	for _, priority := range slices.Backward(slices.Sorted(maps.Keys(byPriority))) {
 		jobs := s.fairShareOrder(byPriority[priority])
 		gangsAndServices := slices.DeleteFunc(slices.Clone(jobs), (*Job).isArray)
 		s.tiers = append(s.tiers, priorityTier{jobs, gangsAndServices})
-		s.prepareArrays(now, jobs, images)
 	}
-	return s.tiers
+	return true
 }
 
 // jobsByPriority works out the jobs' effective priorities and groups them by these.
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -61,7 +61,7 @@
 		s.recordNoRoom(now, gang)
 		return false
 	case s.pass.gangsPlaced == tuning.MaxGangsPerPass:
-		s.capacity.requestFullPass() // the next pass goes on
+		s.pass.requestFull() // the next pass goes on
 		return false
 	}
 	return true
@@ -133,16 +133,6 @@
 	}
 }
 
-// reservedForGang reports whether a machine is reserved for a starving gang
-// for which an array's tasks would not be preempted.
-func (s *Scheduler) reservedForGang(now time.Time, array *Job, machine *worker.Machine) bool {
-	gang := s.pass.blockingGang
-	if gang == nil || !gang.starving(now) || array.starving(now) || array.priority < gang.priority {
-		return false
-	}
-	return gang.allows(kindOf(machine)) && machine.Capacity.Fits(gang.need)
-}
-
 // dispatchGang dispatches a placed gang once there is room for all its tasks.
 func (s *Scheduler) dispatchGang(now time.Time, gang *Job) {
 	if len(gang.tasks) != gang.Spec.Tasks || gang.assigned > 0 || gang.aborting {
--- a/internal/placement/replica_rank.go
+++ b/internal/placement/replica_rank.go
@@ -4,15 +4,14 @@
 	"slices"
 
 	"juniperchute/internal/tuning"
-	"juniperchute/internal/worker"
 )
 
-// replicaRank ranks a machine with room for a replica, the lowest first: with
+// replicaRank ranks the machine, which has room for a replica; the lowest is best: with
 // as few replicas of the same service as can be, so that the loss of one
 // machine takes few; not spot, if there are others; with the image; with other
 // services, so that services keep few machines from being terminated; then the
 // fuller ones.
-func (s *Scheduler) replicaRank(service *Job, machine *worker.Machine) int {
+func (info *machineInfo) replicaRank(service *Job) int {
 	const (
 		step      = 2 * tuning.FillLevels // more than any fill
 		noService = 1 * step
@@ -20,22 +19,21 @@
 		onSpot    = 4 * step
 		sibling   = 8 * step // each
 	)
-	rank := freeLevel(machine) + sibling*s.replicasOn(service, machine)
-	if !s.hostsService(machine) {
+	rank := freeLevel(info.machine) + sibling*info.replicasOf(service)
+	if !info.hostsService() {
 		rank += noService
 	}
-	if !s.hasImage(machine, service.Spec.Image) {
+	if !info.hasImage(service.Spec.Image) {
 		rank += noImage
 	}
-	if machine.Spot {
+	if info.machine.Spot {
 		rank += onSpot
 	}
 	return rank
 }
 
-// replicasOn counts a service's replicas that are on a machine or queued there.
-func (s *Scheduler) replicasOn(service *Job, machine *worker.Machine) int {
-	info := s.machineInfo(machine)
+// replicasOf counts a service's replicas that are on the machine or queued there.
+func (info *machineInfo) replicasOf(service *Job) int {
 	n := 0
 	for _, list := range [][]*Task{info.assigned, info.primaryQueue} {
 		for _, task := range list {
@@ -47,7 +45,7 @@
 	return n
 }
 
-// hostsService reports whether a replica of any service is on a machine.
-func (s *Scheduler) hostsService(machine *worker.Machine) bool {
-	return slices.ContainsFunc(s.machineInfo(machine).assigned, func(task *Task) bool { return task.Job.IsService() })
+// hostsService reports whether a replica of any service is on the machine.
+func (info *machineInfo) hostsService() bool {
+	return slices.ContainsFunc(info.assigned, func(task *Task) bool { return task.Job.IsService() })
 }
--- a/internal/placement/scheduler.go
+++ b/internal/placement/scheduler.go
@@ -196,5 +196,5 @@
 // reconciled or deleted: pending tasks of jobs from earlier terms may start.
 func (s *Scheduler) MarkReconciled(now time.Time) {
 	s.reconciled = true
-	s.capacity.requestFullPass()
+	s.pass.requestFull()
 }
--- a/internal/placement/scheduling_pass.go
+++ b/internal/placement/scheduling_pass.go
@@ -20,14 +20,6 @@
 	cachedImage imageRequirement = true // only machines that have the task's image
 )
 
-// passState is what a scheduling pass has done so far.
-type passState struct {
-	gangsWithoutRoom int
-	gangsPlaced      int
-	arrayTasksQueued int
-	blockingGang     *Job // the gang before which no other of its priority is placed
-}
-
 // Schedule runs a scheduling pass: it goes through the pending tasks in order,
 // queues the copies of arrays' tasks, places gangs and services, and reschedules
 // what is stuck. It does nothing while nothing has changed.
@@ -38,12 +30,12 @@
 		s.handlePreemptionNotices(now)
 		s.rescheduleStuck(now)
 	}
-	if gained := s.refreshCapacity(now); !gained && !due && !s.capacity.fullPassNeeded {
+	if gained := s.refreshCapacity(now); !gained && !due && !s.pass.fullPassNeeded {
 		return
 	}
-	s.capacity.fullPassNeeded = false
-	s.pass = passState{}
-	for _, tier := range s.priorityTiers(now) {
+	s.pass.begin()
+	s.refreshOrder(now)
+	for _, tier := range s.tiers {
 		s.scheduleTier(now, tier)
 	}
 	for _, job := range s.openJobs {
@@ -53,6 +45,19 @@
 	}
 }
 
+// refreshOrder sorts the open jobs if that is due, and brings up to date what
+// follows from the order.
+func (s *Scheduler) refreshOrder(now time.Time) {
+	if !s.sortIfDue(now) {
+		return
+	}
+	s.setSmallestNeed(now, s.smallestArrayNeed())
+	machinesByImage := s.machinesByImage()
+	for _, tier := range s.tiers {
+		s.prepareArrays(now, tier.jobs, machinesByImage)
+	}
+}
+
 // scheduleTier goes through the jobs of a tier: those within their teams'
 // guarantees first. In each of the two, room goes to a task whose image is
 // cached before one of a somewhat earlier position that would have it fetched.
--- a/internal/placement/service.go
+++ b/internal/placement/service.go
@@ -119,10 +119,10 @@
 		if tasksByZone != nil && !service.zoneAllowed(machine.Zone, tasksByZone) {
 			continue
 		}
-		if requirement == cachedImage && !s.hasImage(machine, service.Spec.Image) {
+		if requirement == cachedImage && !s.machineInfo(machine).hasImage(service.Spec.Image) {
 			continue
 		}
-		switch rank := s.replicaRank(service, machine); {
+		switch rank := s.machineInfo(machine).replicaRank(service); {
 		case len(best) == 0 || rank < lowest:
 			best, lowest = append(best[:0], machine), rank
 		case rank == lowest:
@@ -156,7 +156,7 @@
 		if !selected.free.Fits(service.need) {
 			continue
 		}
-		cost := selected.cost + float64(s.replicasOn(service, machine))*tuning.ScorePreempt
+		cost := selected.cost + float64(s.machineInfo(machine).replicasOf(service))*tuning.ScorePreempt
 		if chosen == nil || cost < lowestCost {
 			chosen, tasks, lowestCost = machine, selected.tasks, cost
 		}
--- a/internal/placement/start_marker.go
+++ b/internal/placement/start_marker.go
@@ -23,7 +23,7 @@
 		s.pendingStartMarkers--
 	}
 	job.startMarker = startMarkerDurable
-	s.capacity.requestFullPass()
+	s.pass.requestFull()
 }
 
 // canRequestStartMarker reports whether a job has its start marker or could
