--- a/internal/placement/array.go
+++ b/internal/placement/array.go
@@ -1,6 +1,7 @@
 package placement
 
 import (
+	"math"
 	"time"
 
 	"juniperchute/internal/tuning"
@@ -18,7 +19,7 @@
 	}
 	p := newArrayPlacement(s, job, filter)
 	p.findCandidates(now)
-	if len(p.candidates) > 0 && !s.ensureStartMarker(now, job) {
+	if len(p.candidates) > 0 && !s.markers.ensure(now, job) {
 		return
 	}
 	for placed := 0; job.pendingTasks() > 0; placed++ {
@@ -115,7 +116,7 @@
 	}
 	job.pendingReason = ""
 	task := job.addTask(index)
-	s.queuePrimary(now, task, p.candidates[chosen].info.machine)
+	s.queues.queuePrimary(now, task, p.candidates[chosen].info.machine)
 	s.pass.arrayTasksQueued++
 	p.updateCandidates(chosen)
 	s.placeBackup(now, task)
@@ -132,9 +133,28 @@
 		if machine == task.primary || !task.Job.eligible(now, machine) || !machine.Capacity.Fits(task.Job.need) {
 			continue
 		}
-		if len(s.machineInfo(machine).backupQueue) < tuning.MaxBackupsPerWorker {
-			s.queueBackup(task, machine)
+		if len(s.capacity.info(machine).backupQueue) < tuning.MaxBackupsPerWorker {
+			s.queues.queueBackup(task, machine)
 			return
 		}
 	}
 }
+
+// prepareArrays decides for the pending arrays of a tier how much their images
+// count, and requests start markers for the first of them, so that a free place
+// need not wait for the marker.
+func (s *Scheduler) prepareArrays(now time.Time, jobs []*Job, machinesByImage map[string]int) {
+	earliest, pending := math.Inf(1), 0
+	for _, job := range jobs {
+		if job.pendingTasks() == 0 || !job.isArray() {
+			continue
+		}
+		if pending++; pending <= tuning.StartMarkersAhead && s.markers.safeToStart(job) {
+			s.markers.ensure(now, job)
+		}
+		earliest = min(earliest, job.fairSharePosition)
+		job.pastImagePatience = job.fairSharePosition > earliest+tuning.ImageLocalityPatience.Seconds()
+		machinesNeeded := float64(job.pendingTasks()) * job.machineShare(s.registry)
+		job.needsMoreImages = float64(machinesByImage[job.Spec.Image]) < machinesNeeded
+	}
+}
--- /dev/null
+++ b/internal/placement/backup_preemption.go
@@ -0,0 +1,36 @@
+package placement
+
+import (
+	"slices"
+	"time"
+
+	"juniperchute/internal/quota"
+	"juniperchute/internal/worker"
+)
+
+// preemptBackups stops running backups on a machine until what is missing is
+// covered. Backups that are stopping already count.
+func (l *taskLifecycle) preemptBackups(now time.Time, machine *worker.Machine, missing quota.Resources) {
+	for _, task := range slices.Clone(l.capacity.info(machine).assigned) {
+		if missing.CPUs <= 0 && missing.GPUs <= 0 && missing.MemGB <= 0 {
+			return
+		}
+		if !task.isBackup {
+			continue
+		}
+		if task.phase != Stopping {
+			l.preemptBackup(now, task, "backup gives way to a primary")
+			if task.backupStops >= l.Settings.DropThreshold {
+				l.Counters.BackupsWithdrawn++
+			}
+		}
+		missing = missing.Sub(task.Job.need)
+	}
+}
+
+// preemptBackup stops a running backup, which counts towards its withdrawal.
+func (l *taskLifecycle) preemptBackup(now time.Time, task *Task, reason string) {
+	task.backupStops++
+	l.Counters.BackupsPreempted++
+	l.stop(now, task, task.Job.stopGrace(), reason)
+}
--- a/internal/placement/capacity_index.go
+++ b/internal/placement/capacity_index.go
@@ -16,6 +16,9 @@
 //     pass ends where there are none;
 //   - it counts the places that each class of gangs could have.
 type capacityIndex struct {
+	*environment
+	rules         preemptionRules
+	machines      map[*worker.Machine]*machineInfo
 	dirtyMachines []*machineInfo  // changed since the last refresh
 	revision      uint64          // the newest change by which a machine gained something
 	smallestNeed  quota.Resources // no task of an open array needs less, of any resource
@@ -55,13 +58,30 @@
 	return &r.anyMachine
 }
 
-func newCapacityIndex() capacityIndex {
-	return capacityIndex{slotsByClass: map[equivalenceClass]*slotCounts{}}
+func newCapacityIndex(env *environment) *capacityIndex {
+	return &capacityIndex{
+		environment:  env,
+		rules:        preemptionRules{env},
+		machines:     map[*worker.Machine]*machineInfo{},
+		slotsByClass: map[equivalenceClass]*slotCounts{},
+	}
 }
 
-// removeMachine removes a deleted machine.
+// info returns what is kept of a machine, and begins to keep it.
+func (c *capacityIndex) info(machine *worker.Machine) *machineInfo {
+	info := c.machines[machine]
+	if info == nil {
+		info = &machineInfo{machine: machine}
+		c.machines[machine] = info
+		c.markDirty(info)
+	}
+	return info
+}
+
+// removeMachine removes a deleted machine, with what is kept of it.
 func (c *capacityIndex) removeMachine(info *machineInfo) {
 	c.setFree(info, false)
+	delete(c.machines, info.machine)
 	for _, slots := range c.slotsByClass {
 		slots.set(info.machine, 0)
 	}
@@ -83,37 +103,31 @@
 }
 
 // setSmallestNeed sets what the smallest pending task needs.
-func (s *Scheduler) setSmallestNeed(now time.Time, smallestNeed quota.Resources) {
-	index := &s.capacity
-	if smallestNeed == index.smallestNeed {
+func (c *capacityIndex) setSmallestNeed(now time.Time, smallestNeed quota.Resources) {
+	if smallestNeed == c.smallestNeed {
 		return
 	}
-	index.smallestNeed = smallestNeed
-	for _, machine := range s.registry.All() {
+	c.smallestNeed = smallestNeed
+	for _, machine := range c.registry.All() {
 		free := machine.Schedulable(now) && machine.AvailableToPrimary().Fits(smallestNeed)
-		index.setFree(s.machineInfo(machine), free)
+		c.setFree(c.info(machine), free)
 	}
 }
 
 // markDirty notes that something about a machine has changed.
-func (s *Scheduler) markDirty(info *machineInfo) {
+func (c *capacityIndex) markDirty(info *machineInfo) {
 	if !info.dirty {
 		info.dirty = true
-		s.capacity.dirtyMachines = append(s.capacity.dirtyMachines, info)
+		c.dirtyMachines = append(c.dirtyMachines, info)
 	}
 }
 
-// MarkMachineChanged notes a change of a machine that the scheduler did not
-// make itself, such as one of its state or its registration.
-func (s *Scheduler) MarkMachineChanged(machine *worker.Machine) { s.markDirty(s.machineInfo(machine)) }
-
-// refreshCapacity brings the index up to date and reports whether some machine
+// refresh brings the index up to date and reports whether some machine
 // has gained something.
-func (s *Scheduler) refreshCapacity(now time.Time) bool {
-	index := &s.capacity
-	s.refreshOverGuarantee()
+func (c *capacityIndex) refresh(now time.Time) bool {
+	c.refreshOverGuarantee()
 	gained := false
-	for _, info := range index.dirtyMachines {
+	for _, info := range c.dirtyMachines {
 		info.dirty = false
 		machine := info.machine
 		snapshot := capacitySnapshot{
@@ -124,26 +138,26 @@
 		}
 		if snapshot.offersMoreThan(info.lastSnapshot) {
 			gained = true
-			index.revision++
-			info.gainRevision = index.revision
+			c.revision++
+			info.gainRevision = c.revision
 		}
 		info.lastSnapshot = snapshot
-		index.setFree(info, snapshot.schedulable && snapshot.free.Fits(index.smallestNeed))
-		for class, slots := range index.slotsByClass {
-			slots.set(machine, s.feasibleSlots(now, class, machine))
+		c.setFree(info, snapshot.schedulable && snapshot.free.Fits(c.smallestNeed))
+		for class, slots := range c.slotsByClass {
+			slots.set(machine, c.feasibleSlots(now, class, machine))
 		}
 	}
-	index.dirtyMachines = index.dirtyMachines[:0]
+	c.dirtyMachines = c.dirtyMachines[:0]
 	return gained
 }
 
 // refreshOverGuarantee drops the counts of places when other teams than before
 // are over their guarantees: what may be preempted for whom has changed.
-func (s *Scheduler) refreshOverGuarantee() {
-	overGuarantee := teamsOverGuarantee(s.platform.Teams, s.ledger)
-	if overGuarantee != s.capacity.overGuarantee {
-		s.capacity.overGuarantee = overGuarantee
-		clear(s.capacity.slotsByClass)
+func (c *capacityIndex) refreshOverGuarantee() {
+	overGuarantee := teamsOverGuarantee(c.platform.Teams, c.ledger)
+	if overGuarantee != c.overGuarantee {
+		c.overGuarantee = overGuarantee
+		clear(c.slotsByClass)
 	}
 }
 
@@ -157,3 +171,16 @@
 	}
 	return overGuarantee
 }
+
+// machinesByImage counts the machines that have each image.
+func (c *capacityIndex) machinesByImage() map[string]int {
+	counts := map[string]int{}
+	for _, machine := range c.registry.All() {
+		if machine.State == worker.Up {
+			for image := range machine.Images {
+				counts[image]++
+			}
+		}
+	}
+	return counts
+}
--- a/internal/placement/commands.go
+++ b/internal/placement/commands.go
@@ -29,7 +29,7 @@
 		}
 		commands = append(commands, s.commandsForReported(machine, &machine.Tasks[i])...)
 	}
-	for _, task := range s.machineInfo(machine).assigned {
+	for _, task := range s.capacity.info(machine).assigned {
 		if len(commands) == tuning.MaxCommandsPerReply {
 			return commands
 		}
@@ -43,10 +43,10 @@
 // is reaped.
 func (s *Scheduler) commandsForReported(machine *worker.Machine, reported *wire.TaskStatus) []wire.Command {
 	id, _, _ := wire.ParseTask(reported.Name)
-	if s.unreadableJobs[id] {
+	if s.jobs.unreadable[id] {
 		return nil
 	}
-	job, index := s.jobOfTask(reported.Name)
+	job, index := s.jobs.ofTask(reported.Name)
 	if reported.State == wire.TaskExited {
 		if s.reapable(machine, job, index, reported) {
 			return []wire.Command{{Verb: wire.VerbReap, Task: reported.Name, Attempt: reported.Attempt}}
@@ -67,20 +67,6 @@
 	return nil
 }
 
-// jobOfTask returns the job, open or closed, and the index of a reported task;
-// a nil job if there is no such task.
-func (s *Scheduler) jobOfTask(name string) (*Job, int) {
-	id, index, ok := wire.ParseTask(name)
-	if !ok {
-		return nil, 0
-	}
-	job := s.jobs[id]
-	if job == nil || index >= job.Spec.Tasks {
-		return nil, 0
-	}
-	return job, index
-}
-
 // isAttemptOn reports whether an attempt of the task is expected on a machine.
 // No attempt of a nil task is.
 func (t *Task) isAttemptOn(machine *worker.Machine, attempt uint64) bool {
@@ -94,13 +80,13 @@
 	if completion && !job.durablyCompleted.has(index) {
 		return false
 	}
-	return !s.machineInfo(machine).directAttempts[attemptKey{reported.Name, reported.Attempt}]
+	return !s.capacity.info(machine).directAttempts[attemptKey{reported.Name, reported.Attempt}]
 }
 
 // commandsForAssigned returns the commands, at most one, for a task that is
 // assigned to a machine and that the machine has not reported yet.
 func (s *Scheduler) commandsForAssigned(task *Task, channel Channel) []wire.Command {
-	info := s.machineInfo(task.machine)
+	info := s.capacity.info(task.machine)
 	switch {
 	case task.phase == Dispatched && channel == DirectCommand && len(info.directAttempts) >= tuning.MaxDirectStarts:
 		return nil // goes out in the reply to the next heartbeat
@@ -133,13 +119,13 @@
 	var commands []wire.Command
 	for _, reported := range tasks {
 		id, _, ok := wire.ParseTask(reported.Name)
-		if !ok || reported.State == wire.TaskExited || s.unreadableJobs[id] {
+		if !ok || reported.State == wire.TaskExited || s.jobs.unreadable[id] {
 			continue
 		}
 		if len(commands) == tuning.MaxCommandsPerReply {
 			break
 		}
-		if job := s.jobs[id]; job == nil || job.closed {
+		if job := s.jobs.byID[id]; job == nil || job.closed {
 			commands = append(commands, stopCommand(reported.Name, reported.Attempt, 0))
 		}
 	}
@@ -149,7 +135,7 @@
 // SettleDirectCommands records that direct commands have been executed or
 // surely will not be.
 func (s *Scheduler) SettleDirectCommands(machine *worker.Machine, commands []wire.Command) {
-	for _, task := range s.machineInfo(machine).assigned {
+	for _, task := range s.capacity.info(machine).assigned {
 		for _, command := range commands {
 			if command.Verb == wire.VerbRun && command.Attempt == task.attempt && command.Task == task.Name() &&
 				task.unansweredCommands > 0 {
@@ -164,7 +150,7 @@
 // tasks may be left, if the machine's lease lasts until then. A direct command
 // that was not answered may be executed minutes later.
 func (s *Scheduler) MayStartAfterClose(machine *worker.Machine, until time.Time) bool {
-	return slices.ContainsFunc(s.machineInfo(machine).assigned, func(task *Task) bool {
+	return slices.ContainsFunc(s.capacity.info(machine).assigned, func(task *Task) bool {
 		inFlight := task.unansweredCommands > 0 && !task.reported
 		return task.Job.closed && inFlight && until.After(task.Job.tasksGoneBy)
 	})
@@ -173,7 +159,7 @@
 // OnlyUnconfirmedStops reports whether all tasks that may be on a machine are
 // being stopped and were never reported.
 func (s *Scheduler) OnlyUnconfirmedStops(machine *worker.Machine) bool {
-	return !slices.ContainsFunc(s.machineInfo(machine).assigned, func(task *Task) bool {
+	return !slices.ContainsFunc(s.capacity.info(machine).assigned, func(task *Task) bool {
 		return task.phase != Stopping || task.reported
 	})
 }
--- a/internal/placement/consolidation.go
+++ b/internal/placement/consolidation.go
@@ -16,7 +16,7 @@
 // machines at a time: on-demand machines and those with the least on them
 // first; the fullest take the tasks.
 func (s *Scheduler) Consolidate(now time.Time) {
-	if !s.reconciled || now.Before(s.nextConsolidation) || s.startableTasksPending(now) {
+	if !s.reconciled || now.Before(s.nextConsolidation) || s.queue.startableTasksPending(now) {
 		return
 	}
 	s.nextConsolidation = now.Add(tuning.ConsolidationInterval)
@@ -26,7 +26,7 @@
 		if cordoned == plan.limit || i == tuning.ConsolidationTries*plan.limit {
 			break
 		}
-		if _, isTarget := plan.added[machine]; isTarget || !plan.moveTasks(s.machineInfo(machine)) {
+		if _, isTarget := plan.added[machine]; isTarget || !plan.moveTasks(s.capacity.info(machine)) {
 			continue
 		}
 		cordoned++
@@ -38,9 +38,9 @@
 func (s *Scheduler) cordon(now time.Time, machine *worker.Machine) {
 	s.log.Info("worker cordoned for consolidation", "worker", machine.Host, "tasks", machine.ActiveCopies)
 	machine.Cordoned = true
-	for _, task := range slices.Clone(s.machineInfo(machine).assigned) {
+	for _, task := range slices.Clone(s.capacity.info(machine).assigned) {
 		s.Counters.Relocated++
-		s.preempt(now, task, "machine is consolidated")
+		s.tasks.preempt(now, task, "machine is consolidated")
 	}
 }
 
@@ -49,19 +49,11 @@
 	for _, machine := range s.registry.All() {
 		if machine.Cordoned {
 			machine.Cordoned = false
-			s.markDirty(s.machineInfo(machine))
+			s.capacity.markDirty(s.capacity.info(machine))
 		}
 	}
 }
 
-// startableTasksPending reports whether tasks of an array or a service are pending
-// that could start if there were room.
-func (s *Scheduler) startableTasksPending(now time.Time) bool {
-	return slices.ContainsFunc(s.openJobs, func(job *Job) bool {
-		return !job.IsGang() && job.pendingTasks() > 0 && !now.Before(job.notBefore)
-	})
-}
-
 // consolidationPlan is which machines could be emptied, and which would take their tasks.
 type consolidationPlan struct {
 	sources, targets []*worker.Machine
@@ -82,7 +74,7 @@
 		if machine.AvailableToPrimary().DominantShare(machine.Capacity) > tuning.ConsolidationMinFree {
 			p.targets = append(p.targets, machine)
 		}
-		if s.machineInfo(machine).canRelocate() {
+		if s.capacity.info(machine).canRelocate() {
 			p.sources = append(p.sources, machine)
 		}
 	}
--- a/internal/placement/demand.go
+++ b/internal/placement/demand.go
@@ -45,7 +45,7 @@
 // how many of each are being provisioned already. Machines that the packing
 // uses are marked as needed.
 func (s *Scheduler) ProvisioningDemand(now time.Time, offers []Offer, provisioning []int) []int {
-	if s.startableTasksPending(now) {
+	if s.queue.startableTasksPending(now) {
 		s.uncordonAll()
 	} else {
 		s.Consolidate(now)
--- a/internal/placement/demand_arrays.go
+++ b/internal/placement/demand_arrays.go
@@ -47,7 +47,7 @@
 
 // arrayBacklogs lists the arrays with tasks that have not started, by priority.
 func (p *demandPlan) arrayBacklogs() (backlogs []*arrayBacklog) {
-	for _, job := range p.scheduler.openJobs {
+	for _, job := range p.scheduler.queue.open {
 		if !job.isArray() || p.now.Before(job.notBefore) {
 			continue
 		}
@@ -55,7 +55,7 @@
 			backlogs = append(backlogs, &arrayBacklog{
 				job:         job,
 				tasks:       float64(tasks),
-				taskSeconds: p.scheduler.EstimateRunTime(job),
+				taskSeconds: p.scheduler.runTimes.estimate(job),
 				horizon:     PlanningHorizon(p.scheduler.platform.Objectives, job.Spec.Class),
 			})
 		}
--- a/internal/placement/demand_bins.go
+++ b/internal/placement/demand_bins.go
@@ -85,8 +85,8 @@
 // committedWork estimates how many machine-seconds the tasks on a machine will still take.
 func (s *Scheduler) committedWork(now time.Time, machine *worker.Machine) float64 {
 	sum := 0.0
-	for _, task := range s.machineInfo(machine).assigned {
-		remaining := s.EstimateRunTime(task.Job) - now.Sub(task.dispatchedAt).Seconds()
+	for _, task := range s.capacity.info(machine).assigned {
+		remaining := s.runTimes.estimate(task.Job) - now.Sub(task.dispatchedAt).Seconds()
 		share := task.Job.need.DominantShare(machine.Capacity)
 		sum += max(remaining, tuning.MinRunTime.Seconds()) * share
 	}
--- a/internal/placement/demand_gangs.go
+++ b/internal/placement/demand_gangs.go
@@ -10,13 +10,13 @@
 // for any task of these are passed over: thousands of gangs may be pending.
 func (p *demandPlan) packGangsAndServices() {
 	smallestNeed := quota.UnlimitedResources()
-	for _, job := range p.scheduler.openJobs {
+	for _, job := range p.scheduler.queue.open {
 		if !job.isArray() {
 			smallestNeed = smallestNeed.Min(job.need)
 		}
 	}
 	remaining := slices.Clone(p.bins)
-	for _, job := range p.scheduler.openJobs {
+	for _, job := range p.scheduler.queue.open {
 		n := p.tasksToPlace(job)
 		if n == 0 {
 			continue
--- a/internal/placement/dispatch.go
+++ b/internal/placement/dispatch.go
@@ -14,7 +14,7 @@
 // the paper's discipline (section III): primaries first, and backups only while
 // no primary is queued.
 func (s *Scheduler) dispatchQueueHeads(now time.Time, machine *worker.Machine) {
-	info := s.machineInfo(machine)
+	info := s.capacity.info(machine)
 	if len(info.primaryQueue)+len(info.backupQueue) == 0 || !machine.Schedulable(now) {
 		return
 	}
@@ -47,15 +47,15 @@
 	case task.phase != Unassigned:
 		// its own backup runs: that has to be stopped and reported so first
 		if task.phase.stoppable() {
-			s.preemptBackup(now, task, "primary is at the head of its queue")
+			s.tasks.preemptBackup(now, task, "primary is at the head of its queue")
 		}
 	case !s.ledger.AdmitsStart(job.Spec.Team, job.need) || !job.mayStartIn(machine.Zone):
 	case free.Fits(job.need):
 		s.Counters.PrimariesStarted++
-		s.withdrawCopies(task)
-		s.dispatch(now, task, assignment{machine: machine, attempt: s.nextAttempt(job)}, "primary starts")
+		s.queues.withdrawCopies(task)
+		s.tasks.dispatch(now, task, assignment{machine: machine, attempt: s.next(job)}, "primary starts")
 	default:
-		s.preemptBackups(now, machine, job.need.Sub(free))
+		s.tasks.preemptBackups(now, machine, job.need.Sub(free))
 	}
 }
 
@@ -71,8 +71,8 @@
 			continue
 		}
 		s.Counters.BackupsStarted++
-		copied := assignment{machine: info.machine, attempt: s.nextAttempt(job), isBackup: true}
-		s.dispatch(now, task, copied, "backup starts while no primary is queued")
+		copied := assignment{machine: info.machine, attempt: s.next(job), isBackup: true}
+		s.tasks.dispatch(now, task, copied, "backup starts while no primary is queued")
 		free = free.Sub(job.need)
 	}
 }
--- a/internal/placement/failures.go
+++ b/internal/placement/failures.go
@@ -32,17 +32,23 @@
 	return len(j.failedOn) < tuning.FailingJobMachines || j.IsService() && len(j.succeededOn) > 0
 }
 
-// recordFailure attributes a task's failure: to its machine, when several jobs
+// failureTracker attributes failures to machines or jobs.
+type failureTracker struct {
+	*environment
+	jobs *jobTable
+}
+
+// record attributes a task's failure: to its machine, when several jobs
 // or a job that runs well elsewhere have failed there, which quarantines it;
 // else to the job, which then waits longer each time.
-func (s *Scheduler) recordFailure(now time.Time, machine *worker.Machine, task *Task) {
+func (f *failureTracker) record(now time.Time, machine *worker.Machine, task *Task) {
 	job := task.Job
-	s.Counters.Failed++
+	f.Counters.Failed++
 	job.failures++
 	job.failedOn[machine.Host]++
 	job.noRoomRevisions = noRoomRevisions{}
 	machine.FailuresByJob[job.Spec.ID]++
-	jobs := s.jobsFailingOn(machine)
+	jobs := f.jobs.failingOn(machine)
 	succeededElsewhere := false
 	for host := range job.succeededOn {
 		succeededElsewhere = succeededElsewhere || host != machine.Host
@@ -50,27 +56,15 @@
 	faultyForJob := succeededElsewhere && machine.FailuresByJob[job.Spec.ID] >= tuning.QuarantineErrors
 	if jobs >= tuning.QuarantineJobs || faultyForJob {
 		if !machine.Quarantined {
-			s.log.Info("worker quarantined", "worker", machine.Host, "jobs", jobs)
+			f.log.Info("worker quarantined", "worker", machine.Host, "jobs", jobs)
 		}
 		machine.Quarantined = true
 	}
 	if job.failsEverywhere() {
 		pause := tuning.RetryInitial << min(job.failures, tuning.RetryDoublings)
 		job.notBefore = now.Add(pause)
-		s.log.Info("job backed off", "job", job.Spec.ID, "pause", pause)
-	}
-}
-
-// jobsFailingOn counts the jobs that failed on a machine, without open jobs
-// that are themselves at fault.
-func (s *Scheduler) jobsFailingOn(machine *worker.Machine) int {
-	jobs := 0
-	for id := range machine.FailuresByJob {
-		if job := s.jobs[id]; job == nil || !job.failsEverywhere() {
-			jobs++
-		}
+		f.log.Info("job backed off", "job", job.Spec.ID, "pause", pause)
 	}
-	return jobs
 }
 
 // recordHealthyRun notes that a replica has run for a while: later failures
--- a/internal/placement/fair_share_test.go
+++ b/internal/placement/fair_share_test.go
@@ -16,12 +16,12 @@
 	h.now = h.now.Add(time.Minute)
 	small := h.addJob("blue", wire.ShapeBatch, "low", 1, 1)
 	gang := h.addJob("blue", wire.ShapeGang, "low", 1, 1)
-	if got := h.scheduler.fairShareOrder(h.scheduler.openJobs); got[0] != gang || got[1] != small || got[2] != large {
+	if got := h.scheduler.queue.fairShareOrder(h.scheduler.queue.open); got[0] != gang || got[1] != small || got[2] != large {
 		t.Error("order is not gang, small, large")
 	}
 	h.now = h.now.Add(time.Hour)
 	late := h.addJob("blue", wire.ShapeBatch, "low", 1, 1)
-	if got := h.scheduler.fairShareOrder(h.scheduler.openJobs); got[2] != large || got[3] != late {
+	if got := h.scheduler.queue.fairShareOrder(h.scheduler.queue.open); got[2] != large || got[3] != late {
 		t.Error("the large job never gets its turn")
 	}
 }
@@ -67,7 +67,7 @@
 				for _, machine := range h.registry.All() {
 					// tasks end after ten seconds, or as soon as they are told
 					var exited []wire.TaskStatus
-					for _, task := range h.scheduler.machineInfo(machine).assigned {
+					for _, task := range h.scheduler.capacity.info(machine).assigned {
 						if task.phase == Stopping {
 							exited = append(exited, wire.TaskStatus{Name: task.Name(), State: wire.TaskExited, ExitReason: wire.ExitStopped})
 						} else if h.now.Sub(task.dispatchedAt) > 10*time.Second {
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -20,7 +20,7 @@
 		return
 	}
 	// before the places are sought: thousands may wait for their start markers
-	if !s.ensureStartMarker(now, gang) {
+	if !s.markers.ensure(now, gang) {
 		return
 	}
 	slots := s.cheapestGangPlacement(now, gang, scope)
@@ -36,7 +36,7 @@
 func (s *Scheduler) abortIfIncomplete(now time.Time, gang *Job) {
 	incomplete := gang.assigned < gang.Spec.Tasks-gang.completed.count
 	if s.reconciled && !gang.aborting && incomplete && gang.attempt != 0 {
-		s.abortGangAttempt(now, gang, "incomplete")
+		s.tasks.abortGangAttempt(now, gang, "incomplete")
 	}
 }
 
@@ -56,7 +56,7 @@
 		return false
 	case s.pass.gangsWithoutRoom >= tuning.MaxGangAttempts:
 		return false // so many before it found no room
-	case !s.gangMayFit(now, gang, scope):
+	case !s.capacity.gangMayFit(now, gang, scope):
 		s.pass.gangsWithoutRoom++
 		s.recordNoRoom(now, gang)
 		return false
@@ -74,16 +74,16 @@
 	gang.pendingReason = ""
 	atOnce := s.mustPreemptAtOnce(now, gang, slots)
 	for index, slot := range slots {
-		s.queuePrimary(now, gang.addTask(index), slot.machine)
+		s.queues.queuePrimary(now, gang.addTask(index), slot.machine)
 		for _, victim := range slot.victims {
 			if !victim.phase.stoppable() {
 				continue // its gang has been stopped as a whole
 			}
 			s.Counters.Preempted++
 			if atOnce && !victim.Job.IsGang() {
-				s.stop(now, victim, 0, "preempted at once for "+gang.Spec.ID)
+				s.tasks.stop(now, victim, 0, "preempted at once for "+gang.Spec.ID)
 			} else {
-				s.preempt(now, victim, "preempted for "+gang.Spec.ID)
+				s.tasks.preempt(now, victim, "preempted for "+gang.Spec.ID)
 			}
 		}
 	}
@@ -141,12 +141,12 @@
 	if !s.gangHasRoom(now, gang) || !s.ledger.AdmitsStart(gang.Spec.Team, gang.totalNeed()) {
 		return
 	}
-	gang.attempt = s.nextAttempt(gang)
+	gang.attempt = s.next(gang)
 	for index := range gang.Spec.Tasks {
 		task := gang.tasks[index]
 		copied := assignment{machine: task.primary, attempt: gang.attempt}
-		s.withdrawCopies(task)
-		s.dispatch(now, task, copied, "gang starts")
+		s.queues.withdrawCopies(task)
+		s.tasks.dispatch(now, task, copied, "gang starts")
 	}
 }
 
@@ -164,7 +164,7 @@
 			free = task.primary.Available()
 		}
 		if !free.Fits(gang.need) {
-			s.preemptBackups(now, task.primary, gang.need.Sub(free))
+			s.tasks.preemptBackups(now, task.primary, gang.need.Sub(free))
 			return false
 		}
 		freeByMachine[task.primary] = free.Sub(gang.need)
--- a/internal/placement/gang_placement.go
+++ b/internal/placement/gang_placement.go
@@ -100,7 +100,7 @@
 			break
 		}
 		if !c.exact {
-			selected := s.selectVictims(now, class, c.machine, c.free)
+			selected := s.rules.selectVictims(now, class, s.capacity.info(c.machine), c.free)
 			c.victims, c.free = selected.tasks, selected.free
 			c.cost += selected.cost
 		}
--- a/internal/placement/gang_slots.go
+++ b/internal/placement/gang_slots.go
@@ -102,14 +102,14 @@
 
 // feasibleSlots returns how many tasks of a class a machine could take if all
 // that may be preempted is; never fewer than there turn out to be.
-func (s *Scheduler) feasibleSlots(now time.Time, class equivalenceClass, machine *worker.Machine) int {
+func (c *capacityIndex) feasibleSlots(now time.Time, class equivalenceClass, machine *worker.Machine) int {
 	if !machine.Schedulable(now) || !class.allows(machine) {
 		return 0
 	}
 	free := machine.AvailableToPrimary()
 	if !free.Fits(class.need) {
-		for _, task := range s.machineInfo(machine).assigned {
-			if s.preemptible(now, task, class) {
+		for _, task := range c.info(machine).assigned {
+			if c.rules.allow(now, task, class) {
 				free = free.Add(task.Job.need)
 			}
 		}
@@ -119,18 +119,18 @@
 
 // gangMayFit reports whether there could be a place for each task of a gang.
 // There may turn out to be none, as past failures are not considered.
-func (s *Scheduler) gangMayFit(now time.Time, gang *Job, scope preemptionScope) bool {
+func (c *capacityIndex) gangMayFit(now time.Time, gang *Job, scope preemptionScope) bool {
 	class := gang.equivalenceClass(scope)
-	slots := s.capacity.slotsByClass[class]
+	slots := c.slotsByClass[class]
 	if slots == nil {
-		if len(s.capacity.slotsByClass) >= tuning.MaxGangKinds {
-			clear(s.capacity.slotsByClass)
+		if len(c.slotsByClass) >= tuning.MaxGangKinds {
+			clear(c.slotsByClass)
 		}
 		slots = newSlotCounts()
-		for _, machine := range s.registry.All() {
-			slots.set(machine, s.feasibleSlots(now, class, machine))
+		for _, machine := range c.registry.All() {
+			slots.set(machine, c.feasibleSlots(now, class, machine))
 		}
-		s.capacity.slotsByClass[class] = slots
+		c.slotsByClass[class] = slots
 	}
 	return slots.holds(gang)
 }
--- a/internal/placement/harness_test.go
+++ b/internal/placement/harness_test.go
@@ -59,7 +59,7 @@
 		left := machine.PreemptionTime.Sub(h.now).Seconds()
 		heartbeat.PreemptionNoticeS = &left
 	}
-	for _, task := range h.scheduler.machineInfo(machine).assigned {
+	for _, task := range h.scheduler.capacity.info(machine).assigned {
 		reported := wire.TaskStatus{Name: task.Name(), Attempt: task.attempt, State: wire.TaskRunning}
 		for _, override := range extra {
 			if override.Name == reported.Name {
--- a/internal/placement/machine_info.go
+++ b/internal/placement/machine_info.go
@@ -50,17 +50,6 @@
 	dirty        bool   // something about it changed since the last refresh
 }
 
-// machineInfo returns what is kept of a machine, and begins to keep it.
-func (s *Scheduler) machineInfo(machine *worker.Machine) *machineInfo {
-	info := s.machines[machine]
-	if info == nil {
-		info = &machineInfo{machine: machine}
-		s.machines[machine] = info
-		s.markDirty(info)
-	}
-	return info
-}
-
 // addAssigned enters a task that may be on the machine from now on into its account.
 func (info *machineInfo) addAssigned(task *Task) {
 	machine, need := info.machine, task.Job.need
--- a/internal/placement/machine_loss_test.go
+++ b/internal/placement/machine_loss_test.go
@@ -29,7 +29,7 @@
 			}
 			for _, i := range c.machines {
 				for _, job := range jobs {
-					h.scheduler.recordFailure(h.now, h.registry.All()[i], &Task{Job: job})
+					h.scheduler.failures.record(h.now, h.registry.All()[i], &Task{Job: job})
 				}
 			}
 			if h.registry.All()[0].Quarantined != c.faulty {
@@ -56,7 +56,7 @@
 	low := h.addJob("blue", wire.ShapeBatch, "low", 8, 1)
 	h.scheduler.ReleaseMachine(h.now, m0, "lease surely over")
 	h.registry.SetState(h.now, m0, worker.LeaseExpired, "test")
-	member := h.scheduler.machineInfo(m1).assigned[0]
+	member := h.scheduler.capacity.info(m1).assigned[0]
 	if o := h.describe(h.heartbeat(m1)); o != "stop "+member.Name()+";" {
 		t.Fatalf("its mate is told: %s", o)
 	}
@@ -72,7 +72,7 @@
 		t.Fatalf("the gang has %d places, %d of it run beside %d", len(g.tasks), g.assigned, low.assigned)
 	}
 	var exited []wire.TaskStatus
-	for _, other := range h.scheduler.machineInfo(m1).assigned {
+	for _, other := range h.scheduler.capacity.info(m1).assigned {
 		exited = append(exited, wire.TaskStatus{Name: other.Name(), State: wire.TaskExited, ExitReason: wire.ExitStopped})
 	}
 	h.heartbeat(m1, exited...)
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -50,7 +50,7 @@
 		{"the spare finishes first", 0, func(h *testHarness, task *Task, _, away *worker.Machine) {
 			h.heartbeat(away, wire.TaskStatus{Name: task.Name(), State: wire.TaskExited, ExitReason: wire.ExitDone})
 		}, func(h *testHarness, task *Task, home, _ *worker.Machine) string {
-			if len(h.completed) != 1 || len(h.scheduler.machineInfo(home).primaryQueue) != 0 || task.primary != nil {
+			if len(h.completed) != 1 || len(h.scheduler.capacity.info(home).primaryQueue) != 0 || task.primary != nil {
 				return "the main is still there"
 			}
 			return ""
@@ -88,7 +88,7 @@
 			job := h.addJob("red", wire.ShapeBatch, "high", 1, 2)
 			o := &Task{Job: job}
 			job.tasks[0] = o
-			h.scheduler.queuePrimary(h.now, o, away)
+			h.scheduler.queues.queuePrimary(h.now, o, away)
 			h.heartbeat(away)
 		}, func(h *testHarness, task *Task, _, away *worker.Machine) string {
 			if task.phase != Stopping || task.backupStops != 1 {
@@ -111,8 +111,8 @@
 			job := h.addJob("blue", wire.ShapeBatch, "low", 1, 1)
 			task := &Task{Job: job, queuedCopies: queuedCopies{backupStops: c.stops}}
 			job.tasks[0] = task
-			h.scheduler.queuePrimary(h.now, task, home)
-			h.scheduler.queueBackup(task, away)
+			h.scheduler.queues.queuePrimary(h.now, task, home)
+			h.scheduler.queues.queueBackup(task, away)
 			home.Allocated = home.Capacity // stuck behind something
 			if o := h.describe(h.heartbeat(away)); o != "" {
 				t.Fatalf("the spare starts while its main has only just been queued: %s", o)
@@ -174,11 +174,11 @@
 				return
 			}
 			machine := g.tasks[0].primary
-			if o := h.describe(h.heartbeat(machine)); g.assigned != 0 || len(h.scheduler.machineInfo(machine).assigned) != 2 {
+			if o := h.describe(h.heartbeat(machine)); g.assigned != 0 || len(h.scheduler.capacity.info(machine).assigned) != 2 {
 				t.Fatalf("started beside what it stops: %s", o)
 			}
 			var exited []wire.TaskStatus
-			for _, other := range h.scheduler.machineInfo(machine).assigned {
+			for _, other := range h.scheduler.capacity.info(machine).assigned {
 				exited = append(exited, wire.TaskStatus{Name: other.Name(), State: wire.TaskExited, ExitReason: wire.ExitStopped})
 			}
 			if o := h.describe(h.heartbeat(machine, exited...)); g.assigned != 1 {
@@ -211,13 +211,13 @@
 		t.Fatalf("%d left, broken %t", g.assigned, g.aborting)
 	}
 	for _, machine := range h.registry.All() {
-		for _, other := range h.scheduler.machineInfo(machine).assigned {
+		for _, other := range h.scheduler.capacity.info(machine).assigned {
 			if other.phase != Stopping {
 				t.Errorf("%s is %v", other.Name(), other.phase)
 			}
 		}
-		if len(h.scheduler.machineInfo(machine).assigned) > 0 {
-			h.heartbeat(machine, wire.TaskStatus{Name: h.scheduler.machineInfo(machine).assigned[0].Name(), State: wire.TaskExited, ExitReason: wire.ExitGangMemberLost})
+		if len(h.scheduler.capacity.info(machine).assigned) > 0 {
+			h.heartbeat(machine, wire.TaskStatus{Name: h.scheduler.capacity.info(machine).assigned[0].Name(), State: wire.TaskExited, ExitReason: wire.ExitGangMemberLost})
 		}
 	}
 	h.scheduler.Schedule(h.now)
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -6,19 +6,21 @@
 	"time"
 
 	"juniperchute/internal/quota"
-	"juniperchute/internal/worker"
 )
 
-// preemptible reports whether a task may be preempted for work of a class:
+// preemptionRules tell which work may be preempted for which.
+type preemptionRules struct{ *environment }
+
+// allow reports whether a task may be preempted for work of a class:
 // work of lower priority, or of a team over its guarantee for a team within
 // its own.
-func (s *Scheduler) preemptible(now time.Time, task *Task, class equivalenceClass) bool {
+func (r preemptionRules) allow(now time.Time, task *Task, class equivalenceClass) bool {
 	victim := task.Job
 	if task.isBackup || victim.closed {
 		return false // its room counts as free already, or is about to be
 	}
 	if victim.Spec.Team != class.team {
-		overGuarantee := s.ledger.OverGuarantee(victim.Spec.Team)
+		overGuarantee := r.ledger.OverGuarantee(victim.Spec.Team)
 		if class.scope == guaranteedWork && overGuarantee {
 			return true
 		}
@@ -41,12 +43,12 @@
 
 // selectVictims chooses tasks to preempt on a machine until a task of a class
 // fits beside what is free already, or none is left; those that lose least go first.
-func (s *Scheduler) selectVictims(
-	now time.Time, class equivalenceClass, machine *worker.Machine, free quota.Resources,
+func (r preemptionRules) selectVictims(
+	now time.Time, class equivalenceClass, info *machineInfo, free quota.Resources,
 ) victims {
 	var candidates []*Task
-	for _, task := range s.machineInfo(machine).assigned {
-		if s.preemptible(now, task, class) {
+	for _, task := range info.assigned {
+		if r.allow(now, task, class) {
 			candidates = append(candidates, task)
 		}
 	}
@@ -78,30 +80,3 @@
 	}
 	return lost * t.Job.need.DominantShare(t.machine.Capacity)
 }
-
-// preemptBackups stops running backups on a machine until what is missing is
-// covered. Backups that are stopping already count.
-func (s *Scheduler) preemptBackups(now time.Time, machine *worker.Machine, missing quota.Resources) {
-	for _, task := range slices.Clone(s.machineInfo(machine).assigned) {
-		if missing.CPUs <= 0 && missing.GPUs <= 0 && missing.MemGB <= 0 {
-			return
-		}
-		if !task.isBackup {
-			continue
-		}
-		if task.phase != Stopping {
-			s.preemptBackup(now, task, "backup gives way to a primary")
-			if task.backupStops >= s.Settings.DropThreshold {
-				s.Counters.BackupsWithdrawn++
-			}
-		}
-		missing = missing.Sub(task.Job.need)
-	}
-}
-
-// preemptBackup stops a running backup, which counts towards its withdrawal.
-func (s *Scheduler) preemptBackup(now time.Time, task *Task, reason string) {
-	task.backupStops++
-	s.Counters.BackupsPreempted++
-	s.stop(now, task, task.Job.stopGrace(), reason)
-}
--- a/internal/placement/preemption_notice_test.go
+++ b/internal/placement/preemption_notice_test.go
@@ -53,7 +53,7 @@
 				machine.Capacity, machine.Registered, machine.Type, machine.Zone = quota.Resources{CPUs: 12, GPUs: 2, MemGB: 96}, true, "g2", "a"
 				h.heartbeat(machine)
 			}
-			h.scheduler.seenClasses["l"] = true
+			h.scheduler.jobs.seenClasses["l"] = true
 			offers := []Offer{{Type: "g2", Zone: "a", Capacity: quota.Resources{CPUs: 12, GPUs: 2, MemGB: 96}, Price: 3, BootSeconds: 25, Available: 50}}
 			got := h.scheduler.ProvisioningDemand(h.now, offers, []int{0})
 			// beside them, room for one more service is kept on two machines
--- a/internal/placement/reconciler.go
+++ b/internal/placement/reconciler.go
@@ -15,10 +15,10 @@
 func (s *Scheduler) ReconcileHeartbeat(
 	now time.Time, machine *worker.Machine, result worker.HeartbeatResult, fromHeartbeat bool,
 ) {
-	info := s.machineInfo(machine)
-	s.markDirty(info)
+	info := s.capacity.info(machine)
+	s.capacity.markDirty(info)
 	if result == worker.HeartbeatNewIncarnation {
-		s.ReleaseMachine(now, machine, "worker has a new incarnation")
+		s.tasks.releaseMachine(now, machine, "worker has a new incarnation")
 		info.directAttempts = nil // commands to an earlier incarnation are void
 		machine.Images = map[string]time.Time{}
 	}
@@ -47,9 +47,9 @@
 		task.reported = true
 		s.handleExit(now, task, reported)
 	case assignedLost:
-		s.releaseTask(now, task, 0, "no longer reported")
+		s.tasks.releaseTask(now, task, 0, "no longer reported")
 	case assignedNeverStarted:
-		s.releaseTask(now, task, 0, "never started")
+		s.tasks.releaseTask(now, task, 0, "never started")
 	}
 }
 
@@ -69,7 +69,7 @@
 	task.stage = reported.State
 	task.Job.recordHealthyRun(now, task)
 	if task.phase == Dispatched {
-		s.setPhase(now, task, Active, reported.State)
+		s.tasks.setPhase(now, task, Active, reported.State)
 	}
 }
 
@@ -81,22 +81,22 @@
 	switch reported.ExitReason {
 	case wire.ExitDone:
 		if job.IsService() {
-			s.releaseTask(now, task, job.restartPause(now, task), "replica ended")
+			s.tasks.releaseTask(now, task, job.restartPause(now, task), "replica ended")
 			return
 		}
-		s.completeTask(now, task)
+		s.tasks.completeTask(now, task)
 		if job.IsGang() {
-			s.completeGang(now, job)
+			s.tasks.completeGang(now, job)
 		}
 	case wire.ExitError:
-		s.recordFailure(now, machine, task)
-		s.releaseTask(now, task, tuning.RetryInitial, reported.ExitReason)
+		s.failures.record(now, machine, task)
+		s.tasks.releaseTask(now, task, tuning.RetryInitial, reported.ExitReason)
 	case wire.ExitInsufficientResources, wire.ExitOtherAttemptPresent, wire.ExitUnknownTask:
 		s.log.Info("task start refused", "task", reported.Name, "attempt", reported.Attempt,
 			"worker", machine.Host, "reason", reported.ExitReason)
-		s.releaseTask(now, task, tuning.RefusedStartPause, reported.ExitReason)
+		s.tasks.releaseTask(now, task, tuning.RefusedStartPause, reported.ExitReason)
 	default:
-		s.releaseTask(now, task, 0, reported.ExitReason)
+		s.tasks.releaseTask(now, task, 0, reported.ExitReason)
 	}
 }
 
@@ -106,7 +106,7 @@
 	machine.HasUnknownTasks = false
 	for i := range machine.Tasks {
 		reported := &machine.Tasks[i]
-		job, index := s.jobOfTask(reported.Name)
+		job, index := s.jobs.ofTask(reported.Name)
 		finding := reconcileReported(job, index, machine, reported)
 		switch finding {
 		case reportedExpected, reportedOver:
@@ -128,16 +128,16 @@
 	task := job.tasks[index]
 	if task != nil && task.phase.onMachine() {
 		// a second copy of the completed task: it ends as a stray
-		s.stop(now, task, 0, "completed elsewhere")
-		s.markCompleted(now, job, index)
+		s.tasks.stop(now, task, 0, "completed elsewhere")
+		s.tasks.markCompleted(now, job, index)
 		return
 	}
 	if task == nil {
 		task = &Task{Job: job, Index: index}
 	}
-	s.completeTask(now, task)
+	s.tasks.completeTask(now, task)
 	if job.IsGang() {
-		s.completeGang(now, job)
+		s.tasks.completeGang(now, job)
 	}
 }
 
@@ -147,8 +147,8 @@
 	if task == nil {
 		task = job.addTask(index)
 	}
-	s.withdrawCopies(task)
-	s.dispatch(now, task, assignment{machine: machine, attempt: reported.Attempt}, "adopted")
+	s.queues.withdrawCopies(task)
+	s.tasks.dispatch(now, task, assignment{machine: machine, attempt: reported.Attempt}, "adopted")
 	task.commandSent, task.reported = true, true
 	s.recordStage(now, task, reported)
 	if !job.IsGang() {
@@ -158,6 +158,6 @@
 	case job.attempt == 0 || job.assigned == 1:
 		job.attempt = reported.Attempt
 	case job.attempt != reported.Attempt:
-		s.abortGangAttempt(now, job, "two attempts found")
+		s.tasks.abortGangAttempt(now, job, "two attempts found")
 	}
 }
--- a/internal/placement/rescheduling.go
+++ b/internal/placement/rescheduling.go
@@ -15,9 +15,9 @@
 // checkpoints are stopped just in time to do so.
 func (s *Scheduler) handlePreemptionNotices(now time.Time) {
 	for _, machine := range s.registry.All() {
-		info := s.machineInfo(machine)
+		info := s.capacity.info(machine)
 		if len(info.primaryQueue)+len(info.backupQueue) > 0 && !machine.Schedulable(now) {
-			s.clearQueues(now, machine)
+			s.queues.clearQueues(now, machine)
 		}
 		if !machine.PreemptionTime.IsZero() {
 			s.evacuate(now, info)
@@ -37,7 +37,7 @@
 		case job.IsService():
 			s.migrateReplica(now, task, now.After(latest))
 		case job.savesCheckpoints() && task.stage != wire.TaskFetching && now.Add(saveTime).After(latest):
-			s.preempt(now, task, "machine has a preemption notice")
+			s.tasks.preempt(now, task, "machine has a preemption notice")
 		}
 	}
 }
@@ -47,14 +47,14 @@
 func (s *Scheduler) rescheduleStuck(now time.Time) {
 	stuckAfter := config.Seconds(s.platform.Workers.HeartbeatS * tuning.RescheduleHeartbeats)
 	for _, machine := range s.registry.All() {
-		info := s.machineInfo(machine)
+		info := s.capacity.info(machine)
 		if len(info.primaryQueue) == 0 {
 			continue
 		}
 		for _, task := range slices.Clone(info.primaryQueue) {
 			if s.stuck(now, task, machine, stuckAfter) && s.startsElsewhere(now, task.Job, machine) {
 				s.Counters.Rescheduled++
-				s.requeue(now, task)
+				s.queues.requeue(now, task)
 			}
 		}
 	}
--- a/internal/placement/scheduler.go
+++ b/internal/placement/scheduler.go
@@ -3,8 +3,6 @@
 import (
 	"log/slog"
 	"math/rand/v2"
-	"slices"
-	"strings"
 	"time"
 
 	"juniperchute/internal/config"
@@ -14,25 +12,6 @@
 	"juniperchute/internal/worker"
 )
 
-// Settings are the operators' settings that affect placement.
-type Settings struct {
-	DropThreshold int // preemptions after which a task's backup is withdrawn
-}
-
-// Counters count what became of the tasks' copies in this term.
-type Counters struct {
-	PrimariesStarted int
-	BackupsStarted   int
-	BackupsCompleted int
-	BackupsPreempted int
-	BackupsWithdrawn int // after too many preemptions
-	Rescheduled      int // stuck primaries that were queued anew
-	Preempted        int // tasks stopped for gangs and services
-	Failed           int
-	GangsPlaced      int
-	Relocated        int // tasks stopped to move off their machine
-}
-
 // Options is what a scheduler works with.
 type Options struct {
 	Platform config.Platform
@@ -49,79 +28,77 @@
 	RequestStartMarker func(now time.Time, job *Job)
 }
 
-// Scheduler is the placement of one shard's tasks in one term.
+// Scheduler is the placement of one shard's tasks in one term. It wires the
+// parts of which each does one job, and runs the scheduling passes.
 type Scheduler struct {
-	Settings Settings
-	Counters Counters
-	// AttemptNumbersExhausted tells that a job has had nearly as many attempts
-	// as a term has numbers for: a new term is needed before any is repeated.
-	AttemptNumbersExhausted bool
-	requestStartMarker      func(now time.Time, job *Job)
-	pendingStartMarkers     int // requested and not durable yet
-	platform                config.Platform
-	token                   uint64
-	ledger                  *quota.Ledger
-	registry                *worker.Registry
-	rng                     *rand.Rand
-	log                     *slog.Logger
-	jobs                    map[string]*Job // open ones, and closed ones with tasks on machines
-	openJobs                []*Job          // by priority, then age
-	machines                map[*worker.Machine]*machineInfo
-	capacity                capacityIndex
-	urgentMachines          []*machineInfo
-	reconciled              bool           // every machine that the shard may have is reconciled or deleted
-	tiers                   []priorityTier // the open jobs, as last sorted
-	sortedAt                time.Time      // when that was
-	orderStale              bool           // jobs have come or gone since
-	nextPassDue             time.Time
-	pass                    passState
-	runTimeRatio            map[string]float64 // run time over the users' estimate, by class
-	seenClasses             map[string]bool    // classes of which a job has come
-	unreadableJobs          map[string]bool
-	nextConsolidation       time.Time
-	onTaskCompleted         func(now time.Time, job *Job)
+	*environment
+	*attemptNumbers
+	pass     *passState
+	capacity *capacityIndex
+	rules    preemptionRules
+	queues   *copyQueues
+	jobs     *jobTable
+	queue    *jobQueue
+	markers  *startMarkers
+	urgent   *urgentMachines
+	runTimes *runTimeEstimates
+	tasks    *taskLifecycle
+	failures *failureTracker
+
+	nextPassDue       time.Time
+	nextConsolidation time.Time
 }
 
 // NewScheduler returns a scheduler without jobs and machines.
 func NewScheduler(options Options) *Scheduler {
-	return &Scheduler{
-		Settings:           Settings{DropThreshold: tuning.BackupWithdrawThreshold},
-		requestStartMarker: options.RequestStartMarker,
-		platform:           options.Platform,
-		token:              options.Token,
-		ledger:             options.Ledger,
-		registry:           options.Registry,
-		rng:                options.Rand,
-		log:                options.Log,
-		jobs:               map[string]*Job{},
-		machines:           map[*worker.Machine]*machineInfo{},
-		capacity:           newCapacityIndex(),
-		runTimeRatio:       map[string]float64{},
-		seenClasses:        map[string]bool{},
-		unreadableJobs:     map[string]bool{},
-		onTaskCompleted:    options.OnTaskCompleted,
+	env := &environment{
+		Settings: Settings{DropThreshold: tuning.BackupWithdrawThreshold},
+		platform: options.Platform,
+		ledger:   options.Ledger,
+		registry: options.Registry,
+		rng:      options.Rand,
+		log:      options.Log,
+	}
+	s := &Scheduler{
+		environment:    env,
+		attemptNumbers: &attemptNumbers{token: options.Token},
+		pass:           &passState{},
+		capacity:       newCapacityIndex(env),
+		rules:          preemptionRules{env},
+		jobs:           newJobTable(),
+		urgent:         &urgentMachines{},
+		runTimes:       &runTimeEstimates{ratioByClass: map[string]float64{}},
+	}
+	s.queues = &copyQueues{environment: env, capacity: s.capacity}
+	s.queue = &jobQueue{environment: env, runTimes: s.runTimes, pass: s.pass}
+	s.markers = &startMarkers{environment: env, pass: s.pass, request: options.RequestStartMarker}
+	s.failures = &failureTracker{environment: env, jobs: s.jobs}
+	s.tasks = &taskLifecycle{
+		environment:     env,
+		capacity:        s.capacity,
+		queues:          s.queues,
+		jobs:            s.jobs,
+		urgent:          s.urgent,
+		runTimes:        s.runTimes,
+		onTaskCompleted: options.OnTaskCompleted,
 	}
+	return s
 }
 
 // OpenJob returns an open job, nil if there is none of that name.
-func (s *Scheduler) OpenJob(id string) *Job {
-	if job := s.jobs[id]; job != nil && !job.closed {
-		return job
-	}
-	return nil
-}
+func (s *Scheduler) OpenJob(id string) *Job { return s.jobs.open(id) }
 
 // OpenJobs lists the open jobs by priority, then age.
-func (s *Scheduler) OpenJobs() []*Job { return s.openJobs }
+func (s *Scheduler) OpenJobs() []*Job { return s.queue.open }
 
 // SetJobUnreadable notes whether a job's record is one that this version
 // cannot read: such a job's tasks are neither started nor stopped.
 func (s *Scheduler) SetJobUnreadable(id string, unreadable bool) {
 	if unreadable {
-		s.unreadableJobs[id] = true
+		s.jobs.unreadable[id] = true
 		return
 	}
-	delete(s.unreadableJobs, id)
+	delete(s.jobs.unreadable, id)
 }
 
 // AddJob adds an open job, accepted at the given wall clock time. If the job
@@ -129,64 +106,43 @@
 func (s *Scheduler) AddJob(
 	now time.Time, spec wire.JobSpec, acceptedAt time.Time, version uint64, fromEarlierTerm bool,
 ) *Job {
-	if job := s.jobs[spec.ID]; job != nil {
+	if job := s.jobs.byID[spec.ID]; job != nil {
 		job.Version = version
 		return job
 	}
 	job := newJob(now, spec, acceptedAt, version)
 	job.FromEarlierTerm = fromEarlierTerm
-	s.jobs[spec.ID] = job
-	s.seenClasses[spec.Class] = true
-	position, _ := slices.BinarySearchFunc(s.openJobs, job, compareJobs)
-	s.openJobs = slices.Insert(s.openJobs, position, job)
-	s.invalidateOrder()
+	s.jobs.add(job)
+	s.queue.add(job)
 	s.log.Debug("job added", "job", spec.ID, "class", spec.Class, "team", spec.Team,
 		"shape", spec.Shape, "tasks", spec.Tasks)
 	return job
 }
 
-// compareJobs orders jobs by priority, then age.
-func compareJobs(a, b *Job) int {
-	if a.priority != b.priority {
-		return b.priority - a.priority
-	}
-	if c := a.AcceptedAt.Compare(b.AcceptedAt); c != 0 {
-		return c
-	}
-	return strings.Compare(a.Spec.ID, b.Spec.ID)
-}
-
 // CloseJob closes a completed or cancelled job: none of its tasks starts any
 // more, and those on machines are stopped. They must have ended by tasksGoneBy.
 func (s *Scheduler) CloseJob(now time.Time, id string, tasksGoneBy time.Time) {
-	job := s.OpenJob(id)
+	job := s.jobs.open(id)
 	if job == nil {
 		return
 	}
 	job.closed, job.tasksGoneBy = true, tasksGoneBy
-	if i := slices.Index(s.openJobs, job); i >= 0 {
-		s.openJobs = slices.Delete(s.openJobs, i, i+1)
-		s.invalidateOrder()
-	}
+	s.queue.remove(job)
 	for _, task := range job.tasksByIndex() {
-		s.withdrawCopies(task)
+		s.queues.withdrawCopies(task)
 		switch {
 		case task.phase == Unassigned:
 			delete(job.tasks, task.Index)
 		case task.phase.onMachine():
-			s.stop(now, task, 0, "job closed")
+			s.tasks.stop(now, task, 0, "job closed")
 		}
 	}
-	s.removeIfUnassigned(job)
+	s.jobs.removeIfUnassigned(job)
 	s.log.Debug("job closed", "job", id, "tasks", job.assigned)
 }
 
-// removeIfUnassigned forgets a closed job of which no task is on a machine any more.
-func (s *Scheduler) removeIfUnassigned(job *Job) {
-	if job.closed && job.assigned == 0 {
-		delete(s.jobs, job.Spec.ID)
-	}
-}
+// StartMarkerWritten records that a job's start marker is durable.
+func (s *Scheduler) StartMarkerWritten(job *Job) { s.markers.written(job) }
 
 // Reconciled reports whether every machine that the shard may have is
 // reconciled or deleted.
@@ -198,3 +154,27 @@
 	s.reconciled = true
 	s.pass.requestFull()
 }
+
+// MarkMachineChanged notes a change of a machine that the scheduler did not
+// make itself, such as one of its state or its registration.
+func (s *Scheduler) MarkMachineChanged(machine *worker.Machine) {
+	s.capacity.markDirty(s.capacity.info(machine))
+}
+
+// ReleaseMachine releases everything on a machine on which nothing can run any
+// more: its lease has expired, its worker has a new incarnation, or its
+// deletion was confirmed.
+func (s *Scheduler) ReleaseMachine(now time.Time, machine *worker.Machine, reason string) {
+	s.tasks.releaseMachine(now, machine, reason)
+}
+
+// RemoveMachine removes a machine whose deletion was confirmed.
+func (s *Scheduler) RemoveMachine(now time.Time, machine *worker.Machine) {
+	s.tasks.releaseMachine(now, machine, "machine deleted")
+	s.queues.clearQueues(now, machine)
+	s.capacity.removeMachine(s.capacity.info(machine))
+}
+
+// UrgentMachines lists the machines that should get commands directly, rather
+// than in the reply to their next heartbeat.
+func (s *Scheduler) UrgentMachines(now time.Time) []*worker.Machine { return s.urgent.ready() }
--- a/internal/placement/scheduling_pass.go
+++ b/internal/placement/scheduling_pass.go
@@ -30,15 +30,15 @@
 		s.handlePreemptionNotices(now)
 		s.rescheduleStuck(now)
 	}
-	if gained := s.refreshCapacity(now); !gained && !due && !s.pass.fullPassNeeded {
+	if gained := s.capacity.refresh(now); !gained && !due && !s.pass.fullPassNeeded {
 		return
 	}
 	s.pass.begin()
 	s.refreshOrder(now)
-	for _, tier := range s.tiers {
+	for _, tier := range s.queue.tiers {
 		s.scheduleTier(now, tier)
 	}
-	for _, job := range s.openJobs {
+	for _, job := range s.queue.open {
 		if job.IsGang() {
 			s.dispatchGang(now, job)
 		}
@@ -48,12 +48,12 @@
 // refreshOrder sorts the open jobs if that is due, and brings up to date what
 // follows from the order.
 func (s *Scheduler) refreshOrder(now time.Time) {
-	if !s.sortIfDue(now) {
+	if !s.queue.sortIfDue(now) {
 		return
 	}
-	s.setSmallestNeed(now, s.smallestArrayNeed())
-	machinesByImage := s.machinesByImage()
-	for _, tier := range s.tiers {
+	s.capacity.setSmallestNeed(now, s.queue.smallestArrayNeed())
+	machinesByImage := s.capacity.machinesByImage()
+	for _, tier := range s.queue.tiers {
 		s.prepareArrays(now, tier.jobs, machinesByImage)
 	}
 }
@@ -89,10 +89,10 @@
 		return
 	case job.closed || now.Before(job.notBefore):
 		return
-	case !s.safeToStart(job):
+	case !s.markers.safeToStart(job):
 		s.setPendingReason(job, "its tasks may be on machines not heard yet")
 		return
-	case !s.canRequestStartMarker(job):
+	case !s.markers.canRequest(job):
 		return
 	}
 	switch {
@@ -104,21 +104,3 @@
 		s.scheduleArray(now, job, filter)
 	}
 }
-
-// safeToStart reports whether a pending task of the job surely runs nowhere:
-// all machines have been reconciled, or no earlier term can have started any
-// of its tasks.
-func (s *Scheduler) safeToStart(job *Job) bool {
-	if s.reconciled || !job.FromEarlierTerm {
-		return true
-	}
-	return s.requestStartMarker != nil && !job.StartedInEarlierTerm
-}
-
-// setPendingReason notes why a job's tasks don't start, in words for its user.
-func (s *Scheduler) setPendingReason(job *Job, reason string) {
-	if job.pendingReason != reason {
-		job.pendingReason = reason
-		s.log.Debug("job pending", "job", job.Spec.ID, "reason", reason, "tasks", job.pendingTasks())
-	}
-}
--- a/internal/placement/service.go
+++ b/internal/placement/service.go
@@ -12,7 +12,7 @@
 // room, by a direct command, and work of lower priority is preempted for it
 // where there is none.
 func (s *Scheduler) scheduleService(now time.Time, service *Job, scope preemptionScope) {
-	if !s.ensureStartMarker(now, service) {
+	if !s.markers.ensure(now, service) {
 		return
 	}
 	for service.pendingTasks() > 0 {
@@ -51,13 +51,13 @@
 	task := service.addTask(index)
 	if len(victims) == 0 && machine.Available().Sub(machine.Reserved).Fits(service.need) {
 		s.Counters.PrimariesStarted++
-		s.dispatch(now, task, assignment{machine: machine, attempt: s.nextAttempt(service)}, "replica starts")
+		s.tasks.dispatch(now, task, assignment{machine: machine, attempt: s.next(service)}, "replica starts")
 		return true
 	}
-	s.queuePrimary(now, task, machine)
+	s.queues.queuePrimary(now, task, machine)
 	for _, victim := range victims {
 		s.Counters.Preempted++
-		s.preempt(now, victim, "preempted for "+service.Spec.ID)
+		s.tasks.preempt(now, victim, "preempted for "+service.Spec.ID)
 	}
 	return true
 }
@@ -68,7 +68,7 @@
 func (s *Scheduler) migrateReplica(now time.Time, task *Task, lastMoment bool) {
 	if lastMoment || s.findReplicaMachine(now, task.Job, task, cachedImage) != nil {
 		s.Counters.Relocated++
-		s.stop(now, task, 0, "machine has a preemption notice")
+		s.tasks.stop(now, task, 0, "machine has a preemption notice")
 	}
 }
 
@@ -119,10 +119,10 @@
 		if tasksByZone != nil && !service.zoneAllowed(machine.Zone, tasksByZone) {
 			continue
 		}
-		if requirement == cachedImage && !s.machineInfo(machine).hasImage(service.Spec.Image) {
+		if requirement == cachedImage && !s.capacity.info(machine).hasImage(service.Spec.Image) {
 			continue
 		}
-		switch rank := s.machineInfo(machine).replicaRank(service); {
+		switch rank := s.capacity.info(machine).replicaRank(service); {
 		case len(best) == 0 || rank < lowest:
 			best, lowest = append(best[:0], machine), rank
 		case rank == lowest:
@@ -146,17 +146,17 @@
 	var tasks []*Task
 	lowestCost := 0.0
 	for _, machine := range s.registry.All() {
-		if s.feasibleSlots(now, class, machine) == 0 || service.avoids(machine) {
+		if s.capacity.feasibleSlots(now, class, machine) == 0 || service.avoids(machine) {
 			continue
 		}
 		if tasksByZone != nil && !service.zoneAllowed(machine.Zone, tasksByZone) {
 			continue
 		}
-		selected := s.selectVictims(now, class, machine, machine.AvailableToPrimary())
+		selected := s.rules.selectVictims(now, class, s.capacity.info(machine), machine.AvailableToPrimary())
 		if !selected.free.Fits(service.need) {
 			continue
 		}
-		cost := selected.cost + float64(s.machineInfo(machine).replicasOf(service))*tuning.ScorePreempt
+		cost := selected.cost + float64(s.capacity.info(machine).replicasOf(service))*tuning.ScorePreempt
 		if chosen == nil || cost < lowestCost {
 			chosen, tasks, lowestCost = machine, selected.tasks, cost
 		}
--- a/internal/placement/service_quota.go
+++ b/internal/placement/service_quota.go
@@ -24,7 +24,7 @@
 func (s *Scheduler) preemptForQuota(now time.Time, service *Job) bool {
 	p := &quotaPreemption{scheduler: s, service: service}
 	for _, machine := range s.registry.All() {
-		info := s.machineInfo(machine)
+		info := s.capacity.info(machine)
 		p.requeuePrimaries(now, info)
 		p.collectRunning(now, info)
 	}
@@ -51,7 +51,7 @@
 	for _, task := range slices.Clone(info.primaryQueue) {
 		// requeuing one of a gang has taken the others out of the queue
 		if !p.admits() && p.givesWay(task) && task.primary == info.machine {
-			p.scheduler.requeue(now, task)
+			p.scheduler.queues.requeue(now, task)
 		}
 	}
 }
@@ -87,6 +87,6 @@
 			continue // its gang has been stopped as a whole
 		}
 		p.scheduler.Counters.Preempted++
-		p.scheduler.preempt(now, task, "gives its team's quota to "+p.service.Spec.ID)
+		p.scheduler.tasks.preempt(now, task, "gives its team's quota to "+p.service.Spec.ID)
 	}
 }
--- a/internal/placement/service_reserve_test.go
+++ b/internal/placement/service_reserve_test.go
@@ -33,7 +33,7 @@
 				machine.Spot = c.spot
 			}
 			h.addJob("red", wire.ShapeBatch, "low", 1, 1).closed = true // its class is known
-			h.scheduler.openJobs = nil
+			h.scheduler.queue.open = nil
 			if c.class != "" {
 				h.scheduler.platform.Objectives = append(h.scheduler.platform.Objectives, waitObjective(c.class, 4))
 			}
--- a/internal/placement/service_test.go
+++ b/internal/placement/service_test.go
@@ -136,7 +136,7 @@
 		{"its machine is recalled: stopped only when another takes it at once", 2, func(h *testHarness) string {
 			job := service(h, 1)
 			h.deliverDirect()
-			from := h.scheduler.machineInfo(job.tasks[0].machine)
+			from := h.scheduler.capacity.info(job.tasks[0].machine)
 			other := h.registry.All()[0]
 			if other == from.machine {
 				other = h.registry.All()[1]
--- a/internal/placement/start_marker.go
+++ b/internal/placement/start_marker.go
@@ -17,40 +17,58 @@
 	startMarkerDurable
 )
 
-// StartMarkerWritten records that a job's start marker is durable.
-func (s *Scheduler) StartMarkerWritten(job *Job) {
+// startMarkers requests start markers, and tells what may start.
+type startMarkers struct {
+	*environment
+	pass    *passState
+	request func(now time.Time, job *Job) // nil: jobs start without
+	pending int                           // requested and not durable yet
+}
+
+// written records that a job's start marker is durable.
+func (m *startMarkers) written(job *Job) {
 	if job.startMarker == startMarkerRequested {
-		s.pendingStartMarkers--
+		m.pending--
 	}
 	job.startMarker = startMarkerDurable
-	s.pass.requestFull()
+	m.pass.requestFull()
 }
 
-// canRequestStartMarker reports whether a job has its start marker or could
+// canRequest reports whether a job has its start marker or could
 // request it now. Thousands of jobs may wait for theirs after a failover: no
 // room is sought for them until it is their turn.
-func (s *Scheduler) canRequestStartMarker(job *Job) bool {
-	if s.requestStartMarker == nil || job.startMarker == startMarkerDurable {
+func (m *startMarkers) canRequest(job *Job) bool {
+	if m.request == nil || job.startMarker == startMarkerDurable {
 		return true
 	}
 	limit := tuning.StartMarkersAhead
 	if job.IsGang() {
 		limit = max(limit, tuning.MaxGangStartMarkers)
 	}
-	return job.startMarker == startMarkerAbsent && s.pendingStartMarkers < limit
+	return job.startMarker == startMarkerAbsent && m.pending < limit
 }
 
-// ensureStartMarker reports whether a job's start marker is durable, and
+// ensure reports whether a job's start marker is durable, and
 // requests it if it can.
-func (s *Scheduler) ensureStartMarker(now time.Time, job *Job) bool {
-	if s.requestStartMarker == nil || job.startMarker == startMarkerDurable {
+func (m *startMarkers) ensure(now time.Time, job *Job) bool {
+	if m.request == nil || job.startMarker == startMarkerDurable {
 		return true
 	}
-	if s.canRequestStartMarker(job) {
+	if m.canRequest(job) {
 		job.startMarker = startMarkerRequested
-		s.pendingStartMarkers++
-		s.requestStartMarker(now, job)
+		m.pending++
+		m.request(now, job)
 	}
-	s.setPendingReason(job, "being marked as begun")
+	m.setPendingReason(job, "being marked as begun")
 	return false
 }
+
+// safeToStart reports whether a pending task of the job surely runs nowhere:
+// all machines have been reconciled, or no earlier term can have started any
+// of its tasks.
+func (m *startMarkers) safeToStart(job *Job) bool {
+	if m.reconciled || !job.FromEarlierTerm {
+		return true
+	}
+	return m.request != nil && !job.StartedInEarlierTerm
+}
--- a/internal/placement/urgent.go
+++ b/internal/placement/urgent.go
@@ -2,34 +2,37 @@
 
 import (
 	"slices"
-	"time"
 
 	"juniperchute/internal/tuning"
 	"juniperchute/internal/worker"
 )
 
-// markUrgent notes that a machine may need commands before its next heartbeat.
-func (s *Scheduler) markUrgent(machine *worker.Machine) {
-	if info := s.machineInfo(machine); !info.urgent {
+// urgentMachines is the machines that may need commands before their next heartbeat.
+type urgentMachines struct {
+	machines []*machineInfo
+}
+
+// mark notes that a machine may need commands before its next heartbeat.
+func (u *urgentMachines) mark(info *machineInfo) {
+	if !info.urgent {
 		info.urgent = true
-		s.urgentMachines = append(s.urgentMachines, info)
+		u.machines = append(u.machines, info)
 	}
 }
 
-// UrgentMachines lists the machines that should get commands directly, rather
-// than in the reply to their next heartbeat.
-func (s *Scheduler) UrgentMachines(now time.Time) []*worker.Machine {
-	var machines []*worker.Machine
-	s.urgentMachines = slices.DeleteFunc(s.urgentMachines, func(info *machineInfo) bool {
+// ready returns the machines that should get commands directly now.
+func (u *urgentMachines) ready() []*worker.Machine {
+	var ready []*worker.Machine
+	u.machines = slices.DeleteFunc(u.machines, func(info *machineInfo) bool {
 		need := info.urgency()
 		info.urgent = need != notUrgent
 		machine := info.machine
 		if need == urgentNow && machine.State == worker.Up && !machine.CommandInFlight && machine.Registered {
-			machines = append(machines, machine)
+			ready = append(ready, machine)
 		}
 		return !info.urgent
 	})
-	return machines
+	return ready
 }
 
 // urgency tells whether commands for a machine have to be sent directly.
