--- a/internal/placement/array.go
+++ b/internal/placement/array.go
@@ -7,19 +7,28 @@
 	"juniperchute/internal/tuning"
 )
 
-// scheduleArray queues an array's pending tasks, each as the paper's two
+// arrayScheduler places the tasks of arrays.
+type arrayScheduler struct {
+	*environment
+	pass     *passState
+	capacity *capacityIndex
+	queues   *copyQueues
+	markers  *startMarkers
+}
+
+// schedule queues an array's pending tasks, each as the paper's two
 // copies (section III): the primary at a random one of the machines that are
 // best for it and have room, the backup at another random machine.
-func (s *Scheduler) scheduleArray(now time.Time, job *Job, filter passFilter) {
-	if filter.scope == guaranteedWork && !s.ledger.WithinGuarantee(job.Spec.Team, job.need) {
+func (a *arrayScheduler) schedule(now time.Time, job *Job, filter passFilter) {
+	if filter.scope == guaranteedWork && !a.ledger.WithinGuarantee(job.Spec.Team, job.need) {
 		return
 	}
 	if filter.requirement == cachedImage && job.pastImagePatience {
 		return
 	}
-	p := newArrayPlacement(s, job, filter)
+	p := newArrayPlacement(a, job, filter)
 	p.findCandidates(now)
-	if len(p.candidates) > 0 && !s.markers.ensure(now, job) {
+	if len(p.candidates) > 0 && !a.markers.ensure(now, job) {
 		return
 	}
 	for placed := 0; job.pendingTasks() > 0; placed++ {
@@ -31,7 +40,7 @@
 
 // arrayPlacement places one array's pending tasks in one round of a pass.
 type arrayPlacement struct {
-	scheduler       *Scheduler
+	scheduler       *arrayScheduler
 	job             *Job
 	scope           preemptionScope
 	requirement     imageRequirement
@@ -40,8 +49,8 @@
 	reservedForGang bool // a machine that would do is reserved for a starving gang
 }
 
-func newArrayPlacement(s *Scheduler, job *Job, filter passFilter) *arrayPlacement {
-	p := &arrayPlacement{scheduler: s, job: job, scope: filter.scope, tasksByZone: job.constrainedTasksByZone(nil)}
+func newArrayPlacement(scheduler *arrayScheduler, job *Job, filter passFilter) *arrayPlacement {
+	p := &arrayPlacement{scheduler: scheduler, job: job, scope: filter.scope, tasksByZone: job.constrainedTasksByZone(nil)}
 	if filter.requirement == cachedImage && !job.needsMoreImages {
 		p.requirement = cachedImage
 	}
@@ -126,35 +135,35 @@
 // placeBackup queues a task's backup at another random machine that is large
 // enough for it when empty. A few samples find one in most cases; a task that
 // gets no backup loses little, as primaries are queued where there is room.
-func (s *Scheduler) placeBackup(now time.Time, task *Task) {
-	machines := s.registry.All()
+func (a *arrayScheduler) placeBackup(now time.Time, task *Task) {
+	machines := a.registry.All()
 	for range min(tuning.BackupSamples, 2*len(machines)) {
-		machine := machines[s.rng.IntN(len(machines))]
+		machine := machines[a.rng.IntN(len(machines))]
 		if machine == task.primary || !task.Job.eligible(now, machine) || !machine.Capacity.Fits(task.Job.need) {
 			continue
 		}
-		if len(s.capacity.info(machine).backupQueue) < tuning.MaxBackupsPerWorker {
-			s.queues.queueBackup(task, machine)
+		if len(a.capacity.info(machine).backupQueue) < tuning.MaxBackupsPerWorker {
+			a.queues.queueBackup(task, machine)
 			return
 		}
 	}
 }
 
-// prepareArrays decides for the pending arrays of a tier how much their images
+// prepare decides for the pending arrays of a tier how much their images
 // count, and requests start markers for the first of them, so that a free place
 // need not wait for the marker.
-func (s *Scheduler) prepareArrays(now time.Time, jobs []*Job, machinesByImage map[string]int) {
+func (a *arrayScheduler) prepare(now time.Time, jobs []*Job, machinesByImage map[string]int) {
 	earliest, pending := math.Inf(1), 0
 	for _, job := range jobs {
 		if job.pendingTasks() == 0 || !job.isArray() {
 			continue
 		}
-		if pending++; pending <= tuning.StartMarkersAhead && s.markers.safeToStart(job) {
-			s.markers.ensure(now, job)
+		if pending++; pending <= tuning.StartMarkersAhead && a.markers.safeToStart(job) {
+			a.markers.ensure(now, job)
 		}
 		earliest = min(earliest, job.fairSharePosition)
 		job.pastImagePatience = job.fairSharePosition > earliest+tuning.ImageLocalityPatience.Seconds()
-		machinesNeeded := float64(job.pendingTasks()) * job.machineShare(s.registry)
+		machinesNeeded := float64(job.pendingTasks()) * job.machineShare(a.registry)
 		job.needsMoreImages = float64(machinesByImage[job.Spec.Image]) < machinesNeeded
 	}
 }
--- a/internal/placement/array_candidates.go
+++ b/internal/placement/array_candidates.go
@@ -64,7 +64,7 @@
 
 // pickLowestRank returns the index of a random one among the candidates of the
 // lowest rank, -1 if there are no candidates.
-func (s *Scheduler) pickLowestRank(candidates []candidate) int {
+func (a *arrayScheduler) pickLowestRank(candidates []candidate) int {
 	lowest, ties := 0, 0
 	for i := range candidates {
 		switch rank := candidates[i].rank; {
@@ -77,7 +77,7 @@
 	if ties == 0 {
 		return -1
 	}
-	remaining := s.rng.IntN(ties)
+	remaining := a.rng.IntN(ties)
 	return slices.IndexFunc(candidates, func(c candidate) bool {
 		if c.rank == lowest {
 			remaining--
--- a/internal/placement/gang_placement.go
+++ b/internal/placement/gang_placement.go
@@ -31,17 +31,17 @@
 	exact bool            // the cost is exact, as nothing has to be preempted for a first task
 }
 
-// cheapestGangPlacement finds a place for each task of a gang. If they have to
+// cheapestPlacement finds a place for each task of a gang. If they have to
 // share a zone, it is the one that costs least. It returns nil if there is none.
-func (s *Scheduler) cheapestGangPlacement(now time.Time, gang *Job, scope preemptionScope) []gangSlot {
+func (g *gangScheduler) cheapestPlacement(now time.Time, gang *Job, scope preemptionScope) []gangSlot {
 	zones := []string{""}
 	if gang.Spec.SameZone {
-		zones = s.platform.Zones
+		zones = g.platform.Zones
 	}
 	var best []gangSlot
 	lowestCost := 0.0
 	for _, zone := range zones {
-		slots := s.findGangPlacement(now, gang, zone, scope)
+		slots := g.findPlacement(now, gang, zone, scope)
 		cost := 0.0
 		for _, slot := range slots {
 			cost += slot.cost
@@ -53,22 +53,22 @@
 	return best
 }
 
-// findGangPlacement finds a place for each task of a gang on the cheapest
+// findPlacement finds a place for each task of a gang on the cheapest
 // machines, in one zone unless that is "". It returns nil if there is none.
-func (s *Scheduler) findGangPlacement(now time.Time, gang *Job, zone string, scope preemptionScope) []gangSlot {
+func (g *gangScheduler) findPlacement(now time.Time, gang *Job, zone string, scope preemptionScope) []gangSlot {
 	class := gang.equivalenceClass(scope)
-	candidates := s.gangCandidates(now, gang, zone, s.capacity.slotsByClass[class].byMachine)
-	return fillGangSlots(gang, s.evaluateCandidates(now, gang, class, candidates))
+	candidates := g.candidates(now, gang, zone, g.capacity.slotsByClass[class].byMachine)
+	return fillGangSlots(gang, g.evaluate(now, gang, class, candidates))
 }
 
-// gangCandidates lists the machines that may have places for a gang's tasks,
+// candidates lists the machines that may have places for a gang's tasks,
 // the cheapest first. The places by machine are those counted when the gang
 // was found to fit.
-func (s *Scheduler) gangCandidates(
+func (g *gangScheduler) candidates(
 	now time.Time, gang *Job, zone string, slotsByMachine map[*worker.Machine]int,
 ) []*gangCandidate {
 	var candidates []*gangCandidate
-	for _, machine := range s.registry.All() {
+	for _, machine := range g.registry.All() {
 		if slotsByMachine[machine] == 0 || zone != "" && machine.Zone != zone || !gang.eligible(now, machine) {
 			continue
 		}
@@ -77,7 +77,7 @@
 			c.cost = tuning.ScorePreempt
 		}
 		if _, ok := machine.Images[gang.Spec.Image]; !ok {
-			c.cost += s.imageFetchCost(gang, machine)
+			c.cost += g.imageFetchCost(gang, machine)
 		}
 		if gang.Spec.Spot && !machine.Spot {
 			c.cost += tuning.ScoreOnDemand
@@ -88,10 +88,10 @@
 	return candidates
 }
 
-// evaluateCandidates works out what has to be preempted on the candidates, for
+// evaluate works out what has to be preempted on the candidates, for
 // only as many of them as a gang needs, and returns those by their exact cost.
 // A gang that is spread across zones may need any of them.
-func (s *Scheduler) evaluateCandidates(
+func (g *gangScheduler) evaluate(
 	now time.Time, gang *Job, class equivalenceClass, candidates []*gangCandidate,
 ) []*gangCandidate {
 	var evaluated []*gangCandidate
@@ -100,7 +100,7 @@
 			break
 		}
 		if !c.exact {
-			selected := s.rules.selectVictims(now, class, s.capacity.info(c.machine), c.free)
+			selected := g.rules.selectVictims(now, class, g.capacity.info(c.machine), c.free)
 			c.victims, c.free = selected.tasks, selected.free
 			c.cost += selected.cost
 		}
@@ -166,9 +166,9 @@
 
 // imageFetchCost returns what it costs a gang that a machine does not have its
 // image: less if it can be fetched within a start objective of the gang's class.
-func (s *Scheduler) imageFetchCost(gang *Job, machine *worker.Machine) float64 {
-	start := gang.imageFetchTime(machine)*tuning.ImagePullSlack + s.platform.Workers.HeartbeatS
-	for _, objective := range s.platform.Objectives {
+func (g *gangScheduler) imageFetchCost(gang *Job, machine *worker.Machine) float64 {
+	start := gang.imageFetchTime(machine)*tuning.ImagePullSlack + g.platform.Workers.HeartbeatS
+	for _, objective := range g.platform.Objectives {
 		if isStartObjective(objective, gang) && machine.ImagePullGBPerS > 0 && start < objective.WithinS {
 			return tuning.ScoreImageInTime
 		}
--- a/internal/placement/rescheduling.go
+++ b/internal/placement/rescheduling.go
@@ -10,24 +10,33 @@
 	"juniperchute/internal/worker"
 )
 
+// rescheduler moves copies off machines where they can't stay or are stuck.
+type rescheduler struct {
+	*environment
+	capacity *capacityIndex
+	queues   *copyQueues
+	tasks    *taskLifecycle
+	services *serviceScheduler
+}
+
 // handlePreemptionNotices prepares machines for their preemption by the cloud:
 // queued copies leave at once, replicas migrate, and tasks that save
 // checkpoints are stopped just in time to do so.
-func (s *Scheduler) handlePreemptionNotices(now time.Time) {
-	for _, machine := range s.registry.All() {
-		info := s.capacity.info(machine)
+func (r *rescheduler) handlePreemptionNotices(now time.Time) {
+	for _, machine := range r.registry.All() {
+		info := r.capacity.info(machine)
 		if len(info.primaryQueue)+len(info.backupQueue) > 0 && !machine.Schedulable(now) {
-			s.queues.clearQueues(now, machine)
+			r.queues.clearQueues(now, machine)
 		}
 		if !machine.PreemptionTime.IsZero() {
-			s.evacuate(now, info)
+			r.evacuate(now, info)
 		}
 	}
 }
 
 // evacuate stops the tasks of a machine with a preemption notice for which it is time.
-func (s *Scheduler) evacuate(now time.Time, info *machineInfo) {
-	heartbeats := config.Seconds(s.platform.Workers.HeartbeatS * tuning.PreemptionHeartbeats)
+func (r *rescheduler) evacuate(now time.Time, info *machineInfo) {
+	heartbeats := config.Seconds(r.platform.Workers.HeartbeatS * tuning.PreemptionHeartbeats)
 	latest := info.machine.PreemptionTime.Add(-heartbeats - tuning.CheckpointGrace)
 	for _, task := range slices.Clone(info.assigned) {
 		job := task.Job
@@ -35,26 +44,26 @@
 		switch {
 		case task.phase != Active:
 		case job.IsService():
-			s.migrateReplica(now, task, now.After(latest))
+			r.services.migrateReplica(now, task, now.After(latest))
 		case job.savesCheckpoints() && task.stage != wire.TaskFetching && now.Add(saveTime).After(latest):
-			s.tasks.preempt(now, task, "machine has a preemption notice")
+			r.tasks.preempt(now, task, "machine has a preemption notice")
 		}
 	}
 }
 
 // rescheduleStuck requeues primaries that have been stuck for more than a
 // heartbeat round while another machine would take them at once.
-func (s *Scheduler) rescheduleStuck(now time.Time) {
-	stuckAfter := config.Seconds(s.platform.Workers.HeartbeatS * tuning.RescheduleHeartbeats)
-	for _, machine := range s.registry.All() {
-		info := s.capacity.info(machine)
+func (r *rescheduler) rescheduleStuck(now time.Time) {
+	stuckAfter := config.Seconds(r.platform.Workers.HeartbeatS * tuning.RescheduleHeartbeats)
+	for _, machine := range r.registry.All() {
+		info := r.capacity.info(machine)
 		if len(info.primaryQueue) == 0 {
 			continue
 		}
 		for _, task := range slices.Clone(info.primaryQueue) {
-			if s.stuck(now, task, machine, stuckAfter) && s.startsElsewhere(now, task.Job, machine) {
-				s.Counters.Rescheduled++
-				s.queues.requeue(now, task)
+			if r.stuck(now, task, machine, stuckAfter) && r.startsElsewhere(now, task.Job, machine) {
+				r.Counters.Rescheduled++
+				r.queues.requeue(now, task)
 			}
 		}
 	}
@@ -62,7 +71,7 @@
 
 // stuck reports whether a primary has been queued at a machine for long and
 // won't start with the machine's next heartbeat.
-func (s *Scheduler) stuck(now time.Time, task *Task, machine *worker.Machine, stuckAfter time.Duration) bool {
+func (r *rescheduler) stuck(now time.Time, task *Task, machine *worker.Machine, stuckAfter time.Duration) bool {
 	job := task.Job
 	if job.IsGang() || task.phase != Unassigned || now.Sub(task.primaryQueuedAt) < stuckAfter {
 		return false
@@ -78,8 +87,8 @@
 
 // startsElsewhere reports whether a machine other than the given one would
 // start a task of the job at once.
-func (s *Scheduler) startsElsewhere(now time.Time, job *Job, machine *worker.Machine) bool {
-	return slices.ContainsFunc(s.registry.All(), func(other *worker.Machine) bool {
+func (r *rescheduler) startsElsewhere(now time.Time, job *Job, machine *worker.Machine) bool {
+	return slices.ContainsFunc(r.registry.All(), func(other *worker.Machine) bool {
 		return other != machine && job.eligible(now, other) && other.Available().Sub(other.Reserved).Fits(job.need)
 	})
 }
--- a/internal/placement/scheduler.go
+++ b/internal/placement/scheduler.go
@@ -45,6 +45,11 @@
 	tasks    *taskLifecycle
 	failures *failureTracker
 
+	arrays      *arrayScheduler
+	gangs       *gangScheduler
+	services    *serviceScheduler
+	rescheduler *rescheduler
+
 	nextPassDue       time.Time
 	nextConsolidation time.Time
 }
@@ -82,9 +87,47 @@
 		runTimes:        s.runTimes,
 		onTaskCompleted: options.OnTaskCompleted,
 	}
+	s.wireSchedulers()
 	return s
 }
 
+// wireSchedulers makes the parts that place the jobs of each shape.
+func (s *Scheduler) wireSchedulers() {
+	s.arrays = &arrayScheduler{
+		environment: s.environment,
+		pass:        s.pass,
+		capacity:    s.capacity,
+		queues:      s.queues,
+		markers:     s.markers,
+	}
+	s.gangs = &gangScheduler{
+		environment: s.environment,
+		pass:        s.pass,
+		capacity:    s.capacity,
+		rules:       s.rules,
+		queues:      s.queues,
+		markers:     s.markers,
+		tasks:       s.tasks,
+		attempts:    s.attemptNumbers,
+	}
+	s.services = &serviceScheduler{
+		environment: s.environment,
+		capacity:    s.capacity,
+		rules:       s.rules,
+		queues:      s.queues,
+		markers:     s.markers,
+		tasks:       s.tasks,
+		attempts:    s.attemptNumbers,
+	}
+	s.rescheduler = &rescheduler{
+		environment: s.environment,
+		capacity:    s.capacity,
+		queues:      s.queues,
+		tasks:       s.tasks,
+		services:    s.services,
+	}
+}
+
 // OpenJob returns an open job, nil if there is none of that name.
 func (s *Scheduler) OpenJob(id string) *Job { return s.jobs.open(id) }
 
--- a/internal/placement/scheduling_pass.go
+++ b/internal/placement/scheduling_pass.go
@@ -27,8 +27,8 @@
 	due := !now.Before(s.nextPassDue)
 	if due {
 		s.nextPassDue = now.Add(tuning.PassInterval)
-		s.handlePreemptionNotices(now)
-		s.rescheduleStuck(now)
+		s.rescheduler.handlePreemptionNotices(now)
+		s.rescheduler.rescheduleStuck(now)
 	}
 	if gained := s.capacity.refresh(now); !gained && !due && !s.pass.fullPassNeeded {
 		return
@@ -40,7 +40,7 @@
 	}
 	for _, job := range s.queue.open {
 		if job.IsGang() {
-			s.dispatchGang(now, job)
+			s.gangs.dispatch(now, job)
 		}
 	}
 }
@@ -54,7 +54,7 @@
 	s.capacity.setSmallestNeed(now, s.queue.smallestArrayNeed())
 	machinesByImage := s.capacity.machinesByImage()
 	for _, tier := range s.queue.tiers {
-		s.prepareArrays(now, tier.jobs, machinesByImage)
+		s.arrays.prepare(now, tier.jobs, machinesByImage)
 	}
 }
 
@@ -97,10 +97,10 @@
 	}
 	switch {
 	case job.IsGang():
-		s.scheduleGang(now, job, filter.scope)
+		s.gangs.schedule(now, job, filter.scope)
 	case job.IsService():
-		s.scheduleService(now, job, filter.scope)
+		s.services.schedule(now, job, filter.scope)
 	default:
-		s.scheduleArray(now, job, filter)
+		s.arrays.schedule(now, job, filter)
 	}
 }
--- a/internal/placement/scheduling_pass_test.go
+++ b/internal/placement/scheduling_pass_test.go
@@ -53,7 +53,7 @@
 
 // The choice is among the machines of the lowest tier, and each of them may be it.
 func TestPickLowestRank(t *testing.T) {
-	scheduler := newHarness(t, 0).scheduler
+	arrays := newHarness(t, 0).scheduler.arrays
 	for _, c := range []struct {
 		name  string
 		tiers []int
@@ -71,7 +71,7 @@
 			}
 			got := map[int]bool{}
 			for range 200 {
-				got[scheduler.pickLowestRank(candidates)] = true
+				got[arrays.pickLowestRank(candidates)] = true
 			}
 			for _, i := range c.want {
 				if !got[i] {
--- a/internal/placement/service.go
+++ b/internal/placement/service.go
@@ -7,11 +7,22 @@
 	"juniperchute/internal/worker"
 )
 
-// scheduleService places a service's pending replicas. A replica has no backup
+// serviceScheduler places the replicas of services, and moves them.
+type serviceScheduler struct {
+	*environment
+	capacity *capacityIndex
+	rules    preemptionRules
+	queues   *copyQueues
+	markers  *startMarkers
+	tasks    *taskLifecycle
+	attempts *attemptNumbers
+}
+
+// schedule places a service's pending replicas. A replica has no backup
 // and does not queue behind other tasks: it is dispatched as soon as there is
 // room, by a direct command, and work of lower priority is preempted for it
 // where there is none.
-func (s *Scheduler) scheduleService(now time.Time, service *Job, scope preemptionScope) {
+func (s *serviceScheduler) schedule(now time.Time, service *Job, scope preemptionScope) {
 	if !s.markers.ensure(now, service) {
 		return
 	}
@@ -32,11 +43,11 @@
 // placeReplica places one of a service's pending replicas and reports whether
 // it found a place: dispatched where there is room, or queued where work of
 // lower priority is preempted for it.
-func (s *Scheduler) placeReplica(now time.Time, service *Job, scope preemptionScope) bool {
-	machine := s.findReplicaMachine(now, service, nil, anyMachine)
+func (s *serviceScheduler) placeReplica(now time.Time, service *Job, scope preemptionScope) bool {
+	machine := s.findMachine(now, service, nil, anyMachine)
 	var victims []*Task
 	if machine == nil {
-		machine, victims = s.findReplicaVictims(now, service, scope)
+		machine, victims = s.findVictims(now, service, scope)
 	}
 	if machine == nil {
 		s.setPendingReason(service, "no room")
@@ -51,7 +62,7 @@
 	task := service.addTask(index)
 	if len(victims) == 0 && machine.Available().Sub(machine.Reserved).Fits(service.need) {
 		s.Counters.PrimariesStarted++
-		s.tasks.dispatch(now, task, assignment{machine: machine, attempt: s.next(service)}, "replica starts")
+		s.tasks.dispatch(now, task, assignment{machine: machine, attempt: s.attempts.next(service)}, "replica starts")
 		return true
 	}
 	s.queues.queuePrimary(now, task, machine)
@@ -65,8 +76,8 @@
 // migrateReplica stops a replica whose machine has a preemption notice, once
 // another machine would take it at once, or at the last moment. Two copies may
 // not exist at a time: the replica is down from this stop to the next start.
-func (s *Scheduler) migrateReplica(now time.Time, task *Task, lastMoment bool) {
-	if lastMoment || s.findReplicaMachine(now, task.Job, task, cachedImage) != nil {
+func (s *serviceScheduler) migrateReplica(now time.Time, task *Task, lastMoment bool) {
+	if lastMoment || s.findMachine(now, task.Job, task, cachedImage) != nil {
 		s.Counters.Relocated++
 		s.tasks.stop(now, task, 0, "machine has a preemption notice")
 	}
@@ -104,9 +115,9 @@
 	return tasksByZone
 }
 
-// findReplicaMachine finds a random one among the best machines with room for
+// findMachine finds a random one among the best machines with room for
 // one more replica. The leaving replica, if any, gives up its machine for it.
-func (s *Scheduler) findReplicaMachine(
+func (s *serviceScheduler) findMachine(
 	now time.Time, service *Job, leaving *Task, requirement imageRequirement,
 ) *worker.Machine {
 	tasksByZone := service.constrainedTasksByZone(leaving)
@@ -135,9 +146,9 @@
 	return best[s.rng.IntN(len(best))]
 }
 
-// findReplicaVictims finds the machine where preempting work of lower priority
+// findVictims finds the machine where preempting work of lower priority
 // for a replica loses least, and that work; nil if there is none.
-func (s *Scheduler) findReplicaVictims(
+func (s *serviceScheduler) findVictims(
 	now time.Time, service *Job, scope preemptionScope,
 ) (*worker.Machine, []*Task) {
 	tasksByZone := service.constrainedTasksByZone(nil)
--- a/internal/placement/service_quota.go
+++ b/internal/placement/service_quota.go
@@ -10,7 +10,7 @@
 // quotaPreemption makes room for a replica within its team's limit at the cost
 // of work of lower priority of the same team.
 type quotaPreemption struct {
-	scheduler *Scheduler
+	scheduler *serviceScheduler
 	service   *Job
 	// releasing is what stopping tasks of the team will give back.
 	releasing quota.Resources
@@ -21,7 +21,7 @@
 // are only queued become pending again, and if that is not enough, running
 // ones are preempted, those that lose least first. It reports whether the
 // replica may start now.
-func (s *Scheduler) preemptForQuota(now time.Time, service *Job) bool {
+func (s *serviceScheduler) preemptForQuota(now time.Time, service *Job) bool {
 	p := &quotaPreemption{scheduler: s, service: service}
 	for _, machine := range s.registry.All() {
 		info := s.capacity.info(machine)
