--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -120,7 +120,7 @@
 			away.PreemptionTime = h.now.Add(time.Hour) // keeps the main from being redrawn there
 			h.now = h.now.Add(3 * time.Second)
 			away.PreemptionTime = time.Time{}
-			h.scheduler.dispatchQueueHeads(h.now, away)
+			h.scheduler.dispatcher.dispatchQueueHeads(h.now, away)
 			if task.phase != Dispatched || !task.isBackup {
 				t.Fatalf("the spare does not start: %v", task.phase)
 			}
--- /dev/null
+++ b/internal/placement/reconciliation_test.go
@@ -0,0 +1,243 @@
+package placement
+
+import (
+	"testing"
+	"time"
+
+	"juniperchute/internal/wire"
+	"juniperchute/internal/worker"
+)
+
+// reportSequence is the number of the heartbeat in the tests of reconciliation.
+const reportSequence = 5
+
+// assignedCase is what is known of an assigned task with attempt 1, and what
+// its machine reports of it.
+type assignedCase struct {
+	name          string
+	phase         Phase
+	delivery      commandDelivery
+	reported      *wire.TaskStatus // nil: nothing under the task's name
+	fromHeartbeat bool
+	want          assignedFinding
+}
+
+var assignedCases = []assignedCase{
+	{
+		name:          "it runs",
+		phase:         Dispatched,
+		delivery:      commandDelivery{commandSent: true, commandSeq: 4},
+		reported:      &wire.TaskStatus{Attempt: 1, State: wire.TaskRunning},
+		fromHeartbeat: true,
+		want:          assignedPresent,
+	},
+	{
+		name:          "it has exited",
+		phase:         Active,
+		delivery:      commandDelivery{reported: true, commandSent: true},
+		reported:      &wire.TaskStatus{Attempt: 1, State: wire.TaskExited, ExitReason: wire.ExitDone},
+		fromHeartbeat: true,
+		want:          assignedExited,
+	},
+	{
+		name:          "it was reported, and is not any more",
+		phase:         Active,
+		delivery:      commandDelivery{reported: true, commandSent: true},
+		fromHeartbeat: true,
+		want:          assignedLost,
+	},
+	{
+		name:          "another attempt is reported in its place",
+		phase:         Active,
+		delivery:      commandDelivery{reported: true, commandSent: true},
+		reported:      &wire.TaskStatus{Attempt: 2, State: wire.TaskRunning},
+		fromHeartbeat: true,
+		want:          assignedLost,
+	},
+	{
+		name:          "it is still to start",
+		phase:         Dispatched,
+		delivery:      commandDelivery{commandSent: true, commandSeq: 4},
+		fromHeartbeat: true,
+		want:          assignedInFlight,
+	},
+	{
+		name:  "stopped before the command to run it was sent",
+		phase: Stopping,
+		want:  assignedNeverStarted,
+	},
+	{
+		name:          "stopped, and a later heartbeat than the one with the command does not show it",
+		phase:         Stopping,
+		delivery:      commandDelivery{commandSent: true, commandSeq: reportSequence - 1},
+		fromHeartbeat: true,
+		want:          assignedNeverStarted,
+	},
+	{
+		name:          "stopped, and the command went out in the reply to this heartbeat",
+		phase:         Stopping,
+		delivery:      commandDelivery{commandSent: true, commandSeq: reportSequence},
+		fromHeartbeat: true,
+		want:          assignedInFlight,
+	},
+	{
+		name:     "stopped, and only the response to another command does not show it",
+		phase:    Stopping,
+		delivery: commandDelivery{commandSent: true, commandSeq: reportSequence - 1},
+		want:     assignedInFlight,
+	},
+	{
+		name:          "stopped, and a direct command to run it was not answered",
+		phase:         Stopping,
+		delivery:      commandDelivery{commandSent: true, unansweredCommands: 1},
+		fromHeartbeat: true,
+		want:          assignedInFlight,
+	},
+	{
+		name:          "stopped, and the direct command to run it was settled",
+		phase:         Stopping,
+		delivery:      commandDelivery{commandSent: true},
+		fromHeartbeat: true,
+		want:          assignedNeverStarted,
+	},
+}
+
+func TestReconcileAssigned(t *testing.T) {
+	for _, c := range assignedCases {
+		t.Run(c.name, func(t *testing.T) {
+			machine := &worker.Machine{Sequence: reportSequence}
+			task := &Task{phase: c.phase, assignment: assignment{machine: machine, attempt: 1, commandDelivery: c.delivery}}
+			got := reconcileAssigned(task, c.reported, report{machine: machine, heartbeat: c.fromHeartbeat})
+			if got != c.want {
+				t.Errorf("finding %d, want %d", got, c.want)
+			}
+		})
+	}
+}
+
+// reportedCase is what a machine reports of the first task of a job, and what
+// is known of it.
+type reportedCase struct {
+	name       string
+	shape      string
+	unknownJob bool
+	closed     bool
+	completed  bool
+	phase      Phase // Unassigned: nothing is known to be on a machine
+	elsewhere  bool  // the known copy is on another machine
+	state      string
+	exitReason string
+	want       reportedFinding
+}
+
+var reportedCases = []reportedCase{
+	{
+		name:  "the assigned attempt runs",
+		phase: Active,
+		state: wire.TaskRunning,
+		want:  reportedExpected,
+	},
+	{
+		name:  "it runs while nothing is assigned",
+		state: wire.TaskRunning,
+		want:  reportedAdoptable,
+	},
+	{
+		name:      "it runs while another copy is assigned elsewhere",
+		phase:     Active,
+		elsewhere: true,
+		state:     wire.TaskRunning,
+		want:      reportedStray,
+	},
+	{
+		name:      "it runs although it has completed",
+		completed: true,
+		state:     wire.TaskRunning,
+		want:      reportedStray,
+	},
+	{
+		name:   "it runs although its job is closed",
+		closed: true,
+		state:  wire.TaskRunning,
+		want:   reportedStray,
+	},
+	{
+		name:       "it runs and belongs to no job",
+		unknownJob: true,
+		state:      wire.TaskRunning,
+		want:       reportedUnknown,
+	},
+	{
+		name:       "it has exited and belongs to no job",
+		unknownJob: true,
+		state:      wire.TaskExited,
+		exitReason: wire.ExitDone,
+		want:       reportedOver,
+	},
+	{
+		name:       "it has completed, which is not recorded",
+		state:      wire.TaskExited,
+		exitReason: wire.ExitDone,
+		want:       reportedCompleted,
+	},
+	{
+		name:       "it has completed while another copy is assigned elsewhere",
+		phase:      Active,
+		elsewhere:  true,
+		state:      wire.TaskExited,
+		exitReason: wire.ExitDone,
+		want:       reportedCompleted,
+	},
+	{
+		name:       "it has completed, which is recorded",
+		completed:  true,
+		state:      wire.TaskExited,
+		exitReason: wire.ExitDone,
+		want:       reportedOver,
+	},
+	{
+		name:       "it has failed while nothing is assigned",
+		state:      wire.TaskExited,
+		exitReason: wire.ExitError,
+		want:       reportedOver,
+	},
+	{
+		name:       "a replica has ended while nothing is assigned",
+		shape:      wire.ShapeService,
+		state:      wire.TaskExited,
+		exitReason: wire.ExitDone,
+		want:       reportedOver,
+	},
+}
+
+func TestReconcileReported(t *testing.T) {
+	for _, c := range reportedCases {
+		t.Run(c.name, func(t *testing.T) {
+			machine := &worker.Machine{Host: "reporting"}
+			reported := &wire.TaskStatus{Attempt: 1, State: c.state, ExitReason: c.exitReason}
+			if got := reconcileReported(c.job(machine), 0, machine, reported); got != c.want {
+				t.Errorf("finding %d, want %d", got, c.want)
+			}
+		})
+	}
+}
+
+// job returns the job of which the machine reports the first task.
+func (c *reportedCase) job(machine *worker.Machine) *Job {
+	if c.unknownJob {
+		return nil
+	}
+	job := newJob(time.Time{}, wire.JobSpec{ID: "job-1", Shape: c.shape, Tasks: 1}, time.Time{}, 1)
+	job.closed = c.closed
+	if c.completed {
+		job.completed.add(0)
+	}
+	if c.phase != Unassigned {
+		task := job.addTask(0)
+		task.phase, task.machine, task.attempt = c.phase, machine, 1
+		if c.elsewhere {
+			task.machine, task.attempt = &worker.Machine{Host: "other"}, 2
+		}
+	}
+	return job
+}
--- a/internal/placement/scheduler.go
+++ b/internal/placement/scheduler.go
@@ -50,6 +50,10 @@
 	services    *serviceScheduler
 	rescheduler *rescheduler
 
+	dispatcher *dispatcher
+	commands   *commandBuilder
+	reconciler *reconciler
+
 	nextPassDue       time.Time
 	nextConsolidation time.Time
 }
@@ -88,6 +92,7 @@
 		onTaskCompleted: options.OnTaskCompleted,
 	}
 	s.wireSchedulers()
+	s.wireMachineParts()
 	return s
 }
 
@@ -128,6 +133,26 @@
 	}
 }
 
+// wireMachineParts makes the parts that deal with machines' heartbeats and commands.
+func (s *Scheduler) wireMachineParts() {
+	s.dispatcher = &dispatcher{
+		environment: s.environment,
+		capacity:    s.capacity,
+		queues:      s.queues,
+		tasks:       s.tasks,
+		attempts:    s.attemptNumbers,
+	}
+	s.commands = &commandBuilder{capacity: s.capacity, jobs: s.jobs}
+	s.reconciler = &reconciler{
+		environment: s.environment,
+		capacity:    s.capacity,
+		queues:      s.queues,
+		jobs:        s.jobs,
+		tasks:       s.tasks,
+		failures:    s.failures,
+	}
+}
+
 // OpenJob returns an open job, nil if there is none of that name.
 func (s *Scheduler) OpenJob(id string) *Job { return s.jobs.open(id) }
 
@@ -197,27 +222,3 @@
 	s.reconciled = true
 	s.pass.requestFull()
 }
-
-// MarkMachineChanged notes a change of a machine that the scheduler did not
-// make itself, such as one of its state or its registration.
-func (s *Scheduler) MarkMachineChanged(machine *worker.Machine) {
-	s.capacity.markDirty(s.capacity.info(machine))
-}
-
-// ReleaseMachine releases everything on a machine on which nothing can run any
-// more: its lease has expired, its worker has a new incarnation, or its
-// deletion was confirmed.
-func (s *Scheduler) ReleaseMachine(now time.Time, machine *worker.Machine, reason string) {
-	s.tasks.releaseMachine(now, machine, reason)
-}
-
-// RemoveMachine removes a machine whose deletion was confirmed.
-func (s *Scheduler) RemoveMachine(now time.Time, machine *worker.Machine) {
-	s.tasks.releaseMachine(now, machine, "machine deleted")
-	s.queues.clearQueues(now, machine)
-	s.capacity.removeMachine(s.capacity.info(machine))
-}
-
-// UrgentMachines lists the machines that should get commands directly, rather
-// than in the reply to their next heartbeat.
-func (s *Scheduler) UrgentMachines(now time.Time) []*worker.Machine { return s.urgent.ready() }
