--- a/internal/placement/array.go
+++ b/internal/placement/array.go
@@ -50,7 +50,12 @@
 }
 
 func newArrayPlacement(scheduler *arrayScheduler, job *Job, filter passFilter) *arrayPlacement {
-	p := &arrayPlacement{scheduler: scheduler, job: job, scope: filter.scope, tasksByZone: job.constrainedTasksByZone(nil)}
+	p := &arrayPlacement{
+		scheduler:   scheduler,
+		job:         job,
+		scope:       filter.scope,
+		tasksByZone: job.constrainedTasksByZone(nil),
+	}
 	if filter.requirement == cachedImage && !job.needsMoreImages {
 		p.requirement = cachedImage
 	}
--- a/internal/placement/consolidation.go
+++ b/internal/placement/consolidation.go
@@ -10,46 +10,55 @@
 	"juniperchute/internal/worker"
 )
 
-// Consolidate cordons machines whose tasks would all fit elsewhere, and
+// consolidator empties machines whose tasks would fit elsewhere.
+type consolidator struct {
+	*environment
+	capacity *capacityIndex
+	queue    *jobQueue
+	tasks    *taskLifecycle
+	next     time.Time // not before
+}
+
+// consolidate cordons machines whose tasks would all fit elsewhere, and
 // preempts these tasks so that they move and the machines can be terminated.
 // It does so only while no array's tasks are pending, with a small part of the
 // machines at a time: on-demand machines and those with the least on them
 // first; the fullest take the tasks.
-func (s *Scheduler) Consolidate(now time.Time) {
-	if !s.reconciled || now.Before(s.nextConsolidation) || s.queue.startableTasksPending(now) {
+func (c *consolidator) consolidate(now time.Time) {
+	if !c.reconciled || now.Before(c.next) || c.queue.startableTasksPending(now) {
 		return
 	}
-	s.nextConsolidation = now.Add(tuning.ConsolidationInterval)
-	plan := s.planConsolidation(now)
+	c.next = now.Add(tuning.ConsolidationInterval)
+	plan := c.plan(now)
 	cordoned := 0
 	for i, machine := range plan.sources {
 		if cordoned == plan.limit || i == tuning.ConsolidationTries*plan.limit {
 			break
 		}
-		if _, isTarget := plan.added[machine]; isTarget || !plan.moveTasks(s.capacity.info(machine)) {
+		if _, isTarget := plan.added[machine]; isTarget || !plan.moveTasks(c.capacity.info(machine)) {
 			continue
 		}
 		cordoned++
-		s.cordon(now, machine)
+		c.cordon(now, machine)
 	}
 }
 
 // cordon lets a machine take no more tasks and preempts those it has.
-func (s *Scheduler) cordon(now time.Time, machine *worker.Machine) {
-	s.log.Info("worker cordoned for consolidation", "worker", machine.Host, "tasks", machine.ActiveCopies)
+func (c *consolidator) cordon(now time.Time, machine *worker.Machine) {
+	c.log.Info("worker cordoned for consolidation", "worker", machine.Host, "tasks", machine.ActiveCopies)
 	machine.Cordoned = true
-	for _, task := range slices.Clone(s.capacity.info(machine).assigned) {
-		s.Counters.Relocated++
-		s.tasks.preempt(now, task, "machine is consolidated")
+	for _, task := range slices.Clone(c.capacity.info(machine).assigned) {
+		c.Counters.Relocated++
+		c.tasks.preempt(now, task, "machine is consolidated")
 	}
 }
 
 // uncordonAll makes cordoned machines that are not empty yet schedulable again.
-func (s *Scheduler) uncordonAll() {
-	for _, machine := range s.registry.All() {
+func (c *consolidator) uncordonAll() {
+	for _, machine := range c.registry.All() {
 		if machine.Cordoned {
 			machine.Cordoned = false
-			s.capacity.markDirty(s.capacity.info(machine))
+			c.capacity.markDirty(c.capacity.info(machine))
 		}
 	}
 }
@@ -61,12 +70,12 @@
 	limit            int                                 // how many machines may be cordoned at a time
 }
 
-// planConsolidation finds the machines that could be emptied and those that
-// would take more tasks, both in the order of preference.
-func (s *Scheduler) planConsolidation(now time.Time) *consolidationPlan {
+// plan finds the machines that could be emptied and those that would take more
+// tasks, both in the order of preference.
+func (c *consolidator) plan(now time.Time) *consolidationPlan {
 	p := &consolidationPlan{added: map[*worker.Machine]quota.Resources{}}
 	inUse := 0
-	for _, machine := range s.registry.All() {
+	for _, machine := range c.registry.All() {
 		if machine.ActiveCopies == 0 || !machine.Schedulable(now) {
 			continue
 		}
@@ -74,7 +83,7 @@
 		if machine.AvailableToPrimary().DominantShare(machine.Capacity) > tuning.ConsolidationMinFree {
 			p.targets = append(p.targets, machine)
 		}
-		if s.capacity.info(machine).canRelocate() {
+		if c.capacity.info(machine).canRelocate() {
 			p.sources = append(p.sources, machine)
 		}
 	}
--- a/internal/placement/demand.go
+++ b/internal/placement/demand.go
@@ -46,23 +46,43 @@
 // uses are marked as needed.
 func (s *Scheduler) ProvisioningDemand(now time.Time, offers []Offer, provisioning []int) []int {
 	if s.queue.startableTasksPending(now) {
-		s.uncordonAll()
+		s.consolidator.uncordonAll()
 	} else {
-		s.Consolidate(now)
+		s.consolidator.consolidate(now)
+	}
+	plan := s.planner.newPlan(now, offers)
+	plan.addMachineBins()
+	plan.addProvisioningBins(provisioning)
+	plan.packGangsAndServices()
+	plan.reserveForServices()
+	plan.packArrays()
+	return plan.toProvision
+}
+
+// demandPlanner works out which machines are needed.
+type demandPlanner struct {
+	*environment
+	capacity *capacityIndex
+	jobs     *jobTable
+	queue    *jobQueue
+	runTimes *runTimeEstimates
+}
+
+// newPlan returns a plan with nothing packed.
+func (p *demandPlanner) newPlan(now time.Time, offers []Offer) *demandPlan {
+	return &demandPlan{
+		demandPlanner: p,
+		now:           now,
+		offers:        offers,
+		toProvision:   make([]int, len(offers)),
+		admitted:      map[string]quota.Resources{},
 	}
-	p := newDemandPlan(s, now, offers)
-	p.addMachineBins()
-	p.addProvisioningBins(provisioning)
-	p.packGangsAndServices()
-	p.reserveForServices()
-	p.packArrays()
-	return p.toProvision
 }
 
 // demandPlan packs all pending work onto the machines there are and ones to be
 // provisioned.
 type demandPlan struct {
-	scheduler   *Scheduler
+	*demandPlanner
 	now         time.Time
 	offers      []Offer
 	toProvision []int // of each offer
@@ -70,21 +90,11 @@
 	admitted    map[string]quota.Resources // what was packed, by team
 }
 
-func newDemandPlan(s *Scheduler, now time.Time, offers []Offer) *demandPlan {
-	return &demandPlan{
-		scheduler:   s,
-		now:         now,
-		offers:      offers,
-		toProvision: make([]int, len(offers)),
-		admitted:    map[string]quota.Resources{},
-	}
-}
-
 // admit reports whether a team's limit allows more to start beside what was
 // packed, and counts it if so. What is not admitted needs no machine.
 func (p *demandPlan) admit(job *Job, resources quota.Resources) bool {
 	total := p.admitted[job.Spec.Team].Add(resources)
-	if !p.scheduler.ledger.AdmitsReservation(job.Spec.Team, total) {
+	if !p.ledger.AdmitsReservation(job.Spec.Team, total) {
 		return false
 	}
 	p.admitted[job.Spec.Team] = total
--- a/internal/placement/demand_arrays.go
+++ b/internal/placement/demand_arrays.go
@@ -47,7 +47,7 @@
 
 // arrayBacklogs lists the arrays with tasks that have not started, by priority.
 func (p *demandPlan) arrayBacklogs() (backlogs []*arrayBacklog) {
-	for _, job := range p.scheduler.queue.open {
+	for _, job := range p.queue.open {
 		if !job.isArray() || p.now.Before(job.notBefore) {
 			continue
 		}
@@ -55,8 +55,8 @@
 			backlogs = append(backlogs, &arrayBacklog{
 				job:         job,
 				tasks:       float64(tasks),
-				taskSeconds: p.scheduler.runTimes.estimate(job),
-				horizon:     PlanningHorizon(p.scheduler.platform.Objectives, job.Spec.Class),
+				taskSeconds: p.runTimes.estimate(job),
+				horizon:     PlanningHorizon(p.platform.Objectives, job.Spec.Class),
 			})
 		}
 	}
--- a/internal/placement/demand_bins.go
+++ b/internal/placement/demand_bins.go
@@ -42,8 +42,8 @@
 
 // addMachineBins adds the machines that may take work.
 func (p *demandPlan) addMachineBins() {
-	lease := config.Seconds(p.scheduler.platform.Workers.LeaseS)
-	for _, machine := range p.scheduler.registry.All() {
+	lease := config.Seconds(p.platform.Workers.LeaseS)
+	for _, machine := range p.registry.All() {
 		machine.Needed = machine.ActiveCopies > 0
 		if !mayTakeWork(p.now, machine, lease) {
 			continue
@@ -53,7 +53,7 @@
 			kind:      kindOf(machine),
 			capacity:  machine.Capacity,
 			free:      machine.AvailableToPrimary(),
-			committed: p.scheduler.committedWork(p.now, machine),
+			committed: p.committedWork(p.now, machine),
 		}
 		if machine.State == worker.Unresponsive {
 			// It takes nothing now, but is not replaced while its lease may
@@ -83,10 +83,10 @@
 }
 
 // committedWork estimates how many machine-seconds the tasks on a machine will still take.
-func (s *Scheduler) committedWork(now time.Time, machine *worker.Machine) float64 {
+func (p *demandPlanner) committedWork(now time.Time, machine *worker.Machine) float64 {
 	sum := 0.0
-	for _, task := range s.capacity.info(machine).assigned {
-		remaining := s.runTimes.estimate(task.Job) - now.Sub(task.dispatchedAt).Seconds()
+	for _, task := range p.capacity.info(machine).assigned {
+		remaining := p.runTimes.estimate(task.Job) - now.Sub(task.dispatchedAt).Seconds()
 		share := task.Job.need.DominantShare(machine.Capacity)
 		sum += max(remaining, tuning.MinRunTime.Seconds()) * share
 	}
--- a/internal/placement/demand_gangs.go
+++ b/internal/placement/demand_gangs.go
@@ -10,13 +10,13 @@
 // for any task of these are passed over: thousands of gangs may be pending.
 func (p *demandPlan) packGangsAndServices() {
 	smallestNeed := quota.UnlimitedResources()
-	for _, job := range p.scheduler.queue.open {
+	for _, job := range p.queue.open {
 		if !job.isArray() {
 			smallestNeed = smallestNeed.Min(job.need)
 		}
 	}
 	remaining := slices.Clone(p.bins)
-	for _, job := range p.scheduler.queue.open {
+	for _, job := range p.queue.open {
 		n := p.tasksToPlace(job)
 		if n == 0 {
 			continue
@@ -72,7 +72,7 @@
 // more can be had there.
 func (p *jobPacking) zoneMissingFewest() string {
 	zone, fewestMissing := "", p.tasks+1
-	for _, candidate := range p.plan.scheduler.platform.Zones {
+	for _, candidate := range p.plan.platform.Zones {
 		if p.job.Spec.Zone != "" && p.job.Spec.Zone != candidate {
 			continue
 		}
@@ -144,7 +144,7 @@
 // job's tasks depend on each other, it is in the first allowed zone.
 func (p *jobPacking) provisionBin(zone string, inZone map[string]int) *bin {
 	if zone == "" && p.job.zoneConstrained() {
-		for _, candidate := range p.plan.scheduler.platform.Zones {
+		for _, candidate := range p.plan.platform.Zones {
 			if zone == "" && p.job.zoneAllowed(candidate, inZone) {
 				zone = candidate
 			}
--- a/internal/placement/scheduler.go
+++ b/internal/placement/scheduler.go
@@ -54,8 +54,10 @@
 	commands   *commandBuilder
 	reconciler *reconciler
 
-	nextPassDue       time.Time
-	nextConsolidation time.Time
+	consolidator *consolidator
+	planner      *demandPlanner
+
+	nextPassDue time.Time
 }
 
 // NewScheduler returns a scheduler without jobs and machines.
@@ -93,6 +95,7 @@
 	}
 	s.wireSchedulers()
 	s.wireMachineParts()
+	s.wireDemandParts()
 	return s
 }
 
@@ -153,6 +156,23 @@
 	}
 }
 
+// wireDemandParts makes the parts that decide which machines are needed.
+func (s *Scheduler) wireDemandParts() {
+	s.consolidator = &consolidator{
+		environment: s.environment,
+		capacity:    s.capacity,
+		queue:       s.queue,
+		tasks:       s.tasks,
+	}
+	s.planner = &demandPlanner{
+		environment: s.environment,
+		capacity:    s.capacity,
+		jobs:        s.jobs,
+		queue:       s.queue,
+		runTimes:    s.runTimes,
+	}
+}
+
 // OpenJob returns an open job, nil if there is none of that name.
 func (s *Scheduler) OpenJob(id string) *Job { return s.jobs.open(id) }
 
--- a/internal/placement/service_reserve.go
+++ b/internal/placement/service_reserve.go
@@ -45,7 +45,7 @@
 	typical := p.typicalCapacity()
 	size := func(service *Job) float64 { return service.totalNeed().DominantShare(typical) }
 	var largest *Job
-	for _, job := range p.scheduler.queue.open {
+	for _, job := range p.queue.open {
 		if job.IsService() && (largest == nil || size(job) > size(largest)) {
 			largest = job
 		}
@@ -73,7 +73,7 @@
 		if b.machine.State == worker.Unresponsive {
 			return 0
 		}
-		for _, task := range p.scheduler.capacity.info(b.machine).assigned {
+		for _, task := range p.capacity.info(b.machine).assigned {
 			if task.Job.priority >= service.priority {
 				free = free.Sub(task.Job.need)
 			}
@@ -87,8 +87,8 @@
 // job has come yet.
 func (p *demandPlan) reserveForUnseenClasses() {
 	boot := p.shortestBoot()
-	for _, objective := range p.scheduler.platform.Objectives {
-		if objective.Kind != objectiveWait || objective.WithinS <= 0 || p.scheduler.jobs.seenClasses[objective.Class] {
+	for _, objective := range p.platform.Objectives {
+		if objective.Kind != objectiveWait || objective.WithinS <= 0 || p.jobs.seenClasses[objective.Class] {
 			continue
 		}
 		if objective.WithinS*tuning.WarmPoolBootFactor <= boot {
--- a/internal/placement/service_test.go
+++ b/internal/placement/service_test.go
@@ -231,7 +231,7 @@
 			service(h, 2)
 			h.deliverDirect()
 			h.now = h.now.Add(time.Minute)
-			h.scheduler.Consolidate(h.now)
+			h.scheduler.consolidator.consolidate(h.now)
 			for _, machine := range h.registry.All() {
 				if machine.Cordoned {
 					return "emptied " + machine.Host
