--- a/internal/placement/reconciliation_test.go
+++ b/internal/placement/reconciliation_test.go
@@ -105,7 +105,7 @@
 func TestReconcileAssigned(t *testing.T) {
 	for _, c := range assignedCases {
 		t.Run(c.name, func(t *testing.T) {
-			machine := &worker.Machine{Sequence: reportSequence}
+			machine := &worker.Machine{Liveness: worker.Liveness{Sequence: reportSequence}}
 			task := &Task{phase: c.phase, assignment: assignment{machine: machine, attempt: 1, commandDelivery: c.delivery}}
 			got := reconcileAssigned(task, c.reported, report{machine: machine, heartbeat: c.fromHeartbeat})
 			if got != c.want {
@@ -213,7 +213,7 @@
 func TestReconcileReported(t *testing.T) {
 	for _, c := range reportedCases {
 		t.Run(c.name, func(t *testing.T) {
-			machine := &worker.Machine{Host: "reporting"}
+			machine := &worker.Machine{Identity: worker.Identity{Host: "reporting"}}
 			reported := &wire.TaskStatus{Attempt: 1, State: c.state, ExitReason: c.exitReason}
 			if got := reconcileReported(c.job(machine), 0, machine, reported); got != c.want {
 				t.Errorf("finding %d, want %d", got, c.want)
@@ -236,7 +236,7 @@
 		task := job.addTask(0)
 		task.phase, task.machine, task.attempt = c.phase, machine, 1
 		if c.elsewhere {
-			task.machine, task.attempt = &worker.Machine{Host: "other"}, 2
+			task.machine, task.attempt = &worker.Machine{Identity: worker.Identity{Host: "other"}}, 2
 		}
 	}
 	return job
