--- a/internal/placement/harness_test.go
+++ b/internal/placement/harness_test.go
@@ -15,25 +15,40 @@
 	"juniperchute/internal/worker"
 )
 
-// testHarness is a board with machines that report what they are told to.
+// What the machines and jobs of the tests are like.
+const (
+	testToken       = 7
+	testImage       = "img"
+	testClass       = "l"
+	testMachineType = "g2"
+)
+
+// testCapacity is the capacity of each machine: room for two tasks of addJob
+// that need a GPU each.
+var testCapacity = quota.Resources{CPUs: 12, GPUs: 2, MemGB: 96}
+
+// testHarness is a scheduler with machines that report what they are told to.
 type testHarness struct {
 	t         *testing.T
 	now       time.Time
 	scheduler *Scheduler
 	registry  *worker.Registry
-	completed []string
+	completed []string // the jobs of completed tasks
 	lastJob   int
 }
 
 func newHarness(t *testing.T, machines int) *testHarness {
-	platform := config.Platform{Zones: []string{"a"}, Workers: config.Workers{HeartbeatS: 1.5, LeaseS: 10},
-		Teams: []config.Team{{Name: "red", GPUs: 2, GPUsMax: 4}, {Name: "blue", GPUs: 2, GPUsMax: 8}}}
+	platform := config.Platform{
+		Zones:   []string{"a"},
+		Workers: config.Workers{HeartbeatS: 1.5, LeaseS: 10},
+		Teams:   []config.Team{{Name: "red", GPUs: 2, GPUsMax: 4}, {Name: "blue", GPUs: 2, GPUsMax: 8}},
+	}
 	discard := slog.New(slog.NewTextHandler(io.Discard, nil))
 	h := &testHarness{t: t, now: time.Unix(1000, 0)}
 	h.registry = worker.NewRegistry(platform.Workers, discard)
 	h.scheduler = NewScheduler(Options{
 		Platform:        platform,
-		Token:           7,
+		Token:           testToken,
 		Ledger:          quota.NewLedger(platform.Teams, 1),
 		Registry:        h.registry,
 		Rand:            rand.New(rand.NewPCG(1, 1)),
@@ -42,49 +57,127 @@
 	})
 	h.scheduler.MarkReconciled(h.now)
 	for i := range machines {
-		machine := h.registry.Add(h.now, fmt.Sprintf("i-%d", i), worker.Booting)
-		machine.Capacity = quota.Resources{CPUs: 12, GPUs: 2, MemGB: 96}
-		machine.Registered, machine.Type, machine.Zone = true, "g2", "a"
-		h.heartbeat(machine)
+		h.addMachine(fmt.Sprintf("i-%d", i))
 	}
 	return h
 }
 
-// heartbeat lets a machine report its tasks, all running, and what else is given;
-// it returns the commands of the answer.
-func (h *testHarness) heartbeat(machine *worker.Machine, extra ...wire.TaskStatus) []wire.Command {
-	h.t.Helper()
-	heartbeat := &wire.Heartbeat{Host: machine.Host, Type: "g2", Zone: machine.Zone, Spot: machine.Spot, Incarnation: 1, Sequence: machine.Sequence + 1}
-	if !machine.PreemptionTime.IsZero() {
-		left := machine.PreemptionTime.Sub(h.now).Seconds()
-		heartbeat.PreemptionNoticeS = &left
+// addMachine adds a machine that has sent a first heartbeat.
+func (h *testHarness) addMachine(host string) *worker.Machine {
+	machine := h.registry.Add(h.now, host, worker.Booting)
+	machine.Capacity = testCapacity
+	machine.Registered, machine.Type, machine.Zone = true, testMachineType, "a"
+	h.heartbeat(machine)
+	return machine
+}
+
+// addJob adds a job whose tasks need 5 CPUs, 30 GB and the given GPUs each.
+func (h *testHarness) addJob(team, shape, priority string, tasks int, gpus float64) *Job {
+	h.lastJob++
+	h.now = h.now.Add(tuning.FairShareMinInterval)
+	spec := wire.JobSpec{
+		ID: fmt.Sprintf("job-%d", h.lastJob), Team: team, Class: testClass, Shape: shape, Priority: priority,
+		Tasks: tasks, Vcpus: 5, Gpus: gpus, MemGb: 30, Image: testImage, AnyType: true, EstimatedRunTimeS: 60,
 	}
-	for _, task := range h.scheduler.capacity.info(machine).assigned {
-		reported := wire.TaskStatus{Name: task.Name(), Attempt: task.attempt, State: wire.TaskRunning}
-		for _, override := range extra {
-			if override.Name == reported.Name {
-				override.Attempt = task.attempt
-				reported = override
+	return h.scheduler.AddJob(h.now, spec, h.now, uint64(h.lastJob), false)
+}
+
+// assigned lists the tasks that may be on a machine.
+func (h *testHarness) assigned(machine *worker.Machine) []*Task {
+	return h.scheduler.capacity.info(machine).assigned
+}
+
+// heartbeat lets a machine report its tasks, as running unless the status of
+// one is given, and returns the commands of the reply.
+func (h *testHarness) heartbeat(machine *worker.Machine, statuses ...wire.TaskStatus) []wire.Command {
+	h.t.Helper()
+	heartbeat := h.newHeartbeat(machine)
+	for _, task := range h.assigned(machine) {
+		reported := wire.TaskStatus{Name: task.Name(), State: wire.TaskRunning}
+		for _, status := range statuses {
+			if status.Name == reported.Name {
+				reported = status
 			}
 		}
+		reported.Attempt = task.attempt
 		if reported.State != "" && task.commandSent {
 			heartbeat.Tasks = append(heartbeat.Tasks, reported)
 		}
 	}
-	verdict := h.registry.ApplyHeartbeat(h.now, machine, heartbeat, true)
-	h.scheduler.ReconcileHeartbeat(h.now, machine, verdict, true)
+	h.applyHeartbeat(machine, heartbeat, worker.FromHeartbeat)
 	h.scheduler.Schedule(h.now)
 	return h.scheduler.Commands(h.now, machine, HeartbeatReply)
 }
 
-func (h *testHarness) addJob(team, shape, priority string, tasks int, gpus float64) *Job {
-	h.lastJob++
-	h.now = h.now.Add(tuning.FairShareMinInterval)
-	return h.scheduler.AddJob(h.now, wire.JobSpec{ID: fmt.Sprintf("job-%d", h.lastJob), Team: team, Class: "l", Shape: shape, Priority: priority, Tasks: tasks,
-		Vcpus: 5, Gpus: gpus, MemGb: 30, Image: "img", AnyType: true, EstimatedRunTimeS: 60}, h.now, uint64(h.lastJob), false)
+// newHeartbeat returns the next heartbeat of a machine, without tasks.
+func (h *testHarness) newHeartbeat(machine *worker.Machine) *wire.Heartbeat {
+	heartbeat := &wire.Heartbeat{
+		Host: machine.Host, Type: testMachineType, Zone: machine.Zone, Spot: machine.Spot,
+		Incarnation: 1, Sequence: machine.Sequence + 1,
+	}
+	if !machine.PreemptionTime.IsZero() {
+		left := machine.PreemptionTime.Sub(h.now).Seconds()
+		heartbeat.PreemptionNoticeS = &left
+	}
+	return heartbeat
+}
+
+// applyHeartbeat lets the scheduler have a machine's status.
+func (h *testHarness) applyHeartbeat(
+	machine *worker.Machine, heartbeat *wire.Heartbeat, source worker.StatusSource,
+) {
+	result := h.registry.ApplyHeartbeat(h.now, machine, heartbeat, source)
+	h.scheduler.ReconcileHeartbeat(h.now, machine, result, source)
+}
+
+// heartbeats lets every machine report a number of times.
+func (h *testHarness) heartbeats(rounds int) {
+	h.t.Helper()
+	for range rounds {
+		for _, machine := range h.registry.All() {
+			h.heartbeat(machine)
+		}
+	}
+}
+
+// deliverDirect sends the commands that don't wait for heartbeats, lets the
+// machines answer, and returns the commands.
+func (h *testHarness) deliverDirect() string {
+	h.t.Helper()
+	h.now = h.now.Add(tuning.PassInterval)
+	h.scheduler.Schedule(h.now)
+	sent := ""
+	for _, machine := range h.scheduler.UrgentMachines(h.now) {
+		commands := h.scheduler.Commands(h.now, machine, DirectCommand)
+		sent += describe(commands)
+		h.scheduler.SettleDirectCommands(machine, commands)
+		h.heartbeat(machine)
+	}
+	return sent
+}
+
+// loseMachine lets a machine's lease expire.
+func (h *testHarness) loseMachine(machine *worker.Machine) {
+	h.registry.SetState(h.now, machine, worker.LeaseExpired, "test")
+	h.scheduler.ReleaseMachine(h.now, machine, "test")
+}
+
+// exited is the status of a task that has exited.
+func exited(name, reason string) wire.TaskStatus {
+	return wire.TaskStatus{Name: name, State: wire.TaskExited, ExitReason: reason}
+}
+
+// exitedAll is the status of tasks that have all exited for one reason.
+func exitedAll(tasks []*Task, reason string) []wire.TaskStatus {
+	var statuses []wire.TaskStatus
+	for _, task := range tasks {
+		statuses = append(statuses, exited(task.Name(), reason))
+	}
+	return statuses
 }
 
-func (h *testHarness) describe(commands []wire.Command) string {
+// describe names commands, as in "run job-1/0;".
+func describe(commands []wire.Command) string {
 	text := ""
 	for _, command := range commands {
 		text += command.Verb + " " + command.Task + ";"
--- a/internal/placement/machines.go
+++ b/internal/placement/machines.go
@@ -32,18 +32,17 @@
 // than in the reply to their next heartbeat.
 func (s *Scheduler) UrgentMachines(now time.Time) []*worker.Machine { return s.urgent.ready() }
 
-// ReconcileHeartbeat brings the scheduler up to date with what a machine has
-// newly reported. The report came in a heartbeat, or else in the response to a
-// direct command.
+// ReconcileHeartbeat brings the scheduler up to date with the status that a
+// machine's worker has newly sent, and that the registry has applied.
 func (s *Scheduler) ReconcileHeartbeat(
-	now time.Time, machine *worker.Machine, result worker.HeartbeatResult, fromHeartbeat bool,
+	now time.Time, machine *worker.Machine, result worker.HeartbeatResult, source worker.StatusSource,
 ) {
 	info := s.capacity.info(machine)
 	s.capacity.markDirty(info)
 	if result == worker.HeartbeatNewIncarnation {
 		s.reconciler.startIncarnation(now, info)
 	}
-	s.reconciler.apply(now, info, report{machine: machine, heartbeat: fromHeartbeat})
+	s.reconciler.apply(now, info, report{machine: machine, source: source})
 }
 
 // Commands dispatches what is at the heads of a machine's queues and returns
--- a/internal/placement/reconciliation.go
+++ b/internal/placement/reconciliation.go
@@ -8,9 +8,7 @@
 // report is what a machine has reported, and the message in which it did.
 type report struct {
 	machine *worker.Machine
-	// heartbeat: the report came in a heartbeat, and not in the response to a
-	// direct command.
-	heartbeat bool
+	source  worker.StatusSource
 }
 
 // assignedFinding is what a report shows of a task that is assigned to the machine.
@@ -58,7 +56,7 @@
 	case !d.commandSent:
 		return false
 	}
-	seenSince := from.heartbeat && (d.commandSeq == 0 || from.machine.Sequence > d.commandSeq)
+	seenSince := from.source == worker.FromHeartbeat && (d.commandSeq == 0 || from.machine.Sequence > d.commandSeq)
 	return !seenSince
 }
 
--- a/internal/placement/reconciliation_test.go
+++ b/internal/placement/reconciliation_test.go
@@ -14,91 +14,93 @@
 // assignedCase is what is known of an assigned task with attempt 1, and what
 // its machine reports of it.
 type assignedCase struct {
-	name          string
-	phase         Phase
-	delivery      commandDelivery
-	reported      *wire.TaskStatus // nil: nothing under the task's name
-	fromHeartbeat bool
-	want          assignedFinding
+	name     string
+	phase    Phase
+	delivery commandDelivery
+	reported *wire.TaskStatus // nil: nothing under the task's name
+	source   worker.StatusSource
+	want     assignedFinding
 }
 
 var assignedCases = []assignedCase{
 	{
-		name:          "it runs",
-		phase:         Dispatched,
-		delivery:      commandDelivery{commandSent: true, commandSeq: 4},
-		reported:      &wire.TaskStatus{Attempt: 1, State: wire.TaskRunning},
-		fromHeartbeat: true,
-		want:          assignedPresent,
+		name:     "it runs",
+		phase:    Dispatched,
+		delivery: commandDelivery{commandSent: true, commandSeq: 4},
+		reported: &wire.TaskStatus{Attempt: 1, State: wire.TaskRunning},
+		source:   worker.FromHeartbeat,
+		want:     assignedPresent,
 	},
 	{
-		name:          "it has exited",
-		phase:         Active,
-		delivery:      commandDelivery{reported: true, commandSent: true},
-		reported:      &wire.TaskStatus{Attempt: 1, State: wire.TaskExited, ExitReason: wire.ExitDone},
-		fromHeartbeat: true,
-		want:          assignedExited,
+		name:     "it has exited",
+		phase:    Active,
+		delivery: commandDelivery{reported: true, commandSent: true},
+		reported: &wire.TaskStatus{Attempt: 1, State: wire.TaskExited, ExitReason: wire.ExitDone},
+		source:   worker.FromHeartbeat,
+		want:     assignedExited,
 	},
 	{
-		name:          "it was reported, and is not any more",
-		phase:         Active,
-		delivery:      commandDelivery{reported: true, commandSent: true},
-		fromHeartbeat: true,
-		want:          assignedLost,
+		name:     "it was reported, and is not any more",
+		phase:    Active,
+		delivery: commandDelivery{reported: true, commandSent: true},
+		source:   worker.FromHeartbeat,
+		want:     assignedLost,
 	},
 	{
-		name:          "another attempt is reported in its place",
-		phase:         Active,
-		delivery:      commandDelivery{reported: true, commandSent: true},
-		reported:      &wire.TaskStatus{Attempt: 2, State: wire.TaskRunning},
-		fromHeartbeat: true,
-		want:          assignedLost,
+		name:     "another attempt is reported in its place",
+		phase:    Active,
+		delivery: commandDelivery{reported: true, commandSent: true},
+		reported: &wire.TaskStatus{Attempt: 2, State: wire.TaskRunning},
+		source:   worker.FromHeartbeat,
+		want:     assignedLost,
 	},
 	{
-		name:          "it is still to start",
-		phase:         Dispatched,
-		delivery:      commandDelivery{commandSent: true, commandSeq: 4},
-		fromHeartbeat: true,
-		want:          assignedInFlight,
+		name:     "it is still to start",
+		phase:    Dispatched,
+		delivery: commandDelivery{commandSent: true, commandSeq: 4},
+		source:   worker.FromHeartbeat,
+		want:     assignedInFlight,
 	},
 	{
-		name:  "stopped before the command to run it was sent",
-		phase: Stopping,
-		want:  assignedNeverStarted,
+		name:   "stopped before the command to run it was sent",
+		phase:  Stopping,
+		source: worker.FromCommandReply,
+		want:   assignedNeverStarted,
 	},
 	{
-		name:          "stopped, and a later heartbeat than the one with the command does not show it",
-		phase:         Stopping,
-		delivery:      commandDelivery{commandSent: true, commandSeq: reportSequence - 1},
-		fromHeartbeat: true,
-		want:          assignedNeverStarted,
+		name:     "stopped, and a later heartbeat than the one with the command does not show it",
+		phase:    Stopping,
+		delivery: commandDelivery{commandSent: true, commandSeq: reportSequence - 1},
+		source:   worker.FromHeartbeat,
+		want:     assignedNeverStarted,
 	},
 	{
-		name:          "stopped, and the command went out in the reply to this heartbeat",
-		phase:         Stopping,
-		delivery:      commandDelivery{commandSent: true, commandSeq: reportSequence},
-		fromHeartbeat: true,
-		want:          assignedInFlight,
+		name:     "stopped, and the command went out in the reply to this heartbeat",
+		phase:    Stopping,
+		delivery: commandDelivery{commandSent: true, commandSeq: reportSequence},
+		source:   worker.FromHeartbeat,
+		want:     assignedInFlight,
 	},
 	{
 		name:     "stopped, and only the response to another command does not show it",
 		phase:    Stopping,
 		delivery: commandDelivery{commandSent: true, commandSeq: reportSequence - 1},
+		source:   worker.FromCommandReply,
 		want:     assignedInFlight,
 	},
 	{
-		name:          "stopped, and a direct command to run it was not answered",
-		phase:         Stopping,
-		delivery:      commandDelivery{commandSent: true, unansweredCommands: 1},
-		fromHeartbeat: true,
-		want:          assignedInFlight,
+		name:     "stopped, and a direct command to run it was not answered",
+		phase:    Stopping,
+		delivery: commandDelivery{commandSent: true, unansweredCommands: 1},
+		source:   worker.FromHeartbeat,
+		want:     assignedInFlight,
 	},
 	{
-		name:          "stopped, and the direct command to run it was settled",
-		phase:         Stopping,
-		delivery:      commandDelivery{commandSent: true},
-		fromHeartbeat: true,
-		want:          assignedNeverStarted,
+		name:     "stopped, and the direct command to run it was settled",
+		phase:    Stopping,
+		delivery: commandDelivery{commandSent: true},
+		source:   worker.FromHeartbeat,
+		want:     assignedNeverStarted,
 	},
 }
 
@@ -106,8 +108,9 @@
 	for _, c := range assignedCases {
 		t.Run(c.name, func(t *testing.T) {
 			machine := &worker.Machine{Liveness: worker.Liveness{Sequence: reportSequence}}
-			task := &Task{phase: c.phase, assignment: assignment{machine: machine, attempt: 1, commandDelivery: c.delivery}}
-			got := reconcileAssigned(task, c.reported, report{machine: machine, heartbeat: c.fromHeartbeat})
+			task := &Task{phase: c.phase}
+			task.assignment = assignment{machine: machine, attempt: 1, commandDelivery: c.delivery}
+			got := reconcileAssigned(task, c.reported, report{machine: machine, source: c.source})
 			if got != c.want {
 				t.Errorf("finding %d, want %d", got, c.want)
 			}
--- a/internal/term/completion_bitmaps_test.go
+++ b/internal/term/completion_bitmaps_test.go
@@ -129,7 +129,7 @@
 			ExitReason: wire.ExitDone,
 		})
 	}
-	scheduler.ReconcileHeartbeat(time.Unix(0, 0), m, worker.HeartbeatCurrent, true)
+	scheduler.ReconcileHeartbeat(time.Unix(0, 0), m, worker.HeartbeatCurrent, worker.FromHeartbeat)
 }
 
 // singleJobScheduler is a scheduler with one job.
--- a/internal/term/heartbeats.go
+++ b/internal/term/heartbeats.go
@@ -118,7 +118,7 @@
 		return true
 	}
 	hadUnknownTasks := machine.HasUnknownTasks
-	t.scheduler.ReconcileHeartbeat(now, machine, verdict, source == worker.FromHeartbeat)
+	t.scheduler.ReconcileHeartbeat(now, machine, verdict, source)
 	if machine.HasUnknownTasks && !hadUnknownTasks {
 		t.reserveUnknown() // before anything is scheduled
 	}
--- a/internal/term/recovery.go
+++ b/internal/term/recovery.go
@@ -116,7 +116,7 @@
 	t.setState(now, Fencing, "records read")
 	for _, machine := range slices.Clone(t.workers.All()) {
 		if machine.State == worker.Up {
-			t.scheduler.ReconcileHeartbeat(now, machine, worker.HeartbeatCurrent, false)
+			t.scheduler.ReconcileHeartbeat(now, machine, worker.HeartbeatCurrent, worker.FromCommandReply)
 		}
 	}
 	// A heartbeat may come, and a task be scheduled, before the next tick.
