--- a/internal/placement/scheduling_pass.go
+++ b/internal/placement/scheduling_pass.go
@@ -20,14 +20,6 @@
 	cachedImage imageRequirement = true // only machines that have the task's image
 )
 
-// passState is what a scheduling pass has done so far.
-type passState struct {
-	gangsWithoutRoom int
-	gangsPlaced      int
-	arrayTasksQueued int
-	blockingGang     *Job // the gang before which no other of its priority is placed
-}
-
 // Schedule runs a scheduling pass: it goes through the pending tasks in order,
 // queues the copies of arrays' tasks, places gangs and services, and reschedules
 // what is stuck. It does nothing while nothing has changed.
@@ -35,24 +27,37 @@
 	due := !now.Before(s.nextPassDue)
 	if due {
 		s.nextPassDue = now.Add(tuning.PassInterval)
-		s.handlePreemptionNotices(now)
-		s.rescheduleStuck(now)
+		s.rescheduler.handlePreemptionNotices(now)
+		s.rescheduler.rescheduleStuck(now)
 	}
-	if gained := s.refreshCapacity(now); !gained && !due && !s.capacity.fullPassNeeded {
+	if gained := s.capacity.refresh(now); !gained && !due && !s.pass.fullPassNeeded {
 		return
 	}
-	s.capacity.fullPassNeeded = false
-	s.pass = passState{}
-	for _, tier := range s.priorityTiers(now) {
+	s.pass.begin()
+	s.refreshOrder(now)
+	for _, tier := range s.queue.tiers {
 		s.scheduleTier(now, tier)
 	}
-	for _, job := range s.openJobs {
+	for _, job := range s.queue.open {
 		if job.IsGang() {
-			s.dispatchGang(now, job)
+			s.gangs.dispatch(now, job)
 		}
 	}
 }
 
+// refreshOrder sorts the open jobs if that is due, and brings up to date what
+// follows from the order.
+func (s *Scheduler) refreshOrder(now time.Time) {
+	if !s.queue.sortIfDue(now) {
+		return
+	}
+	s.capacity.setSmallestNeed(now, s.queue.smallestArrayNeed())
+	machinesByImage := s.capacity.machinesByImage()
+	for _, tier := range s.queue.tiers {
+		s.arrays.prepare(now, tier.jobs, machinesByImage)
+	}
+}
+
 // scheduleTier goes through the jobs of a tier: those within their teams'
 // guarantees first. In each of the two, room goes to a task whose image is
 // cached before one of a somewhat earlier position that would have it fetched.
@@ -84,36 +89,18 @@
 		return
 	case job.closed || now.Before(job.notBefore):
 		return
-	case !s.safeToStart(job):
+	case !s.markers.safeToStart(job):
 		s.setPendingReason(job, "its tasks may be on machines not heard yet")
 		return
-	case !s.canRequestStartMarker(job):
+	case !s.markers.canRequest(job):
 		return
 	}
 	switch {
 	case job.IsGang():
-		s.scheduleGang(now, job, filter.scope)
+		s.gangs.schedule(now, job, filter.scope)
 	case job.IsService():
-		s.scheduleService(now, job, filter.scope)
+		s.services.schedule(now, job, filter.scope)
 	default:
-		s.scheduleArray(now, job, filter)
-	}
-}
-
-// safeToStart reports whether a pending task of the job surely runs nowhere:
-// all machines have been reconciled, or no earlier term can have started any
-// of its tasks.
-func (s *Scheduler) safeToStart(job *Job) bool {
-	if s.reconciled || !job.FromEarlierTerm {
-		return true
-	}
-	return s.requestStartMarker != nil && !job.StartedInEarlierTerm
-}
-
-// setPendingReason notes why a job's tasks don't start, in words for its user.
-func (s *Scheduler) setPendingReason(job *Job, reason string) {
-	if job.pendingReason != reason {
-		job.pendingReason = reason
-		s.log.Debug("job pending", "job", job.Spec.ID, "reason", reason, "tasks", job.pendingTasks())
+		s.arrays.schedule(now, job, filter)
 	}
 }
