--- /dev/null
+++ b/internal/controller/simulation_cloud_test.go
@@ -0,0 +1,51 @@
+package controller
+
+import (
+	"time"
+
+	"juniperchute/internal/cloud"
+	"juniperchute/internal/tuning"
+)
+
+// CallCloud is part of Effects.
+func (e *simulatedEffects) CallCloud(c cloud.Call, then func(now time.Time, r cloud.Result)) {
+	at := cloudEffect
+	if c.Operation == cloud.DeleteMachines {
+		at = deleteEffect
+	}
+	if e.deferIfFrozen(at, func() { e.CallCloud(c, then) }) {
+		return
+	}
+	sim := e.node.sim
+	sim.recordCloudCall(e.node.name, c)
+	over := false
+	finish := func(r cloud.Result) {
+		if !over && e.current() {
+			over = true
+			e.node.whenRunning(func() { then(sim.clock.Now(), r) })
+		}
+	}
+	if !sim.clock.Now().Before(c.Deadline) {
+		sim.clock.Schedule(0, func() { finish(cloud.Result{}) })
+		return
+	}
+	if c.Operation == cloud.DeleteMachines {
+		e.checkLeaseValid("machines returned")
+	}
+	sim.clock.Schedule(tuning.CloudTimeout, func() { finish(cloud.Result{}) })
+	arrive := func() {
+		r := sim.cloud.Call(c)
+		sim.clock.Schedule(sim.lag(), func() { finish(r) })
+	}
+	roll := sim.rng.IntN(100)
+	if e.node.cloudCut || sim.randomMessageFaults && roll < 2 { // lost, or executed late
+		if sim.rng.IntN(2) == 0 {
+			sim.clock.Schedule(time.Duration(5+sim.rng.IntN(60))*time.Second, arrive)
+		}
+		return
+	}
+	sim.clock.Schedule(100*time.Millisecond, arrive)
+	if sim.randomMessageFaults && roll < 6 { // carried out, and repeated late
+		sim.clock.Schedule(time.Duration(1+sim.rng.IntN(60))*time.Second, func() { sim.cloud.Call(c) })
+	}
+}
