--- a/internal/fleet/machine_types.go
+++ b/internal/fleet/machine_types.go
@@ -110,7 +110,10 @@
 		return
 	}
 	t.recorded[machineType.Name] = string(raw)
-	writer := t.store.newValue(machineTypePrefix+machineType.Name, 0, func(time.Time, int) {}, nil)
+	writer := t.store.newValue(store.DesiredValueOptions{
+		Key:       machineTypePrefix + machineType.Name,
+		OnDurable: func(time.Time, int) {},
+	})
 	writer.Set(record)
 	t.writers = append(t.writers, writer)
 	writer.Tick(now)
