--- a/internal/term/completion_bitmaps.go
+++ b/internal/term/completion_bitmaps.go
@@ -30,7 +30,7 @@
 	entries    map[string]map[string][]byte // by job and key, as last put or read
 }
 
-// bitmapKey names an entry of a job's tallies.
+// bitmapKey names an entry of a job's bitmaps.
 type bitmapKey struct {
 	job, key string
 	first    int // the entry's first task
@@ -38,21 +38,22 @@
 
 // newCompletionBitmaps makes an empty record; valueKB is the present limit for a value.
 func newCompletionBitmaps(pages *store.Pages, valueKB float64) *completionBitmaps {
-	t := &completionBitmaps{
+	b := &completionBitmaps{
 		pages:      pages,
 		chunkTasks: int(valueKB*1024) * tuning.CompletionBitsPerByte,
 		entries:    map[string]map[string][]byte{},
 	}
-	t.entryTasks = tasksPerEntry(pages.MaxEntryBytes())
-	pages.OnLimitLowered = t.splitLargeEntries
-	return t
+	b.entryTasks = tasksPerEntry(pages.MaxEntryBytes())
+	pages.OnLimitLowered = b.splitLargeEntries
+	return b
 }
 
 // tasksPerEntry is how many tasks an entry may hold that takes a page's size at most. Base64
 // takes four bytes for three.
 func tasksPerEntry(size int) int { return max(1, (size-tuning.CompletionNameBytes)*3/4) * 8 }
 
-func completionPrefix(block int) string { return "t/" + strconv.Itoa(block) + "/" }
+// completionPrefix is the key prefix of the pages of a shard's completion bitmaps.
+func completionPrefix(shard int) string { return "t/" + strconv.Itoa(shard) + "/" }
 
 // bitmapRange is a range of a job's tasks that one entry holds.
 type bitmapRange struct {
@@ -62,15 +63,15 @@
 
 // layout lists the entries that hold a job's tasks: each chunk whole where it fits, as
 // earlier versions keep it, otherwise in parts.
-func (t *completionBitmaps) layout(job string, tasks int) (out []bitmapRange) {
-	for first := 0; first < tasks; first += t.chunkTasks {
-		next := min(first+t.chunkTasks, tasks)
-		if next-first <= t.entryTasks {
-			out = append(out, bitmapRange{job + "/" + strconv.Itoa(first/t.chunkTasks), first, next})
+func (b *completionBitmaps) layout(job string, tasks int) (out []bitmapRange) {
+	for first := 0; first < tasks; first += b.chunkTasks {
+		next := min(first+b.chunkTasks, tasks)
+		if next-first <= b.entryTasks {
+			out = append(out, bitmapRange{job + "/" + strconv.Itoa(first/b.chunkTasks), first, next})
 			continue
 		}
-		for at := first; at < next; at += t.entryTasks {
-			out = append(out, bitmapRange{partKey(job, at), at, min(at+t.entryTasks, next)})
+		for at := first; at < next; at += b.entryTasks {
+			out = append(out, bitmapRange{partKey(job, at), at, min(at+b.entryTasks, next)})
 		}
 	}
 	return out
@@ -79,84 +80,84 @@
 func partKey(job string, first int) string { return job + "/@" + strconv.Itoa(first) }
 
 // firstTask is the first task of the entry with a key.
-func (t *completionBitmaps) firstTask(num string) (int, bool) {
-	if at, ok := strings.CutPrefix(num, "@"); ok {
+func (b *completionBitmaps) firstTask(part string) (int, bool) {
+	if at, ok := strings.CutPrefix(part, "@"); ok {
 		n, err := strconv.Atoi(at)
 		return n, err == nil && n >= 0
 	}
-	n, err := strconv.Atoi(num)
-	return n * t.chunkTasks, err == nil && n >= 0 && n <= wire.MaxTasksPerJob
+	n, err := strconv.Atoi(part)
+	return n * b.chunkTasks, err == nil && n >= 0 && n <= wire.MaxTasksPerJob
 }
 
-// put enters an entry in its page; then is told once it is durable.
-func (t *completionBitmaps) put(k bitmapKey, bits []byte, then func(now time.Time)) {
-	t.remember(k, bits)
-	t.pages.Put(k.key, bits, then)
+// put writes an entry to its page; then is called once it is durable.
+func (b *completionBitmaps) put(k bitmapKey, bits []byte, then func(now time.Time)) {
+	b.remember(k, bits)
+	b.pages.Put(k.key, bits, then)
 }
 
-func (t *completionBitmaps) remember(k bitmapKey, bits []byte) {
-	if t.entries[k.job] == nil {
-		t.entries[k.job] = map[string][]byte{}
+func (b *completionBitmaps) remember(k bitmapKey, bits []byte) {
+	if b.entries[k.job] == nil {
+		b.entries[k.job] = map[string][]byte{}
 	}
-	t.entries[k.job][k.key] = bits
+	b.entries[k.job][k.key] = bits
 }
 
-// load takes over what an earlier tenure wrote; job finds an open job.
-func (t *completionBitmaps) load(items []wire.KeyValue, job func(id string) *placement.Job) {
-	t.pages.Load(items, func(key string, raw json.RawMessage) {
-		id, num, _ := strings.Cut(key, "/")
-		first, ok := t.firstTask(num)
-		j := job(id)
+// load recovers what an earlier term wrote; openJob finds an open job. Entries of jobs that
+// have ended are deleted.
+func (b *completionBitmaps) load(pages []wire.KeyValue, openJob func(id string) *placement.Job) {
+	b.pages.Load(pages, func(key string, raw json.RawMessage) {
+		id, part, _ := strings.Cut(key, "/")
+		first, ok := b.firstTask(part)
+		job := openJob(id)
 		var bits []byte
-		if j == nil || !ok || json.Unmarshal(raw, &bits) != nil {
-			t.pages.Delete(key)
+		if job == nil || !ok || json.Unmarshal(raw, &bits) != nil {
+			b.pages.Delete(key)
 			return
 		}
-		t.remember(bitmapKey{id, key, first}, bits)
-		recoverTasks(j, first, bits)
+		b.remember(bitmapKey{id, key, first}, bits)
+		recoverTasks(job, first, bits)
 	})
-	t.splitLargeEntries()
+	b.splitLargeEntries()
 }
 
-// recoverTasks marks a job's tasks as durably done that an entry tells of.
-func recoverTasks(j *placement.Job, first int, bits []byte) {
-	for i, b := range bits {
-		for k := range 8 {
-			if b&(1<<k) != 0 {
-				j.RestoreCompleted(first + i*8 + k)
+// recoverTasks marks the tasks as durably completed whose bits are set.
+func recoverTasks(job *placement.Job, first int, bits []byte) {
+	for i, octet := range bits {
+		for bit := range 8 {
+			if octet&(1<<bit) != 0 {
+				job.RestoreCompleted(first + i*8 + bit)
 			}
 		}
 	}
 }
 
-// splitLargeEntries puts entries that are larger than a page may be in smaller ones. The page's size
-// may have become smaller because the service refused one.
-func (t *completionBitmaps) splitLargeEntries() {
-	t.entryTasks = tasksPerEntry(t.pages.MaxEntryBytes())
+// splitLargeEntries divides entries that are larger than a page may be. The size of pages may
+// have become smaller because the service rejected one.
+func (b *completionBitmaps) splitLargeEntries() {
+	b.entryTasks = tasksPerEntry(b.pages.MaxEntryBytes())
 	var large []bitmapKey
-	for job, entries := range t.entries {
+	for job, entries := range b.entries {
 		for key, bits := range entries {
 			_, num, _ := strings.Cut(key, "/")
-			if first, ok := t.firstTask(num); ok && len(bits)*8 > t.entryTasks {
+			if first, ok := b.firstTask(num); ok && len(bits)*8 > b.entryTasks {
 				large = append(large, bitmapKey{job, key, first})
 			}
 		}
 	}
-	slices.SortFunc(large, func(a, b bitmapKey) int { return cmp.Compare(a.key, b.key) })
+	slices.SortFunc(large, func(one, other bitmapKey) int { return cmp.Compare(one.key, other.key) })
 	for _, k := range large {
-		t.splitEntry(k, t.entries[k.job][k.key])
+		b.splitEntry(k, b.entries[k.job][k.key])
 	}
 }
 
-// splitEntry puts an entry in parts. It stays as it is until the parts after the first
-// are durable: what is read after a holder's end may tell of a task twice, and never not
-// at all.
-func (t *completionBitmaps) splitEntry(k bitmapKey, bits []byte) {
-	step := t.entryTasks / 8
+// splitEntry divides an entry into parts. It stays as it is until the parts after the first
+// are durable: a successor may read a task twice, and never not at all.
+func (b *completionBitmaps) splitEntry(k bitmapKey, bits []byte) {
+	step := b.entryTasks / 8
 	left := 1
 	durable := func(time.Time) {
 		if left--; left == 0 {
-			t.trimEntry(k, step)
+			b.trimEntry(k, step)
 		}
 	}
 	for at := 0; at < len(bits); at += step {
@@ -164,48 +165,48 @@
 		part := bitmapKey{k.job, partKey(k.job, first), first}
 		if part.key != k.key {
 			left++
-			t.put(part, bits[at:min(len(bits), at+step)], durable)
+			b.put(part, bits[at:min(len(bits), at+step)], durable)
 		}
 	}
 	durable(time.Time{})
 }
 
-// trimEntry takes what other entries hold by now off an entry: all of it, or all but the
+// trimEntry removes what other entries hold by now from an entry: all of it, or all but the
 // first part where that has the same key.
-func (t *completionBitmaps) trimEntry(k bitmapKey, step int) {
-	bits, open := t.entries[k.job][k.key] // newer completions may have been added
+func (b *completionBitmaps) trimEntry(k bitmapKey, step int) {
+	bits, open := b.entries[k.job][k.key] // newer completions may have been added
 	switch {
 	case !open:
 	case k.key != partKey(k.job, k.first):
-		t.pages.Delete(k.key)
-		delete(t.entries[k.job], k.key)
+		b.pages.Delete(k.key)
+		delete(b.entries[k.job], k.key)
 	case len(bits) > step:
-		t.put(k, bits[:step], func(time.Time) {})
+		b.put(k, bits[:step], func(time.Time) {})
 	}
 }
 
-// save enters a job's completions; job finds it again once they are durable.
-func (t *completionBitmaps) save(j *placement.Job, job func(id string) *placement.Job) {
-	id := j.Spec.ID
-	for _, e := range t.layout(id, j.Spec.Tasks) {
-		fresh, bits := j.UnsavedCompletions(e.first, e.next)
-		if len(fresh) == 0 {
+// save records a job's completions; openJob finds the job again once they are durable.
+func (b *completionBitmaps) save(job *placement.Job, openJob func(id string) *placement.Job) {
+	id := job.Spec.ID
+	for _, entry := range b.layout(id, job.Spec.Tasks) {
+		unsaved, bits := job.UnsavedCompletions(entry.first, entry.next)
+		if len(unsaved) == 0 {
 			continue
 		}
-		t.put(bitmapKey{id, e.key, e.first}, bits, func(time.Time) {
-			if j := job(id); j != nil {
-				for _, n := range fresh {
-					j.MarkDurable(n)
+		b.put(bitmapKey{id, entry.key, entry.first}, bits, func(time.Time) {
+			if job := openJob(id); job != nil {
+				for _, task := range unsaved {
+					job.MarkDurable(task)
 				}
 			}
 		})
 	}
 }
 
-// forget removes a job that is over.
-func (t *completionBitmaps) forget(id string) {
-	for key := range t.entries[id] {
-		t.pages.Delete(key)
+// forget removes a job that has ended.
+func (b *completionBitmaps) forget(id string) {
+	for key := range b.entries[id] {
+		b.pages.Delete(key)
 	}
-	delete(t.entries, id)
+	delete(b.entries, id)
 }
