--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -22,7 +22,7 @@
 // forwardCancellations sends a lease holder the cancellations that it has not acknowledged.
 // One message at a time: what comes up meanwhile goes with the next.
 func (c *Controller) forwardCancellations(now time.Time, holder string) {
-	if c.peers[holder] == nil || c.forwardingTo[holder] {
+	if c.peers.byName[holder] == nil || c.peers.forwardingTo[holder] {
 		return
 	}
 	sent, _ := c.cancellationLog.Pending(now, c.tokens())
@@ -30,9 +30,9 @@
 		return
 	}
 	newest := sent[len(sent)-1]
-	c.forwardingTo[holder] = true
+	c.peers.forwardingTo[holder] = true
 	c.exchange(now, holder, func(now time.Time) {
-		c.forwardingTo[holder] = false
+		c.peers.forwardingTo[holder] = false
 		pending, _ := c.cancellationLog.Pending(now, c.tokens())
 		if len(pending) > 0 && pending[len(pending)-1] != newest {
 			c.forwardCancellations(now, holder)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -17,7 +17,6 @@
 	"juniperchute/internal/config"
 	"juniperchute/internal/fleet"
 	"juniperchute/internal/leader"
-	"juniperchute/internal/peer/peerpb"
 	"juniperchute/internal/store"
 	"juniperchute/internal/submission"
 	"juniperchute/internal/term"
@@ -39,9 +38,8 @@
 	options     Options
 	environment Environment
 
-	processID uint64    // drawn at the start: tells this process from others of its name
-	startedAt time.Time // of its first tick
-	timers    []timer
+	process processIdentity
+	timers  []timer
 
 	membership  *leader.Membership
 	submissions *submission.Service
@@ -55,12 +53,15 @@
 	provisionRequests *store.WatchCache
 	shardOfMachine    map[string]int // by the provision requests that name the machines
 
-	peers           map[string]*peerStatus
-	peerHeartbeatAt time.Time                  // when the next exchange begins
-	leaseClaims     map[int]*peerpb.LeaseClaim // the highest token that peers know of each shard
-	progressQueries map[int]*progressQueue
+	peers           peerGroup
+	progressQueries map[int]*progressQueue // by shard
 	cancellationLog *submission.CancellationLog
-	forwardingTo    map[string]bool // members that cancellations are being forwarded to
+}
+
+// processIdentity tells this process from others of the member's name.
+type processIdentity struct {
+	id        uint64    // drawn at the start
+	startedAt time.Time // its first tick; zero before
 }
 
 // timer is a function to run on the owner goroutine at some time.
@@ -80,15 +81,13 @@
 func NewController(cfg *config.Config, options Options, environment Environment) *Controller {
 	c := &Controller{
 		config: cfg, options: options, environment: environment,
-		processID:       environment.Rand.Uint64() | 1,
+		process:         processIdentity{id: environment.Rand.Uint64() | 1},
 		terms:           map[int]*term.Term{},
 		settings:        admin.Defaults(),
 		machines:        machineTypes{byName: map[string]wire.MachineType{}, records: map[string]string{}},
 		shardOfMachine:  map[string]int{},
-		peers:           map[string]*peerStatus{},
-		leaseClaims:     map[int]*peerpb.LeaseClaim{},
+		peers:           newPeerGroup(cfg.Peers),
 		progressQueries: map[int]*progressQueue{},
-		forwardingTo:    map[string]bool{},
 	}
 	c.cancellationLog = submission.NewCancellationLog(options.Shards,
 		config.Seconds(cfg.Platform.Workers.CancelS), cfg.Platform.State.WriteRPS)
@@ -122,9 +121,6 @@
 		QueryProgress:      c.jobProgress,
 		RecordCancellation: c.recordCancellation,
 	})
-	for _, peer := range cfg.Peers {
-		c.peers[peer.Member] = &peerStatus{}
-	}
 	return c
 }
 
@@ -212,8 +208,8 @@
 
 // Tick starts what is due.
 func (c *Controller) Tick(now time.Time) {
-	if c.startedAt.IsZero() {
-		c.startedAt = now
+	if c.process.startedAt.IsZero() {
+		c.process.startedAt = now
 	}
 	c.membership.Tick(now)
 	c.runTimers(now)
@@ -230,8 +226,8 @@
 			t.Tick(now)
 		}
 	}
-	if !now.Before(c.peerHeartbeatAt) {
-		c.peerHeartbeatAt = now.Add(tuning.PeerHeartbeatInterval)
+	if !now.Before(c.peers.heartbeatAt) {
+		c.peers.heartbeatAt = now.Add(tuning.PeerHeartbeatInterval)
 		c.sendHeartbeats(now)
 	}
 }
@@ -246,8 +242,8 @@
 	if c.stateUnreachableFor(now) < tuning.IsolatedAfter+tuning.WatchTimeout {
 		return true
 	}
-	alone := len(c.peers) > 0
-	for _, peer := range c.peers {
+	alone := len(c.peers.byName) > 0
+	for _, peer := range c.peers.byName {
 		if !peer.live(now) {
 			continue
 		}
--- a/internal/controller/peer_heartbeat.go
+++ b/internal/controller/peer_heartbeat.go
@@ -4,11 +4,32 @@
 	"time"
 
 	"juniperchute/internal/admin"
+	"juniperchute/internal/config"
 	"juniperchute/internal/peer/peerpb"
 	"juniperchute/internal/term"
 	"juniperchute/internal/tuning"
 )
 
+// peerGroup is what this controller knows of the others, and from them.
+type peerGroup struct {
+	byName       map[string]*peerStatus
+	heartbeatAt  time.Time                  // when the next exchange begins
+	claims       map[int]*peerpb.LeaseClaim // the highest token that peers know of each shard
+	forwardingTo map[string]bool            // members that cancellations are being forwarded to
+}
+
+func newPeerGroup(peers []config.Peer) peerGroup {
+	group := peerGroup{
+		byName:       map[string]*peerStatus{},
+		claims:       map[int]*peerpb.LeaseClaim{},
+		forwardingTo: map[string]bool{},
+	}
+	for _, peer := range peers {
+		group.byName[peer.Member] = &peerStatus{}
+	}
+	return group
+}
+
 // peerStatus is what this controller knows of another one.
 type peerStatus struct {
 	lastHeartbeat       time.Time     // when it arrived
@@ -67,16 +88,16 @@
 	heartbeat := &peerpb.PeerHeartbeat{
 		Member:            c.config.Member,
 		StateContactAgeMs: c.stateUnreachableFor(now).Milliseconds(),
-		Process:           c.processID,
+		Process:           c.process.id,
 		Version:           admin.Version(),
 		Claims:            c.claims(),
 	}
-	if !c.startedAt.IsZero() {
-		up := now.Sub(c.startedAt)
+	if !c.process.startedAt.IsZero() {
+		up := now.Sub(c.process.startedAt)
 		heartbeat.UpMs, heartbeat.ClockNs = up.Milliseconds(), int64(up)
 	}
 	heartbeat.Cancelled, heartbeat.CancellationsComplete = c.cancellationLog.Pending(now, c.tokens())
-	if peer := c.peers[to]; peer != nil {
+	if peer := c.peers.byName[to]; peer != nil {
 		heartbeat.EchoProcess, heartbeat.EchoNs = peer.processID, peer.clockNs
 		heartbeat.AcknowledgedCancelled = peer.unacknowledged
 		peer.unacknowledged = nil
@@ -111,7 +132,7 @@
 }
 
 func (c *Controller) applyPeerHeartbeat(now time.Time, member string, heartbeat *peerpb.PeerHeartbeat) {
-	if peer := c.peers[member]; peer != nil {
+	if peer := c.peers.byName[member]; peer != nil {
 		peer.apply(now, heartbeat)
 	}
 	for _, t := range c.terms {
@@ -144,8 +165,8 @@
 	if claim.Holder == heartbeat.Member {
 		c.cancellationLog.Acknowledge(heartbeat.AcknowledgedCancelled, shard, claim.Token)
 	}
-	if old := c.leaseClaims[shard]; old == nil || claim.Token > old.Token {
-		c.leaseClaims[shard] = claim
+	if old := c.peers.claims[shard]; old == nil || claim.Token > old.Token {
+		c.peers.claims[shard] = claim
 	}
 	t := c.liveTerm(shard)
 	switch {
@@ -163,12 +184,12 @@
 // after that was sent; any other heartbeat may have been held back.
 func (c *Controller) acknowledgeCancellations(now time.Time, t *term.Term, member string,
 	heartbeat *peerpb.PeerHeartbeat) {
-	echoes := heartbeat.EchoProcess == c.processID
-	if c.peers[member] == nil || !heartbeat.CancellationsComplete || !echoes {
+	echoes := heartbeat.EchoProcess == c.process.id
+	if c.peers.byName[member] == nil || !heartbeat.CancellationsComplete || !echoes {
 		return
 	}
 	up := time.Duration(heartbeat.UpMs) * time.Millisecond
 	drift := time.Duration(float64(up) * 2 * tuning.MaxClockDrift)
-	until := c.startedAt.Add(time.Duration(heartbeat.EchoNs))
+	until := c.process.startedAt.Add(time.Duration(heartbeat.EchoNs))
 	t.AcknowledgeCancellations(member, heartbeat.Process, now.Add(-up+drift), until)
 }
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -31,7 +31,7 @@
 		return
 	}
 	holder, _, live := c.holderOf(shard)
-	if !live || c.peers[holder] == nil {
+	if !live || c.peers.byName[holder] == nil {
 		reply(now, submission.Progress{})
 		return
 	}
--- a/internal/controller/routing.go
+++ b/internal/controller/routing.go
@@ -61,7 +61,7 @@
 // leases end.
 func (c *Controller) holderOf(shard int) (member string, token uint64, live bool) {
 	member, token, live = c.membership.Holder(shard)
-	if claim := c.leaseClaims[shard]; claim != nil && claim.Token > token {
+	if claim := c.peers.claims[shard]; claim != nil && claim.Token > token {
 		return claim.Holder, claim.Token, claim.Holder != ""
 	}
 	return member, token, live
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -19,7 +19,7 @@
 		Claims:   c.claims(),
 		Versions: map[string]string{c.config.Member: admin.Version()},
 	}
-	for name, peer := range c.peers {
+	for name, peer := range c.peers.byName {
 		if peer.live(now) {
 			out.Versions[name] = peer.version
 		}
