--- a/internal/placement/copies_test.go
+++ b/internal/placement/copies_test.go
@@ -124,3 +124,28 @@
 		t.Error("the task is lost or counted twice")
 	}
 }
+
+// A backup waits while a primary is queued at its machine, even one that may
+// not start yet and beside which there is room (the paper's section III).
+func TestBackupWaitsForQueuedPrimary(t *testing.T) {
+	h := newHarness(t, 2)
+	stuck, machine := h.registry.All()[0], h.registry.All()[1]
+	task := h.addJob("blue", wire.ShapeBatch, "low", 1, 1).addTask(0)
+	primary := h.addJob("red", wire.ShapeBatch, "low", 1, 1).addTask(0)
+	queues, dispatcher := h.scheduler.queues, h.scheduler.dispatcher
+	queues.queuePrimary(h.now, task, stuck)
+	queues.queueBackup(task, machine)
+	queues.queuePrimary(h.now, primary, machine)
+	stuck.Allocated = stuck.Capacity
+	h.scheduler.ledger.SetUnknownUsage(quota.Resources{GPUs: 4}) // the team red is at its limit
+	h.now = h.now.Add(3 * time.Second)
+	dispatcher.dispatchQueueHeads(h.now, machine)
+	if task.phase != Unassigned || primary.phase != Unassigned {
+		t.Fatalf("backup %v, primary %v while the primary is queued", task.phase, primary.phase)
+	}
+	queues.withdrawCopies(primary)
+	dispatcher.dispatchQueueHeads(h.now, machine)
+	if task.phase != Dispatched {
+		t.Errorf("backup %v after the primary was withdrawn", task.phase)
+	}
+}
--- a/internal/placement/reconciliation_test.go
+++ b/internal/placement/reconciliation_test.go
@@ -244,3 +244,24 @@
 	}
 	return job
 }
+
+// A task that its machine no longer reports is pending again.
+func TestLostTaskIsPendingAgain(t *testing.T) {
+	h := newHarness(t, 1)
+	machine := h.registry.All()[0]
+	job := h.addJob("blue", wire.ShapeBatch, "low", 1, 1)
+	h.scheduler.Schedule(h.now)
+	h.heartbeats(2)
+	if job.RunningTasks() != 1 {
+		t.Fatal("not running")
+	}
+	attempt := job.tasks[0].attempt
+	h.applyHeartbeat(machine, h.newHeartbeat(machine), worker.FromHeartbeat)
+	if job.assigned != 0 || job.pendingTasks() != 1 {
+		t.Fatalf("%d assigned, %d pending", job.assigned, job.pendingTasks())
+	}
+	h.heartbeats(1)
+	if job.assigned != 1 || job.tasks[0].attempt <= attempt {
+		t.Errorf("%d assigned again", job.assigned)
+	}
+}
--- a/internal/placement/scheduler.go
+++ b/internal/placement/scheduler.go
@@ -30,6 +30,9 @@
 
 // Scheduler is the placement of one shard's tasks in one term. It wires the
 // parts of which each does one job, and runs the scheduling passes.
+//
+// Settings, which may be changed at any time, Counters and
+// AttemptNumbersExhausted are fields of its embedded parts.
 type Scheduler struct {
 	*environment
 	*attemptNumbers
