--- a/internal/controller/cancellation_outage_test.go
+++ b/internal/controller/cancellation_outage_test.go
@@ -146,7 +146,7 @@
 	for _, id := range s.machineNames() {
 		s.incarnations[id] = s.machines[id].Incarnation
 		for _, task := range s.machines[id].Tasks {
-			if task.Job.RunTime == longRunTime && task.Stage == wire.TaskRunning {
+			if task.Job.RunTime == longRunTime && task.State == wire.TaskRunning {
 				running++
 			}
 		}
--- a/internal/controller/fault_combinations_users_test.go
+++ b/internal/controller/fault_combinations_users_test.go
@@ -23,8 +23,8 @@
 func (s *faultScenario) prolongLaterTasks(job *standin.Job) {
 	for _, id := range s.machineNames() {
 		for _, task := range s.machines[id].Tasks {
-			if task.Job == job && task.Index > 0 && task.Stage == wire.TaskRunning {
-				task.StageEnds = s.clock.Now().Add(s.randomMillis(10000, 30000))
+			if task.Job == job && task.Index > 0 && task.State == wire.TaskRunning {
+				task.StateEndsAt = s.clock.Now().Add(s.randomMillis(10000, 30000))
 			}
 		}
 	}
--- a/internal/controller/unreadable_test.go
+++ b/internal/controller/unreadable_test.go
@@ -178,7 +178,7 @@
 	running := map[*standin.Job]int{}
 	for _, m := range sim.machines {
 		for _, task := range m.Tasks {
-			if task.Stage == wire.TaskRunning {
+			if task.State == wire.TaskRunning {
 				running[task.Job]++
 			}
 		}
--- a/internal/integration/upgrade_test.go
+++ b/internal/integration/upgrade_test.go
@@ -205,7 +205,7 @@
 	replicas := func() (hosts []string) {
 		for name, w := range u.cluster.Workers {
 			for _, t := range w.Tasks {
-				if t.Job == service && t.Stage == wire.TaskRunning {
+				if t.Job == service && t.State == wire.TaskRunning {
 					hosts = append(hosts, name)
 				}
 			}
--- a/internal/standin/task.go
+++ b/internal/standin/task.go
@@ -10,23 +10,23 @@
 
 // Task is one attempt of a task on a worker.
 type Task struct {
-	Job       *Job
-	Index     int
-	Attempt   uint64
-	Stage     string
-	Cause     string
-	Stored    bool
-	StageEnds time.Time // the end of what it is doing
+	Job             *Job
+	Index           int
+	Attempt         uint64
+	State           string
+	ExitReason      string
+	CheckpointSaved bool
+	StateEndsAt     time.Time // the end of what it is doing
 
 	peerLostAt time.Time // when a gang's task found another one gone; zero: not
 }
 
 // OnMachine tells whether the task takes room on its machine.
-func (t *Task) OnMachine() bool { return t.Stage != wire.TaskExited }
+func (t *Task) OnMachine() bool { return t.State != wire.TaskExited }
 
 // advance lets a task go on with what it is doing.
 func (w *Worker) advance(task *Task) {
-	switch task.Stage {
+	switch task.State {
 	case wire.TaskFetching:
 		w.advanceFetching(task)
 	case wire.TaskWaiting:
@@ -38,7 +38,7 @@
 
 func (w *Worker) advanceFetching(task *Task) {
 	now := w.cluster.Clock.Now()
-	if now.Before(task.StageEnds) {
+	if now.Before(task.StateEndsAt) {
 		return
 	}
 	w.Images[task.Job.Spec.Image] = true
@@ -49,9 +49,9 @@
 	case task.Job.Done[task.Index]:
 		w.exit(task, wire.ExitDone, false)
 	case task.Job.Spec.Shape == wire.ShapeGang:
-		task.Stage, task.StageEnds = wire.TaskWaiting, now.Add(config.Seconds(w.cluster.Config.Workers.GangWaitS))
+		task.State, task.StateEndsAt = wire.TaskWaiting, now.Add(config.Seconds(w.cluster.Config.Workers.GangWaitS))
 	default:
-		task.Stage, task.StageEnds = wire.TaskRunning, now.Add(task.Job.RunTime)
+		task.State, task.StateEndsAt = wire.TaskRunning, now.Add(task.Job.RunTime)
 	}
 }
 
@@ -60,16 +60,16 @@
 	now := w.cluster.Clock.Now()
 	members := w.cluster.gangMembers(task)
 	if len(members) < task.Job.Spec.Tasks {
-		if now.After(task.StageEnds) {
+		if now.After(task.StateEndsAt) {
 			w.exit(task, wire.ExitGangWaitTimeout, false)
 		}
 		return
 	}
-	if slices.ContainsFunc(members, func(peer gangMember) bool { return peer.task.Stage != wire.TaskWaiting }) {
+	if slices.ContainsFunc(members, func(peer gangMember) bool { return peer.task.State != wire.TaskWaiting }) {
 		return
 	}
 	for _, peer := range members {
-		peer.task.Stage, peer.task.StageEnds = wire.TaskRunning, now.Add(task.Job.RunTime)
+		peer.task.State, peer.task.StateEndsAt = wire.TaskRunning, now.Add(task.Job.RunTime)
 		peer.worker.heartbeatRequested = true
 	}
 }
@@ -85,13 +85,13 @@
 			w.exit(task, wire.ExitGangMemberLost, false)
 			return
 		}
-		if task.Stage == wire.TaskRunning {
+		if task.State == wire.TaskRunning {
 			return
 		}
 	}
 	switch {
-	case now.Before(task.StageEnds):
-	case task.Stage == wire.TaskSaving:
+	case now.Before(task.StateEndsAt):
+	case task.State == wire.TaskSaving:
 		w.exit(task, wire.ExitStopped, true)
 	case task.Job.Spec.Shape == wire.ShapeService:
 	case gang:
@@ -106,7 +106,7 @@
 // completeGang completes all tasks of a gang together.
 func (w *Worker) completeGang(task *Task) {
 	members := w.cluster.gangMembers(task)
-	if slices.ContainsFunc(members, func(peer gangMember) bool { return peer.task.Stage != wire.TaskRunning }) {
+	if slices.ContainsFunc(members, func(peer gangMember) bool { return peer.task.State != wire.TaskRunning }) {
 		return
 	}
 	for _, peer := range members {
@@ -117,6 +117,6 @@
 }
 
 func (w *Worker) exit(task *Task, cause string, stored bool) {
-	task.Stage, task.Cause, task.Stored = wire.TaskExited, cause, stored
+	task.State, task.ExitReason, task.CheckpointSaved = wire.TaskExited, cause, stored
 	w.heartbeatRequested = true
 }
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -100,7 +100,7 @@
 		heartbeat.PreemptionNoticeS = &remaining
 	}
 	for _, task := range w.Tasks {
-		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Name: wire.TaskName(task.Job.Spec.ID, task.Index), Attempt: task.Attempt, State: task.Stage, ExitReason: task.Cause, CheckpointSaved: task.Stored})
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Name: wire.TaskName(task.Job.Spec.ID, task.Index), Attempt: task.Attempt, State: task.State, ExitReason: task.ExitReason, CheckpointSaved: task.CheckpointSaved})
 	}
 	return heartbeat
 }
@@ -243,18 +243,18 @@
 		return
 	}
 	w.heartbeatRequested = true
-	task := &Task{Job: job, Index: index, Attempt: attempt, Stage: wire.TaskExited}
+	task := &Task{Job: job, Index: index, Attempt: attempt, State: wire.TaskExited}
 	switch {
 	case w.Find(job, index, 0) != nil:
-		task.Cause = wire.ExitOtherAttemptPresent
+		task.ExitReason = wire.ExitOtherAttemptPresent
 	case !w.Available().Fits(job.resources()):
-		task.Cause = wire.ExitInsufficientResources
+		task.ExitReason = wire.ExitInsufficientResources
 	default:
 		w.cluster.checkStart(w, job, index)
-		task.Stage = wire.TaskFetching
-		task.StageEnds = w.cluster.Clock.Now()
+		task.State = wire.TaskFetching
+		task.StateEndsAt = w.cluster.Clock.Now()
 		if !w.Images[job.Spec.Image] {
-			task.StageEnds = task.StageEnds.Add(w.ImagePullTime)
+			task.StateEndsAt = task.StateEndsAt.Add(w.ImagePullTime)
 		}
 		if w.cluster.OnTaskStart != nil {
 			w.cluster.OnTaskStart(w, task)
@@ -278,9 +278,9 @@
 	}
 	spec := &task.Job.Spec
 	switch {
-	case task.Stage == wire.TaskRunning && spec.CheckpointIntervalS > 0 && grace >= spec.CheckpointSaveTimeS:
-		task.Stage, task.StageEnds = wire.TaskSaving, w.cluster.Clock.Now().Add(config.Seconds(spec.CheckpointSaveTimeS))
-	case task.Stage == wire.TaskSaving && grace > 0:
+	case task.State == wire.TaskRunning && spec.CheckpointIntervalS > 0 && grace >= spec.CheckpointSaveTimeS:
+		task.State, task.StateEndsAt = wire.TaskSaving, w.cluster.Clock.Now().Add(config.Seconds(spec.CheckpointSaveTimeS))
+	case task.State == wire.TaskSaving && grace > 0:
 	default:
 		w.exit(task, wire.ExitStopped, false)
 	}
--- a/internal/standin/workload.go
+++ b/internal/standin/workload.go
@@ -23,31 +23,31 @@
 
 // Workload is the size of a deployment that benchmarks play, and what its users submit.
 type Workload struct {
-	Name            string
-	Nodes, Machines int
-	Limits          config.MachineLimits
-	ReportS, LeaseS float64
-	ArraysPerS      float64
-	GangsPerS       float64
-	TasksPerArray   int // of an array
-	RunTime         time.Duration
-	RequestsPerS    float64 // that the state service takes
-	WritesPerS      float64
+	Name               string
+	Nodes, Machines    int
+	Limits             config.MachineLimits
+	HeartbeatS, LeaseS float64
+	ArraysPerS         float64
+	GangsPerS          float64
+	TasksPerArray      int // of an array
+	RunTime            time.Duration
+	RequestsPerS       float64 // that the state service takes
+	WritesPerS         float64
 }
 
 // LeanWorkloads are the sizes of the lean deployments.
 func LeanWorkloads() []Workload {
 	return []Workload{
-		{Name: "exams", Nodes: 3, Machines: 180, Limits: config.MachineLimits{CPU: 0.036, MemoryMB: 65, Sockets: 900}, ReportS: 1.5, LeaseS: 10,
+		{Name: "exams", Nodes: 3, Machines: 180, Limits: config.MachineLimits{CPU: 0.036, MemoryMB: 65, Sockets: 900}, HeartbeatS: 1.5, LeaseS: 10,
 			ArraysPerS: 0.4, GangsPerS: 0.4, TasksPerArray: 20, RunTime: 70 * time.Second, RequestsPerS: 200, WritesPerS: 20},
-		{Name: "dispatch", Nodes: 7, Machines: 600, Limits: config.MachineLimits{CPU: 0.09, MemoryMB: 114, Sockets: 1500}, ReportS: 4, LeaseS: 18,
+		{Name: "dispatch", Nodes: 7, Machines: 600, Limits: config.MachineLimits{CPU: 0.09, MemoryMB: 114, Sockets: 1500}, HeartbeatS: 4, LeaseS: 18,
 			ArraysPerS: 1, GangsPerS: 0.9, TasksPerArray: 75, RunTime: 40 * time.Second, RequestsPerS: 250, WritesPerS: 25},
 	}
 }
 
 // LargestWorkload is one of 4,000 machines, the most that one holder was measured with.
 func LargestWorkload() Workload {
-	return Workload{Name: "4,000 machines", Nodes: 3, Machines: 4000, Limits: config.MachineLimits{CPU: 0.432, MemoryMB: 271, Sockets: 2179}, ReportS: 5, LeaseS: 26.5,
+	return Workload{Name: "4,000 machines", Nodes: 3, Machines: 4000, Limits: config.MachineLimits{CPU: 0.432, MemoryMB: 271, Sockets: 2179}, HeartbeatS: 5, LeaseS: 26.5,
 		ArraysPerS: 2.4, GangsPerS: 3.5, TasksPerArray: 150, RunTime: 60 * time.Second, RequestsPerS: 400, WritesPerS: 40}
 }
 
@@ -58,7 +58,7 @@
 
 // Config are the settings of the load's deployment.
 func (l Workload) Config() config.Platform {
-	deployment := DeploymentConfig([]string{"a"}, []config.Team{{Name: "red"}}, l.ReportS, l.LeaseS)
+	deployment := DeploymentConfig([]string{"a"}, []config.Team{{Name: "red"}}, l.HeartbeatS, l.LeaseS)
 	deployment.Nodes, deployment.MachineLimits = l.Nodes, l.Limits
 	deployment.State = config.StateLimits{RPS: l.RequestsPerS, WriteRPS: l.WritesPerS, ValueKB: 8, TxnOps: 16}
 	deployment.Objectives = []config.Objective{{Kind: "finished", Class: "sweep", WithinS: 250}, {Kind: "finished", Class: "model", WithinS: 350}}
