--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -109,7 +109,7 @@
 		digest:   newDigest(t),
 		checks:   ruleChecks{idleSince: map[*standin.Job]time.Time{}},
 	}
-	sim.state = standin.NewStateService(clock, rng)
+	sim.state = standin.NewStateService(clock)
 	sim.cloud = standin.NewCloud(clock, rng, machineTypes)
 	sim.cloud.OnBooted = sim.booted
 	sim.cloud.OnRemoved = sim.ended
--- a/internal/integration/deployment_test.go
+++ b/internal/integration/deployment_test.go
@@ -71,7 +71,7 @@
 	d := &deployment{tb: tb, config: settings, ctx: ctx, clock: standin.NewClock(time.Now()), byAddress: map[string]*standin.Worker{}, clients: map[string]*http.Client{},
 		users: &http.Client{Timeout: replyTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 40, MaxConnsPerHost: 40}}}
 	rng := rand.New(rand.NewPCG(3, 3))
-	d.store, d.cloud = standin.NewStateService(d.clock, rng), standin.NewCloud(d.clock, rng, []wire.MachineType{machineType})
+	d.store, d.cloud = standin.NewStateService(d.clock), standin.NewCloud(d.clock, rng, []wire.MachineType{machineType})
 	d.store.PageSize, d.store.MaxHistory, d.cloud.PageSize = 1000, 10000, 500
 	d.cloud.Available[standin.CapacityKey(machineType.Name, "a", false)] = machines
 	d.cloud.Address = func(n int) string {
--- a/internal/intentlog/model_test.go
+++ b/internal/intentlog/model_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
 	"time"
 
 	"juniperchute/internal/intentlog"
@@ -60,7 +59,7 @@
 		choose:   choose,
 		fault:    fault,
 		clock:    clock,
-		state:    standin.NewStateService(clock, rand.New(rand.NewPCG(1, 1))),
+		state:    standin.NewStateService(clock),
 		machines: map[string]*modelMachine{},
 		observed: observations{recordedToken: map[string]uint64{}},
 	}
--- a/internal/standin/clock.go
+++ b/internal/standin/clock.go
@@ -5,6 +5,9 @@
 	"time"
 )
 
+// Epoch is the time of day at which simulated time begins.
+var Epoch = time.Unix(1_700_000_000, 0)
+
 // Clock runs scheduled events one after the other, in order of their times. Events of
 // the same time run in the order in which they were scheduled.
 type Clock struct {
@@ -33,7 +36,7 @@
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push is part of heap.Interface.
-func (q *eventQueue) Push(f any) { *q = append(*q, f.(event)) }
+func (q *eventQueue) Push(e any) { *q = append(*q, e.(event)) }
 
 // Pop is part of heap.Interface.
 func (q *eventQueue) Pop() any {
@@ -49,7 +52,7 @@
 // Now is the time that the clock shows.
 func (c *Clock) Now() time.Time { return c.now }
 
-// Schedule schedules f after d.
+// Schedule has a function run after a delay.
 func (c *Clock) Schedule(delay time.Duration, run func()) {
 	c.sequence++
 	heap.Push(&c.queue, event{c.now.Add(delay), c.sequence, run})
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -10,34 +10,36 @@
 	"juniperchute/internal/wire"
 )
 
-// Cloud is a stand-in for the cloud, by the protocol.
+// Cloud is the fake of the cloud: it provisions and deprovisions machines, and its lists lag. Tests
+// may change the exported fields at any time.
 type Cloud struct {
 	MachineTypes     []wire.MachineType
-	Available        map[string]int // machines left of each kind, by RoomKey
+	Available        map[string]int // machines left of each kind, by CapacityKey
 	Hosts            map[string]*CloudHost
 	Created          int     // machines created so far
-	Unavailable      bool    // its interface answers 503
+	Unavailable      bool    // every call fails with cloud.ErrUnavailable
 	FastBoot         bool    // machines are up within two seconds
 	BootFailureShare float64 // share of the boots that never end
 	PageSize         int     // machines that a list shows at most
 	Address          func(n int) string
-	OnBooted         func(h *CloudHost)
-	OnRemoved        func(h *CloudHost)
-	OnCreate         func(name string) // told of each rental carried out; nil: nobody
-	OnDelete         func(host string) // told of each machine about to be deleted; nil: nobody
+	OnBooted         func(h *CloudHost) // called once a machine runs; must be set
+	OnRemoved        func(h *CloudHost) // called after a machine has ended; must be set
+	OnCreate         func(name string)  // called when a provisioning request is carried out; may be nil
+	OnDelete         func(host string)  // called before a machine is deleted; may be nil
 
 	clock   *Clock
 	rng     *rand.Rand
-	granted map[string][]string
-	history []snapshot
+	granted map[string][]string // the machines of each provisioning request carried out, by name
+	history []snapshot          // the oldest first
 }
 
-// CloudHost is a rented machine.
+// CloudHost is a provisioned machine.
 type CloudHost struct {
 	wire.Machine
 	CreatedAt time.Time
 }
 
+// snapshot is all machines at a moment, in the order of their names.
 type snapshot struct {
 	at    time.Time
 	hosts []wire.Machine
@@ -46,21 +48,30 @@
 const (
 	// cloudPageSize is small, so that lists of several pages happen in short tests.
 	cloudPageSize = 10
-	// snapshotInterval and snapshotsKept say how old a list may be.
+	// snapshotInterval and maxSnapshots say how old a list may be.
 	snapshotInterval = 500 * time.Millisecond
 	maxSnapshots     = 40
 	// maxListLag is how many snapshots a list lags behind at most.
 	maxListLag = 8
 )
 
-// NewCloud makes a cloud that has no machines rented and, until Room is set, none left.
+// NewCloud makes a cloud that has no machines provisioned and, until Available is set, none left.
 func NewCloud(clock *Clock, rng *rand.Rand, machineTypes []wire.MachineType) *Cloud {
-	cloud := &Cloud{clock: clock, rng: rng, MachineTypes: machineTypes, Available: map[string]int{}, granted: map[string][]string{}, Hosts: map[string]*CloudHost{},
-		PageSize: cloudPageSize, Address: func(n int) string { return fmt.Sprintf("addr-i-%06d", n) }}
+	cloud := &Cloud{
+		MachineTypes: machineTypes,
+		Available:    map[string]int{},
+		Hosts:        map[string]*CloudHost{},
+		PageSize:     cloudPageSize,
+		Address:      func(n int) string { return fmt.Sprintf("addr-i-%06d", n) },
+		clock:        clock,
+		rng:          rng,
+		granted:      map[string][]string{},
+	}
 	cloud.takeSnapshot()
 	return cloud
 }
 
+// takeSnapshot records the machines of now, again and again.
 func (c *Cloud) takeSnapshot() {
 	taken := snapshot{at: c.clock.Now()}
 	for _, host := range c.Hosts {
@@ -76,12 +87,12 @@
 	c.clock.Schedule(snapshotInterval, c.takeSnapshot)
 }
 
-// CapacityKey names a kind of machine.
+// CapacityKey names a kind of machine, of which the cloud has so many left.
 func CapacityKey(machineType, zone string, spot bool) string {
 	return fmt.Sprint(machineType, zone, spot)
 }
 
-// Call executes a call.
+// Call carries out a call at once.
 func (c *Cloud) Call(call cloud.Call) cloud.Result {
 	if c.Unavailable {
 		return cloud.Failure(cloud.ErrUnavailable)
@@ -92,18 +103,23 @@
 	case cloud.CreateMachines:
 		return c.createMachines(call.Request)
 	case cloud.DeleteMachines:
-		for _, id := range call.Hosts {
-			if c.OnDelete != nil && c.Hosts[id] != nil {
-				c.OnDelete(id)
-			}
-			c.Remove(id)
-		}
+		c.deleteMachines(call.Hosts)
 		return cloud.Success(cloud.Response{})
 	}
 	return c.list(call.After)
 }
 
-// createMachines rents machines. A request that was granted before gets the same answer.
+// deleteMachines ends the machines that are still there.
+func (c *Cloud) deleteMachines(ids []string) {
+	for _, id := range ids {
+		if c.OnDelete != nil && c.Hosts[id] != nil {
+			c.OnDelete(id)
+		}
+		c.Remove(id)
+	}
+}
+
+// createMachines provisions machines. A request that was granted before gets the same answer.
 func (c *Cloud) createMachines(request wire.ProvisionRequest) cloud.Result {
 	if hosts, ok := c.granted[request.Name]; ok {
 		return cloud.Success(cloud.Response{Hosts: hosts})
@@ -129,16 +145,22 @@
 func (c *Cloud) startMachine(request wire.ProvisionRequest) string {
 	id, address := fmt.Sprintf("i-%06d", c.Created), c.Address(c.Created)
 	c.Created++
-	host := &CloudHost{CreatedAt: c.clock.Now(), Machine: wire.Machine{ID: id, Address: address, Type: request.Type, Zone: request.Zone, Spot: request.Spot, State: wire.MachineBooting}}
+	host := &CloudHost{
+		CreatedAt: c.clock.Now(),
+		Machine: wire.Machine{
+			ID:      id,
+			Address: address,
+			Type:    request.Type,
+			Zone:    request.Zone,
+			Spot:    request.Spot,
+			State:   wire.MachineBooting,
+		},
+	}
 	c.Hosts[id] = host
 	if c.rng.Float64() < c.BootFailureShare {
 		return id
 	}
-	boot := time.Duration(1+c.rng.IntN(8)) * time.Second
-	if c.FastBoot {
-		boot = time.Duration(c.rng.IntN(2000)) * time.Millisecond
-	}
-	c.clock.Schedule(boot, func() {
+	c.clock.Schedule(c.randomBootTime(), func() {
 		if c.Hosts[id] == host {
 			host.State = wire.MachineRunning
 			c.OnBooted(host)
@@ -147,6 +169,15 @@
 	return id
 }
 
+// randomBootTime draws a time for one boot. It draws twice for a fast boot.
+func (c *Cloud) randomBootTime() time.Duration {
+	boot := time.Duration(1+c.rng.IntN(8)) * time.Second
+	if c.FastBoot {
+		boot = time.Duration(c.rng.IntN(2000)) * time.Millisecond
+	}
+	return boot
+}
+
 // list shows the machines as they were a while ago.
 func (c *Cloud) list(after string) cloud.Result {
 	index := max(0, len(c.history)-1-c.rng.IntN(maxListLag))
@@ -163,7 +194,7 @@
 	return cloud.Success(cloud.Response{Page: page})
 }
 
-// Remove ends a machine: deleted, or taken by the cloud.
+// Remove ends a machine, on a deletion or on the cloud's own account. One that is not there is ignored.
 func (c *Cloud) Remove(id string) {
 	host := c.Hosts[id]
 	if host == nil {
--- a/internal/standin/intent_checker.go
+++ b/internal/standin/intent_checker.go
@@ -11,42 +11,50 @@
 	"juniperchute/internal/tuning"
 )
 
-// The rules of the log of duties that ActionCheck checks.
+// The rules of the intent log that IntentChecker checks.
 const (
-	// NotRecorded: the cloud carried out an action that was never entered.
-	NotRecorded Rule = "not_entered"
-	// StaleIntent: the cloud carried out an action whose entry had been settled.
-	StaleIntent Rule = "stale_action"
-	// BusyMachineDeleted: a machine was deleted that had work its entry did not allow for.
-	BusyMachineDeleted Rule = "work_returned"
-	// WorkOnTerminatingMachine: a tenure started work on a machine that an earlier one had entered as
-	// given up.
-	WorkOnTerminatingMachine Rule = "work_given"
+	// NotRecorded: the cloud carried out an operation for which no intent was ever recorded.
+	NotRecorded Rule = "not_recorded"
+	// StaleIntent: the cloud carried out an operation whose intent had been completed.
+	StaleIntent Rule = "stale_intent"
+	// BusyMachineDeleted: a machine was deleted with tasks on it that its intent did not allow for.
+	BusyMachineDeleted Rule = "busy_machine_deleted"
+	// WorkOnTerminatingMachine: a term started a task on a machine that an earlier term had
+	// recorded for deletion.
+	WorkOnTerminatingMachine Rule = "work_on_terminating_machine"
 )
 
-// IntentChecker compares what the cloud carries out with the log of duties as the state
-// service stores it. It knows what no controller does: what was carried out late.
+// IntentChecker compares what the cloud carries out with the intent log as the state service
+// stores it. It knows what no controller does: which calls were carried out late.
 type IntentChecker struct {
-	// Effects counts the actions that were carried out, by duty.
+	// Effects counts the intents that were carried out, by operation.
 	Effects map[intentlog.Operation]int
 	// PageWrites counts the successful writes of pages of the log.
 	PageWrites int
-	// Grace is how long after the log came in force calls that were made before may be
-	// carried out.
-	Grace           time.Duration
+	// Grace is how long after the log came into force the calls that were made before may still
+	// be carried out.
+	Grace time.Duration
+
 	cluster         *Cluster
 	store           *StateService
-	recordedIntents map[string]intentlog.Entry // whatever was ever entered, by target
+	recordedIntents map[string]intentlog.Entry // whatever was ever recorded, by target
 	pages           map[string]map[string]bool // the targets in each page of the log as stored now
-	inForceSince    time.Time                  // since when the log has been; zero: it has not
+	inForceSince    time.Time                  // since when the log is in force; zero: it is not
 }
 
-// featureGatesKey is the record that tells which switches are in force.
+// featureGatesKey is the record that tells which features are in force.
 const featureGatesKey = "c/switches"
 
-// NewIntentChecker makes a checker and has it watch the stand-ins.
+// NewIntentChecker makes a checker and has it called by the fakes. It keeps a StateService.OnCall
+// that is set, and replaces the hooks of the cloud and of the cluster.
 func NewIntentChecker(cluster *Cluster, stateService *StateService, cloud *Cloud) *IntentChecker {
-	checker := &IntentChecker{Effects: map[intentlog.Operation]int{}, cluster: cluster, store: stateService, recordedIntents: map[string]intentlog.Entry{}, pages: map[string]map[string]bool{}}
+	checker := &IntentChecker{
+		Effects:         map[intentlog.Operation]int{},
+		cluster:         cluster,
+		store:           stateService,
+		recordedIntents: map[string]intentlog.Entry{},
+		pages:           map[string]map[string]bool{},
+	}
 	before := stateService.OnCall
 	stateService.OnCall = func(call store.Call, err error) {
 		if before != nil {
@@ -54,11 +62,12 @@
 		}
 		checker.observeWrite(call, err)
 	}
-	cloud.OnCreate, cloud.OnDelete, cluster.OnTaskStart = checker.checkCreation, checker.checkDeletion, checker.checkStart
+	cloud.OnCreate, cloud.OnDelete = checker.checkCreation, checker.checkDeletion
+	cluster.OnTaskStart = checker.checkStart
 	return checker
 }
 
-// observeWrite takes note of entries that have just become durable.
+// observeWrite takes note of intents that have just become durable.
 func (c *IntentChecker) observeWrite(call store.Call, err error) {
 	if err != nil {
 		return
@@ -81,10 +90,11 @@
 	}
 }
 
+// observePage takes note of the intents in a page of the log.
 func (c *IntentChecker) observePage(key string, value json.RawMessage) {
 	entries, err := intentlog.ReadPage(value)
 	if err != nil {
-		c.cluster.AddViolation(Expectation, "a page of the log of duties cannot be read: %v", err)
+		c.cluster.AddViolation(Expectation, "a page of the intent log cannot be read: %v", err)
 		return
 	}
 	c.pages[key] = map[string]bool{}
@@ -94,7 +104,7 @@
 	}
 }
 
-// Completed is how many actions were carried out.
+// Completed is how many intents were carried out.
 func (c *IntentChecker) Completed() int {
 	total := 0
 	for _, count := range c.Effects {
@@ -103,7 +113,7 @@
 	return total
 }
 
-// isOpen tells whether a machine's entry is in the log as it is stored now.
+// isOpen tells whether an intent for a machine is in the log as it is stored now.
 func (c *IntentChecker) isOpen(target string) bool {
 	for _, targets := range c.pages {
 		if targets[target] {
@@ -118,7 +128,7 @@
 	return !c.inForceSince.IsZero() && c.cluster.Clock.Now().Sub(c.inForceSince) >= c.Grace
 }
 
-// requestRecorded tells whether a rental's record is there.
+// requestRecorded tells whether the record of a provisioning request is stored now.
 func (c *IntentChecker) requestRecorded(name string) bool {
 	for key := range c.store.Keys {
 		if strings.HasPrefix(key, fleet.ProvisioningPrefix) && strings.HasSuffix(key, "/"+name) {
@@ -128,20 +138,20 @@
 	return false
 }
 
-// checkCreation is told of a rental that the cloud has just carried out for the first time.
+// checkCreation checks a provisioning request that the cloud carries out for the first time.
 func (c *IntentChecker) checkCreation(name string) {
 	if !c.active() {
 		return
 	}
 	c.Effects[intentlog.Provision]++
 	if _, ok := c.recordedIntents[name]; !ok {
-		c.cluster.AddViolation(NotRecorded, "rental %s", name)
+		c.cluster.AddViolation(NotRecorded, "provisioning request %s", name)
 	} else if !c.requestRecorded(name) {
-		c.cluster.AddViolation(StaleIntent, "rental %s is carried out after it was settled", name)
+		c.cluster.AddViolation(StaleIntent, "provisioning request %s is carried out after it was completed", name)
 	}
 }
 
-// checkDeletion is told of a machine that the cloud is about to delete.
+// checkDeletion checks the deletion of a machine that the cloud is about to carry out.
 func (c *IntentChecker) checkDeletion(host string) {
 	if !c.active() {
 		return
@@ -153,7 +163,7 @@
 	}
 	c.Effects[entry.Operation]++
 	if !c.isOpen(host) {
-		c.cluster.AddViolation(StaleIntent, "%s is deleted after its entry was settled", host)
+		c.cluster.AddViolation(StaleIntent, "%s is deleted after its intent was completed", host)
 	}
 	worker := c.cluster.Workers[host]
 	if worker == nil {
@@ -161,18 +171,21 @@
 	}
 	for _, task := range worker.Tasks {
 		if task.OnMachine() && (entry.Operation == intentlog.Deprovision || tokenOfTask(task) > entry.Token) {
-			c.cluster.AddViolation(BusyMachineDeleted, "%s is deleted with attempt %d of %s on it, entered for %s under token %d", host, task.Attempt, task.Job.Spec.ID, entry.Operation, entry.Token)
+			c.cluster.AddViolation(BusyMachineDeleted,
+				"%s is deleted with attempt %d of %s on it, recorded for %s under token %d",
+				host, task.Attempt, task.Job.Spec.ID, entry.Operation, entry.Token)
 		}
 	}
 }
 
-// checkStart is told of a task that a machine starts.
+// checkStart checks a task that a machine starts.
 func (c *IntentChecker) checkStart(worker *Worker, task *Task) {
 	entry, ok := c.recordedIntents[worker.Host.ID]
 	if ok && c.active() && tokenOfTask(task) > entry.Token {
-		c.cluster.AddViolation(WorkOnTerminatingMachine, "%s gets attempt %d, entered for %s under token %d", worker.Host.ID, task.Attempt, entry.Operation, entry.Token)
+		c.cluster.AddViolation(WorkOnTerminatingMachine, "%s gets attempt %d, recorded for %s under token %d",
+			worker.Host.ID, task.Attempt, entry.Operation, entry.Token)
 	}
 }
 
-// tokenOfTask is the token of the tenure that started an attempt.
+// tokenOfTask is the fencing token of the term that started an attempt.
 func tokenOfTask(t *Task) uint64 { return t.Attempt >> tuning.AttemptBits }
--- a/internal/standin/intent_checker_test.go
+++ b/internal/standin/intent_checker_test.go
@@ -22,7 +22,7 @@
 func newIntentFixture(t *testing.T) *intentFixture {
 	cluster := testCluster()
 	rng := rand.New(rand.NewPCG(1, 1))
-	f := &intentFixture{Cluster: cluster, store: NewStateService(cluster.Clock, rng), cloud: NewCloud(cluster.Clock, rng, nil)}
+	f := &intentFixture{Cluster: cluster, store: NewStateService(cluster.Clock), cloud: NewCloud(cluster.Clock, rng, nil)}
 	f.cloud.Available[CapacityKey("g", "a", false)] = 5
 	f.cloud.OnBooted = func(*CloudHost) {}
 	f.cloud.OnRemoved = func(h *CloudHost) { cluster.Remove(h.ID) }
--- a/internal/standin/rules.go
+++ b/internal/standin/rules.go
@@ -13,7 +13,7 @@
 // Rule names one of the protocol's rules, or another expectation of a test.
 type Rule string
 
-// The protocol's rules that the cluster checks.
+// The protocol's rules that the cluster checks, by the names that the users' bench gives them.
 const (
 	RanTwice          Rule = "ran_twice"
 	QuotaExceeded     Rule = "quota"
@@ -29,16 +29,16 @@
 // Violation is a broken rule.
 type Violation struct {
 	Rule    Rule
-	Elapsed time.Duration // since the cluster's beginning
+	Elapsed time.Duration // since the cluster was made
 	Detail  string
 }
 
+// String is the violation in one line.
 func (v Violation) String() string {
 	return fmt.Sprintf("after %v: %s: %s", v.Elapsed, v.Rule, v.Detail)
 }
 
-// JobForgottenAfter is how long after the last trouble a job may go without an answered
-// question.
+// JobForgottenAfter is how long a job may go without an answered query once all faults are over.
 const JobForgottenAfter = 75 * time.Second
 
 // roundingSlack absorbs the rounding of sums of decimal amounts.
@@ -78,13 +78,11 @@
 	}
 }
 
-// checkPlacement checks a start against the placement conditions; zones counts the job's
-// other tasks.
+// checkPlacement checks a start against the job's constraints; zones counts the job's other tasks
+// on machines by zone.
 func (c *Cluster) checkPlacement(worker *Worker, job *Job, name string, zones map[string]int) {
 	spec := &job.Spec
-	typeAllowed := spec.AnyType || slices.Contains(spec.Types, worker.Host.Type)
-	zoneAllowed := spec.Zone == "" || spec.Zone == worker.Host.Zone
-	if !typeAllowed || !zoneAllowed || worker.Host.Spot && !spec.Spot {
+	if !allowedOn(spec, &worker.Host) {
 		c.AddViolation(PlacementViolated, "%s on %s", name, worker.Host.ID)
 	}
 	for zone, count := range zones {
@@ -112,8 +110,15 @@
 	return teams, jobs
 }
 
-// Check checks the rules that hold at every moment. It is called after each step, so it
-// looks at each task once.
+// allowedOn tells whether a job's tasks may run on a machine of that type and zone.
+func allowedOn(spec *wire.JobSpec, host *wire.Machine) bool {
+	typeAllowed := spec.AnyType || slices.Contains(spec.Types, host.Type)
+	zoneAllowed := spec.Zone == "" || spec.Zone == host.Zone
+	return typeAllowed && zoneAllowed && (spec.Spot || !host.Spot)
+}
+
+// Check checks the rules that hold at every moment. It is called after each step of a simulation,
+// so it looks at each task once.
 func (c *Cluster) Check() {
 	used := make([]quota.Resources, len(c.Config.Teams))
 	for _, worker := range c.Workers {
@@ -138,27 +143,28 @@
 	}
 }
 
+// exceeds tells whether a use is above a limit; 0 is no limit.
 func exceeds(used, limit float64) bool { return limit > 0 && used > limit+roundingSlack }
 
-// CheckJobsForgotten checks that a question about each accepted job was answered lately.
+// CheckJobsForgotten checks that a query about each accepted job was answered lately.
 func (c *Cluster) CheckJobsForgotten() {
 	for _, job := range c.Submitted {
 		if unanswered := c.Clock.Now().Sub(job.AnsweredAt); job.Accepted && unanswered > JobForgottenAfter {
-			c.AddViolation(JobForgotten, "no question about %s was answered for %v", job.Spec.ID, unanswered)
+			c.AddViolation(JobForgotten, "no query about %s was answered for %v", job.Spec.ID, unanswered)
 		}
 	}
 }
 
-// RecordAnswer records that a user was told a job's state; before is the state that the user had
-// been told when the request was sent. It tells whether this was the first news of an
-// acceptance or of an end.
-func (c *Cluster) RecordAnswer(job *Job, stage, before string) (isNews bool) {
+// RecordAnswer records that a request about a job was answered with its state; before is the state
+// that its user knew when the request was sent. changed tells whether this was the first answer
+// that the job is accepted, or that it has ended.
+func (c *Cluster) RecordAnswer(job *Job, state, before string) (changed bool) {
 	switch {
-	case isFinal(before) && stage != before:
-		c.AddViolation(StateRegressed, "%s was told %s, now %s", job.Spec.ID, before, stage)
-	case stage == wire.JobDone && !job.Complete():
+	case isFinal(before) && state != before:
+		c.AddViolation(StateRegressed, "%s was reported as %s, now as %s", job.Spec.ID, before, state)
+	case state == wire.JobDone && !job.Complete():
 		c.AddViolation(CompletedEarly, "%s", job.Spec.ID)
-	case stage == wire.JobCancelled && !job.CancelRequested:
+	case state == wire.JobCancelled && !job.CancelRequested:
 		c.AddViolation(StateRegressed, "%s was never cancelled", job.Spec.ID)
 	}
 	if job.Infeasible {
@@ -168,58 +174,24 @@
 	if job.Ended() {
 		return false
 	}
-	isNews = !job.Accepted || isFinal(stage)
-	if stage == wire.JobCancelled {
+	changed = !job.Accepted || isFinal(state)
+	if state == wire.JobCancelled {
 		job.CancelledAt = c.Clock.Now()
 	}
-	job.Accepted, job.KnownState = true, stage
-	return isNews
+	job.Accepted, job.KnownState = true, state
+	return changed
 }
 
-// RecordRefusal records that a request about a job was refused: before is the state that its
-// user had been told when it was sent.
+// RecordRefusal records that a request about a job was answered with another status than 200 and
+// 201, or not at all (0); before is the state that its user knew when the request was sent.
 func (c *Cluster) RecordRefusal(job *Job, before string, status int) {
 	switch status {
 	case 429, 503, 0:
 		return
 	case 404:
 		if before == "" {
-			return // not accepted yet as far as any user was told
-		}
-	}
-	c.AddViolation(JobForgotten, "%s, told %q before, answered %d", job.Spec.ID, before, status)
-}
-
-// Fits tells whether a job, or one task of an array, could start now on machines that
-// usable approves of, while its team uses what is given.
-func (c *Cluster) Fits(job *Job, used quota.Resources, usable func(worker *Worker) bool) bool {
-	spec := &job.Spec
-	needed := 1
-	if spec.Shape != wire.ShapeBatch {
-		needed = spec.Tasks
-	}
-	for _, team := range c.Config.Teams {
-		if team.Name == spec.Team && (exceeds(used.CPUs+float64(needed)*spec.Vcpus, team.CPUsMax) || exceeds(used.GPUs+float64(needed)*spec.Gpus, team.GPUsMax)) {
-			return false
-		}
-	}
-	slots := map[string]int{}
-	for _, worker := range c.Workers {
-		wrongType := !spec.AnyType && !slices.Contains(spec.Types, worker.Host.Type)
-		if worker.Hung || worker.Faulty || worker.Terminated || !worker.PreemptionTime.IsZero() || wrongType || spec.Zone != "" && spec.Zone != worker.Host.Zone || worker.Host.Spot && !spec.Spot || !usable(worker) {
-			continue
+			return // no user knows yet that it is accepted
 		}
-		slots[worker.Host.Zone] += worker.Available().FitCount(job.resources(), spec.Tasks)
-	}
-	total, largest := 0, 0
-	for _, n := range slots {
-		if spec.SpreadAcrossZones {
-			n = min(n, (spec.Tasks+1)/2)
-		}
-		total, largest = total+n, max(largest, n)
-	}
-	if spec.SameZone {
-		total = largest
 	}
-	return total >= needed
+	c.AddViolation(JobForgotten, "%s, reported as %q before, answered %d", job.Spec.ID, before, status)
 }
--- a/internal/standin/rules_test.go
+++ b/internal/standin/rules_test.go
@@ -19,8 +19,8 @@
 
 // testCluster has two machines in each of two zones.
 func testCluster() *Cluster {
-	facts := DeploymentConfig([]string{"a", "b"}, []config.Team{{Name: "red", GPUsMax: 4}, {Name: "blue"}}, 1.5, 10)
-	c := NewCluster(NewClock(Epoch), rand.New(rand.NewPCG(1, 1)), facts, discardNetwork{})
+	platform := DeploymentConfig([]string{"a", "b"}, []config.Team{{Name: "red", GPUsMax: 4}, {Name: "blue"}}, 1.5, 10)
+	c := NewCluster(NewClock(Epoch), rand.New(rand.NewPCG(1, 1)), platform, discardNetwork{})
 	for _, h := range []wire.Machine{
 		{ID: "a1", Type: "g", Zone: "a"}, {ID: "a2", Type: "g", Zone: "a", Spot: true},
 		{ID: "b1", Type: "g", Zone: "b"}, {ID: "b2", Type: "h", Zone: "b"},
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -2,16 +2,20 @@
 
 import (
 	"encoding/json"
-	"math/rand/v2"
 	"slices"
 	"sort"
 	"strings"
-	"time"
 
 	"juniperchute/internal/store"
 	"juniperchute/internal/wire"
 )
 
+// Sizes with which lists of several pages and forgotten changes happen in short tests.
+const (
+	defaultPageSize = 25
+	defaultHistory  = 400
+)
+
 // StateLimits are the limits that the state service enforces; 0 means none.
 type StateLimits struct {
 	MaxValueBytes int     // of one value
@@ -20,109 +24,47 @@
 	RequestsPerS  float64 // requests a second
 }
 
-// tokenBucket holds one second's worth of a rate.
-type tokenBucket struct {
-	spent     float64
-	updatedAt time.Time
-}
-
-// take spends n of a rate, or tells that it is exceeded.
-func (b *tokenBucket) take(now time.Time, rate, n float64) bool {
-	if rate <= 0 {
-		return true
-	}
-	b.spent = max(0, b.spent-now.Sub(b.updatedAt).Seconds()*rate)
-	b.updatedAt = now
-	if b.spent+n > rate {
-		return false
-	}
-	b.spent += n
-	return true
-}
-
-// StateService is a stand-in for the state service, by the protocol.
+// StateService is the fake of the state service: a key-value store with revisions, leases, watches
+// and transactions. Every change has a revision; a transaction is one change.
 type StateService struct {
-	// Keys are the stored keys, Revision the newest change.
 	Keys       map[string]wire.KeyValue
-	Revision   uint64
+	Revision   uint64 // of the newest change
 	Limits     StateLimits
 	PageSize   int // keys that a list shows at most
 	MaxHistory int // changes that are remembered
-	// OnCall is told of each call that has been decided, before its reply; nil: nobody.
+	// OnCall is called with each call that has been decided, before its reply; may be nil.
 	OnCall func(c store.Call, err error)
 
-	clock             *Clock
-	rng               *rand.Rand
-	leases            map[uint64]*lease
-	history           []wire.Event
-	compactedRevision uint64 // changes up to here have been forgotten
-	lastLease         uint64
-	watches           []*watch
-	unavailable       bool
-	writeBucket       tokenBucket
-	requestBucket     tokenBucket
-}
+	clock         *Clock
+	unavailable   bool
+	writeBucket   tokenBucket
+	requestBucket tokenBucket
 
-type lease struct {
-	ttl       time.Duration
-	expiresAt time.Time
-}
+	leases    map[uint64]*lease
+	lastLease uint64
 
-type watch struct {
-	prefix string
-	since  uint64
-	reply  func(store.Result)
+	watches           []*watch
+	history           []wire.Event // the oldest first
+	compactedRevision uint64       // changes up to here have been forgotten
 }
 
-// Sizes with which paging and forgotten changes happen in short tests.
-const (
-	defaultPageSize = 25
-	defaultHistory  = 400
-)
-
 // NewStateService makes an empty state service.
-func NewStateService(clock *Clock, rng *rand.Rand) *StateService {
-	service := &StateService{clock: clock, rng: rng, Keys: map[string]wire.KeyValue{}, leases: map[uint64]*lease{},
-		PageSize: defaultPageSize, MaxHistory: defaultHistory}
+func NewStateService(clock *Clock) *StateService {
+	service := &StateService{
+		Keys:       map[string]wire.KeyValue{},
+		PageSize:   defaultPageSize,
+		MaxHistory: defaultHistory,
+		clock:      clock,
+		leases:     map[uint64]*lease{},
+	}
 	service.expireLeases()
 	return service
 }
 
-// expireLeases ends leases that were not renewed, up to 100 ms late.
-func (s *StateService) expireLeases() {
-	if !s.unavailable {
-		var expired []uint64
-		for id, lease := range s.leases {
-			if s.clock.Now().After(lease.expiresAt) {
-				expired = append(expired, id)
-			}
-		}
-		sort.Slice(expired, func(i, j int) bool { return expired[i] < expired[j] })
-		for _, id := range expired {
-			delete(s.leases, id)
-			var keys []string
-			for key, item := range s.Keys {
-				if item.Lease == id {
-					keys = append(keys, key)
-				}
-			}
-			sort.Strings(keys)
-			for _, key := range keys {
-				s.Revision++
-				s.apply(wire.Write{Delete: key})
-			}
-			s.notifyWatches()
-		}
-	}
-	s.clock.Schedule(50*time.Millisecond, s.expireLeases)
-}
-
 // SetUnavailable begins or ends an outage. After one every lease has its full time again.
 func (s *StateService) SetUnavailable(unavailable bool) {
 	if s.unavailable && !unavailable {
-		for _, lease := range s.leases {
-			lease.expiresAt = s.clock.Now().Add(lease.ttl)
-		}
+		s.renewAllLeases()
 	}
 	s.unavailable = unavailable
 	s.notifyWatches()
@@ -135,57 +77,14 @@
 	s.notifyWatches()
 }
 
-func (s *StateService) apply(write wire.Write) {
-	if write.Delete != "" {
-		if _, ok := s.Keys[write.Delete]; ok {
-			delete(s.Keys, write.Delete)
-			s.history = append(s.history, wire.Event{Delete: write.Delete, Version: s.Revision})
-		}
-	} else {
-		s.Keys[write.Put] = wire.KeyValue{Key: write.Put, Value: write.Value, Version: s.Revision, Lease: write.Lease}
-		s.history = append(s.history, wire.Event{Put: write.Put, Value: write.Value, Version: s.Revision})
-	}
-	if len(s.history) > s.MaxHistory {
-		s.compactedRevision = s.history[s.MaxHistory/2].Version
-		s.history = append([]wire.Event{}, s.history[s.MaxHistory/2+1:]...)
-	}
-}
-
-func (s *StateService) notifyWatches() {
-	if s.unavailable {
-		return
-	}
-	var waiting []*watch
-	for _, w := range s.watches {
-		if r, ok := s.eventsSince(w.prefix, w.since); ok {
-			w.reply(r)
-		} else {
-			waiting = append(waiting, w)
-		}
-	}
-	s.watches = waiting
-}
-
-func (s *StateService) eventsSince(prefix string, since uint64) (store.Result, bool) {
-	if since < s.compactedRevision {
-		return store.Result{Err: store.ErrCompacted}, true
-	}
-	result := store.Result{Revision: s.Revision}
-	for _, change := range s.history {
-		if change.Version > since && strings.HasPrefix(change.Put+change.Delete, prefix) {
-			result.Events = append(result.Events, change)
-		}
-	}
-	return result, len(result.Events) > 0
-}
-
-// Call executes a call; reply may come later, for watches.
+// Call carries out a call at once; the reply comes later for a watch, and never for one that ends
+// while the service is unavailable.
 func (s *StateService) Call(call store.Call, reply func(store.Result)) {
 	if s.OnCall != nil {
 		next := reply
-		reply = func(r store.Result) {
-			s.OnCall(call, r.Err)
-			next(r)
+		reply = func(result store.Result) {
+			s.OnCall(call, result.Err)
+			next(result)
 		}
 	}
 	if s.unavailable && (call.Op != store.OpWatch || call.WatchWaitMs == 0) {
@@ -198,25 +97,13 @@
 	}
 	switch call.Op {
 	case store.OpGet:
-		if item, ok := s.Keys[call.Key]; ok {
-			reply(store.Result{KeyValue: item})
-		} else {
-			reply(store.Result{Err: store.ErrNotFound, Revision: s.Revision})
-		}
+		reply(s.get(call.Key))
 	case store.OpList:
 		reply(s.list(call))
 	case store.OpGrantLease:
-		s.lastLease++
-		s.leases[s.lastLease] = &lease{call.LeaseTTL, s.clock.Now().Add(call.LeaseTTL)}
-		reply(store.Result{Lease: s.lastLease})
+		reply(s.grantLease(call.LeaseTTL))
 	case store.OpRenewLease:
-		held := s.leases[call.Lease]
-		if held == nil {
-			reply(store.Result{Err: store.ErrNotFound})
-			return
-		}
-		held.expiresAt = s.clock.Now().Add(held.ttl)
-		reply(store.Result{Lease: call.Lease})
+		reply(s.renewLease(call.Lease))
 	case store.OpTransaction:
 		reply(s.transact(call.Transaction))
 	case store.OpWatch:
@@ -224,7 +111,15 @@
 	}
 }
 
-// list answers with the keys under a prefix, a page at a time.
+func (s *StateService) get(key string) store.Result {
+	item, ok := s.Keys[key]
+	if !ok {
+		return store.Result{Err: store.ErrNotFound, Revision: s.Revision}
+	}
+	return store.Result{KeyValue: item}
+}
+
+// list replies with the keys under a prefix, a page at a time.
 func (s *StateService) list(call store.Call) store.Result {
 	var keys []string
 	for key := range s.Keys {
@@ -244,27 +139,7 @@
 	return result
 }
 
-// watch answers once a key with the prefix has changed, or when the time has run out.
-func (s *StateService) watch(call store.Call, reply func(store.Result)) {
-	if r, ok := s.eventsSince(call.Prefix, call.SinceRevision); (ok || call.WatchWaitMs == 0) && !s.unavailable {
-		reply(r)
-		return
-	}
-	pending := &watch{call.Prefix, call.SinceRevision, reply}
-	s.watches = append(s.watches, pending)
-	s.clock.Schedule(time.Duration(call.WatchWaitMs)*time.Millisecond, func() {
-		i := slices.Index(s.watches, pending)
-		if i < 0 {
-			return
-		}
-		s.watches = slices.Delete(s.watches, i, i+1)
-		if !s.unavailable {
-			reply(store.Result{Revision: s.Revision})
-		}
-	})
-}
-
-// transact executes a transaction.
+// transact carries out a transaction if all its compares hold.
 func (s *StateService) transact(transaction wire.Transaction) store.Result {
 	if !s.allowed(transaction) {
 		return store.Result{Err: store.ErrInvalid}
@@ -272,13 +147,7 @@
 	if n := float64(len(transaction.Writes)); n > 0 && !s.writeBucket.take(s.clock.Now(), s.Limits.WritesPerS, n) {
 		return store.Result{Err: store.ErrThrottled}
 	}
-	var failed []string
-	for _, compare := range transaction.Compares {
-		if s.Keys[compare.Key].Version != compare.Version {
-			failed = append(failed, compare.Key)
-		}
-	}
-	if len(failed) > 0 {
+	if failed := s.failedCompares(transaction.Compares); len(failed) > 0 {
 		return store.Result{Err: &store.ConflictError{FailedKeys: failed}, Revision: s.Revision}
 	}
 	if len(transaction.Writes) > 0 {
@@ -292,13 +161,47 @@
 }
 
 // allowed tells whether a transaction is within the limits of size and names no lease
-// that has ended.
+// that has expired.
 func (s *StateService) allowed(transaction wire.Transaction) bool {
 	if s.Limits.MaxTxnOps > 0 && len(transaction.Writes) > s.Limits.MaxTxnOps {
 		return false
 	}
 	return !slices.ContainsFunc(transaction.Writes, func(write wire.Write) bool {
-		return s.Limits.MaxValueBytes > 0 && len(write.Value) > s.Limits.MaxValueBytes ||
-			write.Lease != 0 && s.leases[write.Lease] == nil
+		tooLarge := s.Limits.MaxValueBytes > 0 && len(write.Value) > s.Limits.MaxValueBytes
+		return tooLarge || write.Lease != 0 && s.leases[write.Lease] == nil
 	})
 }
+
+// failedCompares lists the keys that do not have the version compared with.
+func (s *StateService) failedCompares(compares []wire.Compare) []string {
+	var failed []string
+	for _, compare := range compares {
+		if s.Keys[compare.Key].Version != compare.Version {
+			failed = append(failed, compare.Key)
+		}
+	}
+	return failed
+}
+
+// apply makes a change at the present revision and remembers it for watches.
+func (s *StateService) apply(write wire.Write) {
+	if write.Delete != "" {
+		if _, ok := s.Keys[write.Delete]; ok {
+			delete(s.Keys, write.Delete)
+			s.history = append(s.history, wire.Event{Delete: write.Delete, Version: s.Revision})
+		}
+	} else {
+		s.Keys[write.Put] = wire.KeyValue{Key: write.Put, Value: write.Value, Version: s.Revision, Lease: write.Lease}
+		s.history = append(s.history, wire.Event{Put: write.Put, Value: write.Value, Version: s.Revision})
+	}
+	s.compactHistory()
+}
+
+// compactHistory forgets the older half of the changes once there are too many.
+func (s *StateService) compactHistory() {
+	if len(s.history) <= s.MaxHistory {
+		return
+	}
+	s.compactedRevision = s.history[s.MaxHistory/2].Version
+	s.history = append([]wire.Event{}, s.history[s.MaxHistory/2+1:]...)
+}
--- /dev/null
+++ b/internal/standin/state_watches.go
@@ -0,0 +1,72 @@
+package standin
+
+import (
+	"slices"
+	"strings"
+	"time"
+
+	"juniperchute/internal/store"
+)
+
+// watch is a call that waits for a change.
+type watch struct {
+	prefix string
+	since  uint64 // the newest revision that the caller knows
+	reply  func(store.Result)
+}
+
+// watch replies once a key with the prefix has changed, or when the time has run out.
+func (s *StateService) watch(call store.Call, reply func(store.Result)) {
+	result, changed := s.eventsSince(call.Prefix, call.SinceRevision)
+	if (changed || call.WatchWaitMs == 0) && !s.unavailable {
+		reply(result)
+		return
+	}
+	pending := &watch{prefix: call.Prefix, since: call.SinceRevision, reply: reply}
+	s.watches = append(s.watches, pending)
+	s.clock.Schedule(time.Duration(call.WatchWaitMs)*time.Millisecond, func() { s.endWatch(pending) })
+}
+
+// endWatch ends a watch whose time has run out, if nothing has changed. No reply comes while the
+// service is unavailable.
+func (s *StateService) endWatch(pending *watch) {
+	i := slices.Index(s.watches, pending)
+	if i < 0 {
+		return
+	}
+	s.watches = slices.Delete(s.watches, i, i+1)
+	if !s.unavailable {
+		pending.reply(store.Result{Revision: s.Revision})
+	}
+}
+
+// notifyWatches replies to the watches for which something has changed.
+func (s *StateService) notifyWatches() {
+	if s.unavailable {
+		return
+	}
+	var waiting []*watch
+	for _, w := range s.watches {
+		if result, changed := s.eventsSince(w.prefix, w.since); changed {
+			w.reply(result)
+		} else {
+			waiting = append(waiting, w)
+		}
+	}
+	s.watches = waiting
+}
+
+// eventsSince is the changes of keys with a prefix after a revision; changed is false if there are
+// none. Changes that have been forgotten are an error, store.ErrCompacted.
+func (s *StateService) eventsSince(prefix string, since uint64) (result store.Result, changed bool) {
+	if since < s.compactedRevision {
+		return store.Result{Err: store.ErrCompacted}, true
+	}
+	result = store.Result{Revision: s.Revision}
+	for _, event := range s.history {
+		if event.Version > since && strings.HasPrefix(event.Put+event.Delete, prefix) {
+			result.Events = append(result.Events, event)
+		}
+	}
+	return result, len(result.Events) > 0
+}
--- a/internal/standin/task.go
+++ b/internal/standin/task.go
@@ -16,15 +16,15 @@
 	State           string
 	ExitReason      string
 	CheckpointSaved bool
-	StateEndsAt     time.Time // the end of what it is doing
+	StateEndsAt     time.Time // when the pull, the gang wait, the run or the checkpoint ends
 
-	peerLostAt time.Time // when a gang's task found another one gone; zero: not
+	peerLostAt time.Time // when a gang's task found another one missing; zero: none is
 }
 
-// OnMachine tells whether the task takes room on its machine.
+// OnMachine tells whether the task takes resources on its machine.
 func (t *Task) OnMachine() bool { return t.State != wire.TaskExited }
 
-// advance lets a task go on with what it is doing.
+// advance moves a task to its next state if the present one has ended.
 func (w *Worker) advance(task *Task) {
 	switch task.State {
 	case wire.TaskFetching:
@@ -36,6 +36,7 @@
 	}
 }
 
+// advanceFetching starts a task whose image has been pulled, or has it wait for its gang.
 func (w *Worker) advanceFetching(task *Task) {
 	now := w.cluster.Clock.Now()
 	if now.Before(task.StateEndsAt) {
@@ -49,7 +50,8 @@
 	case task.Job.Done[task.Index]:
 		w.exit(task, wire.ExitDone, false)
 	case task.Job.Spec.Shape == wire.ShapeGang:
-		task.State, task.StateEndsAt = wire.TaskWaiting, now.Add(config.Seconds(w.cluster.Config.Workers.GangWaitS))
+		task.State = wire.TaskWaiting
+		task.StateEndsAt = now.Add(config.Seconds(w.cluster.Config.Workers.GangWaitS))
 	default:
 		task.State, task.StateEndsAt = wire.TaskRunning, now.Add(task.Job.RunTime)
 	}
@@ -74,6 +76,8 @@
 	}
 }
 
+// advanceRunning ends a task that has run to its end, has saved its checkpoint, or has lost a member
+// of its gang.
 func (w *Worker) advanceRunning(task *Task) {
 	now := w.cluster.Clock.Now()
 	gang := task.Job.Spec.Shape == wire.ShapeGang
@@ -116,7 +120,8 @@
 	w.cluster.notifyCompleted(task.Job)
 }
 
-func (w *Worker) exit(task *Task, cause string, stored bool) {
-	task.State, task.ExitReason, task.CheckpointSaved = wire.TaskExited, cause, stored
+// exit ends a task. It stays listed until it is reaped.
+func (w *Worker) exit(task *Task, reason string, checkpointSaved bool) {
+	task.State, task.ExitReason, task.CheckpointSaved = wire.TaskExited, reason, checkpointSaved
 	w.heartbeatRequested = true
 }
--- /dev/null
+++ b/internal/standin/worker_heartbeat.go
@@ -0,0 +1,109 @@
+package standin
+
+import (
+	"net/http"
+	"time"
+
+	"juniperchute/internal/wire"
+)
+
+// Heartbeat is the worker's state, as it sends it; each has the next sequence number.
+func (w *Worker) Heartbeat() *wire.Heartbeat {
+	w.Sequence++
+	heartbeat := &wire.Heartbeat{
+		Host:        w.Host.ID,
+		Address:     w.Host.Address,
+		Type:        w.Host.Type,
+		Zone:        w.Host.Zone,
+		Spot:        w.Host.Spot,
+		Incarnation: w.Incarnation,
+		Sequence:    w.Sequence,
+		Token:       w.Token,
+	}
+	if !w.PreemptionTime.IsZero() {
+		remaining := max(0, w.PreemptionTime.Sub(w.cluster.Clock.Now()).Seconds())
+		heartbeat.PreemptionNoticeS = &remaining
+	}
+	for _, task := range w.Tasks {
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{
+			Name:            wire.TaskName(task.Job.Spec.ID, task.Index),
+			Attempt:         task.Attempt,
+			State:           task.State,
+			ExitReason:      task.ExitReason,
+			CheckpointSaved: task.CheckpointSaved,
+		})
+	}
+	return heartbeat
+}
+
+// sendHeartbeat sends a heartbeat to one controller; one is in flight at a time.
+func (w *Worker) sendHeartbeat() {
+	now := w.cluster.Clock.Now()
+	w.heartbeats++
+	number, incarnation := w.heartbeats, w.Incarnation
+	w.inFlight, w.heartbeatRequested, w.lastHeartbeat = number, false, now
+	heartbeat := w.Heartbeat()
+	w.cluster.Clock.Schedule(replyTimeout, func() {
+		if w.inFlight == number && w.Incarnation == incarnation {
+			w.nextController(number)
+		}
+	})
+	reply := func(status int, commands wire.HeartbeatResponse, reportsTo string) {
+		if w.inFlight != number || w.Terminated || w.Hung || w.Incarnation != incarnation {
+			return
+		}
+		w.handleReply(number, now, status, commands, reportsTo)
+	}
+	w.cluster.network.Send(w, w.Controller, heartbeat, reply)
+}
+
+// handleReply takes the reply to the heartbeat in flight, which was sent at a time.
+func (w *Worker) handleReply(
+	number int, sent time.Time, status int, commands wire.HeartbeatResponse, reportsTo string,
+) {
+	switch status {
+	case http.StatusOK:
+		w.inFlight = noHeartbeat
+		if commands.Token < w.Token {
+			return
+		}
+		w.observeToken(commands.Token)
+		w.leaseRenewedAt = sent
+		w.execute(commands.Commands)
+	case http.StatusMisdirectedRequest:
+		controller := w.cluster.network.NodeIndex(reportsTo)
+		if controller < 0 || controller == w.Controller {
+			w.nextController(number)
+			return
+		}
+		w.switchController(number, redirectPause, controller)
+	default:
+		w.nextController(number)
+	}
+}
+
+// nextController makes the worker turn to the next controller.
+func (w *Worker) nextController(number int) {
+	w.switchController(number, nextControllerPause, (w.Controller+1)%w.cluster.network.Nodes())
+}
+
+// switchController makes the worker send its heartbeats to another controller after a pause.
+func (w *Worker) switchController(number int, pause time.Duration, controller int) {
+	if w.inFlight != number {
+		return
+	}
+	w.inFlight = betweenControllers
+	w.cluster.Clock.Schedule(pause, func() {
+		if w.inFlight == betweenControllers && !w.Terminated {
+			w.inFlight, w.Controller = noHeartbeat, controller
+			w.heartbeatRequested = true
+		}
+	})
+}
+
+// observeToken takes note of a fencing token; a higher one is acknowledged in a heartbeat.
+func (w *Worker) observeToken(token uint64) {
+	if token > w.Token {
+		w.Token, w.heartbeatRequested = token, true
+	}
+}
--- a/internal/standin/workload.go
+++ b/internal/standin/workload.go
@@ -8,13 +8,16 @@
 	"juniperchute/internal/wire"
 )
 
-// DeploymentConfig are the settings of a small deployment with the given zones, teams and times of
-// its workers.
-func DeploymentConfig(zones []string, teams []config.Team, reportS, leaseS float64) config.Platform {
+// DeploymentConfig is the platform configuration of a small deployment with the given zones and
+// teams, and with its workers' heartbeat interval and lease in seconds.
+func DeploymentConfig(zones []string, teams []config.Team, heartbeatS, leaseS float64) config.Platform {
 	return config.Platform{
-		Nodes: 3, Zones: zones, TimeBoundMS: 100, Teams: teams,
+		Nodes:         3,
+		Zones:         zones,
+		TimeBoundMS:   100,
+		Teams:         teams,
 		Objectives:    []config.Objective{{Kind: "finished", Class: "sweep", WithinS: 60, Share: 0.8}},
-		Workers:       config.Workers{HeartbeatS: reportS, LeaseS: leaseS, GangWaitS: 20, GangPeerS: 4, CancelS: 35},
+		Workers:       config.Workers{HeartbeatS: heartbeatS, LeaseS: leaseS, GangWaitS: 20, GangPeerS: 4, CancelS: 35},
 		State:         config.StateLimits{RPS: 200, WriteRPS: 20, ValueKB: 4, TxnOps: 8},
 		Cloud:         config.CloudLimits{RPS: 8, ListLagS: 3},
 		MachineLimits: config.MachineLimits{CPU: 0.1, MemoryMB: 98, Sockets: 900},
@@ -23,57 +26,161 @@
 
 // Workload is the size of a deployment that benchmarks play, and what its users submit.
 type Workload struct {
-	Name               string
-	Nodes, Machines    int
-	Limits             config.MachineLimits
-	HeartbeatS, LeaseS float64
-	ArraysPerS         float64
-	GangsPerS          float64
-	TasksPerArray      int // of an array
-	RunTime            time.Duration
-	RequestsPerS       float64 // that the state service takes
-	WritesPerS         float64
+	Name       string
+	Nodes      int // controllers
+	Machines   int
+	Limits     config.MachineLimits // of a controller's process
+	HeartbeatS float64              // heartbeat interval of the workers
+	LeaseS     float64              // lease of the workers
+
+	ArraysPerS    float64
+	GangsPerS     float64
+	TasksPerArray int
+	RunTime       time.Duration // of each task
+
+	// What the state service takes.
+	RequestsPerS float64
+	WritesPerS   float64
 }
 
 // LeanWorkloads are the sizes of the lean deployments.
 func LeanWorkloads() []Workload {
 	return []Workload{
-		{Name: "exams", Nodes: 3, Machines: 180, Limits: config.MachineLimits{CPU: 0.036, MemoryMB: 65, Sockets: 900}, HeartbeatS: 1.5, LeaseS: 10,
-			ArraysPerS: 0.4, GangsPerS: 0.4, TasksPerArray: 20, RunTime: 70 * time.Second, RequestsPerS: 200, WritesPerS: 20},
-		{Name: "dispatch", Nodes: 7, Machines: 600, Limits: config.MachineLimits{CPU: 0.09, MemoryMB: 114, Sockets: 1500}, HeartbeatS: 4, LeaseS: 18,
-			ArraysPerS: 1, GangsPerS: 0.9, TasksPerArray: 75, RunTime: 40 * time.Second, RequestsPerS: 250, WritesPerS: 25},
+		{
+			Name:          "exams",
+			Nodes:         3,
+			Machines:      180,
+			Limits:        config.MachineLimits{CPU: 0.036, MemoryMB: 65, Sockets: 900},
+			HeartbeatS:    1.5,
+			LeaseS:        10,
+			ArraysPerS:    0.4,
+			GangsPerS:     0.4,
+			TasksPerArray: 20,
+			RunTime:       70 * time.Second,
+			RequestsPerS:  200,
+			WritesPerS:    20,
+		},
+		{
+			Name:          "dispatch",
+			Nodes:         7,
+			Machines:      600,
+			Limits:        config.MachineLimits{CPU: 0.09, MemoryMB: 114, Sockets: 1500},
+			HeartbeatS:    4,
+			LeaseS:        18,
+			ArraysPerS:    1,
+			GangsPerS:     0.9,
+			TasksPerArray: 75,
+			RunTime:       40 * time.Second,
+			RequestsPerS:  250,
+			WritesPerS:    25,
+		},
 	}
 }
 
-// LargestWorkload is one of 4,000 machines, the most that one holder was measured with.
+// LargestWorkload is one of 4,000 machines, the most that one lease holder was measured with.
 func LargestWorkload() Workload {
-	return Workload{Name: "4,000 machines", Nodes: 3, Machines: 4000, Limits: config.MachineLimits{CPU: 0.432, MemoryMB: 271, Sockets: 2179}, HeartbeatS: 5, LeaseS: 26.5,
-		ArraysPerS: 2.4, GangsPerS: 3.5, TasksPerArray: 150, RunTime: 60 * time.Second, RequestsPerS: 400, WritesPerS: 40}
+	return Workload{
+		Name:          "4,000 machines",
+		Nodes:         3,
+		Machines:      4000,
+		Limits:        config.MachineLimits{CPU: 0.432, MemoryMB: 271, Sockets: 2179},
+		HeartbeatS:    5,
+		LeaseS:        26.5,
+		ArraysPerS:    2.4,
+		GangsPerS:     3.5,
+		TasksPerArray: 150,
+		RunTime:       60 * time.Second,
+		RequestsPerS:  400,
+		WritesPerS:    40,
+	}
 }
 
-// LargeMachineType is the machine type that loads are played on.
+// LargeMachineType is the machine type that workloads run on.
 func LargeMachineType() wire.MachineType {
-	return wire.MachineType{Name: "g8", Vcpus: 64, Gpus: 8, MemGb: 384, FetchGbPerS: 1, Price: 5, SpotPrice: 2, BootTimeS: 5, Zones: []string{"a"}}
+	return wire.MachineType{
+		Name:        "g8",
+		Vcpus:       64,
+		Gpus:        8,
+		MemGb:       384,
+		FetchGbPerS: 1,
+		Price:       5,
+		SpotPrice:   2,
+		BootTimeS:   5,
+		Zones:       []string{"a"},
+	}
 }
 
-// Config are the settings of the load's deployment.
-func (l Workload) Config() config.Platform {
-	deployment := DeploymentConfig([]string{"a"}, []config.Team{{Name: "red"}}, l.HeartbeatS, l.LeaseS)
-	deployment.Nodes, deployment.MachineLimits = l.Nodes, l.Limits
-	deployment.State = config.StateLimits{RPS: l.RequestsPerS, WriteRPS: l.WritesPerS, ValueKB: 8, TxnOps: 16}
-	deployment.Objectives = []config.Objective{{Kind: "finished", Class: "sweep", WithinS: 250}, {Kind: "finished", Class: "model", WithinS: 350}}
-	return deployment
+// Config is the platform configuration of the workload's deployment.
+func (w Workload) Config() config.Platform {
+	platform := DeploymentConfig([]string{"a"}, []config.Team{{Name: "red"}}, w.HeartbeatS, w.LeaseS)
+	platform.Nodes, platform.MachineLimits = w.Nodes, w.Limits
+	platform.State = config.StateLimits{RPS: w.RequestsPerS, WriteRPS: w.WritesPerS, ValueKB: 8, TxnOps: 16}
+	platform.Objectives = []config.Objective{
+		{Kind: "finished", Class: "sweep", WithinS: 250},
+		{Kind: "finished", Class: "model", WithinS: 350},
+	}
+	return platform
 }
 
-// Array is one of the load's arrays.
-func (l Workload) Array(number int) wire.JobSpec {
-	return wire.JobSpec{ID: fmt.Sprintf("job-%06d", number), Team: "red", Class: "sweep", Shape: wire.ShapeBatch, Priority: "low", Tasks: l.TasksPerArray,
-		Vcpus: 6, Gpus: 1, MemGb: 36, Image: fmt.Sprintf("img-%d", number%12), ImageGb: 2, AnyType: true, EstimatedRunTimeS: l.RunTime.Seconds(), CheckpointIntervalS: 20, CheckpointSaveTimeS: 3}
+// Array is one of the workload's job arrays; the number makes its name.
+func (w Workload) Array(number int) wire.JobSpec {
+	return wire.JobSpec{
+		ID:                  fmt.Sprintf("job-%06d", number),
+		Team:                "red",
+		Class:               "sweep",
+		Shape:               wire.ShapeBatch,
+		Priority:            "low",
+		Tasks:               w.TasksPerArray,
+		Vcpus:               6,
+		Gpus:                1,
+		MemGb:               36,
+		Image:               fmt.Sprintf("img-%d", number%12),
+		ImageGb:             2,
+		AnyType:             true,
+		EstimatedRunTimeS:   w.RunTime.Seconds(),
+		CheckpointIntervalS: 20,
+		CheckpointSaveTimeS: 3,
+	}
 }
 
-// Gang is one of the load's gangs.
-func (l Workload) Gang(number int) wire.JobSpec {
-	spec := l.Array(number)
-	spec.Class, spec.Shape, spec.Priority, spec.Tasks, spec.Vcpus, spec.Gpus, spec.MemGb = "model", wire.ShapeGang, "normal", 2, 57, 8, 310
+// Gang is one of the workload's gangs; the number makes its name.
+func (w Workload) Gang(number int) wire.JobSpec {
+	spec := w.Array(number)
+	spec.Class, spec.Shape, spec.Priority = "model", wire.ShapeGang, "normal"
+	spec.Tasks, spec.Vcpus, spec.Gpus, spec.MemGb = 2, 57, 8, 310
 	return spec
 }
+
+// SubmissionBody is the protocol's JSON of a submission, written out here so that tests do not
+// take the controllers' own encoding for right.
+func SubmissionBody(spec wire.JobSpec) map[string]any {
+	body := map[string]any{
+		"Id":        spec.ID,
+		"Lane":      spec.Class,
+		"Crew":      spec.Team,
+		"Shape":     spec.Shape,
+		"Rank":      spec.Priority,
+		"Pieces":    spec.Tasks,
+		"Vcpus":     spec.Vcpus,
+		"Gpus":      spec.Gpus,
+		"MemGb":     spec.MemGb,
+		"Bundle":    spec.Image,
+		"ImageGb":   spec.ImageGb,
+		"Builds":    nil,
+		"Yard":      nil,
+		"Together":  spec.SameZone,
+		"Apart":     spec.SpreadAcrossZones,
+		"Loaners":   spec.Spot,
+		"GuessS":    spec.EstimatedRunTimeS,
+		"BookmarkS": spec.CheckpointIntervalS,
+		"StowS":     spec.CheckpointSaveTimeS,
+		"DueS":      nil,
+	}
+	if !spec.AnyType {
+		body["Builds"] = spec.Types
+	}
+	if spec.Zone != "" {
+		body["Yard"] = spec.Zone
+	}
+	return body
+}
