--- a/internal/integration/benchmark_test.go
+++ b/internal/integration/benchmark_test.go
@@ -97,24 +97,24 @@
 	}, nil
 }
 
-// leaderName is the member that the records name as the block's holder; the lock is
+// leaseHolderName is the member that the records name as the block's holder; the lock is
 // held.
-func (d *deployment) leaderName() string {
-	var rec struct{ Holder string }
-	_ = json.Unmarshal(d.store.Keys["c/b/0"].Value, &rec)
-	return rec.Holder
+func (d *deployment) leaseHolderName() string {
+	var record struct{ Holder string }
+	_ = json.Unmarshal(d.store.Keys["c/b/0"].Value, &record)
+	return record.Holder
 }
 
 // currentToken is the token of the block's newest tenure; the lock is held.
 func (d *deployment) currentToken() uint64 {
-	var rec struct{ Baton uint64 }
-	_ = json.Unmarshal(d.store.Keys["c/b/0"].Value, &rec)
-	return rec.Baton
+	var record struct{ Baton uint64 }
+	_ = json.Unmarshal(d.store.Keys["c/b/0"].Value, &record)
+	return record.Baton
 }
 
-// leader is the controller that holds the block, nil if there is none; the lock is held.
-func (d *deployment) leader() *controllerProcess {
-	if i := d.NodeIndex(d.leaderName()); i >= 0 {
+// leaseHolder is the controller that holds the block, nil if there is none; the lock is held.
+func (d *deployment) leaseHolder() *controllerProcess {
+	if i := d.NodeIndex(d.leaseHolderName()); i >= 0 {
 		return d.controllers[i]
 	}
 	return nil
@@ -175,7 +175,7 @@
 		})
 	}
 	var holder *controllerProcess
-	d.waitUntil("a holder", func() bool { holder = d.leader(); return holder != nil })
+	d.waitUntil("a holder", func() bool { holder = d.leaseHolder(); return holder != nil })
 	time.Sleep(time.Second)
 	for _, n := range d.controllers {
 		if n != holder {
@@ -185,7 +185,7 @@
 	d.submitLoad(load)
 	d.waitUntil("the fleet", func() bool { return len(d.cluster.Workers) >= load.Machines*9/10 })
 	time.Sleep(settle)
-	d.withLock(func() { holder = d.leader() })
+	d.withLock(func() { holder = d.leaseHolder() })
 	measureSteady(b, d, holder, span)
 	measureFailover(b, d, holder)
 }
@@ -233,7 +233,7 @@
 	from := time.Now()
 	holder.stop(crash)
 	var next *controllerProcess
-	d.waitUntil("another holder", func() bool { next = d.leader(); return next != nil && next != holder })
+	d.waitUntil("another holder", func() bool { next = d.leaseHolder(); return next != nil && next != holder })
 	took := time.Since(from)
 	time.Sleep(after)
 	b.ReportMetric(float64((next.cpuTime() - before[next]).Milliseconds()), "ms/takeover+2s")
--- a/internal/integration/call_gate_test.go
+++ b/internal/integration/call_gate_test.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// callMoment is when a gate holds a call.
-type callMoment int
+// callPhase is when a gate holds a call.
+type callPhase int
 
 const (
-	beforeCall callMoment = iota // it has been sent and not carried out
-	afterCall                    // it has been carried out, and its answer is on the way back
+	beforeCall callPhase = iota // it has been sent and not carried out
+	afterCall                   // it has been carried out, and its answer is on the way back
 )
 
 // callGate holds one call that a test waits for. The zero gate lets everything pass.
 type callGate struct {
-	mutex  sync.Mutex
-	want   func(call any) bool // nil: nothing is waited for
-	moment callMoment
-	call   *heldCall
+	mutex sync.Mutex
+	want  func(call any) bool // nil: nothing is waited for
+	phase callPhase
+	call  *heldCall
 }
 
 // heldCall is a call that is held at a gate.
@@ -28,18 +28,18 @@
 }
 
 // hold has the next call that is wanted held.
-func (g *callGate) hold(moment callMoment, want func(call any) bool) *heldCall {
+func (g *callGate) hold(phase callPhase, want func(call any) bool) *heldCall {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.want, g.moment = want, moment
+	g.want, g.phase = want, phase
 	g.call = &heldCall{reached: make(chan struct{}), released: make(chan struct{})}
 	return g.call
 }
 
 // pass holds a call if it is the one waited for.
-func (g *callGate) pass(moment callMoment, call any) {
+func (g *callGate) pass(phase callPhase, call any) {
 	g.mutex.Lock()
-	if g.want == nil || g.moment != moment || !g.want(call) {
+	if g.want == nil || g.phase != phase || !g.want(call) {
 		g.mutex.Unlock()
 		return
 	}
--- a/internal/integration/duties_command_test.go
+++ b/internal/integration/duties_command_test.go
@@ -37,13 +37,13 @@
 	if !held.wait(waitTimeout) {
 		t.Fatal("no deletion")
 	}
-	oldLeader := -1
-	test.withLock(func() { oldLeader = test.NodeIndex(test.leaderName()) })
-	name := test.controllers[oldLeader].config.Member
+	oldHolder := -1
+	test.withLock(func() { oldHolder = test.NodeIndex(test.leaseHolderName()) })
+	name := test.controllers[oldHolder].config.Member
 	token, _ := test.progress()
-	expect(oldLeader, "in force", "held by "+name, "rent", "return", "reclaim", "clean-up", "sent", fmt.Sprintf("entered under token %d", token))
-	test.signal(oldLeader, syscall.SIGSTOP)
-	other := (oldLeader + 1) % len(test.controllers)
+	expect(oldHolder, "in force", "held by "+name, "rent", "return", "reclaim", "clean-up", "sent", fmt.Sprintf("entered under token %d", token))
+	test.signal(oldHolder, syscall.SIGSTOP)
+	other := (oldHolder + 1) % len(test.controllers)
 	t.Logf("right after the freeze:\n%s", expect(other, "held by "+name, "return"))
 	test.waitUntil("another token", func() bool { return test.currentToken() > token })
 	out := expect(other, "token")
@@ -51,11 +51,11 @@
 		t.Errorf("still held by the frozen one:\n%s", out)
 	}
 	t.Logf("after the takeover:\n%s", out)
-	if out, err := runCommand(oldLeader); err == nil || strings.Count(out, "\n") != 1 {
+	if out, err := runCommand(oldHolder); err == nil || strings.Count(out, "\n") != 1 {
 		t.Errorf("the frozen controller: %v, %q", err, out)
 	}
 	held.release()
-	test.signal(oldLeader, syscall.SIGCONT)
+	test.signal(oldHolder, syscall.SIGCONT)
 	test.finish()
 	for _, controller := range test.controllers {
 		controller.stop(syscall.SIGTERM) // what is left of the traces is written
--- a/internal/integration/failover_test.go
+++ b/internal/integration/failover_test.go
@@ -11,24 +11,24 @@
 
 // incarnation is the lease of the process that is a member for a controller, 0 if there
 // is none; the lock is held.
-func (r *upgradeTest) incarnation(member string) uint64 {
+func (u *upgradeTest) incarnation(member string) uint64 {
 	var record struct{ Inc uint64 }
-	_ = json.Unmarshal(r.store.Keys["c/m/"+member].Value, &record)
+	_ = json.Unmarshal(u.store.Keys["c/m/"+member].Value, &record)
 	return record.Inc
 }
 
 // controller finds the controller of a process that is a member, -1 if the process is
 // none or none any more; the lock is held.
-func (r *upgradeTest) controller(member string, incarnation uint64) int {
-	if incarnation == 0 || r.incarnation(member) != incarnation {
+func (u *upgradeTest) controller(member string, incarnation uint64) int {
+	if incarnation == 0 || u.incarnation(member) != incarnation {
 		return -1
 	}
-	return r.NodeIndex(member)
+	return u.NodeIndex(member)
 }
 
-// leaderIndex is the controller that holds the block, -1 if none does; the lock is held. The
+// leaseHolderIndex is the controller that holds the block, -1 if none does; the lock is held. The
 // record outlives the process that it names.
-func (u *upgradeTest) leaderIndex() int {
+func (u *upgradeTest) leaseHolderIndex() int {
 	var record struct {
 		Holder string
 		Inc    uint64
@@ -37,23 +37,23 @@
 	return u.controller(record.Holder, record.Inc)
 }
 
-// leader is the controller that leads, -1 if none does; the lock is held.
-func (r *upgradeTest) leader() int {
+// leaderIndex is the controller that leads, -1 if none does; the lock is held.
+func (u *upgradeTest) leaderIndex() int {
 	var record struct {
 		Member string
 		Inc    uint64
 	}
-	_ = json.Unmarshal(r.store.Keys["c/leader"].Value, &record)
-	return r.controller(record.Member, record.Inc)
+	_ = json.Unmarshal(u.store.Keys["c/leader"].Value, &record)
+	return u.controller(record.Member, record.Inc)
 }
 
-// waitForLeader waits until a given controller holds the block, restarting others, in their
+// waitForLeaseHolder waits until a given controller holds the block, restarting others, in their
 // versions, that hold it instead.
-func (u *upgradeTest) waitForLeader(want int) {
+func (u *upgradeTest) waitForLeaseHolder(want int) {
 	u.t.Helper()
 	for range failoverAttempts {
 		holder := -1
-		u.waitUntil("a holder", func() bool { holder = u.leaderIndex(); return holder >= 0 })
+		u.waitUntil("a holder", func() bool { holder = u.leaseHolderIndex(); return holder >= 0 })
 		if holder == want {
 			return
 		}
@@ -67,45 +67,45 @@
 // wanted controller must not lead: it is restarted once somebody else does. If that is
 // the holder, its end would leave open who leads next, and with that who gets the block:
 // then the wanted controller has to be the only one left.
-func (r *upgradeTest) handOver(want int) {
-	r.t.Helper()
-	name := r.controllers[want].config.Member
-	r.controllers[want].stop(syscall.SIGKILL)
+func (u *upgradeTest) handOver(want int) {
+	u.t.Helper()
+	name := u.controllers[want].config.Member
+	u.controllers[want].stop(syscall.SIGKILL)
 	holder, leader := -1, -1
 	var token, ended uint64
-	r.waitUntil("another holder and another leader", func() bool {
-		holder, leader = r.leaderIndex(), r.leader()
-		token, ended = r.currentToken(), r.incarnation(name)
+	u.waitUntil("another holder and another leader", func() bool {
+		holder, leader = u.leaseHolderIndex(), u.leaderIndex()
+		token, ended = u.currentToken(), u.incarnation(name)
 		return holder >= 0 && holder != want && leader >= 0 && leader != want
 	})
-	r.t.Logf("controller %d holds the block, %d leads, %d is to hold it", holder, leader, want)
-	r.start(want)
-	r.waitUntil("the wanted controller among the members", func() bool {
-		now := r.incarnation(name)
+	u.t.Logf("controller %d holds the block, %d leads, %d is to hold it", holder, leader, want)
+	u.start(want)
+	u.waitUntil("the wanted controller among the members", func() bool {
+		now := u.incarnation(name)
 		return now != 0 && now != ended
 	})
-	failedOver := func() bool { return r.currentToken() > token }
+	failedOver := func() bool { return u.currentToken() > token }
 	if leader != holder {
-		r.restart(holder, r.versions[holder])
-		r.waitUntil("a failover", failedOver)
+		u.restart(holder, u.versions[holder])
+		u.waitUntil("a failover", failedOver)
 	} else {
-		r.whileAlone(want, func() { r.waitUntil("a failover by the only one left", failedOver) })
+		u.whileAlone(want, func() { u.waitUntil("a failover by the only one left", failedOver) })
 	}
-	r.sleep(stepInterval)
+	u.sleep(stepInterval)
 }
 
 // whileAlone ends all controllers but one, does something, and starts them again.
-func (r *upgradeTest) whileAlone(alone int, do func()) {
-	r.t.Helper()
-	for i, node := range r.controllers {
+func (u *upgradeTest) whileAlone(alone int, do func()) {
+	u.t.Helper()
+	for i, node := range u.controllers {
 		if i != alone {
 			node.stop(syscall.SIGKILL)
 		}
 	}
 	do()
-	for i := range r.controllers {
+	for i := range u.controllers {
 		if i != alone {
-			r.start(i)
+			u.start(i)
 		}
 	}
 }
--- a/internal/integration/stall_test.go
+++ b/internal/integration/stall_test.go
@@ -125,7 +125,7 @@
 // stallStep is a step of an action at which its holder stalls.
 type stallStep struct {
 	name string
-	at   callMoment
+	at   callPhase
 	want func(d intentlog.Operation) func(call any) bool
 }
 
@@ -138,8 +138,8 @@
 
 // stallKind is what happens to a holder.
 type stallKind struct {
-	name          string
-	frozen, moved bool // its process is stopped for longer than its lease; its clock is moved forward
+	name               string
+	frozen, clockMoved bool // its process is stopped for longer than its lease; its clock is moved forward
 }
 
 var stallKinds = []stallKind{
@@ -156,18 +156,18 @@
 	if !held.wait(waitTimeout) {
 		s.t.Fatalf("no call %s of %s came", step.name, operation)
 	}
-	oldLeader := -1
-	s.withLock(func() { oldLeader = s.NodeIndex(s.leaderName()) })
-	if oldLeader < 0 {
+	oldHolder := -1
+	s.withLock(func() { oldHolder = s.NodeIndex(s.leaseHolderName()) })
+	if oldHolder < 0 {
 		s.t.Fatal("nobody holds the block")
 	}
 	token, carriedOut := s.progress()
 	from := time.Now()
 	if kind.frozen {
-		s.signal(oldLeader, syscall.SIGSTOP)
+		s.signal(oldHolder, syscall.SIGSTOP)
 	}
-	if kind.moved {
-		s.signal(oldLeader, syscall.SIGUSR1)
+	if kind.clockMoved {
+		s.signal(oldHolder, syscall.SIGUSR1)
 	}
 	s.waitUntil("a next tenure's first action", func() bool {
 		return s.checker.Completed() > carriedOut && s.currentToken() > token
@@ -175,7 +175,7 @@
 	s.failoverTimes = append(s.failoverTimes, time.Since(from))
 	s.sleep(stallExtra)
 	held.release()
-	s.signal(oldLeader, syscall.SIGCONT)
+	s.signal(oldHolder, syscall.SIGCONT)
 }
 
 func (s *stallTest) signal(node int, sig os.Signal) {
@@ -221,11 +221,11 @@
 	return 1
 }
 
-// TestStalledLeader freezes the holder, or moves its clock forward, at each step of a
+// TestStalledLeaseHolder freezes the holder, or moves its clock forward, at each step of a
 // rental and of a return, and lets it go on once its successor has acted. What the
 // stand-in cloud carried out is compared with the log: nothing is carried out twice, late
 // with an effect, or on a machine that has work.
-func TestStalledLeader(t *testing.T) {
+func TestStalledLeaseHolder(t *testing.T) {
 	for _, operation := range []intentlog.Operation{intentlog.Provision, intentlog.Deprovision} {
 		for _, step := range stallSteps {
 			for _, kind := range stallKinds {
--- a/internal/integration/upgrade_test.go
+++ b/internal/integration/upgrade_test.go
@@ -41,7 +41,7 @@
 type oldVersion struct {
 	name, commit    string
 	heedsNextLimits bool // it writes nothing beyond the limits to come
-	duties          bool // the new version has the log of duties switched on
+	intentLog       bool // the new version has the log of duties switched on
 }
 
 // upgradeTest is a deployment whose controllers are given another version.
@@ -50,7 +50,7 @@
 	t                 *testing.T
 	old, new          string // programs
 	versions          []string
-	switches          string // the new version's file of switches, "" for none
+	gatesFile         string // the new version's file of switches, "" for none
 	writesLargeValues bool   // the old version fills values to the present limit
 	limitsLowered     bool   // the limits have fallen
 	jobs              int
@@ -75,9 +75,9 @@
 func newUpgradeTest(t *testing.T, from oldVersion) *upgradeTest {
 	u := &upgradeTest{t: t, writesLargeValues: !from.heedsNextLimits, old: buildVersion(t, from.commit), new: buildVersion(t, ""), rng: rand.New(rand.NewPCG(9, 9)), stopLoad: make(chan struct{})}
 	u.deployment = newDeployment(t, upgradeConfig(), upgradeMachineType(), upgradeMachines)
-	if from.duties {
-		u.switches = filepath.Join(t.TempDir(), "switches.toml")
-		if err := os.WriteFile(u.switches, []byte("duties = true\n"), 0o600); err != nil {
+	if from.intentLog {
+		u.gatesFile = filepath.Join(t.TempDir(), "switches.toml")
+		if err := os.WriteFile(u.gatesFile, []byte("duties = true\n"), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -88,7 +88,7 @@
 		u.versions = append(u.versions, u.old)
 		u.start(i)
 	}
-	u.waitUntil("a holder", func() bool { return u.leaderIndex() >= 0 })
+	u.waitUntil("a holder", func() bool { return u.leaseHolderIndex() >= 0 })
 	u.goroutines.Add(1)
 	go u.submitLoop()
 	u.waitUntil("work on the machines", func() bool { return u.longArray != nil && slices.Contains(u.longArray.Done, true) })
@@ -99,8 +99,8 @@
 func (u *upgradeTest) start(i int) {
 	program := u.versions[i]
 	args := []string{"--config"}
-	if program == u.new && u.switches != "" {
-		args = []string{"--switches", u.switches, "--config"}
+	if program == u.new && u.gatesFile != "" {
+		args = []string{"--switches", u.gatesFile, "--config"}
 	}
 	u.controllers[i].start(func(settings string) *exec.Cmd { return exec.Command(program, append(args, settings)...) })
 }
@@ -222,7 +222,7 @@
 // finish ends the load and waits until every job has ended.
 func (u *upgradeTest) finish() {
 	close(u.stopLoad)
-	if u.switches != "" {
+	if u.gatesFile != "" {
 		u.waitUntil("the log of duties in force", func() bool { return strings.Contains(string(u.store.Keys["c/switches"].Value), "duties") })
 	}
 	u.waitUntil("every job's end", func() bool {
@@ -267,14 +267,14 @@
 		}},
 		{"an old process takes over from a new one, and a new one from an old one", func(u *upgradeTest) {
 			u.restart(0, u.new)
-			u.waitForLeader(0)
+			u.waitForLeaseHolder(0)
 			u.sleep(stepInterval)
 			u.controllers[0].stop(syscall.SIGKILL)
-			u.waitUntil("an old holder", func() bool { return u.leaderIndex() > 0 })
+			u.waitUntil("an old holder", func() bool { return u.leaseHolderIndex() > 0 })
 			u.sleep(stepInterval)
 			u.start(0)
 			u.sleep(stepInterval)
-			u.waitForLeader(0)
+			u.waitForLeaseHolder(0)
 			u.roll(u.new)
 		}},
 		{"an old process comes back old among new ones", func(u *upgradeTest) {
@@ -302,11 +302,11 @@
 			u.lowerLimits()
 		}},
 		{"the limits fall in the takeover that the last process's end brings", func(u *upgradeTest) {
-			u.waitForLeader(2)
+			u.waitForLeaseHolder(2)
 			u.restart(0, u.new)
 			u.restart(1, u.new)
 			u.sleep(stepInterval)
-			u.waitForLeader(2)
+			u.waitForLeaseHolder(2)
 			u.controllers[2].stop(syscall.SIGKILL)
 			u.lowerLimits()
 			u.versions[2] = u.new
