--- a/internal/standin/task.go
+++ b/internal/standin/task.go
@@ -10,23 +10,23 @@
 
 // Task is one attempt of a task on a worker.
 type Task struct {
-	Job       *Job
-	Index     int
-	Attempt   uint64
-	Stage     string
-	Cause     string
-	Stored    bool
-	StageEnds time.Time // the end of what it is doing
+	Job             *Job
+	Index           int
+	Attempt         uint64
+	State           string
+	ExitReason      string
+	CheckpointSaved bool
+	StateEndsAt     time.Time // when the pull, the gang wait, the run or the checkpoint ends
 
-	peerLostAt time.Time // when a gang's task found another one gone; zero: not
+	peerLostAt time.Time // when a gang's task found another one missing; zero: none is
 }
 
-// OnMachine tells whether the task takes room on its machine.
-func (t *Task) OnMachine() bool { return t.Stage != wire.TaskExited }
+// OnMachine tells whether the task takes resources on its machine.
+func (t *Task) OnMachine() bool { return t.State != wire.TaskExited }
 
-// advance lets a task go on with what it is doing.
+// advance moves a task to its next state if the present one has ended.
 func (w *Worker) advance(task *Task) {
-	switch task.Stage {
+	switch task.State {
 	case wire.TaskFetching:
 		w.advanceFetching(task)
 	case wire.TaskWaiting:
@@ -36,9 +36,10 @@
 	}
 }
 
+// advanceFetching starts a task whose image has been pulled, or has it wait for its gang.
 func (w *Worker) advanceFetching(task *Task) {
 	now := w.cluster.Clock.Now()
-	if now.Before(task.StageEnds) {
+	if now.Before(task.StateEndsAt) {
 		return
 	}
 	w.Images[task.Job.Spec.Image] = true
@@ -49,9 +50,10 @@
 	case task.Job.Done[task.Index]:
 		w.exit(task, wire.ExitDone, false)
 	case task.Job.Spec.Shape == wire.ShapeGang:
-		task.Stage, task.StageEnds = wire.TaskWaiting, now.Add(config.Seconds(w.cluster.Config.Workers.GangWaitS))
+		task.State = wire.TaskWaiting
+		task.StateEndsAt = now.Add(config.Seconds(w.cluster.Config.Workers.GangWaitS))
 	default:
-		task.Stage, task.StageEnds = wire.TaskRunning, now.Add(task.Job.RunTime)
+		task.State, task.StateEndsAt = wire.TaskRunning, now.Add(task.Job.RunTime)
 	}
 }
 
@@ -60,20 +62,22 @@
 	now := w.cluster.Clock.Now()
 	members := w.cluster.gangMembers(task)
 	if len(members) < task.Job.Spec.Tasks {
-		if now.After(task.StageEnds) {
+		if now.After(task.StateEndsAt) {
 			w.exit(task, wire.ExitGangWaitTimeout, false)
 		}
 		return
 	}
-	if slices.ContainsFunc(members, func(peer gangMember) bool { return peer.task.Stage != wire.TaskWaiting }) {
+	if slices.ContainsFunc(members, func(peer gangMember) bool { return peer.task.State != wire.TaskWaiting }) {
 		return
 	}
 	for _, peer := range members {
-		peer.task.Stage, peer.task.StageEnds = wire.TaskRunning, now.Add(task.Job.RunTime)
+		peer.task.State, peer.task.StateEndsAt = wire.TaskRunning, now.Add(task.Job.RunTime)
 		peer.worker.heartbeatRequested = true
 	}
 }
 
+// advanceRunning ends a task that has run to its end, has saved its checkpoint, or has lost a member
+// of its gang.
 func (w *Worker) advanceRunning(task *Task) {
 	now := w.cluster.Clock.Now()
 	gang := task.Job.Spec.Shape == wire.ShapeGang
@@ -85,13 +89,13 @@
 			w.exit(task, wire.ExitGangMemberLost, false)
 			return
 		}
-		if task.Stage == wire.TaskRunning {
+		if task.State == wire.TaskRunning {
 			return
 		}
 	}
 	switch {
-	case now.Before(task.StageEnds):
-	case task.Stage == wire.TaskSaving:
+	case now.Before(task.StateEndsAt):
+	case task.State == wire.TaskSaving:
 		w.exit(task, wire.ExitStopped, true)
 	case task.Job.Spec.Shape == wire.ShapeService:
 	case gang:
@@ -106,7 +110,7 @@
 // completeGang completes all tasks of a gang together.
 func (w *Worker) completeGang(task *Task) {
 	members := w.cluster.gangMembers(task)
-	if slices.ContainsFunc(members, func(peer gangMember) bool { return peer.task.Stage != wire.TaskRunning }) {
+	if slices.ContainsFunc(members, func(peer gangMember) bool { return peer.task.State != wire.TaskRunning }) {
 		return
 	}
 	for _, peer := range members {
@@ -116,7 +120,8 @@
 	w.cluster.notifyCompleted(task.Job)
 }
 
-func (w *Worker) exit(task *Task, cause string, stored bool) {
-	task.Stage, task.Cause, task.Stored = wire.TaskExited, cause, stored
+// exit ends a task. It stays listed until it is reaped.
+func (w *Worker) exit(task *Task, reason string, checkpointSaved bool) {
+	task.State, task.ExitReason, task.CheckpointSaved = wire.TaskExited, reason, checkpointSaved
 	w.heartbeatRequested = true
 }
