--- a/Makefile
+++ b/Makefile
@@ -13,6 +13,8 @@
 	./internal/intentlog \
 	./internal/leader \
 	./internal/peer/... \
+	./internal/placement \
+	./internal/quota \
 	./internal/store \
 	./internal/submission \
 	./internal/tools/... \
