--- a/Makefile
+++ b/Makefile
@@ -12,6 +12,7 @@
 	./internal/fleet \
 	./internal/leader \
 	./internal/peer/... \
+	./internal/standin \
 	./internal/store \
 	./internal/submission \
 	./internal/tools/... \
--- /dev/null
+++ b/internal/standin/fixture_test.go
@@ -0,0 +1,85 @@
+package standin
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"juniperchute/internal/config"
+	"juniperchute/internal/quota"
+	"juniperchute/internal/wire"
+)
+
+// discardNetwork delivers nothing.
+type discardNetwork struct{}
+
+func (discardNetwork) Nodes() int                                    { return 1 }
+func (discardNetwork) NodeIndex(string) int                          { return -1 }
+func (discardNetwork) Send(*Worker, int, *wire.Heartbeat, ReplyFunc) {}
+
+// testCluster has two machines in each of two zones.
+func testCluster() *Cluster {
+	teams := []config.Team{{Name: "red", GPUsMax: 4}, {Name: "blue"}}
+	platform := DeploymentConfig([]string{"a", "b"}, teams, 1.5, 10)
+	cluster := NewCluster(NewClock(Epoch), rand.New(rand.NewPCG(1, 1)), platform, discardNetwork{})
+	for _, host := range []wire.Machine{
+		{ID: "a1", Type: "g", Zone: "a"},
+		{ID: "a2", Type: "g", Zone: "a", Spot: true},
+		{ID: "b1", Type: "g", Zone: "b"},
+		{ID: "b2", Type: "h", Zone: "b"},
+	} {
+		cluster.AddWorker(host, quota.Resources{CPUs: 16, GPUs: 8, MemGB: 64})
+	}
+	return cluster
+}
+
+// addTestJob adds an accepted job of three tasks, job-1, changed as a test needs it.
+func (c *Cluster) addTestJob(change func(spec *wire.JobSpec)) *Job {
+	spec := wire.JobSpec{
+		ID:      "job-1",
+		Team:    "blue",
+		Shape:   wire.ShapeBatch,
+		Tasks:   3,
+		Vcpus:   1,
+		Gpus:    1,
+		MemGb:   1,
+		Image:   "i",
+		AnyType: true,
+	}
+	if change != nil {
+		change(&spec)
+	}
+	job := NewJob(spec, 100*time.Second)
+	c.AddJob(job)
+	c.RecordAnswer(job, wire.JobPending, "")
+	return job
+}
+
+// startTask has a worker start a task.
+func (c *Cluster) startTask(host, task string, attempt uint64) {
+	c.command(host, wire.Command{Verb: wire.VerbRun, Task: task, Attempt: attempt})
+}
+
+// command has a worker execute a command of the first term.
+func (c *Cluster) command(host string, command wire.Command) {
+	worker := c.Workers[host]
+	worker.HandleCommand(wire.DirectCommands{
+		Token:       1,
+		Incarnation: worker.Incarnation,
+		Commands:    []wire.Command{command},
+	})
+}
+
+// advance plays a time.
+func (c *Cluster) advance(d time.Duration) { c.Clock.RunUntil(c.Clock.Now().Add(d)) }
+
+// expectViolation checks that a rule is the first that was broken, or that none was if it is "".
+func (c *Cluster) expectViolation(t *testing.T, rule Rule) {
+	t.Helper()
+	switch {
+	case rule == "" && len(c.Violations) > 0:
+		t.Errorf("found %v", c.Violations[0])
+	case rule != "" && (len(c.Violations) == 0 || c.Violations[0].Rule != rule):
+		t.Errorf("found %v, want %s", c.Violations, rule)
+	}
+}
--- a/internal/standin/intent_checker_test.go
+++ b/internal/standin/intent_checker_test.go
@@ -11,9 +11,21 @@
 	"juniperchute/internal/wire"
 )
 
-// intentFixture is stand-ins with two machines and a checker of the log of duties.
+// Records as controllers store them, and attempts of the first two terms.
+const (
+	logPage             = "d/0/0"
+	deprovisionIntent   = `{"a1":{"Duty":"return","Token":1,"At":5}}`
+	reclaimIntent       = `{"a1":{"Duty":"reclaim","Token":1,"At":5}}`
+	provisioningKey     = "h/0/b0-1-1"
+	provisioningRequest = `{"Number":1}`
+	attemptOfTerm1      = 1<<tuning.AttemptBits | 7
+	attemptOfTerm2      = 2<<tuning.AttemptBits | 7
+)
+
+// intentFixture is fakes with two machines and a checker of the intent log.
 type intentFixture struct {
 	*Cluster
+	t       *testing.T
 	store   *StateService
 	cloud   *Cloud
 	checker *IntentChecker
@@ -21,8 +33,12 @@
 
 func newIntentFixture(t *testing.T) *intentFixture {
 	cluster := testCluster()
-	rng := rand.New(rand.NewPCG(1, 1))
-	f := &intentFixture{Cluster: cluster, store: NewStateService(cluster.Clock), cloud: NewCloud(cluster.Clock, rng, nil)}
+	f := &intentFixture{
+		Cluster: cluster,
+		t:       t,
+		store:   NewStateService(cluster.Clock),
+		cloud:   NewCloud(cluster.Clock, rand.New(rand.NewPCG(1, 1)), nil),
+	}
 	f.cloud.Available[CapacityKey("g", "a", false)] = 5
 	f.cloud.OnBooted = func(*CloudHost) {}
 	f.cloud.OnRemoved = func(h *CloudHost) { cluster.Remove(h.ID) }
@@ -30,19 +46,21 @@
 		f.cloud.Hosts[id] = &CloudHost{Machine: cluster.Workers[id].Host}
 	}
 	f.checker = NewIntentChecker(cluster, f.store, f.cloud)
-	f.write(t, featureGatesKey, `{"InForce":["duties"]}`)
+	f.write(featureGatesKey, `{"InForce":["duties"]}`)
 	return f
 }
 
-func (f *intentFixture) write(t *testing.T, key, value string) {
-	t.Helper()
-	w := wire.Write{Put: key, Value: json.RawMessage(value)}
+// write stores a value under a key, or deletes the key if the value is "".
+func (f *intentFixture) write(key, value string) {
+	f.t.Helper()
+	write := wire.Write{Put: key, Value: json.RawMessage(value)}
 	if value == "" {
-		w = store.Delete(key)
+		write = store.Delete(key)
 	}
-	f.store.Call(store.Call{Op: store.OpTransaction, Transaction: wire.Transaction{Writes: []wire.Write{w}}}, func(r store.Result) {
-		if !r.OK() {
-			t.Fatalf("write of %s: %v", key, r.Err)
+	transaction := wire.Transaction{Writes: []wire.Write{write}}
+	f.store.Call(store.Call{Op: store.OpTransaction, Transaction: transaction}, func(result store.Result) {
+		if !result.OK() {
+			f.t.Fatalf("write of %s: %v", key, result.Err)
 		}
 	})
 }
@@ -52,77 +70,138 @@
 }
 
 func (f *intentFixture) createMachine(name string) {
-	f.cloud.Call(cloud.Call{Operation: cloud.CreateMachines, Request: wire.ProvisionRequest{Name: name, Type: "g", Zone: "a", Count: 1}})
+	request := wire.ProvisionRequest{Name: name, Type: "g", Zone: "a", Count: 1}
+	f.cloud.Call(cloud.Call{Operation: cloud.CreateMachines, Request: request})
 }
 
-// The checker of the log of duties finds a planted violation of each rule, and none where
-// there is none.
-func TestIntentChecker(t *testing.T) {
-	const (
-		log          = "d/0/0"
-		returnUnder1 = `{"a1":{"Duty":"return","Token":1,"At":5}}`
-		reclaim      = `{"a1":{"Duty":"reclaim","Token":1,"At":5}}`
-		rental       = "h/0/b0-1-1"
-		asked        = `{"Number":1}`
-		attempt1     = 1<<tuning.AttemptBits | 7
-		attempt2     = 2<<tuning.AttemptBits | 7
-	)
-	for _, test := range []struct {
-		name string
-		rule Rule // "" for none
-		play func(f *intentFixture)
-	}{
-		{"returned after it was entered", "", func(f *intentFixture) { f.write(t, log, returnUnder1); f.delete("a1") }},
-		{"deleted twice: the second call does nothing", "", func(f *intentFixture) {
-			f.write(t, log, returnUnder1)
+// intentCase is what is stored and what the cloud carries out, and the rule that it breaks.
+type intentCase struct {
+	name string
+	rule Rule // "" for none
+	play func(f *intentFixture)
+}
+
+// deletionCases are about machines that are deleted.
+var deletionCases = []intentCase{
+	{
+		name: "deprovisioned after it was recorded",
+		play: func(f *intentFixture) {
+			f.write(logPage, deprovisionIntent)
+			f.delete("a1")
+		},
+	},
+	{
+		name: "deleted twice: the second call does nothing",
+		play: func(f *intentFixture) {
+			f.write(logPage, deprovisionIntent)
+			f.delete("a1")
+			f.write(logPage, "")
 			f.delete("a1")
-			f.write(t, log, "")
+		},
+	},
+	{
+		name: "deprovisioned and never recorded",
+		rule: NotRecorded,
+		play: func(f *intentFixture) { f.delete("a1") },
+	},
+	{
+		name: "another one deprovisioned than was recorded",
+		rule: NotRecorded,
+		play: func(f *intentFixture) {
+			f.write(logPage, deprovisionIntent)
+			f.delete("a1", "a2")
+		},
+	},
+	{
+		name: "deprovisioned after the intent was completed",
+		rule: StaleIntent,
+		play: func(f *intentFixture) {
+			f.write(logPage, deprovisionIntent)
+			f.write(logPage, "")
 			f.delete("a1")
-		}},
-		{"returned and never entered", NotRecorded, func(f *intentFixture) { f.delete("a1") }},
-		{"another one returned than was entered", NotRecorded, func(f *intentFixture) { f.write(t, log, returnUnder1); f.delete("a1", "a2") }},
-		{"returned after the entry was settled", StaleIntent, func(f *intentFixture) { f.write(t, log, returnUnder1); f.write(t, log, ""); f.delete("a1") }},
-		{"returned with work on it", BusyMachineDeleted, func(f *intentFixture) {
+		},
+	},
+	{
+		name: "deprovisioned with work on it",
+		rule: BusyMachineDeleted,
+		play: func(f *intentFixture) {
 			f.addTestJob(nil)
-			f.startTask("a1", "job-1/0", attempt1)
-			f.write(t, log, returnUnder1)
+			f.startTask("a1", "job-1/0", attemptOfTerm1)
+			f.write(logPage, deprovisionIntent)
 			f.delete("a1")
-		}},
-		{"reclaimed with work that its own tenure had started", "", func(f *intentFixture) {
+		},
+	},
+	{
+		name: "reclaimed with work that its own term had started",
+		play: func(f *intentFixture) {
 			f.addTestJob(nil)
-			f.startTask("a1", "job-1/0", attempt1)
-			f.write(t, log, reclaim)
+			f.startTask("a1", "job-1/0", attemptOfTerm1)
+			f.write(logPage, reclaimIntent)
 			f.delete("a1")
-		}},
-		{"work of a later tenure on a machine that was entered", WorkOnTerminatingMachine, func(f *intentFixture) {
+		},
+	},
+	{
+		name: "work of a later term on a machine that was recorded",
+		rule: WorkOnTerminatingMachine,
+		play: func(f *intentFixture) {
 			f.addTestJob(nil)
-			f.write(t, log, reclaim)
-			f.startTask("a1", "job-1/0", attempt2)
-		}},
-		{"reclaimed with work of a later tenure", BusyMachineDeleted, func(f *intentFixture) {
+			f.write(logPage, reclaimIntent)
+			f.startTask("a1", "job-1/0", attemptOfTerm2)
+		},
+	},
+	{
+		name: "reclaimed with work of a later term",
+		rule: BusyMachineDeleted,
+		play: func(f *intentFixture) {
 			f.addTestJob(nil)
-			f.startTask("a1", "job-1/0", attempt2)
-			f.write(t, log, reclaim)
+			f.startTask("a1", "job-1/0", attemptOfTerm2)
+			f.write(logPage, reclaimIntent)
 			f.delete("a1")
-		}},
-		{"rented after it was entered, and asked for again", "", func(f *intentFixture) {
-			f.write(t, rental, asked)
+		},
+	},
+	{
+		name: "a page that cannot be read",
+		rule: Expectation,
+		play: func(f *intentFixture) { f.write(logPage, `"x"`) },
+	},
+}
+
+// provisioningCases are about machines that are provisioned.
+var provisioningCases = []intentCase{
+	{
+		name: "provisioned after it was recorded, and requested again",
+		play: func(f *intentFixture) {
+			f.write(provisioningKey, provisioningRequest)
 			f.createMachine("b0-1-1")
 			f.createMachine("b0-1-1")
-		}},
-		{"rented and never entered", NotRecorded, func(f *intentFixture) { f.createMachine("b0-1-1") }},
-		{"rented after it was settled", StaleIntent, func(f *intentFixture) { f.write(t, rental, asked); f.write(t, rental, ""); f.createMachine("b0-1-1") }},
-		{"a page that cannot be read", Expectation, func(f *intentFixture) { f.write(t, log, `"x"`) }},
-	} {
-		t.Run(test.name, func(t *testing.T) {
-			f := newIntentFixture(t)
-			test.play(f)
-			switch {
-			case test.rule == "" && len(f.Violations) > 0:
-				t.Errorf("found %v", f.Violations[0])
-			case test.rule != "" && (len(f.Violations) == 0 || f.Violations[0].Rule != test.rule):
-				t.Errorf("found %v, want %s", f.Violations, test.rule)
-			}
-		})
+		},
+	},
+	{
+		name: "provisioned and never recorded",
+		rule: NotRecorded,
+		play: func(f *intentFixture) { f.createMachine("b0-1-1") },
+	},
+	{
+		name: "provisioned after it was completed",
+		rule: StaleIntent,
+		play: func(f *intentFixture) {
+			f.write(provisioningKey, provisioningRequest)
+			f.write(provisioningKey, "")
+			f.createMachine("b0-1-1")
+		},
+	},
+}
+
+// TestIntentChecker checks that the checker of the intent log finds a planted violation of each
+// rule, and none where there is none.
+func TestIntentChecker(t *testing.T) {
+	for _, cases := range [][]intentCase{deletionCases, provisioningCases} {
+		for _, test := range cases {
+			t.Run(test.name, func(t *testing.T) {
+				f := newIntentFixture(t)
+				test.play(f)
+				f.expectViolation(t, test.rule)
+			})
+		}
 	}
 }
