--- a/Makefile
+++ b/Makefile
@@ -15,6 +15,7 @@
 	./internal/peer/... \
 	./internal/placement \
 	./internal/quota \
+	./internal/standin \
 	./internal/store \
 	./internal/submission \
 	./internal/tools/... \
