--- a/internal/controller/fault_combinations_state_test.go
+++ b/internal/controller/fault_combinations_state_test.go
@@ -43,6 +43,11 @@
 // playLateTransactions has transactions carried out after newer ones.
 func playLateTransactions(s *faultScenario) {
 	s.rates.lateWrites = 0.2
+	playJobsBesideCrashes(s)
+}
+
+// playJobsBesideCrashes submits and cancels jobs while the leader crashes now and then.
+func playJobsBesideCrashes(s *faultScenario) {
 	for range 12 {
 		s.jobs(2, 3*time.Second, 20*time.Second)
 		s.cancelSome(0.15)
@@ -56,14 +61,7 @@
 // playLostTransactionReplies has transactions carried out whose replies are lost.
 func playLostTransactionReplies(s *faultScenario) {
 	s.rates.lostAnswers, s.rates.burstsOfQueries = 0.3, true
-	for range 12 {
-		s.jobs(2, 3*time.Second, 20*time.Second)
-		s.cancelSome(0.15)
-		s.runFor(s.randomMillis(3000, 8000))
-		if s.rng.IntN(4) == 0 {
-			s.leaderOrAny().crash(s.randomMillis(100, 3000))
-		}
-	}
+	playJobsBesideCrashes(s)
 }
 
 // playSlowThenRefusingStateService slows the state service, then has it refuse the leader, then all.
