--- a/internal/placement/array.go
+++ b/internal/placement/array.go
@@ -49,8 +49,10 @@
 	reservedForGang bool // a machine that would do is reserved for a starving gang
 }
 
-func newArrayPlacement(scheduler *arrayScheduler, job *Job, filter passFilter) *arrayPlacement {
-	p := &arrayPlacement{
+// newArrayPlacement returns a value, not a pointer: one is made for each array in each round,
+// and a value stays off the heap.
+func newArrayPlacement(scheduler *arrayScheduler, job *Job, filter passFilter) arrayPlacement {
+	p := arrayPlacement{
 		scheduler:   scheduler,
 		job:         job,
 		scope:       filter.scope,
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -53,16 +53,17 @@
 		}
 	}
 	sortByPreemptionCost(now, candidates)
-	selected := victims{free: free}
+	var selected []*Task // not in the result yet: a short slice then stays off the heap while it grows
+	cost := 0.0
 	for _, task := range candidates {
-		if selected.free.Fits(class.need) {
+		if free.Fits(class.need) {
 			break
 		}
-		selected.free = selected.free.Add(task.Job.need)
-		selected.cost += task.preemptionCost(now)
-		selected.tasks = append(selected.tasks, task)
+		free = free.Add(task.Job.need)
+		cost += task.preemptionCost(now)
+		selected = append(selected, task)
 	}
-	return selected
+	return victims{tasks: selected, free: free, cost: cost}
 }
 
 // sortByPreemptionCost sorts tasks by what preempting them loses, the least first.
--- a/internal/term/isolation.go
+++ b/internal/term/isolation.go
@@ -1,6 +1,7 @@
 package term
 
 import (
+	"iter"
 	"time"
 
 	"juniperchute/internal/config"
@@ -23,44 +24,54 @@
 // holder whom they can reach renews their leases in time. Keeping it would lose every task,
 // and delete every machine as unresponsive.
 func (t *Term) detectIsolation(now time.Time) {
-	machines := t.machinesWithinLease(now)
-	last := lastHeartbeat(machines)
+	machines := 0
+	var last time.Time // the newest heartbeat of all
+	for machine := range t.machinesWithinLease(now) {
+		machines++
+		if machine.LastHeartbeat.After(last) {
+			last = machine.LastHeartbeat
+		}
+	}
 	limit := config.Seconds(t.options.Platform.Workers.HeartbeatS*tuning.IsolationHeartbeats) + tuning.UnresponsiveGrace
-	t.isolation.unreachable = len(machines) >= tuning.IsolationMinMachines && now.Sub(last) > limit
+	t.isolation.unreachable = machines >= tuning.IsolationMinMachines && now.Sub(last) > limit
 	if !t.isolation.unreachable || now.Before(t.isolation.probeAt) {
 		return
 	}
 	t.isolation.probeAt = now.Add(tuning.ProbeTimeout + tuning.ProgressTimeout)
-	t.log.Info("workers unreachable", "workers", len(machines), "for", now.Sub(last))
-	var addresses []string
-	for _, machine := range machines[:min(len(machines), tuning.ProbeWorkers)] {
+	t.log.Info("workers unreachable", "workers", machines, "for", now.Sub(last))
+	t.probeThroughPeers(t.addressesToProbe(now))
+}
+
+// addressesToProbe are the addresses of a few machines that should send heartbeats.
+func (t *Term) addressesToProbe(now time.Time) (addresses []string) {
+	for machine := range t.machinesWithinLease(now) {
+		if len(addresses) == tuning.ProbeWorkers {
+			break
+		}
 		addresses = append(addresses, machine.Address)
 	}
+	return addresses
+}
+
+// probeThroughPeers has all peers ask whether workers answer them.
+func (t *Term) probeThroughPeers(addresses []string) {
 	for _, member := range t.options.Peers {
 		t.options.Effects.ProbeWorkers(member, &peerpb.ProbeRequest{Addresses: addresses}, t.handleProbe)
 	}
 }
 
-// machinesWithinLease are the machines that should send heartbeats: their leases may stand.
-func (t *Term) machinesWithinLease(now time.Time) []*worker.Machine {
+// machinesWithinLease iterates over the machines that should send heartbeats: their leases
+// may stand.
+func (t *Term) machinesWithinLease(now time.Time) iter.Seq[*worker.Machine] {
 	lease := config.Seconds(t.options.Platform.Workers.LeaseS)
-	var out []*worker.Machine
-	for _, machine := range t.workers.All() {
-		reporting := machine.State == worker.Up || machine.State == worker.Unresponsive
-		if reporting && now.Sub(machine.LastHeartbeat) <= lease {
-			out = append(out, machine)
-		}
-	}
-	return out
-}
-
-func lastHeartbeat(machines []*worker.Machine) (last time.Time) {
-	for _, machine := range machines {
-		if machine.LastHeartbeat.After(last) {
-			last = machine.LastHeartbeat
+	return func(yield func(*worker.Machine) bool) {
+		for _, machine := range t.workers.All() {
+			reporting := machine.State == worker.Up || machine.State == worker.Unresponsive
+			if reporting && now.Sub(machine.LastHeartbeat) <= lease && !yield(machine) {
+				return
+			}
 		}
 	}
-	return last
 }
 
 // handleProbe ends the term if a peer reaches workers that this process does not.
