--- a/Makefile
+++ b/Makefile
@@ -10,6 +10,7 @@
 	./internal/config \
 	./internal/featuregate \
 	./internal/fleet \
+	./internal/integration \
 	./internal/leader \
 	./internal/peer/... \
 	./internal/standin \
--- a/internal/integration/addresses_test.go
+++ b/internal/integration/addresses_test.go
@@ -26,7 +26,7 @@
 	peer, api string
 }
 
-// reserveAddresses finds addresses for controllers and keeps them to the test until its end.
+// reserveAddresses finds addresses for controllers and reserves them until the test's end.
 func reserveAddresses(tb testing.TB, controllers int) []controllerAddresses {
 	tb.Helper()
 	for n := range controllerHostsMax {
@@ -57,6 +57,7 @@
 	return addresses
 }
 
+// hostPort is an address with a port.
 func hostPort(host string, port int) string { return net.JoinHostPort(host, strconv.Itoa(port)) }
 
 // inUse tells whether somebody listens at one of the addresses.
@@ -71,8 +72,8 @@
 	return false
 }
 
-// Deployments at the same time have no address in common, also when no controller
-// listens, and a host that a controller still listens on is left out.
+// TestReserveAddresses checks that deployments at the same time have no address in common, also when
+// no controller listens, and that a host that a controller still listens on is left out.
 func TestReserveAddresses(t *testing.T) {
 	const deployments, controllers = 20, 3
 	taken := map[string]bool{}
--- a/internal/integration/call_gate_test.go
+++ b/internal/integration/call_gate_test.go
@@ -17,7 +17,7 @@
 type callGate struct {
 	mutex sync.Mutex
 	want  func(call any) bool // nil: nothing is waited for
-	phase callPhase
+	phase callPhase           // at which the call is held
 	call  *heldCall
 }
 
@@ -60,4 +60,5 @@
 	}
 }
 
+// release lets the call go on.
 func (h *heldCall) release() { close(h.released) }
--- a/internal/integration/duties_command_test.go
+++ b/internal/integration/duties_command_test.go
@@ -10,49 +10,32 @@
 	"juniperchute/internal/intentlog"
 )
 
-// The command that shows the duties, asked of the holder, of another controller while the
-// holder is frozen and a takeover is going on, and of the frozen one.
+// TestDutiesCommand has the command that shows the intent log ask the lease holder, another
+// controller while the holder is frozen and a failover is going on, and the frozen one.
 func TestDutiesCommand(t *testing.T) {
 	t.Parallel()
-	program := buildVersion(t, "")
-	test := newStallTest(t)
-	runCommand := func(node int) (string, error) {
-		out, err := exec.CommandContext(t.Context(), program, "duties", "--addr", test.controllers[node].config.PeerBind).CombinedOutput()
-		return string(out), err
-	}
-	expect := func(node int, words ...string) string {
-		t.Helper()
-		out, err := runCommand(node)
-		if err != nil {
-			t.Errorf("%v: %s", err, out)
-		}
-		for _, word := range words {
-			if !strings.Contains(out, word) {
-				t.Errorf("%q is not in\n%s", word, out)
-			}
-		}
-		return out
-	}
+	command := dutiesCommand{t: t, program: buildVersion(t, ""), test: newStallTest(t)}
+	test := command.test
 	held := test.gate.hold(beforeCall, callsCloud(intentlog.Deprovision))
 	if !held.wait(waitTimeout) {
 		t.Fatal("no deletion")
 	}
-	oldHolder := -1
-	test.withLock(func() { oldHolder = test.NodeIndex(test.leaseHolderName()) })
+	oldHolder := test.requireLeaseHolder()
 	name := test.controllers[oldHolder].config.Member
 	token, _ := test.progress()
-	expect(oldHolder, "in force", "held by "+name, "rent", "return", "reclaim", "clean-up", "sent", fmt.Sprintf("entered under token %d", token))
+	command.requireWords(oldHolder, "in force", "held by "+name, "rent", "return", "reclaim", "clean-up", "sent",
+		fmt.Sprintf("entered under token %d", token))
 	test.signal(oldHolder, syscall.SIGSTOP)
 	other := (oldHolder + 1) % len(test.controllers)
-	t.Logf("right after the freeze:\n%s", expect(other, "held by "+name, "return"))
+	t.Logf("right after the freeze:\n%s", command.requireWords(other, "held by "+name, "return"))
 	test.waitUntil("another token", func() bool { return test.currentToken() > token })
-	out := expect(other, "token")
-	if strings.Contains(out, "held by "+name) {
-		t.Errorf("still held by the frozen one:\n%s", out)
+	output := command.requireWords(other, "token")
+	if strings.Contains(output, "held by "+name) {
+		t.Errorf("still held by the frozen one:\n%s", output)
 	}
-	t.Logf("after the takeover:\n%s", out)
-	if out, err := runCommand(oldHolder); err == nil || strings.Count(out, "\n") != 1 {
-		t.Errorf("the frozen controller: %v, %q", err, out)
+	t.Logf("after the failover:\n%s", output)
+	if output, err := command.run(oldHolder); err == nil || strings.Count(output, "\n") != 1 {
+		t.Errorf("the frozen controller: %v, %q", err, output)
 	}
 	held.release()
 	test.signal(oldHolder, syscall.SIGCONT)
@@ -62,3 +45,32 @@
 	}
 	test.checkTraces()
 }
+
+// dutiesCommand is the command "duties" of the program, run beside a deployment.
+type dutiesCommand struct {
+	t       *testing.T
+	program string
+	test    *stallTest
+}
+
+// run asks a controller.
+func (c dutiesCommand) run(controller int) (output string, err error) {
+	address := c.test.controllers[controller].config.PeerBind
+	raw, err := exec.CommandContext(c.t.Context(), c.program, "duties", "--addr", address).CombinedOutput()
+	return string(raw), err
+}
+
+// requireWords asks a controller and checks that words are in the output.
+func (c dutiesCommand) requireWords(controller int, words ...string) (output string) {
+	c.t.Helper()
+	output, err := c.run(controller)
+	if err != nil {
+		c.t.Errorf("%v: %s", err, output)
+	}
+	for _, word := range words {
+		if !strings.Contains(output, word) {
+			c.t.Errorf("%q is not in\n%s", word, output)
+		}
+	}
+	return output
+}
--- a/internal/integration/http_test.go
+++ b/internal/integration/fake_servers_test.go
@@ -1,23 +1,21 @@
 package integration
 
 import (
-	"bytes"
 	"encoding/json"
 	"errors"
 	"io"
 	"net"
 	"net/http"
-	"slices"
 	"strconv"
 	"strings"
 	"time"
 
 	"juniperchute/internal/cloud"
-	"juniperchute/internal/standin"
 	"juniperchute/internal/store"
 	"juniperchute/internal/wire"
 )
 
+// writeReply writes a reply with a JSON body.
 func writeReply(w http.ResponseWriter, status int, body any) {
 	raw, _ := json.Marshal(body)
 	w.Header().Set("Content-Type", "application/json")
@@ -30,7 +28,13 @@
 	raw, _ := io.ReadAll(request.Body)
 	query := request.URL.Query()
 	number := func(s string) uint64 { n, _ := strconv.ParseUint(s, 10, 64); return n }
-	call := store.Call{Op: store.OpTransaction, Prefix: query.Get("Under"), After: query.Get("After"), SinceRevision: number(query.Get("After")), WatchWaitMs: int(number(query.Get("WaitMs")))}
+	call := store.Call{
+		Op:            store.OpTransaction,
+		Prefix:        query.Get("Under"),
+		After:         query.Get("After"),
+		SinceRevision: number(query.Get("After")),
+		WatchWaitMs:   int(number(query.Get("WaitMs"))),
+	}
 	switch path := request.URL.Path; {
 	case path == "/kv":
 		call.Op = store.OpList
@@ -43,7 +47,8 @@
 		_ = json.Unmarshal(raw, &grant)
 		call.Op, call.LeaseTTL = store.OpGrantLease, time.Duration(grant.LifeMs)*time.Millisecond
 	case strings.HasPrefix(path, "/grants/"):
-		call.Op, call.Lease = store.OpRenewLease, number(strings.TrimSuffix(strings.TrimPrefix(path, "/grants/"), "/touch"))
+		id := strings.TrimSuffix(strings.TrimPrefix(path, "/grants/"), "/touch")
+		call.Op, call.Lease = store.OpRenewLease, number(id)
 	default:
 		_ = json.Unmarshal(raw, &call.Transaction)
 	}
@@ -71,6 +76,7 @@
 	return stateStatuses[err], nil
 }
 
+// serveStore is the state service.
 func (d *deployment) serveStore(w http.ResponseWriter, request *http.Request) {
 	call := parseStoreCall(request)
 	results := make(chan store.Result, 1)
@@ -79,17 +85,30 @@
 	select {
 	case result := <-results:
 		d.gate.pass(afterCall, call)
-		status, failedKeys := stateStatus(result.Err)
-		if call.Op == store.OpGet && status == http.StatusOK {
-			writeReply(w, status, result.KeyValue)
-			return
-		}
-		writeReply(w, status, map[string]any{"Items": result.KeyValues, "More": result.More, "Epoch": result.Revision, "failed": failedKeys, "Hold": result.Lease, "Events": result.Events})
+		writeStoreResult(w, call, result)
 	case <-request.Context().Done():
 	}
 }
 
-func (d *deployment) serveCloud(w http.ResponseWriter, request *http.Request) {
+// writeStoreResult writes the state service's reply to a call.
+func writeStoreResult(w http.ResponseWriter, call store.Call, result store.Result) {
+	status, failedKeys := stateStatus(result.Err)
+	if call.Op == store.OpGet && status == http.StatusOK {
+		writeReply(w, status, result.KeyValue)
+		return
+	}
+	writeReply(w, status, map[string]any{
+		"Items":  result.KeyValues,
+		"More":   result.More,
+		"Epoch":  result.Revision,
+		"failed": failedKeys,
+		"Hold":   result.Lease,
+		"Events": result.Events,
+	})
+}
+
+// parseCloudCall reads a request to the cloud.
+func parseCloudCall(request *http.Request) cloud.Call {
 	raw, _ := io.ReadAll(request.Body)
 	call := cloud.Call{Operation: cloud.ListMachines, After: request.URL.Query().Get("After")}
 	switch {
@@ -103,6 +122,12 @@
 		call.Operation = cloud.CreateMachines
 		_ = json.Unmarshal(raw, &call.Request)
 	}
+	return call
+}
+
+// serveCloud is the cloud.
+func (d *deployment) serveCloud(w http.ResponseWriter, request *http.Request) {
+	call := parseCloudCall(request)
 	var result cloud.Result
 	d.gate.pass(beforeCall, call)
 	d.withLock(func() { result = d.cloud.Call(call) })
@@ -122,86 +147,21 @@
 	}
 }
 
-// serveWorker answers direct commands to all machines, told apart by their addresses.
+// serveWorker is all machines' workers, which direct commands reach at their own addresses.
 func (d *deployment) serveWorker(w http.ResponseWriter, request *http.Request) {
-	addr := request.Context().Value(http.LocalAddrContextKey).(net.Addr).String()
-	var command wire.DirectCommands
-	_ = json.NewDecoder(request.Body).Decode(&command)
-	status, report := http.StatusServiceUnavailable, (*wire.Heartbeat)(nil)
+	address := request.Context().Value(http.LocalAddrContextKey).(net.Addr).String()
+	var commands wire.DirectCommands
+	_ = json.NewDecoder(request.Body).Decode(&commands)
+	status, heartbeat := http.StatusServiceUnavailable, (*wire.Heartbeat)(nil)
 	d.withLock(func() {
-		worker := d.byAddress[addr]
+		worker := d.byAddress[address]
 		switch {
 		case worker == nil || worker.Hung:
 		case request.URL.Path == "/show":
-			status, report = http.StatusOK, worker.Heartbeat()
+			status, heartbeat = http.StatusOK, worker.Heartbeat()
 		default:
-			status, report = worker.HandleCommand(command)
+			status, heartbeat = worker.HandleCommand(commands)
 		}
 	})
-	writeReply(w, status, report)
-}
-
-// Nodes is part of standin.Network.
-func (d *deployment) Nodes() int { return len(d.controllers) }
-
-// NodeIndex is part of standin.Network.
-func (d *deployment) NodeIndex(name string) int {
-	return slices.IndexFunc(d.controllers, func(n *controllerProcess) bool { return n.config.Member == name })
-}
-
-// Send is part of standin.Network: it posts a report. The lock is held, and is taken
-// again for the answer.
-func (d *deployment) Send(sender *standin.Worker, node int, heartbeat *wire.Heartbeat, answer standin.ReplyFunc) {
-	raw, _ := json.Marshal(heartbeat)
-	client, url := d.clients[sender.Host.ID], "http://"+d.controllers[node].config.APIAddr+"/checkin"
-	d.goroutines.Add(1)
-	go func() {
-		defer d.goroutines.Done()
-		start := time.Now()
-		status, body := httpPost(client, url, raw)
-		var commands wire.HeartbeatResponse
-		var redirect wire.Redirect
-		_ = json.Unmarshal(body, &commands)
-		_ = json.Unmarshal(body, &redirect)
-		d.withLock(func() {
-			elapsed := time.Since(start)
-			d.heartbeats.sent++
-			d.heartbeats.totalWait += elapsed
-			if elapsed > time.Second || status == 0 || status == http.StatusServiceUnavailable {
-				d.heartbeats.slow++
-			}
-			if status != http.StatusOK {
-				client.CloseIdleConnections()
-			}
-			answer(status, commands, redirect.Member)
-		})
-	}()
-}
-
-// httpPost sends a request; status 0 means that no answer came.
-func httpPost(client *http.Client, url string, raw []byte) (status int, body []byte) {
-	resp, err := client.Post(url, "application/json", bytes.NewReader(raw))
-	if err != nil {
-		return 0, nil
-	}
-	defer resp.Body.Close()
-	body, err = io.ReadAll(resp.Body)
-	if err != nil {
-		return 0, nil
-	}
-	return resp.StatusCode, body
-}
-
-// httpGet asks a question; status 0 means that no answer came.
-func httpGet(client *http.Client, url string) (status int, body []byte) {
-	resp, err := client.Get(url)
-	if err != nil {
-		return 0, nil
-	}
-	defer resp.Body.Close()
-	body, err = io.ReadAll(resp.Body)
-	if err != nil {
-		return 0, nil
-	}
-	return resp.StatusCode, body
+	writeReply(w, status, heartbeat)
 }
--- a/internal/integration/process_test.go
+++ b/internal/integration/process_test.go
@@ -13,16 +13,16 @@
 	"juniperchute/internal/config"
 )
 
-// controllerProcess is one controller's place: its process comes and goes.
+// controllerProcess is one controller of a deployment, whose process ends and is started again.
 type controllerProcess struct {
 	tb           testing.TB
 	config       config.Config
-	settingsFile string // its settings
-	command      *exec.Cmd
+	settingsFile string    // has its config
+	command      *exec.Cmd // nil while it has no process
 }
 
-// start starts the controller; command makes the program's call for a settings file.
-func (p *controllerProcess) start(command func(settings string) *exec.Cmd) {
+// start starts the controller; command is the call of its program with a settings file.
+func (p *controllerProcess) start(command func(settingsFile string) *exec.Cmd) {
 	p.tb.Helper()
 	raw, err := toml.Marshal(p.config)
 	if err != nil {
@@ -32,9 +32,9 @@
 		p.tb.Fatal(err)
 	}
 	p.command = command(p.settingsFile)
-	if f := logFile(p.config.Member); f != nil {
-		p.command.Stderr = f
-		defer f.Close()
+	if file := logFile(p.config.Member); file != nil {
+		p.command.Stderr = file
+		defer file.Close()
 	}
 	if err := p.command.Start(); err != nil {
 		p.tb.Fatal(err)
@@ -71,7 +71,7 @@
 		}
 		var ns int64
 		if _, err := fmt.Sscan(string(raw), &ns); err != nil {
-			p.tb.Skip("processor time is not told here")
+			p.tb.Skip("this kernel does not report processor time")
 		}
 		total += time.Duration(ns)
 	}
@@ -92,3 +92,16 @@
 	}
 	return now, peak
 }
+
+// logFile is where a controller logs, if INTEGRATION_LOG names a prefix; nil: nowhere.
+func logFile(member string) *os.File {
+	prefix := os.Getenv("INTEGRATION_LOG")
+	if prefix == "" {
+		return nil
+	}
+	file, err := os.OpenFile(prefix+"-"+member+".log", os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
+	if err != nil {
+		return nil
+	}
+	return file
+}
--- a/internal/integration/trace_test.go
+++ b/internal/integration/trace_test.go
@@ -5,8 +5,8 @@
 	"juniperchute/internal/tracing"
 )
 
-// checkTraces checks that the traces show some return's whole way through a takeover: one
-// controller decided and entered it, another took it over and settled it.
+// checkTraces checks that the traces show some deprovisioning's whole way through a failover: one
+// controller decided and recorded it, another took it over and completed it.
 func (s *stallTest) checkTraces() {
 	s.t.Helper()
 	spans, err := tracing.Read(s.traces...)
@@ -15,12 +15,14 @@
 	}
 	for _, history := range intentlog.Histories(spans) {
 		first, last := history.Steps[0], history.Steps[len(history.Steps)-1]
-		if history.Operation == string(intentlog.Deprovision) && history.FailedOver && history.Completed && first.Member != last.Member && first.Token != last.Token {
-			for _, step := range history.Steps {
-				s.t.Logf("%s: %s under token %s %s", history.Target, step.Member, step.Token, step.Text)
-			}
-			return
+		changedHands := history.FailedOver && first.Member != last.Member && first.Token != last.Token
+		if history.Operation != string(intentlog.Deprovision) || !history.Completed || !changedHands {
+			continue
 		}
+		for _, step := range history.Steps {
+			s.t.Logf("%s: %s under token %s %s", history.Target, step.Member, step.Token, step.Text)
+		}
+		return
 	}
-	s.t.Error("no trace shows a return through a takeover")
+	s.t.Error("no trace shows a deprovisioning through a failover")
 }
--- a/internal/integration/users_test.go
+++ b/internal/integration/users_test.go
@@ -13,23 +13,26 @@
 // userInterval is the pause between a user's requests.
 const userInterval = time.Second
 
-// sendFunc is one request of a user.
+// sendFunc sends one request of a user to a controller with a base URL.
 type sendFunc func(base string) (status int, body []byte)
 
+// submission is a user's submission of a job.
 func (d *deployment) submission(spec wire.JobSpec) sendFunc {
 	raw, _ := json.Marshal(standin.SubmissionBody(spec))
 	return func(base string) (int, []byte) { return httpPost(d.users, base+"/submissions", raw) }
 }
 
+// query is a user's query about a job.
 func (d *deployment) query(id string) sendFunc {
 	return func(base string) (int, []byte) { return httpGet(d.users, base+"/submissions/"+id) }
 }
 
+// cancellation is a user's cancellation of a job.
 func (d *deployment) cancellation(id string) sendFunc {
 	return func(base string) (int, []byte) { return httpPost(d.users, base+"/submissions/"+id+"/cancel", nil) }
 }
 
-// sendRequest sends a request about a job to some node and records what its user was told.
+// sendRequest sends a request about a job to a random controller and records the answer.
 func (d *deployment) sendRequest(job *standin.Job, send sendFunc) {
 	before := ""
 	d.withLock(func() { before = job.KnownState })
@@ -46,9 +49,9 @@
 	})
 }
 
-// submit has a user submit a job, and ask about it until it has ended.
-func (d *deployment) submit(spec wire.JobSpec, run time.Duration) *standin.Job {
-	job := standin.NewJob(spec, run)
+// submit has a user submit a job whose tasks run for a time, and query it until it has ended.
+func (d *deployment) submit(spec wire.JobSpec, runTime time.Duration) *standin.Job {
+	job := standin.NewJob(spec, runTime)
 	d.withLock(func() { d.cluster.AddJob(job) })
 	d.goroutines.Add(1)
 	go func() {
@@ -58,7 +61,7 @@
 	return job
 }
 
-// followJob is the user of a job.
+// followJob is the user of a job: it submits the job until it is accepted, then queries it.
 func (d *deployment) followJob(job *standin.Job) {
 	submission, query := d.submission(job.Spec), d.query(job.Spec.ID)
 	for d.ctx.Err() == nil {
--- a/internal/integration/versions_test.go
+++ b/internal/integration/versions_test.go
@@ -7,19 +7,26 @@
 	"os/exec"
 	"path/filepath"
 	"regexp"
+	"slices"
 	"strings"
 	"sync"
 	"testing"
 )
 
-// predecessorCommit is the head of main before the upgrade tests were written: what ran then
-// can be upgraded as well as what production names.
-const predecessorCommit = "288c544d9a91dd8711b6831b3f3e5cbb209030c9"
+// Commits that upgrades start from, beside the one that production names.
+const (
+	// predecessorCommit is the head of main before the upgrade tests were written.
+	predecessorCommit = "288c544d9a91dd8711b6831b3f3e5cbb209030c9"
+	// unrenamedCommit is the head of main before the whole tree got the names and the shape that it
+	// has now: the two do the same, so they have to serve side by side.
+	unrenamedCommit = "6c35e8cd2597650473c98eb971fc2ee6d4102756"
+)
 
 // buildCommand is how deploy/service.toml builds the program.
 var buildCommand = []string{"go", "build", "-ldflags=-linkmode=external"}
 
-var errNoHistory = errors.New("the upgrade tests need the repository's history: check it out whole (git fetch --unshallow)")
+var errNoHistory = errors.New(
+	"the upgrade tests need the repository's history: check it out whole (git fetch --unshallow)")
 
 // builtBinaries are the programs built so far, by commit; "" is the working tree.
 var builtBinaries = struct {
@@ -28,22 +35,7 @@
 	path map[string]string
 }{path: map[string]string{}}
 
-// TestMain runs the tests, or a controller for a benchmark, and removes what was built.
-func TestMain(m *testing.M) {
-	if file := os.Getenv(controllerEnv); file != "" {
-		if err := runController(file); err != nil {
-			fmt.Fprintln(os.Stderr, err)
-			os.Exit(1)
-		}
-		return
-	}
-	status := m.Run()
-	if builtBinaries.dir != "" {
-		_ = os.RemoveAll(builtBinaries.dir)
-	}
-	os.Exit(status)
-}
-
+// repositoryRoot is the directory of the repository that the test runs in.
 func repositoryRoot() (string, error) {
 	out, err := exec.Command("git", "rev-parse", "--show-toplevel").Output()
 	if err != nil {
@@ -68,6 +60,7 @@
 	return path
 }
 
+// buildBinary builds the program of a commit, or of the working tree; builtBinaries is locked.
 func buildBinary(commit string) (string, error) {
 	root, err := repositoryRoot()
 	if err != nil {
@@ -85,7 +78,8 @@
 			return "", err
 		}
 	}
-	build := exec.Command(buildCommand[0], append(buildCommand[1:], "-buildvcs=false", "-o", path, "./cmd/juniperchute")...)
+	args := append(slices.Clone(buildCommand[1:]), "-buildvcs=false", "-o", path, "./cmd/juniperchute")
+	build := exec.Command(buildCommand[0], args...)
 	build.Dir = sources
 	if out, err := build.CombinedOutput(); err != nil {
 		return "", fmt.Errorf("building %q: %w\n%s", commit, err, out)
@@ -102,10 +96,13 @@
 		return err
 	}
 	index := "GIT_INDEX_FILE=" + dir + ".index"
-	for _, args := range [][]string{{"read-tree", commit}, {"checkout-index", "--all", "--prefix=" + dir + "/"}} {
-		cmd := exec.Command("git", append([]string{"-C", root}, args...)...)
-		cmd.Env = append(os.Environ(), index)
-		if out, err := cmd.CombinedOutput(); err != nil {
+	for _, args := range [][]string{
+		{"-C", root, "read-tree", commit},
+		{"-C", root, "checkout-index", "--all", "--prefix=" + dir + "/"},
+	} {
+		command := exec.Command("git", args...)
+		command.Env = append(os.Environ(), index)
+		if out, err := command.CombinedOutput(); err != nil {
 			return fmt.Errorf("checking out %s: %w\n%s", commit, err, out)
 		}
 	}
@@ -123,21 +120,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := regexp.MustCompile(`(?m)^production = "([0-9a-f]{40})"$`).FindSubmatch(raw)
-	if m == nil {
+	match := regexp.MustCompile(`(?m)^production = "([0-9a-f]{40})"$`).FindSubmatch(raw)
+	if match == nil {
 		t.Fatal("deploy/service.toml names no production version")
 	}
-	return string(m[1])
+	return string(match[1])
 }
 
-// The version in production is an ancestor of the present one, or no upgrade would be
-// tested, and a commit that is not there is told in plain words.
+// TestProductionVersion checks that the versions that upgrades start from are ancestors of the
+// present one, or no upgrade would be tested, and that a missing commit has its own error.
 func TestProductionVersion(t *testing.T) {
 	root, err := repositoryRoot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, commit := range []string{productionCommit(t), predecessorCommit} {
+	for _, commit := range []string{productionCommit(t), predecessorCommit, unrenamedCommit} {
 		if err := exec.Command("git", "-C", root, "merge-base", "--is-ancestor", commit, "HEAD").Run(); err != nil {
 			t.Errorf("%s is no ancestor of this version: %v", commit, err)
 		}
