--- a/Makefile
+++ b/Makefile
@@ -11,8 +11,11 @@
 	./internal/featuregate \
 	./internal/fleet \
 	./internal/integration \
+	./internal/intentlog \
 	./internal/leader \
 	./internal/peer/... \
+	./internal/placement \
+	./internal/quota \
 	./internal/standin \
 	./internal/store \
 	./internal/submission \
--- a/internal/placement/service_quota.go
+++ b/internal/placement/service_quota.go
@@ -10,7 +10,7 @@
 // quotaPreemption makes room for a replica within its team's limit at the cost
 // of work of lower priority of the same team.
 type quotaPreemption struct {
-	scheduler *Scheduler
+	scheduler *serviceScheduler
 	service   *Job
 	// releasing is what stopping tasks of the team will give back.
 	releasing quota.Resources
@@ -21,10 +21,10 @@
 // are only queued become pending again, and if that is not enough, running
 // ones are preempted, those that lose least first. It reports whether the
 // replica may start now.
-func (s *Scheduler) preemptForQuota(now time.Time, service *Job) bool {
+func (s *serviceScheduler) preemptForQuota(now time.Time, service *Job) bool {
 	p := &quotaPreemption{scheduler: s, service: service}
 	for _, machine := range s.registry.All() {
-		info := s.machineInfo(machine)
+		info := s.capacity.info(machine)
 		p.requeuePrimaries(now, info)
 		p.collectRunning(now, info)
 	}
@@ -51,7 +51,7 @@
 	for _, task := range slices.Clone(info.primaryQueue) {
 		// requeuing one of a gang has taken the others out of the queue
 		if !p.admits() && p.givesWay(task) && task.primary == info.machine {
-			p.scheduler.requeue(now, task)
+			p.scheduler.queues.requeue(now, task)
 		}
 	}
 }
@@ -87,6 +87,6 @@
 			continue // its gang has been stopped as a whole
 		}
 		p.scheduler.Counters.Preempted++
-		p.scheduler.preempt(now, task, "gives its team's quota to "+p.service.Spec.ID)
+		p.scheduler.tasks.preempt(now, task, "gives its team's quota to "+p.service.Spec.ID)
 	}
 }
