--- a/internal/integration/deployment_benchmark_test.go
+++ b/internal/integration/deployment_benchmark_test.go
@@ -21,7 +21,7 @@
 // BenchmarkDeployment measures what a deployment's controllers cost, at the sizes of the
 // lean deployments: of a start, of a steady load, and of a crash of the lease holder.
 //
-//	INTEGRATION_PROFILE=/tmp/p go test ./internal/integration -run XXX -bench Deployment
+//	INTEGRATION_PROFILE=PREFIX go test ./internal/integration -run XXX -bench Deployment
 //
 // writes the profiles of each controller.
 func BenchmarkDeployment(b *testing.B) {
