--- a/internal/standin/cluster.go
+++ b/internal/standin/cluster.go
@@ -11,7 +11,7 @@
 
 // ReplyFunc takes the reply to a heartbeat: the HTTP status and, with 200, the commands, with 421
 // the name of the controller to send heartbeats to. Status 0 means that no reply came.
-type ReplyFunc func(status int, commands wire.HeartbeatResponse, reportsTo string)
+type ReplyFunc func(status int, commands wire.HeartbeatResponse, redirectTo string)
 
 // Network carries workers' heartbeats to controllers.
 type Network interface {
--- a/internal/standin/fitting.go
+++ b/internal/standin/fitting.go
@@ -19,7 +19,7 @@
 			return false
 		}
 	}
-	slots := map[string]int{} // tasks that there is room for, by zone
+	slots := map[string]int{} // tasks that fit, by zone
 	for _, worker := range c.Workers {
 		if worker.acceptsTasks() && allowedOn(spec, &worker.Host) && usable(worker) {
 			slots[worker.Host.Zone] += worker.Available().FitCount(job.resources(), spec.Tasks)
@@ -34,7 +34,7 @@
 		exceeds(used.GPUs+float64(tasks)*spec.Gpus, team.GPUsMax)
 }
 
-// slotsFor is how many tasks of a job there is room for in all zones together, by its constraints
+// slotsFor is how many tasks of a job fit in all zones together, by its constraints
 // on zones.
 func slotsFor(spec *wire.JobSpec, slots map[string]int) int {
 	total, largest := 0, 0
--- a/internal/standin/intent_checker.go
+++ b/internal/standin/intent_checker.go
@@ -2,9 +2,11 @@
 
 import (
 	"encoding/json"
+	"strconv"
 	"strings"
 	"time"
 
+	"juniperchute/internal/featuregate"
 	"juniperchute/internal/fleet"
 	"juniperchute/internal/intentlog"
 	"juniperchute/internal/store"
@@ -75,9 +77,7 @@
 	for _, write := range call.Transaction.Writes {
 		switch {
 		case write.Put == featureGatesKey:
-			if c.inForceSince.IsZero() && strings.Contains(string(write.Value), `"duties"`) {
-				c.inForceSince = c.cluster.Clock.Now()
-			}
+			c.observeFeatureGates(write.Value)
 		case strings.HasPrefix(write.Put, intentlog.Prefix):
 			c.PageWrites++
 			c.observePage(write.Put, write.Value)
@@ -90,6 +90,14 @@
 	}
 }
 
+// observeFeatureGates takes note of the moment from which the intent log is in force.
+func (c *IntentChecker) observeFeatureGates(value json.RawMessage) {
+	inForce := strings.Contains(string(value), strconv.Quote(featuregate.IntentLogFeature))
+	if inForce && c.inForceSince.IsZero() {
+		c.inForceSince = c.cluster.Clock.Now()
+	}
+}
+
 // observePage takes note of the intents in a page of the log.
 func (c *IntentChecker) observePage(key string, value json.RawMessage) {
 	entries, err := intentlog.ReadPage(value)
--- a/internal/standin/worker_commands.go
+++ b/internal/standin/worker_commands.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// stop ends a task, after a checkpoint if the grace period (in seconds) has room for one.
+// stop ends a task, after a checkpoint if the grace period (in seconds) suffices for one.
 func (w *Worker) stop(task *Task, gracePeriodS *float64) {
 	if task == nil || !task.OnMachine() {
 		return
--- a/internal/standin/worker_heartbeat.go
+++ b/internal/standin/worker_heartbeat.go
@@ -48,18 +48,18 @@
 			w.nextController(number)
 		}
 	})
-	reply := func(status int, commands wire.HeartbeatResponse, reportsTo string) {
+	reply := func(status int, commands wire.HeartbeatResponse, redirectTo string) {
 		if w.inFlight != number || w.Terminated || w.Hung || w.Incarnation != incarnation {
 			return
 		}
-		w.handleReply(number, now, status, commands, reportsTo)
+		w.handleReply(number, now, status, commands, redirectTo)
 	}
 	w.cluster.network.Send(w, w.Controller, heartbeat, reply)
 }
 
 // handleReply takes the reply to the heartbeat in flight, which was sent at a time.
 func (w *Worker) handleReply(
-	number int, sent time.Time, status int, commands wire.HeartbeatResponse, reportsTo string,
+	number int, sent time.Time, status int, commands wire.HeartbeatResponse, redirectTo string,
 ) {
 	switch status {
 	case http.StatusOK:
@@ -71,7 +71,7 @@
 		w.leaseRenewedAt = sent
 		w.execute(commands.Commands)
 	case http.StatusMisdirectedRequest:
-		controller := w.cluster.network.NodeIndex(reportsTo)
+		controller := w.cluster.network.NodeIndex(redirectTo)
 		if controller < 0 || controller == w.Controller {
 			w.nextController(number)
 			return
