--- a/internal/controller/cancellation_loading_test.go
+++ b/internal/controller/cancellation_loading_test.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"juniperchute/internal/config"
+	"juniperchute/internal/fakes"
 	"juniperchute/internal/peer/peerpb"
 	"juniperchute/internal/quota"
-	"juniperchute/internal/standin"
 	"juniperchute/internal/submission"
 	"juniperchute/internal/term"
 	"juniperchute/internal/wire"
@@ -76,7 +76,7 @@
 
 // renewalsWhileLoading sends every task's heartbeat to the controllers that are loading, and
 // counts the leases that they renew, of the cancelled job's tasks and of others.
-func (sim *simulation) renewalsWhileLoading(cancelled *standin.Job) (ofCancelled, ofOthers int) {
+func (sim *simulation) renewalsWhileLoading(cancelled *fakes.Job) (ofCancelled, ofOthers int) {
 	for _, n := range sim.nodes {
 		t := n.controller.terms[0]
 		if !n.alive || t == nil || t.State() != term.Loading {
@@ -149,7 +149,7 @@
 func TestUnreconciledMachinesCountAtOnce(t *testing.T) {
 	teams := []config.Team{{Name: "red", GPUsMax: 12}}
 	sim := newSimulation(t, 11, testConfig(oneZone, teams, 1.5, 10), 1, oneZoneTypes)
-	sim.cloud.Available[standin.CapacityKey(smallType.Name, "a", false)] = 4
+	sim.cloud.Available[fakes.CapacityKey(smallType.Name, "a", false)] = 4
 	sim.add(sweepJob("job-1", "normal", 8, 50), 50*time.Second)
 	sim.runFor(25 * time.Second)
 	for _, m := range sim.machines {
@@ -199,7 +199,7 @@
 }
 
 // lastMachineWithTaskOf is the last machine, by name, that has a task of a job.
-func (sim *simulation) lastMachineWithTaskOf(job *standin.Job) *machine {
+func (sim *simulation) lastMachineWithTaskOf(job *fakes.Job) *machine {
 	var found *machine
 	for _, id := range sim.machineNames() {
 		for _, task := range sim.machines[id].Tasks {
--- a/internal/controller/cancellation_outage_test.go
+++ b/internal/controller/cancellation_outage_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"juniperchute/internal/standin"
+	"juniperchute/internal/fakes"
 	"juniperchute/internal/submission"
 	"juniperchute/internal/wire"
 )
@@ -125,7 +125,7 @@
 	*simulation
 	holder       *simulatedNode
 	confirming   *simulatedNode    // the controller that confirms the cancellations
-	long         []*standin.Job    // of long tasks
+	long         []*fakes.Job      // of long tasks
 	incarnations map[string]uint64 // of the machines
 }
 
@@ -202,7 +202,7 @@
 
 // cancelAtConfirming cancels a job through the confirming controller. With resubmission the
 // user learns of the cancellation from a repeated submission, not from the cancellation.
-func (s *outageScenario) cancelAtConfirming(j *standin.Job, withResubmission bool) {
+func (s *outageScenario) cancelAtConfirming(j *fakes.Job, withResubmission bool) {
 	j.CancelRequested = true
 	confirming := s.confirming.controller
 	now := s.clock.Now()
--- a/internal/controller/completions_test.go
+++ b/internal/controller/completions_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"juniperchute/internal/standin"
+	"juniperchute/internal/fakes"
 	"juniperchute/internal/tuning"
 )
 
@@ -12,7 +12,7 @@
 // first, and no more than a few are written at once.
 func TestEndsUnderAShortRate(t *testing.T) {
 	sim := newSimulation(t, 5, testConfig(oneZone, steadyTeams, 1.5, 10), 1, oneZoneTypes)
-	sim.cloud.Available[standin.CapacityKey(smallType.Name, "a", false)] = 40
+	sim.cloud.Available[fakes.CapacityKey(smallType.Name, "a", false)] = 40
 	for i := range 150 {
 		spec := steadyJob(i)
 		spec.Tasks, spec.Gpus, spec.Vcpus, spec.MemGb, spec.Priority = 1, 0, 1, 1, "low"
@@ -23,8 +23,8 @@
 	}
 	sim.runFor(26 * time.Second)
 	sim.state.Limits.WritesPerS = 4 // two ends a second
-	completed, longest := map[*standin.Job]time.Time{}, map[string]time.Duration{}
-	sim.cluster.OnCompleted = func(j *standin.Job) { completed[j] = sim.clock.Now() }
+	completed, longest := map[*fakes.Job]time.Time{}, map[string]time.Duration{}
+	sim.cluster.OnCompleted = func(j *fakes.Job) { completed[j] = sim.clock.Now() }
 	for range 120 {
 		sim.runFor(500 * time.Millisecond)
 		for _, n := range sim.nodes {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -232,7 +232,7 @@
 	}
 }
 
-// Healthy tells whether this controller can take requests. One that alone lost the state
+// Healthy reports whether this controller can take requests. One that alone lost the state
 // service, or that hears neither it nor any peer, says no, so that users go to the others; in
 // an outage all stay, as they would be slow to come back.
 func (c *Controller) Healthy(now time.Time) bool {
--- a/internal/controller/digest_test.go
+++ b/internal/controller/digest_test.go
@@ -13,7 +13,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"juniperchute/internal/cloud"
-	"juniperchute/internal/standin"
+	"juniperchute/internal/fakes"
 	"juniperchute/internal/store"
 	"juniperchute/internal/submission"
 	"juniperchute/internal/wire"
@@ -89,7 +89,7 @@
 	if at.IsZero() {
 		return -1
 	}
-	return int64(at.Sub(standin.Epoch))
+	return int64(at.Sub(fakes.Epoch))
 }
 
 func (sim *simulation) recordStateCall(node string, c store.Call) {
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
+	"juniperchute/internal/fakes"
 	"juniperchute/internal/fleet"
-	"juniperchute/internal/standin"
 	"juniperchute/internal/submission"
 	"juniperchute/internal/wire"
 )
@@ -83,7 +83,7 @@
 		spec.Shape, spec.Priority, spec.Tasks = wire.ShapeGang, "normal", 4
 		spec.Vcpus, spec.Gpus, spec.MemGb = 57, 8, 310
 	}
-	sim.cluster.AddJob(standin.NewJob(spec, time.Minute))
+	sim.cluster.AddJob(fakes.NewJob(spec, time.Minute))
 	record := submission.OpenJobRecord{Spec: spec, AcceptedAt: sim.clock.Now().UnixMilli()}
 	sim.storeDirectly(submission.OpenJobKey(spec.ID), record)
 }
--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"juniperchute/internal/config"
-	"juniperchute/internal/standin"
+	"juniperchute/internal/fakes"
 )
 
 // faultCombination is a combination of faults that is played on a few seeds.
@@ -109,7 +109,7 @@
 		play:  playFailoverWithUnreachableMachines,
 	},
 	{
-		name:  "an old report reaches every controller as a new leader begins, or has acted",
+		name:  "an old heartbeat reaches every controller as a new leader begins, or has acted",
 		zones: 1,
 		teams: limitedTeams,
 		play:  playOldHeartbeatsToNewLeader,
@@ -145,7 +145,7 @@
 		play:  playSlowThenRefusingStateService,
 	},
 	{
-		name:  "old reports come after newer ones, also of an earlier session or attempt",
+		name:  "old heartbeats come after newer ones, also of an earlier incarnation or attempt",
 		zones: 1,
 		teams: limitedTeams,
 		play:  playReorderedHeartbeats,
@@ -196,8 +196,8 @@
 	}
 	sim := newSimulation(t, uint64(100+seed), testConfig(zones, c.teams, heartbeatS, leaseS), 1, machineTypes)
 	for _, zone := range zones {
-		sim.cloud.Available[standin.CapacityKey(machineTypes[0].Name, zone, true)] = 5
-		sim.cloud.Available[standin.CapacityKey(machineTypes[0].Name, zone, false)] = 8
+		sim.cloud.Available[fakes.CapacityKey(machineTypes[0].Name, zone, true)] = 5
+		sim.cloud.Available[fakes.CapacityKey(machineTypes[0].Name, zone, false)] = 8
 	}
 	s := &faultScenario{simulation: sim, zones: zones, machineTypes: machineTypes}
 	c.play(s)
--- a/internal/controller/fault_combinations_users_test.go
+++ b/internal/controller/fault_combinations_users_test.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"juniperchute/internal/standin"
+	"juniperchute/internal/fakes"
 	"juniperchute/internal/wire"
 )
 
@@ -20,7 +20,7 @@
 }
 
 // prolongLaterTasks lets all running tasks of a job but its first end much later.
-func (s *faultScenario) prolongLaterTasks(job *standin.Job) {
+func (s *faultScenario) prolongLaterTasks(job *fakes.Job) {
 	for _, id := range s.machineNames() {
 		for _, task := range s.machines[id].Tasks {
 			if task.Job == job && task.Index > 0 && task.State == wire.TaskRunning {
--- a/internal/controller/fault_scenario_test.go
+++ b/internal/controller/fault_scenario_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"juniperchute/internal/standin"
+	"juniperchute/internal/fakes"
 	"juniperchute/internal/term"
 	"juniperchute/internal/wire"
 )
@@ -22,7 +22,7 @@
 
 // job makes a user submit a random job, changed as a scenario needs it. The order of the
 // random draws is part of the scenario.
-func (s *faultScenario) job(change func(spec *wire.JobSpec), runTime time.Duration) *standin.Job {
+func (s *faultScenario) job(change func(spec *wire.JobSpec), runTime time.Duration) *fakes.Job {
 	teams := s.cfg.Platform.Teams
 	spec := wire.JobSpec{
 		ID:                fmt.Sprintf("job-%06d", s.jobCount),
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -11,39 +11,39 @@
 // faults are faults that a random day may or may not contain.
 var faults = []fault{
 	{
-		name: "no answer reaches a machine any more: it is returned, and its work runs elsewhere",
+		name: "no answer reaches a machine any more: it is deleted, and its work runs elsewhere",
 		play: playInboundCut,
 	},
 	{
-		name: "single answers are lost: no machine is returned for it",
+		name: "single answers are lost: no machine is deleted for it",
 		play: playLostReplies,
 	},
 	{
-		name: "copies of a returned machine's reports come late",
+		name: "copies of a deleted machine's heartbeats come late",
 		play: playLateHeartbeatsOfDeletedMachine,
 	},
 	{
-		name: "a silent machine's late reports: what its old session says is over",
+		name: "an unresponsive machine's late heartbeats: what its old incarnation says is void",
 		play: playLateHeartbeatsOfExpiredIncarnation,
 	},
 	{
-		name: "the holder is left with its workers only",
+		name: "the lease holder is left with its workers only",
 		play: playLeaseHolderIsolated,
 	},
 	{
-		name: "a cancellation beside a holder left with its workers only",
+		name: "a cancellation beside a lease holder left with its workers only",
 		play: playCancellationBesideIsolatedLeaseHolder,
 	},
 	{
-		name: "a cancellation while a holder and the workers are cut off from all the rest",
+		name: "a cancellation while a lease holder and the workers are cut off from all the rest",
 		play: playCancellationWithWorkersIsolated,
 	},
 	{
-		name: "a machine is cut off as the holder crashes: what it may run waits, what was never begun does not",
+		name: "a machine is cut off as the lease holder crashes: what it may run waits, what never started does not",
 		play: playMachineCutDuringFailover,
 	},
 	{
-		name: "the holder stands still in the middle of whatever it does, again and again",
+		name: "the lease holder freezes in the middle of whatever it does, again and again",
 		play: playRepeatedFreezes,
 	},
 	{
@@ -64,7 +64,7 @@
 			f.play(sim)
 			sim.requireAllJobsEnd()
 		})
-		t.Run("duties, "+f.name, func(t *testing.T) {
+		t.Run("intent log, "+f.name, func(t *testing.T) {
 			sim := intentLogSimulation(t)
 			f.play(sim)
 			sim.requireAllJobsEnd()
--- a/internal/controller/fleet_limits_test.go
+++ b/internal/controller/fleet_limits_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"juniperchute/internal/config"
-	"juniperchute/internal/standin"
+	"juniperchute/internal/fakes"
 	"juniperchute/internal/tuning"
 	"juniperchute/internal/wire"
 )
@@ -25,13 +25,13 @@
 	sim.checks.interval = 2 * time.Second
 	sim.state.PageSize, sim.state.MaxHistory = tuning.ListPageSize, 10000
 	sim.cloud.PageSize = tuning.CloudPageSize
-	sim.state.Limits = standin.StateLimits{
+	sim.state.Limits = fakes.StateLimits{
 		MaxValueBytes: 8 << 10,
 		MaxTxnOps:     16,
 		WritesPerS:    40,
 		RequestsPerS:  400,
 	}
-	sim.cloud.Available[standin.CapacityKey(machineType.Name, "a", false)] = largeFleet
+	sim.cloud.Available[fakes.CapacityKey(machineType.Name, "a", false)] = largeFleet
 	for i := range arrays {
 		spec := sweepJob(fmt.Sprintf("job-%06d", i), "normal", arrayTasks, 90)
 		spec.Team = teams[i%2].Name
--- a/internal/controller/intents_failover_test.go
+++ b/internal/controller/intents_failover_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
+	"juniperchute/internal/fakes"
 	"juniperchute/internal/fleet"
 	"juniperchute/internal/intentlog"
-	"juniperchute/internal/standin"
 	"juniperchute/internal/store"
 	"juniperchute/internal/tuning"
 	"juniperchute/internal/wire"
@@ -53,7 +53,7 @@
 		Zone:    "a",
 		State:   wire.MachineRunning,
 	}
-	sim.cloud.Hosts[id] = &standin.CloudHost{CreatedAt: sim.clock.Now(), Machine: host}
+	sim.cloud.Hosts[id] = &fakes.CloudHost{CreatedAt: sim.clock.Now(), Machine: host}
 	sim.booted(sim.cloud.Hosts[id])
 	return id
 }
@@ -75,8 +75,8 @@
 	sim.state.PageSize, sim.cloud.PageSize = tuning.ListPageSize, tuning.CloudPageSize
 	sim.enableIntentLog()
 	sim.leaveIntents(largeFleet)
-	sim.cloud.Available[standin.CapacityKey(smallType.Name, "a", false)] = 8
-	sim.state.Limits = standin.StateLimits{
+	sim.cloud.Available[fakes.CapacityKey(smallType.Name, "a", false)] = 8
+	sim.state.Limits = fakes.StateLimits{
 		MaxValueBytes: 4 << 10,
 		MaxTxnOps:     8,
 		WritesPerS:    writesPerS,
@@ -107,7 +107,7 @@
 	for len(sim.loggedTargets()) > 0 && sim.clock.Now().Sub(startedAt) < most {
 		sim.runFor(time.Second)
 	}
-	elapsed := sim.clock.Now().Sub(standin.Epoch)
+	elapsed := sim.clock.Now().Sub(fakes.Epoch)
 	if left := len(sim.loggedTargets()); left > 0 {
 		t.Errorf("%d intents are left after %v", left, elapsed)
 	}
--- a/internal/controller/peer_heartbeat.go
+++ b/internal/controller/peer_heartbeat.go
@@ -42,7 +42,7 @@
 	unacknowledged []string
 }
 
-// live tells whether the peer's heartbeats arrive.
+// live reports whether the peer's heartbeats arrive.
 func (p *peerStatus) live(now time.Time) bool {
 	return now.Sub(p.lastHeartbeat) < 3*tuning.PeerHeartbeatInterval
 }
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"juniperchute/internal/config"
-	"juniperchute/internal/standin"
+	"juniperchute/internal/fakes"
 	"juniperchute/internal/wire"
 )
 
@@ -69,7 +69,7 @@
 		scale:        1,
 	},
 	{
-		name:         "three blocks",
+		name:         "three shards",
 		zones:        twoZones,
 		teams:        limitedTeams,
 		machineTypes: mixedTypes,
@@ -103,7 +103,7 @@
 		upgrade:      true,
 	},
 	{
-		name:         "duties, short leases",
+		name:         "intent log, short leases",
 		zones:        oneZone,
 		teams:        limitedTeams,
 		machineTypes: oneZoneTypes,
@@ -115,7 +115,7 @@
 		intentLog:    true,
 	},
 	{
-		name:         "duties, two zones",
+		name:         "intent log, two zones",
 		zones:        twoZones,
 		teams:        limitedTeams,
 		machineTypes: mixedTypes,
@@ -127,7 +127,7 @@
 		intentLog:    true,
 	},
 	{
-		name:         "duties, three blocks",
+		name:         "intent log, three shards",
 		zones:        twoZones,
 		teams:        limitedTeams,
 		machineTypes: mixedTypes,
@@ -139,7 +139,7 @@
 		intentLog:    true,
 	},
 	{
-		name:         "duties, a fleet",
+		name:         "intent log, a fleet",
 		zones:        twoZones,
 		teams:        fleetTeams,
 		machineTypes: mixedTypes,
@@ -151,7 +151,7 @@
 		intentLog:    true,
 	},
 	{
-		name:         "duties, an upgrade, and limits that fall",
+		name:         "intent log, an upgrade, and limits that fall",
 		zones:        oneZone,
 		teams:        fleetTeams,
 		machineTypes: oneZoneTypes,
@@ -197,8 +197,8 @@
 	sim := newSimulation(t, uint64(seed), cfg, day.shards, day.machineTypes)
 	for _, machineType := range day.machineTypes {
 		for _, zone := range machineType.Zones {
-			sim.cloud.Available[standin.CapacityKey(machineType.Name, zone, true)] = 5 * day.scale
-			sim.cloud.Available[standin.CapacityKey(machineType.Name, zone, false)] = 8 * day.scale
+			sim.cloud.Available[fakes.CapacityKey(machineType.Name, zone, true)] = 5 * day.scale
+			sim.cloud.Available[fakes.CapacityKey(machineType.Name, zone, false)] = 8 * day.scale
 		}
 	}
 	sim.cloud.BootFailureShare = 0.02
--- a/internal/controller/routing.go
+++ b/internal/controller/routing.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// MayBelongToOtherShard tells whether a machine, which existed at some time, belongs, or may
+// MayBelongToOtherShard reports whether a machine, which existed at some time, belongs, or may
 // turn out to belong, to another shard than the given one. Records read before then say
 // nothing: the provision request that brought it may be younger.
 func (c *Controller) MayBelongToOtherShard(shard int, machine string, existedAt time.Time) bool {
--- a/internal/controller/simulation_checks_test.go
+++ b/internal/controller/simulation_checks_test.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"juniperchute/internal/fakes"
 	"juniperchute/internal/intentlog"
-	"juniperchute/internal/standin"
 	"juniperchute/internal/term"
 	"juniperchute/internal/tuning"
 	"juniperchute/internal/wire"
@@ -37,7 +37,7 @@
 	for _, j := range sim.cluster.Submitted {
 		if j.KnownState == wire.JobCancelled && j.CancelledAt.Before(at) && t.Scheduler().OpenJob(j.Spec.ID) != nil {
 			sim.addViolation("%s does not know that %s was cancelled at %v, with its watermark at %v",
-				n.name, j.Spec.ID, j.CancelledAt.Sub(standin.Epoch), at.Sub(standin.Epoch))
+				n.name, j.Spec.ID, j.CancelledAt.Sub(fakes.Epoch), at.Sub(fakes.Epoch))
 		}
 	}
 }
@@ -50,7 +50,7 @@
 	}
 	now := sim.clock.Now()
 	used, onMachines := sim.cluster.Usage()
-	usable := func(w *standin.Worker) bool {
+	usable := func(w *fakes.Worker) bool {
 		m := sim.machines[w.Host.ID]
 		return !m.partitioned && !m.inboundCut && !m.outboundCut
 	}
@@ -100,7 +100,7 @@
 	}
 	for i := range rounds {
 		sim.runFor(round)
-		if time.Duration(i)*round >= standin.JobForgottenAfter {
+		if time.Duration(i)*round >= fakes.JobForgottenAfter {
 			sim.cluster.CheckJobsForgotten()
 		}
 		if len(sim.unfinishedJobs()) == 0 || len(sim.violations()) > 0 {
@@ -113,8 +113,8 @@
 	sim.addViolation("some accepted jobs never ended")
 }
 
-func (sim *simulation) unfinishedJobs() []*standin.Job {
-	var out []*standin.Job
+func (sim *simulation) unfinishedJobs() []*fakes.Job {
+	var out []*fakes.Job
 	for _, j := range sim.cluster.Submitted {
 		if !j.Ended() {
 			out = append(out, j)
@@ -150,8 +150,8 @@
 	for range 20 {
 		sim.runFor(15 * time.Second)
 		for _, j := range sim.cluster.Submitted {
-			if sim.clock.Now().Sub(j.AnsweredAt) > standin.JobForgottenAfter {
-				sim.cluster.AddViolation(standin.JobForgotten, "%s", j.Spec.ID)
+			if sim.clock.Now().Sub(j.AnsweredAt) > fakes.JobForgottenAfter {
+				sim.cluster.AddViolation(fakes.JobForgotten, "%s", j.Spec.ID)
 			}
 		}
 		if len(sim.unfinishedJobs()) == 0 || len(sim.violations()) > 0 {
--- a/internal/controller/simulation_deployments_test.go
+++ b/internal/controller/simulation_deployments_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"juniperchute/internal/config"
-	"juniperchute/internal/standin"
+	"juniperchute/internal/fakes"
 	"juniperchute/internal/wire"
 )
 
@@ -93,7 +93,7 @@
 
 // testConfig is the configuration of a small deployment.
 func testConfig(zones []string, teams []config.Team, heartbeatS, leaseS float64) *config.Config {
-	platform := standin.DeploymentConfig(zones, teams, heartbeatS, leaseS)
+	platform := fakes.DeploymentConfig(zones, teams, heartbeatS, leaseS)
 	return &config.Config{Member: "x", Area: zones[0], Platform: platform}
 }
 
@@ -107,7 +107,7 @@
 	t *testing.T, seed uint64, machines, jobs int, prepare ...func(sim *simulation),
 ) *simulation {
 	sim := newSimulation(t, seed, testConfig(oneZone, steadyTeams, 1.5, 10), 1, oneZoneTypes)
-	sim.cloud.Available[standin.CapacityKey(smallType.Name, "a", false)] = machines
+	sim.cloud.Available[fakes.CapacityKey(smallType.Name, "a", false)] = machines
 	for _, f := range prepare {
 		f(sim)
 	}
--- a/internal/controller/simulation_effects_test.go
+++ b/internal/controller/simulation_effects_test.go
@@ -1,7 +1,7 @@
 package controller
 
 import (
-	"juniperchute/internal/standin"
+	"juniperchute/internal/fakes"
 )
 
 // effect is a sort of effect just before which a process may freeze.
@@ -25,12 +25,12 @@
 	processNumber int
 }
 
-// current tells whether the process still runs: what an ended one waits for is void.
+// current reports whether the process still runs: what an ended one waits for is void.
 func (e *simulatedEffects) current() bool {
 	return e.node.alive && e.node.processNumber == e.processNumber
 }
 
-// deferIfFrozen tells whether the process is frozen just before an effect; carryOut does it
+// deferIfFrozen reports whether the process is frozen just before an effect; carryOut does it
 // afterwards.
 func (e *simulatedEffects) deferIfFrozen(at effect, carryOut func()) bool {
 	n := e.node
@@ -50,7 +50,7 @@
 	sim, member := e.node.sim, e.node.name
 	membership := e.node.controller.membership
 	if !membership.LeaseValid(sim.clock.Now()) {
-		deadline := membership.LeaseDeadline().Sub(standin.Epoch)
+		deadline := membership.LeaseDeadline().Sub(fakes.Epoch)
 		sim.addViolation("%s: %s past its lease's end at %v", member, what, deadline)
 	}
 }
--- a/internal/controller/simulation_network_test.go
+++ b/internal/controller/simulation_network_test.go
@@ -4,14 +4,14 @@
 	"slices"
 	"time"
 
-	"juniperchute/internal/standin"
+	"juniperchute/internal/fakes"
 	"juniperchute/internal/wire"
 )
 
-// Nodes is part of standin.Network.
+// Nodes is part of fakes.Network.
 func (sim *simulation) Nodes() int { return len(sim.nodes) }
 
-// NodeIndex is part of standin.Network.
+// NodeIndex is part of fakes.Network.
 func (sim *simulation) NodeIndex(name string) int {
 	return slices.IndexFunc(sim.nodes, func(n *simulatedNode) bool { return n.name == name })
 }
@@ -49,9 +49,9 @@
 	}
 }
 
-// Send is part of standin.Network.
+// Send is part of fakes.Network.
 func (sim *simulation) Send(
-	w *standin.Worker, node int, heartbeat *wire.Heartbeat, answer standin.ReplyFunc,
+	w *fakes.Worker, node int, heartbeat *wire.Heartbeat, answer fakes.ReplyFunc,
 ) {
 	m, n := sim.machines[w.Host.ID], sim.nodes[node]
 	if m.outboundCut {
--- a/internal/controller/simulation_node_test.go
+++ b/internal/controller/simulation_node_test.go
@@ -115,7 +115,7 @@
 	n.heldCalls = nil
 }
 
-// stateUnreachable tells whether no message passes between a node and the state service.
+// stateUnreachable reports whether no message passes between a node and the state service.
 func (n *simulatedNode) stateUnreachable() bool {
 	return n.stateCut || n.sim.isolatedZone != "" && n.sim.isolatedZone == n.zone
 }
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"juniperchute/internal/config"
+	"juniperchute/internal/fakes"
 	"juniperchute/internal/quota"
-	"juniperchute/internal/standin"
 	"juniperchute/internal/term"
 	"juniperchute/internal/wire"
 )
@@ -25,19 +25,19 @@
 // parties around them.
 type simulation struct {
 	t        *testing.T // nil in benchmarks
-	clock    *standin.Clock
+	clock    *fakes.Clock
 	rng      *rand.Rand
 	cfg      *config.Config
 	shards   int
-	state    *standin.StateService
-	cloud    *standin.Cloud
-	cluster  *standin.Cluster
+	state    *fakes.StateService
+	cloud    *fakes.Cloud
+	cluster  *fakes.Cluster
 	nodes    []*simulatedNode
 	machines map[string]*machine
 	digest   *digest // of all effects; nil: none is asked for
 
 	intentLog     bool // the intent log is switched on
-	intentChecker *standin.IntentChecker
+	intentChecker *fakes.IntentChecker
 	startsOld     bool // its controllers start as the earlier version
 	scale         int  // how many times the usual size jobs and faults have; 0: once
 	checks        ruleChecks
@@ -57,8 +57,8 @@
 	interval            time.Duration // between two checks; 0: after each step
 	rulesCheckedAt      time.Time
 	watermarksCheckedAt time.Time
-	faultsOver          time.Time                  // since when there are no faults; zero: there are
-	idleSince           map[*standin.Job]time.Time // of jobs that could start and have no task anywhere
+	faultsOver          time.Time                // since when there are no faults; zero: there are
+	idleSince           map[*fakes.Job]time.Time // of jobs that could start and have no task anywhere
 }
 
 // faultRates are the shares of messages that suffer a fault, besides the simulation's
@@ -86,7 +86,7 @@
 
 // machine is a worker and the faults of its network.
 type machine struct {
-	*standin.Worker
+	*fakes.Worker
 	partitioned bool           // nothing passes either way
 	onlyNode    *simulatedNode // the one node it can reach; nil: all
 	inboundCut  bool           // its heartbeats arrive, but no answer or command reaches it
@@ -98,7 +98,7 @@
 func newSimulation(
 	t *testing.T, seed uint64, cfg *config.Config, shards int, machineTypes []wire.MachineType,
 ) *simulation {
-	clock, rng := standin.NewClock(standin.Epoch), rand.New(rand.NewPCG(seed, 7))
+	clock, rng := fakes.NewClock(fakes.Epoch), rand.New(rand.NewPCG(seed, 7))
 	sim := &simulation{
 		t:        t,
 		clock:    clock,
@@ -107,13 +107,13 @@
 		shards:   shards,
 		machines: map[string]*machine{},
 		digest:   newDigest(t),
-		checks:   ruleChecks{idleSince: map[*standin.Job]time.Time{}},
+		checks:   ruleChecks{idleSince: map[*fakes.Job]time.Time{}},
 	}
-	sim.state = standin.NewStateService(clock)
-	sim.cloud = standin.NewCloud(clock, rng, machineTypes)
+	sim.state = fakes.NewStateService(clock)
+	sim.cloud = fakes.NewCloud(clock, rng, machineTypes)
 	sim.cloud.OnBooted = sim.booted
 	sim.cloud.OnRemoved = sim.ended
-	sim.cluster = standin.NewCluster(clock, rng, cfg.Platform, sim)
+	sim.cluster = fakes.NewCluster(clock, rng, cfg.Platform, sim)
 	sim.cluster.OnCompleted = sim.jobCompleted
 	for i := range simulatedNodes {
 		zone := cfg.Platform.Zones[i%len(cfg.Platform.Zones)]
@@ -129,14 +129,14 @@
 // carries out.
 func (sim *simulation) enableIntentLog() {
 	sim.intentLog = true
-	sim.intentChecker = standin.NewIntentChecker(sim.cluster, sim.state, sim.cloud)
+	sim.intentChecker = fakes.NewIntentChecker(sim.cluster, sim.state, sim.cloud)
 	for _, n := range sim.nodes {
 		n.crash(0)
 	}
 }
 
 // booted starts a machine's worker; a few machines are faulty.
-func (sim *simulation) booted(h *standin.CloudHost) {
+func (sim *simulation) booted(h *fakes.CloudHost) {
 	const faultyShare = 0.05
 	machineTypes := sim.cloud.MachineTypes
 	hasType := func(machineType wire.MachineType) bool { return machineType.Name == h.Type }
@@ -149,7 +149,7 @@
 }
 
 // ended removes a terminated machine.
-func (sim *simulation) ended(h *standin.CloudHost) {
+func (sim *simulation) ended(h *fakes.CloudHost) {
 	sim.cluster.Remove(h.ID)
 	delete(sim.machines, h.ID)
 }
@@ -169,7 +169,7 @@
 	}
 	simulatedTime := func(_ []string, a slog.Attr) slog.Attr {
 		if a.Key == slog.TimeKey {
-			a.Value = slog.DurationValue(sim.clock.Now().Sub(standin.Epoch))
+			a.Value = slog.DurationValue(sim.clock.Now().Sub(fakes.Epoch))
 		}
 		return a
 	}
@@ -179,11 +179,11 @@
 
 // addViolation records that something a test expects did not hold.
 func (sim *simulation) addViolation(format string, args ...any) {
-	sim.cluster.AddViolation(standin.Expectation, format, args...)
+	sim.cluster.AddViolation(fakes.Expectation, format, args...)
 }
 
 // violations are the rules broken so far.
-func (sim *simulation) violations() []standin.Violation { return sim.cluster.Violations }
+func (sim *simulation) violations() []fakes.Violation { return sim.cluster.Violations }
 
 // runFor plays a time, checking the rules after each step.
 func (sim *simulation) runFor(d time.Duration) {
@@ -269,7 +269,7 @@
 	return out
 }
 
-// crossesZoneBoundary tells whether a zone is cut off and exactly one of two places is in it.
+// crossesZoneBoundary reports whether a zone is cut off and exactly one of two places is in it.
 func (sim *simulation) crossesZoneBoundary(one, other string) bool {
 	return sim.isolatedZone != "" && (sim.isolatedZone == one) != (sim.isolatedZone == other)
 }
--- a/internal/controller/simulation_users_test.go
+++ b/internal/controller/simulation_users_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"juniperchute/internal/standin"
+	"juniperchute/internal/fakes"
 	"juniperchute/internal/submission"
 	"juniperchute/internal/wire"
 )
@@ -64,7 +64,7 @@
 }
 
 // recordAnswer records the state of a job that a user got as an answer.
-func (sim *simulation) recordAnswer(j *standin.Job, stage, before string) {
+func (sim *simulation) recordAnswer(j *fakes.Job, stage, before string) {
 	if sim.cluster.RecordAnswer(j, stage, before) && sim.rates.burstsOfQueries {
 		sim.burstOfQueries(j)
 	}
@@ -72,7 +72,7 @@
 
 // handleAnswer records an answer about a job. before is the state that the user knew when
 // the request was sent.
-func (sim *simulation) handleAnswer(j *standin.Job, before string, r submission.Response) {
+func (sim *simulation) handleAnswer(j *fakes.Job, before string, r submission.Response) {
 	if r.Status == 200 {
 		sim.recordAnswer(j, jobStateOf(r), before)
 		return
@@ -81,15 +81,15 @@
 }
 
 // add makes a user submit a job and ask about it until the end of the test.
-func (sim *simulation) add(spec wire.JobSpec, run time.Duration) *standin.Job {
-	j := standin.NewJob(spec, run)
+func (sim *simulation) add(spec wire.JobSpec, run time.Duration) *fakes.Job {
+	j := fakes.NewJob(spec, run)
 	sim.cluster.AddJob(j)
 	sim.submit(j)
 	sim.clock.Schedule(time.Second, func() { sim.poll(j) })
 	return j
 }
 
-func (sim *simulation) submit(j *standin.Job) {
+func (sim *simulation) submit(j *fakes.Job) {
 	if j.Accepted {
 		return
 	}
@@ -98,7 +98,7 @@
 		case 200, 201:
 			sim.recordAnswer(j, jobStateOf(r), "")
 		case 400, 422:
-			sim.cluster.AddViolation(standin.JobForgotten, "%s answered %d %v", j.Spec.ID, r.Status, r.Body)
+			sim.cluster.AddViolation(fakes.JobForgotten, "%s answered %d %v", j.Spec.ID, r.Status, r.Body)
 		}
 	})
 	if sim.rates.burstsOfQueries { // questions that are on their way already when it is accepted
@@ -107,12 +107,12 @@
 	sim.clock.Schedule(time.Duration(1000+sim.rng.IntN(2000))*time.Millisecond, func() { sim.submit(j) })
 }
 
-func (sim *simulation) poll(j *standin.Job) {
+func (sim *simulation) poll(j *fakes.Job) {
 	before, accepted := j.KnownState, j.Accepted
 	sim.send(sim.query(j.Spec.ID), func(r submission.Response) {
 		switch {
 		case r.Status == 404 && accepted:
-			sim.cluster.AddViolation(standin.JobForgotten, "%s answered 404", j.Spec.ID)
+			sim.cluster.AddViolation(fakes.JobForgotten, "%s answered 404", j.Spec.ID)
 		case r.Status == 200:
 			sim.recordAnswer(j, jobStateOf(r), before)
 		}
@@ -120,7 +120,7 @@
 	sim.clock.Schedule(time.Duration(3000+sim.rng.IntN(3000))*time.Millisecond, func() { sim.poll(j) })
 }
 
-func (sim *simulation) cancel(j *standin.Job) {
+func (sim *simulation) cancel(j *fakes.Job) {
 	j.CancelRequested = true
 	if j.Ended() {
 		return
@@ -136,7 +136,7 @@
 
 // burstOfQueries asks all nodes about a job, again and again within milliseconds, repeats
 // its submission, and now and then its cancellation.
-func (sim *simulation) burstOfQueries(j *standin.Job) {
+func (sim *simulation) burstOfQueries(j *fakes.Job) {
 	soon := func() time.Duration { return time.Duration(sim.rng.IntN(60000)) * time.Microsecond }
 	for range 3 {
 		for _, n := range sim.nodes {
@@ -156,7 +156,7 @@
 }
 
 // jobCompleted may have a user cancel a job as its last task ends, and ask about it closely.
-func (sim *simulation) jobCompleted(j *standin.Job) {
+func (sim *simulation) jobCompleted(j *fakes.Job) {
 	if sim.rng.Float64() >= sim.rates.cancelAtEnd {
 		return
 	}
--- a/internal/controller/steady_test.go
+++ b/internal/controller/steady_test.go
@@ -5,17 +5,17 @@
 	"time"
 
 	"juniperchute/internal/config"
-	"juniperchute/internal/standin"
+	"juniperchute/internal/fakes"
 	"juniperchute/internal/wire"
 )
 
 // leanSimulation is a deployment of the size of a lean one in simulated time, loaded and
 // steady.
-func leanSimulation(load standin.Workload) *simulation {
+func leanSimulation(load fakes.Workload) *simulation {
 	cfg := &config.Config{Member: "x", Area: "a", Platform: load.Config()}
-	sim := newSimulation(nil, 5, cfg, 1, []wire.MachineType{standin.LargeMachineType()})
+	sim := newSimulation(nil, 5, cfg, 1, []wire.MachineType{fakes.LargeMachineType()})
 	sim.state.PageSize, sim.state.MaxHistory, sim.cloud.PageSize = 1000, 10000, 500
-	sim.cloud.Available[standin.CapacityKey(standin.LargeMachineType().Name, "a", false)] = load.Machines
+	sim.cloud.Available[fakes.CapacityKey(fakes.LargeMachineType().Name, "a", false)] = load.Machines
 	jobs := 0
 	array := func() { sim.add(load.Array(jobs), load.RunTime); jobs++ }
 	gang := func() { sim.add(load.Gang(jobs), load.RunTime); jobs++ }
@@ -38,14 +38,14 @@
 		sim.clock.Schedule(every, more)
 	}
 	more()
-	sim.clock.RunUntil(standin.Epoch.Add(45 * time.Second))
+	sim.clock.RunUntil(fakes.Epoch.Add(45 * time.Second))
 	return sim
 }
 
 // BenchmarkSteady measures a second of a lean deployment's decisions, at all its
 // controllers, without what carries them out. The fakes' time is in it.
 func BenchmarkSteady(b *testing.B) {
-	for _, load := range append(standin.LeanWorkloads(), standin.LargestWorkload()) {
+	for _, load := range append(fakes.LeanWorkloads(), fakes.LargestWorkload()) {
 		b.Run(load.Name, func(b *testing.B) {
 			sim := leanSimulation(load)
 			first := sim.longestEvent
--- a/internal/controller/stored_intents.go
+++ b/internal/controller/stored_intents.go
@@ -38,7 +38,7 @@
 }
 
 // readIntentLogs reads the intent logs of all shards, from the key after the given one on. ok
-// tells whether all pages have been read.
+// reports whether all pages have been read.
 func (c *Controller) readIntentLogs(into storedIntents, after string, then func(now time.Time, ok bool)) {
 	call := store.Call{
 		Op:       store.OpList,
--- a/internal/controller/unreadable_test.go
+++ b/internal/controller/unreadable_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"juniperchute/internal/standin"
+	"juniperchute/internal/fakes"
 	"juniperchute/internal/store"
 	"juniperchute/internal/submission"
 	"juniperchute/internal/wire"
@@ -149,7 +149,7 @@
 }
 
 // requireRetryLater checks that every request about a job is answered with 503.
-func (sim *simulation) requireRetryLater(job *standin.Job) {
+func (sim *simulation) requireRetryLater(job *fakes.Job) {
 	for _, r := range []struct {
 		name    string
 		request request
@@ -174,8 +174,8 @@
 }
 
 // runningTasks counts the running tasks by job.
-func (sim *simulation) runningTasks() map[*standin.Job]int {
-	running := map[*standin.Job]int{}
+func (sim *simulation) runningTasks() map[*fakes.Job]int {
+	running := map[*fakes.Job]int{}
 	for _, m := range sim.machines {
 		for _, task := range m.Tasks {
 			if task.State == wire.TaskRunning {
@@ -187,9 +187,9 @@
 }
 
 // jobWithMostRunningTasks is the first by name of those with most, nil if none runs.
-func (sim *simulation) jobWithMostRunningTasks() *standin.Job {
+func (sim *simulation) jobWithMostRunningTasks() *fakes.Job {
 	running := sim.runningTasks()
-	var most *standin.Job
+	var most *fakes.Job
 	for job, count := range running {
 		if most == nil || count > running[most] || count == running[most] && job.Spec.ID < most.Spec.ID {
 			most = job
@@ -203,7 +203,7 @@
 func TestUnannouncedStateLimit(t *testing.T) {
 	for _, valueBytes := range []int{1024, 600} {
 		sim := newSimulation(t, 11, testConfig(oneZone, steadyTeams, 1.5, 10), 1, oneZoneTypes)
-		sim.cloud.Available[standin.CapacityKey(smallType.Name, "a", false)] = 80
+		sim.cloud.Available[fakes.CapacityKey(smallType.Name, "a", false)] = 80
 		sim.state.Limits.MaxValueBytes = valueBytes
 		refused := map[string]int{}
 		sim.state.OnCall = func(c store.Call, err error) {
--- a/internal/controller/worker_client.go
+++ b/internal/controller/worker_client.go
@@ -16,7 +16,7 @@
 // workerClient sends requests straight to workers.
 type workerClient struct{ http *http.Client }
 
-// probe tells whether a worker answers.
+// probe reports whether a worker answers.
 func (c workerClient) probe(ctx context.Context, address string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/show", nil)
 	if err != nil {
--- a/internal/standin/clock.go
+++ b/internal/fakes/clock.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"container/heap"
@@ -58,7 +58,7 @@
 	heap.Push(&c.queue, event{c.now.Add(delay), c.sequence, run})
 }
 
-// Due tells whether an event is scheduled for a time no later than end.
+// Due reports whether an event is scheduled for a time no later than end.
 func (c *Clock) Due(end time.Time) bool {
 	return len(c.queue) > 0 && !c.queue[0].at.After(end)
 }
--- a/internal/standin/doc.go
+++ b/internal/fakes/doc.go
@@ -1,4 +1,4 @@
-// Package standin has the fakes of the parties around the controllers, for tests only: the state
+// Package fakes has the fakes of the parties around the controllers, for tests only: the state
 // service, the cloud, the workers with their tasks, and what users know of their jobs. They are
 // written from the published protocol, not from the controllers' code.
 //
@@ -10,4 +10,4 @@
 // The Cluster sees what no controller sees, the tasks that really run on the machines, and checks
 // the protocol's rules with it (Check, RecordAnswer, CheckJobsForgotten). An IntentChecker compares
 // what the cloud carries out with the intent log. Both add to Cluster.Violations.
-package standin
+package fakes
--- a/internal/standin/fitting.go
+++ b/internal/fakes/fitting.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"juniperchute/internal/config"
@@ -6,7 +6,7 @@
 	"juniperchute/internal/wire"
 )
 
-// Fits tells whether a job, or one task of an array, could start now on machines that
+// Fits reports whether a job, or one task of an array, could start now on machines that
 // usable approves of, while its team uses the given resources.
 func (c *Cluster) Fits(job *Job, used quota.Resources, usable func(worker *Worker) bool) bool {
 	spec := &job.Spec
@@ -28,7 +28,7 @@
 	return slotsFor(spec, slots) >= needed
 }
 
-// exceedsQuota tells whether a team would be above its limits with some more tasks.
+// exceedsQuota reports whether a team would be above its limits with some more tasks.
 func exceedsQuota(team *config.Team, used quota.Resources, spec *wire.JobSpec, tasks int) bool {
 	return exceeds(used.CPUs+float64(tasks)*spec.Vcpus, team.CPUsMax) ||
 		exceeds(used.GPUs+float64(tasks)*spec.Gpus, team.GPUsMax)
--- a/internal/standin/intent_checker.go
+++ b/internal/fakes/intent_checker.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"encoding/json"
@@ -121,7 +121,7 @@
 	return total
 }
 
-// isOpen tells whether an intent for a machine is in the log as it is stored now.
+// isOpen reports whether an intent for a machine is in the log as it is stored now.
 func (c *IntentChecker) isOpen(target string) bool {
 	for _, targets := range c.pages {
 		if targets[target] {
@@ -131,12 +131,12 @@
 	return false
 }
 
-// active tells whether all that is carried out has to be in the log.
+// active reports whether all that is carried out has to be in the log.
 func (c *IntentChecker) active() bool {
 	return !c.inForceSince.IsZero() && c.cluster.Clock.Now().Sub(c.inForceSince) >= c.Grace
 }
 
-// requestRecorded tells whether the record of a provisioning request is stored now.
+// requestRecorded reports whether the record of a provisioning request is stored now.
 func (c *IntentChecker) requestRecorded(name string) bool {
 	for key := range c.store.Keys {
 		if strings.HasPrefix(key, fleet.ProvisioningPrefix) && strings.HasSuffix(key, "/"+name) {
--- a/internal/standin/job.go
+++ b/internal/fakes/job.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"slices"
@@ -40,13 +40,13 @@
 	return &Job{Spec: spec, RunTime: runTime, Done: make([]bool, spec.Tasks)}
 }
 
-// Complete tells whether all tasks have completed.
+// Complete reports whether all tasks have completed.
 func (j *Job) Complete() bool { return !slices.Contains(j.Done, false) }
 
-// Ended tells whether the user has got a final state as an answer.
+// Ended reports whether the user has got a final state as an answer.
 func (j *Job) Ended() bool { return isFinal(j.KnownState) }
 
-// isFinal tells whether a job stays in a state for good.
+// isFinal reports whether a job stays in a state for good.
 func isFinal(state string) bool { return state == wire.JobDone || state == wire.JobCancelled }
 
 func (j *Job) resources() quota.Resources {
--- a/internal/standin/rules.go
+++ b/internal/fakes/rules.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"fmt"
@@ -51,7 +51,7 @@
 
 func (c *Cluster) cancelTimeout() time.Duration { return config.Seconds(c.Config.Workers.CancelS) }
 
-// cancelOverdue tells whether a job was cancelled so long ago that none of its tasks may be
+// cancelOverdue reports whether a job was cancelled so long ago that none of its tasks may be
 // left.
 func (c *Cluster) cancelOverdue(job *Job) bool {
 	return job.KnownState == wire.JobCancelled && c.Clock.Now().Sub(job.CancelledAt) > c.cancelTimeout()
@@ -110,7 +110,7 @@
 	return teams, jobs
 }
 
-// allowedOn tells whether a job's tasks may run on a machine of that type and zone.
+// allowedOn reports whether a job's tasks may run on a machine of that type and zone.
 func allowedOn(spec *wire.JobSpec, host *wire.Machine) bool {
 	typeAllowed := spec.AnyType || slices.Contains(spec.Types, host.Type)
 	zoneAllowed := spec.Zone == "" || spec.Zone == host.Zone
@@ -143,7 +143,7 @@
 	}
 }
 
-// exceeds tells whether a use is above a limit; 0 is no limit.
+// exceeds reports whether a use is above a limit; 0 is no limit.
 func exceeds(used, limit float64) bool { return limit > 0 && used > limit+roundingSlack }
 
 // CheckJobsForgotten checks that a query about each accepted job was answered lately.
@@ -156,7 +156,7 @@
 }
 
 // RecordAnswer records that a request about a job was answered with its state; before is the state
-// that its user knew when the request was sent. changed tells whether this was the first answer
+// that its user knew when the request was sent. changed reports whether this was the first answer
 // that the job is accepted, or that it has ended.
 func (c *Cluster) RecordAnswer(job *Job, state, before string) (changed bool) {
 	switch {
--- a/internal/standin/state.go
+++ b/internal/fakes/state.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"encoding/json"
@@ -160,7 +160,7 @@
 	return store.Result{Revision: s.Revision}
 }
 
-// allowed tells whether a transaction is within the limits of size and names no lease
+// allowed reports whether a transaction is within the limits of size and names no lease
 // that has expired.
 func (s *StateService) allowed(transaction wire.Transaction) bool {
 	if s.Limits.MaxTxnOps > 0 && len(transaction.Writes) > s.Limits.MaxTxnOps {
--- a/internal/standin/task.go
+++ b/internal/fakes/task.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"slices"
@@ -21,7 +21,7 @@
 	peerLostAt time.Time // when a gang's task found another one missing; zero: none is
 }
 
-// OnMachine tells whether the task takes resources on its machine.
+// OnMachine reports whether the task takes resources on its machine.
 func (t *Task) OnMachine() bool { return t.State != wire.TaskExited }
 
 // advance moves a task to its next state if the present one has ended.
--- a/internal/standin/worker.go
+++ b/internal/fakes/worker.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"time"
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// acceptsTasks tells whether a task that is started on the worker now may complete.
+// acceptsTasks reports whether a task that is started on the worker now may complete.
 func (w *Worker) acceptsTasks() bool {
 	return !w.Hung && !w.Faulty && !w.Terminated && w.PreemptionTime.IsZero()
 }
--- a/internal/fleet/autoscaler.go
+++ b/internal/fleet/autoscaler.go
@@ -43,7 +43,7 @@
 	// OnDeleted is called when the cloud confirms a machine's deletion, before the machine leaves
 	// the registry.
 	OnDeleted func(now time.Time, machine *worker.Machine)
-	// OwnedByOtherShard tells whether a machine that existed at some time is, or may turn out to
+	// OwnedByOtherShard reports whether a machine that existed at some time is, or may turn out to
 	// be, another shard's.
 	OwnedByOtherShard func(host string, existedAt time.Time) bool
 }
--- a/internal/fleet/deprovisioner.go
+++ b/internal/fleet/deprovisioner.go
@@ -133,7 +133,7 @@
 	return ready
 }
 
-// confirmRecovered tells whether a recovered intent stands. A term of an earlier version may have
+// confirmRecovered reports whether a recovered intent stands. A term of an earlier version may have
 // held the shard since: it reads no log, and may have given the machine work. If no other
 // token lies between it cannot; otherwise contact with the machine is needed first, or its
 // lease must have expired. The intent for one that has work of a later term is void.
@@ -164,7 +164,7 @@
 	return true
 }
 
-// hasWorkAfter tells whether a machine has tasks that a term with a higher token gave it.
+// hasWorkAfter reports whether a machine has tasks that a term with a higher token gave it.
 func hasWorkAfter(machine *worker.Machine, token uint64) bool {
 	return slices.ContainsFunc(machine.Tasks, func(task wire.TaskStatus) bool {
 		return task.Attempt>>tuning.AttemptBits > token
--- a/internal/fleet/inventory.go
+++ b/internal/fleet/inventory.go
@@ -51,7 +51,7 @@
 // forget drops the count of a deleted machine.
 func (h *listHistory) forget(host string) { delete(h.missed, host) }
 
-// observeUnknown counts a list with an unknown machine, and tells whether there have been so many
+// observeUnknown counts a list with an unknown machine, and reports whether there have been so many
 // that it is not one just deleted: lists lag.
 func (h *listHistory) observeUnknown(host string) bool {
 	h.unknown[host]++
--- a/internal/fleet/limited_cloud.go
+++ b/internal/fleet/limited_cloud.go
@@ -31,7 +31,7 @@
 	return &limitedCloud{caller: caller, limiter: limiter, backoff: retryBackoff}
 }
 
-// allow tells whether the rate has room for one more call, and takes that room.
+// allow reports whether the rate has room for one more call, and takes that room.
 func (c *limitedCloud) allow(now time.Time) bool { return c.limiter.AllowN(now, 1) }
 
 // call executes a call that allow has allowed.
--- a/internal/fleet/provisioner.go
+++ b/internal/fleet/provisioner.go
@@ -50,12 +50,12 @@
 	return requests
 }
 
-// hasPending tells whether the machines of some request are not known yet.
+// hasPending reports whether the machines of some request are not known yet.
 func (p *provisioner) hasPending() bool {
 	return slices.ContainsFunc(p.sorted(), (*provisioningRequest).pending)
 }
 
-// hasCapacity tells whether the cloud may have machines of a kind, as far as known.
+// hasCapacity reports whether the cloud may have machines of a kind, as far as known.
 func (p *provisioner) hasCapacity(now time.Time, kind machineKind) bool {
 	return !now.Before(p.noCapacityUntil[kind])
 }
--- a/internal/fleet/provisioner_records.go
+++ b/internal/fleet/provisioner_records.go
@@ -35,7 +35,7 @@
 	p.addHosts(now, request)
 }
 
-// recordsDurably tells whether a durable record names a machine.
+// recordsDurably reports whether a durable record names a machine.
 func (p *provisioner) recordsDurably(host string) bool {
 	request := p.byHost[host]
 	return request != nil && request.recordDurable
--- a/internal/fleet/request.go
+++ b/internal/fleet/request.go
@@ -47,12 +47,12 @@
 	version int
 }
 
-// pending tells whether the request may still be granted in the normal course of events.
+// pending reports whether the request may still be granted in the normal course of events.
 func (r *provisioningRequest) pending() bool {
 	return r.state == provisioningRecording || r.state == provisioningRequested
 }
 
-// retryable tells whether a refused request may stand for a new one.
+// retryable reports whether a refused request may stand for a new one.
 func (r *provisioningRequest) retryable(now time.Time, kind machineKind, maxMachines int, pause time.Duration) bool {
 	return r.state == provisioningRefused && r.record.kind() == kind && r.record.Number <= maxMachines &&
 		now.Sub(r.answeredAt) >= pause
--- a/internal/httpapi/listener.go
+++ b/internal/httpapi/listener.go
@@ -98,7 +98,7 @@
 	return worker
 }
 
-// crowded tells whether a worker's connection is to be closed with the answer to its
+// crowded reports whether a worker's connection is to be closed with the answer to its
 // report, so that another worker's has room.
 func (l *limitedListener) crowded() bool {
 	l.lock.Lock()
@@ -136,7 +136,7 @@
 	return context.WithValue(ctx, clientConnectionKey{}, conn)
 }
 
-// markWorkerConnection notes that a request's connection is a worker's, and tells whether it is to
+// markWorkerConnection notes that a request's connection is a worker's, and reports whether it is to
 // be closed with the answer.
 func markWorkerConnection(req *http.Request) (closes bool) {
 	c, ok := req.Context().Value(clientConnectionKey{}).(*clientConnection)
--- a/internal/integration/addresses_test.go
+++ b/internal/integration/addresses_test.go
@@ -60,7 +60,7 @@
 // hostPort is an address with a port.
 func hostPort(host string, port int) string { return net.JoinHostPort(host, strconv.Itoa(port)) }
 
-// inUse tells whether somebody listens at one of the addresses.
+// inUse reports whether somebody listens at one of the addresses.
 func (a controllerAddresses) inUse() bool {
 	for _, address := range []string{a.peer, a.api} {
 		listener, err := net.Listen("tcp", address)
--- a/internal/integration/call_gate_test.go
+++ b/internal/integration/call_gate_test.go
@@ -50,7 +50,7 @@
 	<-held.released
 }
 
-// wait waits until the call is there, and tells whether it came in time.
+// wait waits until the call is there, and reports whether it came in time.
 func (h *heldCall) wait(timeout time.Duration) bool {
 	select {
 	case <-h.reached:
--- a/internal/integration/deployment_benchmark_test.go
+++ b/internal/integration/deployment_benchmark_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"juniperchute/internal/standin"
+	"juniperchute/internal/fakes"
 )
 
 // Times of a measured deployment.
@@ -25,7 +25,7 @@
 //
 // writes the profiles of each controller.
 func BenchmarkDeployment(b *testing.B) {
-	for _, workload := range standin.LeanWorkloads() {
+	for _, workload := range fakes.LeanWorkloads() {
 		b.Run(workload.Name, func(b *testing.B) {
 			for range b.N {
 				benchmarkDeployment(b, workload)
@@ -34,8 +34,8 @@
 	}
 }
 
-func benchmarkDeployment(b *testing.B, workload standin.Workload) {
-	d := newDeployment(b, workload.Config(), standin.LargeMachineType(), workload.Machines)
+func benchmarkDeployment(b *testing.B, workload fakes.Workload) {
+	d := newDeployment(b, workload.Config(), fakes.LargeMachineType(), workload.Machines)
 	for _, controller := range d.controllers {
 		controller.start(func(settingsFile string) *exec.Cmd { return controllerCommand(settingsFile) })
 	}
@@ -59,7 +59,7 @@
 }
 
 // submitWorkload has users submit a workload's jobs: some at once, the rest at its rates.
-func (d *deployment) submitWorkload(workload standin.Workload) {
+func (d *deployment) submitWorkload(workload fakes.Workload) {
 	jobs := 0
 	submitArray := func() {
 		d.submit(workload.Array(jobs), workload.RunTime)
--- a/internal/integration/deployment_test.go
+++ b/internal/integration/deployment_test.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"juniperchute/internal/config"
+	"juniperchute/internal/fakes"
 	"juniperchute/internal/quota"
-	"juniperchute/internal/standin"
 	"juniperchute/internal/wire"
 )
 
@@ -51,11 +51,11 @@
 	gate        callGate
 
 	mutex      sync.Mutex // guards all that follows, and the fakes; see withLock
-	clock      *standin.Clock
-	store      *standin.StateService
-	cloud      *standin.Cloud
-	cluster    *standin.Cluster
-	byAddress  map[string]*standin.Worker
+	clock      *fakes.Clock
+	store      *fakes.StateService
+	cloud      *fakes.Cloud
+	cluster    *fakes.Cluster
+	byAddress  map[string]*fakes.Worker
 	clients    map[string]*http.Client // of the workers, by machine
 	checkedAt  time.Time
 	heartbeats heartbeatStats
@@ -77,21 +77,21 @@
 		config:    settings,
 		ctx:       ctx,
 		users:     newUserClient(),
-		clock:     standin.NewClock(time.Now()),
-		byAddress: map[string]*standin.Worker{},
+		clock:     fakes.NewClock(time.Now()),
+		byAddress: map[string]*fakes.Worker{},
 		clients:   map[string]*http.Client{},
 	}
 	rng := rand.New(rand.NewPCG(3, 3))
-	d.store = standin.NewStateService(d.clock)
+	d.store = fakes.NewStateService(d.clock)
 	d.store.PageSize, d.store.MaxHistory = 1000, 10000
-	d.cloud = standin.NewCloud(d.clock, rng, []wire.MachineType{machineType})
+	d.cloud = fakes.NewCloud(d.clock, rng, []wire.MachineType{machineType})
 	d.cloud.PageSize = 500
-	d.cloud.Available[standin.CapacityKey(machineType.Name, "a", false)] = machines
+	d.cloud.Available[fakes.CapacityKey(machineType.Name, "a", false)] = machines
 	d.cloud.Address = func(n int) string {
 		return fmt.Sprintf("127.1.%d.%d:%d", n/machinesPerSubnet, n%machinesPerSubnet+1, d.workerPort)
 	}
 	d.cloud.OnBooted, d.cloud.OnRemoved = d.startWorker, d.removeWorker
-	d.cluster = standin.NewCluster(d.clock, rng, settings, d)
+	d.cluster = fakes.NewCluster(d.clock, rng, settings, d)
 	_, port, _ := net.SplitHostPort(d.serve("0.0.0.0:0", d.serveWorker))
 	d.workerPort, _ = strconv.Atoi(port)
 	d.addControllers(config.External{
@@ -181,7 +181,7 @@
 }
 
 // startWorker starts the worker of a machine.
-func (d *deployment) startWorker(host *standin.CloudHost) {
+func (d *deployment) startWorker(host *fakes.CloudHost) {
 	machineType := d.cloud.MachineTypes[0]
 	capacity := quota.Resources{CPUs: machineType.Vcpus, GPUs: machineType.Gpus, MemGB: machineType.MemGb}
 	d.clients[host.ID] = &http.Client{Timeout: replyTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
@@ -189,7 +189,7 @@
 }
 
 // removeWorker removes the worker of a machine that has ended.
-func (d *deployment) removeWorker(host *standin.CloudHost) {
+func (d *deployment) removeWorker(host *fakes.CloudHost) {
 	d.cluster.Remove(host.ID)
 	delete(d.byAddress, host.Address)
 	delete(d.clients, host.ID)
@@ -215,7 +215,7 @@
 func (d *deployment) waitUntilAllJobsEnd() {
 	d.tb.Helper()
 	d.waitUntil("every job's end", func() bool {
-		return !slices.ContainsFunc(d.cluster.Submitted, func(job *standin.Job) bool { return !job.Ended() })
+		return !slices.ContainsFunc(d.cluster.Submitted, func(job *fakes.Job) bool { return !job.Ended() })
 	})
 }
 
--- a/internal/integration/network_test.go
+++ b/internal/integration/network_test.go
@@ -8,24 +8,24 @@
 	"slices"
 	"time"
 
-	"juniperchute/internal/standin"
+	"juniperchute/internal/fakes"
 	"juniperchute/internal/wire"
 )
 
 // slowReply is from when on a reply to a heartbeat counts as slow.
 const slowReply = time.Second
 
-// Nodes is part of standin.Network.
+// Nodes is part of fakes.Network.
 func (d *deployment) Nodes() int { return len(d.controllers) }
 
-// NodeIndex is part of standin.Network.
+// NodeIndex is part of fakes.Network.
 func (d *deployment) NodeIndex(name string) int {
 	return slices.IndexFunc(d.controllers, func(p *controllerProcess) bool { return p.config.Member == name })
 }
 
-// Send is part of standin.Network: it posts a heartbeat. The lock is held, and is taken
+// Send is part of fakes.Network: it posts a heartbeat. The lock is held, and is taken
 // again for the reply.
-func (d *deployment) Send(sender *standin.Worker, node int, heartbeat *wire.Heartbeat, reply standin.ReplyFunc) {
+func (d *deployment) Send(sender *fakes.Worker, node int, heartbeat *wire.Heartbeat, reply fakes.ReplyFunc) {
 	raw, _ := json.Marshal(heartbeat)
 	client, url := d.clients[sender.Host.ID], "http://"+d.controllers[node].config.APIAddr+"/checkin"
 	d.goroutines.Add(1)
--- a/internal/integration/records_test.go
+++ b/internal/integration/records_test.go
@@ -85,7 +85,7 @@
 	return d.liveController(record.Member, record.Incarnation)
 }
 
-// intentLogInForce tells whether all members use the intent log; the lock is held.
+// intentLogInForce reports whether all members use the intent log; the lock is held.
 func (d *deployment) intentLogInForce() bool {
 	return strings.Contains(string(d.store.Keys[featureGatesKey].Value), featuregate.IntentLogFeature)
 }
--- a/internal/integration/request_benchmark_test.go
+++ b/internal/integration/request_benchmark_test.go
@@ -16,9 +16,9 @@
 	"juniperchute/internal/clock"
 	"juniperchute/internal/config"
 	"juniperchute/internal/controller"
+	"juniperchute/internal/fakes"
 	"juniperchute/internal/peer"
 	"juniperchute/internal/peer/peerpb"
-	"juniperchute/internal/standin"
 	"juniperchute/internal/tuning"
 	"juniperchute/internal/wire"
 )
@@ -109,9 +109,9 @@
 
 // newRequestFixture starts a controller and submits a job.
 func newRequestFixture(b *testing.B) *requestFixture {
-	workload := standin.LeanWorkloads()[1]
+	workload := fakes.LeanWorkloads()[1]
 	workload.Nodes = 1
-	deployment := newDeployment(b, workload.Config(), standin.LargeMachineType(), workload.Machines)
+	deployment := newDeployment(b, workload.Config(), fakes.LargeMachineType(), workload.Machines)
 	settings := &deployment.controllers[0].config
 	runInProcess(b, settings)
 	deployment.waitUntil("healthy", func() bool {
--- a/internal/integration/stall_fixture_test.go
+++ b/internal/integration/stall_fixture_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"juniperchute/internal/config"
-	"juniperchute/internal/standin"
+	"juniperchute/internal/fakes"
 	"juniperchute/internal/tuning"
 	"juniperchute/internal/wire"
 )
@@ -32,7 +32,7 @@
 type stallTest struct {
 	*deployment
 	t             *testing.T
-	checker       *standin.IntentChecker
+	checker       *fakes.IntentChecker
 	jobs          int // submitted so far
 	stopLoad      chan struct{}
 	traces        []string        // the controllers' files
@@ -42,14 +42,14 @@
 // newStallTest starts a deployment with the intent log and with users.
 func newStallTest(t *testing.T) *stallTest {
 	teams := []config.Team{{Name: "red", GPUs: 8, GPUsMax: 20}, {Name: "blue"}}
-	platform := standin.DeploymentConfig([]string{"a"}, teams, 1, 6)
+	platform := fakes.DeploymentConfig([]string{"a"}, teams, 1, 6)
 	platform.Workers.CancelS = 20
 	s := &stallTest{t: t, stopLoad: make(chan struct{})}
 	s.deployment = newDeployment(t, platform, upgradeMachineType(), stallMachines)
 	s.cloud.FastBoot = true
 	s.withLock(func() {
 		s.store.Put(settingsKey, []byte(`{"fleet.idle_return_s":"5"}`))
-		s.checker = standin.NewIntentChecker(s.cluster, s.store, s.cloud)
+		s.checker = fakes.NewIntentChecker(s.cluster, s.store, s.cloud)
 	})
 	dir := t.TempDir()
 	for _, controller := range s.controllers {
--- a/internal/integration/stall_test.go
+++ b/internal/integration/stall_test.go
@@ -17,7 +17,7 @@
 	"juniperchute/internal/wire"
 )
 
-// callMatcher tells whether a call of the state service or of the cloud is the one wanted.
+// callMatcher reports whether a call of the state service or of the cloud is the one wanted.
 type callMatcher func(call any) bool
 
 // recordsIntent matches calls of the state service that record an intent for an operation.
--- a/internal/integration/upgrade_fixture_test.go
+++ b/internal/integration/upgrade_fixture_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"juniperchute/internal/config"
-	"juniperchute/internal/standin"
+	"juniperchute/internal/fakes"
 	"juniperchute/internal/store"
 	"juniperchute/internal/wire"
 )
@@ -50,7 +50,7 @@
 	// The users.
 	rng       *rand.Rand // the lock guards it
 	jobs      int        // jobs with random properties so far
-	longArray *standin.Job
+	longArray *fakes.Job
 	stopLoad  chan struct{}
 }
 
@@ -72,7 +72,7 @@
 // upgradeConfig is a deployment that knows its limits to come.
 func upgradeConfig() config.Platform {
 	teams := []config.Team{{Name: "red", GPUs: 8, GPUsMax: 16}, {Name: "blue"}}
-	platform := standin.DeploymentConfig([]string{"a"}, teams, 1, 6)
+	platform := fakes.DeploymentConfig([]string{"a"}, teams, 1, 6)
 	platform.Workers.CancelS, platform.Workers.GangWaitS, platform.Workers.GangPeerS = 20, 10, 3
 	platform.State = config.StateLimits{
 		RPS:      presentRequests,
@@ -105,7 +105,7 @@
 		t.Fatal(err)
 	}
 	u.cloud.FastBoot = true
-	u.store.Limits = standin.StateLimits{
+	u.store.Limits = fakes.StateLimits{
 		MaxValueBytes: presentValueKB * 1024,
 		MaxTxnOps:     presentOps,
 		WritesPerS:    presentWrites,
@@ -171,7 +171,7 @@
 				large++
 			}
 		}
-		u.store.Limits = standin.StateLimits{
+		u.store.Limits = fakes.StateLimits{
 			MaxValueBytes: nextValueKB * 1024,
 			MaxTxnOps:     nextOps,
 			WritesPerS:    nextWrites,
@@ -194,7 +194,7 @@
 	writes := call.Transaction.Writes
 	for _, write := range writes {
 		if len(write.Value) > nextValueKB*1024 || len(writes) > nextOps {
-			u.cluster.AddViolation(standin.Expectation, "%s is written with %d bytes, %d changes at once",
+			u.cluster.AddViolation(fakes.Expectation, "%s is written with %d bytes, %d changes at once",
 				write.Put, len(write.Value), len(writes))
 		}
 	}
--- a/internal/integration/upgrade_users_test.go
+++ b/internal/integration/upgrade_users_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"juniperchute/internal/standin"
+	"juniperchute/internal/fakes"
 	"juniperchute/internal/wire"
 )
 
@@ -123,7 +123,7 @@
 }
 
 // runningOn lists the machines of a job's running tasks; the lock is held.
-func (u *upgradeTest) runningOn(job *standin.Job) (hosts []string) {
+func (u *upgradeTest) runningOn(job *fakes.Job) (hosts []string) {
 	for name, worker := range u.cluster.Workers {
 		for _, task := range worker.Tasks {
 			if task.Job == job && task.State == wire.TaskRunning {
--- a/internal/integration/users_test.go
+++ b/internal/integration/users_test.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"time"
 
-	"juniperchute/internal/standin"
+	"juniperchute/internal/fakes"
 	"juniperchute/internal/wire"
 )
 
@@ -18,7 +18,7 @@
 
 // submission is a user's submission of a job.
 func (d *deployment) submission(spec wire.JobSpec) sendFunc {
-	raw, _ := json.Marshal(standin.SubmissionBody(spec))
+	raw, _ := json.Marshal(fakes.SubmissionBody(spec))
 	return func(base string) (int, []byte) { return httpPost(d.users, base+"/submissions", raw) }
 }
 
@@ -33,7 +33,7 @@
 }
 
 // sendRequest sends a request about a job to a random controller and records the answer.
-func (d *deployment) sendRequest(job *standin.Job, send sendFunc) {
+func (d *deployment) sendRequest(job *fakes.Job, send sendFunc) {
 	before := ""
 	d.withLock(func() { before = job.KnownState })
 	controller := d.controllers[rand.IntN(len(d.controllers))]
@@ -50,8 +50,8 @@
 }
 
 // submit has a user submit a job whose tasks run for a time, and query it until it has ended.
-func (d *deployment) submit(spec wire.JobSpec, runTime time.Duration) *standin.Job {
-	job := standin.NewJob(spec, runTime)
+func (d *deployment) submit(spec wire.JobSpec, runTime time.Duration) *fakes.Job {
+	job := fakes.NewJob(spec, runTime)
 	d.withLock(func() { d.cluster.AddJob(job) })
 	d.goroutines.Add(1)
 	go func() {
@@ -62,7 +62,7 @@
 }
 
 // followJob is the user of a job: it submits the job until it is accepted, then queries it.
-func (d *deployment) followJob(job *standin.Job) {
+func (d *deployment) followJob(job *fakes.Job) {
 	submission, query := d.submission(job.Spec), d.query(job.Spec.ID)
 	for d.ctx.Err() == nil {
 		accepted, ended := false, false
@@ -80,7 +80,7 @@
 }
 
 // cancel has the job's user cancel it, again and again until it has ended.
-func (d *deployment) cancel(job *standin.Job) {
+func (d *deployment) cancel(job *fakes.Job) {
 	d.withLock(func() { job.CancelRequested = true })
 	d.goroutines.Add(1)
 	go func() {
--- a/internal/intentlog/model_test.go
+++ b/internal/intentlog/model_test.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
+	"juniperchute/internal/fakes"
 	"juniperchute/internal/intentlog"
-	"juniperchute/internal/standin"
 	"juniperchute/internal/store"
 )
 
@@ -36,8 +36,8 @@
 type model struct {
 	choose     chooser
 	fault      plantedFault
-	clock      *standin.Clock
-	state      *standin.StateService
+	clock      *fakes.Clock
+	state      *fakes.StateService
 	machines   map[string]*modelMachine
 	machineIDs []string
 	owners     []*modelOwner // by token, the present one last
@@ -54,12 +54,12 @@
 }
 
 func newModel(choose chooser, fault plantedFault) *model {
-	clock := standin.NewClock(standin.Epoch)
+	clock := fakes.NewClock(fakes.Epoch)
 	m := &model{
 		choose:   choose,
 		fault:    fault,
 		clock:    clock,
-		state:    standin.NewStateService(clock),
+		state:    fakes.NewStateService(clock),
 		machines: map[string]*modelMachine{},
 		observed: observations{recordedToken: map[string]uint64{}},
 	}
--- a/internal/placement/scheduling_pass.go
+++ b/internal/placement/scheduling_pass.go
@@ -90,7 +90,7 @@
 	case job.closed || now.Before(job.notBefore):
 		return
 	case !s.markers.safeToStart(job):
-		s.setPendingReason(job, "its tasks may be on machines not heard yet")
+		s.setPendingReason(job, "its tasks may be on machines not reconciled yet")
 		return
 	case !s.markers.canRequest(job):
 		return
--- a/internal/placement/start_marker.go
+++ b/internal/placement/start_marker.go
@@ -6,7 +6,7 @@
 	"juniperchute/internal/tuning"
 )
 
-// startMarkerState tells whether a job's start marker is durable. A job's
+// startMarkerState reports whether a job's start marker is durable. A job's
 // tasks start only once it is: a successor then knows that tasks of jobs
 // without a marker are on no machine.
 type startMarkerState int
@@ -59,7 +59,7 @@
 		m.pending++
 		m.request(now, job)
 	}
-	m.setPendingReason(job, "being marked as begun")
+	m.setPendingReason(job, "its start marker is being written")
 	return false
 }
 
--- a/internal/placement/urgent.go
+++ b/internal/placement/urgent.go
@@ -35,7 +35,7 @@
 	return ready
 }
 
-// urgency tells whether commands for a machine have to be sent directly.
+// urgency reports whether commands for a machine have to be sent directly.
 type urgency int
 
 const (
--- a/internal/store/desired_value.go
+++ b/internal/store/desired_value.go
@@ -21,7 +21,7 @@
 	// OnTermLost is called when a write has shown that the term is over.
 	OnTermLost func(now time.Time)
 	// OnTooLarge is called when the service has rejected the wanted value for its size,
-	// and tells whether the owner will set a smaller one. Without it the value is written
+	// and reports whether the owner will set a smaller one. Without it the value is written
 	// again after growing pauses.
 	OnTooLarge func(now time.Time) bool
 }
@@ -83,7 +83,7 @@
 // WantedVersion is the version of the newest wanted value.
 func (v *DesiredValue) WantedVersion() int { return v.wantedVersion }
 
-// Durable tells whether the newest wanted value is durable.
+// Durable reports whether the newest wanted value is durable.
 func (v *DesiredValue) Durable() bool { return v.durableVersion == v.wantedVersion }
 
 // Tick makes the write that is due.
--- a/internal/store/page.go
+++ b/internal/store/page.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// writeDue tells whether the page is to be written now.
+// writeDue reports whether the page is to be written now.
 func (p *page) writeDue(now time.Time) bool {
 	return p.changed && !now.Before(p.writeAt) || p.pruned && !now.Before(p.pruneAt)
 }
--- a/internal/store/pages_split.go
+++ b/internal/store/pages_split.go
@@ -9,7 +9,7 @@
 )
 
 // lowerLimit makes the limit of all pages smaller, as the service has rejected one of
-// them for its size, and tells whether it could be: then the rejected page is split.
+// them for its size, and reports whether it could be: then the rejected page is split.
 func (p *Pages) lowerLimit(rejected *page) bool {
 	if p.maxPageBytes <= tuning.MinPageBytes {
 		p.options.Log.Error("state service rejects even a small page", "key", rejected.value.Key(),
--- a/internal/store/rate_buckets.go
+++ b/internal/store/rate_buckets.go
@@ -45,7 +45,7 @@
 
 func (b *rateBuckets) allowCall(now time.Time) bool { return b.calls.TokensAt(now) >= 1 }
 
-// allowWrites tells whether a call's writes leave what is reserved for other priorities.
+// allowWrites reports whether a call's writes leave what is reserved for other priorities.
 // A transaction larger than the bucket needs a full one only.
 func (b *rateBuckets) allowWrites(now time.Time, call Call) bool {
 	count := len(call.Transaction.Writes)
--- a/internal/store/rate_limiter.go
+++ b/internal/store/rate_limiter.go
@@ -41,7 +41,7 @@
 	return 0, true
 }
 
-// Observe takes in the outcome of a call, Result.Err, and tells whether it has just shown
+// Observe takes in the outcome of a call, Result.Err, and reports whether it has just shown
 // that the service has lowered its limits to the upcoming ones, which nobody announces:
 // more rejections for the rate than the members' uneven shares explain, or one for the
 // size of a value or transaction. A burst of other members looks the same, so the current
@@ -65,7 +65,7 @@
 	return true
 }
 
-// rejectedForSize tells whether a write was rejected for a limit of size: the only other
+// rejectedForSize reports whether a write was rejected for a limit of size: the only other
 // cause is a lease that has expired.
 func rejectedForSize(call Call, err error) bool {
 	writes := call.Transaction.Writes
--- a/internal/store/rate_limits.go
+++ b/internal/store/rate_limits.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// lowerDue tells whether the rejections show that the upcoming limits are in force.
+// lowerDue reports whether the rejections show that the upcoming limits are in force.
 func (s *serviceLimits) lowerDue() bool {
 	switch s.level {
 	case limitsLowered:
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -90,10 +90,10 @@
 	Events    []wire.Event    // OpWatch
 }
 
-// OK tells whether the call was executed as asked.
+// OK reports whether the call was executed as asked.
 func (r Result) OK() bool { return r.Err == nil }
 
-// ConflictsOn tells whether the transaction failed as the key has another version than
+// ConflictsOn reports whether the transaction failed as the key has another version than
 // its compare names.
 func (r Result) ConflictsOn(key string) bool {
 	var conflict *ConflictError
--- a/internal/store/watch_cache.go
+++ b/internal/store/watch_cache.go
@@ -70,7 +70,7 @@
 	return &WatchCache{options: options, items: map[string]wire.KeyValue{}}
 }
 
-// Synced tells whether the cache holds all keys: they have been listed, and the changes
+// Synced reports whether the cache holds all keys: they have been listed, and the changes
 // since then can be watched.
 func (c *WatchCache) Synced() bool { return c.synced }
 
--- a/internal/store/watch_cache_catch_up.go
+++ b/internal/store/watch_cache_catch_up.go
@@ -41,7 +41,7 @@
 	})
 }
 
-// applyCatchUp applies the changes and tells whether the cache is current. A list that
+// applyCatchUp applies the changes and reports whether the cache is current. A list that
 // was started meanwhile does not mix with changes since an earlier revision.
 func (c *WatchCache) applyCatchUp(now time.Time, list int, result Result) bool {
 	if !result.OK() || c.list.number != list {
--- a/internal/term/cancellations.go
+++ b/internal/term/cancellations.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// add records a cancellation and tells whether it is news.
+// add records a cancellation and reports whether it is news.
 func (c *cancellations) add(now time.Time, id string) bool {
 	if c.contains(id) {
 		return false
--- a/internal/term/completion_bitmaps_test.go
+++ b/internal/term/completion_bitmaps_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
+	"juniperchute/internal/fakes"
 	"juniperchute/internal/placement"
 	"juniperchute/internal/quota"
-	"juniperchute/internal/standin"
 	"juniperchute/internal/store"
 	"juniperchute/internal/wire"
 	"juniperchute/internal/worker"
@@ -134,7 +134,7 @@
 
 // singleJobScheduler is a scheduler with one job.
 func singleJobScheduler(spec wire.JobSpec) (*placement.Scheduler, *placement.Job) {
-	platform := standin.DeploymentConfig([]string{"a"}, nil, 1.5, 10)
+	platform := fakes.DeploymentConfig([]string{"a"}, nil, 1.5, 10)
 	workers := worker.NewRegistry(platform.Workers, discardLogger())
 	ledger := quota.NewLedger(nil, 1)
 	completed := func(time.Time, *placement.Job) {}
--- a/internal/term/fencing.go
+++ b/internal/term/fencing.go
@@ -44,12 +44,12 @@
 	}
 }
 
-// askDue tells whether a machine can, and is to, be asked for its state now.
+// askDue reports whether a machine can, and is to, be asked for its state now.
 func (t *Term) askDue(now time.Time, machine *worker.Machine) bool {
 	return machine.Address != "" && !machine.CommandInFlight && !now.Before(t.fencing.askAt[machine.Host])
 }
 
-// unreconciled tells whether a machine may have tasks of an earlier term that are not known.
+// unreconciled reports whether a machine may have tasks of an earlier term that are not known.
 // One that is being deleted is reconciled by what it says under this term's token alone: the
 // answer to an older heartbeat renews its lease without telling what is on it.
 func (t *Term) unreconciled(machine *worker.Machine) bool {
--- a/internal/term/heartbeats.go
+++ b/internal/term/heartbeats.go
@@ -106,7 +106,7 @@
 }
 
 // applyHeartbeat reconciles a machine's own account of itself with what is known of it and
-// tells whether it was news.
+// reports whether it was news.
 func (t *Term) applyHeartbeat(now time.Time, machine *worker.Machine, heartbeat *wire.Heartbeat,
 	source worker.StatusSource) bool {
 	verdict := t.workers.ApplyHeartbeat(now, machine, heartbeat, source)
@@ -145,7 +145,7 @@
 	return commands, nil
 }
 
-// hasUnreadJob tells whether a heartbeat shows a task of a job that this process has not read
+// hasUnreadJob reports whether a heartbeat shows a task of a job that this process has not read
 // as open. While the records are being read the task cannot be stopped, so its worker's lease
 // is not renewed: the job may have been cancelled long ago.
 func (t *Term) hasUnreadJob(heartbeat *wire.Heartbeat) bool {
--- a/internal/term/isolation.go
+++ b/internal/term/isolation.go
@@ -16,7 +16,7 @@
 	probeAt     time.Time // when peers are asked again whether the workers answer them
 }
 
-// WorkersUnreachable tells whether no worker's heartbeats arrive any more.
+// WorkersUnreachable reports whether no worker's heartbeats arrive any more.
 func (t *Term) WorkersUnreachable() bool { return t.isolation.unreachable }
 
 // detectIsolation notices when no worker's heartbeats arrive any more. If a peer still
--- a/internal/term/options.go
+++ b/internal/term/options.go
@@ -45,11 +45,11 @@
 // Membership is the process's own lease, under which a term acts, and what it knows of the
 // control records.
 type Membership interface {
-	// LeaseValid tells whether the process's lease surely stands.
+	// LeaseValid reports whether the process's lease surely stands.
 	LeaseValid(now time.Time) bool
 	// LeaseDeadline is when the process's lease may have ended.
 	LeaseDeadline() time.Time
-	// FeatureInForce tells whether every member has announced a feature.
+	// FeatureInForce reports whether every member has announced a feature.
 	FeatureInForce(name string) bool
 	// CurrentAsOf is the moment up to which all changes of the control records are known.
 	CurrentAsOf() time.Time
@@ -64,7 +64,7 @@
 	ReconcileTerms(now time.Time)
 	// Redirect sends a worker to the lease holder of a shard.
 	Redirect(shard int, reply func(status int, body any))
-	// MayBelongToOtherShard tells whether a machine, which existed at some time, belongs, or
+	// MayBelongToOtherShard reports whether a machine, which existed at some time, belongs, or
 	// may turn out to belong, to another shard than the given one.
 	MayBelongToOtherShard(shard int, machine string, existedAt time.Time) bool
 }
--- a/internal/term/term.go
+++ b/internal/term/term.go
@@ -163,7 +163,7 @@
 // State is how far the term is.
 func (t *Term) State() State { return t.state }
 
-// Live tells whether the term has not ended.
+// Live reports whether the term has not ended.
 func (t *Term) Live() bool { return t.state != Ended }
 
 // Incarnation is the process's membership under which the term began.
--- a/internal/tools/knownfailures/events.go
+++ b/internal/tools/knownfailures/events.go
@@ -145,7 +145,7 @@
 	}
 }
 
-// isProgress tells whether a line says only that a test starts, waits or goes on.
+// isProgress reports whether a line says only that a test starts, waits or goes on.
 func isProgress(line string) bool {
 	for _, prefix := range []string{"=== RUN ", "=== PAUSE ", "=== CONT ", "=== NAME "} {
 		if strings.HasPrefix(line, prefix) {
--- a/internal/tools/knownfailures/judge.go
+++ b/internal/tools/knownfailures/judge.go
@@ -91,7 +91,7 @@
 	return names
 }
 
-// failedBySubtests tells whether a failed test failed through its subtests alone, which are
+// failedBySubtests reports whether a failed test failed through its subtests alone, which are
 // judged for themselves. A test that prints anything of its own may have failed by that:
 // the events do not tell an error from a note.
 func (p *packageResult) failedBySubtests(name string) bool {
@@ -108,7 +108,7 @@
 	return false
 }
 
-// ranToEnd tells whether the tests of a failed package all ran and nothing but tests failed.
+// ranToEnd reports whether the tests of a failed package all ran and nothing but tests failed.
 // Only then does the test program itself print FAIL, and nothing more than that.
 func (p *packageResult) ranToEnd() bool {
 	finished := false
@@ -123,7 +123,7 @@
 	return finished
 }
 
-// raced tells whether the race detector found a data race in a test.
+// raced reports whether the race detector found a data race in a test.
 func (r *result) raced() bool {
 	return slices.ContainsFunc(r.output, func(line string) bool { return strings.Contains(line, raceReport) })
 }
--- a/internal/tools/knownfailures/main.go
+++ b/internal/tools/knownfailures/main.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// run reads the list, runs the tests, and tells whether the list covers what failed.
+// run reads the list, runs the tests, and reports whether the list covers what failed.
 func run(testArguments []string, out io.Writer) error {
 	known, err := readList(listFile)
 	if err != nil {
--- a/internal/worker/heartbeat.go
+++ b/internal/worker/heartbeat.go
@@ -34,7 +34,7 @@
 )
 
 // ObserveSequence notes the sequence number of a message that may be a late copy, so that nothing
-// else is concluded from it, and tells whether it is above all seen so far.
+// else is concluded from it, and reports whether it is above all seen so far.
 func (l *Liveness) ObserveSequence(status *wire.Heartbeat) bool {
 	if !isNewer(status, l.SeenIncarnation, l.SeenSequence) {
 		return false
@@ -43,7 +43,7 @@
 	return true
 }
 
-// isNewer tells whether a worker sent the status after the one of that incarnation and sequence.
+// isNewer reports whether a worker sent the status after the one of that incarnation and sequence.
 func isNewer(status *wire.Heartbeat, incarnation, sequence uint64) bool {
 	if status.Incarnation != incarnation {
 		return status.Incarnation > incarnation
@@ -72,7 +72,7 @@
 	return result
 }
 
-// isStale tells whether a status is older than what is known. Heartbeats held back by a network
+// isStale reports whether a status is older than what is known. Heartbeats held back by a network
 // partition arrive late and out of order, and their task lists are as old as they are.
 func (m *Machine) isStale(status *wire.Heartbeat) bool {
 	if m.Incarnation != 0 && !isNewer(status, m.Incarnation, m.Sequence) {
@@ -96,7 +96,7 @@
 	}
 }
 
-// confirmsReply tells whether a status shows that the reply to the heartbeat before, or a command
+// confirmsReply reports whether a status shows that the reply to the heartbeat before, or a command
 // since, has reached the worker. A worker that gets no reply gives up after some seconds and
 // tries the next controller, so that it comes back late and with other heartbeats in between.
 func (m *Machine) confirmsReply(now time.Time, status *wire.Heartbeat, source StatusSource) bool {
--- a/internal/worker/machine.go
+++ b/internal/worker/machine.go
@@ -155,14 +155,14 @@
 	ImagePullGBPerS float64
 }
 
-// Schedulable tells whether new work may be placed on the machine.
+// Schedulable reports whether new work may be placed on the machine.
 func (m *Machine) Schedulable(now time.Time) bool {
 	inService := m.State == Up && m.PreemptionTime.IsZero() && !m.Quarantined && !m.Cordoned
 	reachable := m.ReplyConfirmed && m.UnansweredCommands == 0
 	return inService && reachable && m.Registered && !m.HasUnknownTasks
 }
 
-// Unreachable tells whether the machine's heartbeats have arrived for longer than its lease
+// Unreachable reports whether the machine's heartbeats have arrived for longer than its lease
 // without a sign that any reply or command reaches it.
 func (m *Machine) Unreachable(now time.Time, lease time.Duration) bool {
 	return !m.ReplyConfirmed && !m.UnconfirmedSince.IsZero() && m.LastHeartbeat.After(m.UnconfirmedSince) &&
--- a/internal/worker/registry.go
+++ b/internal/worker/registry.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// WasDeleted tells whether a machine's deletion was confirmed in this term.
+// WasDeleted reports whether a machine's deletion was confirmed in this term.
 func (r *Registry) WasDeleted(host string) bool { return r.deleted[host] }
 
 // ExpireLeases moves machines whose heartbeats have stopped through their states, and returns
