--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -273,8 +273,8 @@
 }
 
 // Submit answers a user who submits a job.
-func (c *Controller) Submit(now time.Time, spec wire.JobSpec, reply func(submission.Response)) {
-	c.submissions.Submit(now, spec, reply)
+func (c *Controller) Submit(_ time.Time, spec wire.JobSpec, reply func(submission.Response)) {
+	c.submissions.Submit(spec, reply)
 }
 
 // Query answers a user who asks for a job's state.
@@ -283,6 +283,6 @@
 }
 
 // Cancel answers a user who cancels a job.
-func (c *Controller) Cancel(now time.Time, job string, reply func(submission.Response)) {
-	c.submissions.Cancel(now, job, reply)
+func (c *Controller) Cancel(_ time.Time, job string, reply func(submission.Response)) {
+	c.submissions.Cancel(job, reply)
 }
--- a/internal/controller/rpc_handlers.go
+++ b/internal/controller/rpc_handlers.go
@@ -42,8 +42,8 @@
 
 // HandleSetSetting is part of peer.Handler.
 func (r *Runtime) HandleSetSetting(ctx context.Context, name, value string) (*peerpb.Settings, error) {
-	return askLater(ctx, r, func(now time.Time, reply func(*peerpb.Settings, error)) {
-		r.controller.SetSetting(now, name, value, func(settings admin.Settings, err error) {
+	return askLater(ctx, r, func(_ time.Time, reply func(*peerpb.Settings, error)) {
+		r.controller.SetSetting(name, value, func(settings admin.Settings, err error) {
 			reply(settingsMessage(settings), err)
 		})
 	})
--- a/internal/controller/settings.go
+++ b/internal/controller/settings.go
@@ -23,7 +23,7 @@
 
 // SetSetting checks a change of the operators' settings and writes it. reply gets the settings
 // as they are then.
-func (c *Controller) SetSetting(now time.Time, name, value string, reply func(admin.Settings, error)) {
+func (c *Controller) SetSetting(name, value string, reply func(admin.Settings, error)) {
 	next, err := c.settings.With(name, value)
 	if err != nil {
 		reply(c.settings, status.Error(codes.InvalidArgument, err.Error()))
@@ -40,7 +40,7 @@
 		Compares: []wire.Compare{store.VersionEquals(admin.Key, c.membership.Version(admin.Key))},
 		Writes:   []wire.Write{store.Put(admin.Key, values, 0)},
 	}}
-	c.callState(call, func(now time.Time, result store.Result) {
+	c.callState(call, func(_ time.Time, result store.Result) {
 		switch {
 		case result.OK():
 			c.environment.Log.Info("setting changed", "name", name, "value", value)
--- a/internal/fleet/fixture_test.go
+++ b/internal/fleet/fixture_test.go
@@ -43,7 +43,7 @@
 		Platform: platform, Token: token, Ledger: quota.NewLedger(platform.Teams, 1), Registry: f.registry,
 		Rand: rand.New(rand.NewPCG(1, 1)), Log: discardLogger, OnTaskCompleted: func(time.Time, *placement.Job) {},
 	})
-	f.scheduler.MarkReconciled(f.now)
+	f.scheduler.MarkReconciled()
 	termCompare := store.VersionEquals("c/b/0", 3)
 	f.intents = intentlog.NewLog(intentlog.Options{Token: token, TermCompare: termCompare, ValueKB: valueKB,
 		StateCall: f.callStore, WallClock: func() time.Time { return f.now }, Log: discardLogger,
--- a/internal/fleet/provisioner.go
+++ b/internal/fleet/provisioner.go
@@ -67,7 +67,7 @@
 		p.closeRefused(now, request)
 		due := request.state == provisioningRequested && !request.inFlight && !now.Before(request.retryAt)
 		if due && p.cloud.allow(now) {
-			p.send(now, request)
+			p.send(request)
 		}
 	}
 }
@@ -97,7 +97,7 @@
 }
 
 // send calls the cloud for a request's machines.
-func (p *provisioner) send(now time.Time, request *provisioningRequest) {
+func (p *provisioner) send(request *provisioningRequest) {
 	if !p.intents.StartCall(request.intent) {
 		return
 	}
--- a/internal/leader/lease.go
+++ b/internal/leader/lease.go
@@ -39,7 +39,7 @@
 	}
 }
 
-func (m *Membership) requestLease(now time.Time) {
+func (m *Membership) requestLease() {
 	m.setState(memberGranting, "no lease")
 	m.options.StateCall(store.Call{Op: store.OpGrantLease, LeaseTTL: tuning.MemberLease}, m.handleGrant)
 }
--- a/internal/leader/membership.go
+++ b/internal/leader/membership.go
@@ -100,7 +100,7 @@
 	switch m.state {
 	case memberOut:
 		if !now.Before(m.retryAt) {
-			m.requestLease(now)
+			m.requestLease()
 		}
 	case memberJoining:
 		m.renewLease(now)
--- a/internal/placement/array.go
+++ b/internal/placement/array.go
@@ -73,7 +73,7 @@
 	}
 	for _, info := range p.scheduler.capacity.freeMachines {
 		machine := info.machine
-		if info.gainRevision < noRoomRevision || !p.fits(info) || !p.job.eligible(now, machine) {
+		if info.gainRevision < noRoomRevision || !p.fits(info) || !p.job.eligible(machine) {
 			continue
 		}
 		if p.scheduler.pass.reservedForGang(now, p.job, machine) {
@@ -135,18 +135,18 @@
 	s.queues.queuePrimary(now, task, p.candidates[chosen].info.machine)
 	s.pass.arrayTasksQueued++
 	p.updateCandidates(chosen)
-	s.placeBackup(now, task)
+	s.placeBackup(task)
 	return true
 }
 
 // placeBackup queues a task's backup at another random machine that is large
 // enough for it when empty. A few samples find one in most cases; a task that
 // gets no backup loses little, as primaries are queued where there is room.
-func (a *arrayScheduler) placeBackup(now time.Time, task *Task) {
+func (a *arrayScheduler) placeBackup(task *Task) {
 	machines := a.registry.All()
 	for range min(tuning.BackupSamples, 2*len(machines)) {
 		machine := machines[a.rng.IntN(len(machines))]
-		if machine == task.primary || !task.Job.eligible(now, machine) || !machine.Capacity.Fits(task.Job.need) {
+		if machine == task.primary || !task.Job.eligible(machine) || !machine.Capacity.Fits(task.Job.need) {
 			continue
 		}
 		if len(a.capacity.info(machine).backupQueue) < tuning.MaxBackupsPerWorker {
--- a/internal/placement/capacity_index.go
+++ b/internal/placement/capacity_index.go
@@ -103,13 +103,13 @@
 }
 
 // setSmallestNeed sets what the smallest pending task needs.
-func (c *capacityIndex) setSmallestNeed(now time.Time, smallestNeed quota.Resources) {
+func (c *capacityIndex) setSmallestNeed(smallestNeed quota.Resources) {
 	if smallestNeed == c.smallestNeed {
 		return
 	}
 	c.smallestNeed = smallestNeed
 	for _, machine := range c.registry.All() {
-		free := machine.Schedulable(now) && machine.AvailableToPrimary().Fits(smallestNeed)
+		free := machine.Schedulable() && machine.AvailableToPrimary().Fits(smallestNeed)
 		c.setFree(c.info(machine), free)
 	}
 }
@@ -131,7 +131,7 @@
 		info.dirty = false
 		machine := info.machine
 		snapshot := capacitySnapshot{
-			schedulable: machine.Schedulable(now),
+			schedulable: machine.Schedulable(),
 			free:        machine.AvailableToPrimary(),
 			images:      len(machine.Images),
 			tasks:       len(info.assigned) + len(info.primaryQueue),
--- a/internal/placement/consolidation.go
+++ b/internal/placement/consolidation.go
@@ -29,7 +29,7 @@
 		return
 	}
 	c.next = now.Add(tuning.ConsolidationInterval)
-	plan := c.plan(now)
+	plan := c.plan()
 	cordoned := 0
 	for i, machine := range plan.sources {
 		if cordoned == plan.limit || i == tuning.ConsolidationTries*plan.limit {
@@ -72,11 +72,11 @@
 
 // plan finds the machines that could be emptied and those that would take more
 // tasks, both in the order of preference.
-func (c *consolidator) plan(now time.Time) *consolidationPlan {
+func (c *consolidator) plan() *consolidationPlan {
 	p := &consolidationPlan{added: map[*worker.Machine]quota.Resources{}}
 	inUse := 0
 	for _, machine := range c.registry.All() {
-		if machine.ActiveCopies == 0 || !machine.Schedulable(now) {
+		if machine.ActiveCopies == 0 || !machine.Schedulable() {
 			continue
 		}
 		inUse++
--- a/internal/placement/constraints.go
+++ b/internal/placement/constraints.go
@@ -2,7 +2,6 @@
 
 import (
 	"slices"
-	"time"
 
 	"juniperchute/internal/worker"
 )
@@ -37,8 +36,8 @@
 
 // eligible reports whether a task of the job may be scheduled on a machine
 // that has room for it.
-func (j *Job) eligible(now time.Time, machine *worker.Machine) bool {
-	return machine.Schedulable(now) && j.suits(machine)
+func (j *Job) eligible(machine *worker.Machine) bool {
+	return machine.Schedulable() && j.suits(machine)
 }
 
 // taskCountMode says which tasks tasksByZone counts.
--- a/internal/placement/dispatch.go
+++ b/internal/placement/dispatch.go
@@ -24,7 +24,7 @@
 // no primary is queued.
 func (d *dispatcher) dispatchQueueHeads(now time.Time, machine *worker.Machine) {
 	info := d.capacity.info(machine)
-	if len(info.primaryQueue)+len(info.backupQueue) == 0 || !machine.Schedulable(now) {
+	if len(info.primaryQueue)+len(info.backupQueue) == 0 || !machine.Schedulable() {
 		return
 	}
 	free := d.dispatchPrimaries(now, info, machine.Available())
@@ -92,5 +92,5 @@
 	if task.phase != Unassigned || task.primary == nil || now.Sub(task.primaryQueuedAt) < stuckAfter {
 		return false
 	}
-	return !startsWithNextHeartbeat(now, task.Job, task.primary)
+	return !startsWithNextHeartbeat(task.Job, task.primary)
 }
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -136,7 +136,7 @@
 	}
 	class, slots := gang.equivalenceClass(anyWork), 0
 	for _, machine := range g.registry.All() {
-		if machine.Schedulable(now) && class.allows(machine) {
+		if machine.Schedulable() && class.allows(machine) {
 			slots += machine.Capacity.FitCount(gang.need, maxTasksPerMachine)
 		}
 	}
--- a/internal/placement/gang_placement.go
+++ b/internal/placement/gang_placement.go
@@ -57,7 +57,7 @@
 // machines, in one zone unless that is "". It returns nil if there is none.
 func (g *gangScheduler) findPlacement(now time.Time, gang *Job, zone string, scope preemptionScope) []gangSlot {
 	class := gang.equivalenceClass(scope)
-	candidates := g.candidates(now, gang, zone, g.capacity.slotsByClass[class].byMachine)
+	candidates := g.candidates(gang, zone, g.capacity.slotsByClass[class].byMachine)
 	return fillGangSlots(gang, g.evaluate(now, gang, class, candidates))
 }
 
@@ -65,11 +65,11 @@
 // the cheapest first. The places by machine are those counted when the gang
 // was found to fit.
 func (g *gangScheduler) candidates(
-	now time.Time, gang *Job, zone string, slotsByMachine map[*worker.Machine]int,
+	gang *Job, zone string, slotsByMachine map[*worker.Machine]int,
 ) []*gangCandidate {
 	var candidates []*gangCandidate
 	for _, machine := range g.registry.All() {
-		if slotsByMachine[machine] == 0 || zone != "" && machine.Zone != zone || !gang.eligible(now, machine) {
+		if slotsByMachine[machine] == 0 || zone != "" && machine.Zone != zone || !gang.eligible(machine) {
 			continue
 		}
 		c := &gangCandidate{gangSlot: gangSlot{machine: machine}, free: machine.AvailableToPrimary()}
--- a/internal/placement/gang_slots.go
+++ b/internal/placement/gang_slots.go
@@ -103,7 +103,7 @@
 // feasibleSlots returns how many tasks of a class a machine could take if all
 // that may be preempted is; never fewer than there turn out to be.
 func (c *capacityIndex) feasibleSlots(now time.Time, class equivalenceClass, machine *worker.Machine) int {
-	if !machine.Schedulable(now) || !class.allows(machine) {
+	if !machine.Schedulable() || !class.allows(machine) {
 		return 0
 	}
 	free := machine.AvailableToPrimary()
--- a/internal/placement/gang_test.go
+++ b/internal/placement/gang_test.go
@@ -15,7 +15,7 @@
 	if gang.assigned != 3 || gang.tasks[0].attempt != gang.tasks[2].attempt {
 		t.Fatalf("%d tasks dispatched", gang.assigned)
 	}
-	if urgent := h.scheduler.UrgentMachines(h.now); len(urgent) != 3 {
+	if urgent := h.scheduler.UrgentMachines(); len(urgent) != 3 {
 		t.Fatalf("%d machines get direct commands, want all", len(urgent))
 	}
 	for _, machine := range h.registry.All() {
@@ -41,7 +41,7 @@
 	}
 	h.scheduler.ReleaseMachine(h.now, gang.tasks[1].machine, "test")
 	h.scheduler.Schedule(h.now)
-	if len(h.scheduler.UrgentMachines(h.now)) != 0 || gang.pendingTasks() > 0 {
+	if len(h.scheduler.UrgentMachines()) != 0 || gang.pendingTasks() > 0 {
 		t.Error("a completed gang starts again")
 	}
 }
--- a/internal/placement/harness_test.go
+++ b/internal/placement/harness_test.go
@@ -55,7 +55,7 @@
 		Log:             discard,
 		OnTaskCompleted: func(_ time.Time, job *Job) { h.completed = append(h.completed, job.Spec.ID) },
 	})
-	h.scheduler.MarkReconciled(h.now)
+	h.scheduler.MarkReconciled()
 	for i := range machines {
 		h.addMachine(fmt.Sprintf("i-%d", i))
 	}
@@ -147,7 +147,7 @@
 	h.now = h.now.Add(tuning.PassInterval)
 	h.scheduler.Schedule(h.now)
 	sent := ""
-	for _, machine := range h.scheduler.UrgentMachines(h.now) {
+	for _, machine := range h.scheduler.UrgentMachines() {
 		commands := h.scheduler.Commands(h.now, machine, DirectCommand)
 		sent += describe(commands)
 		h.scheduler.SettleDirectCommands(machine, commands)
--- a/internal/placement/machines.go
+++ b/internal/placement/machines.go
@@ -30,7 +30,7 @@
 
 // UrgentMachines lists the machines that should get commands directly, rather
 // than in the reply to their next heartbeat.
-func (s *Scheduler) UrgentMachines(now time.Time) []*worker.Machine { return s.urgent.ready() }
+func (s *Scheduler) UrgentMachines() []*worker.Machine { return s.urgent.ready() }
 
 // ReconcileHeartbeat brings the scheduler up to date with the status that a
 // machine's worker has newly sent, and that the registry has applied.
--- a/internal/placement/rescheduling.go
+++ b/internal/placement/rescheduling.go
@@ -25,7 +25,7 @@
 func (r *rescheduler) handlePreemptionNotices(now time.Time) {
 	for _, machine := range r.registry.All() {
 		info := r.capacity.info(machine)
-		if len(info.primaryQueue)+len(info.backupQueue) > 0 && !machine.Schedulable(now) {
+		if len(info.primaryQueue)+len(info.backupQueue) > 0 && !machine.Schedulable() {
 			r.queues.clearQueues(now, machine)
 		}
 		if !machine.PreemptionTime.IsZero() {
@@ -61,7 +61,7 @@
 			continue
 		}
 		for _, task := range slices.Clone(info.primaryQueue) {
-			if r.stuck(now, task, machine, stuckAfter) && r.startsElsewhere(now, task.Job, machine) {
+			if r.stuck(now, task, machine, stuckAfter) && r.startsElsewhere(task.Job, machine) {
 				r.Counters.Rescheduled++
 				r.queues.requeue(now, task)
 			}
@@ -76,19 +76,19 @@
 	if job.IsGang() || task.phase != Unassigned || now.Sub(task.primaryQueuedAt) < stuckAfter {
 		return false
 	}
-	return !startsWithNextHeartbeat(now, job, machine)
+	return !startsWithNextHeartbeat(job, machine)
 }
 
 // startsWithNextHeartbeat reports whether a machine has room for a queued
 // primary of the job.
-func startsWithNextHeartbeat(now time.Time, job *Job, machine *worker.Machine) bool {
-	return machine.Schedulable(now) && machine.Available().Fits(job.need)
+func startsWithNextHeartbeat(job *Job, machine *worker.Machine) bool {
+	return machine.Schedulable() && machine.Available().Fits(job.need)
 }
 
 // startsElsewhere reports whether a machine other than the given one would
 // start a task of the job at once.
-func (r *rescheduler) startsElsewhere(now time.Time, job *Job, machine *worker.Machine) bool {
+func (r *rescheduler) startsElsewhere(job *Job, machine *worker.Machine) bool {
 	return slices.ContainsFunc(r.registry.All(), func(other *worker.Machine) bool {
-		return other != machine && job.eligible(now, other) && other.Available().Sub(other.Reserved).Fits(job.need)
+		return other != machine && job.eligible(other) && other.Available().Sub(other.Reserved).Fits(job.need)
 	})
 }
--- a/internal/placement/scheduler.go
+++ b/internal/placement/scheduler.go
@@ -241,7 +241,7 @@
 
 // MarkReconciled records that every machine that the shard may have is
 // reconciled or deleted: pending tasks of jobs from earlier terms may start.
-func (s *Scheduler) MarkReconciled(now time.Time) {
+func (s *Scheduler) MarkReconciled() {
 	s.reconciled = true
 	s.pass.requestFull()
 }
--- a/internal/placement/scheduling_pass.go
+++ b/internal/placement/scheduling_pass.go
@@ -51,7 +51,7 @@
 	if !s.queue.sortIfDue(now) {
 		return
 	}
-	s.capacity.setSmallestNeed(now, s.queue.smallestArrayNeed())
+	s.capacity.setSmallestNeed(s.queue.smallestArrayNeed())
 	machinesByImage := s.capacity.machinesByImage()
 	for _, tier := range s.queue.tiers {
 		s.arrays.prepare(now, tier.jobs, machinesByImage)
--- a/internal/placement/service.go
+++ b/internal/placement/service.go
@@ -44,7 +44,7 @@
 // it found a place: dispatched where there is room, or queued where work of
 // lower priority is preempted for it.
 func (s *serviceScheduler) placeReplica(now time.Time, service *Job, scope preemptionScope) bool {
-	machine := s.findMachine(now, service, nil, anyMachine)
+	machine := s.findMachine(service, nil, anyMachine)
 	var victims []*Task
 	if machine == nil {
 		machine, victims = s.findVictims(now, service, scope)
@@ -77,7 +77,7 @@
 // another machine would take it at once, or at the last moment. Two copies may
 // not exist at a time: the replica is down from this stop to the next start.
 func (s *serviceScheduler) migrateReplica(now time.Time, task *Task, lastMoment bool) {
-	if lastMoment || s.findMachine(now, task.Job, task, cachedImage) != nil {
+	if lastMoment || s.findMachine(task.Job, task, cachedImage) != nil {
 		s.Counters.Relocated++
 		s.tasks.stop(now, task, 0, "machine has a preemption notice")
 	}
@@ -118,13 +118,13 @@
 // findMachine finds a random one among the best machines with room for
 // one more replica. The leaving replica, if any, gives up its machine for it.
 func (s *serviceScheduler) findMachine(
-	now time.Time, service *Job, leaving *Task, requirement imageRequirement,
+	service *Job, leaving *Task, requirement imageRequirement,
 ) *worker.Machine {
 	tasksByZone := service.constrainedTasksByZone(leaving)
 	var best []*worker.Machine
 	lowest := 0
 	for _, machine := range s.registry.All() {
-		if !machine.AvailableToPrimary().Fits(service.need) || !service.eligible(now, machine) {
+		if !machine.AvailableToPrimary().Fits(service.need) || !service.eligible(machine) {
 			continue
 		}
 		if tasksByZone != nil && !service.zoneAllowed(machine.Zone, tasksByZone) {
--- a/internal/submission/cancel.go
+++ b/internal/submission/cancel.go
@@ -10,7 +10,7 @@
 )
 
 // Cancel cancels a job unless it has ended. Cancellations are idempotent.
-func (s *Service) Cancel(_ time.Time, id string, reply func(Response)) {
+func (s *Service) Cancel(id string, reply func(Response)) {
 	if !wire.ValidID(id) {
 		reply(notFoundResponse())
 		return
--- a/internal/submission/fixture_test.go
+++ b/internal/submission/fixture_test.go
@@ -89,10 +89,10 @@
 }
 
 func (f *fixture) submit(spec wire.JobSpec, reply func(Response)) {
-	f.service.Submit(startTime, spec, reply)
+	f.service.Submit(spec, reply)
 }
 
-func (f *fixture) cancel(reply func(Response)) { f.service.Cancel(startTime, "job-1", reply) }
+func (f *fixture) cancel(reply func(Response)) { f.service.Cancel("job-1", reply) }
 
 func (f *fixture) query(reply func(Response)) { f.service.Query(startTime, "job-1", reply) }
 
--- a/internal/submission/submit.go
+++ b/internal/submission/submit.go
@@ -21,7 +21,7 @@
 
 // Submit accepts or rejects a job whose form is valid. Submissions are idempotent: one of
 // a job that exists gets the job's state, even if it would be rejected now.
-func (s *Service) Submit(_ time.Time, spec wire.JobSpec, reply func(Response)) {
+func (s *Service) Submit(spec wire.JobSpec, reply func(Response)) {
 	if job, ok := s.endedJobs.get(spec.ID); ok {
 		reply(stateResponse(job.ID, job.State))
 		return
--- a/internal/term/commands.go
+++ b/internal/term/commands.go
@@ -70,7 +70,7 @@
 	if t.state == Loading || !t.Live() {
 		return
 	}
-	for _, machine := range t.scheduler.UrgentMachines(now) {
+	for _, machine := range t.scheduler.UrgentMachines() {
 		commands := t.scheduler.Commands(now, machine, placement.DirectCommand)
 		if len(commands) > 0 {
 			t.sendCommands(machine, commands)
--- a/internal/term/fencing.go
+++ b/internal/term/fencing.go
@@ -40,7 +40,7 @@
 	}
 	if t.reserveUnknown() == 0 && t.state == Fencing {
 		t.setState(now, Open, "every machine reconciled or terminated")
-		t.scheduler.MarkReconciled(now)
+		t.scheduler.MarkReconciled()
 	}
 }
 
--- a/internal/term/recovery.go
+++ b/internal/term/recovery.go
@@ -35,7 +35,7 @@
 		t.waitCurrent(now, cache)
 	}
 	for _, list := range lists {
-		list.send(now)
+		list.send()
 	}
 }
 
@@ -61,7 +61,7 @@
 	into   *[]wire.KeyValue
 }
 
-func (l *listing) send(now time.Time) {
+func (l *listing) send() {
 	call := store.Call{
 		Op:       store.OpList,
 		Priority: store.PriorityLease,
@@ -80,15 +80,15 @@
 	*l.into = append(*l.into, result.KeyValues...)
 	if n := len(result.KeyValues); result.More && n > 0 {
 		l.after = result.KeyValues[n-1].Key
-		l.send(now)
+		l.send()
 		return
 	}
 	l.term.finishRead(now)
 }
 
-func (l *listing) retry(now time.Time) {
+func (l *listing) retry(time.Time) {
 	if l.term.Live() {
-		l.send(now)
+		l.send()
 	}
 }
 
--- a/internal/worker/machine.go
+++ b/internal/worker/machine.go
@@ -156,7 +156,7 @@
 }
 
 // Schedulable reports whether new work may be placed on the machine.
-func (m *Machine) Schedulable(now time.Time) bool {
+func (m *Machine) Schedulable() bool {
 	inService := m.State == Up && m.PreemptionTime.IsZero() && !m.Quarantined && !m.Cordoned
 	reachable := m.ReplyConfirmed && m.UnansweredCommands == 0
 	return inService && reachable && m.Registered && !m.HasUnknownTasks
