--- a/cmd/juniperchute/serve.go
+++ b/cmd/juniperchute/serve.go
@@ -28,7 +28,7 @@
 		return err
 	}
 	for _, reason := range settings.Platform.MachineLimits.BelowMeasured() {
-		log.Warn("a small machine", "reason", reason)
+		log.Warn("machine smaller than any measured", "reason", reason)
 	}
 	features, err := loadFeatures(featureFile)
 	if err != nil {
--- a/internal/fleet/provisioner_records.go
+++ b/internal/fleet/provisioner_records.go
@@ -77,7 +77,7 @@
 		return false
 	}
 	p.maxMachinesPerRequest = min(p.maxMachinesPerRequest, count/2)
-	p.log.Warn("state service has refused a provisioning record for its size",
+	p.log.Warn("state service has rejected a provisioning record for its size",
 		"request", request.name, "machines", count)
 	p.sequence++
 	half := &provisioningRequest{name: requestName(p.shard, p.token, p.sequence), record: request.record}
--- a/internal/leader/lease.go
+++ b/internal/leader/lease.go
@@ -124,7 +124,7 @@
 }
 
 // dropLease forgets a lease that has expired; Tick then requests another.
-func (m *Membership) dropLease(why string) {
-	m.setState(memberOut, why)
+func (m *Membership) dropLease(reason string) {
+	m.setState(memberOut, reason)
 	m.lease.id, m.lease.deadline = 0, time.Time{}
 }
--- a/internal/leader/membership.go
+++ b/internal/leader/membership.go
@@ -130,9 +130,9 @@
 	})
 }
 
-func (m *Membership) setState(state memberState, why string) {
+func (m *Membership) setState(state memberState, reason string) {
 	if state != m.state {
-		m.options.Log.Debug("membership changed", "from", m.state, "to", state, "why", why)
+		m.options.Log.Debug("membership changed", "from", m.state, "to", state, "reason", reason)
 	}
 	m.state = state
 }
--- a/internal/term/term.go
+++ b/internal/term/term.go
@@ -201,16 +201,16 @@
 }
 
 // setState is the one place that changes the term's state.
-func (t *Term) setState(now time.Time, state State, why string) {
+func (t *Term) setState(now time.Time, state State, reason string) {
 	if t.state == state {
 		return
 	}
-	t.log.Info("term state changed", "from", t.state, "to", state, "why", why, "after", now.Sub(t.startedAt))
+	t.log.Info("term state changed", "from", t.state, "to", state, "reason", reason, "after", now.Sub(t.startedAt))
 	t.state = state
 }
 
 // End ends the term.
-func (t *Term) End(now time.Time, why string) { t.setState(now, Ended, why) }
+func (t *Term) End(now time.Time, reason string) { t.setState(now, Ended, reason) }
 
 // onTermLost is called when a write finds the shard's record changed.
 func (t *Term) onTermLost(now time.Time) { t.End(now, "the shard's record has changed") }
