--- a/internal/controller/cancellation_watermark_test.go
+++ b/internal/controller/cancellation_watermark_test.go
@@ -91,8 +91,8 @@
 		n.peersCut = true
 	}
 	shardTerm := holder.controller.terms[0]
-	shardTerm.CancellationsKnownUntil(sim.clock.Now())
-	before := shardTerm.CancellationsKnownUntil(sim.clock.Now())
+	shardTerm.CancellationWatermark(sim.clock.Now())
+	before := shardTerm.CancellationWatermark(sim.clock.Now())
 	sim.runFor(200 * time.Millisecond)
 	for _, m := range heartbeats {
 		m.ClockNs += int64(time.Second)
@@ -100,7 +100,7 @@
 		holder.controller.HandlePeerHeartbeat(sim.clock.Now(), m)
 	}
 	shardTerm = holder.controller.terms[0]
-	after := shardTerm.CancellationsKnownUntil(sim.clock.Now())
+	after := shardTerm.CancellationWatermark(sim.clock.Now())
 	if advanced := after.After(before); advanced != c.advances || after.After(sim.clock.Now()) {
 		t.Errorf("watermark advanced by %v, want %v", after.Sub(before), c.advances)
 	}
@@ -117,7 +117,7 @@
 		t.Fatal("it is not the lease holder any more")
 	}
 	shardTerm := holder.controller.terms[0]
-	watermark := shardTerm.CancellationsKnownUntil(sim.clock.Now())
+	watermark := shardTerm.CancellationWatermark(sim.clock.Now())
 	if age := sim.clock.Now().Sub(watermark); age < 4*time.Second {
 		t.Errorf("its watermark is %v old, and it may have lost the shard's lease since", age)
 	}
--- a/internal/controller/completions_test.go
+++ b/internal/controller/completions_test.go
@@ -32,7 +32,7 @@
 			if shardTerm == nil {
 				continue
 			}
-			if inFlight := shardTerm.EndsInFlight(); inFlight > tuning.MaxJobEndsInFlight {
+			if inFlight := shardTerm.JobEndsInFlight(); inFlight > tuning.MaxJobEndsInFlight {
 				t.Fatalf("%d ends are under way", inFlight)
 			}
 		}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -92,13 +92,13 @@
 	c.cancellationLog = submission.NewCancellationLog(options.Shards,
 		config.Seconds(cfg.Platform.Workers.CancelS), cfg.Platform.State.WriteRPS)
 	c.membership = leader.New(leader.Options{
-		Member:        cfg.Member,
-		Shards:        options.Shards,
-		Features:      options.Features.Announced(),
-		WallClock:     environment.WallClock,
-		StateCall:     c.callState,
-		Log:           environment.Log,
-		OnOtherRecord: c.applyControlRecord,
+		Member:            cfg.Member,
+		Shards:            options.Shards,
+		Features:          options.Features.Announced(),
+		WallClock:         environment.WallClock,
+		StateCall:         c.callState,
+		Log:               environment.Log,
+		OnUnhandledRecord: c.applyControlRecord,
 	})
 	c.openJobs = store.NewWatchCache(store.WatchCacheOptions{
 		Prefix:    submission.OpenJobPrefix,
--- a/internal/controller/simulation_checks_test.go
+++ b/internal/controller/simulation_checks_test.go
@@ -30,7 +30,7 @@
 
 func (sim *simulation) checkCancellationWatermark(n *simulatedNode, t *term.Term) {
 	now := sim.clock.Now()
-	at := t.CancellationsKnownUntil(now)
+	at := t.CancellationWatermark(now)
 	if at.After(now) {
 		sim.addViolation("%s: cancellation watermark %v ahead of its clock", n.name, at.Sub(now))
 	}
--- a/internal/controller/simulation_commands_test.go
+++ b/internal/controller/simulation_commands_test.go
@@ -37,7 +37,7 @@
 	if len(d.Commands) > 0 {
 		e.checkLeaseValid("a command")
 	}
-	sim.clock.Schedule(tuning.CommandTimeout, func() { finish(nil, term.ErrNoReply) })
+	sim.clock.Schedule(tuning.CommandTimeout, func() { finish(nil, term.ErrNoResponse) })
 	m := sim.machines[strings.TrimPrefix(address, machineAddressPrefix)]
 	if m == nil || m.inboundCut {
 		return
--- a/internal/controller/terms.go
+++ b/internal/controller/terms.go
@@ -45,7 +45,7 @@
 	if assignedStill {
 		// Ended for another reason while the records still name this process: left alone,
 		// the shard would have no lease holder for good.
-		c.membership.Resign(now, t.Term, t.WorkersUnreachable())
+		c.membership.ReleaseShard(now, t.Term, t.WorkersUnreachable())
 		return
 	}
 	delete(c.terms, t.Shard)
--- a/internal/controller/worker_client.go
+++ b/internal/controller/worker_client.go
@@ -46,7 +46,7 @@
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, fmt.Errorf("send commands to %s: %w: %w", address, term.ErrNoReply, err)
+		return nil, fmt.Errorf("send commands to %s: %w: %w", address, term.ErrNoResponse, err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusConflict {
--- a/internal/leader/membership.go
+++ b/internal/leader/membership.go
@@ -45,8 +45,8 @@
 	WallClock func() time.Time // for times that are stored
 	StateCall store.Caller
 	Log       *slog.Logger
-	// OnOtherRecord is called with changes of control records that are not of this package.
-	OnOtherRecord func(now time.Time, key string, item wire.KeyValue, deleted bool)
+	// OnUnhandledRecord is called with changes of control records that are not of this package.
+	OnUnhandledRecord func(now time.Time, key string, item wire.KeyValue, deleted bool)
 }
 
 // memberState is how far this process is with becoming a member.
@@ -89,7 +89,7 @@
 
 func (m *Membership) applyRecord(now time.Time, key string, item wire.KeyValue, deleted bool) {
 	if !m.records.apply(key, item, deleted) {
-		m.options.OnOtherRecord(now, key, item, deleted)
+		m.options.OnUnhandledRecord(now, key, item, deleted)
 	}
 }
 
@@ -141,7 +141,7 @@
 // the lease holder: the leader then assigns the shard anew. unreachable means that the reason is
 // that the workers cannot reach this member, which then comes last for the shard. Nothing is
 // sent while another transaction is under way or the lease is not valid; the caller tries again.
-func (m *Membership) Resign(now time.Time, term Term, unreachable bool) {
+func (m *Membership) ReleaseShard(now time.Time, term Term, unreachable bool) {
 	if !m.mayTransact(now) {
 		return
 	}
--- a/internal/leader/membership_test.go
+++ b/internal/leader/membership_test.go
@@ -29,8 +29,8 @@
 		StateCall: func(call store.Call, reply func(time.Time, store.Result)) {
 			e.calls, e.replies = append(e.calls, call), append(e.replies, reply)
 		},
-		Log:           slog.New(slog.DiscardHandler),
-		OnOtherRecord: func(time.Time, string, wire.KeyValue, bool) {},
+		Log:               slog.New(slog.DiscardHandler),
+		OnUnhandledRecord: func(time.Time, string, wire.KeyValue, bool) {},
 	})
 	return e
 }
--- a/internal/term/cancellations.go
+++ b/internal/term/cancellations.go
@@ -52,11 +52,11 @@
 	return max(tuning.MinRenewBeyondWatermark, bound)
 }
 
-// CancellationsKnownUntil is the cancellation watermark: the moment up to which this lease
+// CancellationWatermark is the cancellation watermark: the moment up to which this lease
 // holder surely knows every cancellation that any controller has confirmed. A controller that
 // reads jobs but not the control records might read on after its shard is another's: the
 // older of the two counts.
-func (t *Term) CancellationsKnownUntil(now time.Time) time.Time {
+func (t *Term) CancellationWatermark(now time.Time) time.Time {
 	read := t.options.OpenJobs.CurrentAsOf()
 	if control := t.options.Membership.CurrentAsOf(); control.Before(read) {
 		read = control
--- a/internal/term/completions.go
+++ b/internal/term/completions.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// EndsInFlight is how many writes of jobs' ends are under way.
-func (t *Term) EndsInFlight() int { return len(t.completions.endsInFlight) }
+// JobEndsInFlight is how many writes of jobs' ends are under way.
+func (t *Term) JobEndsInFlight() int { return len(t.completions.endsInFlight) }
 
 // taskCompleted takes note of a completed task.
 func (c *jobCompletions) taskCompleted(now time.Time, job *placement.Job) {
--- a/internal/term/heartbeats.go
+++ b/internal/term/heartbeats.go
@@ -50,7 +50,7 @@
 // answerHeartbeat applies a heartbeat and returns the commands of its answer, which renews
 // the worker's lease. After an error nothing may be answered that renews it.
 func (t *Term) answerHeartbeat(now time.Time, heartbeat *wire.Heartbeat) ([]wire.Command, error) {
-	if now.After(t.CancellationsKnownUntil(now).Add(t.renewalBound())) {
+	if now.After(t.CancellationWatermark(now).Add(t.renewalBound())) {
 		// A worker's lease counts from when it sent its heartbeat: however late this answer
 		// is, no lease that it renews ends later than one renewed now.
 		return nil, errCancellationsUnknown
--- a/internal/term/options.go
+++ b/internal/term/options.go
@@ -38,8 +38,8 @@
 var (
 	// ErrDeadlinePassed tells that the commands were not sent, and never will be.
 	ErrDeadlinePassed = errors.New("commands not sent: deadline passed")
-	// ErrNoReply tells that no answer came.
-	ErrNoReply = errors.New("no reply")
+	// ErrNoResponse tells that no answer came.
+	ErrNoResponse = errors.New("no reply")
 )
 
 // Membership is the process's own lease, under which a term acts, and what it knows of the
