--- a/internal/leader/election.go
+++ b/internal/leader/election.go
@@ -7,17 +7,17 @@
 	"juniperchute/internal/wire"
 )
 
-// campaign takes the lead if no live process has it. As leader, it assigns the first shard that
-// no live process leases, and otherwise brings the feature gates in force up to date: one
-// transaction a call.
+// campaign makes this process the leader if no live process is. On the leader it assigns the first
+// shard without a live lease holder; if every shard has one, it updates the record of the feature
+// gates in force. campaign sends at most one transaction.
 func (m *Membership) campaign() {
 	own, ok := m.records.members[m.options.Member]
 	if !ok || own.value.Incarnation != m.lease.id {
-		return // this process's own record has not been read back yet
+		return // the watch has not delivered this process's member record yet
 	}
 	leader := m.records.leader
 	if leader.version == 0 || !m.records.isLive(leader.value.Member, leader.value.Incarnation) {
-		m.takeLead(own.version)
+		m.becomeLeader(own.version)
 		return
 	}
 	if !m.IsLeader() {
@@ -33,9 +33,11 @@
 	m.recordFeatures()
 }
 
-func (m *Membership) takeLead(memberVersion uint64) {
+// becomeLeader writes the leader record, provided that neither it nor this process's member record
+// has changed.
+func (m *Membership) becomeLeader(memberVersion uint64) {
 	record := LeaderRecord{Member: m.options.Member, Incarnation: m.lease.id}
-	m.transact(wire.Transaction{
+	m.sendTransaction(wire.Transaction{
 		Compares: []wire.Compare{
 			store.VersionEquals(keyLeader, m.records.leader.version),
 			store.VersionEquals(memberPrefix+m.options.Member, memberVersion),
@@ -44,7 +46,8 @@
 	})
 }
 
-// assignShard starts a new term of a shard, whose last term is the one given.
+// assignShard leases a shard to the preferred member under a new fencing token. last is the record of
+// the shard's latest term.
 func (m *Membership) assignShard(shard int, last versioned[ShardRecord]) {
 	chosen, ok := m.chooseHolder(last.value.Holder, last.value.Unreachable)
 	if !ok {
@@ -57,9 +60,9 @@
 		PredecessorEnded: m.predecessorEnded(last),
 		AssignedAtMs:     m.options.WallClock().UnixMilli(),
 	}
-	m.options.Log.Info("shard lease assigned", "shard", shard, "member", record.Holder, "term", record.Token,
+	m.options.Log.Info("assigning shard lease", "shard", shard, "member", record.Holder, "term", record.Token,
 		"predecessor_ended", record.PredecessorEnded)
-	m.transact(wire.Transaction{
+	m.sendTransaction(wire.Transaction{
 		Compares: []wire.Compare{
 			store.VersionEquals(keyLeader, m.records.leader.version),
 			store.VersionEquals(ShardKey(shard), last.version),
@@ -73,24 +76,25 @@
 	})
 }
 
-// predecessorEnded reports whether the process of a shard's last term has surely ended: there was
-// none, it gave the shard up, or a later process of its name has taken its member record over. A
-// process whose record is merely absent may be cut off from the state service and still run.
+// predecessorEnded reports whether the lease holder of a shard's latest term can no longer act: the
+// shard had none, the lease holder released the shard, or a restarted process now owns its member
+// record. An absent member record proves nothing: the process may still run, partitioned from the
+// key-value store.
 func (m *Membership) predecessorEnded(last versioned[ShardRecord]) bool {
 	_, restarted := m.records.members[last.value.Holder]
 	return last.version == 0 || last.value.Holder == "" || restarted
 }
 
-// recordFeatures writes down which feature gates are in force: those that every member
-// announces. A member of a version that announces nothing ends them all.
+// recordFeatures stores the feature gates in force, which are those that every member announces. A
+// member of a version that announces none takes all of them out of force.
 func (m *Membership) recordFeatures() {
 	inForce := m.commonFeatures()
 	recorded := m.records.features
 	if slices.Equal(inForce, recorded.value.InForce) {
 		return
 	}
-	m.options.Log.Info("feature gates in force recorded", "from", recorded.value.InForce, "to", inForce)
-	m.transact(wire.Transaction{
+	m.options.Log.Info("recording feature gates in force", "from", recorded.value.InForce, "to", inForce)
+	m.sendTransaction(wire.Transaction{
 		Compares: []wire.Compare{
 			store.VersionEquals(keyLeader, m.records.leader.version),
 			store.VersionEquals(keyFeatures, recorded.version),
@@ -99,7 +103,7 @@
 	})
 }
 
-// commonFeatures are the announced feature gates of this process that all members announce.
+// commonFeatures returns the feature gates of this process that all members announce.
 func (m *Membership) commonFeatures() []string {
 	var common []string
 	for _, name := range m.options.Features {
--- a/internal/leader/election_test.go
+++ b/internal/leader/election_test.go
@@ -10,93 +10,93 @@
 	"juniperchute/internal/wire"
 )
 
-// Records that n0, incarnation 7, finds in the state service.
+// Records in the key-value store when n0, incarnation 7, joins.
 var (
-	otherMember      = put("c/m/n1", MemberRecord{Member: "n1", Incarnation: 5}, 20)
-	ownLead          = put("c/leader", LeaderRecord{"n0", 7}, 30)
-	lastToken        = put("c/baton", tokenRecord{3}, 31)
-	otherHolder      = put("c/b/0", ShardRecord{Holder: "n1", Incarnation: 5, Token: 3}, 32)
-	replacedHolder   = put("c/b/0", ShardRecord{Holder: "n1", Incarnation: 4, Token: 3}, 32)
-	resigned         = put("c/b/0", ShardRecord{Token: 3}, 32)
-	otherUnreachable = put("c/b/0", ShardRecord{Token: 3, Unreachable: "n1"}, 32)
+	memberN1            = keyValue("c/m/n1", MemberRecord{Member: "n1", Incarnation: 5}, 20)
+	leaderN0            = keyValue("c/leader", LeaderRecord{"n0", 7}, 30)
+	tokenThree          = keyValue("c/baton", tokenRecord{3}, 31)
+	heldByN1            = keyValue("c/b/0", ShardRecord{Holder: "n1", Incarnation: 5, Token: 3}, 32)
+	heldByReplacedN1    = keyValue("c/b/0", ShardRecord{Holder: "n1", Incarnation: 4, Token: 3}, 32)
+	released            = keyValue("c/b/0", ShardRecord{Token: 3}, 32)
+	releasedUnreachable = keyValue("c/b/0", ShardRecord{Token: 3, Unreachable: "n1"}, 32)
 )
 
 type campaignCase struct {
-	name      string
-	items     []wire.KeyValue
-	wantKey   string // the key it writes first, "" for none
-	wantToken uint64 // of the shard's new term, 0 if it assigns none
-	wantEnded bool   // whether the predecessor's process has ended
+	name                 string
+	items                []wire.KeyValue
+	wantKey              string // key of the first write; "": no transaction
+	wantToken            uint64 // token of the assigned term; 0: no assignment
+	wantPredecessorEnded bool   // PredecessorEnded of the assigned term
 }
 
 var campaignCases = []campaignCase{
 	{
-		name:    "nobody leads",
-		items:   []wire.KeyValue{otherMember},
+		name:    "no leader: becomes leader",
+		items:   []wire.KeyValue{memberN1},
 		wantKey: "c/leader",
 	},
 	{
-		name:  "another leads",
-		items: []wire.KeyValue{otherMember, put("c/leader", LeaderRecord{"n1", 5}, 30)},
+		name:  "another member is leader: does nothing",
+		items: []wire.KeyValue{memberN1, keyValue("c/leader", LeaderRecord{"n1", 5}, 30)},
 	},
 	{
-		name:    "the leader's process was replaced",
-		items:   []wire.KeyValue{otherMember, put("c/leader", LeaderRecord{"n1", 4}, 30)},
+		name:    "leader restarted: becomes leader",
+		items:   []wire.KeyValue{memberN1, keyValue("c/leader", LeaderRecord{"n1", 4}, 30)},
 		wantKey: "c/leader",
 	},
 	{
-		name:    "the leader is no member any more",
-		items:   []wire.KeyValue{put("c/leader", LeaderRecord{"n1", 5}, 30)},
+		name:    "leader is no longer a member: becomes leader",
+		items:   []wire.KeyValue{keyValue("c/leader", LeaderRecord{"n1", 5}, 30)},
 		wantKey: "c/leader",
 	},
 	{
-		name:      "it leads, the shard was never leased",
-		items:     []wire.KeyValue{ownLead, lastToken},
-		wantKey:   "c/baton",
-		wantToken: 4,
-		wantEnded: true,
+		name:                 "is leader, shard never leased: assigns it",
+		items:                []wire.KeyValue{leaderN0, tokenThree},
+		wantKey:              "c/baton",
+		wantToken:            4,
+		wantPredecessorEnded: true,
 	},
 	{
-		name:  "it leads, the shard is leased",
-		items: []wire.KeyValue{otherMember, ownLead, otherHolder},
+		name:  "is leader, shard leased: does nothing",
+		items: []wire.KeyValue{memberN1, leaderN0, heldByN1},
 	},
 	{
-		name:      "it leads, the lease holder is no member any more",
-		items:     []wire.KeyValue{ownLead, lastToken, otherHolder},
-		wantKey:   "c/baton",
-		wantToken: 4,
-		wantEnded: false,
+		name:                 "is leader, lease holder is no longer a member: assigns the shard, predecessor may run",
+		items:                []wire.KeyValue{leaderN0, tokenThree, heldByN1},
+		wantKey:              "c/baton",
+		wantToken:            4,
+		wantPredecessorEnded: false,
 	},
 	{
-		name:      "it leads, the lease holder was restarted",
-		items:     []wire.KeyValue{otherMember, ownLead, lastToken, replacedHolder},
-		wantKey:   "c/baton",
-		wantToken: 4,
-		wantEnded: true,
+		name:                 "is leader, lease holder restarted: assigns the shard",
+		items:                []wire.KeyValue{memberN1, leaderN0, tokenThree, heldByReplacedN1},
+		wantKey:              "c/baton",
+		wantToken:            4,
+		wantPredecessorEnded: true,
 	},
 	{
-		name:      "it leads, the lease holder resigned",
-		items:     []wire.KeyValue{otherMember, ownLead, lastToken, resigned},
-		wantKey:   "c/baton",
-		wantToken: 4,
-		wantEnded: true,
+		name:                 "is leader, shard released: assigns it",
+		items:                []wire.KeyValue{memberN1, leaderN0, tokenThree, released},
+		wantKey:              "c/baton",
+		wantToken:            4,
+		wantPredecessorEnded: true,
 	},
 	{
-		name:      "it leads, the lease holder resigned as the workers cannot reach it",
-		items:     []wire.KeyValue{otherMember, ownLead, lastToken, otherUnreachable},
-		wantKey:   "c/baton",
-		wantToken: 4,
-		wantEnded: true,
+		name:                 "is leader, shard released as unreachable: assigns it to another member",
+		items:                []wire.KeyValue{memberN1, leaderN0, tokenThree, releasedUnreachable},
+		wantKey:              "c/baton",
+		wantToken:            4,
+		wantPredecessorEnded: true,
 	},
 }
 
-// What a member does about the records it finds.
+// Guards against two leaders, unassigned shards and reused fencing tokens.
 func TestCampaign(t *testing.T) {
 	for _, c := range campaignCases {
 		t.Run(c.name, func(t *testing.T) {
-			e := newEnvironment()
-			e.join(t, c.items...)
-			sent := e.lastTransaction()
+			h := newHarness()
+			h.join(t, c.items...)
+			sent := h.lastTransaction()
 			key := ""
 			if len(sent.Writes) > 0 {
 				key = sent.Writes[0].Put
@@ -111,10 +111,10 @@
 	}
 }
 
-// lastTransaction is the transaction sent last and not answered, empty if there is none.
-func (e *environment) lastTransaction() wire.Transaction {
+// lastTransaction returns the latest transaction in flight, or an empty one if there is none.
+func (h *harness) lastTransaction() wire.Transaction {
 	var last wire.Transaction
-	for _, call := range e.calls {
+	for _, call := range h.calls {
 		if call.Op == store.OpTransaction {
 			last = call.Transaction
 		}
@@ -126,8 +126,8 @@
 	t.Helper()
 	var assigned ShardRecord
 	err := json.Unmarshal(sent.Writes[1].Value, &assigned)
-	if err != nil || assigned.Token != c.wantToken || assigned.PredecessorEnded != c.wantEnded {
-		t.Errorf("shard record %+v, want token %d, predecessor ended %t", assigned, c.wantToken, c.wantEnded)
+	if err != nil || assigned.Token != c.wantToken || assigned.PredecessorEnded != c.wantPredecessorEnded {
+		t.Errorf("shard record %+v, want token %d, predecessor ended %t", assigned, c.wantToken, c.wantPredecessorEnded)
 	}
 	var previous ShardRecord
 	if last := c.items[len(c.items)-1]; json.Unmarshal(last.Value, &previous) == nil &&
@@ -135,7 +135,7 @@
 		t.Errorf("assigned to %s, which the workers cannot reach", assigned.Holder)
 	}
 	if len(sent.Compares) != 4 {
-		t.Errorf("assigned on conditions %v, want leader, shard, token and member", sent.Compares)
+		t.Errorf("assigned with compares %v, want leader, shard, token and member", sent.Compares)
 	}
 }
 
@@ -145,48 +145,48 @@
 	joinedNext  = MemberRecord{Member: "n3", Incarnation: 3, JoinedAtMs: 11}
 )
 
-var chooseCases = []struct {
+var chooseHolderCases = []struct {
 	name                            string
 	members                         []MemberRecord
 	leader, lastHolder, unreachable string
 	want                            string
 }{
 	{
-		name:       "the one restarted already, not the one that is next",
+		name:       "rolling restart: member that joined last",
 		members:    []MemberRecord{joinedEarly, joinedLate, joinedNext},
 		lastHolder: "n0",
 		want:       "n2",
 	},
 	{
-		name:       "one that does not lead",
+		name:       "member that is not leader",
 		members:    []MemberRecord{joinedEarly, joinedLate},
 		leader:     "n2",
 		lastHolder: "n0",
 		want:       "n1",
 	},
 	{
-		name:       "not the one that ended a moment ago",
+		name:       "not the last lease holder, although the other is leader",
 		members:    []MemberRecord{joinedEarly, joinedLate},
 		leader:     "n1",
 		lastHolder: "n2",
 		want:       "n1",
 	},
 	{
-		name:        "not the one that the workers cannot reach",
+		name:        "not the unreachable member, although the other is leader",
 		members:     []MemberRecord{joinedEarly, joinedLate},
 		leader:      "n1",
 		unreachable: "n2",
 		want:        "n1",
 	},
 	{
-		name:        "the one that ended rather than one that the workers cannot reach",
+		name:        "last lease holder before unreachable member",
 		members:     []MemberRecord{joinedEarly, joinedLate},
 		lastHolder:  "n1",
 		unreachable: "n2",
 		want:        "n1",
 	},
 	{
-		name:        "the only member",
+		name:        "only member, despite every criterion",
 		members:     []MemberRecord{joinedLate},
 		leader:      "n2",
 		lastHolder:  "n2",
@@ -195,17 +195,17 @@
 	},
 }
 
-// Who gets a shard that nobody leases.
+// Guards against assigning a shard to a member that would soon lose it.
 func TestChooseHolder(t *testing.T) {
-	for _, c := range chooseCases {
+	for _, c := range chooseHolderCases {
 		t.Run(c.name, func(t *testing.T) {
-			e := newEnvironment()
-			records := &e.membership.records
+			h := newHarness()
+			records := &h.membership.records
 			records.leader.value.Member = c.leader
 			for _, member := range c.members {
 				records.members[member.Member] = versioned[MemberRecord]{member, member.Incarnation}
 			}
-			got, ok := e.membership.chooseHolder(c.lastHolder, c.unreachable)
+			got, ok := h.membership.chooseHolder(c.lastHolder, c.unreachable)
 			if !ok || got.value.Member != c.want {
 				t.Errorf("chose %q, want %q", got.value.Member, c.want)
 			}
@@ -213,77 +213,76 @@
 	}
 }
 
-// The leader records as in force what all members announce, and no longer what a member of an
-// earlier version does not.
+// Guards against a feature gate in force while some member does not announce it.
 func TestFeaturesInForce(t *testing.T) {
 	with, without := []string{"duties"}, []string(nil)
 	for _, c := range []struct {
 		name      string
-		announced [][]string // by each member; the first is the leader
+		announced [][]string // by member; the first is the leader
 		inForce   []string
 		wantWrite bool
 		want      []string
 	}{
 		{
-			name:      "all announce it",
+			name:      "all members announce it: in force",
 			announced: [][]string{with, with, with},
 			wantWrite: true,
 			want:      with,
 		},
 		{
-			name:      "one does not",
+			name:      "one member does not: not in force",
 			announced: [][]string{with, with, without},
 		},
 		{
-			name:      "in force already",
+			name:      "in force already: no write",
 			announced: [][]string{with, with},
 			inForce:   with,
 		},
 		{
-			name:      "an earlier version joins",
+			name:      "member of an earlier version joins: no longer in force",
 			announced: [][]string{with, without},
 			inForce:   with,
 			wantWrite: true,
 		},
 		{
-			name:      "the leader does not",
+			name:      "leader does not announce it: not in force",
 			announced: [][]string{without, with},
 		},
 		{
-			name:      "the leader is of a version with it off",
+			name:      "leader has it disabled: no longer in force",
 			announced: [][]string{without, with},
 			inForce:   with,
 			wantWrite: true,
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			e := newEnvironment()
-			e.announceFeatures(c.announced)
-			e.membership.records.features = versioned[FeaturesRecord]{FeaturesRecord{c.inForce}, 9}
-			e.membership.recordFeatures()
-			if wrote := len(e.calls) == 1; wrote != c.wantWrite {
-				t.Fatalf("%d calls", len(e.calls))
+			h := newHarness()
+			h.announceFeatures(c.announced)
+			h.membership.records.features = versioned[FeaturesRecord]{FeaturesRecord{c.inForce}, 9}
+			h.membership.recordFeatures()
+			if wrote := len(h.calls) == 1; wrote != c.wantWrite {
+				t.Fatalf("%d calls", len(h.calls))
 			}
 			if c.wantWrite {
-				e.checkFeatures(t, c.want)
+				h.checkFeatures(t, c.want)
 			}
 		})
 	}
 }
 
-// announceFeatures makes members that announce these feature gates; the first is this process.
-func (e *environment) announceFeatures(announced [][]string) {
-	e.membership.options.Features = announced[0]
+// announceFeatures adds members with the given feature gates. The first one is this process.
+func (h *harness) announceFeatures(announced [][]string) {
+	h.membership.options.Features = announced[0]
 	for i, features := range announced {
 		name, incarnation := fmt.Sprintf("n%d", i), uint64(i+1)
 		record := MemberRecord{Member: name, Incarnation: incarnation, Features: features}
-		e.membership.records.members[name] = versioned[MemberRecord]{record, incarnation}
+		h.membership.records.members[name] = versioned[MemberRecord]{record, incarnation}
 	}
 }
 
-func (e *environment) checkFeatures(t *testing.T, want []string) {
+func (h *harness) checkFeatures(t *testing.T, want []string) {
 	t.Helper()
-	sent := e.calls[0].Transaction
+	sent := h.calls[0].Transaction
 	var recorded FeaturesRecord
 	err := json.Unmarshal(sent.Writes[0].Value, &recorded)
 	if err != nil || !slices.Equal(recorded.InForce, want) {
@@ -291,10 +290,10 @@
 	}
 	for _, compare := range []wire.Compare{
 		store.VersionEquals(keyFeatures, 9),
-		store.VersionEquals(keyLeader, e.membership.records.leader.version),
+		store.VersionEquals(keyLeader, h.membership.records.leader.version),
 	} {
 		if !slices.Contains(sent.Compares, compare) {
-			t.Errorf("conditions %+v lack %+v", sent.Compares, compare)
+			t.Errorf("compares %+v lack %+v", sent.Compares, compare)
 		}
 	}
 }
--- a/internal/leader/lease.go
+++ b/internal/leader/lease.go
@@ -9,17 +9,17 @@
 	"juniperchute/internal/wire"
 )
 
-// processLease is this process's lease in the state service.
+// processLease is the lease in the key-value store that identifies this process.
 type processLease struct {
-	id               uint64    // also the process's incarnation; 0 without a lease
-	deadline         time.Time // until then the process may act for its lease
-	lastRenewal      time.Time // when the last renewal was answered
-	renewAt          time.Time // when the next renewal is due
+	id               uint64    // the process's incarnation; 0 without a lease
+	deadline         time.Time // the process must not act under the lease from then on
+	lastRenewal      time.Time // receipt of the latest successful renewal response
+	renewAt          time.Time // earliest time of the next renewal
 	renewalsInFlight int
 }
 
-// leaseDeadlineAfter is up to when a lease surely has not expired if a request sent at sentAt
-// granted or renewed it: clocks may drift apart, and the holder stops a little early.
+// leaseDeadlineAfter returns the time until which a lease is guaranteed not to have expired, given that
+// a request sent at sentAt granted or renewed it. It allows for clock drift and a safety margin.
 func leaseDeadlineAfter(sentAt time.Time) time.Time {
 	drift := time.Duration(float64(tuning.MemberLease) * 2 * tuning.MaxClockDrift)
 	return sentAt.Add(tuning.MemberLease - drift - tuning.LeaseSafetyMargin)
@@ -30,8 +30,8 @@
 	l.renewAt = sentAt.Add(tuning.MemberRenewInterval)
 }
 
-// renewed notes an answer. The answer to an earlier renewal may come after that to a later one,
-// and must not shorten the lease.
+// renewed extends the deadline after a successful renewal that was sent at sentAt. Responses may arrive
+// out of order, so an earlier renewal never shortens the deadline.
 func (l *processLease) renewed(now, sentAt time.Time) {
 	l.lastRenewal = now
 	if deadline := leaseDeadlineAfter(sentAt); deadline.After(l.deadline) {
@@ -55,9 +55,9 @@
 	m.Tick(now)
 }
 
-// renewLease sends the renewal that is due. It does not wait for the answer to the one before:
-// on a starved machine an answer may take longer than the time between two renewals, and one
-// that comes late still counts from when its renewal was sent.
+// renewLease sends a renewal if one is due. Renewals overlap, up to tuning.MaxRenewalsInFlight: on a
+// starved machine a response may take longer than the renewal interval. A late response still extends
+// the lease from the time at which its renewal was sent.
 func (m *Membership) renewLease(now time.Time) {
 	if m.lease.renewalsInFlight == tuning.MaxRenewalsInFlight || now.Before(m.lease.renewAt) {
 		return
@@ -84,7 +84,7 @@
 	}
 }
 
-// join writes the member record, attached to the lease.
+// join writes the member record and attaches it to the lease.
 func (m *Membership) join(now time.Time) {
 	key := memberPrefix + m.options.Member
 	lease := m.lease.id
@@ -116,14 +116,14 @@
 	case errors.Is(r.Err, store.ErrInvalid):
 		m.dropLease("lease expired while joining")
 	case errors.Is(r.Err, store.ErrNoResponse) || errors.Is(r.Err, store.ErrConflict):
-		// perhaps the record was written after all: then the cache has it
+		// The record may have been written nevertheless; the watch cache then contains it.
 		if m.records.isLive(m.options.Member, m.lease.id) {
 			m.setState(memberJoined, "record found")
 		}
 	}
 }
 
-// dropLease forgets a lease that has expired; Tick then requests another.
+// dropLease discards an expired lease. Tick then requests a new one.
 func (m *Membership) dropLease(reason string) {
 	m.setState(memberOut, reason)
 	m.lease.id, m.lease.deadline = 0, time.Time{}
--- a/internal/leader/membership.go
+++ b/internal/leader/membership.go
@@ -1,11 +1,12 @@
-// Package leader keeps this process a member, elects a leader among the members, and lets the
-// leader lease shards to live members.
+// Package leader implements cluster membership, leader election and shard leases on top of a
+// consensus-backed key-value store (package store).
 //
-// A member is a process: its incarnation is the lease it holds in the state service, so a
-// restarted process has no claim to what its predecessor held.
+// A member is one process, identified by its incarnation: the ID of its lease in the key-value store.
+// A restarted process is a new incarnation and does not inherit the shards of the previous one.
 //
-// Times are of the process's steady clock (package clock) unless a name or a comment says wall
-// clock. Everything here is used by the one goroutine that owns the controller's state.
+// Times are read from the process's monotonic clock (package clock) unless a name or a comment says
+// wall clock. The package is not safe for concurrent use: only the goroutine that owns the
+// controller's state may call it.
 package leader
 
 import (
@@ -19,42 +20,42 @@
 	"juniperchute/internal/wire"
 )
 
-// Term is the time in which one process owns a shard, under one fencing token. Its invariants:
+// Term identifies a period in which one process owns a shard under one fencing token. Invariants:
 //
-//   - Only the leader starts a term, in one compare-and-swap that also increments the token's
-//     record. So a token belongs to one term, and a later term of any shard has a higher one:
-//     workers refuse commands with a token below the highest they know.
-//   - Every write of the term is conditioned on Version. So a term that has been superseded
-//     changes nothing more, even if its process does not know of it yet.
-//   - The lease holder acts only while LeaseValid: its lease ends before the leader can see its
-//     member record disappear and start another term.
-//   - A term ends when its holder gives it up (Resign) or when the leader assigns the shard
-//     anew, which it does only after the holder's incarnation has ceased to be a member.
+//   - Only the leader starts a term, in a compare-and-swap that also increments the token record.
+//     A token therefore belongs to one term, and a later term of any shard has a higher token.
+//     Workers reject commands whose token is lower than the highest token that they have seen.
+//   - Every write of a term is conditional on Version. A superseded term can therefore write nothing,
+//     even if its process has not observed the change yet.
+//   - The lease holder acts only while LeaseValid returns true. Its lease deadline passes before the
+//     leader can observe the expiry of its member record and start another term.
+//   - A term ends when its lease holder releases the shard (ReleaseShard) or when the leader assigns
+//     the shard again, which requires that the holder's incarnation is no longer a member.
 type Term struct {
 	Shard            int
 	Token            uint64
-	Version          uint64 // of the shard's record
+	Version          uint64 // version of the shard record
 	PredecessorEnded bool   // see ShardRecord
 }
 
-// Options are what a Membership needs from its controller.
+// Options configures a Membership.
 type Options struct {
 	Member    string           // this member's name
-	Shards    int              // the number of shards, numbered from 0
-	Features  []string         // the feature gates that this process announces
-	WallClock func() time.Time // for times that are stored
+	Shards    int              // number of shards; they are numbered from 0
+	Features  []string         // feature gates that this process announces
+	WallClock func() time.Time // source of stored timestamps
 	StateCall store.Caller
 	Log       *slog.Logger
-	// OnUnhandledRecord is called with changes of control records that are not of this package.
+	// OnUnhandledRecord receives changes of control records that belong to other packages.
 	OnUnhandledRecord func(now time.Time, key string, item wire.KeyValue, deleted bool)
 }
 
-// memberState is how far this process is with becoming a member.
+// memberState is the progress of this process in joining the cluster.
 type memberState int
 
 const (
 	memberOut      memberState = iota // no lease
-	memberGranting                    // a lease has been requested
+	memberGranting                    // lease requested
 	memberJoining                     // lease granted, member record not yet written
 	memberJoined                      // member record written
 )
@@ -63,20 +64,19 @@
 	return [...]string{"out", "granting", "joining", "joined"}[s]
 }
 
-// Membership is this process's part in membership, leader election and shard leases.
+// Membership maintains this process's lease and member record, and takes part in leader election.
 type Membership struct {
 	options Options
 	cache   *store.WatchCache // of all control records
 	records controlRecords
 	state   memberState
 	lease   processLease
-	// retryAt is when the next grant, join or election transaction may be sent, and
-	// transacting whether a transaction of the latter kind has been sent and not answered.
-	retryAt     time.Time
+	retryAt time.Time // earliest time of the next grant, join or election transaction
+	// transacting reports whether an election or assignment transaction is in flight.
 	transacting bool
 }
 
-// New makes a Membership that has no lease and has read nothing; Tick starts both.
+// New returns a Membership without a lease or any records. Tick requests the lease and reads the records.
 func New(options Options) *Membership {
 	m := &Membership{options: options, records: newControlRecords(options.Log)}
 	m.cache = store.NewWatchCache(store.WatchCacheOptions{
@@ -93,8 +93,8 @@
 	}
 }
 
-// Tick starts the requests that are due: a grant or renewal of the lease, the member record, an
-// election or an assignment. It is called after every event and at regular intervals.
+// Tick sends the requests that are due: grant or renewal of the lease, the write of the member record,
+// an election or a shard assignment. The controller calls it after every event and periodically.
 func (m *Membership) Tick(now time.Time) {
 	m.cache.Tick(now)
 	switch m.state {
@@ -120,47 +120,49 @@
 	return !m.transacting && !now.Before(m.retryAt) && m.LeaseValid(now)
 }
 
-func (m *Membership) transact(transaction wire.Transaction) {
+// sendTransaction sends an election or assignment transaction. mayTransact returns false until
+// tuning.ElectionPause after the response.
+func (m *Membership) sendTransaction(transaction wire.Transaction) {
 	m.transacting = true
 	call := store.Call{Op: store.OpTransaction, Transaction: transaction}
 	m.options.StateCall(call, func(now time.Time, _ store.Result) {
 		m.transacting = false
-		// what was written, by this process or by another, arrives through the cache
+		// The outcome, written by this process or another, arrives through the watch cache.
 		m.retryAt = now.Add(tuning.ElectionPause)
 	})
 }
 
 func (m *Membership) setState(state memberState, reason string) {
 	if state != m.state {
-		m.options.Log.Debug("membership changed", "from", m.state, "to", state, "reason", reason)
+		m.options.Log.Debug("membership state changed", "from", m.state, "to", state, "reason", reason)
 	}
 	m.state = state
 }
 
-// Resign gives up a shard whose term this process has ended although the records still name it
-// the lease holder: the leader then assigns the shard anew. unreachable means that the reason is
-// that the workers cannot reach this member, which then comes last for the shard. Nothing is
-// sent while another transaction is under way or the lease is not valid; the caller tries again.
+// ReleaseShard releases a shard whose term has ended on this process while its record still names this
+// process as lease holder. The leader then assigns the shard again. unreachable states that the workers
+// cannot reach this member, which makes it the least preferred candidate for the shard. ReleaseShard
+// sends nothing while another transaction is in flight or the lease is not valid; the caller must retry.
 func (m *Membership) ReleaseShard(now time.Time, term Term, unreachable bool) {
 	if !m.mayTransact(now) {
 		return
 	}
-	m.options.Log.Info("shard lease given up", "shard", term.Shard, "term", term.Token, "unreachable", unreachable)
+	m.options.Log.Info("releasing shard lease", "shard", term.Shard, "term", term.Token, "unreachable", unreachable)
 	record := ShardRecord{Token: term.Token}
 	if unreachable {
 		record.Unreachable = m.options.Member
 	}
 	key := ShardKey(term.Shard)
-	m.transact(wire.Transaction{
+	m.sendTransaction(wire.Transaction{
 		Compares: []wire.Compare{store.VersionEquals(key, term.Version)},
 		Writes:   []wire.Write{store.Put(key, record, 0)},
 	})
 }
 
-// Synced reports whether the control records have been read.
+// Synced reports whether the watch cache has loaded the control records.
 func (m *Membership) Synced() bool { return m.cache.Synced() }
 
-// Each calls f for every control record whose key has a prefix, in key order.
+// Each calls f for every control record whose key starts with prefix, in key order.
 func (m *Membership) Each(prefix string, f func(item wire.KeyValue)) {
 	m.cache.Each(func(item wire.KeyValue) {
 		if strings.HasPrefix(item.Key, prefix) {
@@ -169,11 +171,11 @@
 	})
 }
 
-// Version is the version of a control record, 0 if it does not exist.
+// Version returns the version of a control record, or 0 if it does not exist.
 func (m *Membership) Version(key string) uint64 { return m.cache.Version(key) }
 
-// LastContact is when the state service last answered a watch of the control records or a
-// renewal; zero if it never did.
+// LastContact returns the time of the latest response of the key-value store to a watch of the control
+// records or to a lease renewal. It is zero if there was none.
 func (m *Membership) LastContact() time.Time {
 	if m.lease.lastRenewal.After(m.cache.LastContact()) {
 		return m.lease.lastRenewal
@@ -181,23 +183,23 @@
 	return m.cache.LastContact()
 }
 
-// CurrentAsOf is the moment up to which all changes of the control records are known.
+// CurrentAsOf returns the time up to which every change of the control records has been read.
 func (m *Membership) CurrentAsOf() time.Time { return m.cache.CurrentAsOf() }
 
-// Incarnation is this process's incarnation, 0 while it has no lease.
+// Incarnation returns the incarnation of this process, or 0 while it has no lease.
 func (m *Membership) Incarnation() uint64 { return m.lease.id }
 
-// LeaseValid reports whether this process is a member whose lease surely has not expired. Only
-// then may it act as leader or as lease holder of a shard.
+// LeaseValid reports whether this process is a member and its lease is guaranteed not to have expired.
+// Only then may the process act as leader or as lease holder of a shard.
 func (m *Membership) LeaseValid(now time.Time) bool {
 	return m.state == memberJoined && now.Before(m.lease.deadline)
 }
 
-// LeaseDeadline is when this process's lease may have expired; zero without a lease.
+// LeaseDeadline returns the time from which this process's lease may have expired, or zero without a lease.
 func (m *Membership) LeaseDeadline() time.Time { return m.lease.deadline }
 
-// Holder returns the member that leases a shard and the token of its term, as last read; live
-// reports whether that process is still a member.
+// Holder returns the lease holder of a shard and the fencing token of its term, as last read. live
+// reports whether the lease holder's incarnation is still a member.
 func (m *Membership) Holder(shard int) (member string, token uint64, live bool) {
 	record, ok := m.records.shards[shard]
 	if !ok {
@@ -207,7 +209,7 @@
 	return term.Holder, term.Token, m.records.isLive(term.Holder, term.Incarnation)
 }
 
-// Terms lists the terms that the records give to this process, in order of shards.
+// Terms returns the terms that the shard records assign to this process, ordered by shard.
 func (m *Membership) Terms() []Term {
 	if m.lease.id == 0 {
 		return nil
@@ -228,15 +230,15 @@
 	return terms
 }
 
-// IsLeader reports whether the records name this process the leader.
+// IsLeader reports whether the leader record names this incarnation, as last read.
 func (m *Membership) IsLeader() bool {
 	leader := m.records.leader
 	return m.lease.id != 0 && leader.version != 0 &&
 		leader.value.Member == m.options.Member && leader.value.Incarnation == m.lease.id
 }
 
-// ShardAssignedAt is when a shard's term was assigned, by the leader's wall clock; zero if that
-// is not known.
+// ShardAssignedAt returns the time at which a shard's current term was assigned, by the leader's wall
+// clock, or zero if the shard record does not contain it.
 func (m *Membership) ShardAssignedAt(shard int) time.Time {
 	if at := m.records.shards[shard].value.AssignedAtMs; at != 0 {
 		return time.UnixMilli(at)
@@ -244,13 +246,13 @@
 	return time.Time{}
 }
 
-// FeatureInForce reports whether the leader has recorded that every member announced a feature
-// gate.
+// FeatureInForce reports whether the leader has recorded a feature gate as announced by every member.
 func (m *Membership) FeatureInForce(name string) bool {
 	return slices.Contains(m.records.features.value.InForce, name)
 }
 
-// Members lists the live members by name, and the leader's name, "" if there is none.
+// Members returns the names of the live members in sorted order, and the name of the leader, which is
+// "" if there is none.
 func (m *Membership) Members() (names []string, leader string) {
 	for name := range m.records.members {
 		names = append(names, name)
--- a/internal/leader/membership_test.go
+++ b/internal/leader/membership_test.go
@@ -12,43 +12,43 @@
 	"juniperchute/internal/wire"
 )
 
-// environment is a Membership whose calls to the state service are captured.
-type environment struct {
+// harness drives a Membership and captures its calls to the key-value store.
+type harness struct {
 	membership *Membership
 	now        time.Time
 	calls      []store.Call
 	replies    []func(time.Time, store.Result) // by call
 }
 
-func newEnvironment() *environment {
-	e := &environment{now: time.Unix(1000, 0)}
-	e.membership = New(Options{
+func newHarness() *harness {
+	h := &harness{now: time.Unix(1000, 0)}
+	h.membership = New(Options{
 		Member:    "n0",
 		Shards:    1,
-		WallClock: func() time.Time { return e.now },
+		WallClock: func() time.Time { return h.now },
 		StateCall: func(call store.Call, reply func(time.Time, store.Result)) {
-			e.calls, e.replies = append(e.calls, call), append(e.replies, reply)
+			h.calls, h.replies = append(h.calls, call), append(h.replies, reply)
 		},
 		Log:               slog.New(slog.DiscardHandler),
 		OnUnhandledRecord: func(time.Time, string, wire.KeyValue, bool) {},
 	})
-	return e
+	return h
 }
 
-// answer answers the oldest call of a kind.
-func (e *environment) answer(t *testing.T, op store.Op, r store.Result) {
+// respond completes the oldest captured call of the given kind.
+func (h *harness) respond(t *testing.T, op store.Op, r store.Result) {
 	t.Helper()
-	i := slices.IndexFunc(e.calls, func(call store.Call) bool { return call.Op == op })
+	i := slices.IndexFunc(h.calls, func(call store.Call) bool { return call.Op == op })
 	if i < 0 {
-		t.Fatalf("no call of kind %d among %v", op, e.calls)
+		t.Fatalf("no call of kind %d among %v", op, h.calls)
 	}
-	reply := e.replies[i]
-	e.calls, e.replies = slices.Delete(e.calls, i, i+1), slices.Delete(e.replies, i, i+1)
-	r.SentAt = e.now
-	reply(e.now, r)
+	reply := h.replies[i]
+	h.calls, h.replies = slices.Delete(h.calls, i, i+1), slices.Delete(h.replies, i, i+1)
+	r.SentAt = h.now
+	reply(h.now, r)
 }
 
-func put(key string, v any, version uint64) wire.KeyValue {
+func keyValue(key string, v any, version uint64) wire.KeyValue {
 	raw, err := json.Marshal(v)
 	if err != nil {
 		panic(err)
@@ -56,63 +56,62 @@
 	return wire.KeyValue{Key: key, Value: raw, Version: version}
 }
 
-// join makes n0 a member, as incarnation 7, while the state service already holds some records.
-func (e *environment) join(t *testing.T, items ...wire.KeyValue) {
+// join makes n0 a member, with incarnation 7, while the key-value store already holds items.
+func (h *harness) join(t *testing.T, items ...wire.KeyValue) {
 	t.Helper()
-	e.membership.Tick(e.now)
-	e.answer(t, store.OpList, store.Result{Revision: 50, KeyValues: items})
-	e.answer(t, store.OpGrantLease, store.Result{Lease: 7})
-	e.answer(t, store.OpTransaction, store.Result{Revision: 60})
-	own := put("c/m/n0", MemberRecord{Member: "n0", Incarnation: 7}, 60)
+	h.membership.Tick(h.now)
+	h.respond(t, store.OpList, store.Result{Revision: 50, KeyValues: items})
+	h.respond(t, store.OpGrantLease, store.Result{Lease: 7})
+	h.respond(t, store.OpTransaction, store.Result{Revision: 60})
+	own := keyValue("c/m/n0", MemberRecord{Member: "n0", Incarnation: 7}, 60)
 	changes := []wire.Event{{Put: own.Key, Value: own.Value, Version: own.Version}}
-	e.answer(t, store.OpWatch, store.Result{Revision: 60, Events: changes})
-	e.now = e.now.Add(time.Millisecond)
-	e.membership.Tick(e.now)
+	h.respond(t, store.OpWatch, store.Result{Revision: 60, Events: changes})
+	h.now = h.now.Add(time.Millisecond)
+	h.membership.Tick(h.now)
 }
 
-// A lease is valid for a while from when its renewal was sent, and never after the state service
-// has answered that it does not exist.
+// Guards against acting under a lease that may have expired or that the key-value store has reported
+// as missing.
 func TestLeaseValid(t *testing.T) {
-	e := newEnvironment()
-	e.join(t)
-	start := e.now
-	validAfter := func(d time.Duration) bool { return e.membership.LeaseValid(start.Add(d)) }
+	h := newHarness()
+	h.join(t)
+	start := h.now
+	validAfter := func(d time.Duration) bool { return h.membership.LeaseValid(start.Add(d)) }
 	if !validAfter(0) || !validAfter(tuning.MemberLease/2) {
 		t.Error("a fresh lease is not valid")
 	}
 	if validAfter(tuning.MemberLease) || validAfter(tuning.MemberLease-tuning.LeaseSafetyMargin) {
 		t.Error("a lease that may have expired is valid")
 	}
-	e.now = start.Add(tuning.MemberRenewInterval)
-	e.membership.Tick(e.now)
-	e.answer(t, store.OpRenewLease, store.Result{Err: store.ErrUnavailable})
+	h.now = start.Add(tuning.MemberRenewInterval)
+	h.membership.Tick(h.now)
+	h.respond(t, store.OpRenewLease, store.Result{Err: store.ErrUnavailable})
 	if validAfter(tuning.MemberLease) {
-		t.Error("a refused renewal extends the lease")
+		t.Error("a failed renewal extends the lease")
 	}
-	e.now = start.Add(2 * tuning.MemberRenewInterval)
-	e.membership.Tick(e.now)
-	e.answer(t, store.OpRenewLease, store.Result{})
+	h.now = start.Add(2 * tuning.MemberRenewInterval)
+	h.membership.Tick(h.now)
+	h.respond(t, store.OpRenewLease, store.Result{})
 	if !validAfter(tuning.MemberLease) {
 		t.Error("a renewal does not extend the lease")
 	}
-	e.now = start.Add(4 * tuning.MemberRenewInterval)
-	e.membership.Tick(e.now)
-	e.answer(t, store.OpRenewLease, store.Result{Err: store.ErrNotFound})
-	if e.membership.LeaseValid(e.now) || e.membership.Incarnation() != 0 || len(e.membership.Terms()) != 0 {
-		t.Error("a lease that does not exist is still acted on")
+	h.now = start.Add(4 * tuning.MemberRenewInterval)
+	h.membership.Tick(h.now)
+	h.respond(t, store.OpRenewLease, store.Result{Err: store.ErrNotFound})
+	if h.membership.LeaseValid(h.now) || h.membership.Incarnation() != 0 || len(h.membership.Terms()) != 0 {
+		t.Error("a missing lease is still in use")
 	}
 }
 
-// Renewals go on while the answers to earlier ones are late, and a late answer counts from when
-// its renewal was sent: a leader short of processor time once waited for one answer until its
-// lease had expired.
-func TestLateRenewals(t *testing.T) {
-	e := newEnvironment()
-	e.join(t)
-	sent := e.now
-	e.now = e.now.Add(tuning.MemberRenewInterval)
+// Guards against losing the lease because the response to one renewal is late, and against extending it
+// from the time of the response instead of the request.
+func TestLateRenewalResponses(t *testing.T) {
+	h := newHarness()
+	h.join(t)
+	sent := h.now
+	h.now = h.now.Add(tuning.MemberRenewInterval)
 	renewals := func() (n int) {
-		for _, call := range e.calls {
+		for _, call := range h.calls {
 			if call.Op == store.OpRenewLease {
 				n++
 			}
@@ -120,22 +119,22 @@
 		return n
 	}
 	for i := range 4 {
-		e.membership.Tick(e.now)
+		h.membership.Tick(h.now)
 		if want := min(i+1, tuning.MaxRenewalsInFlight); renewals() != want {
-			t.Fatalf("%d renewals in flight after %v, want %d", renewals(), e.now.Sub(sent), want)
+			t.Fatalf("%d renewals in flight after %v, want %d", renewals(), h.now.Sub(sent), want)
 		}
-		e.now = e.now.Add(tuning.MemberRenewInterval)
+		h.now = h.now.Add(tuning.MemberRenewInterval)
 	}
-	// the second was sent 2 s after the grant and is answered first
-	at, reply := sent.Add(2*tuning.MemberRenewInterval), e.replies[len(e.replies)-2]
-	reply(e.now, store.Result{SentAt: at})
+	// The response to the second renewal, sent 2 s after the grant, arrives first.
+	at, reply := sent.Add(2*tuning.MemberRenewInterval), h.replies[len(h.replies)-2]
+	reply(h.now, store.Result{SentAt: at})
 	want := leaseDeadlineAfter(at)
-	if got := e.membership.LeaseDeadline(); !got.Equal(want) {
+	if got := h.membership.LeaseDeadline(); !got.Equal(want) {
 		t.Errorf("the lease is valid until %v after the renewal, want %v", got.Sub(at), want.Sub(at))
 	}
-	// an earlier one's answer does not shorten it
-	e.replies[len(e.replies)-3](e.now, store.Result{SentAt: sent.Add(tuning.MemberRenewInterval)})
-	if got := e.membership.LeaseDeadline(); !got.Equal(want) {
-		t.Errorf("an earlier answer moved the deadline to %v", got.Sub(at))
+	// The response to an earlier renewal must not shorten the lease.
+	h.replies[len(h.replies)-3](h.now, store.Result{SentAt: sent.Add(tuning.MemberRenewInterval)})
+	if got := h.membership.LeaseDeadline(); !got.Equal(want) {
+		t.Errorf("the response to an earlier renewal moved the deadline to %v", got.Sub(at))
 	}
 }
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -16,62 +16,62 @@
 	keyLeader     = "c/leader"
 	memberPrefix  = "c/m/"
 	shardPrefix   = "c/b/"
-	// keyFeatures is unknown to versions before 0.3, which ignore it.
+	// keyFeatures is ignored by versions before 0.3.
 	keyFeatures = "c/switches"
 )
 
-// MemberRecord is a live process. Its key is attached to the process's lease, so it disappears
-// when the lease expires.
+// MemberRecord registers a live process. Its key is attached to the process's lease and is deleted when
+// the lease expires.
 type MemberRecord struct {
 	Member      string
-	Incarnation uint64 `json:"Inc"`   // the process's lease, which identifies the process
+	Incarnation uint64 `json:"Inc"`   // ID of the process's lease
 	JoinedAtMs  int64  `json:"Since"` // ms since the Unix epoch, by the member's wall clock
-	// Features are the feature gates that the member announces; versions before 0.3 announce none.
+	// Features lists the feature gates that the member announces. Versions before 0.3 announce none.
 	Features []string `json:"Switches,omitempty"`
 }
 
-// LeaderRecord names the leader. Its key is attached to the leader's lease.
+// LeaderRecord identifies the leader. Its key is attached to the leader's lease.
 type LeaderRecord struct {
 	Member      string
 	Incarnation uint64 `json:"Inc"`
 }
 
-// ShardRecord is a shard's term. It is written when a term starts or is given up, and at no
-// other time, so its version identifies the term.
+// ShardRecord describes the current term of a shard. It is written only when a term starts or is
+// released, so the version of its key identifies the term.
 type ShardRecord struct {
-	Holder      string // the lease holder's member name, "" if the term was given up
+	Holder      string // member name of the lease holder, "" after a release
 	Incarnation uint64 `json:"Inc"`
 	Token       uint64 `json:"Baton"` // the term's fencing token
-	// PredecessorEnded: the previous lease holder's process had surely ended when this term
-	// started, so that process no longer renews any worker's lease.
+	// PredecessorEnded states that the previous lease holder could no longer renew any worker's lease
+	// when this term was assigned.
 	PredecessorEnded bool `json:"Ended"`
-	// Unreachable names the member that gave the shard up because the workers could not reach
-	// it, while they reached other members; "" if there is none.
+	// Unreachable names the member that released the shard because the workers could reach other
+	// members but not this one; "" if there is none.
 	Unreachable string `json:"Deaf,omitempty"`
-	// AssignedAtMs is when the term was assigned, in ms since the Unix epoch by the leader's
-	// wall clock; 0 if the leader ran a version that does not record it.
+	// AssignedAtMs is the time of the assignment, in ms since the Unix epoch by the leader's wall
+	// clock; 0 if the leader ran a version that does not record it.
 	AssignedAtMs int64 `json:"Since,omitempty"`
 }
 
-// FeaturesRecord lists the feature gates in force: those that every member announced when the
-// leader last compared them.
+// FeaturesRecord lists the feature gates in force: those that every member announced when the leader
+// last compared the member records.
 type FeaturesRecord struct {
 	InForce []string
 }
 
-// tokenRecord is the last fencing token that was given out.
+// tokenRecord holds the latest fencing token that was assigned to a term.
 type tokenRecord struct{ Last uint64 }
 
-// ShardKey is the key of a shard's record.
+// ShardKey returns the key of the record of a shard.
 func ShardKey(shard int) string { return fmt.Sprintf("%s%d", shardPrefix, shard) }
 
-// versioned is a record with the version of its key; version 0 means that there is none.
+// versioned is a record with the version of its key. Version 0 means that the key does not exist.
 type versioned[T any] struct {
 	value   T
 	version uint64
 }
 
-// controlRecords are the control records of membership and election as last read.
+// controlRecords holds the control records of membership and election as last read.
 type controlRecords struct {
 	members  map[string]versioned[MemberRecord]
 	shards   map[int]versioned[ShardRecord]
@@ -89,13 +89,13 @@
 	}
 }
 
-// isLive reports whether the process that a record names is still a member.
+// isLive reports whether the given incarnation of a member is still registered.
 func (c *controlRecords) isLive(member string, incarnation uint64) bool {
 	record, ok := c.members[member]
 	return ok && record.value.Incarnation == incarnation
 }
 
-// apply takes in a change of a key, and returns false for keys of other kinds.
+// apply updates the records with a change of a key. It returns false for keys of other packages.
 func (c *controlRecords) apply(key string, item wire.KeyValue, deleted bool) bool {
 	switch key {
 	case keyToken:
@@ -144,17 +144,17 @@
 		return
 	}
 	c.shards[shard] = record
-	c.log.Info("shard lease recorded", "shard", shard, "member", record.value.Holder, "term", record.value.Token)
+	c.log.Info("shard lease changed", "shard", shard, "member", record.value.Holder, "term", record.value.Token)
 }
 
-// decode reads a record; one that was deleted or cannot be read is returned as absent.
+// decode parses a record. It returns false if the record was deleted or is malformed.
 func decode[T any](log *slog.Logger, item wire.KeyValue, deleted bool) (versioned[T], bool) {
 	if deleted {
 		return versioned[T]{}, false
 	}
 	record := versioned[T]{version: item.Version}
 	if err := json.Unmarshal(item.Value, &record.value); err != nil {
-		log.Error("control record cannot be read", "key", item.Key, "error", err)
+		log.Error("failed to decode control record", "key", item.Key, "error", err)
 		return versioned[T]{}, false
 	}
 	return record, true
--- a/internal/leader/watermark.go
+++ b/internal/leader/watermark.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// CancellationWatermark is the last moment, on this process's clock, up to which a shard's lease
-// holder surely knows every cancellation that any controller has confirmed to a user. The holder
-// may renew a worker's lease only so far past the watermark that the tasks of a cancellation it
-// does not know of still stop in time.
+// CancellationWatermark is the latest time, on this process's clock, up to which a shard's lease holder
+// is guaranteed to know every cancellation that any controller has confirmed to a user. Renewals of
+// worker leases are limited to a bounded time past the watermark, so that tasks of an unknown
+// cancellation still stop within the cancellation deadline.
 //
-// The watermark advances in two ways: the holder has read everything that was written to the
-// state service up to a moment; or, where it cannot read, every peer has acknowledged that up to
-// a moment it confirmed no cancellation that the holder does not have. That the state service
-// answers nobody does not advance it: a cancellation may have been confirmed just before. The
-// watermark never goes back.
+// The watermark advances in two ways. Either the lease holder has read every write to the key-value
+// store up to some time. Or, without such reads, every peer has acknowledged that it confirmed no
+// cancellation unknown to the lease holder up to some time. An outage of the key-value store does not
+// advance the watermark by itself: a controller may have confirmed a cancellation just before it. The
+// watermark never moves backwards.
 type CancellationWatermark struct {
-	known time.Time // zero until something has been read
+	known time.Time // zero before the first read
 	peers map[string]acknowledgement
 }
 
-// acknowledgement is the newest statement of a peer. It covers the confirmations of one process
-// only; process is 0 if the peer has acknowledged nothing.
+// acknowledgement is the latest acknowledgement of a peer. It covers the confirmations of one process
+// only. process is 0 if the peer has acknowledged nothing.
 type acknowledgement struct {
 	process   uint64
-	startedAt time.Time // the process started at this time or earlier
-	until     time.Time // it had confirmed nothing unknown to the holder by then
+	startedAt time.Time // upper bound of the process's start time
+	until     time.Time // time up to which it confirmed nothing unknown to the lease holder
 }
 
-// NewCancellationWatermark makes the watermark of a lease holder with these peers, by member
-// name.
+// NewCancellationWatermark returns the watermark of a lease holder whose peers have the given member
+// names.
 func NewCancellationWatermark(peers []string) *CancellationWatermark {
 	w := &CancellationWatermark{peers: map[string]acknowledgement{}}
 	for _, peer := range peers {
@@ -35,17 +35,18 @@
 	return w
 }
 
-// AdvanceTo notes that everything written by a moment has been read and acted upon.
-func (w *CancellationWatermark) AdvanceTo(moment time.Time) {
-	if moment.After(w.known) {
-		w.known = moment
+// AdvanceTo advances the watermark to at, unless it is later already. The caller must have read and
+// applied every write to the key-value store up to at.
+func (w *CancellationWatermark) AdvanceTo(at time.Time) {
+	if at.After(w.known) {
+		w.known = at
 	}
 }
 
-// Acknowledge notes what a peer's process stated, after everything it passed on has been acted
-// upon: the process started at startedAt or earlier, and had by until confirmed no cancellation
-// that it has not passed on. Statements of members that are not peers, and of versions that give
-// no process (0), do not count.
+// Acknowledge records that a peer's process, started no later than startedAt, has forwarded every
+// cancellation that it confirmed up to until. The caller must have applied the forwarded cancellations.
+// Acknowledgements of members that are not peers are ignored, as are those of versions that send no
+// process ID (0).
 func (w *CancellationWatermark) Acknowledge(peer string, process uint64, startedAt, until time.Time) {
 	last, known := w.peers[peer]
 	if known && process != 0 && until.After(last.until) {
@@ -53,16 +54,16 @@
 	}
 }
 
-// At advances the watermark as far as the peers' acknowledgements allow, and returns it; zero if
-// nothing has been read yet.
+// At advances the watermark to the earliest acknowledgement of the peers and returns it. Without peers
+// it advances to now. It is zero before the first read.
 func (w *CancellationWatermark) At(now time.Time) time.Time {
 	if w.known.IsZero() {
 		return w.known
 	}
-	acknowledged := now // without peers, every cancellation is confirmed by this process
+	acknowledged := now // without peers, only this process confirms cancellations
 	for _, peer := range w.peers {
-		// A process that started after the watermark cannot speak for the one it replaced,
-		// which may have confirmed a cancellation between the two.
+		// The acknowledgement of a process that started after the watermark does not cover the
+		// process that it replaced, which may have confirmed a cancellation since the watermark.
 		if peer.process == 0 || peer.startedAt.After(w.known) {
 			return w.known
 		}
--- a/internal/leader/watermark_test.go
+++ b/internal/leader/watermark_test.go
@@ -5,79 +5,79 @@
 	"time"
 )
 
-// statement is what a peer acknowledges; times in seconds on the lease holder's clock.
-type statement struct {
+// peerAck is an acknowledgement of a peer. Times are in seconds on the lease holder's clock.
+type peerAck struct {
 	peer             string
 	process          uint64
 	startedAt, until float64
 }
 
 var watermarkCases = []struct {
-	name       string
-	peers      []string
-	read       float64 // everything written by then has been read; 0: nothing has
-	statements []statement
-	want       float64 // at 100 s
+	name  string
+	peers []string
+	read  float64 // time up to which writes have been read; 0: none
+	acks  []peerAck
+	want  float64 // watermark at 100 s
 }{
 	{
-		name:  "own reads alone",
+		name:  "reads only: watermark is the time of the read",
 		peers: []string{"a", "b"},
 		read:  10,
 		want:  10,
 	},
 	{
-		name:       "nothing read yet: nothing is known, whatever peers acknowledge",
-		peers:      []string{"a"},
-		statements: []statement{{peer: "a", process: 1, until: 20}},
-		want:       0,
+		name:  "no read: acknowledgements do not start the watermark",
+		peers: []string{"a"},
+		acks:  []peerAck{{peer: "a", process: 1, until: 20}},
+		want:  0,
 	},
 	{
-		name: "no peers: every cancellation is confirmed here",
+		name: "no peers: watermark is the current time",
 		read: 10,
 		want: 100,
 	},
 	{
-		name:  "all acknowledge: as far as the earliest statement",
+		name:  "all peers acknowledge: watermark is the earliest acknowledgement",
 		peers: []string{"a", "b"},
 		read:  10,
-		statements: []statement{
+		acks: []peerAck{
 			{peer: "a", process: 1, until: 30},
 			{peer: "b", process: 2, until: 20},
 		},
 		want: 20,
 	},
 	{
-		name:       "one peer acknowledges nothing",
-		peers:      []string{"a", "b"},
-		read:       10,
-		statements: []statement{{peer: "a", process: 1, until: 30}},
-		want:       10,
+		name:  "one peer without acknowledgement: no advance",
+		peers: []string{"a", "b"},
+		read:  10,
+		acks:  []peerAck{{peer: "a", process: 1, until: 30}},
+		want:  10,
 	},
 	{
-		name:  "one peer started after the watermark",
+		name:  "one peer started after the watermark: no advance",
 		peers: []string{"a", "b"},
 		read:  10,
-		statements: []statement{
+		acks: []peerAck{
 			{peer: "a", process: 1, until: 30},
 			{peer: "b", process: 2, startedAt: 11, until: 20},
 		},
 		want: 10,
 	},
 	{
-		name:  "one peer started before the watermark",
+		name:  "one peer started before the watermark: its acknowledgement counts",
 		peers: []string{"a", "b"},
 		read:  10,
-		statements: []statement{
+		acks: []peerAck{
 			{peer: "a", process: 1, until: 30},
 			{peer: "b", process: 2, startedAt: 9, until: 20},
 		},
 		want: 20,
 	},
 	{
-		name:  "one peer was restarted in the outage: it cannot speak for the process before it",
+		name:  "one peer restarted during the outage: its process does not cover the previous one",
 		peers: []string{"a", "b"},
 		read:  10,
-		statements: []statement{
+		acks: []peerAck{
 			{peer: "a", process: 1, until: 15},
 			{peer: "b", process: 2, until: 14},
 			{peer: "a", process: 1, until: 40},
@@ -86,50 +86,49 @@
 		want: 10,
 	},
 	{
-		name:  "an older statement after a newer one",
+		name:  "older acknowledgement after a newer one: ignored",
 		peers: []string{"a"},
 		read:  10,
-		statements: []statement{
+		acks: []peerAck{
 			{peer: "a", process: 1, until: 30},
 			{peer: "a", process: 1, until: 20},
 		},
 		want: 30,
 	},
 	{
-		name:  "a late statement of the process that was replaced",
+		name:  "delayed acknowledgement of a replaced process: ignored",
 		peers: []string{"a"},
 		read:  10,
-		statements: []statement{
+		acks: []peerAck{
 			{peer: "a", process: 2, startedAt: 12, until: 30},
 			{peer: "a", process: 1, until: 11},
 		},
 		want: 10,
 	},
 	{
-		name:       "a peer of a version that acknowledges nothing",
-		peers:      []string{"a"},
-		read:       10,
-		statements: []statement{{peer: "a", process: 0, until: 30}},
-		want:       10,
+		name:  "acknowledgement without process ID: ignored",
+		peers: []string{"a"},
+		read:  10,
+		acks:  []peerAck{{peer: "a", process: 0, until: 30}},
+		want:  10,
 	},
 	{
-		name:       "a statement of no peer",
-		peers:      []string{"a"},
-		read:       10,
-		statements: []statement{{peer: "x", process: 1, until: 30}},
-		want:       10,
+		name:  "acknowledgement of a member that is no peer: ignored",
+		peers: []string{"a"},
+		read:  10,
+		acks:  []peerAck{{peer: "x", process: 1, until: 30}},
+		want:  10,
 	},
 	{
-		name:       "a statement from before the last read only",
-		peers:      []string{"a"},
-		read:       10,
-		statements: []statement{{peer: "a", process: 1, until: 7}},
-		want:       10,
+		name:  "acknowledgement older than the last read: no step back",
+		peers: []string{"a"},
+		read:  10,
+		acks:  []peerAck{{peer: "a", process: 1, until: 7}},
+		want:  10,
 	},
 }
 
-// The watermark advances by own reads and by what all peers acknowledge, each for its own process
-// only.
+// Guards against a watermark past a cancellation that the lease holder may not know.
 func TestCancellationWatermark(t *testing.T) {
 	base := time.Unix(1000, 0)
 	at := func(s float64) time.Time {
@@ -142,8 +141,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			w := NewCancellationWatermark(c.peers)
 			w.AdvanceTo(at(c.read))
-			for _, s := range c.statements {
-				w.Acknowledge(s.peer, s.process, at(s.startedAt), at(s.until))
+			for _, ack := range c.acks {
+				w.Acknowledge(ack.peer, ack.process, at(ack.startedAt), at(ack.until))
 			}
 			if got := w.At(at(100)); !got.Equal(at(c.want)) {
 				t.Errorf("watermark %v, want %v", got.Sub(base), at(c.want).Sub(base))
