--- a/internal/term/cancellations.go
+++ b/internal/term/cancellations.go
@@ -9,31 +9,31 @@
 	"juniperchute/internal/tuning"
 )
 
-// cancellations is what a shard's lease holder knows of cancelled jobs, and up to when it
-// knows of all of them.
+// cancellations tracks the cancelled jobs that a shard's lease holder knows, and the time up to which it
+// knows all of them.
 type cancellations struct {
 	watermark *leader.CancellationWatermark
-	// known are cancellations that controllers have confirmed to users: what is read of these
-	// jobs as open is old.
-	known   map[string]time.Time
-	keepFor time.Duration // past it a cancelled job's tasks have ended
+	// known maps the IDs of jobs with a confirmed cancellation to the time at which this term learned
+	// of it. An open-job record that is read for one of them is stale.
+	known     map[string]time.Time
+	retention time.Duration // all tasks of a cancelled job have stopped after it
 }
 
 func newCancellations(peers []string, workers config.Workers) *cancellations {
 	return &cancellations{
 		watermark: leader.NewCancellationWatermark(peers),
 		known:     map[string]time.Time{},
-		keepFor:   config.Seconds(workers.CancelS) * tuning.CancellationRetentionFactor,
+		retention: config.Seconds(workers.CancelS) * tuning.CancellationRetentionFactor,
 	}
 }
 
-// add records a cancellation and reports whether it is news.
+// add records a cancellation and reports whether it was unknown before.
 func (c *cancellations) add(now time.Time, id string) bool {
 	if c.contains(id) {
 		return false
 	}
 	if len(c.known) >= tuning.MinCancellationsKept {
-		maps.DeleteFunc(c.known, func(_ string, at time.Time) bool { return now.Sub(at) > c.keepFor })
+		maps.DeleteFunc(c.known, func(_ string, at time.Time) bool { return now.Sub(at) > c.retention })
 	}
 	c.known[id] = now
 	return true
@@ -44,18 +44,17 @@
 	return known
 }
 
-// renewalBound is how long past its cancellation watermark a lease holder goes on renewing
-// workers: what it cannot know to be cancelled must have ended in time.
-func (t *Term) renewalBound() time.Duration {
+// maxRenewalPastWatermark bounds the time past the cancellation watermark in which the lease holder
+// renews worker leases. Tasks of a cancellation that it does not know must still stop within cancel_s.
+func (t *Term) maxRenewalPastWatermark() time.Duration {
 	cancelWithin := config.Seconds(t.options.Platform.Workers.CancelS)
 	bound := cancelWithin - t.workers.LeaseExpiry() - tuning.CancellationRenewMargin
 	return max(tuning.MinRenewBeyondWatermark, bound)
 }
 
-// CancellationWatermark is the cancellation watermark: the moment up to which this lease
-// holder surely knows every cancellation that any controller has confirmed. A controller that
-// reads jobs but not the control records might read on after its shard is another's: the
-// older of the two counts.
+// CancellationWatermark returns the time up to which this lease holder is guaranteed to know every
+// cancellation that any controller has confirmed. Reads of the open jobs advance it only as far as the
+// control records have been read: without the latter, the shard may belong to another process already.
 func (t *Term) CancellationWatermark(now time.Time) time.Time {
 	read := t.options.OpenJobs.CurrentAsOf()
 	if control := t.options.Membership.CurrentAsOf(); control.Before(read) {
@@ -65,19 +64,18 @@
 	return t.cancellations.watermark.At(now)
 }
 
-// AcknowledgeCancellations takes note that a peer's process, which started no later than
-// startedAt, had confirmed by until no cancellation that this term does not know. It counts
-// for nothing while the records are being read: what a peer passes on cannot be stopped yet.
+// AcknowledgeCancellations records that a peer's process, started no later than startedAt, confirmed no
+// cancellation unknown to this term up to until. It is ignored while the term is loading, because the
+// cancellations that a peer forwards cannot be applied before the jobs are loaded.
 func (t *Term) AcknowledgeCancellations(peer string, process uint64, startedAt, until time.Time) {
 	if t.state != Loading {
 		t.cancellations.watermark.Acknowledge(peer, process, startedAt, until)
 	}
 }
 
-// CancelJob applies a cancellation that a controller has confirmed to a user. The state
-// service may not show it for long, so it counts before it is read there. What is read later
-// may be older: the answer of a slow service, or the jobs as they were when this term began.
-// The job is not scheduled then.
+// CancelJob applies a cancellation that a controller has confirmed to a user. It takes effect before the
+// key-value store shows it, which may take long. Stale reads of the job that arrive later do not
+// reopen it.
 func (t *Term) CancelJob(now time.Time, id string) {
 	if !t.Live() || !t.cancellations.add(now, id) {
 		return
@@ -85,11 +83,11 @@
 	t.openJobDeleted(now, id)
 }
 
-// closeJob ends a job, done or cancelled.
+// closeJob removes a completed or cancelled job from the scheduler and from the records of the term.
 func (t *Term) closeJob(now time.Time, id string) {
-	// Not known before, so not confirmed before the watermark.
+	// The cancellation was unknown until now, so it was not confirmed before the watermark.
 	stoppedBy := t.cancellations.watermark.At(now).Add(config.Seconds(t.options.Platform.Workers.CancelS))
 	t.scheduler.CloseJob(now, id, stoppedBy)
-	t.completions.forget(id)
+	t.completions.deleteJob(id)
 	t.startMarkers.Delete(id)
 }
--- a/internal/term/commands.go
+++ b/internal/term/commands.go
@@ -9,8 +9,8 @@
 	"juniperchute/internal/worker"
 )
 
-// sendCommands sends commands straight to a worker. Without any it only asks for the worker's
-// state, which shows that the worker has seen this term's token.
+// sendCommands sends commands directly to a worker instead of with the next heartbeat response. An empty
+// list queries the worker's state and proves that the worker has seen this term's token.
 func (t *Term) sendCommands(machine *worker.Machine, commands []wire.Command) {
 	incarnation := machine.Incarnation
 	if incarnation == 0 {
@@ -28,7 +28,7 @@
 		})
 }
 
-// handleCommandResult takes in what came of commands sent straight to a worker.
+// handleCommandResult processes the response to direct commands, or their failure.
 func (t *Term) handleCommandResult(now time.Time, machine *worker.Machine, sent wire.DirectCommands,
 	heartbeat *wire.Heartbeat, err error) {
 	if errors.Is(err, ErrDeadlinePassed) {
@@ -36,7 +36,7 @@
 		return
 	}
 	if err != nil || heartbeat.Host != machine.Host {
-		// They may be executed late, as long as the worker's incarnation lasts.
+		// The worker may still execute the commands while its incarnation lasts.
 		if machine.Incarnation == sent.Incarnation && len(sent.Commands) > 0 {
 			machine.UnansweredCommands++
 		}
@@ -47,26 +47,26 @@
 	case heartbeat.Token > t.Token:
 		t.End(now, "a machine has seen a higher token")
 	case heartbeat.Token < t.Token:
-		// rejected for its incarnation, which is known now
+		// The worker rejected the incarnation; its response contains the current one.
 		t.fencing.incarnations[machine.Host] = heartbeat.Incarnation
-		t.fencing.askAt[machine.Host] = now
+		t.fencing.queryAt[machine.Host] = now
 	default:
 		t.applyHeartbeat(now, machine, heartbeat, worker.FromCommandReply)
 		t.schedule(now)
 	}
 }
 
-// schedule makes a scheduling pass, and sends at once what should not wait for a heartbeat.
+// schedule runs a scheduling pass and sends the urgent commands that result from it.
 func (t *Term) schedule(now time.Time) {
 	if t.state == Loading || !t.Live() || !t.options.Membership.LeaseValid(now) {
 		return
 	}
 	t.scheduler.Schedule(now)
-	t.sendUrgent(now)
+	t.sendUrgentCommands(now)
 }
 
-// sendUrgent sends what should not wait for a heartbeat.
-func (t *Term) sendUrgent(now time.Time) {
+// sendUrgentCommands sends the commands that must not wait for a worker's next heartbeat.
+func (t *Term) sendUrgentCommands(now time.Time) {
 	if t.state == Loading || !t.Live() {
 		return
 	}
--- a/internal/term/completion_bitmaps.go
+++ b/internal/term/completion_bitmaps.go
@@ -14,29 +14,28 @@
 	"juniperchute/internal/wire"
 )
 
-// completionBitmaps keeps which tasks of open jobs have completed, in chunks of a job's
-// tasks, many to a page.
+// completionBitmaps stores bitmaps of the completed tasks of open jobs. Each entry covers a range of one
+// job's tasks, and a page of the key-value store holds many entries.
 //
-// What a key means is shared with earlier versions: JOB/N holds the Nth chunk of a size
-// that follows from the present limit for a value. Where a chunk is more than the service
-// will take after its limits fall, parts of it are kept instead, as JOB/@FIRST, by the
-// number of their first task: they mean the same under any limit. An earlier version drops
-// those, and has such jobs' completed tasks, a page's worth and more, run once more: their
-// results are kept, so they end as soon as they have their image.
+// The keys are compatible with earlier versions. JOB/N is the Nth chunk of a size that follows from the
+// current value size limit. A chunk that exceeds the limit for an entry is stored as several parts,
+// JOB/@FIRST, where FIRST is the number of the first task and independent of any limit. Earlier versions
+// discard parts and run the completed tasks of such jobs again after a rollback; each of these ends once
+// its image is pulled, as its results are kept.
 type completionBitmaps struct {
 	pages      *store.Pages
-	chunkTasks int                          // tasks, as earlier versions count them
-	entryTasks int                          // tasks that one entry may hold
-	entries    map[string]map[string][]byte // by job and key, as last put or read
+	chunkTasks int                          // tasks per chunk
+	entryTasks int                          // maximum tasks per entry
+	entries    map[string]map[string][]byte // bitmaps by job and key, as last written or read
 }
 
-// bitmapKey names an entry of a job's bitmaps.
+// bitmapKey identifies an entry of a job's bitmaps.
 type bitmapKey struct {
 	job, key string
-	first    int // the entry's first task
+	first    int // number of the entry's first task
 }
 
-// newCompletionBitmaps makes an empty record; valueKB is the present limit for a value.
+// newCompletionBitmaps returns bitmaps without entries. valueKB is the current value size limit, in KiB.
 func newCompletionBitmaps(pages *store.Pages, valueKB float64) *completionBitmaps {
 	b := &completionBitmaps{
 		pages:      pages,
@@ -48,38 +47,39 @@
 	return b
 }
 
-// tasksPerEntry is how many tasks an entry may hold that takes a page's size at most. Base64
-// takes four bytes for three.
+// tasksPerEntry returns the maximum number of tasks in an entry of at most size bytes. Base64 encodes
+// three bytes as four.
 func tasksPerEntry(size int) int { return max(1, (size-tuning.CompletionNameBytes)*3/4) * 8 }
 
-// completionPrefix is the key prefix of the pages of a shard's completion bitmaps.
+// completionPrefix returns the key prefix of the pages of a shard's completion bitmaps.
 func completionPrefix(shard int) string { return "t/" + strconv.Itoa(shard) + "/" }
 
-// bitmapRange is a range of a job's tasks that one entry holds.
-type bitmapRange struct {
+// entryRange is the range of a job's tasks that one entry covers.
+type entryRange struct {
 	key         string
-	first, next int // the range is first to next-1
+	first, next int // first task, and the task after the last one
 }
 
-// layout lists the entries that hold a job's tasks: each chunk whole where it fits, as
-// earlier versions keep it, otherwise in parts.
-func (b *completionBitmaps) layout(job string, tasks int) (out []bitmapRange) {
+// layout returns the entries that cover a job's tasks. A chunk is one entry if it fits, in the format of
+// earlier versions, and is split into parts otherwise.
+func (b *completionBitmaps) layout(job string, tasks int) (out []entryRange) {
 	for first := 0; first < tasks; first += b.chunkTasks {
 		next := min(first+b.chunkTasks, tasks)
 		if next-first <= b.entryTasks {
-			out = append(out, bitmapRange{job + "/" + strconv.Itoa(first/b.chunkTasks), first, next})
+			out = append(out, entryRange{job + "/" + strconv.Itoa(first/b.chunkTasks), first, next})
 			continue
 		}
 		for at := first; at < next; at += b.entryTasks {
-			out = append(out, bitmapRange{partKey(job, at), at, min(at+b.entryTasks, next)})
+			out = append(out, entryRange{partKey(job, at), at, min(at+b.entryTasks, next)})
 		}
 	}
 	return out
 }
 
+// partKey returns the key of the part that starts at task first.
 func partKey(job string, first int) string { return job + "/@" + strconv.Itoa(first) }
 
-// firstTask is the first task of the entry with a key.
+// firstTask parses the last element of an entry's key and returns the number of the entry's first task.
 func (b *completionBitmaps) firstTask(part string) (int, bool) {
 	if at, ok := strings.CutPrefix(part, "@"); ok {
 		n, err := strconv.Atoi(at)
@@ -89,21 +89,21 @@
 	return n * b.chunkTasks, err == nil && n >= 0 && n <= wire.MaxTasksPerJob
 }
 
-// put writes an entry to its page; then is called once it is durable.
-func (b *completionBitmaps) put(k bitmapKey, bits []byte, then func(now time.Time)) {
-	b.remember(k, bits)
-	b.pages.Put(k.key, bits, then)
+// put writes an entry to its page and calls done once the entry is durable.
+func (b *completionBitmaps) put(k bitmapKey, bits []byte, done func(now time.Time)) {
+	b.cacheEntry(k, bits)
+	b.pages.Put(k.key, bits, done)
 }
 
-func (b *completionBitmaps) remember(k bitmapKey, bits []byte) {
+func (b *completionBitmaps) cacheEntry(k bitmapKey, bits []byte) {
 	if b.entries[k.job] == nil {
 		b.entries[k.job] = map[string][]byte{}
 	}
 	b.entries[k.job][k.key] = bits
 }
 
-// load recovers what an earlier term wrote; openJob finds an open job. Entries of jobs that
-// have ended are deleted.
+// load restores the completions that earlier terms wrote. openJob returns an open job, or nil. Malformed
+// entries and entries of jobs that are not open are deleted.
 func (b *completionBitmaps) load(pages []wire.KeyValue, openJob func(id string) *placement.Job) {
 	b.pages.Load(pages, func(key string, raw json.RawMessage) {
 		id, part, _ := strings.Cut(key, "/")
@@ -114,25 +114,25 @@
 			b.pages.Delete(key)
 			return
 		}
-		b.remember(bitmapKey{id, key, first}, bits)
-		recoverTasks(job, first, bits)
+		b.cacheEntry(bitmapKey{id, key, first}, bits)
+		restoreCompletions(job, first, bits)
 	})
 	b.splitLargeEntries()
 }
 
-// recoverTasks marks the tasks as durably completed whose bits are set.
-func recoverTasks(job *placement.Job, first int, bits []byte) {
-	for i, octet := range bits {
+// restoreCompletions marks the tasks whose bits are set as durably completed.
+func restoreCompletions(job *placement.Job, first int, bits []byte) {
+	for i, value := range bits {
 		for bit := range 8 {
-			if octet&(1<<bit) != 0 {
+			if value&(1<<bit) != 0 {
 				job.RestoreCompleted(first + i*8 + bit)
 			}
 		}
 	}
 }
 
-// splitLargeEntries divides entries that are larger than a page may be. The size of pages may
-// have become smaller because the service rejected one.
+// splitLargeEntries splits entries that exceed the current page size, which shrinks when the key-value
+// store rejects a page as too large.
 func (b *completionBitmaps) splitLargeEntries() {
 	b.entryTasks = tasksPerEntry(b.pages.MaxEntryBytes())
 	var large []bitmapKey
@@ -150,13 +150,13 @@
 	}
 }
 
-// splitEntry divides an entry into parts. It stays as it is until the parts after the first
-// are durable: a successor may read a task twice, and never not at all.
+// splitEntry splits an entry into parts. The entry is trimmed only after all other parts are durable, so
+// that a successor may read a completion twice but never misses one.
 func (b *completionBitmaps) splitEntry(k bitmapKey, bits []byte) {
 	step := b.entryTasks / 8
-	left := 1
+	pending := 1
 	durable := func(time.Time) {
-		if left--; left == 0 {
+		if pending--; pending == 0 {
 			b.trimEntry(k, step)
 		}
 	}
@@ -164,17 +164,17 @@
 		first := k.first + at*8
 		part := bitmapKey{k.job, partKey(k.job, first), first}
 		if part.key != k.key {
-			left++
+			pending++
 			b.put(part, bits[at:min(len(bits), at+step)], durable)
 		}
 	}
 	durable(time.Time{})
 }
 
-// trimEntry removes what other entries hold by now from an entry: all of it, or all but the
-// first part where that has the same key.
+// trimEntry removes the tasks that other parts cover from a split entry. It deletes the entry, or
+// truncates it to the first part if that has the same key.
 func (b *completionBitmaps) trimEntry(k bitmapKey, step int) {
-	bits, open := b.entries[k.job][k.key] // newer completions may have been added
+	bits, open := b.entries[k.job][k.key] // may include completions added since the split
 	switch {
 	case !open:
 	case k.key != partKey(k.job, k.first):
@@ -185,7 +185,7 @@
 	}
 }
 
-// save records a job's completions; openJob finds the job again once they are durable.
+// save writes a job's new completions. openJob returns the job, or nil, once they are durable.
 func (b *completionBitmaps) save(job *placement.Job, openJob func(id string) *placement.Job) {
 	id := job.Spec.ID
 	for _, entry := range b.layout(id, job.Spec.Tasks) {
@@ -203,8 +203,8 @@
 	}
 }
 
-// forget removes a job that has ended.
-func (b *completionBitmaps) forget(id string) {
+// deleteJob deletes the entries of a closed job.
+func (b *completionBitmaps) deleteJob(id string) {
 	for key := range b.entries[id] {
 		b.pages.Delete(key)
 	}
--- a/internal/term/completion_bitmaps_limits_test.go
+++ b/internal/term/completion_bitmaps_limits_test.go
@@ -10,44 +10,43 @@
 	"juniperchute/internal/wire"
 )
 
-// storedBitmapCase is a job whose completions an earlier version has written, in entries
-// that may be larger than the upcoming limit.
+// storedBitmapCase is a job whose completions an earlier version wrote, in entries that may exceed the
+// lowered value size limit.
 type storedBitmapCase struct {
 	name       string
 	tasks      int
-	entries    int  // by which its completions are kept in the end
-	firstStays bool // the first of them is the one that was there
+	entries    int  // number of stored entries after the rewrite
+	keepsFirst bool // the entry of the earlier version remains
 }
 
 var storedBitmapCases = []storedBitmapCase{
 	{
-		name:       "a usual job",
+		name:       "small job: entry kept",
 		tasks:      300,
 		entries:    1,
-		firstStays: true,
+		keepsFirst: true,
 	},
 	{
-		name:       "one that fills the entry",
+		name:       "largest job that fits one entry: entry kept",
 		tasks:      10000,
 		entries:    1,
-		firstStays: true,
+		keepsFirst: true,
 	},
 	{
-		name:    "two parts",
+		name:    "larger job: split in two",
 		tasks:   16384,
 		entries: 2,
 	},
 	{
-		name:    "the largest",
+		name:    "largest allowed job: split in 13",
 		tasks:   wire.MaxTasksPerJob,
 		entries: 13,
 	},
 }
 
-// Completion bitmaps of jobs with more tasks than one entry may hold under the limits to
-// come: what an earlier version left is read, made smaller when it is rewritten, and never
-// lost; small jobs' entries are what they always were.
-func TestCompletionBitmapsUnderLowerLimits(t *testing.T) {
+// Guards against losing completions of an earlier version when the value size limit falls, and against
+// rewriting entries that still fit.
+func TestStoredBitmapsUnderLoweredLimit(t *testing.T) {
 	for _, c := range storedBitmapCases {
 		t.Run(c.name, c.run)
 	}
@@ -56,37 +55,37 @@
 func (c storedBitmapCase) run(t *testing.T) {
 	const rounds = 8
 	id := fmt.Sprintf("job-%d", c.tasks)
-	s := newBitmapStore(t, upcomingKB*1024)
+	s := newBitmapStore(t, loweredLimitKB*1024)
 	s.revision = 100
 	completed := s.storeEarlierVersion(id, c.tasks)
-	for round := range 2 { // and what was written is read again
+	for round := range 2 { // the second round reads what the first one wrote
 		loaded := s.newTerm(id, c.tasks)
 		loaded.writePages(rounds)
 		c.checkCompletions(t, loaded, completed, round)
 	}
 	entries := s.storedEntries()
-	if len(entries) != c.entries || c.firstStays != slices.Contains(entries, id+"/0") {
-		t.Errorf("kept as %d entries: %v", len(entries), entries)
+	if len(entries) != c.entries || c.keepsFirst != slices.Contains(entries, id+"/0") {
+		t.Errorf("stored as %d entries: %v", len(entries), entries)
 	}
 	last := s.newTerm(id, c.tasks)
 	last.writePages(rounds)
-	last.bitmaps.forget(id)
+	last.bitmaps.deleteJob(id)
 	last.bitmaps.pages.Tick(s.now)
 	s.now = s.now.Add(tuning.PageRemovalInterval)
 	last.bitmaps.pages.Tick(s.now)
 	if len(s.keys) != 0 {
-		t.Errorf("%d pages are left of a job that is over", len(s.keys))
+		t.Errorf("%d pages are left of a deleted job", len(s.keys))
 	}
 	for value := range s.refused {
-		t.Errorf("%.30s is written with more than %v KB", value, upcomingKB)
+		t.Errorf("%.30s exceeds the limit of %v KB", value, loweredLimitKB)
 	}
 }
 
-// storeEarlierVersion stores the bitmaps of a job as the version in production writes
-// them, with every seventh task completed, and returns which tasks are.
+// storeEarlierVersion stores the bitmaps of a job in the format of earlier versions, with every seventh
+// task completed. It returns the completed tasks.
 func (s *bitmapStore) storeEarlierVersion(id string, tasks int) map[int]bool {
 	const nth = 7
-	const chunk = int(presentKB*1024) * tuning.CompletionBitsPerByte
+	const chunk = int(currentLimitKB*1024) * tuning.CompletionBitsPerByte
 	completed := map[int]bool{}
 	for first := 0; first < tasks; first += chunk {
 		bits := make([]byte, (min(chunk, tasks-first)+7)/8)
@@ -104,8 +103,8 @@
 	return completed
 }
 
-// checkCompletions checks that a term knows exactly the completions that were stored, and
-// that all of them are durable.
+// checkCompletions checks that a term has loaded exactly the stored completions, and that all of them are
+// durable.
 func (c storedBitmapCase) checkCompletions(t *testing.T, loaded *bitmapTerm, completed map[int]bool, round int) {
 	t.Helper()
 	unsaved, bits := loaded.job.UnsavedCompletions(0, c.tasks)
--- a/internal/term/completion_bitmaps_test.go
+++ b/internal/term/completion_bitmaps_test.go
@@ -17,20 +17,20 @@
 	"juniperchute/internal/worker"
 )
 
-// Limits for a stored value in the tests of completion bitmaps.
+// Value size limits in the tests of completion bitmaps, in KiB.
 const (
-	presentKB  = 8.0
-	upcomingKB = 2.0
+	currentLimitKB = 8.0
+	loweredLimitKB = 2.0
 )
 
-// bitmapStore keeps the pages of completion bitmaps and refuses values above a limit.
+// bitmapStore is a fake key-value store for pages of completion bitmaps. It rejects values above a limit.
 type bitmapStore struct {
 	t        *testing.T
 	now      time.Time
-	limit    int // for a value, bytes
+	limit    int // for a value, in bytes
 	keys     map[string]wire.KeyValue
 	revision uint64
-	refused  map[string]int // by key and value
+	refused  map[string]int // rejected writes by key and value
 }
 
 func newBitmapStore(t *testing.T, limit int) *bitmapStore {
@@ -44,11 +44,11 @@
 }
 
 // call executes a transaction.
-func (s *bitmapStore) call(c store.Call, then func(time.Time, store.Result)) {
+func (s *bitmapStore) call(c store.Call, done func(time.Time, store.Result)) {
 	for _, w := range c.Transaction.Writes {
 		if len(w.Value) > s.limit {
 			s.refused[w.Put+string(w.Value)]++
-			then(s.now, store.Result{Err: store.ErrInvalid})
+			done(s.now, store.Result{Err: store.ErrInvalid})
 			return
 		}
 	}
@@ -59,16 +59,16 @@
 			s.keys[w.Put] = wire.KeyValue{Key: w.Put, Value: w.Value, Version: s.revision}
 		}
 	}
-	then(s.now, store.Result{Revision: s.revision})
+	done(s.now, store.Result{Revision: s.revision})
 }
 
-// storedEntries are the stored entries' names.
+// storedEntries returns the sorted keys of the entries in all pages.
 func (s *bitmapStore) storedEntries() []string {
 	all := map[string]bool{}
 	for _, kv := range s.keys {
 		page := map[string]json.RawMessage{}
 		if json.Unmarshal(kv.Value, &page) != nil {
-			s.t.Errorf("%s cannot be read", kv.Key)
+			s.t.Errorf("%s is malformed", kv.Key)
 		}
 		for name := range page {
 			all[name] = true
@@ -77,7 +77,7 @@
 	return slices.Sorted(maps.Keys(all))
 }
 
-// bitmapTerm is what a term keeps of one job's completions.
+// bitmapTerm is the part of a term that stores the completions of one job.
 type bitmapTerm struct {
 	store     *bitmapStore
 	bitmaps   *completionBitmaps
@@ -85,25 +85,25 @@
 	job       *placement.Job
 }
 
-// newTerm starts a term that reads what is stored of a job's completions.
+// newTerm returns a term that has loaded the stored completions of a job.
 func (s *bitmapStore) newTerm(id string, tasks int) *bitmapTerm {
 	scheduler, job := singleJobScheduler(wire.JobSpec{ID: id, Shape: wire.ShapeBatch, Tasks: tasks})
 	pages := store.NewPages(store.PagesOptions{
 		Prefix:        "t/0/",
-		ValueKB:       upcomingKB,
+		ValueKB:       loweredLimitKB,
 		WriteInterval: time.Second,
 		Priority:      store.PriorityCompletion,
 		TermCompare:   store.VersionEquals("c/b/0", 1),
 		StateCall:     s.call,
 		Log:           discardLogger(),
-		OnTermLost:    func(time.Time) { s.t.Error("lost") },
+		OnTermLost:    func(time.Time) { s.t.Error("term lost") },
 	})
-	bitmaps := newCompletionBitmaps(pages, presentKB)
+	bitmaps := newCompletionBitmaps(pages, currentLimitKB)
 	bitmaps.load(slices.Collect(maps.Values(s.keys)), scheduler.OpenJob)
 	return &bitmapTerm{store: s, bitmaps: bitmaps, scheduler: scheduler, job: job}
 }
 
-// writePages lets the term write what is due.
+// writePages writes the pages that are due in each of several rounds.
 func (t *bitmapTerm) writePages(rounds int) {
 	for range rounds {
 		t.store.now = t.store.now.Add(2 * time.Second)
@@ -111,10 +111,9 @@
 	}
 }
 
-// discardLogger logs to nowhere.
 func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// completeEveryNth has a machine report that every nth task of a job has completed.
+// completeEveryNth applies a heartbeat in which every nth task of a job has completed.
 func completeEveryNth(scheduler *placement.Scheduler, j *placement.Job, nth int) {
 	m := &worker.Machine{
 		Identity:   worker.Identity{Host: "i-1"},
@@ -132,7 +131,7 @@
 	scheduler.ReconcileHeartbeat(time.Unix(0, 0), m, worker.HeartbeatCurrent, worker.FromHeartbeat)
 }
 
-// singleJobScheduler is a scheduler with one job.
+// singleJobScheduler returns a scheduler with one job.
 func singleJobScheduler(spec wire.JobSpec) (*placement.Scheduler, *placement.Job) {
 	platform := fakes.DeploymentConfig([]string{"a"}, nil, 1.5, 10)
 	workers := worker.NewRegistry(platform.Workers, discardLogger())
@@ -149,51 +148,50 @@
 	return scheduler, scheduler.AddJob(time.Unix(0, 0), spec, time.Unix(0, 0), 1, true)
 }
 
-// bitmapCase is a job and the entries that its completions are written as.
+// bitmapCase is a job with the keys of the entries in which its completions are stored.
 type bitmapCase struct {
 	name    string
 	tasks   int
-	limit   int // of the state service for a value, bytes
+	limit   int // value size limit of the key-value store, in bytes
 	entries []string
 }
 
 var bitmapCases = []bitmapCase{
 	{
-		name:    "a usual job",
+		name:    "small job: one chunk",
 		tasks:   300,
 		limit:   2048,
 		entries: []string{"job-1/0"},
 	},
 	{
-		name:    "the largest that fits an entry",
+		name:    "largest job that fits one entry: one chunk",
 		tasks:   10056,
 		limit:   2048,
 		entries: []string{"job-1/0"},
 	},
 	{
-		name:    "a larger one",
+		name:    "larger job: two parts",
 		tasks:   12000,
 		limit:   2048,
 		entries: []string{"job-1/@0", "job-1/@10056"},
 	},
 	{
-		name:    "an earlier version's second chunk fits",
+		name:    "two chunks, the second fits: parts and a chunk",
 		tasks:   16384 + 100,
 		limit:   2048,
 		entries: []string{"job-1/1", "job-1/@0", "job-1/@10056"},
 	},
 	{
-		name:    "a limit that nobody announced",
+		name:    "limit lower than configured: three parts",
 		tasks:   10056,
 		limit:   1024,
 		entries: []string{"job-1/@0", "job-1/@4680", "job-1/@9360"},
 	},
 }
 
-// What the completions of jobs are written as where the limits to come are smaller than
-// the present ones: as earlier versions read them wherever that fits, so that a rollback
-// repeats no work; and in smaller entries where the service refuses even those.
-func TestCompletionBitmapsWritten(t *testing.T) {
+// Guards against entries that earlier versions cannot read although they would fit, which would repeat
+// work after a rollback, and against entries that the key-value store rejects as too large.
+func TestWrittenBitmapEntries(t *testing.T) {
 	for _, c := range bitmapCases {
 		t.Run(c.name, c.run)
 	}
@@ -210,18 +208,18 @@
 		t.Errorf("%d completions are not durable", len(unsaved))
 	}
 	if got := s.storedEntries(); !slices.Equal(got, c.entries) {
-		t.Errorf("written as %v, want %v", got, c.entries)
+		t.Errorf("stored as %v, want %v", got, c.entries)
 	}
 	for value, n := range s.refused {
 		if n > 1 {
-			t.Errorf("%.30s refused %d times", value, n)
+			t.Errorf("%.30s rejected %d times", value, n)
 		}
 	}
 	second := s.newTerm("job-1", c.tasks)
 	if want := (c.tasks + nth - 1) / nth; second.job.CompletedTasks() != want {
-		t.Errorf("%d completions are found, want %d", second.job.CompletedTasks(), want)
+		t.Errorf("%d completions loaded, want %d", second.job.CompletedTasks(), want)
 	}
-	second.bitmaps.forget("job-1")
+	second.bitmaps.deleteJob("job-1")
 	second.writePages(rounds)
 	if len(s.keys) != 0 {
 		t.Errorf("%d pages are left", len(s.keys))
--- a/internal/term/completions.go
+++ b/internal/term/completions.go
@@ -15,10 +15,10 @@
 	"juniperchute/internal/wire"
 )
 
-// completionOptions are what the record of completions needs of its term.
+// completionOptions holds the dependencies of jobCompletions on its term.
 type completionOptions struct {
 	bitmaps     *completionBitmaps
-	openJob     func(id string) *placement.Job // nil: the job is not open
+	openJob     func(id string) *placement.Job // nil if the job is not open
 	closeJob    func(now time.Time, id string)
 	stateCall   store.Caller
 	termCompare wire.Compare
@@ -27,15 +27,15 @@
 	log         *slog.Logger
 }
 
-// jobCompletions records what has become of a shard's jobs: which tasks have completed, in
-// batches, and the end of each job.
+// jobCompletions writes the completions of a shard's tasks, in batches, and the end record of each
+// completed job.
 type jobCompletions struct {
 	completionOptions
-	flushAt      time.Time                 // when the next batch is written
-	unsavedJobs  map[string]*placement.Job // with completions that are not recorded
-	completedAt  map[string]time.Time      // when the last task of a job completed
-	endsInFlight map[string]bool           // jobs whose end is being written
-	retryAt      map[string]time.Time      // after a failed write of an end
+	flushAt         time.Time                 // earliest time of the next batch
+	unwrittenJobs   map[string]*placement.Job // jobs with unwritten completions
+	completedAt     map[string]time.Time      // completion time of a job's last task
+	jobEndsInFlight map[string]bool           // jobs with an end record being written
+	retryAt         map[string]time.Time      // earliest time of the next write after a failure
 }
 
 func (t *Term) completionOptions() completionOptions {
@@ -55,65 +55,64 @@
 func newJobCompletions(options completionOptions) *jobCompletions {
 	return &jobCompletions{
 		completionOptions: options,
-		unsavedJobs:       map[string]*placement.Job{},
+		unwrittenJobs:     map[string]*placement.Job{},
 		completedAt:       map[string]time.Time{},
-		endsInFlight:      map[string]bool{},
+		jobEndsInFlight:   map[string]bool{},
 		retryAt:           map[string]time.Time{},
 	}
 }
 
-// JobEndsInFlight is how many writes of jobs' ends are under way.
-func (t *Term) JobEndsInFlight() int { return len(t.completions.endsInFlight) }
+// JobEndsInFlight returns the number of writes of job end records in flight.
+func (t *Term) JobEndsInFlight() int { return len(t.completions.jobEndsInFlight) }
 
-// taskCompleted takes note of a completed task.
-func (c *jobCompletions) taskCompleted(now time.Time, job *placement.Job) {
+// recordCompletion queues the completion of a task of a job for the next write.
+func (c *jobCompletions) recordCompletion(now time.Time, job *placement.Job) {
 	id := job.Spec.ID
-	c.unsavedJobs[id] = job
+	c.unwrittenJobs[id] = job
 	if job.IsComplete() && c.completedAt[id].IsZero() {
 		c.completedAt[id] = now
 	}
 }
 
-// recoverCompleted takes up the jobs whose end an earlier term did not get to write.
-func (c *jobCompletions) recoverCompleted(now time.Time, jobs []*placement.Job) {
+// recoverCompletedJobs queues the end records of completed jobs that earlier terms did not write.
+func (c *jobCompletions) recoverCompletedJobs(now time.Time, jobs []*placement.Job) {
 	for _, job := range jobs {
 		if job.IsComplete() {
-			c.taskCompleted(now, job)
+			c.recordCompletion(now, job)
 		}
 	}
 }
 
-// flush writes completions: the ends of jobs at once, the rest in batches.
+// flush writes job end records that are due, up to the limit in flight, and task completions in batches.
 func (c *jobCompletions) flush(now time.Time) {
-	for _, job := range c.jobsToEnd(now) {
-		if len(c.endsInFlight) == tuning.MaxJobEndsInFlight {
+	for _, job := range c.dueJobEnds(now) {
+		if len(c.jobEndsInFlight) == tuning.MaxJobEndsInFlight {
 			break
 		}
-		c.writeEnd(job)
+		c.writeJobEnd(job)
 	}
 	if !now.Before(c.flushAt) {
 		c.flushAt = now.Add(tuning.CompletionWriteInterval)
-		c.saveBitmaps()
+		c.writeBitmaps()
 	}
 	c.bitmaps.pages.Tick(now)
 }
 
-// saveBitmaps records the completed tasks of jobs that are not complete.
-func (c *jobCompletions) saveBitmaps() {
-	for _, id := range slices.Sorted(maps.Keys(c.unsavedJobs)) {
-		if job := c.unsavedJobs[id]; !job.IsComplete() {
+// writeBitmaps writes the new completions of jobs that still have incomplete tasks.
+func (c *jobCompletions) writeBitmaps() {
+	for _, id := range slices.Sorted(maps.Keys(c.unwrittenJobs)) {
+		if job := c.unwrittenJobs[id]; !job.IsComplete() {
 			c.bitmaps.save(job, c.openJob)
-			delete(c.unsavedJobs, id)
+			delete(c.unwrittenJobs, id)
 		}
 	}
 }
 
-// jobsToEnd lists the jobs whose end is to be written now, in the order in which that is to
-// happen: when the rate of writes is short, an important job's end does not wait behind
-// those of others.
-func (c *jobCompletions) jobsToEnd(now time.Time) (out []*placement.Job) {
+// dueJobEnds returns the jobs whose end record is due, by descending priority and then by completion
+// time. Under a limited write rate, jobs of high priority do not wait behind others.
+func (c *jobCompletions) dueJobEnds(now time.Time) (out []*placement.Job) {
 	for id := range c.completedAt {
-		if job := c.unsavedJobs[id]; job != nil && !c.endsInFlight[id] && !now.Before(c.retryAt[id]) {
+		if job := c.unwrittenJobs[id]; job != nil && !c.jobEndsInFlight[id] && !now.Before(c.retryAt[id]) {
 			out = append(out, job)
 		}
 	}
@@ -126,10 +125,10 @@
 	return out
 }
 
-// writeEnd writes a job's end: done, unless its user was faster with a cancellation.
-func (c *jobCompletions) writeEnd(job *placement.Job) {
+// writeJobEnd writes the end record of a completed job. The write conflicts if a user has cancelled it.
+func (c *jobCompletions) writeJobEnd(job *placement.Job) {
 	id := job.Spec.ID
-	c.endsInFlight[id] = true
+	c.jobEndsInFlight[id] = true
 	call := store.Call{Op: store.OpTransaction, Priority: store.PriorityJobEnd, Transaction: wire.Transaction{
 		Compares: []wire.Compare{c.termCompare, store.VersionEquals(submission.OpenJobKey(id), job.Version)},
 		Writes: []wire.Write{
@@ -137,17 +136,17 @@
 			store.Delete(submission.OpenJobKey(id)),
 		},
 	}}
-	c.stateCall(call, func(now time.Time, result store.Result) { c.endWritten(now, job, result) })
+	c.stateCall(call, func(now time.Time, result store.Result) { c.handleJobEndResult(now, job, result) })
 }
 
-// endWritten takes in what came of the write of a job's end.
-func (c *jobCompletions) endWritten(now time.Time, job *placement.Job, result store.Result) {
+// handleJobEndResult closes the job after a successful write, resolves a conflict, or schedules a retry.
+func (c *jobCompletions) handleJobEndResult(now time.Time, job *placement.Job, result store.Result) {
 	id := job.Spec.ID
-	delete(c.endsInFlight, id)
+	delete(c.jobEndsInFlight, id)
 	switch {
 	case result.OK():
-		c.log.Info("job done", "job", id, "class", job.Spec.Class,
-			"took", c.wallClock().Sub(job.AcceptedAt), "written_after", now.Sub(c.completedAt[id]))
+		c.log.Info("job completed", "job", id, "class", job.Spec.Class,
+			"duration", c.wallClock().Sub(job.AcceptedAt), "delay", now.Sub(c.completedAt[id]))
 		c.closeJob(now, id)
 	case result.ConflictsOn(c.termCompare.Key):
 		c.onTermLost(now)
@@ -158,13 +157,13 @@
 	}
 }
 
-// resolveConflict reads a job's record after a conflict about its end: it was cancelled, or an
-// earlier write of this process was applied after all.
+// resolveConflict reads the record of an open job after the write of its end conflicted. Either a user
+// cancelled the job, or an earlier write of this process succeeded without a response.
 func (c *jobCompletions) resolveConflict(id string) {
-	c.endsInFlight[id] = true
+	c.jobEndsInFlight[id] = true
 	call := store.Call{Op: store.OpGet, Priority: store.PriorityJobEnd, Key: submission.OpenJobKey(id)}
 	c.stateCall(call, func(now time.Time, result store.Result) {
-		delete(c.endsInFlight, id)
+		delete(c.jobEndsInFlight, id)
 		c.retryAt[id] = now.Add(tuning.WriterRetryInitial)
 		job := c.openJob(id)
 		switch {
@@ -176,10 +175,10 @@
 	})
 }
 
-// forget forgets a job that has ended.
-func (c *jobCompletions) forget(id string) {
-	c.bitmaps.forget(id)
-	delete(c.unsavedJobs, id)
+// deleteJob deletes the completions of a closed job.
+func (c *jobCompletions) deleteJob(id string) {
+	c.bitmaps.deleteJob(id)
+	delete(c.unwrittenJobs, id)
 	delete(c.completedAt, id)
 	delete(c.retryAt, id)
 }
--- a/internal/term/completions_test.go
+++ b/internal/term/completions_test.go
@@ -8,9 +8,8 @@
 	"juniperchute/internal/wire"
 )
 
-// In which order the ends of jobs are written when the rate of writes is short: an
-// important job's end must not wait behind hundreds of others that completed before it.
-func TestOrderOfEnds(t *testing.T) {
+// Guards against a high-priority job whose end record waits behind those of jobs that completed earlier.
+func TestDueJobEndsOrder(t *testing.T) {
 	now := time.Unix(1000, 0)
 	scheduler, _ := singleJobScheduler(wire.JobSpec{ID: "job-9", Shape: wire.ShapeBatch, Tasks: 1})
 	completions := newJobCompletions(completionOptions{})
@@ -18,7 +17,7 @@
 		spec := wire.JobSpec{ID: id, Shape: wire.ShapeBatch, Priority: priority, Tasks: 1}
 		j := scheduler.AddJob(now, spec, now, 1, false)
 		j.RestoreCompleted(0)
-		completions.taskCompleted(now.Add(-ago), j)
+		completions.recordCompletion(now.Add(-ago), j)
 	}
 	add("job-1", "low", 3*time.Second)
 	add("job-2", "low", 5*time.Second)
@@ -26,13 +25,13 @@
 	add("job-4", "normal", 9*time.Second)
 	add("job-5", "critical", 0)
 	add("job-6", "low", 5*time.Second)
-	completions.endsInFlight["job-5"] = true
+	completions.jobEndsInFlight["job-5"] = true
 	completions.retryAt["job-4"] = now.Add(time.Second)
 	var got []string
-	for _, j := range completions.jobsToEnd(now) {
+	for _, j := range completions.dueJobEnds(now) {
 		got = append(got, j.Spec.ID)
 	}
 	if want := []string{"job-3", "job-2", "job-6", "job-1"}; !slices.Equal(got, want) {
-		t.Errorf("ends are written in the order %v, want %v", got, want)
+		t.Errorf("end records are written in the order %v, want %v", got, want)
 	}
 }
--- a/internal/term/fencing.go
+++ b/internal/term/fencing.go
@@ -9,49 +9,49 @@
 	"juniperchute/internal/worker"
 )
 
-// fencing is what a term keeps to learn where tasks of earlier terms are.
+// fencing tracks the queries that locate tasks of earlier terms.
 type fencing struct {
-	askAt        map[string]time.Time // when a machine is asked again
-	incarnations map[string]uint64    // of machines that rejected a command for its incarnation
+	queryAt      map[string]time.Time // earliest time of the next query, by host
+	incarnations map[string]uint64    // reported by workers that rejected a command's incarnation, by host
 }
 
 func newFencing() fencing {
-	return fencing{askAt: map[string]time.Time{}, incarnations: map[string]uint64{}}
+	return fencing{queryAt: map[string]time.Time{}, incarnations: map[string]uint64{}}
 }
 
-// unreconciledLeaseEnd is when the lease of a worker that this term has not reconciled is
-// surely over, whatever the lease holder before it did.
-func (t *Term) unreconciledLeaseEnd() time.Time {
+// unreconciledLeaseEnd returns the time by which the lease of a worker that this term has not reconciled
+// is guaranteed to have expired. It includes renewals by the previous lease holder, which may still run.
+func (t *Term) unreconciledLeaseExpiry() time.Time {
 	end := t.startedAt.Add(t.workers.LeaseExpiry())
 	if !t.PredecessorEnded {
-		end = end.Add(t.renewalBound())
+		end = end.Add(t.maxRenewalPastWatermark())
 	}
 	return end
 }
 
-// fenceWorkers asks the machines that are not reconciled yet for their state, under the new
-// token, and opens the term once none is left.
+// fenceWorkers queries the state of unreconciled workers under this term's token, and opens the term once
+// every worker is reconciled.
 func (t *Term) fenceWorkers(now time.Time) {
 	for _, machine := range t.workers.All() {
-		if t.unreconciled(machine) && t.askDue(now, machine) {
-			t.fencing.askAt[machine.Host] = now.Add(tuning.ReconcileRetry)
+		if t.unreconciled(machine) && t.queryDue(now, machine) {
+			t.fencing.queryAt[machine.Host] = now.Add(tuning.ReconcileRetry)
 			t.sendCommands(machine, []wire.Command{})
 		}
 	}
-	if t.reserveUnknown() == 0 && t.state == Fencing {
+	if t.reserveUnknownUsage() == 0 && t.state == Fencing {
 		t.setState(now, Open, "every machine reconciled or terminated")
 		t.scheduler.MarkReconciled()
 	}
 }
 
-// askDue reports whether a machine can, and is to, be asked for its state now.
-func (t *Term) askDue(now time.Time, machine *worker.Machine) bool {
-	return machine.Address != "" && !machine.CommandInFlight && !now.Before(t.fencing.askAt[machine.Host])
+// queryDue reports whether a machine can be queried and its next query is due.
+func (t *Term) queryDue(now time.Time, machine *worker.Machine) bool {
+	return machine.Address != "" && !machine.CommandInFlight && !now.Before(t.fencing.queryAt[machine.Host])
 }
 
-// unreconciled reports whether a machine may have tasks of an earlier term that are not known.
-// One that is being deleted is reconciled by what it says under this term's token alone: the
-// answer to an older heartbeat renews its lease without telling what is on it.
+// unreconciled reports whether a machine may run unknown tasks of an earlier term. A machine being deleted
+// is reconciled only by contact under this term's token: the response to a heartbeat with an older token
+// renews the worker's lease, but nothing is concluded from the tasks in that heartbeat.
 func (t *Term) unreconciled(machine *worker.Machine) bool {
 	if machine.State == worker.Deleting {
 		return machine.LastContact.IsZero() && machine.Registered && !machine.LeaseEnded
@@ -59,9 +59,9 @@
 	return machine.State == worker.Unreconciled
 }
 
-// reserveUnknown counts all resources of machines whose tasks are not known against every
-// limited team, and returns how many machines are not reconciled.
-func (t *Term) reserveUnknown() (unreconciled int) {
+// reserveUnknownUsage charges the full capacity of machines with unknown tasks against the quota of every
+// team that has one. It returns the number of unreconciled machines.
+func (t *Term) reserveUnknownUsage() (unreconciled int) {
 	var unknown quota.Resources
 	for _, machine := range t.workers.All() {
 		if t.unreconciled(machine) {
--- a/internal/term/heartbeats.go
+++ b/internal/term/heartbeats.go
@@ -13,14 +13,14 @@
 	"juniperchute/internal/worker"
 )
 
-// ObserveQueueDelay takes note of how long the next heartbeat has waited for its turn.
+// ObserveQueueDelay records the time that the next heartbeat has spent in the request queue.
 func (t *Term) ObserveQueueDelay(delay time.Duration) { t.workers.HeartbeatDelay = delay }
 
-// HandleHeartbeat answers a worker's heartbeat.
+// HandleHeartbeat applies a worker's heartbeat and calls reply once, with commands, an error or a redirect.
 func (t *Term) HandleHeartbeat(now time.Time, heartbeat *wire.Heartbeat, reply func(status int, body any)) {
 	if heartbeat.Token > t.Token {
-		// A machine that this shard does not have may belong to another one whose record of it
-		// has not arrived here yet.
+		// A machine unknown to this shard may belong to another shard whose record of it has not
+		// been read yet.
 		if machine := t.workers.Get(heartbeat.Host); machine != nil && machine.Registered {
 			t.End(now, "a heartbeat shows a higher token")
 		}
@@ -34,53 +34,53 @@
 	}
 	reply(http.StatusOK, wire.HeartbeatResponse{Token: t.Token, Commands: commands})
 	if heartbeat.Token == t.Token && t.options.Membership.LeaseValid(now) {
-		t.sendUrgent(now)
+		t.sendUrgentCommands(now)
 	}
 }
 
-// Reasons why a heartbeat gets no answer that would renew its worker's lease. The texts go to
-// workers.
+// Reasons for which a heartbeat does not renew its worker's lease. The texts are part of the protocol:
+// workers receive them in the response body.
 var (
 	errCancellationsUnknown = errors.New("what is cancelled is not known")
 	errJobsLoading          = errors.New("jobs are being read")
 	errStaleHeartbeat       = errors.New("a newer report has been handled")
-	errStartOutstanding     = errors.New("a start of a cancelled task is not accounted for")
+	errStartInFlight        = errors.New("a start of a cancelled task is not accounted for")
 )
 
-// answerHeartbeat applies a heartbeat and returns the commands of its answer, which renews
-// the worker's lease. After an error nothing may be answered that renews it.
+// answerHeartbeat applies a heartbeat and returns the commands of the response, which renews the worker's
+// lease. After an error the response must not renew it.
 func (t *Term) answerHeartbeat(now time.Time, heartbeat *wire.Heartbeat) ([]wire.Command, error) {
-	if now.After(t.CancellationWatermark(now).Add(t.renewalBound())) {
-		// A worker's lease counts from when it sent its heartbeat: however late this answer
-		// is, no lease that it renews ends later than one renewed now.
+	if now.After(t.CancellationWatermark(now).Add(t.maxRenewalPastWatermark())) {
+		// A worker's lease starts when the worker sends its heartbeat, so delivering this response
+		// late does not extend the lease.
 		return nil, errCancellationsUnknown
 	}
-	if t.state == Loading && t.hasUnreadJob(heartbeat) {
+	if t.state == Loading && t.hasUnloadedJob(heartbeat) {
 		return nil, errJobsLoading
 	}
 	if t.workers.WasDeleted(heartbeat.Host) {
-		return nil, errStaleHeartbeat // a late copy: the machine was deleted
+		return nil, errStaleHeartbeat // delayed heartbeat of a deleted machine
 	}
 	if heartbeat.Token < t.Token {
-		return t.answerUnderOldToken(now, heartbeat)
+		return t.answerStaleToken(now, heartbeat)
 	}
-	machine := t.machineOf(now, heartbeat)
+	machine := t.findOrAddMachine(now, heartbeat)
 	if !t.applyHeartbeat(now, machine, heartbeat, worker.FromHeartbeat) {
 		return nil, errStaleHeartbeat
 	}
 	leaseEnd := now.Add(t.workers.LeaseExpiry() + tuning.CancellationRenewMargin)
 	if t.scheduler.MayStartAfterClose(machine, leaseEnd) {
-		// A cancelled job's start may still be on its way to the machine, and no stop can
-		// reach it before: only the end of the worker's incarnation voids it.
-		return nil, errStartOutstanding
+		// A start command of a cancelled job may still be in flight, and a stop command may
+		// overtake it. Only the end of the worker's incarnation invalidates the start command.
+		return nil, errStartInFlight
 	}
 	commands := t.commandsFor(now, machine)
 	machine.LeaseRenewedAt = now
 	return commands, nil
 }
 
-// machineOf finds the machine that a heartbeat is of; one that nobody expected is added.
-func (t *Term) machineOf(now time.Time, heartbeat *wire.Heartbeat) *worker.Machine {
+// findOrAddMachine returns the machine that sent a heartbeat. It registers an unknown machine as booting.
+func (t *Term) findOrAddMachine(now time.Time, heartbeat *wire.Heartbeat) *worker.Machine {
 	if machine := t.workers.Get(heartbeat.Host); machine != nil {
 		return machine
 	}
@@ -90,7 +90,7 @@
 	return machine
 }
 
-// commandsFor returns the commands that answer a machine's heartbeat.
+// commandsFor returns the commands for the response to a machine's heartbeat.
 func (t *Term) commandsFor(now time.Time, machine *worker.Machine) []wire.Command {
 	commands := []wire.Command{}
 	switch {
@@ -100,17 +100,17 @@
 		t.scheduler.Schedule(now)
 		return append(commands, t.scheduler.Commands(now, machine, placement.HeartbeatReply)...)
 	}
-	// Past the lease's end nothing starts, but tasks of ended jobs still stop: under a
-	// superseded token that has no effect.
+	// Without a valid lease nothing starts, but tasks of closed jobs are still stopped. Workers
+	// reject these commands if the token has been superseded.
 	return append(commands, t.scheduler.StopCommandsForClosedJobs(machine.Tasks)...)
 }
 
-// applyHeartbeat reconciles a machine's own account of itself with what is known of it and
-// reports whether it was news.
+// applyHeartbeat reconciles the state in a heartbeat with the state of its machine. It returns false if
+// the heartbeat is stale.
 func (t *Term) applyHeartbeat(now time.Time, machine *worker.Machine, heartbeat *wire.Heartbeat,
 	source worker.StatusSource) bool {
-	verdict := t.workers.ApplyHeartbeat(now, machine, heartbeat, source)
-	if verdict == worker.HeartbeatStale {
+	result := t.workers.ApplyHeartbeat(now, machine, heartbeat, source)
+	if result == worker.HeartbeatStale {
 		return false
 	}
 	t.autoscaler.HandleHeartbeat(now, machine)
@@ -118,17 +118,17 @@
 		return true
 	}
 	hadUnknownTasks := machine.HasUnknownTasks
-	t.scheduler.ReconcileHeartbeat(now, machine, verdict, source)
+	t.scheduler.ReconcileHeartbeat(now, machine, result, source)
 	if machine.HasUnknownTasks && !hadUnknownTasks {
-		t.reserveUnknown() // before anything is scheduled
+		t.reserveUnknownUsage() // before the next scheduling pass
 	}
 	return true
 }
 
-// answerUnderOldToken answers a machine that has not seen this term's token. What it says may
-// be minutes old, a copy from a machine long terminated: nothing is concluded from it. If the
-// machine is there, the answer renews its lease and it sends a heartbeat again at once.
-func (t *Term) answerUnderOldToken(now time.Time, heartbeat *wire.Heartbeat) ([]wire.Command, error) {
+// answerStaleToken returns the commands for a worker that has not seen this term's token. Its heartbeat may
+// be a delayed copy from a terminated machine, so its task states are ignored. A live worker gets its
+// lease renewed and immediately sends another heartbeat, under the new token.
+func (t *Term) answerStaleToken(now time.Time, heartbeat *wire.Heartbeat) ([]wire.Command, error) {
 	if machine := t.workers.Get(heartbeat.Host); machine != nil {
 		if !machine.ObserveSequence(heartbeat) {
 			return nil, errStaleHeartbeat
@@ -138,17 +138,17 @@
 	}
 	commands := []wire.Command{}
 	if t.state != Loading {
-		// Tasks of ended jobs may be stopped whatever has happened since: the answer that
-		// renews a cancelled task's lease must not leave it running.
+		// Stopping tasks of closed jobs is safe even if the heartbeat is outdated. A response that
+		// renews the lease must not leave a cancelled task running.
 		commands = append(commands, t.scheduler.StopCommandsForClosedJobs(heartbeat.Tasks)...)
 	}
 	return commands, nil
 }
 
-// hasUnreadJob reports whether a heartbeat shows a task of a job that this process has not read
-// as open. While the records are being read the task cannot be stopped, so its worker's lease
-// is not renewed: the job may have been cancelled long ago.
-func (t *Term) hasUnreadJob(heartbeat *wire.Heartbeat) bool {
+// hasUnloadedJob reports whether a heartbeat contains a running task whose job is not among the open jobs
+// read so far. While the term is loading it cannot stop the task, whose job may have been cancelled, so it
+// does not renew the worker's lease.
+func (t *Term) hasUnloadedJob(heartbeat *wire.Heartbeat) bool {
 	return slices.ContainsFunc(heartbeat.Tasks, func(task wire.TaskStatus) bool {
 		id, _, ok := wire.ParseTask(task.Name)
 		if !ok || task.State == wire.TaskExited {
--- a/internal/term/isolation.go
+++ b/internal/term/isolation.go
@@ -10,22 +10,22 @@
 	"juniperchute/internal/worker"
 )
 
-// isolation is what a term keeps to notice that this process has lost its workers.
+// isolation tracks whether this process is isolated from the shard's workers.
 type isolation struct {
-	unreachable bool      // no worker's heartbeats arrive any more
-	probeAt     time.Time // when peers are asked again whether the workers answer them
+	unreachable bool      // no worker has sent a heartbeat within the limit
+	probeAt     time.Time // earliest time of the next probe through peers
 }
 
-// WorkersUnreachable reports whether no worker's heartbeats arrive any more.
+// WorkersUnreachable reports whether the shard's workers have all stopped sending heartbeats to this process.
 func (t *Term) WorkersUnreachable() bool { return t.isolation.unreachable }
 
-// detectIsolation notices when no worker's heartbeats arrive any more. If a peer still
-// reaches the workers, only this process is cut off: it gives the shard back, so that a lease
-// holder whom they can reach renews their leases in time. Keeping it would lose every task,
-// and delete every machine as unresponsive.
+// detectIsolation checks whether all workers have stopped sending heartbeats, and if so has peers probe
+// them. If a peer reaches a worker, this process is isolated and releases the shard, so that a reachable
+// lease holder renews the worker leases in time. Otherwise every task would be lost and every machine
+// deleted as unresponsive.
 func (t *Term) detectIsolation(now time.Time) {
 	machines := 0
-	var last time.Time // the newest heartbeat of all
+	var last time.Time // latest heartbeat of any machine
 	for machine := range t.machinesWithinLease(now) {
 		machines++
 		if machine.LastHeartbeat.After(last) {
@@ -38,11 +38,12 @@
 		return
 	}
 	t.isolation.probeAt = now.Add(tuning.ProbeTimeout + tuning.ProgressTimeout)
-	t.log.Info("workers unreachable", "workers", machines, "for", now.Sub(last))
+	t.log.Info("no heartbeats from workers; probing them through peers", "count", machines,
+		"duration", now.Sub(last))
 	t.probeThroughPeers(t.addressesToProbe(now))
 }
 
-// addressesToProbe are the addresses of a few machines that should send heartbeats.
+// addressesToProbe returns the addresses of up to tuning.ProbeWorkers machines.
 func (t *Term) addressesToProbe(now time.Time) (addresses []string) {
 	for machine := range t.machinesWithinLease(now) {
 		if len(addresses) == tuning.ProbeWorkers {
@@ -53,15 +54,15 @@
 	return addresses
 }
 
-// probeThroughPeers has all peers ask whether workers answer them.
+// probeThroughPeers asks every peer to probe the workers at the given addresses.
 func (t *Term) probeThroughPeers(addresses []string) {
 	for _, member := range t.options.Peers {
 		t.options.Effects.ProbeWorkers(member, &peerpb.ProbeRequest{Addresses: addresses}, t.handleProbe)
 	}
 }
 
-// machinesWithinLease iterates over the machines that should send heartbeats: their leases
-// may stand.
+// machinesWithinLease iterates over the machines that are expected to send heartbeats and whose worker
+// leases may be valid.
 func (t *Term) machinesWithinLease(now time.Time) iter.Seq[*worker.Machine] {
 	lease := config.Seconds(t.options.Platform.Workers.LeaseS)
 	return func(yield func(*worker.Machine) bool) {
@@ -74,7 +75,7 @@
 	}
 }
 
-// handleProbe ends the term if a peer reaches workers that this process does not.
+// handleProbe ends the term if a peer has reached a worker while this process reaches none.
 func (t *Term) handleProbe(now time.Time, reply *peerpb.ProbeReply, err error) {
 	if err == nil && reply.Answered > 0 && t.isolation.unreachable && t.Live() {
 		t.End(now, "only this process does not reach the workers")
--- a/internal/term/options.go
+++ b/internal/term/options.go
@@ -15,77 +15,76 @@
 	"juniperchute/internal/wire"
 )
 
-// Effects are what a term asks of the outside. Each returns at once; its result comes back
-// later, on the goroutine that owns the controller.
+// Effects performs the I/O of a term. No method blocks. Each one calls done later, on the goroutine that
+// owns the controller.
 type Effects interface {
-	// CallState sends a call to the state service.
-	CallState(call store.Call, then func(now time.Time, result store.Result))
-	// CallCloud sends a call to the cloud.
-	CallCloud(call cloud.Call, then func(now time.Time, result cloud.Result))
-	// SendCommands sends commands straight to a worker, unless that is only possible after
-	// the deadline (ErrDeadlinePassed): a process that was frozen must not act on what it
-	// believed before. On success it brings the worker's state after the commands, whether
-	// the worker has executed them or rejected them; after any other error they may have been
-	// executed, or may be executed later.
+	// CallState sends a call to the key-value store.
+	CallState(call store.Call, done func(now time.Time, result store.Result))
+	// CallCloud sends a call to the cloud API.
+	CallCloud(call cloud.Call, done func(now time.Time, result cloud.Result))
+	// SendCommands sends commands directly to a worker. It fails with ErrDeadlinePassed if they
+	// cannot be sent before the deadline, so that a process resumed after a suspension does not act
+	// on outdated state. On success the heartbeat holds the worker's state after it executed or
+	// rejected the commands. After any other error the worker may have executed the commands or
+	// may still execute them.
 	SendCommands(address string, commands wire.DirectCommands, deadline time.Time,
-		then func(now time.Time, heartbeat *wire.Heartbeat, err error))
-	// ProbeWorkers has another controller ask workers whether they answer.
+		done func(now time.Time, heartbeat *wire.Heartbeat, err error))
+	// ProbeWorkers asks another controller to probe workers and to count those that respond.
 	ProbeWorkers(member string, request *peerpb.ProbeRequest,
-		then func(now time.Time, reply *peerpb.ProbeReply, err error))
+		done func(now time.Time, reply *peerpb.ProbeReply, err error))
 }
 
 // Errors of SendCommands.
 var (
-	// ErrDeadlinePassed tells that the commands were not sent, and never will be.
-	ErrDeadlinePassed = errors.New("commands not sent: deadline passed")
-	// ErrNoResponse tells that no answer came.
-	ErrNoResponse = errors.New("no reply")
+	// ErrDeadlinePassed means that the commands were not sent and will not be sent.
+	ErrDeadlinePassed = errors.New("send commands: deadline passed")
+	// ErrNoResponse means that the worker did not respond; it may have received the commands.
+	ErrNoResponse = errors.New("no response")
 )
 
-// Membership is the process's own lease, under which a term acts, and what it knows of the
-// control records.
+// Membership provides the lease of this process, under which a term acts, and the control records.
 type Membership interface {
-	// LeaseValid reports whether the process's lease surely stands.
+	// LeaseValid reports whether the process's lease is guaranteed to be valid.
 	LeaseValid(now time.Time) bool
-	// LeaseDeadline is when the process's lease may have ended.
+	// LeaseDeadline returns the time from which the process's lease may have expired.
 	LeaseDeadline() time.Time
-	// FeatureInForce reports whether every member has announced a feature.
+	// FeatureInForce reports whether the feature gate is in force: every member has announced it.
 	FeatureInForce(name string) bool
-	// CurrentAsOf is the moment up to which all changes of the control records are known.
+	// CurrentAsOf returns the time up to which every change of the control records has been read.
 	CurrentAsOf() time.Time
 }
 
-// Host is the controller that a term runs in.
+// Host is the controller that runs a term.
 type Host interface {
-	// Schedule runs a function on the owner goroutine after a delay.
+	// Schedule runs a function after a delay, on the goroutine that owns the controller.
 	Schedule(now time.Time, delay time.Duration, run func(now time.Time))
-	// ReconcileTerms starts and ends terms as the control records say. A term calls it when
-	// it may have ended.
+	// ReconcileTerms starts and ends terms to match the control records. A term calls it after any
+	// event that may have ended the term.
 	ReconcileTerms(now time.Time)
-	// Redirect sends a worker to the lease holder of a shard.
+	// Redirect replies with a redirect to the lease holder of a shard.
 	Redirect(shard int, reply func(status int, body any))
-	// MayBelongToOtherShard reports whether a machine, which existed at some time, belongs, or
-	// may turn out to belong, to another shard than the given one.
+	// MayBelongToOtherShard reports whether a machine that existed at existedAt belongs to a shard
+	// other than the given one, or may do so according to a record that has not been read yet.
 	MayBelongToOtherShard(shard int, machine string, existedAt time.Time) bool
 }
 
-// Options are what a term is made of.
+// Options configures a term.
 type Options struct {
 	Term        leader.Term
-	Incarnation uint64 // of the process's membership
-	Shards      int    // of the deployment
+	Incarnation uint64 // incarnation of this process
+	Shards      int    // number of shards of the deployment
 	Platform    config.Platform
-	Peers       []string // the other members
+	Peers       []string // names of the other members
 
 	Effects    Effects
 	Membership Membership
 	Host       Host
-	// OpenJobs and ProvisionRequests are the watch caches of all shards' records.
+	// OpenJobs and ProvisionRequests cache the records of all shards.
 	OpenJobs, ProvisionRequests *store.WatchCache
 
-	// IntentLog has intents recorded durably once every member has announced that.
+	// IntentLog enables the durable intent log once its feature gate is in force.
 	IntentLog bool
-	Tracer    intentlog.Tracer // nil: no spans are made
+	Tracer    intentlog.Tracer // nil disables tracing
 	Rand      *rand.Rand
 	WallClock func() time.Time
 	Log       *slog.Logger
--- a/internal/term/recovery.go
+++ b/internal/term/recovery.go
@@ -14,92 +14,92 @@
 	"juniperchute/internal/worker"
 )
 
-// recovery is what a term reads of its shard before it begins to act.
+// recovery holds the records of a shard that its term reads while loading.
 type recovery struct {
 	completions, registrations, startMarkers, intents []wire.KeyValue
 
 	readsInFlight int
 }
 
-// readRecords reads all that earlier terms wrote down.
+// readRecords starts the reads of the records that earlier terms wrote.
 func (t *Term) readRecords(now time.Time) {
 	caches := []*store.WatchCache{t.options.OpenJobs, t.options.ProvisionRequests}
-	lists := []*listing{
-		{term: t, prefix: completionPrefix(t.Shard), into: &t.recovery.completions},
-		{term: t, prefix: fleet.RegistrationPrefix(t.Shard), into: &t.recovery.registrations},
-		{term: t, prefix: startMarkerPrefix(t.Shard), into: &t.recovery.startMarkers},
-		{term: t, prefix: intentlog.LogPrefix(t.Shard), into: &t.recovery.intents},
+	reads := []*rangeRead{
+		{term: t, prefix: completionPrefix(t.Shard), results: &t.recovery.completions},
+		{term: t, prefix: fleet.RegistrationPrefix(t.Shard), results: &t.recovery.registrations},
+		{term: t, prefix: startMarkerPrefix(t.Shard), results: &t.recovery.startMarkers},
+		{term: t, prefix: intentlog.LogPrefix(t.Shard), results: &t.recovery.intents},
 	}
-	t.recovery.readsInFlight = len(caches) + len(lists)
+	t.recovery.readsInFlight = len(caches) + len(reads)
 	for _, cache := range caches {
-		t.waitCurrent(now, cache)
+		t.waitUntilCurrent(now, cache)
 	}
-	for _, list := range lists {
-		list.send()
+	for _, read := range reads {
+		read.send()
 	}
 }
 
-// waitCurrent waits until a watch cache holds all that was written before this term.
-func (t *Term) waitCurrent(now time.Time, cache *store.WatchCache) {
-	retry := func(now time.Time) { t.waitCurrent(now, cache) }
+// waitUntilCurrent retries until a watch cache contains every write made before this term.
+func (t *Term) waitUntilCurrent(now time.Time, cache *store.WatchCache) {
+	retry := func(now time.Time) { t.waitUntilCurrent(now, cache) }
 	cache.WaitCurrent(now, 0, func(now time.Time, ok bool) {
 		switch {
 		case !t.Live():
 		case ok:
-			t.finishRead(now)
+			t.handleReadDone(now)
 		default:
 			t.options.Host.Schedule(now, tuning.WatchCacheRetry, retry)
 		}
 	})
 }
 
-// listing reads all keys under a prefix, page by page.
-type listing struct {
-	term   *Term
-	prefix string
-	after  string // the last key that has been read
-	into   *[]wire.KeyValue
+// rangeRead reads all keys with a prefix, page by page.
+type rangeRead struct {
+	term    *Term
+	prefix  string
+	after   string // last key read
+	results *[]wire.KeyValue
 }
 
-func (l *listing) send() {
+func (r *rangeRead) send() {
 	call := store.Call{
 		Op:       store.OpList,
 		Priority: store.PriorityLease,
-		Prefix:   l.prefix,
-		After:    l.after,
+		Prefix:   r.prefix,
+		After:    r.after,
 		PageSize: tuning.ListPageSize,
 	}
-	l.term.callState(call, l.handle)
+	r.term.callState(call, r.handle)
 }
 
-func (l *listing) handle(now time.Time, result store.Result) {
+func (r *rangeRead) handle(now time.Time, result store.Result) {
 	if !result.OK() {
-		l.term.options.Host.Schedule(now, tuning.WatchCacheRetry, l.retry)
+		r.term.options.Host.Schedule(now, tuning.WatchCacheRetry, r.retry)
 		return
 	}
-	*l.into = append(*l.into, result.KeyValues...)
+	*r.results = append(*r.results, result.KeyValues...)
 	if n := len(result.KeyValues); result.More && n > 0 {
-		l.after = result.KeyValues[n-1].Key
-		l.send()
+		r.after = result.KeyValues[n-1].Key
+		r.send()
 		return
 	}
-	l.term.finishRead(now)
+	r.term.handleReadDone(now)
 }
 
-func (l *listing) retry(time.Time) {
-	if l.term.Live() {
-		l.send()
+func (r *rangeRead) retry(time.Time) {
+	if r.term.Live() {
+		r.send()
 	}
 }
 
-// finishRead notes that one of the reads is over; the last one completes the recovery.
-func (t *Term) finishRead(now time.Time) {
+// handleReadDone counts a completed read. After the last one the term recovers the records.
+func (t *Term) handleReadDone(now time.Time) {
 	if t.recovery.readsInFlight--; t.recovery.readsInFlight == 0 {
 		t.recoverRecords(now)
 	}
 }
 
-// recoverRecords takes over what earlier terms wrote down and goes on to fencing.
+// recoverRecords restores the state that earlier terms wrote and moves the term to Fencing.
 func (t *Term) recoverRecords(now time.Time) {
 	t.options.OpenJobs.Each(func(kv wire.KeyValue) { t.applyOpenJob(now, kv) })
 	t.options.ProvisionRequests.Each(func(kv wire.KeyValue) {
@@ -112,19 +112,19 @@
 	t.completions.bitmaps.load(t.recovery.completions, t.scheduler.OpenJob)
 	t.recoverStartMarkers()
 	t.recovery = recovery{}
-	t.completions.recoverCompleted(now, t.scheduler.OpenJobs())
+	t.completions.recoverCompletedJobs(now, t.scheduler.OpenJobs())
 	t.setState(now, Fencing, "records read")
 	for _, machine := range slices.Clone(t.workers.All()) {
 		if machine.State == worker.Up {
 			t.scheduler.ReconcileHeartbeat(now, machine, worker.HeartbeatCurrent, worker.FromCommandReply)
 		}
 	}
-	// A heartbeat may come, and a task be scheduled, before the next tick.
-	t.reserveUnknown()
+	// A heartbeat may trigger a scheduling pass before the next tick.
+	t.reserveUnknownUsage()
 }
 
-// ApplyOpenJob takes note of a change of an open job's record. What comes before the term has
-// recovered is left to the recovery, which reads it again.
+// ApplyOpenJob applies a change of an open job's record. It ignores changes while the term is loading,
+// because recoverRecords reads all open jobs.
 func (t *Term) ApplyOpenJob(now time.Time, kv wire.KeyValue, deleted bool) {
 	switch {
 	case !t.Live() || t.recovery.readsInFlight > 0:
@@ -148,14 +148,14 @@
 	record, err := submission.ParseOpenJob(kv)
 	t.scheduler.SetJobUnreadable(id, err != nil && !cancelled)
 	if err != nil {
-		t.log.Error("open job's record unreadable", "key", kv.Key, "error", err)
+		t.log.Error("failed to parse open job record", "key", kv.Key, "error", err)
 		return
 	}
 	if cancelled || record.Shard != t.Shard {
 		return
 	}
-	// The predecessor started nothing after its lease ended, and that was before the shard's
-	// record changed: younger jobs are on no machine.
+	// The previous lease holder started nothing after its lease expired, which was before this
+	// term's shard record was written. Jobs written later cannot have tasks on machines.
 	mayHaveStarted := kv.Version < t.Version
 	acceptedAt := time.UnixMilli(record.AcceptedAt)
 	job := t.scheduler.AddJob(now, record.Spec, acceptedAt, kv.Version, mayHaveStarted)
--- a/internal/term/start_markers.go
+++ b/internal/term/start_markers.go
@@ -8,13 +8,13 @@
 	"juniperchute/internal/placement"
 )
 
-// startMarkerPrefix is the key prefix of a shard's start markers: the jobs that may have
-// tasks on machines. A successor starts jobs without a marker at once, and the others only
-// when it knows where their tasks are.
+// startMarkerPrefix returns the key prefix of a shard's start markers, which record the jobs that may have
+// tasks on machines. A later term starts jobs without a marker immediately, and other jobs only after it
+// has located their tasks.
 func startMarkerPrefix(shard int) string { return fmt.Sprintf("b/%d/", shard) }
 
-// writeStartMarker records durably that a job may have tasks on machines, and lets them start
-// once that is done.
+// writeStartMarker durably records that a job may have tasks on machines, and allows its tasks to start
+// once the marker is written.
 func (t *Term) writeStartMarker(now time.Time, job *placement.Job) {
 	t.startMarkers.Put(job.Spec.ID, 1, func(now time.Time) {
 		t.scheduler.StartMarkerWritten(job)
@@ -23,8 +23,8 @@
 	t.startMarkers.Tick(now)
 }
 
-// recoverStartMarkers takes over the start markers of earlier terms. Where a page of them
-// cannot be read, every job may have tasks on machines.
+// recoverStartMarkers restores the start markers of earlier terms. If a page of markers is unreadable, it
+// assumes that every open job may have tasks on machines.
 func (t *Term) recoverStartMarkers() {
 	t.startMarkers.Load(t.recovery.startMarkers, func(id string, _ json.RawMessage) {
 		job := t.scheduler.OpenJob(id)
--- a/internal/term/status.go
+++ b/internal/term/status.go
@@ -7,7 +7,7 @@
 	"juniperchute/internal/tuning"
 )
 
-// JobProgress is how far a job of the shard is.
+// JobProgress returns the numbers of completed and running tasks of a job; Known is false if it is not open.
 func (t *Term) JobProgress(id string) submission.Progress {
 	job := t.scheduler.OpenJob(id)
 	if job == nil {
@@ -16,8 +16,8 @@
 	return submission.Progress{Known: true, Done: job.CompletedTasks(), Running: job.RunningTasks()}
 }
 
-// Operations lists the cloud operations that are not completed, by kind. Until the log of
-// earlier terms has been read they are not known.
+// Operations returns the status of the incomplete cloud operations by kind. known is false while the term
+// is loading the intent log.
 func (t *Term) Operations() (statuses []intentlog.OperationStatus, known bool) {
 	if t.state == Loading {
 		return nil, false
@@ -25,8 +25,8 @@
 	return t.intents.Status(), true
 }
 
-// Status is what operators are shown of the shard. The counters' names are part of the
-// administration API.
+// Status returns the shard's status for the administration API, with at most tuning.MaxStatusJobs jobs. The
+// names of the counters are part of that API.
 func (t *Term) Status() *peerpb.ShardStatus {
 	out := &peerpb.ShardStatus{Shard: int32(t.Shard), State: t.state.String(), Counters: t.counters()}
 	for _, machine := range t.workers.All() {
--- a/internal/term/term.go
+++ b/internal/term/term.go
@@ -1,10 +1,9 @@
-// Package term is one term of a shard: the time in which this process owns a part of the
-// machines and jobs, under one fencing token. A term first recovers what earlier terms wrote
-// down, then fences their workers, and only then schedules freely.
+// Package term implements a term of a shard: the period in which this process owns the shard's machines
+// and jobs under one fencing token. A term first recovers the records of earlier terms, then fences their
+// workers, and only then schedules without restrictions.
 //
-// A Term belongs to the goroutine that owns its controller. Everything that it writes is
-// conditioned on the shard's record being as it was when the term began, so that a write of
-// an ended term fails.
+// A Term is not safe for concurrent use: only the goroutine that owns its controller may call it. Every
+// write of a term is conditional on the version of the shard record, so writes of a superseded term fail.
 package term
 
 import (
@@ -25,29 +24,29 @@
 	"juniperchute/internal/worker"
 )
 
-// State is how far a term is. It only moves forward: a term that has lost a state's
-// conditions ends, and a new term, under a higher token, starts over.
+// State is the state of a term. It only advances. A term that can no longer satisfy the conditions of its
+// state ends, and a new term starts under a higher token.
 type State int
 
 const (
-	// Loading: the records of earlier terms are being read. Nothing is started, and only
-	// heartbeats without unknown jobs are answered.
+	// Loading means that the records of earlier terms are being read. No task is started, and
+	// heartbeats with tasks of unknown jobs are refused.
 	Loading State = iota
-	// Fencing: workers that an earlier term may have used are being reconciled. Tasks that
-	// may run somewhere unseen are not started.
+	// Fencing means that workers of earlier terms are being reconciled. Tasks that may still run on
+	// an unreconciled worker are not started.
 	Fencing
-	// Open: every machine that the shard may have is reconciled or surely terminated.
+	// Open means that every machine of the shard is reconciled or confirmed as terminated.
 	Open
-	// Ended: the shard is another's, or about to be. The term does nothing any more.
+	// Ended means that the term is superseded or its shard is being released. The term is inactive.
 	Ended
 )
 
-// String is the state's name as the administration API and the logs have it.
+// String returns the state's name in the administration API and the logs.
 func (s State) String() string {
 	return [...]string{"loading", "fencing", "open", "over"}[s]
 }
 
-// Term is one term of a shard.
+// Term owns the machines and jobs of a shard for one term. See leader.Term for its invariants.
 type Term struct {
 	leader.Term
 	options   Options
@@ -60,20 +59,19 @@
 	scheduler  *placement.Scheduler
 	autoscaler *fleet.Autoscaler
 	intents    *intentlog.Log
-	// guardedStateCall sends calls of the state service, with removals of records guarded by
-	// the intent log.
+	// guardedStateCall sends calls to the key-value store; the intent log guards removals of records.
 	guardedStateCall store.Caller
 
-	completions   *jobCompletions
-	startMarkers  *store.Pages // jobs that may have tasks on machines
-	recovery      recovery
-	fencing       fencing
-	isolation     isolation
-	cancellations *cancellations
-	countersLogAt time.Time // when the scheduler's counters are logged next
+	completions    *jobCompletions
+	startMarkers   *store.Pages // marks jobs that may have tasks on machines
+	recovery       recovery
+	fencing        fencing
+	isolation      isolation
+	cancellations  *cancellations
+	nextCounterLog time.Time // earliest time of the next log of the scheduler's counters
 }
 
-// New makes a term. It does nothing before Start.
+// New returns a term in state Loading. It is inactive before Start.
 func New(now time.Time, options Options) *Term {
 	t := &Term{
 		Term: options.Term, options: options, startedAt: now,
@@ -93,7 +91,7 @@
 		Log:                t.log,
 		RequestStartMarker: t.writeStartMarker,
 		OnTaskCompleted: func(now time.Time, job *placement.Job) {
-			t.completions.taskCompleted(now, job)
+			t.completions.recordCompletion(now, job)
 		},
 	})
 	t.intents = t.newIntentLog()
@@ -140,7 +138,7 @@
 	})
 }
 
-// newPages makes pages under a prefix that only this term may write.
+// newPages returns pages under a key prefix. Their writes are conditional on this term.
 func (t *Term) newPages(prefix string, interval time.Duration, priority store.Priority) *store.Pages {
 	return store.NewPages(store.PagesOptions{
 		Prefix:        prefix,
@@ -154,68 +152,67 @@
 	})
 }
 
-// Start begins the term: it reads what earlier terms wrote down.
+// Start starts reading the records of earlier terms.
 func (t *Term) Start(now time.Time) {
 	t.log.Info("term started", "predecessor_ended", t.PredecessorEnded)
 	t.readRecords(now)
 }
 
-// State is how far the term is.
+// State returns the current state.
 func (t *Term) State() State { return t.state }
 
 // Live reports whether the term has not ended.
 func (t *Term) Live() bool { return t.state != Ended }
 
-// Incarnation is the process's membership under which the term began.
+// Incarnation returns the incarnation of this process under which the term started.
 func (t *Term) Incarnation() uint64 { return t.options.Incarnation }
 
-// Scheduler decides what runs where in the shard.
+// Scheduler returns the scheduler of the shard's jobs.
 func (t *Term) Scheduler() *placement.Scheduler { return t.scheduler }
 
-// Ledger is the account of what each team uses of the shard.
+// Ledger returns the quota usage of each team in the shard.
 func (t *Term) Ledger() *quota.Ledger { return t.ledger }
 
-// Workers are the shard's machines.
+// Workers returns the registry of the shard's machines.
 func (t *Term) Workers() *worker.Registry { return t.workers }
 
-// compare is the condition of every write: the shard's record is as this term began.
+// compare returns the condition of every write of this term: the shard record is unchanged since its start.
 func (t *Term) compare() wire.Compare {
 	return store.VersionEquals(leader.ShardKey(t.Shard), t.Version)
 }
 
-// callState sends a call of the state service and drops its result once the term has ended.
-func (t *Term) callState(call store.Call, then func(time.Time, store.Result)) {
+// callState sends a call to the key-value store. It discards the result if the term has ended meanwhile.
+func (t *Term) callState(call store.Call, done func(time.Time, store.Result)) {
 	t.options.Effects.CallState(call, func(now time.Time, result store.Result) {
 		if t.Live() {
-			then(now, result)
+			done(now, result)
 			t.options.Host.ReconcileTerms(now)
 		}
 	})
 }
 
-// callCloud sends a call of the cloud, to be made only while this process surely owns the
-// shard.
-func (t *Term) callCloud(call cloud.Call, then func(now time.Time, result cloud.Result)) {
+// callCloud sends a call to the cloud API with the lease deadline, after which the call must not be made.
+func (t *Term) callCloud(call cloud.Call, done func(now time.Time, result cloud.Result)) {
 	call.Deadline = t.options.Membership.LeaseDeadline()
-	t.options.Effects.CallCloud(call, then)
+	t.options.Effects.CallCloud(call, done)
 }
 
-// setState is the one place that changes the term's state.
+// setState changes the state and logs the transition. All state changes after New go through it.
 func (t *Term) setState(now time.Time, state State, reason string) {
 	if t.state == state {
 		return
 	}
-	t.log.Info("term state changed", "from", t.state, "to", state, "reason", reason, "after", now.Sub(t.startedAt))
+	t.log.Info("term state changed", "from", t.state, "to", state, "reason", reason, "duration", now.Sub(t.startedAt))
 	t.state = state
 }
 
-// End ends the term.
+// End makes the term inactive. reason is logged.
 func (t *Term) End(now time.Time, reason string) { t.setState(now, Ended, reason) }
 
-// onTermLost is called when a write finds the shard's record changed.
+// onTermLost ends the term after a write conflicted with a change of the shard record.
 func (t *Term) onTermLost(now time.Time) { t.End(now, "the shard's record has changed") }
 
-// ApplySettings puts the operators' settings into force.
+// ApplySettings applies the operators' settings to the scheduler and the autoscaler.
 func (t *Term) ApplySettings(s admin.Settings) {
 	t.scheduler.Settings = placement.Settings{DropThreshold: s.BackupWithdrawThreshold}
 	t.autoscaler.Settings = fleet.Settings{
@@ -225,13 +222,13 @@
 	}
 }
 
-// ApplyMachineType takes note of a machine type; record is its stored form.
+// ApplyMachineType adds or updates a machine type. record is its stored form.
 func (t *Term) ApplyMachineType(machineType wire.MachineType, record string) {
 	t.autoscaler.ApplyMachineType(machineType, record)
 }
 
-// enableIntentLog has intents recorded durably from now on if that is switched on here and in
-// force. It stays so to the term's end, as it does no harm beside members that keep no log.
+// enableIntentLog makes the intent log durable if this process enables it and its feature gate is in force.
+// It stays durable until the term ends, which is safe even if a member without an intent log joins.
 func (t *Term) enableIntentLog() {
 	inForce := t.options.IntentLog && t.options.Membership.FeatureInForce(featuregate.IntentLogFeature)
 	if inForce && !t.intents.Durable() {
@@ -240,7 +237,7 @@
 	}
 }
 
-// Tick starts what is due.
+// Tick starts the periodic work that is due. The controller calls it at regular intervals.
 func (t *Term) Tick(now time.Time) {
 	if !t.Live() {
 		return
@@ -249,7 +246,7 @@
 		t.End(now, "the attempt numbers of its token are used up")
 		return
 	}
-	for _, machine := range t.workers.ExpireLeases(now, t.unreconciledLeaseEnd()) {
+	for _, machine := range t.workers.ExpireLeases(now, t.unreconciledLeaseExpiry()) {
 		t.scheduler.ReleaseMachine(now, machine, "lease surely over")
 	}
 	if t.state == Loading || !t.options.Membership.LeaseValid(now) {
@@ -266,12 +263,12 @@
 	t.logCounters(now)
 }
 
-// logCounters logs now and then what became of primary and backup copies.
+// logCounters periodically logs the scheduler's counters of primary and backup copies.
 func (t *Term) logCounters(now time.Time) {
-	if now.Before(t.countersLogAt) {
+	if now.Before(t.nextCounterLog) {
 		return
 	}
-	t.countersLogAt = now.Add(tuning.CounterLogInterval)
+	t.nextCounterLog = now.Add(tuning.CounterLogInterval)
 	n := t.scheduler.Counters
 	t.log.Info("scheduler counters",
 		"primaries_started", n.PrimariesStarted, "backups_started", n.BackupsStarted,
