--- a/internal/placement/array.go
+++ b/internal/placement/array.go
@@ -9,7 +9,7 @@
 
 // arrayScheduler places the tasks of arrays.
 type arrayScheduler struct {
-	*environment
+	*sharedState
 	pass     *passState
 	capacity *capacityIndex
 	queues   *copyQueues
@@ -23,7 +23,7 @@
 	if filter.scope == guaranteedWork && !a.ledger.WithinGuarantee(job.Spec.Team, job.need) {
 		return
 	}
-	if filter.requirement == cachedImage && job.pastImagePatience {
+	if filter.requirement == cachedImage && job.outsideLocalityWindow {
 		return
 	}
 	p := newArrayPlacement(a, job, filter)
@@ -58,7 +58,7 @@
 		scope:       filter.scope,
 		tasksByZone: job.constrainedTasksByZone(nil),
 	}
-	if filter.requirement == cachedImage && !job.needsMoreImages {
+	if filter.requirement == cachedImage && !job.imageUnderReplicated {
 		p.requirement = cachedImage
 	}
 	return p
@@ -101,9 +101,9 @@
 	s, job := p.scheduler, p.job
 	switch {
 	case s.pass.arrayTasksQueued == tuning.MaxTasksPerPass:
-		s.pass.requestFull() // the next pass goes on
+		s.pass.requestFullPass() // the next pass goes on
 		return false
-	case job.startsFirst() && placed == tuning.FirstStartTasks:
+	case job.boostedAboveAll() && placed == tuning.FirstStartTasks:
 		return false // the rest waits for its turn
 	case p.scope == guaranteedWork && !s.ledger.WithinGuarantee(job.Spec.Team, job.need):
 		return false
@@ -169,8 +169,8 @@
 			a.markers.ensure(now, job)
 		}
 		earliest = min(earliest, job.fairSharePosition)
-		job.pastImagePatience = job.fairSharePosition > earliest+tuning.ImageLocalityPatience.Seconds()
+		job.outsideLocalityWindow = job.fairSharePosition > earliest+tuning.ImageLocalityPatience.Seconds()
 		machinesNeeded := float64(job.pendingTasks()) * job.machineShare(a.registry)
-		job.needsMoreImages = float64(machinesByImage[job.Spec.Image]) < machinesNeeded
+		job.imageUnderReplicated = float64(machinesByImage[job.Spec.Image]) < machinesNeeded
 	}
 }
--- a/internal/placement/backup_preemption.go
+++ b/internal/placement/backup_preemption.go
@@ -20,7 +20,7 @@
 		}
 		if task.phase != Stopping {
 			l.preemptBackup(now, task, "backup gives way to a primary")
-			if task.backupStops >= l.Settings.DropThreshold {
+			if task.backupPreemptions >= l.Settings.DropThreshold {
 				l.Counters.BackupsWithdrawn++
 			}
 		}
@@ -30,7 +30,7 @@
 
 // preemptBackup stops a running backup, which counts towards its withdrawal.
 func (l *taskLifecycle) preemptBackup(now time.Time, task *Task, reason string) {
-	task.backupStops++
+	task.backupPreemptions++
 	l.Counters.BackupsPreempted++
-	l.stop(now, task, task.Job.stopGrace(), reason)
+	l.stop(now, task, task.Job.gracePeriodS(), reason)
 }
--- a/internal/placement/capacity_index.go
+++ b/internal/placement/capacity_index.go
@@ -16,7 +16,7 @@
 //     pass ends where there are none;
 //   - it counts the places that each class of gangs could have.
 type capacityIndex struct {
-	*environment
+	*sharedState
 	rules         preemptionRules
 	machines      map[*worker.Machine]*machineInfo
 	dirtyMachines []*machineInfo  // changed since the last refresh
@@ -58,9 +58,9 @@
 	return &r.anyMachine
 }
 
-func newCapacityIndex(env *environment) *capacityIndex {
+func newCapacityIndex(env *sharedState) *capacityIndex {
 	return &capacityIndex{
-		environment:  env,
+		sharedState:  env,
 		rules:        preemptionRules{env},
 		machines:     map[*worker.Machine]*machineInfo{},
 		slotsByClass: map[equivalenceClass]*slotCounts{},
--- a/internal/placement/commands.go
+++ b/internal/placement/commands.go
@@ -47,7 +47,7 @@
 	if b.jobs.unreadable[id] {
 		return nil
 	}
-	job, index := b.jobs.ofTask(reported.Name)
+	job, index := b.jobs.findTask(reported.Name)
 	if reported.State == wire.TaskExited {
 		if b.reapable(machine, job, index, reported) {
 			return []wire.Command{{Verb: wire.VerbReap, Task: reported.Name, Attempt: reported.Attempt}}
@@ -61,9 +61,9 @@
 	switch {
 	case !task.isAttemptOn(machine, reported.Attempt):
 		return []wire.Command{stopCommand(reported.Name, reported.Attempt, 0)}
-	case task.phase == Stopping && (reported.State != wire.TaskSaving || task.stopGrace == 0):
+	case task.phase == Stopping && (reported.State != wire.TaskSaving || task.gracePeriodS == 0):
 		task.stopPending = false
-		return []wire.Command{stopCommand(reported.Name, reported.Attempt, task.stopGrace)}
+		return []wire.Command{stopCommand(reported.Name, reported.Attempt, task.gracePeriodS)}
 	}
 	return nil
 }
@@ -103,7 +103,7 @@
 	case task.phase == Stopping && !task.reported && task.commandSent:
 		// the command to run it may be on its way: the stop follows it
 		task.stopPending = false
-		return []wire.Command{stopCommand(task.Name(), task.attempt, task.stopGrace)}
+		return []wire.Command{stopCommand(task.Name(), task.attempt, task.gracePeriodS)}
 	}
 	return nil
 }
--- a/internal/placement/commands_test.go
+++ b/internal/placement/commands_test.go
@@ -51,7 +51,7 @@
 			h.scheduler.Schedule(h.now)
 			commands := h.scheduler.Commands(h.now, machine, c.channel)
 			if c.settled {
-				h.scheduler.SettleDirectCommands(machine, commands)
+				h.scheduler.ResolveDirectCommands(machine, commands)
 			}
 			h.scheduler.CloseJob(h.now, job.Spec.ID, h.now.Add(time.Minute))
 			h.applyHeartbeat(machine, h.newHeartbeat(machine), c.source)
--- a/internal/placement/consolidation.go
+++ b/internal/placement/consolidation.go
@@ -12,7 +12,7 @@
 
 // consolidator empties machines whose tasks would fit elsewhere.
 type consolidator struct {
-	*environment
+	*sharedState
 	capacity *capacityIndex
 	queue    *jobQueue
 	tasks    *taskLifecycle
--- a/internal/placement/copies_test.go
+++ b/internal/placement/copies_test.go
@@ -24,7 +24,7 @@
 	h := newHarness(t, 2)
 	f := &copiesFixture{testHarness: h, primary: h.registry.All()[0], backup: h.registry.All()[1]}
 	f.task = h.addJob("blue", wire.ShapeBatch, "low", 1, 1).addTask(0)
-	f.task.backupStops = earlierStops
+	f.task.backupPreemptions = earlierStops
 	h.scheduler.queues.queuePrimary(h.now, f.task, f.primary)
 	h.scheduler.queues.queueBackup(f.task, f.backup)
 	f.primary.Allocated = f.primary.Capacity // stuck behind something
@@ -92,7 +92,7 @@
 		t.Fatal("started before the backup's exit was reported: " + got)
 	}
 	f.heartbeat(f.backup, exited(f.task.Name(), wire.ExitStopped))
-	if f.task.backupStops != 1 || f.task.backup != f.backup {
+	if f.task.backupPreemptions != 1 || f.task.backup != f.backup {
 		t.Fatal("the backup is not queued again")
 	}
 	if got := describe(f.heartbeat(f.primary)); got != "run "+f.task.Name()+";" {
@@ -112,7 +112,7 @@
 	other := f.addJob("red", wire.ShapeBatch, "high", 1, 2).addTask(0)
 	f.scheduler.queues.queuePrimary(f.now, other, f.backup)
 	f.heartbeat(f.backup)
-	if f.task.phase != Stopping || f.task.backupStops != 1 {
+	if f.task.phase != Stopping || f.task.backupPreemptions != 1 {
 		t.Error("the backup does not give way")
 	}
 }
--- a/internal/placement/demand.go
+++ b/internal/placement/demand.go
@@ -61,11 +61,11 @@
 
 // demandPlanner works out which machines are needed.
 type demandPlanner struct {
-	*environment
+	*sharedState
 	capacity *capacityIndex
 	jobs     *jobTable
 	queue    *jobQueue
-	runTimes *runTimeEstimates
+	runTimes *runTimeEstimator
 }
 
 // newPlan returns a plan with nothing packed.
--- a/internal/placement/demand_arrays.go
+++ b/internal/placement/demand_arrays.go
@@ -48,7 +48,7 @@
 // arrayBacklogs lists the arrays with tasks that have not started, by priority.
 func (p *demandPlan) arrayBacklogs() (backlogs []*arrayBacklog) {
 	for _, job := range p.queue.open {
-		if !job.isArray() || p.now.Before(job.notBefore) {
+		if !job.isArray() || p.now.Before(job.backoffUntil) {
 			continue
 		}
 		if tasks := job.unstartedTasks(); tasks > 0 {
--- a/internal/placement/demand_gangs.go
+++ b/internal/placement/demand_gangs.go
@@ -29,7 +29,7 @@
 // tasksToPlace returns how many tasks of a gang or service need places.
 func (p *demandPlan) tasksToPlace(job *Job) int {
 	placed := job.IsGang() && len(job.tasks) > 0
-	if job.isArray() || placed || p.now.Before(job.notBefore) {
+	if job.isArray() || placed || p.now.Before(job.backoffUntil) {
 		return 0
 	}
 	n := job.pendingTasks()
--- a/internal/placement/demand_test.go
+++ b/internal/placement/demand_test.go
@@ -75,7 +75,7 @@
 		}
 	}
 	for range 3 {
-		h.deliverDirect()
+		h.deliverDirectCommands()
 	}
 }
 
@@ -120,7 +120,7 @@
 			for range c.services {
 				job := h.addJob("blue", wire.ShapeService, "critical", 2, 0)
 				job.Spec.Spot = c.spot
-				h.deliverDirect()
+				h.deliverDirectCommands()
 				job.Spec.Spot = false
 			}
 			offers := []Offer{testOffer(true, 1, c.bootSeconds), testOffer(false, 3, c.bootSeconds)}
--- a/internal/placement/dispatch.go
+++ b/internal/placement/dispatch.go
@@ -12,7 +12,7 @@
 
 // dispatcher dispatches what is at the heads of the machines' queues.
 type dispatcher struct {
-	*environment
+	*sharedState
 	capacity *capacityIndex
 	queues   *copyQueues
 	tasks    *taskLifecycle
--- a/internal/placement/environment.go
+++ b/internal/placement/environment.go
@@ -10,7 +10,7 @@
 )
 
 // environment is what all parts of a scheduler share.
-type environment struct {
+type sharedState struct {
 	Settings   Settings
 	Counters   Counters
 	platform   config.Platform
@@ -41,7 +41,7 @@
 }
 
 // setPendingReason notes why a job's tasks don't start, in words for its user.
-func (e *environment) setPendingReason(job *Job, reason string) {
+func (e *sharedState) setPendingReason(job *Job, reason string) {
 	if job.pendingReason != reason {
 		job.pendingReason = reason
 		e.log.Debug("job pending", "job", job.Spec.ID, "reason", reason, "tasks", job.pendingTasks())
--- a/internal/placement/failures.go
+++ b/internal/placement/failures.go
@@ -9,11 +9,11 @@
 
 // failureHistory is what a job's past runs say about it and about machines.
 type failureHistory struct {
-	notBefore   time.Time       // nothing of the job starts before
-	failures    int             // failed tasks; of a service: since its last healthy run
-	failedOn    map[string]int  // failures by machine
-	succeededOn map[string]bool // machines on which a task completed, or a replica ran well
-	shortRuns   int             // replicas of a service that ended as soon as they had started, in a row
+	backoffUntil         time.Time       // nothing of the job starts before
+	failures             int             // failed tasks; of a service: since its last healthy run
+	failedOn             map[string]int  // failures by machine
+	succeededOn          map[string]bool // machines on which a task completed, or a replica ran well
+	consecutiveShortRuns int             // replicas of a service that ended as soon as they had started, in a row
 }
 
 // failsEverywhere reports whether the job failed on so many machines, without
@@ -34,7 +34,7 @@
 
 // failureTracker attributes failures to machines or jobs.
 type failureTracker struct {
-	*environment
+	*sharedState
 	jobs *jobTable
 }
 
@@ -48,7 +48,7 @@
 	job.failedOn[machine.Host]++
 	job.noRoomRevisions = noRoomRevisions{}
 	machine.FailuresByJob[job.Spec.ID]++
-	jobs := f.jobs.failingOn(machine)
+	jobs := f.jobs.failingJobCount(machine)
 	succeededElsewhere := false
 	for host := range job.succeededOn {
 		succeededElsewhere = succeededElsewhere || host != machine.Host
@@ -62,7 +62,7 @@
 	}
 	if job.failsEverywhere() {
 		pause := tuning.RetryInitial << min(job.failures, tuning.RetryDoublings)
-		job.notBefore = now.Add(pause)
+		job.backoffUntil = now.Add(pause)
 		f.log.Info("job backed off", "job", job.Spec.ID, "pause", pause)
 	}
 }
@@ -72,7 +72,7 @@
 func (j *Job) recordHealthyRun(now time.Time, task *Task) {
 	if j.IsService() && task.healthy(now) {
 		j.succeededOn[task.machine.Host] = true
-		j.failures, j.shortRuns = 0, 0
+		j.failures, j.consecutiveShortRuns = 0, 0
 	}
 }
 
@@ -81,15 +81,15 @@
 	return !t.runningSince.IsZero() && now.Sub(t.runningSince) >= tuning.ServiceHealthyAfter
 }
 
-// restartPause returns how long a replica that has ended by itself waits until
+// restartBackoff returns how long a replica that has ended by itself waits until
 // it runs again: not at all, unless it ended as soon as it had started. While
 // none of the service's replicas lasts, the pause doubles.
-func (j *Job) restartPause(now time.Time, task *Task) time.Duration {
+func (j *Job) restartBackoff(now time.Time, task *Task) time.Duration {
 	j.recordHealthyRun(now, task)
 	if task.healthy(now) {
 		return 0
 	}
-	pause := tuning.RetryInitial << min(j.shortRuns, tuning.RetryDoublings)
-	j.shortRuns++
+	pause := tuning.RetryInitial << min(j.consecutiveShortRuns, tuning.RetryDoublings)
+	j.consecutiveShortRuns++
 	return pause
 }
--- a/internal/placement/failures_test.go
+++ b/internal/placement/failures_test.go
@@ -36,7 +36,7 @@
 			if got := h.registry.All()[0].Quarantined; got != c.quarantined {
 				t.Errorf("quarantined: %t, want %t", got, c.quarantined)
 			}
-			if got := jobs[0].notBefore.After(h.now); got != c.backedOff {
+			if got := jobs[0].backoffUntil.After(h.now); got != c.backedOff {
 				t.Errorf("backed off: %t, want %t", got, c.backedOff)
 			}
 		})
--- a/internal/placement/fair_share.go
+++ b/internal/placement/fair_share.go
@@ -13,13 +13,13 @@
 type queuePosition struct {
 	effectivePriority int     // the priority, raised for age
 	fairSharePosition float64 // within the priority; a wall clock time in seconds
-	// pastImagePatience: its position is too late for its tasks to be placed
+	// outsideLocalityWindow: its position is too late for its tasks to be placed
 	// first where their image is cached.
-	pastImagePatience bool
-	// needsMoreImages: its image is cached on fewer machines than its tasks
+	outsideLocalityWindow bool
+	// imageUnderReplicated: its image is cached on fewer machines than its tasks
 	// could fill, so they go to others too.
-	needsMoreImages bool
-	noRoomRevisions noRoomRevisions
+	imageUnderReplicated bool
+	noRoomRevisions      noRoomRevisions
 }
 
 // fairShareOrder orders jobs of one priority by age. Gangs go a while before
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -12,7 +12,7 @@
 
 // gangScheduler places gangs, and dispatches them once there is room for all their tasks.
 type gangScheduler struct {
-	*environment
+	*sharedState
 	pass     *passState
 	capacity *capacityIndex
 	rules    preemptionRules
@@ -73,7 +73,7 @@
 		g.recordNoRoom(now, gang)
 		return false
 	case g.pass.gangsPlaced == tuning.MaxGangsPerPass:
-		g.pass.requestFull() // the next pass goes on
+		g.pass.requestFullPass() // the next pass goes on
 		return false
 	}
 	return true
@@ -110,7 +110,7 @@
 	for _, slot := range slots {
 		fetch = max(fetch, gang.imageFetchTime(slot.machine))
 		for _, victim := range slot.victims {
-			save = max(save, victim.Job.stopGrace())
+			save = max(save, victim.Job.gracePeriodS())
 		}
 	}
 	ready := now.Sub(gang.KnownSince).Seconds() + fetch + tuning.GangStartOverhead.Seconds()
--- a/internal/placement/gang_test.go
+++ b/internal/placement/gang_test.go
@@ -33,7 +33,7 @@
 	if gang.assigned != 3 || gang.attempt == first {
 		t.Fatalf("second attempt: %d tasks, attempt %d", gang.assigned, gang.attempt)
 	}
-	h.heartbeats(1)
+	h.heartbeatAll(1)
 	// one has completed, so all have; a machine lost now must not bring one back
 	h.heartbeat(gang.tasks[0].machine, exited(gang.tasks[0].Name(), wire.ExitDone))
 	if !gang.IsComplete() {
@@ -74,7 +74,7 @@
 	h.heartbeat(kept)
 	before := gang.attempt
 	low := h.addJob("blue", wire.ShapeBatch, "low", 8, 1)
-	h.loseMachine(lost)
+	h.expireLease(lost)
 	member := h.assigned(kept)[0]
 	if got := describe(h.heartbeat(kept)); got != "stop "+member.Name()+";" {
 		t.Fatalf("commands for the rest of the gang: %s", got)
--- a/internal/placement/harness_test.go
+++ b/internal/placement/harness_test.go
@@ -131,7 +131,7 @@
 }
 
 // heartbeats lets every machine report a number of times.
-func (h *testHarness) heartbeats(rounds int) {
+func (h *testHarness) heartbeatAll(rounds int) {
 	h.t.Helper()
 	for range rounds {
 		for _, machine := range h.registry.All() {
@@ -140,9 +140,9 @@
 	}
 }
 
-// deliverDirect sends the commands that don't wait for heartbeats, lets the
+// deliverDirectCommands sends the commands that don't wait for heartbeats, lets the
 // machines answer, and returns the commands.
-func (h *testHarness) deliverDirect() string {
+func (h *testHarness) deliverDirectCommands() string {
 	h.t.Helper()
 	h.now = h.now.Add(tuning.PassInterval)
 	h.scheduler.Schedule(h.now)
@@ -150,14 +150,14 @@
 	for _, machine := range h.scheduler.UrgentMachines() {
 		commands := h.scheduler.Commands(h.now, machine, DirectCommand)
 		sent += describe(commands)
-		h.scheduler.SettleDirectCommands(machine, commands)
+		h.scheduler.ResolveDirectCommands(machine, commands)
 		h.heartbeat(machine)
 	}
 	return sent
 }
 
-// loseMachine lets a machine's lease expire.
-func (h *testHarness) loseMachine(machine *worker.Machine) {
+// expireLease lets a machine's lease expire.
+func (h *testHarness) expireLease(machine *worker.Machine) {
 	h.registry.SetState(h.now, machine, worker.LeaseExpired, "test")
 	h.scheduler.ReleaseMachine(h.now, machine, "test")
 }
--- a/internal/placement/job.go
+++ b/internal/placement/job.go
@@ -20,12 +20,12 @@
 	// StartedInEarlierTerm tells that an earlier term wrote its start marker.
 	StartedInEarlierTerm bool
 
-	priority      int
-	need          quota.Resources // of each task
-	closed        bool
-	tasksGoneBy   time.Time // of a closed job: when none of its tasks may be left on a machine
-	startMarker   startMarkerState
-	pendingReason string // why it waits, as last logged
+	priority            int
+	need                quota.Resources // of each task
+	closed              bool
+	terminationDeadline time.Time // of a closed job: when none of its tasks may be left on a machine
+	startMarker         startMarkerState
+	pendingReason       string // why it waits, as last logged
 
 	jobTasks
 	jobAttempts
@@ -80,8 +80,8 @@
 // savesCheckpoints reports whether the job's tasks can be stopped without losing their progress.
 func (j *Job) savesCheckpoints() bool { return j.Spec.CheckpointIntervalS > 0 }
 
-// stopGrace returns how many seconds a running task of the job is given to save.
-func (j *Job) stopGrace() float64 {
+// gracePeriodS returns how many seconds a running task of the job is given to save.
+func (j *Job) gracePeriodS() float64 {
 	if !j.savesCheckpoints() {
 		return 0
 	}
--- a/internal/placement/job_queue.go
+++ b/internal/placement/job_queue.go
@@ -12,8 +12,8 @@
 
 // jobQueue is the order in which open jobs get machines.
 type jobQueue struct {
-	*environment
-	runTimes   *runTimeEstimates
+	*sharedState
+	runTimes   *runTimeEstimator
 	pass       *passState
 	open       []*Job         // by priority, then age
 	tiers      []priorityTier // the same by effective priority and fair-share order, as last sorted
@@ -56,7 +56,7 @@
 // invalidate has the jobs sorted anew.
 func (q *jobQueue) invalidate() {
 	q.orderStale = true
-	q.pass.requestFull()
+	q.pass.requestFullPass()
 }
 
 // sortIfDue sorts the open jobs by priority and fair-share order, unless that
@@ -102,6 +102,6 @@
 // that could start if there were room.
 func (q *jobQueue) startableTasksPending(now time.Time) bool {
 	return slices.ContainsFunc(q.open, func(job *Job) bool {
-		return !job.IsGang() && job.pendingTasks() > 0 && !now.Before(job.notBefore)
+		return !job.IsGang() && job.pendingTasks() > 0 && !now.Before(job.backoffUntil)
 	})
 }
--- a/internal/placement/job_table.go
+++ b/internal/placement/job_table.go
@@ -30,9 +30,9 @@
 	t.seenClasses[job.Spec.Class] = true
 }
 
-// ofTask returns the job, open or closed, and the index of a reported task;
+// findTask returns the job, open or closed, and the index of a reported task;
 // a nil job if there is no such task.
-func (t *jobTable) ofTask(name string) (*Job, int) {
+func (t *jobTable) findTask(name string) (*Job, int) {
 	id, index, ok := wire.ParseTask(name)
 	if !ok {
 		return nil, 0
@@ -44,9 +44,9 @@
 	return job, index
 }
 
-// failingOn counts the jobs that failed on a machine, without open jobs
+// failingJobCount counts the jobs that failed on a machine, without open jobs
 // that are themselves at fault.
-func (t *jobTable) failingOn(machine *worker.Machine) int {
+func (t *jobTable) failingJobCount(machine *worker.Machine) int {
 	jobs := 0
 	for id := range machine.FailuresByJob {
 		if job := t.byID[id]; job == nil || !job.failsEverywhere() {
--- a/internal/placement/machines.go
+++ b/internal/placement/machines.go
@@ -59,9 +59,9 @@
 	return s.commands.stopsForClosedJobs(tasks)
 }
 
-// SettleDirectCommands records that direct commands have been executed or
+// ResolveDirectCommands records that direct commands have been executed or
 // surely will not be.
-func (s *Scheduler) SettleDirectCommands(machine *worker.Machine, commands []wire.Command) {
+func (s *Scheduler) ResolveDirectCommands(machine *worker.Machine, commands []wire.Command) {
 	for _, task := range s.capacity.info(machine).assigned {
 		for _, command := range commands {
 			if command.Verb == wire.VerbRun && command.Attempt == task.attempt && command.Task == task.Name() &&
@@ -79,7 +79,7 @@
 func (s *Scheduler) MayStartAfterClose(machine *worker.Machine, until time.Time) bool {
 	return slices.ContainsFunc(s.capacity.info(machine).assigned, func(task *Task) bool {
 		inFlight := task.unansweredCommands > 0 && !task.reported
-		return task.Job.closed && inFlight && until.After(task.Job.tasksGoneBy)
+		return task.Job.closed && inFlight && until.After(task.Job.terminationDeadline)
 	})
 }
 
--- a/internal/placement/pass_state.go
+++ b/internal/placement/pass_state.go
@@ -16,11 +16,11 @@
 }
 
 // begin starts a pass.
-func (p *passState) begin() { *p = passState{} }
+func (p *passState) reset() { *p = passState{} }
 
-// requestFull makes the next pass go through all jobs although no machine has
+// requestFullPass makes the next pass go through all jobs although no machine has
 // gained anything.
-func (p *passState) requestFull() { p.fullPassNeeded = true }
+func (p *passState) requestFullPass() { p.fullPassNeeded = true }
 
 // reservedForGang reports whether a machine is reserved for a starving gang
 // for which an array's tasks would not be preempted.
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -9,7 +9,7 @@
 )
 
 // preemptionRules tell which work may be preempted for which.
-type preemptionRules struct{ *environment }
+type preemptionRules struct{ *sharedState }
 
 // allow reports whether a task may be preempted for work of a class:
 // work of lower priority, or of a team over its guarantee for a team within
--- a/internal/placement/preemption_test.go
+++ b/internal/placement/preemption_test.go
@@ -50,7 +50,7 @@
 			}
 			h.addJob(c.team, wire.ShapeBatch, c.priority, tasks, 1)
 			h.scheduler.Schedule(h.now)
-			h.heartbeats(2)
+			h.heartbeatAll(2)
 			gang := h.addJob(c.gangTeam, wire.ShapeGang, c.gangPriority, 1, 2)
 			h.scheduler.Schedule(h.now)
 			if got := len(gang.tasks) == 1; got != c.preempted {
--- a/internal/placement/queues.go
+++ b/internal/placement/queues.go
@@ -9,7 +9,7 @@
 
 // copyQueues changes the machines' queues of primary and backup copies.
 type copyQueues struct {
-	*environment
+	*sharedState
 	capacity *capacityIndex
 }
 
--- a/internal/placement/reconciler.go
+++ b/internal/placement/reconciler.go
@@ -11,7 +11,7 @@
 
 // reconciler acts on what machines report.
 type reconciler struct {
-	*environment
+	*sharedState
 	capacity *capacityIndex
 	queues   *copyQueues
 	jobs     *jobTable
@@ -68,11 +68,11 @@
 	if reported.State == wire.TaskRunning && task.runningSince.IsZero() {
 		task.runningSince = now
 	}
-	if task.stage != reported.State {
+	if task.reportedState != reported.State {
 		r.log.Debug("task stage changed", "task", reported.Name, "attempt", reported.Attempt,
 			"worker", machine.Host, "stage", reported.State)
 	}
-	task.stage = reported.State
+	task.reportedState = reported.State
 	task.Job.recordHealthyRun(now, task)
 	if task.phase == Dispatched {
 		r.tasks.setPhase(now, task, Active, reported.State)
@@ -87,7 +87,7 @@
 	switch reported.ExitReason {
 	case wire.ExitDone:
 		if job.IsService() {
-			r.tasks.releaseTask(now, task, job.restartPause(now, task), "replica ended")
+			r.tasks.releaseTask(now, task, job.restartBackoff(now, task), "replica ended")
 			return
 		}
 		r.tasks.completeTask(now, task)
@@ -112,7 +112,7 @@
 	machine.HasUnknownTasks = false
 	for i := range machine.Tasks {
 		reported := &machine.Tasks[i]
-		job, index := r.jobs.ofTask(reported.Name)
+		job, index := r.jobs.findTask(reported.Name)
 		finding := reconcileReported(job, index, machine, reported)
 		switch finding {
 		case reportedExpected, reportedOver:
--- a/internal/placement/reconciliation_test.go
+++ b/internal/placement/reconciliation_test.go
@@ -251,7 +251,7 @@
 	machine := h.registry.All()[0]
 	job := h.addJob("blue", wire.ShapeBatch, "low", 1, 1)
 	h.scheduler.Schedule(h.now)
-	h.heartbeats(2)
+	h.heartbeatAll(2)
 	if job.RunningTasks() != 1 {
 		t.Fatal("not running")
 	}
@@ -260,7 +260,7 @@
 	if job.assigned != 0 || job.pendingTasks() != 1 {
 		t.Fatalf("%d assigned, %d pending", job.assigned, job.pendingTasks())
 	}
-	h.heartbeats(1)
+	h.heartbeatAll(1)
 	if job.assigned != 1 || job.tasks[0].attempt <= attempt {
 		t.Errorf("%d assigned again", job.assigned)
 	}
--- a/internal/placement/rescheduling.go
+++ b/internal/placement/rescheduling.go
@@ -12,7 +12,7 @@
 
 // rescheduler moves copies off machines where they can't stay or are stuck.
 type rescheduler struct {
-	*environment
+	*sharedState
 	capacity *capacityIndex
 	queues   *copyQueues
 	tasks    *taskLifecycle
@@ -45,7 +45,7 @@
 		case task.phase != Active:
 		case job.IsService():
 			r.services.migrateReplica(now, task, now.After(latest))
-		case job.savesCheckpoints() && task.stage != wire.TaskFetching && now.Add(saveTime).After(latest):
+		case job.savesCheckpoints() && task.reportedState != wire.TaskFetching && now.Add(saveTime).After(latest):
 			r.tasks.preempt(now, task, "machine has a preemption notice")
 		}
 	}
--- a/internal/placement/run_time.go
+++ b/internal/placement/run_time.go
@@ -6,14 +6,14 @@
 	"juniperchute/internal/tuning"
 )
 
-// runTimeEstimates learn from completed tasks how long tasks run.
-type runTimeEstimates struct {
+// runTimeEstimator learn from completed tasks how long tasks run.
+type runTimeEstimator struct {
 	ratioByClass map[string]float64 // run time over the users' estimate
 }
 
 // estimate estimates a task's run time in seconds: the user's estimate,
 // corrected by what tasks of the job's class have taken so far.
-func (r *runTimeEstimates) estimate(job *Job) float64 {
+func (r *runTimeEstimator) estimate(job *Job) float64 {
 	estimate := job.Spec.EstimatedRunTimeS
 	if ratio, ok := r.ratioByClass[job.Spec.Class]; ok {
 		estimate *= ratio
@@ -22,7 +22,7 @@
 }
 
 // record corrects the estimates of a class by a task that has completed.
-func (r *runTimeEstimates) record(now time.Time, task *Task) {
+func (r *runTimeEstimator) record(now time.Time, task *Task) {
 	job := task.Job
 	if task.runningSince.IsZero() || job.Spec.EstimatedRunTimeS <= 0 || job.IsGang() {
 		return
--- a/internal/placement/scheduler.go
+++ b/internal/placement/scheduler.go
@@ -34,7 +34,7 @@
 // Settings, which may be changed at any time, Counters and
 // AttemptNumbersExhausted are fields of its embedded parts.
 type Scheduler struct {
-	*environment
+	*sharedState
 	*attemptNumbers
 	pass     *passState
 	capacity *capacityIndex
@@ -44,7 +44,7 @@
 	queue    *jobQueue
 	markers  *startMarkers
 	urgent   *urgentMachines
-	runTimes *runTimeEstimates
+	runTimes *runTimeEstimator
 	tasks    *taskLifecycle
 	failures *failureTracker
 
@@ -65,7 +65,7 @@
 
 // NewScheduler returns a scheduler without jobs and machines.
 func NewScheduler(options Options) *Scheduler {
-	env := &environment{
+	env := &sharedState{
 		Settings: Settings{DropThreshold: tuning.BackupWithdrawThreshold},
 		platform: options.Platform,
 		ledger:   options.Ledger,
@@ -74,21 +74,21 @@
 		log:      options.Log,
 	}
 	s := &Scheduler{
-		environment:    env,
+		sharedState:    env,
 		attemptNumbers: &attemptNumbers{token: options.Token},
 		pass:           &passState{},
 		capacity:       newCapacityIndex(env),
 		rules:          preemptionRules{env},
 		jobs:           newJobTable(),
 		urgent:         &urgentMachines{},
-		runTimes:       &runTimeEstimates{ratioByClass: map[string]float64{}},
+		runTimes:       &runTimeEstimator{ratioByClass: map[string]float64{}},
 	}
-	s.queues = &copyQueues{environment: env, capacity: s.capacity}
-	s.queue = &jobQueue{environment: env, runTimes: s.runTimes, pass: s.pass}
-	s.markers = &startMarkers{environment: env, pass: s.pass, request: options.RequestStartMarker}
-	s.failures = &failureTracker{environment: env, jobs: s.jobs}
+	s.queues = &copyQueues{sharedState: env, capacity: s.capacity}
+	s.queue = &jobQueue{sharedState: env, runTimes: s.runTimes, pass: s.pass}
+	s.markers = &startMarkers{sharedState: env, pass: s.pass, request: options.RequestStartMarker}
+	s.failures = &failureTracker{sharedState: env, jobs: s.jobs}
 	s.tasks = &taskLifecycle{
-		environment:     env,
+		sharedState:     env,
 		capacity:        s.capacity,
 		queues:          s.queues,
 		jobs:            s.jobs,
@@ -96,23 +96,23 @@
 		runTimes:        s.runTimes,
 		onTaskCompleted: options.OnTaskCompleted,
 	}
-	s.wireSchedulers()
-	s.wireMachineParts()
-	s.wireDemandParts()
+	s.initSchedulers()
+	s.initMachineComponents()
+	s.initDemandComponents()
 	return s
 }
 
-// wireSchedulers makes the parts that place the jobs of each shape.
-func (s *Scheduler) wireSchedulers() {
+// initSchedulers makes the parts that place the jobs of each shape.
+func (s *Scheduler) initSchedulers() {
 	s.arrays = &arrayScheduler{
-		environment: s.environment,
+		sharedState: s.sharedState,
 		pass:        s.pass,
 		capacity:    s.capacity,
 		queues:      s.queues,
 		markers:     s.markers,
 	}
 	s.gangs = &gangScheduler{
-		environment: s.environment,
+		sharedState: s.sharedState,
 		pass:        s.pass,
 		capacity:    s.capacity,
 		rules:       s.rules,
@@ -122,7 +122,7 @@
 		attempts:    s.attemptNumbers,
 	}
 	s.services = &serviceScheduler{
-		environment: s.environment,
+		sharedState: s.sharedState,
 		capacity:    s.capacity,
 		rules:       s.rules,
 		queues:      s.queues,
@@ -131,7 +131,7 @@
 		attempts:    s.attemptNumbers,
 	}
 	s.rescheduler = &rescheduler{
-		environment: s.environment,
+		sharedState: s.sharedState,
 		capacity:    s.capacity,
 		queues:      s.queues,
 		tasks:       s.tasks,
@@ -139,10 +139,10 @@
 	}
 }
 
-// wireMachineParts makes the parts that deal with machines' heartbeats and commands.
-func (s *Scheduler) wireMachineParts() {
+// initMachineComponents makes the parts that deal with machines' heartbeats and commands.
+func (s *Scheduler) initMachineComponents() {
 	s.dispatcher = &dispatcher{
-		environment: s.environment,
+		sharedState: s.sharedState,
 		capacity:    s.capacity,
 		queues:      s.queues,
 		tasks:       s.tasks,
@@ -150,7 +150,7 @@
 	}
 	s.commands = &commandBuilder{capacity: s.capacity, jobs: s.jobs}
 	s.reconciler = &reconciler{
-		environment: s.environment,
+		sharedState: s.sharedState,
 		capacity:    s.capacity,
 		queues:      s.queues,
 		jobs:        s.jobs,
@@ -159,16 +159,16 @@
 	}
 }
 
-// wireDemandParts makes the parts that decide which machines are needed.
-func (s *Scheduler) wireDemandParts() {
+// initDemandComponents makes the parts that decide which machines are needed.
+func (s *Scheduler) initDemandComponents() {
 	s.consolidator = &consolidator{
-		environment: s.environment,
+		sharedState: s.sharedState,
 		capacity:    s.capacity,
 		queue:       s.queue,
 		tasks:       s.tasks,
 	}
 	s.planner = &demandPlanner{
-		environment: s.environment,
+		sharedState: s.sharedState,
 		capacity:    s.capacity,
 		jobs:        s.jobs,
 		queue:       s.queue,
@@ -211,13 +211,13 @@
 }
 
 // CloseJob closes a completed or cancelled job: none of its tasks starts any
-// more, and those on machines are stopped. They must have ended by tasksGoneBy.
+// more, and those on machines are stopped. They must have ended by terminationDeadline.
 func (s *Scheduler) CloseJob(now time.Time, id string, tasksGoneBy time.Time) {
 	job := s.jobs.open(id)
 	if job == nil {
 		return
 	}
-	job.closed, job.tasksGoneBy = true, tasksGoneBy
+	job.closed, job.terminationDeadline = true, tasksGoneBy
 	s.queue.remove(job)
 	for _, task := range job.tasksByIndex() {
 		s.queues.withdrawCopies(task)
@@ -243,5 +243,5 @@
 // reconciled or deleted: pending tasks of jobs from earlier terms may start.
 func (s *Scheduler) MarkReconciled() {
 	s.reconciled = true
-	s.pass.requestFull()
+	s.pass.requestFullPass()
 }
--- a/internal/placement/scheduling_pass.go
+++ b/internal/placement/scheduling_pass.go
@@ -33,7 +33,7 @@
 	if gained := s.capacity.refresh(now); !gained && !due && !s.pass.fullPassNeeded {
 		return
 	}
-	s.pass.begin()
+	s.pass.reset()
 	s.refreshOrder(now)
 	for _, tier := range s.queue.tiers {
 		s.scheduleTier(now, tier)
@@ -87,7 +87,7 @@
 		return
 	case job.isArray() && len(s.capacity.freeMachines) == 0:
 		return
-	case job.closed || now.Before(job.notBefore):
+	case job.closed || now.Before(job.backoffUntil):
 		return
 	case !s.markers.safeToStart(job):
 		s.setPendingReason(job, "its tasks may be on machines not reconciled yet")
--- a/internal/placement/service.go
+++ b/internal/placement/service.go
@@ -9,7 +9,7 @@
 
 // serviceScheduler places the replicas of services, and moves them.
 type serviceScheduler struct {
-	*environment
+	*sharedState
 	capacity *capacityIndex
 	rules    preemptionRules
 	queues   *copyQueues
--- a/internal/placement/service_migration_test.go
+++ b/internal/placement/service_migration_test.go
@@ -55,16 +55,16 @@
 	}
 	delete(other.Images, testImage)
 	h.noticePreemption(from, time.Second)
-	if sent := h.deliverDirect(); strings.Contains(sent, "stop") {
+	if sent := h.deliverDirectCommands(); strings.Contains(sent, "stop") {
 		t.Fatal("stopped before its image is anywhere else")
 	}
 	other.Images[testImage] = h.now
 	h.now = h.now.Add(time.Second)
-	if sent := h.deliverDirect(); !strings.Contains(sent, "stop") {
+	if sent := h.deliverDirectCommands(); !strings.Contains(sent, "stop") {
 		t.Fatal("not stopped")
 	}
 	h.heartbeat(from, replicaExited(service, wire.ExitStopped))
-	h.deliverDirect()
+	h.deliverDirectCommands()
 	if h.machinesOf(service)[other.Host] != 1 {
 		t.Error("not started on the other machine")
 	}
@@ -79,7 +79,7 @@
 		}
 	}
 	h.noticePreemption(from, 28*time.Second)
-	if sent := h.deliverDirect(); !strings.Contains(sent, "stop") {
+	if sent := h.deliverDirectCommands(); !strings.Contains(sent, "stop") {
 		t.Error("left to end with its machine")
 	}
 }
@@ -88,13 +88,13 @@
 	service := h.startService(1)
 	from := service.tasks[0].machine
 	h.noticePreemption(from, time.Second)
-	if sent := h.deliverDirect(); !strings.Contains(sent, "stop") {
+	if sent := h.deliverDirectCommands(); !strings.Contains(sent, "stop") {
 		t.Fatal("does not migrate")
 	}
 	h.scheduler.CloseJob(h.now, service.Spec.ID, h.now.Add(time.Minute))
 	h.heartbeat(from, replicaExited(service, wire.ExitStopped))
 	for range 20 {
-		if sent := h.deliverDirect(); strings.Contains(sent, "run ") {
+		if sent := h.deliverDirectCommands(); strings.Contains(sent, "run ") {
 			t.Fatal("started again")
 		}
 	}
@@ -116,7 +116,7 @@
 	h.twoZones()
 	service := h.addService(2)
 	service.Spec.SpreadAcrossZones = true
-	h.deliverDirect()
+	h.deliverDirectCommands()
 	if zones := service.tasksByZone(assignedTasks); zones["a"] != 1 || zones["b"] != 1 {
 		t.Fatal("not spread")
 	}
@@ -127,11 +127,11 @@
 		}
 	}
 	h.noticePreemption(from, time.Second)
-	if sent := h.deliverDirect(); !strings.Contains(sent, "stop") {
+	if sent := h.deliverDirectCommands(); !strings.Contains(sent, "stop") {
 		t.Fatal("does not migrate while there is a place")
 	}
 	h.heartbeat(from, replicaExited(service, wire.ExitStopped))
-	h.deliverDirect()
+	h.deliverDirectCommands()
 	if to := service.tasks[0].machine; to == nil || to.Zone != from.Zone || to == from {
 		t.Error("not migrated within its zone")
 	}
@@ -141,10 +141,10 @@
 	h.twoZones()
 	service := h.addService(2)
 	service.Spec.SameZone = true
-	h.deliverDirect()
+	h.deliverDirectCommands()
 	zone := service.tasks[1].machine.Zone
-	h.loseMachine(service.tasks[0].machine)
-	h.deliverDirect()
+	h.expireLease(service.tasks[0].machine)
+	h.deliverDirectCommands()
 	if to := service.tasks[0].machine; to == nil || to.Zone != zone {
 		t.Error("in another zone")
 	}
--- a/internal/placement/service_preemption_test.go
+++ b/internal/placement/service_preemption_test.go
@@ -51,7 +51,7 @@
 		t.Fatalf("%d tasks stopped", len(stopping))
 	}
 	h.heartbeat(machine, exited(stopping[0].Name(), wire.ExitStopped))
-	h.deliverDirect()
+	h.deliverDirectCommands()
 	if service.AssignedTasks() != 1 {
 		t.Error("the replica did not get the room")
 	}
@@ -64,7 +64,7 @@
 		t.Fatal("not queued")
 	}
 	service := h.addJob("red", wire.ShapeService, "critical", 1, 1)
-	h.deliverDirect()
+	h.deliverDirectCommands()
 	if service.AssignedTasks() != 1 || len(low.tasks) != 3 {
 		t.Errorf("%d replicas, %d queued", service.AssignedTasks(), len(low.tasks))
 	}
@@ -74,10 +74,10 @@
 	low := h.addJob("red", wire.ShapeBatch, "low", 4, 1)
 	other := h.addJob("blue", wire.ShapeBatch, "low", 2, 1)
 	h.scheduler.Schedule(h.now)
-	h.heartbeats(2)
+	h.heartbeatAll(2)
 	service := h.addJob("red", wire.ShapeService, "critical", 1, 1)
 	for range 5 {
-		h.deliverDirect()
+		h.deliverDirectCommands()
 	}
 	stopping := stoppingTasks(low)
 	if len(stopping) != 1 || len(stoppingTasks(other)) != 0 || service.AssignedTasks() != 0 {
@@ -87,7 +87,7 @@
 	for _, task := range stopping {
 		h.heartbeat(task.machine, exited(task.Name(), wire.ExitStopped))
 	}
-	h.deliverDirect()
+	h.deliverDirectCommands()
 	if service.AssignedTasks() != 1 {
 		t.Error("not started")
 	}
@@ -96,9 +96,9 @@
 func equalWorkIsNotPreemptedForQuota(t *testing.T, h *testHarness) {
 	same := h.addJob("red", wire.ShapeBatch, "critical", 4, 1)
 	h.scheduler.Schedule(h.now)
-	h.heartbeats(2)
+	h.heartbeatAll(2)
 	service := h.addJob("red", wire.ShapeService, "critical", 1, 1)
-	h.deliverDirect()
+	h.deliverDirectCommands()
 	for _, task := range stoppingTasks(same) {
 		t.Fatal("stopped " + task.Name())
 	}
--- a/internal/placement/service_restart_test.go
+++ b/internal/placement/service_restart_test.go
@@ -36,7 +36,7 @@
 	service := h.startService(1)
 	h.now = h.now.Add(tuning.ServiceHealthyAfter + time.Second)
 	h.heartbeat(h.registry.All()[0], replicaExited(service, wire.ExitDone))
-	sent := h.deliverDirect()
+	sent := h.deliverDirectCommands()
 	started := strings.Contains(sent, "run ") || service.AssignedTasks() == 1
 	if service.CompletedTasks() != 0 || !started {
 		t.Error("not started again: " + sent)
@@ -46,11 +46,11 @@
 func shortRunWaits(t *testing.T, h *testHarness) {
 	service := h.startService(1)
 	h.heartbeat(h.registry.All()[0], replicaExited(service, wire.ExitDone))
-	if h.deliverDirect(); service.AssignedTasks() != 0 {
+	if h.deliverDirectCommands(); service.AssignedTasks() != 0 {
 		t.Fatal("started again at once")
 	}
 	h.now = h.now.Add(tuning.RetryInitial + time.Second)
-	if h.deliverDirect(); service.AssignedTasks() != 1 {
+	if h.deliverDirectCommands(); service.AssignedTasks() != 1 {
 		t.Error("not started again")
 	}
 }
@@ -71,7 +71,7 @@
 	service := h.addService(1)
 	starts := 0
 	for range 120 {
-		h.deliverDirect()
+		h.deliverDirectCommands()
 		h.now = h.now.Add(time.Second)
 		starts += h.exitReplicas(service, wire.ExitDone)
 	}
@@ -84,7 +84,7 @@
 	service := h.addService(1)
 	starts := 0
 	for range 40 {
-		h.deliverDirect()
+		h.deliverDirectCommands()
 		starts += h.exitReplicas(service, wire.ExitError)
 		h.now = h.now.Add(time.Second)
 	}
@@ -110,7 +110,7 @@
 			}
 		}
 		h.now = h.now.Add(tuning.RetryInitial + 100*time.Millisecond)
-		if h.deliverDirect(); service.AssignedTasks() != 1 {
+		if h.deliverDirectCommands(); service.AssignedTasks() != 1 {
 			t.Fatal("held back")
 		}
 	}
@@ -119,8 +119,8 @@
 func lostReplicaRestarts(t *testing.T, h *testHarness) {
 	service := h.startService(1)
 	lost := service.tasks[0].machine
-	h.loseMachine(lost)
-	if sent := h.deliverDirect(); !strings.Contains(sent, "run ") || h.hosts(lost, service) {
+	h.expireLease(lost)
+	if sent := h.deliverDirectCommands(); !strings.Contains(sent, "run ") || h.hosts(lost, service) {
 		t.Error("sent " + sent)
 	}
 }
@@ -130,12 +130,12 @@
 	hanging := service.tasks[0].machine
 	h.registry.SetState(h.now, hanging, worker.Unresponsive, "test")
 	for range 50 {
-		if sent := h.deliverDirect(); strings.Contains(sent, "run ") {
+		if sent := h.deliverDirectCommands(); strings.Contains(sent, "run ") {
 			t.Fatal("started beside the one that hangs")
 		}
 	}
-	h.loseMachine(hanging)
-	if h.deliverDirect(); service.AssignedTasks() != 1 || h.hosts(hanging, service) {
+	h.expireLease(hanging)
+	if h.deliverDirectCommands(); service.AssignedTasks() != 1 || h.hosts(hanging, service) {
 		t.Error("not started elsewhere")
 	}
 }
--- a/internal/placement/service_test.go
+++ b/internal/placement/service_test.go
@@ -37,7 +37,7 @@
 // startService adds a service and lets its replicas start.
 func (h *testHarness) startService(replicas int) *Job {
 	service := h.addService(replicas)
-	h.deliverDirect()
+	h.deliverDirectCommands()
 	return service
 }
 
@@ -76,7 +76,7 @@
 
 func replicasStartAtOnce(t *testing.T, h *testHarness) {
 	service := h.addService(3)
-	if sent := h.deliverDirect(); strings.Count(sent, "run ") != 3 || len(h.machinesOf(service)) != 3 {
+	if sent := h.deliverDirectCommands(); strings.Count(sent, "run ") != 3 || len(h.machinesOf(service)) != 3 {
 		t.Error("sent " + sent)
 	}
 }
@@ -92,13 +92,13 @@
 	h.registry.All()[0].Spot = true
 	service := h.addService(2)
 	service.Spec.Spot = true
-	h.deliverDirect()
+	h.deliverDirectCommands()
 	if on := h.machinesOf(service); on["i-1"] != 1 || on["i-0"] != 1 {
 		t.Fatal("siblings share a machine")
 	}
 	second := h.addService(1)
 	second.Spec.Spot = true
-	h.deliverDirect()
+	h.deliverDirectCommands()
 	if h.machinesOf(second)["i-1"] != 1 {
 		t.Error("on spot")
 	}
--- a/internal/placement/start_marker.go
+++ b/internal/placement/start_marker.go
@@ -19,7 +19,7 @@
 
 // startMarkers requests start markers, and tells what may start.
 type startMarkers struct {
-	*environment
+	*sharedState
 	pass    *passState
 	request func(now time.Time, job *Job) // nil: jobs start without
 	pending int                           // requested and not durable yet
@@ -31,7 +31,7 @@
 		m.pending--
 	}
 	job.startMarker = startMarkerDurable
-	m.pass.requestFull()
+	m.pass.requestFullPass()
 }
 
 // canRequest reports whether a job has its start marker or could
--- a/internal/placement/starvation.go
+++ b/internal/placement/starvation.go
@@ -14,9 +14,9 @@
 	return !j.IsService() && j.completed.count == 0 && now.Sub(j.KnownSince) > tuning.FirstStartDeadline
 }
 
-// startsFirst reports whether the job has been raised over all others until
+// boostedAboveAll reports whether the job has been raised over all others until
 // its first tasks have started.
-func (j *Job) startsFirst() bool { return j.effectivePriority >= wire.Priorities+j.priority }
+func (j *Job) boostedAboveAll() bool { return j.effectivePriority >= wire.Priorities+j.priority }
 
 // starvationBoost returns by how many priorities the job is raised, so that no
 // burst of other jobs, however long, keeps it from starting. One that starves
--- a/internal/placement/task.go
+++ b/internal/placement/task.go
@@ -46,15 +46,15 @@
 
 // assignment is the dispatched copy of a task: where it is, and what is known of it there.
 type assignment struct {
-	machine      *worker.Machine // nil while the task is on no machine
-	attempt      uint64
-	isBackup     bool
-	dispatchedAt time.Time
-	runningSince time.Time // when it was first reported running; zero: not yet
-	stage        string    // the state reported last
+	machine       *worker.Machine // nil while the task is on no machine
+	attempt       uint64
+	isBackup      bool
+	dispatchedAt  time.Time
+	runningSince  time.Time // when it was first reported running; zero: not yet
+	reportedState string    // the state reported last
 	commandDelivery
-	stopGrace   float64 // seconds that the stop gives it to save
-	stopPending bool    // a stop is to be sent directly
+	gracePeriodS float64 // seconds that the stop gives it to save
+	stopPending  bool    // a stop is to be sent directly
 }
 
 // commandDelivery tells how far the command to run a copy has come.
@@ -67,10 +67,10 @@
 
 // queuedCopies is where a task's copies wait, and the history of its backup.
 type queuedCopies struct {
-	primary         *worker.Machine // nil: not queued
-	primaryQueuedAt time.Time
-	backup          *worker.Machine // nil: not queued
-	backupStops     int             // how often the backup was preempted
+	primary           *worker.Machine // nil: not queued
+	primaryQueuedAt   time.Time
+	backup            *worker.Machine // nil: not queued
+	backupPreemptions int             // how often the backup was preempted
 }
 
 // Name returns the task's name on the wire.
--- a/internal/placement/transitions.go
+++ b/internal/placement/transitions.go
@@ -9,12 +9,12 @@
 // taskLifecycle moves tasks from phase to phase, and keeps what follows from
 // it: the accounts of machines, jobs and teams, and who gets commands at once.
 type taskLifecycle struct {
-	*environment
+	*sharedState
 	capacity        *capacityIndex
 	queues          *copyQueues
 	jobs            *jobTable
 	urgent          *urgentMachines
-	runTimes        *runTimeEstimates
+	runTimes        *runTimeEstimator
 	onTaskCompleted func(now time.Time, job *Job)
 }
 
@@ -34,7 +34,7 @@
 		l.capacity.info(machine).addAssigned(task)
 		l.ledger.AddUsed(job.Spec.Team, job.need)
 		job.assigned++
-		task.dispatchedAt, task.runningSince, task.stage = now, time.Time{}, ""
+		task.dispatchedAt, task.runningSince, task.reportedState = now, time.Time{}, ""
 	case previous.onMachine() && !phase.onMachine():
 		l.capacity.info(machine).removeAssigned(task)
 		if machine.ActiveCopies == 0 {
@@ -62,10 +62,10 @@
 // stop has a task on a machine stopped, after at most grace seconds to save.
 // An earlier stop can be shortened, but not extended.
 func (l *taskLifecycle) stop(now time.Time, task *Task, grace float64, reason string) {
-	if task.phase == Stopping && grace >= task.stopGrace {
+	if task.phase == Stopping && grace >= task.gracePeriodS {
 		return
 	}
-	task.stopGrace, task.stopPending = grace, true
+	task.gracePeriodS, task.stopPending = grace, true
 	l.setPhase(now, task, Stopping, reason)
 	l.urgent.mark(l.capacity.info(task.machine))
 }
@@ -74,13 +74,13 @@
 func (l *taskLifecycle) preempt(now time.Time, task *Task, reason string) {
 	job := task.Job
 	if !job.IsGang() {
-		l.stop(now, task, job.stopGrace(), reason)
+		l.stop(now, task, job.gracePeriodS(), reason)
 		return
 	}
 	job.aborting = true
 	for _, member := range job.tasksByIndex() {
 		if member.phase.stoppable() {
-			l.stop(now, member, job.stopGrace(), reason)
+			l.stop(now, member, job.gracePeriodS(), reason)
 		}
 	}
 }
@@ -103,7 +103,7 @@
 	case preemptedBackup:
 		// its primary keeps its place; the backup waits again until it has
 		// been preempted too often (the paper's drop threshold, section V)
-		if task.backupStops >= l.Settings.DropThreshold {
+		if task.backupPreemptions >= l.Settings.DropThreshold {
 			l.queues.withdrawBackup(task)
 		}
 	default:
--- a/internal/placement/urgent.go
+++ b/internal/placement/urgent.go
@@ -39,8 +39,8 @@
 type urgency int
 
 const (
-	notUrgent   urgency = iota
-	urgentLater         // commands that nothing is known to be waiting for on the machine yet
+	notUrgent      urgency = iota
+	urgentOnceSent         // commands that nothing is known to be waiting for on the machine yet
 	urgentNow
 )
 
@@ -55,7 +55,7 @@
 			len(info.directAttempts) < tuning.MaxDirectStarts:
 			highest = urgentNow
 		case task.phase == Stopping && task.stopPending && !task.Job.closed:
-			highest = max(highest, urgentLater)
+			highest = max(highest, urgentOnceSent)
 			if task.commandSent {
 				highest = urgentNow
 			}
--- a/internal/term/commands.go
+++ b/internal/term/commands.go
@@ -32,7 +32,7 @@
 func (t *Term) handleCommandResult(now time.Time, machine *worker.Machine, sent wire.DirectCommands,
 	heartbeat *wire.Heartbeat, err error) {
 	if errors.Is(err, ErrDeadlinePassed) {
-		t.scheduler.SettleDirectCommands(machine, sent.Commands)
+		t.scheduler.ResolveDirectCommands(machine, sent.Commands)
 		return
 	}
 	if err != nil || heartbeat.Host != machine.Host {
@@ -42,7 +42,7 @@
 		}
 		return
 	}
-	t.scheduler.SettleDirectCommands(machine, sent.Commands)
+	t.scheduler.ResolveDirectCommands(machine, sent.Commands)
 	switch {
 	case heartbeat.Token > t.Token:
 		t.End(now, "a machine has seen a higher token")
