--- a/internal/placement/attempts.go
+++ b/internal/placement/attempts.go
@@ -2,17 +2,17 @@
 
 import "juniperchute/internal/tuning"
 
-// attemptNumbers numbers the attempts of tasks.
+// attemptNumbers assigns attempt numbers to tasks.
 type attemptNumbers struct {
-	token uint64 // of the term
-	// AttemptNumbersExhausted tells that a job has had nearly as many attempts
-	// as a term has numbers for: a new term is needed before any is repeated.
+	token uint64 // fencing token of the term
+	// AttemptNumbersExhausted reports whether a job has used nearly all attempt
+	// numbers of the term. A new term must begin before the numbers repeat.
 	AttemptNumbersExhausted bool
 }
 
-// next returns an attempt number that no earlier attempt of the job
-// has: the term's token is in the high bits, so that numbers grow from term to
-// term without any being stored.
+// next returns an attempt number larger than that of any earlier attempt of the
+// job. The high bits hold the term's fencing token, so that numbers increase
+// across terms although none is stored.
 func (a *attemptNumbers) next(job *Job) uint64 {
 	job.attemptSequence++
 	if job.attemptSequence >= 1<<tuning.AttemptBits-tuning.AttemptReserve {
--- a/internal/placement/bitset.go
+++ b/internal/placement/bitset.go
@@ -10,7 +10,7 @@
 
 func (b *bitset) has(n int) bool { return b.words[n/64]&(1<<(n%64)) != 0 }
 
-// add puts n into the set and reports whether it was not there before.
+// add adds n to the set and reports whether n was missing before.
 func (b *bitset) add(n int) bool {
 	if b.has(n) {
 		return false
--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -1,17 +1,17 @@
-// Package placement decides which task runs on which machine of one shard,
-// within one term of the shard's lease holder.
+// Package placement assigns the tasks of one shard to its machines during one
+// term of the shard's lease holder.
 //
-// Array tasks follow the paper "Distributed Oblivious Load Balancing Using
-// Prioritized Job Replication", section III: each waits as a primary copy in
-// the high-priority queue of one random machine and as a backup copy in the
-// low-priority queue of another. A machine serves backups only while it has no
-// primaries, and a primary preempts running backups; a preempted backup starts
-// from scratch later. After a number of preemptions the backup is withdrawn,
-// as in the paper's evaluation (sections V and VI).
+// Array tasks are scheduled as in the paper "Distributed Oblivious Load
+// Balancing Using Prioritized Job Replication", section III. Each task is
+// queued twice: as a primary copy in the high-priority queue of one random
+// machine, and as a backup copy in the low-priority queue of another. A machine
+// starts backups only while no primaries are queued there, and a primary
+// preempts running backups. A preempted backup is queued again; after a limit
+// of preemptions it is withdrawn, as in sections V and VI of the paper.
 //
-// Gangs and services are outside the paper: their tasks have no backups and
-// are placed directly, lower work giving way where there is no room.
+// The paper does not cover gangs and services. Their tasks have no backups and
+// are placed directly, preempting lower-priority work if necessary.
 //
-// The package keeps no goroutines and does no I/O. A Scheduler is used by one
-// goroutine; what it decides goes out as the commands it returns for a machine.
+// The package starts no goroutines and does no I/O. A Scheduler must be used by
+// one goroutine at a time; it returns its decisions as commands for machines.
 package placement
--- a/internal/placement/job.go
+++ b/internal/placement/job.go
@@ -8,24 +8,24 @@
 	"juniperchute/internal/wire"
 )
 
-// Job is an open job, or a closed one of which tasks may still be on machines.
+// Job is an open job, or a closed job with tasks that may still be on machines.
 type Job struct {
 	Spec       wire.JobSpec
 	AcceptedAt time.Time // wall clock
-	KnownSince time.Time // when this term learned of it, monotonic clock
-	Version    uint64    // of its stored record
-	// FromEarlierTerm tells that it was accepted before this term: its tasks
-	// may be on machines that have not been reconciled yet.
+	KnownSince time.Time // time at which this term learned of the job, monotonic clock
+	Version    uint64    // version of the stored record
+	// FromEarlierTerm reports whether the job was accepted before this term. Its
+	// tasks may then be on machines that are not reconciled yet.
 	FromEarlierTerm bool
-	// StartedInEarlierTerm tells that an earlier term wrote its start marker.
+	// StartedInEarlierTerm reports whether an earlier term wrote the job's start marker.
 	StartedInEarlierTerm bool
 
 	priority            int
 	need                quota.Resources // of each task
 	closed              bool
-	terminationDeadline time.Time // of a closed job: when none of its tasks may be left on a machine
+	terminationDeadline time.Time // closed jobs only: no task may be on a machine after this time
 	startMarker         startMarkerState
-	pendingReason       string // why it waits, as last logged
+	pendingReason       string // last reason passed to setPendingReason
 
 	jobTasks
 	jobAttempts
@@ -33,7 +33,7 @@
 	failureHistory
 }
 
-// newJob returns a job of which no task has been scheduled.
+// newJob returns a job whose tasks are all pending.
 func newJob(now time.Time, spec wire.JobSpec, acceptedAt time.Time, version uint64) *Job {
 	priority, _ := wire.Priority(spec.Priority)
 	return &Job{
@@ -49,27 +49,28 @@
 	}
 }
 
-// jobAttempts numbers the attempts of a job's tasks. All tasks of a gang share an attempt.
+// jobAttempts tracks the attempt numbers of a job's tasks. All tasks of a gang share one attempt.
 type jobAttempts struct {
-	attemptSequence uint64 // attempts made in this term
-	attempt         uint64 // the gang's attempt; 0: none yet
-	aborting        bool   // the gang's attempt is over, but some of its tasks are still on machines
+	attemptSequence uint64 // attempts numbered in this term
+	attempt         uint64 // current attempt of a gang; 0 before the first
+	aborting        bool   // the gang's attempt was aborted, but some of its tasks are still on machines
 }
 
-// IsGang reports whether the job's tasks run all together or not at all.
+// IsGang reports whether the job's tasks are gang-scheduled: all of them run at once or none.
 func (j *Job) IsGang() bool { return j.Spec.Shape == wire.ShapeGang }
 
-// IsService reports whether the job is a service, which ends only when it is cancelled.
+// IsService reports whether the job is a service. A service ends only when it is cancelled.
 func (j *Job) IsService() bool { return j.Spec.Shape == wire.ShapeService }
 
-// isArray reports whether the job's tasks are independent of each other and
-// run once: each has a primary and a backup copy.
+// isArray reports whether the job is a job array: its tasks are independent and
+// run to completion, and each has a primary and a backup copy.
 func (j *Job) isArray() bool { return !j.IsGang() && !j.IsService() }
 
-// Priority returns the priority that the user gave; larger goes first.
+// Priority returns the priority that the user requested. Higher values are scheduled first.
 func (j *Job) Priority() int { return j.priority }
 
-// PendingReason tells users why the job's next task does not start, "" when none is pending.
+// PendingReason returns the reason, for users, why the job's next task does not
+// start. It returns "" if no task is pending and no reason was recorded.
 func (j *Job) PendingReason() string {
 	if j.pendingReason == "" && j.pendingTasks() > 0 {
 		return "its turn"
@@ -77,10 +78,11 @@
 	return j.pendingReason
 }
 
-// savesCheckpoints reports whether the job's tasks can be stopped without losing their progress.
+// savesCheckpoints reports whether the job's tasks can resume from a checkpoint after a stop.
 func (j *Job) savesCheckpoints() bool { return j.Spec.CheckpointIntervalS > 0 }
 
-// gracePeriodS returns how many seconds a running task of the job is given to save.
+// gracePeriodS returns the seconds that a stopped task of the job gets to save
+// its checkpoint, 0 if it saves none.
 func (j *Job) gracePeriodS() float64 {
 	if !j.savesCheckpoints() {
 		return 0
--- a/internal/placement/job_queue.go
+++ b/internal/placement/job_queue.go
@@ -10,31 +10,29 @@
 	"juniperchute/internal/tuning"
 )
 
-// jobQueue is the order in which open jobs get machines.
+// jobQueue orders the open jobs for scheduling.
 type jobQueue struct {
 	*sharedState
 	runTimes   *runTimeEstimator
 	pass       *passState
-	open       []*Job         // by priority, then age
-	tiers      []priorityTier // the same by effective priority and fair-share order, as last sorted
-	sortedAt   time.Time      // when that was
-	orderStale bool           // jobs have come or gone since
+	open       []*Job         // by descending priority, then age
+	tiers      []priorityTier // by descending effective priority, as of sortedAt
+	sortedAt   time.Time
+	orderStale bool // jobs were added or removed since sortedAt
 }
 
-// priorityTier is the open jobs of one effective priority in fair-share order.
+// priorityTier holds the open jobs of one effective priority in fair-share order.
 type priorityTier struct {
 	jobs             []*Job
-	gangsAndServices []*Job // those of them for which other work may be preempted
+	gangsAndServices []*Job // subset of jobs that may preempt other work
 }
 
-// add adds an open job.
 func (q *jobQueue) add(job *Job) {
 	position, _ := slices.BinarySearchFunc(q.open, job, compareJobs)
 	q.open = slices.Insert(q.open, position, job)
 	q.invalidate()
 }
 
-// remove removes a job that was closed.
 func (q *jobQueue) remove(job *Job) {
 	if i := slices.Index(q.open, job); i >= 0 {
 		q.open = slices.Delete(q.open, i, i+1)
@@ -42,7 +40,7 @@
 	}
 }
 
-// compareJobs orders jobs by priority, then age.
+// compareJobs orders jobs by descending priority, then age, then ID.
 func compareJobs(a, b *Job) int {
 	if a.priority != b.priority {
 		return b.priority - a.priority
@@ -53,14 +51,15 @@
 	return strings.Compare(a.Spec.ID, b.Spec.ID)
 }
 
-// invalidate has the jobs sorted anew.
+// invalidate marks the order as stale and requests a full scheduling pass.
 func (q *jobQueue) invalidate() {
 	q.orderStale = true
 	q.pass.requestFullPass()
 }
 
-// sortIfDue sorts the open jobs by priority and fair-share order, unless that
-// was done a moment ago, and reports whether it has.
+// sortIfDue sorts the open jobs into tiers and reports whether it did. It sorts
+// at most once per FairShareMinInterval, or once per FairShareInterval while the
+// order is not stale.
 func (q *jobQueue) sortIfDue(now time.Time) bool {
 	sinceSort := now.Sub(q.sortedAt)
 	if sinceSort < tuning.FairShareInterval && (!q.orderStale || sinceSort < tuning.FairShareMinInterval) {
@@ -77,7 +76,8 @@
 	return true
 }
 
-// groupByPriority works out the jobs' effective priorities and groups them by these.
+// groupByPriority updates the effective priority of each open job and returns
+// the jobs by effective priority.
 func (q *jobQueue) groupByPriority(now time.Time) map[int][]*Job {
 	byPriority := map[int][]*Job{}
 	for _, job := range q.open {
@@ -87,7 +87,7 @@
 	return byPriority
 }
 
-// smallestArrayNeed returns the least that any open array's task needs of each resource.
+// smallestArrayNeed returns, for each resource, the minimum that a task of any open array needs.
 func (q *jobQueue) smallestArrayNeed() quota.Resources {
 	smallest := quota.UnlimitedResources()
 	for _, job := range q.open {
@@ -98,8 +98,8 @@
 	return smallest
 }
 
-// startableTasksPending reports whether tasks of an array or a service are pending
-// that could start if there were room.
+// startableTasksPending reports whether an array or a service that is not backed
+// off has pending tasks.
 func (q *jobQueue) startableTasksPending(now time.Time) bool {
 	return slices.ContainsFunc(q.open, func(job *Job) bool {
 		return !job.IsGang() && job.pendingTasks() > 0 && !now.Before(job.backoffUntil)
--- a/internal/placement/job_table.go
+++ b/internal/placement/job_table.go
@@ -5,18 +5,18 @@
 	"juniperchute/internal/worker"
 )
 
-// jobTable finds jobs by their names.
+// jobTable indexes jobs by ID.
 type jobTable struct {
-	byID        map[string]*Job // open jobs, and closed ones with tasks on machines
+	byID        map[string]*Job // open jobs, and closed jobs with tasks on machines
 	unreadable  map[string]bool // open jobs whose records this version cannot read
-	seenClasses map[string]bool // classes of which a job has come
+	seenClasses map[string]bool // classes of all jobs added in this term
 }
 
 func newJobTable() *jobTable {
 	return &jobTable{byID: map[string]*Job{}, unreadable: map[string]bool{}, seenClasses: map[string]bool{}}
 }
 
-// open returns an open job, nil if there is none of that name.
+// open returns the open job with the given ID, or nil if there is none.
 func (t *jobTable) open(id string) *Job {
 	if job := t.byID[id]; job != nil && !job.closed {
 		return job
@@ -24,14 +24,13 @@
 	return nil
 }
 
-// add adds an open job.
 func (t *jobTable) add(job *Job) {
 	t.byID[job.Spec.ID] = job
 	t.seenClasses[job.Spec.Class] = true
 }
 
-// findTask returns the job, open or closed, and the index of a reported task;
-// a nil job if there is no such task.
+// findTask returns the job, open or closed, and the index of the task with the
+// given name. It returns a nil job if there is no such task.
 func (t *jobTable) findTask(name string) (*Job, int) {
 	id, index, ok := wire.ParseTask(name)
 	if !ok {
@@ -44,8 +43,8 @@
 	return job, index
 }
 
-// failingJobCount counts the jobs that failed on a machine, without open jobs
-// that are themselves at fault.
+// failingJobCount returns the number of jobs with failures on a machine. It
+// excludes open jobs that fail on every machine.
 func (t *jobTable) failingJobCount(machine *worker.Machine) int {
 	jobs := 0
 	for id := range machine.FailuresByJob {
@@ -56,7 +55,7 @@
 	return jobs
 }
 
-// removeIfUnassigned forgets a closed job of which no task is on a machine any more.
+// removeIfUnassigned removes a closed job once none of its tasks is on a machine.
 func (t *jobTable) removeIfUnassigned(job *Job) {
 	if job.closed && job.assigned == 0 {
 		delete(t.byID, job.Spec.ID)
--- a/internal/placement/job_tasks.go
+++ b/internal/placement/job_tasks.go
@@ -8,20 +8,19 @@
 	"juniperchute/internal/wire"
 )
 
-// jobTasks tells which of a job's tasks have completed, which are scheduled
-// (queued or on a machine), and which are pending. A task is in exactly one of
-// these states.
+// jobTasks tracks the state of a job's tasks. A task is either completed,
+// scheduled (queued or on a machine) or pending.
 type jobTasks struct {
 	taskCount        int
 	tasks            map[int]*Task // scheduled tasks by index
 	assigned         int           // scheduled tasks that are on machines
-	nextIndex        int           // the first task that was never scheduled
+	nextIndex        int           // lowest index that was never scheduled
 	returnedTasks    []returnedTask
 	completed        bitset
-	durablyCompleted bitset // completed tasks whose outcome the state service has
+	durablyCompleted bitset // completed tasks whose outcome is in the key-value store
 }
 
-// returnedTask is a task that was scheduled and is pending again.
+// returnedTask is a pending task that was scheduled before.
 type returnedTask struct {
 	index     int
 	notBefore time.Time
@@ -36,13 +35,14 @@
 	}
 }
 
-// CompletedTasks returns how many tasks have completed.
+// CompletedTasks returns the number of completed tasks, durable or not.
 func (j *jobTasks) CompletedTasks() int { return j.completed.count }
 
-// AssignedTasks returns how many tasks are on machines.
+// AssignedTasks returns the number of tasks that may be on machines.
 func (j *jobTasks) AssignedTasks() int { return j.assigned }
 
-// RunningTasks returns how many tasks have begun to run on their machines, for display.
+// RunningTasks returns the number of tasks that run on their machines,
+// including those that are being stopped. It is meant for display.
 func (j *jobTasks) RunningTasks() int {
 	n := 0
 	for _, task := range j.tasks {
@@ -56,8 +56,8 @@
 // IsComplete reports whether every task has completed.
 func (j *jobTasks) IsComplete() bool { return j.completed.count == j.taskCount }
 
-// RestoreCompleted marks a task as durably completed, as read from the
-// completion bitmaps. Indexes that the job doesn't have are ignored.
+// RestoreCompleted marks a task that a stored completion bitmap contains as
+// durably completed. It ignores indexes out of the job's range.
 func (j *jobTasks) RestoreCompleted(index int) {
 	if index >= 0 && index < j.taskCount {
 		j.completed.add(index)
@@ -65,12 +65,11 @@
 	}
 }
 
-// MarkDurable records that the state service has a completed task's outcome.
+// MarkDurable records that the outcome of a completed task is in the key-value store.
 func (j *jobTasks) MarkDurable(index int) { j.durablyCompleted.add(index) }
 
-// UnsavedCompletions returns the completed tasks with indexes from from up to
-// to, exclusive, whose outcome is not durable, and all completed tasks of that
-// range as a bitmap.
+// UnsavedCompletions returns the completed tasks in the index range [from, to)
+// whose outcome is not durable, and a bitmap of all completed tasks in the range.
 func (j *jobTasks) UnsavedCompletions(from, to int) (unsaved []int, bitmap []byte) {
 	to = min(to, j.taskCount)
 	bitmap = make([]byte, (to-from+7)/8)
@@ -85,10 +84,10 @@
 	return unsaved, bitmap
 }
 
-// pendingTasks returns how many tasks are neither completed nor scheduled.
+// pendingTasks returns the number of tasks that are neither completed nor scheduled.
 func (j *jobTasks) pendingTasks() int { return j.taskCount - j.completed.count - len(j.tasks) }
 
-// tasksByIndex lists the scheduled tasks in the order of their indexes.
+// tasksByIndex returns the scheduled tasks by ascending index.
 func (j *jobTasks) tasksByIndex() []*Task {
 	tasks := make([]*Task, 0, len(j.tasks))
 	for _, n := range slices.Sorted(maps.Keys(j.tasks)) {
@@ -97,8 +96,9 @@
 	return tasks
 }
 
-// takePendingTask takes the next pending task that may start now: returned
-// tasks first, then those that were never scheduled.
+// takePendingTask returns the index of the next pending task that may start now
+// and removes it from the pending tasks. Returned tasks precede those that were
+// never scheduled. ok is false if no task may start now.
 func (j *jobTasks) takePendingTask(now time.Time) (index int, ok bool) {
 	for i, returned := range j.returnedTasks {
 		if returned.notBefore.After(now) {
@@ -120,14 +120,14 @@
 	return 0, false
 }
 
-// addTask schedules the task with the given index.
+// addTask adds the task with the given index to the scheduled tasks.
 func (j *Job) addTask(index int) *Task {
 	task := &Task{Job: j, Index: index}
 	j.tasks[index] = task
 	return task
 }
 
-// returnToPending makes a task pending again.
+// returnToPending makes a task pending again, unless it has completed.
 func (j *jobTasks) returnToPending(index int, notBefore time.Time) {
 	if !j.completed.has(index) {
 		j.returnedTasks = append(j.returnedTasks, returnedTask{index, notBefore})
--- a/internal/placement/queues.go
+++ b/internal/placement/queues.go
@@ -7,14 +7,14 @@
 	"juniperchute/internal/worker"
 )
 
-// copyQueues changes the machines' queues of primary and backup copies.
+// copyQueues updates the primary and backup queues of the machines.
 type copyQueues struct {
 	*sharedState
 	capacity *capacityIndex
 }
 
-// queuePrimary puts a task's primary copy at the end of a machine's queue and
-// reserves room for it there.
+// queuePrimary appends a task's primary copy to a machine's queue and reserves
+// its resources there.
 func (q *copyQueues) queuePrimary(now time.Time, task *Task, machine *worker.Machine) {
 	task.primary, task.primaryQueuedAt = machine, now
 	info := q.capacity.info(machine)
@@ -27,7 +27,8 @@
 	q.ledger.AddReserved(task.Job.Spec.Team, task.Job.need)
 }
 
-// withdrawPrimary takes a task's primary copy out of its queue.
+// withdrawPrimary removes a task's primary copy from its queue and releases its
+// reservation. It does nothing if the primary is not queued.
 func (q *copyQueues) withdrawPrimary(task *Task) {
 	machine := task.primary
 	if machine == nil {
@@ -38,22 +39,23 @@
 	info.primaryQueue = removeTask(info.primaryQueue, task)
 	machine.Reserved = machine.Reserved.Sub(task.Job.need)
 	if len(info.primaryQueue) == 0 {
-		// the rounding errors of the sums must not add up
+		// Reset the sum, so that floating-point errors do not accumulate.
 		machine.Reserved = quota.Resources{}
 	}
 	q.ledger.RemoveReserved(task.Job.Spec.Team, task.Job.need)
 	task.primary = nil
 }
 
-// queueBackup puts a task's backup copy at the end of a machine's queue.
-// Nothing is reserved for it: it gives way to primaries.
+// queueBackup appends a task's backup copy to a machine's queue. It reserves no
+// resources, as primaries preempt backups.
 func (q *copyQueues) queueBackup(task *Task, machine *worker.Machine) {
 	task.backup = machine
 	info := q.capacity.info(machine)
 	info.backupQueue = append(info.backupQueue, task)
 }
 
-// withdrawBackup takes a task's backup copy out of its queue.
+// withdrawBackup removes a task's backup copy from its queue. It does nothing if
+// the backup is not queued.
 func (q *copyQueues) withdrawBackup(task *Task) {
 	if task.backup == nil {
 		return
@@ -63,26 +65,27 @@
 	task.backup = nil
 }
 
-// withdrawCopies takes a task's copies out of their queues.
+// withdrawCopies removes both copies of a task from their queues.
 func (q *copyQueues) withdrawCopies(task *Task) {
 	q.withdrawPrimary(task)
 	q.withdrawBackup(task)
 }
 
-// unschedule removes a task that is on no machine: neither queued nor pending.
+// unschedule withdraws the copies of a task that is on no machine and removes it
+// from the scheduled tasks, without making it pending.
 func (q *copyQueues) unschedule(task *Task) {
 	q.withdrawCopies(task)
 	delete(task.Job.tasks, task.Index)
 }
 
-// returnToPending removes a task that is on no machine and makes it pending again.
+// returnToPending unschedules a task that is on no machine and makes it pending again.
 func (q *copyQueues) returnToPending(task *Task, notBefore time.Time) {
 	q.unschedule(task)
 	task.Job.returnToPending(task.Index, notBefore)
 }
 
-// requeue makes a queued task pending again, so that it is scheduled anew.
-// The places of a gang are given up as a whole.
+// requeue makes a queued task pending again, so that it can be queued at another
+// machine. If the task belongs to a gang, all queued tasks of the gang are requeued.
 func (q *copyQueues) requeue(now time.Time, task *Task) {
 	switch {
 	case task.Job.IsGang():
@@ -94,13 +97,13 @@
 			}
 		}
 	case task.phase != Unassigned:
-		q.withdrawPrimary(task) // its backup runs, and goes on
+		q.withdrawPrimary(task) // the running backup continues
 	default:
 		q.returnToPending(task, now)
 	}
 }
 
-// clearQueues returns all copies that are queued at a machine.
+// clearQueues requeues the primaries and withdraws the backups that are queued at a machine.
 func (q *copyQueues) clearQueues(now time.Time, machine *worker.Machine) {
 	info := q.capacity.info(machine)
 	for len(info.primaryQueue) > 0 {
--- a/internal/placement/scheduler.go
+++ b/internal/placement/scheduler.go
@@ -12,27 +12,28 @@
 	"juniperchute/internal/worker"
 )
 
-// Options is what a scheduler works with.
+// Options configures a Scheduler.
 type Options struct {
 	Platform config.Platform
-	Token    uint64 // of the term
+	Token    uint64 // fencing token of the term
 	Ledger   *quota.Ledger
 	Registry *worker.Registry
 	Rand     *rand.Rand
 	Log      *slog.Logger
-	// OnTaskCompleted is called for each completion that is recorded first.
-	// The job may be closed from there.
+	// OnTaskCompleted is called when a task, or a gang as a whole, is first
+	// recorded as completed. The callback may close the job.
 	OnTaskCompleted func(now time.Time, job *Job)
-	// RequestStartMarker writes a job's start marker; StartMarkerWritten has
-	// to be called once that is durable. If it is nil, jobs start without.
+	// RequestStartMarker starts to write a job's start marker. The caller must
+	// call StartMarkerWritten once the marker is durable. If RequestStartMarker
+	// is nil, jobs start without a marker.
 	RequestStartMarker func(now time.Time, job *Job)
 }
 
-// Scheduler is the placement of one shard's tasks in one term. It wires the
-// parts of which each does one job, and runs the scheduling passes.
+// Scheduler places the tasks of one shard in one term. It connects the
+// components of the package and runs the scheduling passes.
 //
-// Settings, which may be changed at any time, Counters and
-// AttemptNumbersExhausted are fields of its embedded parts.
+// Settings, Counters and AttemptNumbersExhausted are promoted from embedded
+// components. Settings may be changed between any two calls.
 type Scheduler struct {
 	*sharedState
 	*attemptNumbers
@@ -63,9 +64,10 @@
 	nextPassDue time.Time
 }
 
-// NewScheduler returns a scheduler without jobs and machines.
+// NewScheduler returns a scheduler that has no jobs. Machines are taken from
+// the registry in options.
 func NewScheduler(options Options) *Scheduler {
-	env := &sharedState{
+	shared := &sharedState{
 		Settings: Settings{DropThreshold: tuning.BackupWithdrawThreshold},
 		platform: options.Platform,
 		ledger:   options.Ledger,
@@ -74,21 +76,21 @@
 		log:      options.Log,
 	}
 	s := &Scheduler{
-		sharedState:    env,
+		sharedState:    shared,
 		attemptNumbers: &attemptNumbers{token: options.Token},
 		pass:           &passState{},
-		capacity:       newCapacityIndex(env),
-		rules:          preemptionRules{env},
+		capacity:       newCapacityIndex(shared),
+		rules:          preemptionRules{shared},
 		jobs:           newJobTable(),
 		urgent:         &urgentMachines{},
 		runTimes:       &runTimeEstimator{ratioByClass: map[string]float64{}},
 	}
-	s.queues = &copyQueues{sharedState: env, capacity: s.capacity}
-	s.queue = &jobQueue{sharedState: env, runTimes: s.runTimes, pass: s.pass}
-	s.markers = &startMarkers{sharedState: env, pass: s.pass, request: options.RequestStartMarker}
-	s.failures = &failureTracker{sharedState: env, jobs: s.jobs}
+	s.queues = &copyQueues{sharedState: shared, capacity: s.capacity}
+	s.queue = &jobQueue{sharedState: shared, runTimes: s.runTimes, pass: s.pass}
+	s.markers = &startMarkers{sharedState: shared, pass: s.pass, request: options.RequestStartMarker}
+	s.failures = &failureTracker{sharedState: shared, jobs: s.jobs}
 	s.tasks = &taskLifecycle{
-		sharedState:     env,
+		sharedState:     shared,
 		capacity:        s.capacity,
 		queues:          s.queues,
 		jobs:            s.jobs,
@@ -102,7 +104,7 @@
 	return s
 }
 
-// initSchedulers makes the parts that place the jobs of each shape.
+// initSchedulers creates the components that place arrays, gangs and services.
 func (s *Scheduler) initSchedulers() {
 	s.arrays = &arrayScheduler{
 		sharedState: s.sharedState,
@@ -139,7 +141,7 @@
 	}
 }
 
-// initMachineComponents makes the parts that deal with machines' heartbeats and commands.
+// initMachineComponents creates the components that process heartbeats and build commands.
 func (s *Scheduler) initMachineComponents() {
 	s.dispatcher = &dispatcher{
 		sharedState: s.sharedState,
@@ -159,7 +161,7 @@
 	}
 }
 
-// initDemandComponents makes the parts that decide which machines are needed.
+// initDemandComponents creates the components that decide which machines are needed.
 func (s *Scheduler) initDemandComponents() {
 	s.consolidator = &consolidator{
 		sharedState: s.sharedState,
@@ -176,14 +178,15 @@
 	}
 }
 
-// OpenJob returns an open job, nil if there is none of that name.
+// OpenJob returns the open job with the given ID, or nil if there is none.
 func (s *Scheduler) OpenJob(id string) *Job { return s.jobs.open(id) }
 
-// OpenJobs lists the open jobs by priority, then age.
+// OpenJobs returns the open jobs by descending priority, then age. The caller
+// must not modify the slice.
 func (s *Scheduler) OpenJobs() []*Job { return s.queue.open }
 
-// SetJobUnreadable notes whether a job's record is one that this version
-// cannot read: such a job's tasks are neither started nor stopped.
+// SetJobUnreadable records whether this version of the software fails to read a
+// job's record. Tasks of an unreadable job are neither started nor stopped.
 func (s *Scheduler) SetJobUnreadable(id string, unreadable bool) {
 	if unreadable {
 		s.jobs.unreadable[id] = true
@@ -192,8 +195,8 @@
 	delete(s.jobs.unreadable, id)
 }
 
-// AddJob adds an open job, accepted at the given wall clock time. If the job
-// is known, only the version of its record is updated.
+// AddJob adds an open job and returns it. acceptedAt is a wall clock time. If
+// the job is already known, AddJob only updates the version of its record.
 func (s *Scheduler) AddJob(
 	now time.Time, spec wire.JobSpec, acceptedAt time.Time, version uint64, fromEarlierTerm bool,
 ) *Job {
@@ -206,18 +209,19 @@
 	s.jobs.add(job)
 	s.queue.add(job)
 	s.log.Debug("job added", "job", spec.ID, "class", spec.Class, "team", spec.Team,
-		"shape", spec.Shape, "tasks", spec.Tasks)
+		"shape", spec.Shape, "count", spec.Tasks)
 	return job
 }
 
-// CloseJob closes a completed or cancelled job: none of its tasks starts any
-// more, and those on machines are stopped. They must have ended by terminationDeadline.
-func (s *Scheduler) CloseJob(now time.Time, id string, tasksGoneBy time.Time) {
+// CloseJob closes a completed or cancelled job. No further task of the job
+// starts, and its tasks on machines are stopped; they must have ended by
+// terminationDeadline. CloseJob does nothing if the job is not open.
+func (s *Scheduler) CloseJob(now time.Time, id string, terminationDeadline time.Time) {
 	job := s.jobs.open(id)
 	if job == nil {
 		return
 	}
-	job.closed, job.terminationDeadline = true, tasksGoneBy
+	job.closed, job.terminationDeadline = true, terminationDeadline
 	s.queue.remove(job)
 	for _, task := range job.tasksByIndex() {
 		s.queues.withdrawCopies(task)
@@ -229,18 +233,18 @@
 		}
 	}
 	s.jobs.removeIfUnassigned(job)
-	s.log.Debug("job closed", "job", id, "tasks", job.assigned)
+	s.log.Debug("job closed, tasks left on machines", "job", id, "count", job.assigned)
 }
 
 // StartMarkerWritten records that a job's start marker is durable.
 func (s *Scheduler) StartMarkerWritten(job *Job) { s.markers.written(job) }
 
-// Reconciled reports whether every machine that the shard may have is
-// reconciled or deleted.
+// Reconciled reports whether MarkReconciled was called in this term.
 func (s *Scheduler) Reconciled() bool { return s.reconciled }
 
-// MarkReconciled records that every machine that the shard may have is
-// reconciled or deleted: pending tasks of jobs from earlier terms may start.
+// MarkReconciled records that every machine that may belong to the shard is
+// reconciled or deleted. From then on pending tasks of jobs from earlier terms
+// may start.
 func (s *Scheduler) MarkReconciled() {
 	s.reconciled = true
 	s.pass.requestFullPass()
--- a/internal/placement/task.go
+++ b/internal/placement/task.go
@@ -7,21 +7,21 @@
 	"juniperchute/internal/worker"
 )
 
-// Phase is the state of a task's dispatched copy. At most one copy of a task
-// is dispatched at any time; copies that wait in queues have no phase.
+// Phase is the lifecycle state of a task's dispatched copy. At most one copy of
+// a task is dispatched at any time. Queued copies have no phase.
 type Phase int
 
 // The phases of a task.
 const (
-	// Unassigned: on no machine.
+	// Unassigned means that no copy of the task is on a machine.
 	Unassigned Phase = iota
-	// Dispatched: assigned to a machine that has not reported it yet.
+	// Dispatched means that a copy is assigned to a machine that has not reported it yet.
 	Dispatched
-	// Active: reported by its machine.
+	// Active means that the machine has reported the copy.
 	Active
-	// Stopping: being stopped; its end has not been confirmed yet.
+	// Stopping means that the copy is being stopped and its exit is not confirmed yet.
 	Stopping
-	// Completed: has completed.
+	// Completed means that the task has completed. It is the final phase.
 	Completed
 )
 
@@ -29,49 +29,49 @@
 	return [...]string{"unassigned", "dispatched", "active", "stopping", "completed"}[p]
 }
 
-// onMachine reports whether a copy may be on a machine.
+// onMachine reports whether a copy may be on a machine, and so holds resources there.
 func (p Phase) onMachine() bool { return p == Dispatched || p == Active || p == Stopping }
 
-// stoppable reports whether a copy may be on a machine and has not been told to stop.
+// stoppable reports whether a copy may be on a machine and is not being stopped yet.
 func (p Phase) stoppable() bool { return p == Dispatched || p == Active }
 
-// Task is a task of which copies are queued or one is on a machine.
+// Task is a scheduled task: copies of it are queued, or one copy is on a machine.
 type Task struct {
 	Job   *Job
-	Index int // within the job
+	Index int // within the job, from 0
 	phase Phase
 	assignment
 	queuedCopies
 }
 
-// assignment is the dispatched copy of a task: where it is, and what is known of it there.
+// assignment describes the dispatched copy of a task and its last known state on the machine.
 type assignment struct {
-	machine       *worker.Machine // nil while the task is on no machine
+	machine       *worker.Machine // nil while no copy is on a machine
 	attempt       uint64
 	isBackup      bool
 	dispatchedAt  time.Time
-	runningSince  time.Time // when it was first reported running; zero: not yet
-	reportedState string    // the state reported last
+	runningSince  time.Time // time of the first report that the copy runs; zero before that
+	reportedState string    // state in the last report
 	commandDelivery
-	gracePeriodS float64 // seconds that the stop gives it to save
-	stopPending  bool    // a stop is to be sent directly
+	gracePeriodS float64 // seconds that the stop leaves for saving a checkpoint
+	stopPending  bool    // a stop command has to be sent
 }
 
-// commandDelivery tells how far the command to run a copy has come.
+// commandDelivery tracks the delivery of the command that runs a copy.
 type commandDelivery struct {
-	reported           bool   // a heartbeat has shown this attempt
+	reported           bool   // the machine has reported the attempt
 	commandSent        bool   // the command has been sent at least once
-	commandSeq         uint64 // the newest heartbeat whose reply carried the command
-	unansweredCommands int    // direct requests with the command that were not answered
+	commandSeq         uint64 // sequence number of the last heartbeat whose reply carried the command
+	unansweredCommands int    // direct requests with the command whose outcome is unknown
 }
 
-// queuedCopies is where a task's copies wait, and the history of its backup.
+// queuedCopies records the machines at which a task's copies are queued.
 type queuedCopies struct {
-	primary           *worker.Machine // nil: not queued
+	primary           *worker.Machine // nil if the primary is not queued
 	primaryQueuedAt   time.Time
-	backup            *worker.Machine // nil: not queued
-	backupPreemptions int             // how often the backup was preempted
+	backup            *worker.Machine // nil if the backup is not queued
+	backupPreemptions int
 }
 
-// Name returns the task's name on the wire.
+// Name returns the task's name in the worker protocol.
 func (t *Task) Name() string { return wire.TaskName(t.Job.Spec.ID, t.Index) }
