--- a/internal/placement/array.go
+++ b/internal/placement/array.go
@@ -7,7 +7,7 @@
 	"juniperchute/internal/tuning"
 )
 
-// arrayScheduler places the tasks of arrays.
+// arrayScheduler queues the tasks of job arrays at machines.
 type arrayScheduler struct {
 	*sharedState
 	pass     *passState
@@ -16,9 +16,9 @@
 	markers  *startMarkers
 }
 
-// schedule queues an array's pending tasks, each as the paper's two
-// copies (section III): the primary at a random one of the machines that are
-// best for it and have room, the backup at another random machine.
+// schedule queues an array's pending tasks. Each has two copies, as in section
+// III of the paper: the primary is queued at a random machine among those of the
+// lowest rank with sufficient free resources, the backup at another random machine.
 func (a *arrayScheduler) schedule(now time.Time, job *Job, filter passFilter) {
 	if filter.scope == guaranteedWork && !a.ledger.WithinGuarantee(job.Spec.Team, job.need) {
 		return
@@ -38,19 +38,19 @@
 	}
 }
 
-// arrayPlacement places one array's pending tasks in one round of a pass.
+// arrayPlacement queues one array's pending tasks in one round of a scheduling pass.
 type arrayPlacement struct {
 	scheduler       *arrayScheduler
 	job             *Job
 	scope           preemptionScope
 	requirement     imageRequirement
-	tasksByZone     map[string]int // of the job; nil if the zones of its tasks don't depend on each other
+	tasksByZone     map[string]int // scheduled tasks of the job; nil if it has no zone constraints
 	candidates      []candidate
-	reservedForGang bool // a machine that would do is reserved for a starving gang
+	reservedForGang bool // a suitable machine is reserved for a starving gang
 }
 
-// newArrayPlacement returns a value, not a pointer: one is made for each array in each round,
-// and a value stays off the heap.
+// newArrayPlacement returns a value instead of a pointer to avoid a heap
+// allocation for each array in each round.
 func newArrayPlacement(scheduler *arrayScheduler, job *Job, filter passFilter) arrayPlacement {
 	p := arrayPlacement{
 		scheduler:   scheduler,
@@ -64,8 +64,9 @@
 	return p
 }
 
-// findCandidates finds the machines with room for a task of the job, among
-// those that have changed since none had any.
+// findCandidates collects the machines that can take a task of the job. Without
+// zone constraints it skips machines that have gained no capacity since the last
+// search that found none.
 func (p *arrayPlacement) findCandidates(now time.Time) {
 	noRoomRevision := uint64(0)
 	if p.tasksByZone == nil {
@@ -84,7 +85,8 @@
 	}
 }
 
-// fits reports whether a machine has room, in an allowed zone, for one more task.
+// fits reports whether a machine is in an allowed zone, has the required image
+// and has sufficient free resources for one more task.
 func (p *arrayPlacement) fits(info *machineInfo) bool {
 	machine := info.machine
 	if !machine.AvailableToPrimary().Fits(p.job.need) {
@@ -96,15 +98,16 @@
 	return p.requirement == anyMachine || info.hasImage(p.job.Spec.Image)
 }
 
-// mayPlace reports whether another task may be queued after those placed in this round.
+// mayPlace reports whether another task may be queued in this round, given the
+// number of tasks that the round has placed.
 func (p *arrayPlacement) mayPlace(placed int) bool {
 	s, job := p.scheduler, p.job
 	switch {
 	case s.pass.arrayTasksQueued == tuning.MaxTasksPerPass:
-		s.pass.requestFullPass() // the next pass goes on
+		s.pass.requestFullPass() // the next pass continues with the remaining tasks
 		return false
 	case job.boostedAboveAll() && placed == tuning.FirstStartTasks:
-		return false // the rest waits for its turn
+		return false // the boost covers the first tasks only
 	case p.scope == guaranteedWork && !s.ledger.WithinGuarantee(job.Spec.Team, job.need):
 		return false
 	case !s.ledger.AdmitsReservation(job.Spec.Team, job.need):
@@ -114,7 +117,8 @@
 	return true
 }
 
-// placeTask queues one task and reports whether there was a place for it.
+// placeTask queues both copies of one task and reports whether a machine could
+// take its primary.
 func (p *arrayPlacement) placeTask(now time.Time) bool {
 	s, job := p.scheduler, p.job
 	chosen := s.pickLowestRank(p.candidates)
@@ -139,9 +143,10 @@
 	return true
 }
 
-// placeBackup queues a task's backup at another random machine that is large
-// enough for it when empty. A few samples find one in most cases; a task that
-// gets no backup loses little, as primaries are queued where there is room.
+// placeBackup queues a task's backup at a random machine other than its
+// primary's that has sufficient total capacity and space in its backup queue. It
+// tries a bounded number of random machines; if none qualifies, the task gets no
+// backup.
 func (a *arrayScheduler) placeBackup(task *Task) {
 	machines := a.registry.All()
 	for range min(tuning.BackupSamples, 2*len(machines)) {
@@ -156,11 +161,11 @@
 	}
 }
 
-// prepare decides for the pending arrays of a tier how much their images
-// count, and requests start markers for the first of them, so that a free place
-// need not wait for the marker.
+// prepare updates the image locality state of the pending arrays of a tier. It
+// also requests start markers for the first of them, so that they can start as
+// soon as resources are free.
 func (a *arrayScheduler) prepare(now time.Time, jobs []*Job, machinesByImage map[string]int) {
-	earliest, pending := math.Inf(1), 0
+	firstPosition, pending := math.Inf(1), 0
 	for _, job := range jobs {
 		if job.pendingTasks() == 0 || !job.isArray() {
 			continue
@@ -168,8 +173,8 @@
 		if pending++; pending <= tuning.StartMarkersAhead && a.markers.safeToStart(job) {
 			a.markers.ensure(now, job)
 		}
-		earliest = min(earliest, job.fairSharePosition)
-		job.outsideLocalityWindow = job.fairSharePosition > earliest+tuning.ImageLocalityPatience.Seconds()
+		firstPosition = min(firstPosition, job.fairSharePosition)
+		job.outsideLocalityWindow = job.fairSharePosition > firstPosition+tuning.ImageLocalityPatience.Seconds()
 		machinesNeeded := float64(job.pendingTasks()) * job.machineShare(a.registry)
 		job.imageUnderReplicated = float64(machinesByImage[job.Spec.Image]) < machinesNeeded
 	}
--- a/internal/placement/array_candidates.go
+++ b/internal/placement/array_candidates.go
@@ -7,13 +7,14 @@
 	"juniperchute/internal/worker"
 )
 
-// candidate is a machine with room for an array's task, and its rank; the lowest is best.
+// candidate is a machine that can take a task of an array. Lower ranks are preferred.
 type candidate struct {
 	info *machineInfo
 	rank int
 }
 
-// updateCandidates brings the candidates up to date after a task was queued at one of them.
+// updateCandidates updates ranks and removes full machines after a task was
+// queued at the candidate with index chosen.
 func (p *arrayPlacement) updateCandidates(chosen int) {
 	info := p.candidates[chosen].info
 	switch {
@@ -30,13 +31,14 @@
 	}
 }
 
-// rankFor ranks machines that fit an array's task: spot machines first for jobs that may
-// use them, then machines that have the image or are about to, then the fuller
-// ones, in steps, so that others become empty and can be terminated.
+// rankFor returns the rank of a machine for a task of the job. It prefers spot
+// machines for jobs that may use them, then machines that cache the image or
+// will pull it, then fuller machines, so that the others drain and can be
+// terminated.
 func (info *machineInfo) rankFor(job *Job) int {
 	const (
-		noImage  = 2 * tuning.FillLevels // more than any fill
-		onDemand = 4 * tuning.FillLevels
+		noImage  = 2 * tuning.FillLevels // outweighs any fill level
+		onDemand = 4 * tuning.FillLevels // outweighs the image and any fill level
 	)
 	rank := freeLevel(info.machine)
 	if job.Spec.Spot && !info.machine.Spot {
@@ -48,12 +50,13 @@
 	return rank
 }
 
-// freeLevel returns in which of tuning.FillLevels steps the free part of a machine is; 0 is full.
+// freeLevel quantizes the free share of a machine to tuning.FillLevels levels; 0 is a full machine.
 func freeLevel(machine *worker.Machine) int {
 	return int(tuning.FillLevels * machine.AvailableToPrimary().DominantShare(machine.Capacity))
 }
 
-// hasImage reports whether the machine has an image, or a task there will have it fetched.
+// hasImage reports whether the machine caches an image, or will pull it for a
+// task that is assigned to it or whose primary is queued there.
 func (info *machineInfo) hasImage(image string) bool {
 	if _, ok := info.machine.Images[image]; ok {
 		return true
@@ -62,8 +65,8 @@
 	return slices.ContainsFunc(info.assigned, usesImage) || slices.ContainsFunc(info.primaryQueue, usesImage)
 }
 
-// pickLowestRank returns the index of a random one among the candidates of the
-// lowest rank, -1 if there are no candidates.
+// pickLowestRank returns the index of a random candidate among those of the
+// lowest rank, or -1 if there are no candidates.
 func (a *arrayScheduler) pickLowestRank(candidates []candidate) int {
 	lowest, ties := 0, 0
 	for i := range candidates {
--- a/internal/placement/backup_preemption.go
+++ b/internal/placement/backup_preemption.go
@@ -8,8 +8,8 @@
 	"juniperchute/internal/worker"
 )
 
-// preemptBackups stops running backups on a machine until what is missing is
-// covered. Backups that are stopping already count.
+// preemptBackups stops backups on a machine until their resources cover missing.
+// Backups that are already stopping count towards it.
 func (l *taskLifecycle) preemptBackups(now time.Time, machine *worker.Machine, missing quota.Resources) {
 	for _, task := range slices.Clone(l.capacity.info(machine).assigned) {
 		if missing.CPUs <= 0 && missing.GPUs <= 0 && missing.MemGB <= 0 {
@@ -28,7 +28,7 @@
 	}
 }
 
-// preemptBackup stops a running backup, which counts towards its withdrawal.
+// preemptBackup stops a backup and counts the preemption towards Settings.DropThreshold.
 func (l *taskLifecycle) preemptBackup(now time.Time, task *Task, reason string) {
 	task.backupPreemptions++
 	l.Counters.BackupsPreempted++
--- a/internal/placement/capacity_index.go
+++ b/internal/placement/capacity_index.go
@@ -8,34 +8,34 @@
 	"juniperchute/internal/worker"
 )
 
-// capacityIndex makes the cost of a scheduling pass grow with what has changed,
-// and not with machines times jobs:
-//   - it numbers the changes by which machines gained something, so that a job
-//     that found no room looks only at machines that changed since then;
-//   - it knows the machines with room for the smallest pending task, so that a
-//     pass ends where there are none;
-//   - it counts the places that each class of gangs could have.
+// capacityIndex keeps the cost of a scheduling pass proportional to the machines
+// that changed, and not to the product of machines and jobs:
+//   - it assigns a revision to each gain of capacity, so that a job that fitted
+//     nowhere tries only machines that have gained capacity since;
+//   - it lists the machines that fit the smallest task of any open array, so
+//     that a pass skips the arrays if there are none;
+//   - it counts the slots for each equivalence class of gangs.
 type capacityIndex struct {
 	*sharedState
 	rules         preemptionRules
 	machines      map[*worker.Machine]*machineInfo
 	dirtyMachines []*machineInfo  // changed since the last refresh
-	revision      uint64          // the newest change by which a machine gained something
-	smallestNeed  quota.Resources // no task of an open array needs less, of any resource
-	freeMachines  []*machineInfo  // schedulable machines with room for that
+	revision      uint64          // revision of the last gain of capacity
+	smallestNeed  quota.Resources // per resource, the minimum over the tasks of open arrays
+	freeMachines  []*machineInfo  // schedulable machines with smallestNeed free
 	overGuarantee uint64          // bit set of the teams over their guarantees
 	slotsByClass  map[equivalenceClass]*slotCounts
 }
 
-// capacitySnapshot is what a machine had to offer when the index was refreshed.
+// capacitySnapshot is the capacity of a machine at the last refresh of the index.
 type capacitySnapshot struct {
 	schedulable   bool
 	free          quota.Resources
 	images, tasks int
 }
 
-// offersMoreThan reports whether s offers a pending task something that an
-// earlier snapshot did not.
+// offersMoreThan reports whether a pending task may fit s although it did not
+// fit an earlier snapshot of the machine.
 func (s capacitySnapshot) offersMoreThan(earlier capacitySnapshot) bool {
 	if !s.schedulable {
 		return false
@@ -43,14 +43,15 @@
 	return !earlier.schedulable || !earlier.free.Fits(s.free) || s.images > earlier.images || s.tasks > earlier.tasks
 }
 
-// noRoomRevisions are the revisions of the index up to which no machine had
-// room for a job's tasks.
+// noRoomRevisions holds, for each image requirement, the first revision of the
+// index that may have capacity for a job's tasks. A machine whose last gain is
+// older cannot take them.
 type noRoomRevisions struct {
 	anyMachine  uint64
-	cachedImage uint64 // among the machines that have the job's image
+	cachedImage uint64 // for machines that cache the job's image
 }
 
-// forRequirement returns the revision for the machines that come into question.
+// forRequirement returns the revision for an image requirement.
 func (r *noRoomRevisions) forRequirement(requirement imageRequirement) *uint64 {
 	if requirement == cachedImage {
 		return &r.cachedImage
@@ -58,16 +59,16 @@
 	return &r.anyMachine
 }
 
-func newCapacityIndex(env *sharedState) *capacityIndex {
+func newCapacityIndex(shared *sharedState) *capacityIndex {
 	return &capacityIndex{
-		sharedState:  env,
-		rules:        preemptionRules{env},
+		sharedState:  shared,
+		rules:        preemptionRules{shared},
 		machines:     map[*worker.Machine]*machineInfo{},
 		slotsByClass: map[equivalenceClass]*slotCounts{},
 	}
 }
 
-// info returns what is kept of a machine, and begins to keep it.
+// info returns the scheduler's state of a machine. It creates the state on first use.
 func (c *capacityIndex) info(machine *worker.Machine) *machineInfo {
 	info := c.machines[machine]
 	if info == nil {
@@ -78,7 +79,7 @@
 	return info
 }
 
-// removeMachine removes a deleted machine, with what is kept of it.
+// removeMachine removes a deleted machine and its state from the index.
 func (c *capacityIndex) removeMachine(info *machineInfo) {
 	c.setFree(info, false)
 	delete(c.machines, info.machine)
@@ -87,8 +88,8 @@
 	}
 }
 
-// setFree enters a machine among those with room, or removes it. The order of
-// the list is part of what the random choice among machines depends on.
+// setFree adds a machine to freeMachines or removes it. Random choices among
+// machines depend on the order of the list.
 func (c *capacityIndex) setFree(info *machineInfo, free bool) {
 	switch {
 	case free && info.freeIndex == 0:
@@ -102,7 +103,7 @@
 	}
 }
 
-// setSmallestNeed sets what the smallest pending task needs.
+// setSmallestNeed updates smallestNeed and, if it changed, freeMachines.
 func (c *capacityIndex) setSmallestNeed(smallestNeed quota.Resources) {
 	if smallestNeed == c.smallestNeed {
 		return
@@ -114,7 +115,7 @@
 	}
 }
 
-// markDirty notes that something about a machine has changed.
+// markDirty marks a machine as changed, to be evaluated by the next refresh.
 func (c *capacityIndex) markDirty(info *machineInfo) {
 	if !info.dirty {
 		info.dirty = true
@@ -122,8 +123,8 @@
 	}
 }
 
-// refresh brings the index up to date and reports whether some machine
-// has gained something.
+// refresh updates the index for the dirty machines and reports whether any of
+// them has gained capacity.
 func (c *capacityIndex) refresh(now time.Time) bool {
 	c.refreshOverGuarantee()
 	gained := false
@@ -151,8 +152,8 @@
 	return gained
 }
 
-// refreshOverGuarantee drops the counts of places when other teams than before
-// are over their guarantees: what may be preempted for whom has changed.
+// refreshOverGuarantee discards the slot counts if the set of teams over their
+// guarantees has changed, as it determines which tasks can be preempted.
 func (c *capacityIndex) refreshOverGuarantee() {
 	overGuarantee := teamsOverGuarantee(c.platform.Teams, c.ledger)
 	if overGuarantee != c.overGuarantee {
@@ -161,8 +162,8 @@
 	}
 }
 
-// teamsOverGuarantee returns a bit for each team that uses more than its
-// guarantee. Beyond 64 teams bits are shared.
+// teamsOverGuarantee returns a bit set of the teams that use more than their
+// guarantees. If there are more than 64 teams, some share a bit.
 func teamsOverGuarantee(teams []config.Team, ledger *quota.Ledger) (overGuarantee uint64) {
 	for i, team := range teams {
 		if ledger.OverGuarantee(team.Name) {
@@ -172,7 +173,7 @@
 	return overGuarantee
 }
 
-// machinesByImage counts the machines that have each image.
+// machinesByImage returns the number of running machines that cache each image.
 func (c *capacityIndex) machinesByImage() map[string]int {
 	counts := map[string]int{}
 	for _, machine := range c.registry.All() {
--- a/internal/placement/commands.go
+++ b/internal/placement/commands.go
@@ -6,22 +6,22 @@
 	"juniperchute/internal/worker"
 )
 
-// Channel is the way by which commands reach a machine.
+// Channel identifies the path by which commands are sent to a machine.
 type Channel int
 
 // The channels to a machine.
 const (
-	HeartbeatReply Channel = iota // in the reply to its heartbeat
-	DirectCommand                 // in a direct request
+	HeartbeatReply Channel = iota // reply to a heartbeat of the machine
+	DirectCommand                 // request that the controller sends to the machine
 )
 
-// commandBuilder makes the commands for machines.
+// commandBuilder builds the commands for machines from the state of their tasks.
 type commandBuilder struct {
 	capacity *capacityIndex
 	jobs     *jobTable
 }
 
-// forMachine returns the commands that a machine should get now, for sending by a channel.
+// forMachine returns the commands to send to a machine now by the given channel.
 func (b *commandBuilder) forMachine(machine *worker.Machine, channel Channel) []wire.Command {
 	var commands []wire.Command
 	for i := range machine.Tasks {
@@ -39,9 +39,8 @@
 	return commands
 }
 
-// forReported returns the commands, at most one, for a task that its
-// machine reports: one that should not be there is stopped, one that has exited
-// is reaped.
+// forReported returns at most one command for a task that a machine reports: a
+// stop for an unexpected or stopping attempt, a reap for an exited one.
 func (b *commandBuilder) forReported(machine *worker.Machine, reported *wire.TaskStatus) []wire.Command {
 	id, _, _ := wire.ParseTask(reported.Name)
 	if b.jobs.unreadable[id] {
@@ -69,13 +68,13 @@
 }
 
 // isAttemptOn reports whether an attempt of the task is expected on a machine.
-// No attempt of a nil task is.
+// It returns false for a nil task.
 func (t *Task) isAttemptOn(machine *worker.Machine, attempt uint64) bool {
 	return t != nil && t.machine == machine && t.attempt == attempt
 }
 
-// reapable reports whether a machine may forget an exited task: a completion
-// stays in its heartbeats until the outcome is durable.
+// reapable reports whether a machine may discard an exited task. A completion
+// must stay in the machine's heartbeats until its outcome is durable.
 func (b *commandBuilder) reapable(machine *worker.Machine, job *Job, index int, reported *wire.TaskStatus) bool {
 	completion := job != nil && !job.closed && !job.IsService() && reported.ExitReason == wire.ExitDone
 	if completion && !job.durablyCompleted.has(index) {
@@ -84,13 +83,14 @@
 	return !b.capacity.info(machine).directAttempts[attemptKey{reported.Name, reported.Attempt}]
 }
 
-// forAssigned returns the commands, at most one, for a task that is
-// assigned to a machine and that the machine has not reported yet.
+// forAssigned returns at most one command for a task that is assigned to a
+// machine: a run if it is dispatched, a stop if it is stopping and was never
+// reported.
 func (b *commandBuilder) forAssigned(task *Task, channel Channel) []wire.Command {
 	info := b.capacity.info(task.machine)
 	switch {
 	case task.phase == Dispatched && channel == DirectCommand && len(info.directAttempts) >= tuning.MaxDirectStarts:
-		return nil // goes out in the reply to the next heartbeat
+		return nil // sent in the reply to the next heartbeat
 	case task.phase == Dispatched:
 		task.commandSent = true
 		if channel == DirectCommand {
@@ -101,19 +101,21 @@
 		}
 		return []wire.Command{{Verb: wire.VerbRun, Task: task.Name(), Attempt: task.attempt}}
 	case task.phase == Stopping && !task.reported && task.commandSent:
-		// the command to run it may be on its way: the stop follows it
+		// The run command may still be in flight, so the stop is sent after it.
 		task.stopPending = false
 		return []wire.Command{stopCommand(task.Name(), task.attempt, task.gracePeriodS)}
 	}
 	return nil
 }
 
-// stopCommand stops an attempt, with so many seconds to save.
-func stopCommand(task string, attempt uint64, grace float64) wire.Command {
-	return wire.Command{Verb: wire.VerbStop, Task: task, Attempt: attempt, GracePeriodS: &grace}
+// stopCommand returns a command that stops an attempt after at most
+// gracePeriodS seconds for saving a checkpoint.
+func stopCommand(task string, attempt uint64, gracePeriodS float64) wire.Command {
+	return wire.Command{Verb: wire.VerbStop, Task: task, Attempt: attempt, GracePeriodS: &gracePeriodS}
 }
 
-// stopsForClosedJobs returns the stops for those of the given tasks whose jobs are closed.
+// stopsForClosedJobs returns stop commands for the given tasks whose jobs are
+// closed or unknown.
 func (b *commandBuilder) stopsForClosedJobs(tasks []wire.TaskStatus) []wire.Command {
 	var commands []wire.Command
 	for _, reported := range tasks {
--- a/internal/placement/constraints.go
+++ b/internal/placement/constraints.go
@@ -6,7 +6,7 @@
 	"juniperchute/internal/worker"
 )
 
-// machineKind is what a job's constraints see of a machine.
+// machineKind holds the attributes of a machine that job constraints refer to.
 type machineKind struct {
 	machineType string
 	zone        string
@@ -17,7 +17,7 @@
 	return machineKind{machineType: machine.Type, zone: machine.Zone, spot: machine.Spot}
 }
 
-// allows reports whether the job's constraints admit machines of a kind.
+// allows reports whether machines of a kind satisfy the job's constraints.
 func (j *Job) allows(kind machineKind) bool {
 	spec := &j.Spec
 	if kind.spot && !spec.Spot {
@@ -29,26 +29,27 @@
 	return spec.AnyType || slices.Contains(spec.Types, kind.machineType)
 }
 
-// suits reports whether the job's constraints and its past failures admit a machine.
+// suits reports whether a machine satisfies the job's constraints and is not
+// avoided because of past failures.
 func (j *Job) suits(machine *worker.Machine) bool {
 	return j.allows(kindOf(machine)) && !j.avoids(machine)
 }
 
-// eligible reports whether a task of the job may be scheduled on a machine
-// that has room for it.
+// eligible reports whether a task of the job may be scheduled on a machine,
+// apart from resources and zone constraints between tasks.
 func (j *Job) eligible(machine *worker.Machine) bool {
 	return machine.Schedulable() && j.suits(machine)
 }
 
-// taskCountMode says which tasks tasksByZone counts.
+// taskCountMode selects the tasks that tasksByZone counts.
 type taskCountMode bool
 
 const (
-	assignedTasks  taskCountMode = false
-	scheduledTasks taskCountMode = true // also those that are only queued
+	assignedTasks  taskCountMode = false // tasks on machines
+	scheduledTasks taskCountMode = true  // tasks on machines and queued tasks
 )
 
-// tasksByZone counts the job's tasks by the zone of their machine.
+// tasksByZone returns the number of the job's tasks in each zone.
 func (j *Job) tasksByZone(mode taskCountMode) map[string]int {
 	tasksByZone := map[string]int{}
 	for _, task := range j.tasks {
@@ -62,8 +63,8 @@
 	return tasksByZone
 }
 
-// zoneAllowed reports whether one more task of the job may be in a zone beside
-// the tasks that are counted by zone.
+// zoneAllowed reports whether the job's zone constraints allow one more task in
+// a zone, given the number of its tasks in each zone.
 func (j *Job) zoneAllowed(zone string, tasksByZone map[string]int) bool {
 	if j.Spec.SameZone {
 		for otherZone, count := range tasksByZone {
@@ -75,16 +76,16 @@
 	return !j.Spec.SpreadAcrossZones || tasksByZone[zone]+1 <= (j.Spec.Tasks+1)/2
 }
 
-// mayStartIn reports whether one more task of the job may start in a zone
-// beside those that are on machines.
+// mayStartIn reports whether the job's zone constraints allow one more task to
+// start in a zone, given its tasks on machines.
 func (j *Job) mayStartIn(zone string) bool { return j.zoneAllowed(zone, j.tasksByZone(assignedTasks)) }
 
-// zoneConstrained reports whether the zones of the job's tasks depend on each other.
+// zoneConstrained reports whether the job's tasks must share a zone or be spread over zones.
 func (j *Job) zoneConstrained() bool { return j.Spec.SameZone || j.Spec.SpreadAcrossZones }
 
-// constrainedTasksByZone counts the scheduled tasks by zone, without one that
-// is about to leave its machine (nil: none is). It returns nil if the zones of
-// the job's tasks don't depend on each other.
+// constrainedTasksByZone returns the number of scheduled tasks in each zone,
+// excluding the task leaving, which may be nil. It returns nil if the job has no
+// zone constraints.
 func (j *Job) constrainedTasksByZone(leaving *Task) map[string]int {
 	if !j.zoneConstrained() {
 		return nil
--- a/internal/placement/dispatch.go
+++ b/internal/placement/dispatch.go
@@ -10,7 +10,7 @@
 	"juniperchute/internal/worker"
 )
 
-// dispatcher dispatches what is at the heads of the machines' queues.
+// dispatcher dispatches copies from the heads of the machines' queues.
 type dispatcher struct {
 	*sharedState
 	capacity *capacityIndex
@@ -19,9 +19,9 @@
 	attempts *attemptNumbers
 }
 
-// dispatchQueueHeads dispatches what is at the heads of a machine's queues, by
-// the paper's discipline (section III): primaries first, and backups only while
-// no primary is queued.
+// dispatchQueueHeads dispatches queued copies that fit a machine. As in section
+// III of the paper, it starts primaries first, and backups only while no primary
+// is queued.
 func (d *dispatcher) dispatchQueueHeads(now time.Time, machine *worker.Machine) {
 	info := d.capacity.info(machine)
 	if len(info.primaryQueue)+len(info.backupQueue) == 0 || !machine.Schedulable() {
@@ -33,14 +33,14 @@
 	}
 }
 
-// dispatchPrimaries dispatches a machine's queued primaries that fit what is
-// free, in their order, and returns what they leave.
+// dispatchPrimaries dispatches a machine's queued primaries in order, as far as
+// they fit free. It returns free less the needs of all queued primaries.
 func (d *dispatcher) dispatchPrimaries(now time.Time, info *machineInfo, free quota.Resources) quota.Resources {
 	for _, task := range slices.Clone(info.primaryQueue) {
 		if task.primary != info.machine {
 			continue
 		}
-		if !task.Job.IsGang() { // gangs are dispatched as a whole
+		if !task.Job.IsGang() { // gangScheduler dispatches all tasks of a gang at once
 			d.dispatchPrimary(now, task, free)
 		}
 		free = free.Sub(task.Job.need)
@@ -48,13 +48,14 @@
 	return free
 }
 
-// dispatchPrimary dispatches a primary that is at the head of its queue, if it
-// fits what is free there; else it preempts backups in its way.
+// dispatchPrimary dispatches a primary at the head of its queue if it fits free.
+// Otherwise it preempts backups on the machine, or the task's own running backup.
 func (d *dispatcher) dispatchPrimary(now time.Time, task *Task, free quota.Resources) {
 	job, machine := task.Job, task.primary
 	switch {
 	case task.phase != Unassigned:
-		// its own backup runs: that has to be stopped and reported so first
+		// The task's backup is on a machine. Its exit must be confirmed before the
+		// primary starts.
 		if task.phase.stoppable() {
 			d.tasks.preemptBackup(now, task, "primary is at the head of its queue")
 		}
@@ -68,7 +69,7 @@
 	}
 }
 
-// dispatchBackups dispatches a machine's queued backups that fit what is free.
+// dispatchBackups dispatches a machine's queued backups in order, as far as they fit free.
 func (d *dispatcher) dispatchBackups(now time.Time, info *machineInfo, free quota.Resources) {
 	stuckAfter := config.Seconds(d.platform.Workers.HeartbeatS * tuning.BackupStartHeartbeats)
 	for _, task := range slices.Clone(info.backupQueue) {
@@ -80,14 +81,15 @@
 			continue
 		}
 		d.Counters.BackupsStarted++
-		copied := assignment{machine: info.machine, attempt: d.attempts.next(job), isBackup: true}
-		d.tasks.dispatch(now, task, copied, "backup starts while no primary is queued")
+		target := assignment{machine: info.machine, attempt: d.attempts.next(job), isBackup: true}
+		d.tasks.dispatch(now, task, target, "backup starts while no primary is queued")
 		free = free.Sub(job.need)
 	}
 }
 
-// backupMayStart reports whether a task's primary has been stuck for long. One
-// that starts with the next heartbeat of its machine would stop the backup at once.
+// backupMayStart reports whether a task's primary has been queued for at least
+// stuckAfter and will not start with the next heartbeat of its machine. Such a
+// start would preempt the backup at once.
 func backupMayStart(now time.Time, task *Task, stuckAfter time.Duration) bool {
 	if task.phase != Unassigned || task.primary == nil || now.Sub(task.primaryQueuedAt) < stuckAfter {
 		return false
--- a/internal/placement/failures.go
+++ b/internal/placement/failures.go
@@ -7,24 +7,24 @@
 	"juniperchute/internal/worker"
 )
 
-// failureHistory is what a job's past runs say about it and about machines.
+// failureHistory records a job's failures and successes by machine.
 type failureHistory struct {
-	backoffUntil         time.Time       // nothing of the job starts before
-	failures             int             // failed tasks; of a service: since its last healthy run
-	failedOn             map[string]int  // failures by machine
-	succeededOn          map[string]bool // machines on which a task completed, or a replica ran well
-	consecutiveShortRuns int             // replicas of a service that ended as soon as they had started, in a row
+	backoffUntil         time.Time       // no task of the job starts before this time
+	failures             int             // failed tasks; for a service, since its last healthy run
+	failedOn             map[string]int  // failures by host
+	succeededOn          map[string]bool // hosts on which a task completed or a replica was healthy
+	consecutiveShortRuns int             // replicas that ended before they were healthy, since the last healthy one
 }
 
-// failsEverywhere reports whether the job failed on so many machines, without
-// any success, that it must itself be at fault.
+// failsEverywhere reports whether the job has failed on several machines and
+// succeeded on none, so that the failures are attributed to the job.
 func (f *failureHistory) failsEverywhere() bool {
 	return len(f.failedOn) >= tuning.FailingJobMachines && len(f.succeededOn) == 0
 }
 
-// avoids reports whether the job has failed on a machine. An array or gang
-// that has failed on many takes any machine again; a service does so only
-// if it never ran well.
+// avoids reports whether the job must not run on a machine because it failed
+// there. An array or gang that has failed on several machines avoids none of
+// them; neither does such a service, unless a replica of it has been healthy.
 func (j *Job) avoids(machine *worker.Machine) bool {
 	if len(j.failedOn) == 0 || j.failedOn[machine.Host] == 0 {
 		return false
@@ -32,15 +32,15 @@
 	return len(j.failedOn) < tuning.FailingJobMachines || j.IsService() && len(j.succeededOn) > 0
 }
 
-// failureTracker attributes failures to machines or jobs.
+// failureTracker attributes task failures to machines or jobs.
 type failureTracker struct {
 	*sharedState
 	jobs *jobTable
 }
 
-// record attributes a task's failure: to its machine, when several jobs
-// or a job that runs well elsewhere have failed there, which quarantines it;
-// else to the job, which then waits longer each time.
+// record counts a task's failure. It quarantines the machine if several jobs
+// have failed there, or repeatedly a job that succeeds elsewhere. If the job
+// fails everywhere, record backs the job off exponentially.
 func (f *failureTracker) record(now time.Time, machine *worker.Machine, task *Task) {
 	job := task.Job
 	f.Counters.Failed++
@@ -56,19 +56,20 @@
 	faultyForJob := succeededElsewhere && machine.FailuresByJob[job.Spec.ID] >= tuning.QuarantineErrors
 	if jobs >= tuning.QuarantineJobs || faultyForJob {
 		if !machine.Quarantined {
-			f.log.Info("worker quarantined", "worker", machine.Host, "jobs", jobs)
+			f.log.Info("worker quarantined after failures of jobs", "worker", machine.Host, "count", jobs)
 		}
 		machine.Quarantined = true
 	}
 	if job.failsEverywhere() {
-		pause := tuning.RetryInitial << min(job.failures, tuning.RetryDoublings)
-		job.backoffUntil = now.Add(pause)
-		f.log.Info("job backed off", "job", job.Spec.ID, "pause", pause)
+		backoff := tuning.RetryInitial << min(job.failures, tuning.RetryDoublings)
+		job.backoffUntil = now.Add(backoff)
+		f.log.Info("job backed off after failures", "job", job.Spec.ID, "backoff", backoff)
 	}
 }
 
-// recordHealthyRun notes that a replica has run for a while: later failures
-// elsewhere are the fault of those machines, not of the service.
+// recordHealthyRun records a success on the replica's machine, and resets the
+// failure counts of the service, if the replica is healthy. Later failures on
+// other machines are then attributed to those machines.
 func (j *Job) recordHealthyRun(now time.Time, task *Task) {
 	if j.IsService() && task.healthy(now) {
 		j.succeededOn[task.machine.Host] = true
@@ -76,20 +77,20 @@
 	}
 }
 
-// healthy reports whether a replica has run long enough to count as sound.
+// healthy reports whether a replica has run for at least tuning.ServiceHealthyAfter.
 func (t *Task) healthy(now time.Time) bool {
 	return !t.runningSince.IsZero() && now.Sub(t.runningSince) >= tuning.ServiceHealthyAfter
 }
 
-// restartBackoff returns how long a replica that has ended by itself waits until
-// it runs again: not at all, unless it ended as soon as it had started. While
-// none of the service's replicas lasts, the pause doubles.
+// restartBackoff returns the delay before a replica that has exited by itself is
+// restarted. It is zero after a healthy run. Otherwise it doubles with each
+// consecutive short run of the service's replicas.
 func (j *Job) restartBackoff(now time.Time, task *Task) time.Duration {
 	j.recordHealthyRun(now, task)
 	if task.healthy(now) {
 		return 0
 	}
-	pause := tuning.RetryInitial << min(j.consecutiveShortRuns, tuning.RetryDoublings)
+	backoff := tuning.RetryInitial << min(j.consecutiveShortRuns, tuning.RetryDoublings)
 	j.consecutiveShortRuns++
-	return pause
+	return backoff
 }
--- a/internal/placement/fair_share.go
+++ b/internal/placement/fair_share.go
@@ -9,23 +9,23 @@
 	"juniperchute/internal/worker"
 )
 
-// queuePosition is a job's place among the open jobs.
+// queuePosition holds the scheduling order of a job among the open jobs.
 type queuePosition struct {
-	effectivePriority int     // the priority, raised for age
-	fairSharePosition float64 // within the priority; a wall clock time in seconds
-	// outsideLocalityWindow: its position is too late for its tasks to be placed
-	// first where their image is cached.
+	effectivePriority int     // priority plus starvation boost
+	fairSharePosition float64 // order within the effective priority; adjusted wall clock time in seconds
+	// outsideLocalityWindow reports whether the position is too late to overtake
+	// earlier arrays for the sake of a cached image.
 	outsideLocalityWindow bool
-	// imageUnderReplicated: its image is cached on fewer machines than its tasks
-	// could fill, so they go to others too.
+	// imageUnderReplicated reports whether fewer machines cache the image than the
+	// pending tasks can fill, so that tasks may go to machines without it.
 	imageUnderReplicated bool
 	noRoomRevisions      noRoomRevisions
 }
 
-// fairShareOrder orders jobs of one priority by age. Gangs go a while before
-// arrays, and arrays with more pending work a while after those with less: in
-// overload many small jobs meet their objectives then, and not only the oldest.
-// Both shifts are bounded, so that neither arrays nor the largest of them starve.
+// fairShareOrder returns jobs of one effective priority in scheduling order, by
+// age with two adjustments: gangs and services get a head start, and arrays get
+// a penalty that grows with their pending work. Under overload, small jobs then
+// meet their objectives. Both adjustments are bounded, so that arrays do not starve.
 func (q *jobQueue) fairShareOrder(jobs []*Job) []*Job {
 	ordered := slices.Clone(jobs)
 	pendingWork := map[*Job]float64{} // machine-seconds
@@ -50,8 +50,8 @@
 	return ordered
 }
 
-// machineShare returns the part of a machine that one of the job's tasks
-// takes, 1 if no machine suits it.
+// machineShare returns the fraction of a machine that one of the job's tasks
+// uses, or 1 if no machine can take one.
 func (j *Job) machineShare(registry *worker.Registry) float64 {
 	for _, machine := range registry.All() {
 		if machine.Capacity.Fits(j.need) && j.allows(kindOf(machine)) {
--- a/internal/placement/machine_info.go
+++ b/internal/placement/machine_info.go
@@ -7,34 +7,33 @@
 	"juniperchute/internal/worker"
 )
 
-// machineInfo is what the scheduler keeps of one machine: its queues, the
-// tasks assigned to it, and its place in the capacity index.
+// machineInfo is the scheduler's state of one machine: its queues, the tasks
+// assigned to it and its capacity index entry.
 type machineInfo struct {
 	machine *worker.Machine
-	// The paper's high-priority and low-priority queue (section III).
+	// The high-priority and low-priority queues of the paper (section III).
 	primaryQueue, backupQueue []*Task
 	assigned                  []*Task // tasks that may be on the machine
 	directCommandState
 	capacityState
 }
 
-// attemptKey names one attempt of a task.
+// attemptKey identifies one attempt of a task.
 type attemptKey struct {
 	task    string
 	attempt uint64
 }
 
-// directCommandState is what is known of the direct commands to a machine.
+// directCommandState tracks the direct commands to a machine.
 type directCommandState struct {
-	// directAttempts holds the attempts that direct commands have started in
-	// the worker's incarnation. A repeat of such a command may arrive minutes
-	// later, and would start the attempt anew if the worker had forgotten it:
-	// these attempts are never reaped.
+	// directAttempts holds the attempts started by direct commands in the
+	// worker's incarnation. They are never reaped: a delayed duplicate of the
+	// command would start a reaped attempt again.
 	directAttempts map[attemptKey]bool
-	urgent         bool // it is listed among the urgent machines
+	urgent         bool // the machine is in urgentMachines
 }
 
-// recordDirectStart notes that a direct command starts an attempt.
+// recordDirectStart records that a direct command starts an attempt.
 func (d *directCommandState) recordDirectStart(key attemptKey) {
 	if d.directAttempts == nil {
 		d.directAttempts = map[attemptKey]bool{}
@@ -42,15 +41,15 @@
 	d.directAttempts[key] = true
 }
 
-// capacityState is a machine's part of the capacity index.
+// capacityState is a machine's entry in the capacity index.
 type capacityState struct {
 	lastSnapshot capacitySnapshot
-	gainRevision uint64 // the revision of the index in which the machine last gained something
-	freeIndex    int    // its position among the machines with room, from 1; 0: it is not among them
-	dirty        bool   // something about it changed since the last refresh
+	gainRevision uint64 // index revision of the machine's last gain of capacity
+	freeIndex    int    // position in freeMachines, from 1; 0 if the machine is not in it
+	dirty        bool   // the machine is in dirtyMachines
 }
 
-// addAssigned enters a task that may be on the machine from now on into its account.
+// addAssigned adds a task to the machine and allocates its resources there.
 func (info *machineInfo) addAssigned(task *Task) {
 	machine, need := info.machine, task.Job.need
 	machine.Allocated = machine.Allocated.Add(need)
@@ -61,7 +60,7 @@
 	info.assigned = append(info.assigned, task)
 }
 
-// removeAssigned removes a task from the machine's account.
+// removeAssigned removes a task from the machine and frees its resources there.
 func (info *machineInfo) removeAssigned(task *Task) {
 	machine, need := info.machine, task.Job.need
 	machine.Allocated = machine.Allocated.Sub(need)
@@ -70,13 +69,14 @@
 	}
 	machine.ActiveCopies--
 	if machine.ActiveCopies == 0 {
-		// the rounding errors of the sums must not add up
+		// Reset the sums, so that floating-point errors do not accumulate.
 		machine.Allocated, machine.BackupAllocated = quota.Resources{}, quota.Resources{}
 	}
 	info.assigned = removeTask(info.assigned, task)
 }
 
-// removeTask removes a task from a list, if it is there.
+// removeTask removes a task from a slice in place and returns the result. It
+// returns the slice unchanged if the task is not in it.
 func removeTask(tasks []*Task, task *Task) []*Task {
 	if i := slices.Index(tasks, task); i >= 0 {
 		return slices.Delete(tasks, i, i+1)
--- a/internal/placement/machines.go
+++ b/internal/placement/machines.go
@@ -8,32 +8,33 @@
 	"juniperchute/internal/worker"
 )
 
-// MarkMachineChanged notes a change of a machine that the scheduler did not
-// make itself, such as one of its state or its registration.
+// MarkMachineChanged must be called after a change of a machine that did not
+// come from the scheduler, such as a change of its state or its registration.
 func (s *Scheduler) MarkMachineChanged(machine *worker.Machine) {
 	s.capacity.markDirty(s.capacity.info(machine))
 }
 
-// ReleaseMachine releases everything on a machine on which nothing can run any
-// more: its lease has expired, its worker has a new incarnation, or its
-// deletion was confirmed.
+// ReleaseMachine releases all tasks assigned to a machine. The caller must have
+// established that none of them can still run: the machine's lease has expired,
+// its worker has a new incarnation, or its deletion is confirmed.
 func (s *Scheduler) ReleaseMachine(now time.Time, machine *worker.Machine, reason string) {
 	s.tasks.releaseMachine(now, machine, reason)
 }
 
-// RemoveMachine removes a machine whose deletion was confirmed.
+// RemoveMachine removes a machine whose deletion is confirmed. It releases the
+// tasks assigned to the machine and clears its queues.
 func (s *Scheduler) RemoveMachine(now time.Time, machine *worker.Machine) {
 	s.tasks.releaseMachine(now, machine, "machine deleted")
 	s.queues.clearQueues(now, machine)
 	s.capacity.removeMachine(s.capacity.info(machine))
 }
 
-// UrgentMachines lists the machines that should get commands directly, rather
-// than in the reply to their next heartbeat.
+// UrgentMachines returns the machines to which commands should be sent directly
+// instead of in the reply to their next heartbeat.
 func (s *Scheduler) UrgentMachines() []*worker.Machine { return s.urgent.ready() }
 
-// ReconcileHeartbeat brings the scheduler up to date with the status that a
-// machine's worker has newly sent, and that the registry has applied.
+// ReconcileHeartbeat reconciles the scheduler's state with a new status from a
+// machine's worker. The registry must have applied the status before.
 func (s *Scheduler) ReconcileHeartbeat(
 	now time.Time, machine *worker.Machine, result worker.HeartbeatResult, source worker.StatusSource,
 ) {
@@ -45,22 +46,22 @@
 	s.reconciler.apply(now, info, report{machine: machine, source: source})
 }
 
-// Commands dispatches what is at the heads of a machine's queues and returns
-// the commands that the machine should get now, for sending by a channel.
+// Commands dispatches queued copies that fit a machine and returns the commands
+// to send to it now by the given channel.
 func (s *Scheduler) Commands(now time.Time, machine *worker.Machine, channel Channel) []wire.Command {
 	s.dispatcher.dispatchQueueHeads(now, machine)
 	return s.commands.forMachine(machine, channel)
 }
 
-// StopCommandsForClosedJobs returns the stops for those of a machine's tasks
-// whose jobs are closed. They may be given at any time, by any controller that
-// knows of the closure.
+// StopCommandsForClosedJobs returns stop commands for the given tasks whose jobs
+// are closed or unknown. Any controller that knows of the closure may send them
+// at any time.
 func (s *Scheduler) StopCommandsForClosedJobs(tasks []wire.TaskStatus) []wire.Command {
 	return s.commands.stopsForClosedJobs(tasks)
 }
 
-// ResolveDirectCommands records that direct commands have been executed or
-// surely will not be.
+// ResolveDirectCommands records that each of the given direct commands has
+// either been executed or will never be.
 func (s *Scheduler) ResolveDirectCommands(machine *worker.Machine, commands []wire.Command) {
 	for _, task := range s.capacity.info(machine).assigned {
 		for _, command := range commands {
@@ -72,10 +73,9 @@
 	}
 }
 
-// MayStartAfterClose reports whether a command to run a task of a closed job
-// may still be executed on a machine after the time by which none of the job's
-// tasks may be left, if the machine's lease lasts until then. A direct command
-// that was not answered may be executed minutes later.
+// MayStartAfterClose reports whether a machine whose lease lasts until the given
+// time may execute a run command for a closed job after the job's termination
+// deadline. An unanswered direct command may be executed minutes later.
 func (s *Scheduler) MayStartAfterClose(machine *worker.Machine, until time.Time) bool {
 	return slices.ContainsFunc(s.capacity.info(machine).assigned, func(task *Task) bool {
 		inFlight := task.unansweredCommands > 0 && !task.reported
@@ -83,8 +83,8 @@
 	})
 }
 
-// OnlyUnconfirmedStops reports whether all tasks that may be on a machine are
-// being stopped and were never reported.
+// OnlyUnconfirmedStops reports whether all tasks assigned to a machine are being
+// stopped and were never reported by it.
 func (s *Scheduler) OnlyUnconfirmedStops(machine *worker.Machine) bool {
 	return !slices.ContainsFunc(s.capacity.info(machine).assigned, func(task *Task) bool {
 		return task.phase != Stopping || task.reported
--- a/internal/placement/pass_state.go
+++ b/internal/placement/pass_state.go
@@ -6,24 +6,26 @@
 	"juniperchute/internal/worker"
 )
 
-// passState is what a scheduling pass has done so far, and whether another is needed.
+// passState holds the counts of the current scheduling pass and the request for
+// the next one.
 type passState struct {
 	fullPassNeeded   bool // jobs, limits or the order have changed since the last pass
 	gangsWithoutRoom int
 	gangsPlaced      int
 	arrayTasksQueued int
-	blockingGang     *Job // the gang before which no other of its priority is placed
+	blockingGang     *Job // no later gang is placed in this pass
 }
 
-// begin starts a pass.
+// reset clears the state at the start of a pass.
 func (p *passState) reset() { *p = passState{} }
 
-// requestFullPass makes the next pass go through all jobs although no machine has
-// gained anything.
+// requestFullPass makes the next call of Schedule run a pass even if no machine
+// has gained capacity.
 func (p *passState) requestFullPass() { p.fullPassNeeded = true }
 
-// reservedForGang reports whether a machine is reserved for a starving gang
-// for which an array's tasks would not be preempted.
+// reservedForGang reports whether a machine is reserved for the blocking gang and
+// must not take tasks of an array. Only a starving gang reserves machines, and
+// only from arrays that are not starving and not of a lower priority.
 func (p *passState) reservedForGang(now time.Time, array *Job, machine *worker.Machine) bool {
 	gang := p.blockingGang
 	if gang == nil || !gang.starving(now) || array.starving(now) || array.priority < gang.priority {
--- a/internal/placement/rescheduling.go
+++ b/internal/placement/rescheduling.go
@@ -10,7 +10,7 @@
 	"juniperchute/internal/worker"
 )
 
-// rescheduler moves copies off machines where they can't stay or are stuck.
+// rescheduler moves copies off machines that are going away or where they are stuck.
 type rescheduler struct {
 	*sharedState
 	capacity *capacityIndex
@@ -19,9 +19,8 @@
 	services *serviceScheduler
 }
 
-// handlePreemptionNotices prepares machines for their preemption by the cloud:
-// queued copies leave at once, replicas migrate, and tasks that save
-// checkpoints are stopped just in time to do so.
+// handlePreemptionNotices evacuates machines with a preemption notice of the
+// cloud, and removes queued copies from machines that are not schedulable.
 func (r *rescheduler) handlePreemptionNotices(now time.Time) {
 	for _, machine := range r.registry.All() {
 		info := r.capacity.info(machine)
@@ -34,7 +33,9 @@
 	}
 }
 
-// evacuate stops the tasks of a machine with a preemption notice for which it is time.
+// evacuate migrates the replicas on a machine with a preemption notice. Tasks
+// that save checkpoints are preempted at the last moment that leaves them enough
+// time to do so.
 func (r *rescheduler) evacuate(now time.Time, info *machineInfo) {
 	heartbeats := config.Seconds(r.platform.Workers.HeartbeatS * tuning.PreemptionHeartbeats)
 	latest := info.machine.PreemptionTime.Add(-heartbeats - tuning.CheckpointGrace)
@@ -52,7 +53,7 @@
 }
 
 // rescheduleStuck requeues primaries that have been stuck for more than a
-// heartbeat round while another machine would take them at once.
+// heartbeat interval while another machine could start them at once.
 func (r *rescheduler) rescheduleStuck(now time.Time) {
 	stuckAfter := config.Seconds(r.platform.Workers.HeartbeatS * tuning.RescheduleHeartbeats)
 	for _, machine := range r.registry.All() {
@@ -69,8 +70,8 @@
 	}
 }
 
-// stuck reports whether a primary has been queued at a machine for long and
-// won't start with the machine's next heartbeat.
+// stuck reports whether a primary that is not part of a gang has been queued at a
+// machine for at least stuckAfter and will not start with its next heartbeat.
 func (r *rescheduler) stuck(now time.Time, task *Task, machine *worker.Machine, stuckAfter time.Duration) bool {
 	job := task.Job
 	if job.IsGang() || task.phase != Unassigned || now.Sub(task.primaryQueuedAt) < stuckAfter {
@@ -79,14 +80,14 @@
 	return !startsWithNextHeartbeat(job, machine)
 }
 
-// startsWithNextHeartbeat reports whether a machine has room for a queued
-// primary of the job.
+// startsWithNextHeartbeat reports whether a machine has sufficient unallocated
+// resources for a queued primary of the job.
 func startsWithNextHeartbeat(job *Job, machine *worker.Machine) bool {
 	return machine.Schedulable() && machine.Available().Fits(job.need)
 }
 
-// startsElsewhere reports whether a machine other than the given one would
-// start a task of the job at once.
+// startsElsewhere reports whether a machine other than the given one could start
+// a task of the job at once.
 func (r *rescheduler) startsElsewhere(job *Job, machine *worker.Machine) bool {
 	return slices.ContainsFunc(r.registry.All(), func(other *worker.Machine) bool {
 		return other != machine && job.eligible(other) && other.Available().Sub(other.Reserved).Fits(job.need)
--- a/internal/placement/run_time.go
+++ b/internal/placement/run_time.go
@@ -6,13 +6,13 @@
 	"juniperchute/internal/tuning"
 )
 
-// runTimeEstimator learn from completed tasks how long tasks run.
+// runTimeEstimator estimates the run times of tasks from completed tasks.
 type runTimeEstimator struct {
-	ratioByClass map[string]float64 // run time over the users' estimate
+	ratioByClass map[string]float64 // moving average of run time divided by the user's estimate
 }
 
-// estimate estimates a task's run time in seconds: the user's estimate,
-// corrected by what tasks of the job's class have taken so far.
+// estimate returns the estimated run time in seconds of a task of the job: the
+// user's estimate, corrected by the average ratio of the job's class.
 func (r *runTimeEstimator) estimate(job *Job) float64 {
 	estimate := job.Spec.EstimatedRunTimeS
 	if ratio, ok := r.ratioByClass[job.Spec.Class]; ok {
@@ -21,7 +21,7 @@
 	return max(estimate, tuning.MinRunTime.Seconds())
 }
 
-// record corrects the estimates of a class by a task that has completed.
+// record updates the average ratio of a class with a completed task.
 func (r *runTimeEstimator) record(now time.Time, task *Task) {
 	job := task.Job
 	if task.runningSince.IsZero() || job.Spec.EstimatedRunTimeS <= 0 || job.IsGang() {
--- a/internal/placement/scheduling_pass.go
+++ b/internal/placement/scheduling_pass.go
@@ -6,23 +6,23 @@
 	"juniperchute/internal/tuning"
 )
 
-// passFilter tells which of a pass's rounds over the jobs this is.
+// passFilter restricts one round of a scheduling pass over the jobs of a tier.
 type passFilter struct {
-	scope       preemptionScope  // only what stays within its team's guarantee, or all
-	requirement imageRequirement // only tasks whose image the machine has, with exceptions, or all
+	scope       preemptionScope  // work within the guarantees of its team, or all work
+	requirement imageRequirement // for arrays only
 }
 
-// imageRequirement says which machines come into question by the image they have.
+// imageRequirement restricts machines by their cached images.
 type imageRequirement bool
 
 const (
 	anyMachine  imageRequirement = false
-	cachedImage imageRequirement = true // only machines that have the task's image
+	cachedImage imageRequirement = true // only machines that cache the task's image
 )
 
-// Schedule runs a scheduling pass: it goes through the pending tasks in order,
-// queues the copies of arrays' tasks, places gangs and services, and reschedules
-// what is stuck. It does nothing while nothing has changed.
+// Schedule runs a scheduling pass: it queues the copies of array tasks, places
+// gangs and services, and reschedules stuck tasks. It returns early if no
+// periodic pass is due and neither capacity nor the jobs have changed.
 func (s *Scheduler) Schedule(now time.Time) {
 	due := !now.Before(s.nextPassDue)
 	if due {
@@ -45,8 +45,8 @@
 	}
 }
 
-// refreshOrder sorts the open jobs if that is due, and brings up to date what
-// follows from the order.
+// refreshOrder sorts the open jobs if that is due, and updates the state that
+// depends on the order.
 func (s *Scheduler) refreshOrder(now time.Time) {
 	if !s.queue.sortIfDue(now) {
 		return
@@ -58,9 +58,10 @@
 	}
 }
 
-// scheduleTier goes through the jobs of a tier: those within their teams'
-// guarantees first. In each of the two, room goes to a task whose image is
-// cached before one of a somewhat earlier position that would have it fetched.
+// scheduleTier schedules the jobs of a tier: first those within the guarantees
+// of their teams, then all. Each step begins with a round in which arrays use
+// only machines that cache their image, so that a task may overtake one of a
+// slightly earlier position that would have to pull its image.
 func (s *Scheduler) scheduleTier(now time.Time, tier priorityTier) {
 	for _, scope := range []preemptionScope{guaranteedWork, anyWork} {
 		if scope == guaranteedWork && !s.ledger.HasGuarantees() {
@@ -69,7 +70,7 @@
 		for _, requirement := range []imageRequirement{cachedImage, anyMachine} {
 			jobs := tier.jobs
 			if len(s.capacity.freeMachines) == 0 {
-				jobs = tier.gangsAndServices // other work may be preempted for them
+				jobs = tier.gangsAndServices // only these may preempt other work
 			}
 			for _, job := range jobs {
 				s.scheduleJob(now, job, passFilter{scope, requirement})
@@ -78,11 +79,12 @@
 	}
 }
 
-// scheduleJob places what a job has pending. Most jobs have nothing: that is asked first.
+// scheduleJob schedules a job's pending tasks. Most jobs have none, so that is
+// checked first.
 func (s *Scheduler) scheduleJob(now time.Time, job *Job, filter passFilter) {
 	switch {
 	case !job.isArray() && filter.requirement == cachedImage:
-		return // for these the image counts in the cost of a place
+		return // the costs of gang and service slots include the image
 	case !job.IsGang() && job.pendingTasks() == 0:
 		return
 	case job.isArray() && len(s.capacity.freeMachines) == 0:
--- a/internal/placement/starvation.go
+++ b/internal/placement/starvation.go
@@ -7,25 +7,26 @@
 	"juniperchute/internal/wire"
 )
 
-// starving reports whether no task of the job has completed although it has
-// been known for long. What such a job has started is not preempted. Services
-// never starve: they don't complete.
+// starving reports whether no task of the job has completed within
+// tuning.FirstStartDeadline of the time at which this term learned of it. Tasks
+// of a starving job are not preempted. Services never starve, as their tasks do
+// not complete.
 func (j *Job) starving(now time.Time) bool {
 	return !j.IsService() && j.completed.count == 0 && now.Sub(j.KnownSince) > tuning.FirstStartDeadline
 }
 
-// boostedAboveAll reports whether the job has been raised over all others until
-// its first tasks have started.
+// boostedAboveAll reports whether the job has the boost of a starving job with
+// no tasks on machines, which exceeds all priorities.
 func (j *Job) boostedAboveAll() bool { return j.effectivePriority >= wire.Priorities+j.priority }
 
-// starvationBoost returns by how many priorities the job is raised, so that no
-// burst of other jobs, however long, keeps it from starting. One that starves
-// and of which nothing runs goes before all others until something of it has
-// started; one whose tasks have waited longer still rises priority by priority,
-// and stays there.
+// starvationBoost returns the number of levels to add to the job's priority, so
+// that a continuous load of other jobs cannot starve it. A starving job with no
+// tasks on machines is boosted above all others until one is. A job with tasks
+// waiting after tuning.StarvationTimeout is boosted level by level, and keeps the
+// boost.
 func (j *Job) starvationBoost(now time.Time) int {
 	if j.IsService() {
-		return 0 // its age says nothing of how long its replicas have waited
+		return 0 // the age of a service does not bound the waiting time of its replicas
 	}
 	if j.starving(now) && j.assigned == 0 {
 		return wire.Priorities
@@ -37,7 +38,7 @@
 	case overdue >= 0 && waiting:
 		boost = max(boost, 1+min(int(overdue/tuning.StarvationStep), wire.Priorities-2))
 	case boost == wire.Priorities-1:
-		boost = 0 // its first tasks have started
+		boost = 0 // the first tasks of a job boosted above all have started
 	}
 	return boost
 }
--- a/internal/placement/transitions.go
+++ b/internal/placement/task_lifecycle.go
@@ -6,8 +6,9 @@
 	"juniperchute/internal/worker"
 )
 
-// taskLifecycle moves tasks from phase to phase, and keeps what follows from
-// it: the accounts of machines, jobs and teams, and who gets commands at once.
+// taskLifecycle changes the phases of tasks and keeps the resource accounting of
+// machines, jobs and teams consistent with them. It also marks the machines that
+// need commands urgently.
 type taskLifecycle struct {
 	*sharedState
 	capacity        *capacityIndex
@@ -18,8 +19,8 @@
 	onTaskCompleted func(now time.Time, job *Job)
 }
 
-// setPhase is the only place that changes the phase of a task that is or was
-// on a machine, and with it the accounts of the machine, the job and the team.
+// setPhase changes the phase of a task and updates the accounting of its
+// machine, job and team. No other function may move a task to or from a machine.
 func (l *taskLifecycle) setPhase(now time.Time, task *Task, phase Phase, reason string) {
 	previous := task.phase
 	if previous == phase {
@@ -49,28 +50,29 @@
 		"from", previous.String(), "to", phase.String(), "backup", task.isBackup, "reason", reason)
 }
 
-// dispatch assigns a task's copy to a machine. The command to run it goes out
-// with the next message to the machine.
-func (l *taskLifecycle) dispatch(now time.Time, task *Task, copied assignment, reason string) {
-	task.assignment = copied
+// dispatch assigns a copy of a task to a machine. The next message to the
+// machine carries the command to run the copy.
+func (l *taskLifecycle) dispatch(now time.Time, task *Task, target assignment, reason string) {
+	task.assignment = target
 	l.setPhase(now, task, Dispatched, reason)
 	if !task.Job.isArray() {
-		l.urgent.mark(l.capacity.info(task.machine)) // the rest of the gang, or the service's users, wait for it
+		l.urgent.mark(l.capacity.info(task.machine)) // the gang's other tasks or the service's users wait for it
 	}
 }
 
-// stop has a task on a machine stopped, after at most grace seconds to save.
-// An earlier stop can be shortened, but not extended.
-func (l *taskLifecycle) stop(now time.Time, task *Task, grace float64, reason string) {
-	if task.phase == Stopping && grace >= task.gracePeriodS {
+// stop stops a task on a machine after at most gracePeriodS seconds for saving
+// a checkpoint. It can shorten the grace period of an earlier stop, but not extend it.
+func (l *taskLifecycle) stop(now time.Time, task *Task, gracePeriodS float64, reason string) {
+	if task.phase == Stopping && gracePeriodS >= task.gracePeriodS {
 		return
 	}
-	task.gracePeriodS, task.stopPending = grace, true
+	task.gracePeriodS, task.stopPending = gracePeriodS, true
 	l.setPhase(now, task, Stopping, reason)
 	l.urgent.mark(l.capacity.info(task.machine))
 }
 
-// preempt stops a task so that it can go on later from its checkpoint. A gang stops as a whole.
+// preempt stops a task, or all tasks of its gang, with the grace period for
+// saving a checkpoint.
 func (l *taskLifecycle) preempt(now time.Time, task *Task, reason string) {
 	job := task.Job
 	if !job.IsGang() {
@@ -85,9 +87,9 @@
 	}
 }
 
-// releaseTask records that a task's copy has ended without completing it. The
-// task may start again after the pause.
-func (l *taskLifecycle) releaseTask(now time.Time, task *Task, pause time.Duration, reason string) {
+// releaseTask records that a task's copy has ended without completing the task.
+// The task may start again after the backoff.
+func (l *taskLifecycle) releaseTask(now time.Time, task *Task, backoff time.Duration, reason string) {
 	job := task.Job
 	preemptedBackup := task.isBackup && task.phase == Stopping && task.primary != nil
 	l.setPhase(now, task, Unassigned, reason)
@@ -96,24 +98,24 @@
 	case job.closed:
 		l.queues.unschedule(task)
 	case job.IsGang():
-		l.queues.returnToPending(task, now.Add(pause))
+		l.queues.returnToPending(task, now.Add(backoff))
 		if !job.IsComplete() {
 			l.abortGangAttempt(now, job, reason)
 		}
 	case preemptedBackup:
-		// its primary keeps its place; the backup waits again until it has
-		// been preempted too often (the paper's drop threshold, section V)
+		// The primary is still queued, and so is the backup until it reaches the
+		// drop threshold (section V of the paper).
 		if task.backupPreemptions >= l.Settings.DropThreshold {
 			l.queues.withdrawBackup(task)
 		}
 	default:
-		l.queues.returnToPending(task, now.Add(pause))
+		l.queues.returnToPending(task, now.Add(backoff))
 	}
 	l.jobs.removeIfUnassigned(job)
 }
 
-// abortGangAttempt ends a gang's attempt: all of its tasks have to leave their
-// machines before the next one.
+// abortGangAttempt aborts a gang's attempt and stops its tasks. The next attempt
+// cannot begin before all of them have left their machines.
 func (l *taskLifecycle) abortGangAttempt(now time.Time, job *Job, reason string) {
 	job.aborting = false
 	for _, member := range job.tasksByIndex() {
@@ -129,7 +131,7 @@
 	}
 }
 
-// completeTask records a task's completion.
+// completeTask records the completion of a task and withdraws its queued copies.
 func (l *taskLifecycle) completeTask(now time.Time, task *Task) {
 	job := task.Job
 	if task.phase.onMachine() {
@@ -147,16 +149,17 @@
 	l.jobs.removeIfUnassigned(job)
 }
 
-// markCompleted enters a task among its job's completed ones.
+// markCompleted marks a task as completed in its job. If it was not marked
+// before and the job is open, markCompleted calls onTaskCompleted.
 func (l *taskLifecycle) markCompleted(now time.Time, job *Job, index int) {
 	if job.completed.add(index) && !job.closed {
 		l.onTaskCompleted(now, job)
 	}
 }
 
-// completeGang completes a gang: once one of its tasks has completed, all
-// have. Those whose own exit has not been reported stay on their machines
-// until it is, but never start again, even when they are lost instead.
+// completeGang marks all tasks of a gang as completed; it is called when one of
+// them completes. Tasks on machines stay assigned until their exit is reported,
+// and never start again, even if they are lost.
 func (l *taskLifecycle) completeGang(now time.Time, job *Job) {
 	for _, task := range job.tasksByIndex() {
 		if task.phase == Unassigned {
@@ -171,9 +174,8 @@
 	}
 }
 
-// releaseMachine releases everything on a machine on which nothing can run any
-// more: its lease has expired, its worker has a new incarnation, or its
-// deletion was confirmed.
+// releaseMachine releases all tasks assigned to a machine on which none of them
+// can still run. See Scheduler.ReleaseMachine.
 func (l *taskLifecycle) releaseMachine(now time.Time, machine *worker.Machine, reason string) {
 	for info := l.capacity.info(machine); len(info.assigned) > 0; {
 		l.releaseTask(now, info.assigned[0], 0, reason)
--- a/internal/placement/urgent.go
+++ b/internal/placement/urgent.go
@@ -7,12 +7,12 @@
 	"juniperchute/internal/worker"
 )
 
-// urgentMachines is the machines that may need commands before their next heartbeat.
+// urgentMachines lists the machines that may need direct commands.
 type urgentMachines struct {
 	machines []*machineInfo
 }
 
-// mark notes that a machine may need commands before its next heartbeat.
+// mark adds a machine that may need commands before its next heartbeat.
 func (u *urgentMachines) mark(info *machineInfo) {
 	if !info.urgent {
 		info.urgent = true
@@ -20,14 +20,15 @@
 	}
 }
 
-// ready returns the machines that should get commands directly now.
+// ready returns the machines to which direct commands should be sent now, and
+// removes the machines that need none any more.
 func (u *urgentMachines) ready() []*worker.Machine {
 	var ready []*worker.Machine
 	u.machines = slices.DeleteFunc(u.machines, func(info *machineInfo) bool {
-		need := info.urgency()
-		info.urgent = need != notUrgent
+		current := info.urgency()
+		info.urgent = current != notUrgent
 		machine := info.machine
-		if need == urgentNow && machine.State == worker.Up && !machine.CommandInFlight && machine.Registered {
+		if current == urgentNow && machine.State == worker.Up && !machine.CommandInFlight && machine.Registered {
 			ready = append(ready, machine)
 		}
 		return !info.urgent
@@ -35,18 +36,18 @@
 	return ready
 }
 
-// urgency reports whether commands for a machine have to be sent directly.
+// urgency tells whether and when commands for a machine must be sent directly.
 type urgency int
 
 const (
 	notUrgent      urgency = iota
-	urgentOnceSent         // commands that nothing is known to be waiting for on the machine yet
+	urgentOnceSent         // a stop, urgent once the run command of its task has been sent
 	urgentNow
 )
 
-// urgency returns how urgent the commands for the machine are. The start of a
-// gang's task or a replica is, while direct starts are allowed, and the stop of
-// a task whose job is open, once the command to run it has been sent.
+// urgency returns the highest urgency of the commands for the machine. Urgent
+// are the start of a gang's task or a replica, up to tuning.MaxDirectStarts, and
+// the stop of a task of an open job whose run command has been sent.
 func (info *machineInfo) urgency() urgency {
 	highest := notUrgent
 	for _, task := range info.assigned {
