--- a/internal/placement/array_test.go
+++ b/internal/placement/array_test.go
@@ -7,7 +7,8 @@
 	"juniperchute/internal/wire"
 )
 
-// Primaries are queued only where there is room, backups at the other machine.
+// Guards against primaries queued beyond a machine's capacity and against
+// backups queued at the machine of their primary.
 func TestArrayDispatch(t *testing.T) {
 	h := newHarness(t, 2)
 	job := h.addJob("blue", wire.ShapeBatch, "normal", 6, 1)
@@ -24,7 +25,7 @@
 	}
 	for _, machine := range h.registry.All() {
 		if got := len(h.heartbeat(machine)); got != 2 {
-			t.Errorf("%d commands to %s, want its two primaries", got, machine.Host)
+			t.Errorf("%d commands to %s, want 2 run commands for its primaries", got, machine.Host)
 		}
 		h.heartbeat(machine)
 	}
@@ -39,15 +40,15 @@
 var lowestRankCases = []struct {
 	name  string
 	ranks []int
-	want  []int // indexes, each of which has to be picked
+	want  []int // indexes that must be picked, and no others
 }{
-	{name: "none", want: []int{-1}},
-	{name: "one", ranks: []int{5}, want: []int{0}},
-	{name: "the lowest, wherever it is", ranks: []int{3, 1, 2}, want: []int{1}},
-	{name: "any of the lowest", ranks: []int{2, 1, 4, 1, 1}, want: []int{1, 3, 4}},
+	{name: "no candidates", want: []int{-1}},
+	{name: "single candidate", ranks: []int{5}, want: []int{0}},
+	{name: "lowest rank is not first", ranks: []int{3, 1, 2}, want: []int{1}},
+	{name: "ties are picked at random", ranks: []int{2, 1, 4, 1, 1}, want: []int{1, 3, 4}},
 }
 
-// The choice is among the machines of the lowest rank, and each of them may be it.
+// Guards against a pick of a higher rank and against a bias among ties.
 func TestPickLowestRank(t *testing.T) {
 	arrays := newHarness(t, 0).scheduler.arrays
 	for _, c := range lowestRankCases {
@@ -62,11 +63,11 @@
 			}
 			for _, i := range c.want {
 				if !got[i] {
-					t.Errorf("%d was never picked, only %v", i, got)
+					t.Errorf("index %d was never picked, only %v", i, got)
 				}
 			}
 			if len(got) != len(c.want) {
-				t.Errorf("picked: %v, want %v", got, c.want)
+				t.Errorf("picked indexes %v, want %v", got, c.want)
 			}
 		})
 	}
--- a/internal/placement/copies_test.go
+++ b/internal/placement/backup_copies_test.go
@@ -10,31 +10,32 @@
 	"juniperchute/internal/worker"
 )
 
-// copiesFixture is a task whose backup runs on one machine while its primary
-// is stuck on another.
-type copiesFixture struct {
+// runningBackupFixture is a task whose backup runs on one machine while its
+// primary is stuck in the queue of another.
+type runningBackupFixture struct {
 	*testHarness
 	task    *Task
 	primary *worker.Machine
 	backup  *worker.Machine
 }
 
-// startBackup makes a copiesFixture whose backup was stopped a number of times before.
-func startBackup(t *testing.T, earlierStops int) *copiesFixture {
+// startBackup returns a runningBackupFixture whose backup has already been
+// preempted the given number of times.
+func startBackup(t *testing.T, preemptions int) *runningBackupFixture {
 	h := newHarness(t, 2)
-	f := &copiesFixture{testHarness: h, primary: h.registry.All()[0], backup: h.registry.All()[1]}
+	f := &runningBackupFixture{testHarness: h, primary: h.registry.All()[0], backup: h.registry.All()[1]}
 	f.task = h.addJob("blue", wire.ShapeBatch, "low", 1, 1).addTask(0)
-	f.task.backupPreemptions = earlierStops
+	f.task.backupPreemptions = preemptions
 	h.scheduler.queues.queuePrimary(h.now, f.task, f.primary)
 	h.scheduler.queues.queueBackup(f.task, f.backup)
-	f.primary.Allocated = f.primary.Capacity // stuck behind something
+	f.primary.Allocated = f.primary.Capacity // the primary is stuck
 	if got := describe(h.heartbeat(f.backup)); got != "" {
-		t.Fatalf("the backup starts while its primary has only just been queued: %s", got)
+		t.Fatalf("backup started right after its primary was queued: %s", got)
 	}
 	h.now = h.now.Add(3 * time.Second)
 	h.scheduler.dispatcher.dispatchQueueHeads(h.now, f.backup)
 	if f.task.phase != Dispatched || !f.task.isBackup {
-		t.Fatalf("the backup does not start: %v", f.task.phase)
+		t.Fatalf("backup not started: phase %v", f.task.phase)
 	}
 	h.scheduler.Commands(h.now, f.backup, HeartbeatReply)
 	heartbeat := h.newHeartbeat(f.backup)
@@ -43,53 +44,52 @@
 	return f
 }
 
-// freePrimary removes what the primary is stuck behind.
-func (f *copiesFixture) freePrimary() {
+// unblockPrimary frees the machine at which the primary is queued.
+func (f *runningBackupFixture) unblockPrimary() {
 	f.primary.Allocated = quota.Resources{}
 	f.heartbeat(f.primary)
 }
 
-var copiesCases = []struct {
-	name         string
-	earlierStops int // of the backup
-	run          func(t *testing.T, f *copiesFixture)
+var backupCopyCases = []struct {
+	name        string
+	preemptions int // of the backup so far
+	run         func(t *testing.T, f *runningBackupFixture)
 }{
-	{name: "the backup completes first", run: backupCompletesFirst},
-	{name: "the primary reaches the head of its queue", run: primaryReachesHead},
+	{name: "backup completes first: primary withdrawn", run: backupCompletesFirst},
+	{name: "primary at head of queue: backup preempted", run: primaryReachesHead},
 	{
-		name:         "the backup is stopped too often",
-		earlierStops: tuning.BackupWithdrawThreshold - 1,
-		run:          backupStoppedTooOften,
+		name:        "backup preempted too often: withdrawn",
+		preemptions: tuning.BackupWithdrawThreshold - 1,
+		run:         backupPreemptedTooOften,
 	},
-	{name: "another task's primary needs the room", run: otherPrimaryNeedsRoom},
-	{name: "the backup's machine is lost", run: backupMachineLost},
+	{name: "another task's primary needs the resources: backup preempted", run: otherPrimaryNeedsResources},
+	{name: "backup's machine lost: task kept once", run: backupMachineLost},
 }
 
-// The two copies of a task, as in the paper's section III and the design's
-// points 2 to 4: a backup runs while its primary is stuck; the primary at the
-// head of its queue stops it and waits for its reported exit; a backup that was
-// stopped too often is withdrawn; the end of either copy removes the other.
+// Guards the rules for the two copies of a task (section III of the paper):
+// never two running copies, and no copy left behind when the other completes.
 func TestPrimaryAndBackupCopy(t *testing.T) {
-	for _, c := range copiesCases {
-		t.Run(c.name, func(t *testing.T) { c.run(t, startBackup(t, c.earlierStops)) })
+	for _, c := range backupCopyCases {
+		t.Run(c.name, func(t *testing.T) { c.run(t, startBackup(t, c.preemptions)) })
 	}
 }
 
-func backupCompletesFirst(t *testing.T, f *copiesFixture) {
+func backupCompletesFirst(t *testing.T, f *runningBackupFixture) {
 	f.heartbeat(f.backup, exited(f.task.Name(), wire.ExitDone))
 	queued := len(f.scheduler.capacity.info(f.primary).primaryQueue)
 	if len(f.completed) != 1 || queued != 0 || f.task.primary != nil {
-		t.Error("the primary is still there")
+		t.Errorf("%d completions, want 1; %d primaries queued or the primary still has a machine",
+			len(f.completed), queued)
 	}
 }
 
-func primaryReachesHead(t *testing.T, f *copiesFixture) {
-	f.freePrimary()
+func primaryReachesHead(t *testing.T, f *runningBackupFixture) {
+	f.unblockPrimary()
 	if f.task.phase != Stopping || f.task.machine != f.backup {
-		t.Fatal("its backup was not stopped")
+		t.Fatal("the backup is not being stopped")
 	}
 	if got := describe(f.heartbeat(f.primary)); got != "" {
-		t.Fatal("started before the backup's exit was reported: " + got)
+		t.Fatal("primary started before the backup's exit was reported: " + got)
 	}
 	f.heartbeat(f.backup, exited(f.task.Name(), wire.ExitStopped))
 	if f.task.backupPreemptions != 1 || f.task.backup != f.backup {
@@ -100,24 +100,24 @@
 	}
 }
 
-func backupStoppedTooOften(t *testing.T, f *copiesFixture) {
-	f.freePrimary()
+func backupPreemptedTooOften(t *testing.T, f *runningBackupFixture) {
+	f.unblockPrimary()
 	f.heartbeat(f.backup, exited(f.task.Name(), wire.ExitStopped))
 	if f.task.backup != nil || f.task.primary != f.primary {
 		t.Error("the backup was not withdrawn, or the primary was")
 	}
 }
 
-func otherPrimaryNeedsRoom(t *testing.T, f *copiesFixture) {
+func otherPrimaryNeedsResources(t *testing.T, f *runningBackupFixture) {
 	other := f.addJob("red", wire.ShapeBatch, "high", 1, 2).addTask(0)
 	f.scheduler.queues.queuePrimary(f.now, other, f.backup)
 	f.heartbeat(f.backup)
 	if f.task.phase != Stopping || f.task.backupPreemptions != 1 {
-		t.Error("the backup does not give way")
+		t.Error("the backup was not preempted")
 	}
 }
 
-func backupMachineLost(t *testing.T, f *copiesFixture) {
+func backupMachineLost(t *testing.T, f *runningBackupFixture) {
 	f.scheduler.ReleaseMachine(f.now, f.backup, "test")
 	job := f.task.Job
 	if job.assigned != 0 || job.pendingTasks()+len(job.tasks) != 1 {
@@ -125,8 +125,8 @@
 	}
 }
 
-// A backup waits while a primary is queued at its machine, even one that may
-// not start yet and beside which there is room (the paper's section III).
+// Guards against a backup that starts while a primary is queued at its machine
+// (section III of the paper), even if the primary may not start yet.
 func TestBackupWaitsForQueuedPrimary(t *testing.T) {
 	h := newHarness(t, 2)
 	stuck, machine := h.registry.All()[0], h.registry.All()[1]
@@ -137,15 +137,15 @@
 	queues.queueBackup(task, machine)
 	queues.queuePrimary(h.now, primary, machine)
 	stuck.Allocated = stuck.Capacity
-	h.scheduler.ledger.SetUnknownUsage(quota.Resources{GPUs: 4}) // the team red is at its limit
+	h.scheduler.ledger.SetUnknownUsage(quota.Resources{GPUs: 4}) // team red reaches its limit
 	h.now = h.now.Add(3 * time.Second)
 	dispatcher.dispatchQueueHeads(h.now, machine)
 	if task.phase != Unassigned || primary.phase != Unassigned {
-		t.Fatalf("backup %v, primary %v while the primary is queued", task.phase, primary.phase)
+		t.Fatalf("phases while the primary is queued: backup %v, primary %v", task.phase, primary.phase)
 	}
 	queues.withdrawCopies(primary)
 	dispatcher.dispatchQueueHeads(h.now, machine)
 	if task.phase != Dispatched {
-		t.Errorf("backup %v after the primary was withdrawn", task.phase)
+		t.Errorf("phase of the backup after the primary was withdrawn: %v", task.phase)
 	}
 }
--- a/internal/placement/commands_test.go
+++ b/internal/placement/commands_test.go
@@ -9,39 +9,39 @@
 )
 
 var unreportedCommandCases = []struct {
-	name    string
-	channel Channel             // by which the command went out
-	settled bool                // the direct command was answered
-	source  worker.StatusSource // where the task is missing
-	ended   bool
+	name     string
+	channel  Channel             // by which the run command was sent
+	resolved bool                // the direct command was answered
+	source   worker.StatusSource // of the status without the task
+	ended    bool
 }{
 	{
-		name:    "a later heartbeat",
+		name:    "missing from a later heartbeat: ended",
 		channel: HeartbeatReply,
 		source:  worker.FromHeartbeat,
 		ended:   true,
 	},
 	{
-		name:    "only another command's reply",
+		name:    "missing from the reply to another command: not ended",
 		channel: HeartbeatReply,
 		source:  worker.FromCommandReply,
 	},
 	{
-		name:    "an unanswered direct command",
+		name:    "unanswered direct command: not ended",
 		channel: DirectCommand,
 		source:  worker.FromHeartbeat,
 	},
 	{
-		name:    "an answered direct command",
-		channel: DirectCommand,
-		settled: true,
-		source:  worker.FromHeartbeat,
-		ended:   true,
+		name:     "answered direct command: ended",
+		channel:  DirectCommand,
+		resolved: true,
+		source:   worker.FromHeartbeat,
+		ended:    true,
 	},
 }
 
-// A command to run a task that was never reported: only a heartbeat after the
-// one whose reply carried it shows that it was not executed.
+// Guards against releasing a task whose run command may still be executed: only
+// a heartbeat after the one whose reply carried the command proves otherwise.
 func TestUnreportedCommand(t *testing.T) {
 	for _, c := range unreportedCommandCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -50,7 +50,7 @@
 			job := h.addJob("blue", wire.ShapeBatch, "low", 1, 1)
 			h.scheduler.Schedule(h.now)
 			commands := h.scheduler.Commands(h.now, machine, c.channel)
-			if c.settled {
+			if c.resolved {
 				h.scheduler.ResolveDirectCommands(machine, commands)
 			}
 			h.scheduler.CloseJob(h.now, job.Spec.ID, h.now.Add(time.Minute))
@@ -58,16 +58,16 @@
 			if got := machine.ActiveCopies == 0; got != c.ended {
 				t.Errorf("ended: %t, want %t", got, c.ended)
 			}
-			// a new incarnation of the worker settles what this did not
+			// Only a new incarnation of the worker resolves the remaining stops.
 			if !h.scheduler.OnlyUnconfirmedStops(machine) {
-				t.Error("the machine is thought to have work")
+				t.Error("the machine has tasks other than unconfirmed stops")
 			}
 		})
 	}
 }
 
-// A completion stays in its machine's heartbeats until its outcome is durable.
-func TestReapOnlyDurable(t *testing.T) {
+// Guards against reaping a completed task before its outcome is durable.
+func TestReapRequiresDurableOutcome(t *testing.T) {
 	h := newHarness(t, 1)
 	machine := h.registry.All()[0]
 	job := h.addJob("blue", wire.ShapeBatch, "low", 2, 1)
--- a/internal/placement/failures_test.go
+++ b/internal/placement/failures_test.go
@@ -8,18 +8,18 @@
 
 var failureCases = []struct {
 	name        string
-	jobs        int   // that fail
-	machines    []int // on which, one after the other
-	quarantined bool  // the first machine
-	backedOff   bool  // the first job
+	jobs        int   // number of failing jobs
+	machines    []int // machines on which each job fails, in order
+	quarantined bool  // the first machine is quarantined
+	backedOff   bool  // the first job is backed off
 }{
-	{name: "one failure", jobs: 1, machines: []int{0}},
-	{name: "two jobs on one machine", jobs: 2, machines: []int{0}, quarantined: true},
-	{name: "one job on three machines", jobs: 1, machines: []int{0, 1, 2}, backedOff: true},
+	{name: "one failure: no effect", jobs: 1, machines: []int{0}},
+	{name: "two jobs fail on one machine: quarantined", jobs: 2, machines: []int{0}, quarantined: true},
+	{name: "one job fails on three machines: backed off", jobs: 1, machines: []int{0, 1, 2}, backedOff: true},
 }
 
-// Failures are attributed to a machine on which several jobs fail, or to a job
-// that fails everywhere.
+// Guards against failures attributed to the wrong side: to a machine if one job
+// fails everywhere, or to a job if several fail on one machine.
 func TestFailureAttribution(t *testing.T) {
 	for _, c := range failureCases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/placement/fair_share_test.go
+++ b/internal/placement/fair_share_test.go
@@ -7,7 +7,7 @@
 	"juniperchute/internal/wire"
 )
 
-// In overload small jobs go before an older large one, but not for ever.
+// Guards against a large array that delays small jobs, and against its starvation by them.
 func TestFairShareOrder(t *testing.T) {
 	h := newHarness(t, 1)
 	large := h.addJob("blue", wire.ShapeBatch, "low", 20, 1)
@@ -16,11 +16,11 @@
 	gang := h.addJob("blue", wire.ShapeGang, "low", 1, 1)
 	queue := h.scheduler.queue
 	if got := queue.fairShareOrder(queue.open); got[0] != gang || got[1] != small || got[2] != large {
-		t.Error("order is not gang, small, large")
+		t.Error("order is not gang, small array, large array")
 	}
 	h.now = h.now.Add(time.Hour)
 	late := h.addJob("blue", wire.ShapeBatch, "low", 1, 1)
 	if got := queue.fairShareOrder(queue.open); got[2] != large || got[3] != late {
-		t.Error("the large job never gets its turn")
+		t.Error("the large array does not precede an array submitted an hour later")
 	}
 }
--- a/internal/placement/harness_test.go
+++ b/internal/placement/harness_test.go
@@ -15,7 +15,7 @@
 	"juniperchute/internal/worker"
 )
 
-// What the machines and jobs of the tests are like.
+// Attributes of the machines and jobs in tests.
 const (
 	testToken       = 7
 	testImage       = "img"
@@ -23,17 +23,17 @@
 	testMachineType = "g2"
 )
 
-// testCapacity is the capacity of each machine: room for two tasks of addJob
-// that need a GPU each.
+// testCapacity is the capacity of each machine. It fits two tasks of addJob with
+// one GPU each.
 var testCapacity = quota.Resources{CPUs: 12, GPUs: 2, MemGB: 96}
 
-// testHarness is a scheduler with machines that report what they are told to.
+// testHarness runs a scheduler with a simulated clock and simulated machines.
 type testHarness struct {
 	t         *testing.T
 	now       time.Time
 	scheduler *Scheduler
 	registry  *worker.Registry
-	completed []string // the jobs of completed tasks
+	completed []string // job IDs, one for each call of OnTaskCompleted
 	lastJob   int
 }
 
@@ -62,7 +62,7 @@
 	return h
 }
 
-// addMachine adds a machine that has sent a first heartbeat.
+// addMachine adds a machine and applies its first heartbeat.
 func (h *testHarness) addMachine(host string) *worker.Machine {
 	machine := h.registry.Add(h.now, host, worker.Booting)
 	machine.Capacity = testCapacity
@@ -71,7 +71,7 @@
 	return machine
 }
 
-// addJob adds a job whose tasks need 5 CPUs, 30 GB and the given GPUs each.
+// addJob adds a job whose tasks need 5 CPUs, 30 GB and the given number of GPUs each.
 func (h *testHarness) addJob(team, shape, priority string, tasks int, gpus float64) *Job {
 	h.lastJob++
 	h.now = h.now.Add(tuning.FairShareMinInterval)
@@ -82,13 +82,13 @@
 	return h.scheduler.AddJob(h.now, spec, h.now, uint64(h.lastJob), false)
 }
 
-// assigned lists the tasks that may be on a machine.
+// assigned returns the tasks that may be on a machine.
 func (h *testHarness) assigned(machine *worker.Machine) []*Task {
 	return h.scheduler.capacity.info(machine).assigned
 }
 
-// heartbeat lets a machine report its tasks, as running unless the status of
-// one is given, and returns the commands of the reply.
+// heartbeat applies a heartbeat of a machine, runs a scheduling pass and returns
+// the commands of the reply. Tasks whose status is not given are reported as running.
 func (h *testHarness) heartbeat(machine *worker.Machine, statuses ...wire.TaskStatus) []wire.Command {
 	h.t.Helper()
 	heartbeat := h.newHeartbeat(machine)
@@ -122,7 +122,7 @@
 	return heartbeat
 }
 
-// applyHeartbeat lets the scheduler have a machine's status.
+// applyHeartbeat applies a machine's status to the registry and the scheduler.
 func (h *testHarness) applyHeartbeat(
 	machine *worker.Machine, heartbeat *wire.Heartbeat, source worker.StatusSource,
 ) {
@@ -130,7 +130,7 @@
 	h.scheduler.ReconcileHeartbeat(h.now, machine, result, source)
 }
 
-// heartbeats lets every machine report a number of times.
+// heartbeatAll applies the given number of heartbeats of each machine, in rounds.
 func (h *testHarness) heartbeatAll(rounds int) {
 	h.t.Helper()
 	for range rounds {
@@ -140,8 +140,8 @@
 	}
 }
 
-// deliverDirectCommands sends the commands that don't wait for heartbeats, lets the
-// machines answer, and returns the commands.
+// deliverDirectCommands runs a scheduling pass, delivers the direct commands that
+// are due, applies a heartbeat of each machine that got some, and describes them.
 func (h *testHarness) deliverDirectCommands() string {
 	h.t.Helper()
 	h.now = h.now.Add(tuning.PassInterval)
@@ -156,18 +156,18 @@
 	return sent
 }
 
-// expireLease lets a machine's lease expire.
+// expireLease expires a machine's lease and releases its tasks.
 func (h *testHarness) expireLease(machine *worker.Machine) {
 	h.registry.SetState(h.now, machine, worker.LeaseExpired, "test")
 	h.scheduler.ReleaseMachine(h.now, machine, "test")
 }
 
-// exited is the status of a task that has exited.
+// exited returns the status of a task that has exited.
 func exited(name, reason string) wire.TaskStatus {
 	return wire.TaskStatus{Name: name, State: wire.TaskExited, ExitReason: reason}
 }
 
-// exitedAll is the status of tasks that have all exited for one reason.
+// exitedAll returns the statuses of tasks that have exited for the same reason.
 func exitedAll(tasks []*Task, reason string) []wire.TaskStatus {
 	var statuses []wire.TaskStatus
 	for _, task := range tasks {
@@ -176,7 +176,7 @@
 	return statuses
 }
 
-// describe names commands, as in "run job-1/0;".
+// describe formats commands as in "run job-1/0;".
 func describe(commands []wire.Command) string {
 	text := ""
 	for _, command := range commands {
--- a/internal/placement/job.go
+++ b/internal/placement/job.go
@@ -25,7 +25,7 @@
 	closed              bool
 	terminationDeadline time.Time // closed jobs only: no task may be on a machine after this time
 	startMarker         startMarkerState
-	pendingReason       string // last reason passed to setPendingReason
+	pendingReason       string // reason why no pending task starts; "" if none is recorded
 
 	jobTasks
 	jobAttempts
--- a/internal/placement/scheduler.go
+++ b/internal/placement/scheduler.go
@@ -233,7 +233,7 @@
 		}
 	}
 	s.jobs.removeIfUnassigned(job)
-	s.log.Debug("job closed, tasks left on machines", "job", id, "count", job.assigned)
+	s.log.Debug("job closed, stopping its tasks", "job", id, "count", job.assigned)
 }
 
 // StartMarkerWritten records that a job's start marker is durable.
--- a/internal/placement/scheduling_pass_test.go
+++ b/internal/placement/scheduling_pass_test.go
@@ -8,7 +8,7 @@
 	"juniperchute/internal/wire"
 )
 
-// boundedPassMachines is more than the tasks of one pass need.
+// boundedPassMachines exceeds the number of machines that the tasks of one pass need.
 const boundedPassMachines = 3 * tuning.MaxTasksPerPass
 
 var boundedPassCases = []struct {
@@ -16,34 +16,33 @@
 	jobs  int
 	shape string
 	tasks int // of each job
-	most  int // tasks queued in one pass
+	limit int // of the tasks queued in one pass
 }{
 	{
-		name:  "a large array",
+		name:  "one large array",
 		jobs:  1,
 		shape: wire.ShapeBatch,
 		tasks: 2 * boundedPassMachines,
-		most:  tuning.MaxTasksPerPass,
+		limit: tuning.MaxTasksPerPass,
 	},
 	{
 		name:  "many arrays",
 		jobs:  boundedPassMachines,
 		shape: wire.ShapeBatch,
 		tasks: 2,
-		most:  tuning.MaxTasksPerPass,
+		limit: tuning.MaxTasksPerPass,
 	},
 	{
 		name:  "many gangs",
 		jobs:  3 * tuning.MaxGangsPerPass,
 		shape: wire.ShapeGang,
 		tasks: 2,
-		most:  2 * tuning.MaxGangsPerPass,
+		limit: 2 * tuning.MaxGangsPerPass,
 	},
 }
 
-// A burst is placed in several passes, each of them short, and the next ones go
-// on although nothing has changed in between: a pass that placed all of a burst
-// kept a lease holder with little CPU time from renewing its lease for a second.
+// Guards against a pass that places a whole burst and so delays the renewal of
+// the lease, and against a burst that is left pending after the first pass.
 func TestPassesAreBounded(t *testing.T) {
 	for _, c := range boundedPassCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -57,15 +56,15 @@
 			for pass := 0; scheduledCount(jobs) < total; pass++ {
 				before := scheduledCount(jobs)
 				h.scheduler.Schedule(h.now)
-				if n := scheduledCount(jobs) - before; n == 0 || n > c.most {
-					t.Fatalf("pass %d placed %d tasks, %d of %d before; want 1 to %d", pass, n, before, total, c.most)
+				if n := scheduledCount(jobs) - before; n == 0 || n > c.limit {
+					t.Fatalf("pass %d placed %d tasks after %d of %d; want 1 to %d", pass, n, before, total, c.limit)
 				}
 			}
 		})
 	}
 }
 
-// scheduledCount counts the jobs' tasks that are queued or on machines.
+// scheduledCount returns the number of the jobs' tasks that are queued or on machines.
 func scheduledCount(jobs []*Job) (n int) {
 	for _, job := range jobs {
 		n += len(job.tasks)
--- a/internal/placement/starvation_test.go
+++ b/internal/placement/starvation_test.go
@@ -9,7 +9,7 @@
 	"juniperchute/internal/wire"
 )
 
-// jobProfile is what a job of the tests is like.
+// jobProfile holds the parameters of a job in a starvation test.
 type jobProfile struct {
 	shape, priority string
 	tasks           int
@@ -22,43 +22,43 @@
 
 var starvationCases = []struct {
 	name  string
-	burst jobProfile // arrives every two seconds
-	large jobProfile
+	burst jobProfile // one job of it arrives every two seconds
+	large jobProfile // must start despite the burst
 }{
 	{
-		name:  "an array under many small ones",
+		name:  "large array behind small arrays",
 		burst: jobProfile{shape: wire.ShapeBatch, priority: "normal", tasks: 2, gpus: 1},
 		large: jobProfile{shape: wire.ShapeBatch, priority: "normal", tasks: 60, gpus: 1},
 	},
 	{
-		name:  "an array under a higher priority",
+		name:  "large array behind arrays of a higher priority",
 		burst: jobProfile{shape: wire.ShapeBatch, priority: "high", tasks: 3, gpus: 1},
 		large: jobProfile{shape: wire.ShapeBatch, priority: "low", tasks: 60, gpus: 1},
 	},
 	{
-		name:  "an array under gangs of its priority",
+		name:  "large array behind gangs of the same priority",
 		burst: jobProfile{shape: wire.ShapeGang, priority: "normal", tasks: 2, gpus: 1},
 		large: jobProfile{shape: wire.ShapeBatch, priority: "normal", tasks: 60, gpus: 1},
 	},
 	{
-		name:  "an array under gangs of a higher priority",
+		name:  "large array behind gangs of a higher priority",
 		burst: jobProfile{shape: wire.ShapeGang, priority: "high", tasks: 2, gpus: 1},
 		large: jobProfile{shape: wire.ShapeBatch, priority: "low", tasks: 60, gpus: 1},
 	},
 	{
-		name:  "a gang under small gangs",
+		name:  "large gang behind small gangs",
 		burst: jobProfile{shape: wire.ShapeGang, priority: "normal", tasks: 1, gpus: 1},
 		large: jobProfile{shape: wire.ShapeGang, priority: "normal", tasks: 4, gpus: 2},
 	},
 	{
-		name:  "a gang under small gangs of a higher priority",
+		name:  "large gang behind small gangs of a higher priority",
 		burst: jobProfile{shape: wire.ShapeGang, priority: "high", tasks: 1, gpus: 1},
 		large: jobProfile{shape: wire.ShapeGang, priority: "low", tasks: 4, gpus: 2},
 	},
 }
 
-// However long a burst of others lasts, nobody starves: the largest array and
-// the largest gang start within four minutes.
+// Guards against starvation: a large array or gang must start within four
+// minutes under a continuous load of other jobs.
 func TestNoStarvation(t *testing.T) {
 	for _, c := range starvationCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -72,7 +72,7 @@
 			start := h.now
 			for second := 0; large.assigned == 0 && large.completed.count == 0; second++ {
 				if h.now.Sub(start) > 4*time.Minute {
-					t.Fatalf("nothing of %s has started", large.Spec.ID)
+					t.Fatalf("no task of %s has started within 4 minutes", large.Spec.ID)
 				}
 				h.now = h.now.Add(time.Second)
 				if second%2 == 0 {
@@ -84,8 +84,8 @@
 	}
 }
 
-// endTasks lets the machines report that tasks have ended: those that were told
-// to stop, and those that have completed after a run time.
+// endTasks applies heartbeats of all machines in which stopping tasks have
+// exited and those dispatched more than runTime ago have completed.
 func (h *testHarness) endTasks(runTime time.Duration) {
 	for _, machine := range h.registry.All() {
 		var statuses []wire.TaskStatus
