--- a/internal/placement/run_time.go
+++ b/internal/placement/run_time.go
@@ -6,14 +6,14 @@
 	"juniperchute/internal/tuning"
 )
 
-// runTimeEstimates learn from completed tasks how long tasks run.
-type runTimeEstimates struct {
-	ratioByClass map[string]float64 // run time over the users' estimate
+// runTimeEstimator estimates the run times of tasks from completed tasks.
+type runTimeEstimator struct {
+	ratioByClass map[string]float64 // moving average of run time divided by the user's estimate
 }
 
-// estimate estimates a task's run time in seconds: the user's estimate,
-// corrected by what tasks of the job's class have taken so far.
-func (r *runTimeEstimates) estimate(job *Job) float64 {
+// estimate returns the estimated run time in seconds of a task of the job: the
+// user's estimate, corrected by the average ratio of the job's class.
+func (r *runTimeEstimator) estimate(job *Job) float64 {
 	estimate := job.Spec.EstimatedRunTimeS
 	if ratio, ok := r.ratioByClass[job.Spec.Class]; ok {
 		estimate *= ratio
@@ -21,8 +21,8 @@
 	return max(estimate, tuning.MinRunTime.Seconds())
 }
 
-// record corrects the estimates of a class by a task that has completed.
-func (r *runTimeEstimates) record(now time.Time, task *Task) {
+// record updates the average ratio of a class with a completed task.
+func (r *runTimeEstimator) record(now time.Time, task *Task) {
 	job := task.Job
 	if task.runningSince.IsZero() || job.Spec.EstimatedRunTimeS <= 0 || job.IsGang() {
 		return
--- a/internal/placement/scheduler.go
+++ b/internal/placement/scheduler.go
@@ -12,29 +12,30 @@
 	"juniperchute/internal/worker"
 )
 
-// Options is what a scheduler works with.
+// Options configures a Scheduler.
 type Options struct {
 	Platform config.Platform
-	Token    uint64 // of the term
+	Token    uint64 // fencing token of the term
 	Ledger   *quota.Ledger
 	Registry *worker.Registry
 	Rand     *rand.Rand
 	Log      *slog.Logger
-	// OnTaskCompleted is called for each completion that is recorded first.
-	// The job may be closed from there.
+	// OnTaskCompleted is called when a task, or a gang as a whole, is first
+	// recorded as completed. The callback may close the job.
 	OnTaskCompleted func(now time.Time, job *Job)
-	// RequestStartMarker writes a job's start marker; StartMarkerWritten has
-	// to be called once that is durable. If it is nil, jobs start without.
+	// RequestStartMarker starts to write a job's start marker. The caller must
+	// call StartMarkerWritten once the marker is durable. If RequestStartMarker
+	// is nil, jobs start without a marker.
 	RequestStartMarker func(now time.Time, job *Job)
 }
 
-// Scheduler is the placement of one shard's tasks in one term. It wires the
-// parts of which each does one job, and runs the scheduling passes.
+// Scheduler places the tasks of one shard in one term. It connects the
+// components of the package and runs the scheduling passes.
 //
-// Settings, which may be changed at any time, Counters and
-// AttemptNumbersExhausted are fields of its embedded parts.
+// Settings, Counters and AttemptNumbersExhausted are promoted from embedded
+// components. Settings may be changed between any two calls.
 type Scheduler struct {
-	*environment
+	*sharedState
 	*attemptNumbers
 	pass     *passState
 	capacity *capacityIndex
@@ -44,7 +45,7 @@
 	queue    *jobQueue
 	markers  *startMarkers
 	urgent   *urgentMachines
-	runTimes *runTimeEstimates
+	runTimes *runTimeEstimator
 	tasks    *taskLifecycle
 	failures *failureTracker
 
@@ -63,9 +64,10 @@
 	nextPassDue time.Time
 }
 
-// NewScheduler returns a scheduler without jobs and machines.
+// NewScheduler returns a scheduler that has no jobs. Machines are taken from
+// the registry in options.
 func NewScheduler(options Options) *Scheduler {
-	env := &environment{
+	shared := &sharedState{
 		Settings: Settings{DropThreshold: tuning.BackupWithdrawThreshold},
 		platform: options.Platform,
 		ledger:   options.Ledger,
@@ -74,21 +76,21 @@
 		log:      options.Log,
 	}
 	s := &Scheduler{
-		environment:    env,
+		sharedState:    shared,
 		attemptNumbers: &attemptNumbers{token: options.Token},
 		pass:           &passState{},
-		capacity:       newCapacityIndex(env),
-		rules:          preemptionRules{env},
+		capacity:       newCapacityIndex(shared),
+		rules:          preemptionRules{shared},
 		jobs:           newJobTable(),
 		urgent:         &urgentMachines{},
-		runTimes:       &runTimeEstimates{ratioByClass: map[string]float64{}},
+		runTimes:       &runTimeEstimator{ratioByClass: map[string]float64{}},
 	}
-	s.queues = &copyQueues{environment: env, capacity: s.capacity}
-	s.queue = &jobQueue{environment: env, runTimes: s.runTimes, pass: s.pass}
-	s.markers = &startMarkers{environment: env, pass: s.pass, request: options.RequestStartMarker}
-	s.failures = &failureTracker{environment: env, jobs: s.jobs}
+	s.queues = &copyQueues{sharedState: shared, capacity: s.capacity}
+	s.queue = &jobQueue{sharedState: shared, runTimes: s.runTimes, pass: s.pass}
+	s.markers = &startMarkers{sharedState: shared, pass: s.pass, request: options.RequestStartMarker}
+	s.failures = &failureTracker{sharedState: shared, jobs: s.jobs}
 	s.tasks = &taskLifecycle{
-		environment:     env,
+		sharedState:     shared,
 		capacity:        s.capacity,
 		queues:          s.queues,
 		jobs:            s.jobs,
@@ -96,23 +98,23 @@
 		runTimes:        s.runTimes,
 		onTaskCompleted: options.OnTaskCompleted,
 	}
-	s.wireSchedulers()
-	s.wireMachineParts()
-	s.wireDemandParts()
+	s.initSchedulers()
+	s.initMachineComponents()
+	s.initDemandComponents()
 	return s
 }
 
-// wireSchedulers makes the parts that place the jobs of each shape.
-func (s *Scheduler) wireSchedulers() {
+// initSchedulers creates the components that place arrays, gangs and services.
+func (s *Scheduler) initSchedulers() {
 	s.arrays = &arrayScheduler{
-		environment: s.environment,
+		sharedState: s.sharedState,
 		pass:        s.pass,
 		capacity:    s.capacity,
 		queues:      s.queues,
 		markers:     s.markers,
 	}
 	s.gangs = &gangScheduler{
-		environment: s.environment,
+		sharedState: s.sharedState,
 		pass:        s.pass,
 		capacity:    s.capacity,
 		rules:       s.rules,
@@ -122,7 +124,7 @@
 		attempts:    s.attemptNumbers,
 	}
 	s.services = &serviceScheduler{
-		environment: s.environment,
+		sharedState: s.sharedState,
 		capacity:    s.capacity,
 		rules:       s.rules,
 		queues:      s.queues,
@@ -131,7 +133,7 @@
 		attempts:    s.attemptNumbers,
 	}
 	s.rescheduler = &rescheduler{
-		environment: s.environment,
+		sharedState: s.sharedState,
 		capacity:    s.capacity,
 		queues:      s.queues,
 		tasks:       s.tasks,
@@ -139,10 +141,10 @@
 	}
 }
 
-// wireMachineParts makes the parts that deal with machines' heartbeats and commands.
-func (s *Scheduler) wireMachineParts() {
+// initMachineComponents creates the components that process heartbeats and build commands.
+func (s *Scheduler) initMachineComponents() {
 	s.dispatcher = &dispatcher{
-		environment: s.environment,
+		sharedState: s.sharedState,
 		capacity:    s.capacity,
 		queues:      s.queues,
 		tasks:       s.tasks,
@@ -150,7 +152,7 @@
 	}
 	s.commands = &commandBuilder{capacity: s.capacity, jobs: s.jobs}
 	s.reconciler = &reconciler{
-		environment: s.environment,
+		sharedState: s.sharedState,
 		capacity:    s.capacity,
 		queues:      s.queues,
 		jobs:        s.jobs,
@@ -159,16 +161,16 @@
 	}
 }
 
-// wireDemandParts makes the parts that decide which machines are needed.
-func (s *Scheduler) wireDemandParts() {
+// initDemandComponents creates the components that decide which machines are needed.
+func (s *Scheduler) initDemandComponents() {
 	s.consolidator = &consolidator{
-		environment: s.environment,
+		sharedState: s.sharedState,
 		capacity:    s.capacity,
 		queue:       s.queue,
 		tasks:       s.tasks,
 	}
 	s.planner = &demandPlanner{
-		environment: s.environment,
+		sharedState: s.sharedState,
 		capacity:    s.capacity,
 		jobs:        s.jobs,
 		queue:       s.queue,
@@ -176,14 +178,15 @@
 	}
 }
 
-// OpenJob returns an open job, nil if there is none of that name.
+// OpenJob returns the open job with the given ID, or nil if there is none.
 func (s *Scheduler) OpenJob(id string) *Job { return s.jobs.open(id) }
 
-// OpenJobs lists the open jobs by priority, then age.
+// OpenJobs returns the open jobs by descending priority, then age. The caller
+// must not modify the slice.
 func (s *Scheduler) OpenJobs() []*Job { return s.queue.open }
 
-// SetJobUnreadable notes whether a job's record is one that this version
-// cannot read: such a job's tasks are neither started nor stopped.
+// SetJobUnreadable records whether this version of the software fails to read a
+// job's record. Tasks of an unreadable job are neither started nor stopped.
 func (s *Scheduler) SetJobUnreadable(id string, unreadable bool) {
 	if unreadable {
 		s.jobs.unreadable[id] = true
@@ -192,8 +195,8 @@
 	delete(s.jobs.unreadable, id)
 }
 
-// AddJob adds an open job, accepted at the given wall clock time. If the job
-// is known, only the version of its record is updated.
+// AddJob adds an open job and returns it. acceptedAt is a wall clock time. If
+// the job is already known, AddJob only updates the version of its record.
 func (s *Scheduler) AddJob(
 	now time.Time, spec wire.JobSpec, acceptedAt time.Time, version uint64, fromEarlierTerm bool,
 ) *Job {
@@ -206,18 +209,19 @@
 	s.jobs.add(job)
 	s.queue.add(job)
 	s.log.Debug("job added", "job", spec.ID, "class", spec.Class, "team", spec.Team,
-		"shape", spec.Shape, "tasks", spec.Tasks)
+		"shape", spec.Shape, "count", spec.Tasks)
 	return job
 }
 
-// CloseJob closes a completed or cancelled job: none of its tasks starts any
-// more, and those on machines are stopped. They must have ended by tasksGoneBy.
-func (s *Scheduler) CloseJob(now time.Time, id string, tasksGoneBy time.Time) {
+// CloseJob closes a completed or cancelled job. No further task of the job
+// starts, and its tasks on machines are stopped; they must have ended by
+// terminationDeadline. CloseJob does nothing if the job is not open.
+func (s *Scheduler) CloseJob(now time.Time, id string, terminationDeadline time.Time) {
 	job := s.jobs.open(id)
 	if job == nil {
 		return
 	}
-	job.closed, job.tasksGoneBy = true, tasksGoneBy
+	job.closed, job.terminationDeadline = true, terminationDeadline
 	s.queue.remove(job)
 	for _, task := range job.tasksByIndex() {
 		s.queues.withdrawCopies(task)
@@ -229,19 +233,19 @@
 		}
 	}
 	s.jobs.removeIfUnassigned(job)
-	s.log.Debug("job closed", "job", id, "tasks", job.assigned)
+	s.log.Debug("job closed, stopping its tasks", "job", id, "count", job.assigned)
 }
 
 // StartMarkerWritten records that a job's start marker is durable.
 func (s *Scheduler) StartMarkerWritten(job *Job) { s.markers.written(job) }
 
-// Reconciled reports whether every machine that the shard may have is
-// reconciled or deleted.
+// Reconciled reports whether MarkReconciled was called in this term.
 func (s *Scheduler) Reconciled() bool { return s.reconciled }
 
-// MarkReconciled records that every machine that the shard may have is
-// reconciled or deleted: pending tasks of jobs from earlier terms may start.
+// MarkReconciled records that every machine that may belong to the shard is
+// reconciled or deleted. From then on pending tasks of jobs from earlier terms
+// may start.
 func (s *Scheduler) MarkReconciled() {
 	s.reconciled = true
-	s.pass.requestFull()
+	s.pass.requestFullPass()
 }
