--- a/internal/placement/machines.go
+++ b/internal/placement/machines.go
@@ -40,9 +40,9 @@
 	info := s.capacity.info(machine)
 	s.capacity.markDirty(info)
 	if result == worker.HeartbeatNewIncarnation {
-		s.reconciler.startIncarnation(now, info)
+		s.reconciler.releasePreviousIncarnation(now, info)
 	}
-	s.reconciler.apply(now, info, report{machine: machine, source: source})
+	s.reconciler.applyStatus(now, info, statusUpdate{machine: machine, source: source})
 }
 
 // Commands dispatches what is at the heads of a machine's queues and returns
--- a/internal/placement/reconciler.go
+++ b/internal/placement/reconciler.go
@@ -19,15 +19,15 @@
 	failures *failureTracker
 }
 
-// startIncarnation gives up what an earlier incarnation of a machine's worker had.
-func (r *reconciler) startIncarnation(now time.Time, info *machineInfo) {
+// releasePreviousIncarnation gives up what an earlier incarnation of a machine's worker had.
+func (r *reconciler) releasePreviousIncarnation(now time.Time, info *machineInfo) {
 	r.tasks.releaseMachine(now, info.machine, "worker has a new incarnation")
 	info.directAttempts = nil // commands to an earlier incarnation are void
 	info.machine.Images = map[string]time.Time{}
 }
 
 // apply brings the scheduler up to date with a report.
-func (r *reconciler) apply(now time.Time, info *machineInfo, from report) {
+func (r *reconciler) applyStatus(now time.Time, info *machineInfo, from statusUpdate) {
 	machine := info.machine
 	reported := make(map[string]*wire.TaskStatus, len(machine.Tasks))
 	for i := range machine.Tasks {
@@ -43,7 +43,7 @@
 }
 
 // applyAssigned acts on what a report shows of an assigned task.
-func (r *reconciler) applyAssigned(now time.Time, task *Task, reported *wire.TaskStatus, from report) {
+func (r *reconciler) applyAssigned(now time.Time, task *Task, reported *wire.TaskStatus, from statusUpdate) {
 	switch reconcileAssigned(task, reported, from) {
 	case assignedInFlight:
 	case assignedPresent:
--- a/internal/placement/reconciliation.go
+++ b/internal/placement/reconciliation.go
@@ -6,7 +6,7 @@
 )
 
 // report is what a machine has reported, and the message in which it did.
-type report struct {
+type statusUpdate struct {
 	machine *worker.Machine
 	source  worker.StatusSource
 }
@@ -29,7 +29,7 @@
 
 // reconcileAssigned compares what is known of a task that is assigned to a
 // machine with what the machine reports under the task's name; nil if nothing.
-func reconcileAssigned(known *Task, reported *wire.TaskStatus, from report) assignedFinding {
+func reconcileAssigned(known *Task, reported *wire.TaskStatus, from statusUpdate) assignedFinding {
 	if reported != nil && reported.Attempt == known.attempt {
 		if reported.State == wire.TaskExited {
 			return assignedExited
@@ -49,7 +49,7 @@
 // never reported may still be executed there: it may be in a direct request
 // that nobody answered, or in the reply to the newest heartbeat. A later
 // heartbeat shows that the worker did not act on that reply.
-func (d *commandDelivery) mayArrive(from report) bool {
+func (d *commandDelivery) mayArrive(from statusUpdate) bool {
 	switch {
 	case d.unansweredCommands > 0:
 		return true
--- a/internal/placement/reconciliation_test.go
+++ b/internal/placement/reconciliation_test.go
@@ -110,7 +110,7 @@
 			machine := &worker.Machine{Liveness: worker.Liveness{Sequence: reportSequence}}
 			task := &Task{phase: c.phase}
 			task.assignment = assignment{machine: machine, attempt: 1, commandDelivery: c.delivery}
-			got := reconcileAssigned(task, c.reported, report{machine: machine, source: c.source})
+			got := reconcileAssigned(task, c.reported, statusUpdate{machine: machine, source: c.source})
 			if got != c.want {
 				t.Errorf("finding %d, want %d", got, c.want)
 			}
--- a/internal/placement/scheduler.go
+++ b/internal/placement/scheduler.go
@@ -233,7 +233,7 @@
 }
 
 // StartMarkerWritten records that a job's start marker is durable.
-func (s *Scheduler) StartMarkerWritten(job *Job) { s.markers.written(job) }
+func (s *Scheduler) StartMarkerWritten(job *Job) { s.markers.markDurable(job) }
 
 // Reconciled reports whether every machine that the shard may have is
 // reconciled or deleted.
--- a/internal/placement/start_marker.go
+++ b/internal/placement/start_marker.go
@@ -26,7 +26,7 @@
 }
 
 // written records that a job's start marker is durable.
-func (m *startMarkers) written(job *Job) {
+func (m *startMarkers) markDurable(job *Job) {
 	if job.startMarker == startMarkerRequested {
 		m.pending--
 	}
