--- a/internal/placement/consolidation.go
+++ b/internal/placement/consolidation.go
@@ -10,32 +10,33 @@
 	"juniperchute/internal/worker"
 )
 
-// consolidator empties machines whose tasks would fit elsewhere.
+// consolidator moves tasks off machines with low allocation if they fit elsewhere,
+// so that the emptied machines can be terminated.
 type consolidator struct {
 	*environment
 	capacity *capacityIndex
 	queue    *jobQueue
 	tasks    *taskLifecycle
-	next     time.Time // not before
+	nextRun  time.Time // the earliest time of the next consolidation
 }
 
-// consolidate cordons machines whose tasks would all fit elsewhere, and
-// preempts these tasks so that they move and the machines can be terminated.
-// It does so only while no array's tasks are pending, with a small part of the
-// machines at a time: on-demand machines and those with the least on them
-// first; the fullest take the tasks.
+// consolidate cordons machines whose tasks all fit on other machines and
+// preempts those tasks. It runs only while no startable task of an array or a
+// service is pending, and cordons a bounded share of the machines per run. Sources are
+// on-demand machines first, then those with the lowest allocation; targets are
+// the machines with the highest allocation.
 func (c *consolidator) consolidate(now time.Time) {
-	if !c.reconciled || now.Before(c.next) || c.queue.startableTasksPending(now) {
+	if !c.reconciled || now.Before(c.nextRun) || c.queue.startableTasksPending(now) {
 		return
 	}
-	c.next = now.Add(tuning.ConsolidationInterval)
+	c.nextRun = now.Add(tuning.ConsolidationInterval)
 	plan := c.plan()
 	cordoned := 0
 	for i, machine := range plan.sources {
 		if cordoned == plan.limit || i == tuning.ConsolidationTries*plan.limit {
 			break
 		}
-		if _, isTarget := plan.added[machine]; isTarget || !plan.moveTasks(c.capacity.info(machine)) {
+		if _, isTarget := plan.planned[machine]; isTarget || !plan.planMoves(c.capacity.info(machine)) {
 			continue
 		}
 		cordoned++
@@ -43,9 +44,9 @@
 	}
 }
 
-// cordon lets a machine take no more tasks and preempts those it has.
+// cordon makes a machine unschedulable and preempts its tasks.
 func (c *consolidator) cordon(now time.Time, machine *worker.Machine) {
-	c.log.Info("worker cordoned for consolidation", "worker", machine.Host, "tasks", machine.ActiveCopies)
+	c.log.Info("worker cordoned for consolidation", "worker", machine.Host, "count", machine.ActiveCopies)
 	machine.Cordoned = true
 	for _, task := range slices.Clone(c.capacity.info(machine).assigned) {
 		c.Counters.Relocated++
@@ -53,7 +54,7 @@
 	}
 }
 
-// uncordonAll makes cordoned machines that are not empty yet schedulable again.
+// uncordonAll makes all cordoned machines schedulable again.
 func (c *consolidator) uncordonAll() {
 	for _, machine := range c.registry.All() {
 		if machine.Cordoned {
@@ -63,17 +64,17 @@
 	}
 }
 
-// consolidationPlan is which machines could be emptied, and which would take their tasks.
+// consolidationPlan lists the machines to drain and the targets of their tasks.
 type consolidationPlan struct {
 	sources, targets []*worker.Machine
-	added            map[*worker.Machine]quota.Resources // to the targets, by what was planned so far
-	limit            int                                 // how many machines may be cordoned at a time
+	planned          map[*worker.Machine]quota.Resources // resources of the moves planned so far, by target
+	limit            int                                 // machines to cordon per run
 }
 
-// plan finds the machines that could be emptied and those that would take more
-// tasks, both in the order of preference.
+// plan returns a plan without moves. Its sources and targets are in the order of
+// preference.
 func (c *consolidator) plan() *consolidationPlan {
-	p := &consolidationPlan{added: map[*worker.Machine]quota.Resources{}}
+	p := &consolidationPlan{planned: map[*worker.Machine]quota.Resources{}}
 	inUse := 0
 	for _, machine := range c.registry.All() {
 		if machine.ActiveCopies == 0 || !machine.Schedulable() {
@@ -103,12 +104,13 @@
 	return p
 }
 
-// allocatedShare returns the part of a machine that tasks take.
+// allocatedShare returns the dominant share of a machine's capacity that is allocated.
 func allocatedShare(machine *worker.Machine) float64 {
 	return machine.Allocated.DominantShare(machine.Capacity)
 }
 
-// canRelocate reports whether nothing is lost when the machine's tasks move.
+// canRelocate reports whether every task of the machine can move without losing
+// progress, and no primary is queued there.
 func (info *machineInfo) canRelocate() bool {
 	if len(info.primaryQueue) > 0 {
 		return false
@@ -116,7 +118,8 @@
 	return !slices.ContainsFunc(info.assigned, func(task *Task) bool { return !task.canRelocate() })
 }
 
-// canRelocate reports whether the task runs and would go on elsewhere from its checkpoint.
+// canRelocate reports whether the task is a running primary of an array that saves
+// checkpoints, and so can resume on another machine.
 func (t *Task) canRelocate() bool {
 	job := t.Job
 	if t.phase != Active || t.isBackup || t.runningSince.IsZero() {
@@ -125,33 +128,36 @@
 	return !job.closed && job.isArray() && job.savesCheckpoints()
 }
 
-// moveTasks reports whether the targets would take all tasks of a machine
-// beside what they take already, and adds these tasks there if so.
-func (p *consolidationPlan) moveTasks(source *machineInfo) bool {
-	added := map[*worker.Machine]quota.Resources{}
+// planMoves reports whether every task of a machine fits on a target in addition
+// to the moves planned so far. If so, it adds these moves to the plan; otherwise
+// the plan is unchanged.
+func (p *consolidationPlan) planMoves(source *machineInfo) bool {
+	moved := map[*worker.Machine]quota.Resources{}
 	for _, task := range source.assigned {
 		i := slices.IndexFunc(p.targets, func(target *worker.Machine) bool {
-			return target != source.machine && p.takes(target, task.Job, added[target])
+			return target != source.machine && p.targetFits(target, task.Job, moved[target])
 		})
 		if i < 0 {
 			return false
 		}
-		added[p.targets[i]] = added[p.targets[i]].Add(task.Job.need)
+		moved[p.targets[i]] = moved[p.targets[i]].Add(task.Job.need)
 	}
-	for target, resources := range added {
-		p.added[target] = p.added[target].Add(resources)
+	for target, resources := range moved {
+		p.planned[target] = p.planned[target].Add(resources)
 	}
 	return true
 }
 
-// takes reports whether a target would take a task of a job at once, beside
-// what was added to it. Most targets have no room at all: that is asked first.
-func (p *consolidationPlan) takes(target *worker.Machine, job *Job, added quota.Resources) bool {
+// targetFits reports whether a target can start a task of a job at once, in
+// addition to the planned moves and the resources in moved. It requires the job's
+// image on the target.
+func (p *consolidationPlan) targetFits(target *worker.Machine, job *Job, moved quota.Resources) bool {
 	available := target.AvailableToPrimary()
+	// The cheap check comes first: most targets have no free resources at all.
 	if !available.Fits(job.need) || target.Cordoned {
 		return false
 	}
-	if !available.Sub(p.added[target]).Sub(added).Fits(job.need) || !job.suits(target) {
+	if !available.Sub(p.planned[target]).Sub(moved).Fits(job.need) || !job.suits(target) {
 		return false
 	}
 	_, hasImage := target.Images[job.Spec.Image]
--- a/internal/placement/demand.go
+++ b/internal/placement/demand.go
@@ -8,22 +8,23 @@
 	"juniperchute/internal/tuning"
 )
 
-// Offer is a kind of machine that can be provisioned now.
+// Offer describes a machine type in a zone, spot or on demand, that can be provisioned now.
 type Offer struct {
 	Type, Zone  string
 	Spot        bool
 	Capacity    quota.Resources
 	Price       float64
 	BootSeconds float64
-	Available   int // how many more may be requested
+	Available   int // machines that may still be requested
 }
 
 func (o *Offer) kind() machineKind {
 	return machineKind{machineType: o.Type, zone: o.Zone, spot: o.Spot}
 }
 
-// PlanningHorizon returns for how many seconds, all in all, an array's tasks
-// may wait and run so that the objectives of its class hold.
+// PlanningHorizon returns the time in seconds within which the pending work of a
+// class's arrays has to fit on the provisioned machines. It is a share of the
+// class's strictest completion objective, or of a default if the class has none.
 func PlanningHorizon(objectives []config.Objective, class string) float64 {
 	horizon := 0.0
 	for _, objective := range objectives {
@@ -40,10 +41,11 @@
 	return horizon * tuning.BacklogObjectiveShare
 }
 
-// ProvisioningDemand packs all pending work onto the machines there are and
-// returns how many more of each offer are needed for the rest; provisioning is
-// how many of each are being provisioned already. Machines that the packing
-// uses are marked as needed.
+// ProvisioningDemand returns the number of machines to provision for each offer.
+// It bin-packs all pending work onto the existing machines and those being
+// provisioned, of which provisioning holds the count for each offer, and opens new
+// machines for the rest. It marks the existing machines that the packing uses as
+// needed. It also runs or reverts consolidation.
 func (s *Scheduler) ProvisioningDemand(now time.Time, offers []Offer, provisioning []int) []int {
 	if s.queue.startableTasksPending(now) {
 		s.consolidator.uncordonAll()
@@ -59,7 +61,7 @@
 	return plan.toProvision
 }
 
-// demandPlanner works out which machines are needed.
+// demandPlanner computes the demand for machines.
 type demandPlanner struct {
 	*environment
 	capacity *capacityIndex
@@ -68,7 +70,6 @@
 	runTimes *runTimeEstimates
 }
 
-// newPlan returns a plan with nothing packed.
 func (p *demandPlanner) newPlan(now time.Time, offers []Offer) *demandPlan {
 	return &demandPlan{
 		demandPlanner: p,
@@ -79,19 +80,20 @@
 	}
 }
 
-// demandPlan packs all pending work onto the machines there are and ones to be
-// provisioned.
+// demandPlan holds one bin packing of the pending work onto existing machines and
+// machines to be provisioned.
 type demandPlan struct {
 	*demandPlanner
 	now         time.Time
 	offers      []Offer
-	toProvision []int // of each offer
+	toProvision []int // machines, by offer
 	bins        []*bin
-	admitted    map[string]quota.Resources // what was packed, by team
+	admitted    map[string]quota.Resources // resources packed so far, by team
 }
 
-// admit reports whether a team's limit allows more to start beside what was
-// packed, and counts it if so. What is not admitted needs no machine.
+// admit reports whether a team's limit admits the resources in addition to those
+// packed so far, and adds them if so. Work over the limit cannot start and must
+// not cause machines to be provisioned.
 func (p *demandPlan) admit(job *Job, resources quota.Resources) bool {
 	total := p.admitted[job.Spec.Team].Add(resources)
 	if !p.ledger.AdmitsReservation(job.Spec.Team, total) {
@@ -101,9 +103,9 @@
 	return true
 }
 
-// openBin provisions the cheapest machine that would do for a job's tasks, in
-// one zone unless that is ""; for services one that is not spot, if there is
-// one. It returns nil if none can be had.
+// openBin adds the machine that the job prefers to the machines to provision and
+// returns its bin. A zone other than "" restricts the offers. It returns nil if no
+// offer can run a task of the job.
 func (p *demandPlan) openBin(job *Job, zone string) *bin {
 	best := -1
 	for i := range p.offers {
@@ -122,7 +124,7 @@
 	return newBin(&p.offers[best])
 }
 
-// hasOfferInZone reports whether a machine for a job's tasks can be provisioned in a zone.
+// hasOfferInZone reports whether an offer in the zone can run a task of the job.
 func (p *demandPlan) hasOfferInZone(job *Job, zone string) bool {
 	for i := range p.offers {
 		offer := &p.offers[i]
@@ -133,13 +135,14 @@
 	return false
 }
 
-// accepts reports whether a task of the job could run on an offered machine.
+// accepts reports whether the job's constraints allow an offer and one task of the
+// job fits its capacity.
 func (j *Job) accepts(offer *Offer) bool {
 	return j.allows(offer.kind()) && offer.Capacity.Fits(j.need)
 }
 
-// prefers reports whether one offer is better for the job than another: not
-// spot for a service, then the cheaper for each task.
+// prefers reports whether the job ranks offer before other: services rank
+// on-demand before spot, then the lower price per task wins.
 func (j *Job) prefers(offer, other *Offer) bool {
 	if j.IsService() && offer.Spot != other.Spot {
 		return other.Spot
--- a/internal/placement/demand_arrays.go
+++ b/internal/placement/demand_arrays.go
@@ -8,24 +8,24 @@
 	"juniperchute/internal/tuning"
 )
 
-// arrayPacking packs the arrays' pending tasks, as machine time within the
-// planning horizon of their class, into what gangs and services leave. Bins
-// that have nothing left for any array of a class are passed over: there may be
-// thousands of both.
+// arrayPacking packs the pending tasks of arrays into the capacity that gangs and
+// services leave. Tasks are packed as machine-seconds within the planning horizon
+// of their class. Full bins are removed from their group, which bounds the cost
+// with thousands of arrays and bins.
 type arrayPacking struct {
 	plan         *demandPlan
-	smallestNeed quota.Resources // no array's task needs less, of any resource
+	smallestNeed quota.Resources // minimum over all arrays, by resource
 	binsByGroup  map[binGroup][]*bin
 }
 
-// binGroup is the bins into which arrays of a class are packed. Which of them
-// are full depends on the class's planning horizon.
+// binGroup identifies the bins of one kind, spot or on demand, that are not full
+// for a class. Whether a bin is full depends on the planning horizon of the class.
 type binGroup struct {
 	class string
 	spot  bool
 }
 
-// packArrays packs the arrays by priority.
+// packArrays packs the arrays in descending order of priority.
 func (p *demandPlan) packArrays() {
 	backlogs := p.arrayBacklogs()
 	packing := &arrayPacking{plan: p, smallestNeed: quota.UnlimitedResources(), binsByGroup: map[binGroup][]*bin{}}
@@ -37,15 +37,15 @@
 	}
 }
 
-// arrayBacklog is what remains to be packed of an array's tasks that have not started.
+// arrayBacklog holds the tasks of an array that have not started and are not packed yet.
 type arrayBacklog struct {
 	job         *Job
-	tasks       float64 // parts of tasks can be packed
-	taskSeconds float64 // of one task
+	tasks       float64 // fractional: a bin may take part of a task
+	taskSeconds float64 // estimated run time of one task
 	horizon     float64 // seconds
 }
 
-// arrayBacklogs lists the arrays with tasks that have not started, by priority.
+// arrayBacklogs returns the backlogs of all arrays in descending order of priority.
 func (p *demandPlan) arrayBacklogs() (backlogs []*arrayBacklog) {
 	for _, job := range p.queue.open {
 		if !job.isArray() || p.now.Before(job.notBefore) {
@@ -64,7 +64,7 @@
 	return backlogs
 }
 
-// unstartedTasks counts the tasks that are pending or only queued.
+// unstartedTasks counts the tasks that are pending, or queued without a dispatched copy.
 func (j *jobTasks) unstartedTasks() int {
 	tasks := j.pendingTasks()
 	for _, task := range j.tasks {
@@ -75,8 +75,8 @@
 	return tasks
 }
 
-// pack packs one array, onto spot machines first, and provisions machines for
-// what does not fit.
+// pack packs one array into spot bins, then into on-demand bins, and opens bins for
+// the tasks that do not fit.
 func (p *arrayPacking) pack(backlog *arrayBacklog) {
 	for _, spot := range []bool{true, false} {
 		p.packIntoGroup(binGroup{backlog.job.Spec.Class, spot}, backlog)
@@ -95,7 +95,7 @@
 	}
 }
 
-// addBin adds a machine to be provisioned to the plan and the groups it belongs to.
+// addBin adds a newly opened bin to the plan and to the matching groups.
 func (p *arrayPacking) addBin(b *bin) {
 	for group := range p.binsByGroup {
 		if group.spot == b.kind.spot {
@@ -105,7 +105,7 @@
 	p.plan.bins = append(p.plan.bins, b)
 }
 
-// packIntoGroup packs an array into a group of bins and removes those that are full from it.
+// packIntoGroup packs an array into a group of bins and removes full bins from the group.
 func (p *arrayPacking) packIntoGroup(group binGroup, backlog *arrayBacklog) {
 	bins, ok := p.binsByGroup[group]
 	if !ok {
@@ -118,7 +118,7 @@
 			break
 		}
 		backlog.packInto(b)
-		full := backlog.timeLeft(b) <= 0 && !b.free.Fits(p.smallestNeed)
+		full := backlog.remainingTime(b) <= 0 && !b.free.Fits(p.smallestNeed)
 		if !full {
 			remaining = append(remaining, b)
 		}
@@ -126,29 +126,30 @@
 	p.binsByGroup[group] = remaining
 }
 
-// timeLeft returns the machine-seconds within the horizon that a bin has not given away yet.
-func (w *arrayBacklog) timeLeft(b *bin) float64 { return w.horizon - b.planned - b.committed }
+// remainingTime returns the machine-seconds within the horizon that are neither
+// planned nor committed on a bin.
+func (a *arrayBacklog) remainingTime(b *bin) float64 { return a.horizon - b.planned - b.committed }
 
-// packInto packs as much into a bin as it can take. Most bins have no time left
-// and no room: that is asked first.
-func (w *arrayBacklog) packInto(b *bin) {
-	need := w.job.need
-	machineTime := w.timeLeft(b)
+// packInto packs as many of the remaining tasks into a bin as fit.
+func (a *arrayBacklog) packInto(b *bin) {
+	need := a.job.need
+	machineTime := a.remainingTime(b)
+	// The cheap check comes first: most bins are full.
 	if machineTime <= 0 && !b.free.Fits(need) {
 		return
 	}
-	if !b.capacity.Fits(need) || !b.suits(w.job) {
+	if !b.capacity.Fits(need) || !b.suits(a.job) {
 		return
 	}
-	// what is free now takes tasks at once, however long they run
+	// Free resources admit tasks at once, even if their run time exceeds the horizon.
 	tasksAtOnce := float64(b.free.FitCount(need, maxTasksPerMachine))
-	machineTime = max(machineTime, w.taskSeconds*tasksAtOnce*need.DominantShare(b.capacity)-b.planned)
-	secondsPerTask := w.taskSeconds / float64(max(1, b.capacity.FitCount(need, maxTasksPerMachine)))
-	packed := min(w.tasks, machineTime/secondsPerTask)
+	machineTime = max(machineTime, a.taskSeconds*tasksAtOnce*need.DominantShare(b.capacity)-b.planned)
+	secondsPerTask := a.taskSeconds / float64(max(1, b.capacity.FitCount(need, maxTasksPerMachine)))
+	packed := min(a.tasks, machineTime/secondsPerTask)
 	if packed <= 0 {
 		return
 	}
 	b.markNeeded()
 	b.planned += packed * secondsPerTask
-	w.tasks -= packed
+	a.tasks -= packed
 }
--- a/internal/placement/demand_bins.go
+++ b/internal/placement/demand_bins.go
@@ -9,43 +9,45 @@
 	"juniperchute/internal/worker"
 )
 
-// bin is a machine in the packing of the demand.
+// bin represents an existing or future machine in the bin packing of the demand.
 type bin struct {
-	machine  *worker.Machine // nil if it has still to be provisioned
+	machine  *worker.Machine // nil for a machine to be provisioned
 	kind     machineKind
 	capacity quota.Resources
-	free     quota.Resources // now; taken by gangs and services
+	free     quota.Resources // after the gangs and services packed so far
 
-	committed float64 // machine-seconds that what runs there will still take
-	planned   float64 // machine-seconds given to arrays' pending tasks
+	committed float64 // remaining machine-seconds of the assigned tasks
+	planned   float64 // machine-seconds of the array tasks packed so far
 }
 
-// newBin returns a machine to be provisioned.
+// newBin returns an empty bin for a machine to be provisioned.
 func newBin(offer *Offer) *bin {
 	return &bin{kind: offer.kind(), capacity: offer.Capacity, free: offer.Capacity}
 }
 
-// markNeeded marks the machine, if it is there, as one that pending work will use.
+// markNeeded keeps an existing machine from being terminated as idle.
 func (b *bin) markNeeded() {
 	if b.machine != nil {
 		b.machine.Needed = true
 	}
 }
 
-// inUse reports whether tasks are on the machine.
+// inUse reports whether the bin is an existing machine with assigned tasks.
 func (b *bin) inUse() bool { return b.machine != nil && b.machine.ActiveCopies > 0 }
 
-// suits reports whether a job's constraints and past failures admit the machine.
+// suits reports whether the job's constraints allow the machine and the job has not
+// failed on it in a way that excludes it.
 func (b *bin) suits(job *Job) bool {
 	return job.allows(b.kind) && (b.machine == nil || !job.avoids(b.machine))
 }
 
-// addMachineBins adds the machines that may take work.
+// addMachineBins adds a bin for each existing machine that accepts work, and resets
+// the needed mark of every machine to whether it has tasks.
 func (p *demandPlan) addMachineBins() {
 	lease := config.Seconds(p.platform.Workers.LeaseS)
 	for _, machine := range p.registry.All() {
 		machine.Needed = machine.ActiveCopies > 0
-		if !mayTakeWork(p.now, machine, lease) {
+		if !acceptsWork(p.now, machine, lease) {
 			continue
 		}
 		b := &bin{
@@ -56,24 +58,25 @@
 			committed: p.committedWork(p.now, machine),
 		}
 		if machine.State == worker.Unresponsive {
-			// It takes nothing now, but is not replaced while its lease may
-			// last: after this controller was cut off, all are unresponsive
-			// for a while.
+			// The bin has no free resources, but stays in the plan so that the
+			// machine is not replaced before its lease expires: after a network
+			// partition of this controller, all machines are unresponsive.
 			b.free = quota.Resources{}
 		}
 		p.bins = append(p.bins, b)
 	}
 }
 
-// mayTakeWork reports whether a machine takes work, or will soon.
-func mayTakeWork(now time.Time, machine *worker.Machine, lease time.Duration) bool {
+// acceptsWork reports whether a machine runs new tasks now, or is expected to once
+// it has booted or responds again.
+func acceptsWork(now time.Time, machine *worker.Machine, lease time.Duration) bool {
 	if machine.Quarantined || machine.Cordoned || !machine.PreemptionTime.IsZero() || machine.Unreachable(now, lease) {
 		return false
 	}
 	return machine.State == worker.Up || machine.State == worker.Booting || machine.State == worker.Unresponsive
 }
 
-// addProvisioningBins adds the machines that are being provisioned.
+// addProvisioningBins adds a bin for each machine that is being provisioned.
 func (p *demandPlan) addProvisioningBins(provisioning []int) {
 	for i := range p.offers {
 		for range provisioning[i] {
@@ -82,7 +85,8 @@
 	}
 }
 
-// committedWork estimates how many machine-seconds the tasks on a machine will still take.
+// committedWork estimates the remaining machine-seconds of the tasks assigned to a
+// machine. Each task is weighted by its dominant share of the machine.
 func (p *demandPlanner) committedWork(now time.Time, machine *worker.Machine) float64 {
 	sum := 0.0
 	for _, task := range p.capacity.info(machine).assigned {
--- a/internal/placement/demand_gangs.go
+++ b/internal/placement/demand_gangs.go
@@ -6,8 +6,9 @@
 	"juniperchute/internal/quota"
 )
 
-// packGangsAndServices packs the gangs and services. Bins that have no room
-// for any task of these are passed over: thousands of gangs may be pending.
+// packGangsAndServices packs the gangs and services in queue order. It drops bins
+// that fit no task of any of them, which bounds the cost with thousands of pending
+// gangs.
 func (p *demandPlan) packGangsAndServices() {
 	smallestNeed := quota.UnlimitedResources()
 	for _, job := range p.queue.open {
@@ -26,7 +27,8 @@
 	}
 }
 
-// tasksToPlace returns how many tasks of a gang or service need places.
+// tasksToPlace returns the number of tasks of a gang or service to pack, including
+// replacements of replicas that must migrate. It returns 0 for arrays.
 func (p *demandPlan) tasksToPlace(job *Job) int {
 	placed := job.IsGang() && len(job.tasks) > 0
 	if job.isArray() || placed || p.now.Before(job.notBefore) {
@@ -39,58 +41,58 @@
 	return n + job.replacementsNeeded()
 }
 
-// packJob packs n tasks of a gang or service, provisions machines for those
-// that fit nowhere, and returns the bins with those added.
+// packJob packs n tasks of a gang or service, opens bins for the tasks that fit in
+// no existing one, and returns the bins with the opened ones appended.
 func (p *demandPlan) packJob(job *Job, n int, bins []*bin) []*bin {
 	packing := &jobPacking{plan: p, job: job, tasks: n, bins: bins}
 	zone := ""
 	if job.Spec.SameZone {
-		zone = packing.zoneMissingFewest()
+		zone = packing.zoneWithFewestUnplaced()
 	}
 	packing.pack(zone, commit)
 	return packing.bins
 }
 
-// jobPacking is the packing of one gang or service.
+// jobPacking packs the tasks of one gang or service.
 type jobPacking struct {
 	plan  *demandPlan
 	job   *Job
-	tasks int    // to be packed
-	bins  []*bin // that may have room
+	tasks int    // to pack
+	bins  []*bin // candidates
 }
 
-// packMode says whether a packing is to be kept.
+// packMode selects whether pack applies its result to the plan.
 type packMode int
 
 const (
-	tryOnly packMode = iota
-	commit           // machines are provisioned and marked as needed
+	dryRun packMode = iota
+	commit          // opens bins, reduces free resources and marks machines as needed
 )
 
-// zoneMissingFewest returns the allowed zone in which the fewest tasks of the
-// job find no room, "" if there is none. Zones that lack room count only if
-// more can be had there.
-func (p *jobPacking) zoneMissingFewest() string {
-	zone, fewestMissing := "", p.tasks+1
+// zoneWithFewestUnplaced returns the allowed zone in which the fewest tasks of the
+// job remain unplaced, or "" if no zone qualifies. A zone in which tasks remain
+// unplaced qualifies only if machines for them can be provisioned there.
+func (p *jobPacking) zoneWithFewestUnplaced() string {
+	zone, fewestUnplaced := "", p.tasks+1
 	for _, candidate := range p.plan.platform.Zones {
 		if p.job.Spec.Zone != "" && p.job.Spec.Zone != candidate {
 			continue
 		}
-		if !p.job.zoneAllowed(candidate, p.job.stayingTasksByZone()) {
+		if !p.job.zoneAllowed(candidate, p.job.remainingTasksByZone()) {
 			continue
 		}
-		missing := p.pack(candidate, tryOnly)
-		if missing < fewestMissing && (missing == 0 || p.plan.hasOfferInZone(p.job, candidate)) {
-			zone, fewestMissing = candidate, missing
+		unplaced := p.pack(candidate, dryRun)
+		if unplaced < fewestUnplaced && (unplaced == 0 || p.plan.hasOfferInZone(p.job, candidate)) {
+			zone, fewestUnplaced = candidate, unplaced
 		}
 	}
 	return zone
 }
 
-// pack finds a place for each task, in one zone unless that is "", and returns
-// how many find none.
-func (p *jobPacking) pack(zone string, mode packMode) (missing int) {
-	inZone := p.job.stayingTasksByZone()
+// pack assigns each task to a bin and returns the number of tasks that fit in none.
+// A zone other than "" restricts the bins.
+func (p *jobPacking) pack(zone string, mode packMode) (unplaced int) {
+	inZone := p.job.remainingTasksByZone()
 	freeByBin := map[*bin]quota.Resources{}
 	for range p.tasks {
 		best := p.findBin(zone, inZone, freeByBin)
@@ -98,7 +100,7 @@
 			best = p.provisionBin(zone, inZone)
 		}
 		if best == nil {
-			missing++
+			unplaced++
 			continue
 		}
 		inZone[best.kind.zone]++
@@ -110,10 +112,10 @@
 			b.markNeeded()
 		}
 	}
-	return missing
+	return unplaced
 }
 
-// freeIn returns what the tasks packed so far leave in a bin.
+// freeIn returns the free resources of a bin after the tasks packed so far.
 func freeIn(b *bin, freeByBin map[*bin]quota.Resources) quota.Resources {
 	if free, ok := freeByBin[b]; ok {
 		return free
@@ -121,12 +123,13 @@
 	return b.free
 }
 
-// findBin finds the best bin with room for one more task beside those packed
-// so far. Most bins have none at all: that is asked first.
+// findBin returns the bin that the job prefers for one more task in addition to
+// those packed so far, or nil if none fits.
 func (p *jobPacking) findBin(zone string, inZone map[string]int, freeByBin map[*bin]quota.Resources) *bin {
 	job := p.job
 	var best *bin
 	for _, b := range p.bins {
+		// The cheap check comes first: most bins have no free resources at all.
 		if !b.free.Fits(job.need) || !freeIn(b, freeByBin).Fits(job.need) {
 			continue
 		}
@@ -140,8 +143,9 @@
 	return best
 }
 
-// provisionBin provisions a machine for one more task. If the zones of the
-// job's tasks depend on each other, it is in the first allowed zone.
+// provisionBin opens a bin for one more task and returns it, or nil if no offer
+// matches. Without a given zone, a job with zone constraints gets the first zone
+// that they allow.
 func (p *jobPacking) provisionBin(zone string, inZone map[string]int) *bin {
 	if zone == "" && p.job.zoneConstrained() {
 		for _, candidate := range p.plan.platform.Zones {
@@ -158,8 +162,8 @@
 	return b
 }
 
-// prefersBin reports whether one bin is better for the job than another: spot,
-// but for services not spot; then one that is in use already.
+// prefersBin reports whether the job ranks b before other: gangs rank spot before
+// on-demand, services the reverse; then machines that have tasks come first.
 func (j *Job) prefersBin(b, other *bin) bool {
 	if b.kind.spot != other.kind.spot {
 		return b.kind.spot != j.IsService()
--- a/internal/placement/demand_test.go
+++ b/internal/placement/demand_test.go
@@ -11,7 +11,7 @@
 	"juniperchute/internal/wire"
 )
 
-// testOffer is an offer of machines like those of the tests.
+// testOffer returns an offer of machines of the harness's type and capacity.
 func testOffer(spot bool, price, bootSeconds float64) Offer {
 	return Offer{
 		Type: testMachineType, Zone: "a", Spot: spot, Capacity: testCapacity,
@@ -22,19 +22,18 @@
 var replicaDemandCases = []struct {
 	name    string
 	staying int // machines without a preemption notice
-	leaving int // machines with one, and two services' replicas each
+	leaving int // machines with a notice and replicas of two services
 	atLimit bool
-	want    int // machines to be provisioned
+	want    int // machines to provision
 }{
-	{name: "no preemption notice", staying: 2},
-	{name: "there is room elsewhere", staying: 2, leaving: 1},
-	{name: "a wave takes more than there is room for", leaving: 3, want: 3},
-	{name: "the same at the team's limit", leaving: 3, atLimit: true, want: 3},
+	{name: "without a notice nothing is provisioned", staying: 2},
+	{name: "replicas that fit on other machines need no new ones", staying: 2, leaving: 1},
+	{name: "replicas that fit nowhere else get new machines", leaving: 3, want: 3},
+	{name: "a team at its limit gets new machines too", leaving: 3, atLimit: true, want: 3},
 }
 
-// Replicas on machines that the cloud preempts need places by then: machines
-// are provisioned for those that find none, also where their team is at its
-// limit, and for no others.
+// Replicas on machines with a preemption notice get replacement machines if they fit
+// nowhere else, also at their team's limit. No other machines are provisioned.
 func TestReplicasUnderPreemptionNotice(t *testing.T) {
 	for _, c := range replicaDemandCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -54,17 +53,17 @@
 			}
 			h.scheduler.jobs.seenClasses[testClass] = true
 			got := h.scheduler.ProvisioningDemand(h.now, []Offer{testOffer(false, 3, 25)}, []int{0})
-			// beside them, room for one more service is kept on two machines
+			// The service reserve may add machines.
 			reserve := max(0, tuning.ReserveMachines-c.staying-replicas+c.leaving)
 			if got[0] < c.want || got[0] > c.want+reserve {
-				t.Errorf("%d machines to be provisioned, want %d and a reserve of %d at most", got[0], c.want, reserve)
+				t.Errorf("%d machines to provision, want %d and a reserve of at most %d", got[0], c.want, reserve)
 			}
 		})
 	}
 }
 
-// addLargeServices starts two services with a replica on each machine: the two
-// replicas on a machine leave no memory for a third.
+// addLargeServices starts two services with a replica on each machine. The memory of a
+// machine fits no third replica.
 func (h *testHarness) addLargeServices(replicas int, withGPU bool) {
 	for range 2 {
 		job := h.addJob("blue", wire.ShapeService, "critical", replicas, 0)
@@ -82,28 +81,31 @@
 var serviceReserveCases = []struct {
 	name           string
 	machines       int
-	spot           bool // the machines are
+	spot           bool // whether the machines are spot
 	services       int
-	startObjective string // a class that should start within 4 s
+	startObjective string // class with a start objective of 4 s
 	bootSeconds    float64
 	wantSpot       int
 	wantOnDemand   int
 }{
-	{name: "no service", machines: 2, bootSeconds: 25},
-	{name: "there is room on two", machines: 2, services: 1, bootSeconds: 25},
-	{name: "on one machine only, and that is full", machines: 1, services: 1, bootSeconds: 25, wantOnDemand: 2},
-	{name: "only spot machines", machines: 3, spot: true, services: 1, bootSeconds: 25, wantOnDemand: 2},
+	{name: "without a service nothing is reserved", machines: 2, bootSeconds: 25},
+	{name: "two machines with capacity suffice", machines: 2, services: 1, bootSeconds: 25},
+	{name: "one full machine needs two more", machines: 1, services: 1, bootSeconds: 25, wantOnDemand: 2},
+	{name: "spot machines are no reserve", machines: 3, spot: true, services: 1, bootSeconds: 25, wantOnDemand: 2},
 	{
-		name:     "a class to start within four seconds of which no job has come",
+		name:     "an unseen class with a start objective gets one machine",
 		machines: 3, spot: true, startObjective: "portal", bootSeconds: 25,
 		wantOnDemand: 1,
 	},
-	{name: "the same where machines boot in ten", machines: 3, spot: true, startObjective: "portal", bootSeconds: 10},
-	{name: "one whose jobs have come", machines: 3, spot: true, startObjective: testClass, bootSeconds: 25},
+	{
+		name:     "an unseen class gets none if machines boot fast",
+		machines: 3, spot: true, startObjective: "portal", bootSeconds: 10,
+	},
+	{name: "a class seen before gets none", machines: 3, spot: true, startObjective: testClass, bootSeconds: 25},
 }
 
-// Room for the next service, or for the replicas of a lost machine, is there
-// before it is needed, on two machines that are not spot, and no more than that.
+// Two on-demand machines, and no more, are reserved for the next service or for the replicas
+// of a lost machine.
 func TestServiceReserve(t *testing.T) {
 	for _, c := range serviceReserveCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -111,7 +113,7 @@
 			for _, machine := range h.registry.All() {
 				machine.Spot = c.spot
 			}
-			h.addJob("red", wire.ShapeBatch, "low", 1, 1).closed = true // its class has been seen
+			h.addJob("red", wire.ShapeBatch, "low", 1, 1).closed = true // marks its class as seen
 			h.scheduler.queue.open = nil
 			if c.startObjective != "" {
 				h.scheduler.platform.Objectives = append(h.scheduler.platform.Objectives,
@@ -126,7 +128,7 @@
 			offers := []Offer{testOffer(true, 1, c.bootSeconds), testOffer(false, 3, c.bootSeconds)}
 			got := h.scheduler.ProvisioningDemand(h.now, offers, []int{0, 0})
 			if got[0] != c.wantSpot || got[1] != c.wantOnDemand {
-				t.Errorf("to be provisioned: %d spot, %d on demand, want %d and %d",
+				t.Errorf("%d spot and %d on-demand machines to provision, want %d and %d",
 					got[0], got[1], c.wantSpot, c.wantOnDemand)
 			}
 		})
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -10,7 +10,8 @@
 	"juniperchute/internal/worker"
 )
 
-// gangScheduler places gangs, and dispatches them once there is room for all their tasks.
+// gangScheduler implements gang scheduling: the tasks of a gang are placed, and later
+// dispatched, all together or not at all.
 type gangScheduler struct {
 	*environment
 	pass     *passState
@@ -22,29 +23,30 @@
 	attempts *attemptNumbers
 }
 
-// schedule places all tasks of a pending gang, first fit, or none.
+// schedule places all tasks of a pending gang, or none. It aborts an attempt of a
+// gang that is only partly on machines.
 func (g *gangScheduler) schedule(now time.Time, gang *Job, scope preemptionScope) {
 	if gang.assigned > 0 || gang.aborting {
 		g.abortIfIncomplete(now, gang)
 		return
 	}
-	if len(gang.tasks) > 0 || gang.IsComplete() || !g.mayPlace(now, gang, scope) {
+	if len(gang.tasks) > 0 || gang.IsComplete() || !g.canPlace(now, gang, scope) {
 		return
 	}
-	// before the places are sought: thousands may wait for their start markers
+	// The marker comes before the search: thousands of gangs may wait for theirs.
 	if !g.markers.ensure(now, gang) {
 		return
 	}
 	slots := g.cheapestPlacement(now, gang, scope)
 	if slots == nil {
-		g.recordNoRoom(now, gang)
+		g.recordPlacementFailure(now, gang)
 		return
 	}
 	g.place(now, gang, slots)
 }
 
-// abortIfIncomplete aborts a gang's attempt of which, once all machines are
-// reconciled, not all tasks are on machines.
+// abortIfIncomplete aborts the gang's attempt if all machines are reconciled and
+// some of its remaining tasks are on none.
 func (g *gangScheduler) abortIfIncomplete(now time.Time, gang *Job) {
 	incomplete := gang.assigned < gang.Spec.Tasks-gang.completed.count
 	if g.reconciled && !gang.aborting && incomplete && gang.attempt != 0 {
@@ -52,11 +54,12 @@
 	}
 }
 
-// totalNeed returns what all tasks of a job need together.
+// totalNeed returns the sum of the resource needs of all tasks of the job.
 func (j *Job) totalNeed() quota.Resources { return j.need.Times(float64(j.Spec.Tasks)) }
 
-// mayPlace reports whether places are to be sought for a gang in this pass.
-func (g *gangScheduler) mayPlace(now time.Time, gang *Job, scope preemptionScope) bool {
+// canPlace reports whether this pass searches for a placement of the gang. It checks
+// quota, gangs that block others, the limits per pass, and the capacity index.
+func (g *gangScheduler) canPlace(now time.Time, gang *Job, scope preemptionScope) bool {
 	switch {
 	case scope == guaranteedWork && !g.ledger.WithinGuarantee(gang.Spec.Team, gang.totalNeed()):
 		return false
@@ -67,32 +70,33 @@
 		g.setPendingReason(gang, "an older gang goes first")
 		return false
 	case g.pass.gangsWithoutRoom >= tuning.MaxGangAttempts:
-		return false // so many before it found no room
+		return false // bounds the failed searches per pass
 	case !g.capacity.gangMayFit(now, gang, scope):
 		g.pass.gangsWithoutRoom++
-		g.recordNoRoom(now, gang)
+		g.recordPlacementFailure(now, gang)
 		return false
 	case g.pass.gangsPlaced == tuning.MaxGangsPerPass:
-		g.pass.requestFull() // the next pass goes on
+		g.pass.requestFull() // the next pass continues with this gang
 		return false
 	}
 	return true
 }
 
-// place queues a gang's tasks at their places and preempts what is in their way.
+// place queues the gang's tasks at the machines of the slots and preempts the slots'
+// victims.
 func (g *gangScheduler) place(now time.Time, gang *Job, slots []gangSlot) {
 	g.pass.gangsPlaced++
 	g.Counters.GangsPlaced++
 	gang.pendingReason = ""
-	atOnce := g.mustPreemptAtOnce(now, gang, slots)
+	immediately := g.mustPreemptImmediately(now, gang, slots)
 	for index, slot := range slots {
 		g.queues.queuePrimary(now, gang.addTask(index), slot.machine)
 		for _, victim := range slot.victims {
 			if !victim.phase.stoppable() {
-				continue // its gang has been stopped as a whole
+				continue // stopped together with its gang
 			}
 			g.Counters.Preempted++
-			if atOnce && !victim.Job.IsGang() {
+			if immediately && !victim.Job.IsGang() {
 				g.tasks.stop(now, victim, 0, "preempted at once for "+gang.Spec.ID)
 			} else {
 				g.tasks.preempt(now, victim, "preempted for "+gang.Spec.ID)
@@ -102,10 +106,10 @@
 	gang.nextIndex, gang.returnedTasks = gang.Spec.Tasks, nil
 }
 
-// mustPreemptAtOnce reports whether a gang placed now meets an objective of
-// its class only if the work in its way does not save first. Such work loses
-// its progress since its last checkpoint, about as much as saving takes.
-func (g *gangScheduler) mustPreemptAtOnce(now time.Time, gang *Job, slots []gangSlot) bool {
+// mustPreemptImmediately reports whether the gang meets a start objective of its
+// class only if the victims stop without saving a checkpoint. Victims lose their
+// progress since the last checkpoint, which costs about as much as saving one.
+func (g *gangScheduler) mustPreemptImmediately(now time.Time, gang *Job, slots []gangSlot) bool {
 	fetch, save := 0.0, 0.0
 	for _, slot := range slots {
 		fetch = max(fetch, gang.imageFetchTime(slot.machine))
@@ -119,17 +123,18 @@
 	})
 }
 
-// isStartObjective reports whether an objective bounds how long jobs of the
-// given job's class wait until they start.
+// isStartObjective reports whether an objective bounds the time from submission to
+// start for the job's class.
 func isStartObjective(objective config.Objective, job *Job) bool {
 	return objective.Kind == objectiveWait && objective.Class == job.Spec.Class
 }
 
-// recordNoRoom notes that a gang found no room. Once it has waited for long,
-// no gang behind it is placed before it: many small ones would take each
-// machine that becomes free, and a large one would never see enough of them.
-// A gang that needs more machines than there are blocks nobody.
-func (g *gangScheduler) recordNoRoom(now time.Time, gang *Job) {
+// recordPlacementFailure sets the gang's pending reason. A gang that has waited
+// longer than tuning.GangPatience becomes the blocking gang: other gangs are not
+// placed before it, because small gangs would otherwise take every machine that
+// becomes free and starve a large one. A gang that exceeds the capacity of all
+// machines never blocks others.
+func (g *gangScheduler) recordPlacementFailure(now time.Time, gang *Job) {
 	g.setPendingReason(gang, "no room for all tasks")
 	if g.pass.blockingGang != nil || now.Sub(gang.KnownSince) <= tuning.GangPatience {
 		return
@@ -145,12 +150,13 @@
 	}
 }
 
-// dispatch dispatches a placed gang once there is room for all its tasks.
+// dispatch assigns all tasks of a placed gang, under one new attempt, once each fits
+// on its machine and the team's limit admits them.
 func (g *gangScheduler) dispatch(now time.Time, gang *Job) {
 	if len(gang.tasks) != gang.Spec.Tasks || gang.assigned > 0 || gang.aborting {
 		return
 	}
-	if !g.hasRoom(now, gang) || !g.ledger.AdmitsStart(gang.Spec.Team, gang.totalNeed()) {
+	if !g.allTasksFit(now, gang) || !g.ledger.AdmitsStart(gang.Spec.Team, gang.totalNeed()) {
 		return
 	}
 	gang.attempt = g.attempts.next(gang)
@@ -162,9 +168,9 @@
 	}
 }
 
-// hasRoom reports whether there is room for each task of a placed gang. It
-// preempts backups on the first machine that has too little.
-func (g *gangScheduler) hasRoom(now time.Time, gang *Job) bool {
+// allTasksFit reports whether each task of a placed gang fits the free resources of
+// its machine. It preempts backups on the first machine where one does not.
+func (g *gangScheduler) allTasksFit(now time.Time, gang *Job) bool {
 	freeByMachine := map[*worker.Machine]quota.Resources{}
 	for index := range gang.Spec.Tasks {
 		task := gang.tasks[index]
--- a/internal/placement/gang_placement.go
+++ b/internal/placement/gang_placement.go
@@ -10,29 +10,29 @@
 	"juniperchute/internal/worker"
 )
 
-// Kinds of objectives in the platform's configuration.
+// Kinds of service-level objectives in the platform's configuration.
 const (
 	objectiveWait     = "wait"     // from submission to start
 	objectiveFinished = "finished" // from submission to completion
 )
 
-// gangSlot is a place for one task of a gang, and what it costs.
+// gangSlot is a possible placement of one task of a gang.
 type gangSlot struct {
 	machine *worker.Machine
-	cost    float64 // in machine-seconds of work given up for it
-	victims []*Task // to be preempted for it
+	cost    float64 // machine-seconds of lost work, including penalties
+	victims []*Task // tasks to preempt for it
 }
 
-// gangCandidate is a machine that may have places for a gang's tasks. Its cost
-// is a lower bound until it is known what has to be preempted there.
+// gangCandidate is a machine that may have slots for a gang's tasks. Its cost is a
+// lower bound until its victims are selected.
 type gangCandidate struct {
 	gangSlot
-	free  quota.Resources // once the victims have ended
-	exact bool            // the cost is exact, as nothing has to be preempted for a first task
+	free      quota.Resources // once the victims have exited
+	costExact bool            // the first task fits without preemption, so the cost is final
 }
 
-// cheapestPlacement finds a place for each task of a gang. If they have to
-// share a zone, it is the one that costs least. It returns nil if there is none.
+// cheapestPlacement returns a slot for each task of a gang, or nil if there is no
+// placement. For gangs that must share a zone it picks the zone of the lowest cost.
 func (g *gangScheduler) cheapestPlacement(now time.Time, gang *Job, scope preemptionScope) []gangSlot {
 	zones := []string{""}
 	if gang.Spec.SameZone {
@@ -53,18 +53,18 @@
 	return best
 }
 
-// findPlacement finds a place for each task of a gang on the cheapest
-// machines, in one zone unless that is "". It returns nil if there is none.
+// findPlacement returns a slot for each task of a gang on the cheapest machines, or
+// nil if there is no placement. A zone other than "" restricts the machines.
 func (g *gangScheduler) findPlacement(now time.Time, gang *Job, zone string, scope preemptionScope) []gangSlot {
 	class := gang.equivalenceClass(scope)
-	candidates := g.candidates(gang, zone, g.capacity.slotsByClass[class].byMachine)
-	return fillGangSlots(gang, g.evaluate(now, gang, class, candidates))
+	candidates := g.listCandidates(gang, zone, g.capacity.slotsByClass[class].byMachine)
+	return fillGangSlots(gang, g.evaluateCandidates(now, gang, class, candidates))
 }
 
-// candidates lists the machines that may have places for a gang's tasks,
-// the cheapest first. The places by machine are those counted when the gang
-// was found to fit.
-func (g *gangScheduler) candidates(
+// listCandidates returns the machines that may have slots for a gang's tasks, in
+// ascending order of the lower bound of their cost. slotsByMachine holds the counts
+// of the capacity index for the gang's equivalence class.
+func (g *gangScheduler) listCandidates(
 	gang *Job, zone string, slotsByMachine map[*worker.Machine]int,
 ) []*gangCandidate {
 	var candidates []*gangCandidate
@@ -73,7 +73,7 @@
 			continue
 		}
 		c := &gangCandidate{gangSlot: gangSlot{machine: machine}, free: machine.AvailableToPrimary()}
-		if c.exact = c.free.Fits(gang.need); !c.exact {
+		if c.costExact = c.free.Fits(gang.need); !c.costExact {
 			c.cost = tuning.ScorePreempt
 		}
 		if _, ok := machine.Images[gang.Spec.Image]; !ok {
@@ -88,44 +88,44 @@
 	return candidates
 }
 
-// evaluate works out what has to be preempted on the candidates, for
-// only as many of them as a gang needs, and returns those by their exact cost.
-// A gang that is spread across zones may need any of them.
-func (g *gangScheduler) evaluate(
+// evaluateCandidates selects the victims on the candidates and returns those that fit
+// a task, in ascending order of exact cost. It stops once the cheapest ones hold the
+// whole gang, except for a gang that is spread across zones, which may need any.
+func (g *gangScheduler) evaluateCandidates(
 	now time.Time, gang *Job, class equivalenceClass, candidates []*gangCandidate,
 ) []*gangCandidate {
 	var evaluated []*gangCandidate
 	for _, c := range candidates {
-		if !gang.Spec.SpreadAcrossZones && enoughSlots(gang, evaluated, c.cost) {
+		if !gang.Spec.SpreadAcrossZones && haveEnoughSlots(gang, evaluated, c.cost) {
 			break
 		}
-		if !c.exact {
+		if !c.costExact {
 			selected := g.rules.selectVictims(now, class, g.capacity.info(c.machine), c.free)
 			c.victims, c.free = selected.tasks, selected.free
 			c.cost += selected.cost
 		}
 		if c.free.Fits(gang.need) {
-			evaluated = slices.Insert(evaluated, positionAfter(evaluated, c.cost), c)
+			evaluated = slices.Insert(evaluated, insertionIndex(evaluated, c.cost), c)
 		}
 	}
 	return evaluated
 }
 
-// positionAfter returns where a candidate of the given cost belongs in a
-// sorted list: after those that cost as much.
-func positionAfter(candidates []*gangCandidate, cost float64) int {
-	position, _ := slices.BinarySearchFunc(candidates, cost, func(other *gangCandidate, cost float64) int {
+// insertionIndex returns the index at which a candidate of the given cost keeps the
+// list sorted by cost, after candidates of equal cost.
+func insertionIndex(candidates []*gangCandidate, cost float64) int {
+	index, _ := slices.BinarySearchFunc(candidates, cost, func(other *gangCandidate, cost float64) int {
 		if other.cost <= cost {
 			return -1
 		}
 		return 1
 	})
-	return position
+	return index
 }
 
-// enoughSlots reports whether the candidates that cost no more than the given
-// cost have places for a whole gang.
-func enoughSlots(gang *Job, candidates []*gangCandidate, cost float64) bool {
+// haveEnoughSlots reports whether the candidates that cost at most the given cost hold
+// the whole gang. The candidates are sorted by cost.
+func haveEnoughSlots(gang *Job, candidates []*gangCandidate, cost float64) bool {
 	slots := 0
 	for _, c := range candidates {
 		if slots >= gang.Spec.Tasks || c.cost > cost {
@@ -136,8 +136,8 @@
 	return slots >= gang.Spec.Tasks
 }
 
-// fillGangSlots fills the candidates, in their order, with a gang's tasks. It
-// returns nil if they don't all fit.
+// fillGangSlots assigns the gang's tasks to the candidates in order, first fit, within
+// the gang's zone constraints. It returns nil if not all tasks fit.
 func fillGangSlots(gang *Job, candidates []*gangCandidate) []gangSlot {
 	var slots []gangSlot
 	inZone := map[string]int{}
@@ -146,7 +146,7 @@
 			c.free = c.free.Sub(gang.need)
 			inZone[c.machine.Zone]++
 			slots = append(slots, c.gangSlot)
-			c.victims, c.cost = nil, 0 // the first task bears the cost of all
+			c.victims, c.cost = nil, 0 // the first slot carries the whole cost of the machine
 		}
 	}
 	if len(slots) < gang.Spec.Tasks {
@@ -155,8 +155,8 @@
 	return slots
 }
 
-// imageFetchTime estimates how many seconds a machine takes to fetch the job's
-// image, 0 if it has it or its speed is not known.
+// imageFetchTime estimates the time in seconds for a machine to pull the job's image.
+// It returns 0 if the image is cached or the machine's pull rate is unknown.
 func (j *Job) imageFetchTime(machine *worker.Machine) float64 {
 	if _, ok := machine.Images[j.Spec.Image]; ok || machine.ImagePullGBPerS <= 0 {
 		return 0
@@ -164,8 +164,8 @@
 	return j.Spec.ImageGb / machine.ImagePullGBPerS
 }
 
-// imageFetchCost returns what it costs a gang that a machine does not have its
-// image: less if it can be fetched within a start objective of the gang's class.
+// imageFetchCost returns the penalty for a machine without the gang's image. It is
+// lower if the image can be pulled within a start objective of the gang's class.
 func (g *gangScheduler) imageFetchCost(gang *Job, machine *worker.Machine) float64 {
 	start := gang.imageFetchTime(machine)*tuning.ImagePullSlack + g.platform.Workers.HeartbeatS
 	for _, objective := range g.platform.Objectives {
--- a/internal/placement/gang_slots.go
+++ b/internal/placement/gang_slots.go
@@ -11,19 +11,20 @@
 	"juniperchute/internal/worker"
 )
 
-// maxTasksPerMachine bounds how many tasks that need nothing are counted into a machine.
+// maxTasksPerMachine bounds the slots counted for tasks that need no resources.
 const maxTasksPerMachine = wire.MaxTasksPerJob
 
-// preemptionScope says for which part of a team's work a place is sought.
+// preemptionScope selects whether a placement has to stay within the team's quota
+// guarantee. Only such a placement may preempt other teams' work for being over theirs.
 type preemptionScope bool
 
 const (
 	anyWork        preemptionScope = false
-	guaranteedWork preemptionScope = true // what stays within the team's guarantee
+	guaranteedWork preemptionScope = true // within the team's guarantee
 )
 
-// equivalenceClass is all that decides where a gang's tasks could be placed,
-// except for images and past failures. Gangs of a class share their counts.
+// equivalenceClass holds everything that determines the feasible machines of a task,
+// except for images and past failures. Gangs of a class share slot counts.
 type equivalenceClass struct {
 	need         quota.Resources
 	machineTypes string // allowed types, separated by spaces; "*" for any
@@ -34,7 +35,7 @@
 	scope        preemptionScope
 }
 
-// anyMachineType stands for all types in an equivalence class.
+// anyMachineType is the value of machineTypes that allows every type.
 const anyMachineType = "*"
 
 func (j *Job) equivalenceClass(scope preemptionScope) equivalenceClass {
@@ -53,7 +54,7 @@
 	return class
 }
 
-// allows reports whether the constraints of the class admit a machine.
+// allows reports whether a machine satisfies the constraints of the class.
 func (c *equivalenceClass) allows(machine *worker.Machine) bool {
 	if machine.Spot && !c.spot || c.zone != "" && c.zone != machine.Zone {
 		return false
@@ -61,8 +62,8 @@
 	return c.machineTypes == anyMachineType || slices.Contains(strings.Fields(c.machineTypes), machine.Type)
 }
 
-// slotCounts is how many tasks of a class could be placed on each machine,
-// other work giving way where it has to.
+// slotCounts counts the feasible slots of an equivalence class, including those that
+// require preemption. byZone and total are sums over byMachine.
 type slotCounts struct {
 	byMachine map[*worker.Machine]int
 	byZone    map[string]int
@@ -87,8 +88,9 @@
 	}
 }
 
-// holds reports whether there are places for all tasks of a gang, in one zone if it has to be.
-func (c *slotCounts) holds(gang *Job) bool {
+// fitsGang reports whether the slots suffice for all tasks of a gang, in a single zone
+// if the gang requires one.
+func (c *slotCounts) fitsGang(gang *Job) bool {
 	if !gang.Spec.SameZone {
 		return c.total >= gang.Spec.Tasks
 	}
@@ -100,8 +102,8 @@
 	return false
 }
 
-// feasibleSlots returns how many tasks of a class a machine could take if all
-// that may be preempted is; never fewer than there turn out to be.
+// feasibleSlots returns the number of tasks of a class that fit on a machine if all
+// preemptible work there is preempted. It never underestimates.
 func (c *capacityIndex) feasibleSlots(now time.Time, class equivalenceClass, machine *worker.Machine) int {
 	if !machine.Schedulable() || !class.allows(machine) {
 		return 0
@@ -117,8 +119,9 @@
 	return free.FitCount(class.need, maxTasksPerMachine)
 }
 
-// gangMayFit reports whether there could be a place for each task of a gang.
-// There may turn out to be none, as past failures are not considered.
+// gangMayFit reports whether the feasible slots suffice for a gang. It counts the slots
+// of an equivalence class on first use. The check is optimistic, because it ignores
+// past failures.
 func (c *capacityIndex) gangMayFit(now time.Time, gang *Job, scope preemptionScope) bool {
 	class := gang.equivalenceClass(scope)
 	slots := c.slotsByClass[class]
@@ -132,5 +135,5 @@
 		}
 		c.slotsByClass[class] = slots
 	}
-	return slots.holds(gang)
+	return slots.fitsGang(gang)
 }
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -8,25 +8,25 @@
 	"juniperchute/internal/quota"
 )
 
-// preemptionRules tell which work may be preempted for which.
+// preemptionRules decides which tasks may be preempted for which work.
 type preemptionRules struct{ *environment }
 
-// allow reports whether a task may be preempted for work of a class:
-// work of lower priority, or of a team over its guarantee for a team within
-// its own.
+// allow reports whether a task may be preempted for work of a class. Work of higher
+// priority preempts lower, and work within its team's guarantee preempts work of
+// teams over theirs. Starving work is not preempted for its priority.
 func (r preemptionRules) allow(now time.Time, task *Task, class equivalenceClass) bool {
 	victim := task.Job
 	if task.isBackup || victim.closed {
-		return false // its room counts as free already, or is about to be
+		return false // its resources already count as free, or are about to be released
 	}
 	if victim.Spec.Team != class.team {
 		overGuarantee := r.ledger.OverGuarantee(victim.Spec.Team)
 		if class.scope == guaranteedWork && overGuarantee {
 			return true
 		}
-		// A team within its guarantee keeps it against other teams' work over
-		// theirs, whatever its priority: otherwise the two would preempt each
-		// other in turn for ever, one by priority and one by its guarantee.
+		// Work outside its team's guarantee never preempts a team within its
+		// own, whatever the priorities: otherwise the two would preempt each
+		// other in a cycle, one by priority and the other by guarantee.
 		if class.scope != guaranteedWork && !overGuarantee {
 			return false
 		}
@@ -34,15 +34,16 @@
 	return victim.priority < class.priority && !victim.starving(now)
 }
 
-// victims are tasks on one machine to be preempted for others.
+// victims holds the tasks selected for preemption on one machine.
 type victims struct {
 	tasks []*Task
-	free  quota.Resources // the machine's room once they have ended
-	cost  float64         // of the work that is lost, in machine-seconds
+	free  quota.Resources // free resources of the machine once the tasks have exited
+	cost  float64         // lost work in machine-seconds
 }
 
-// selectVictims chooses tasks to preempt on a machine until a task of a class
-// fits beside what is free already, or none is left; those that lose least go first.
+// selectVictims selects tasks on a machine, in ascending order of preemption cost,
+// until a task of the class fits in their resources plus free. If it never fits, the
+// result holds all preemptible tasks: the caller has to check the result's free field.
 func (r preemptionRules) selectVictims(
 	now time.Time, class equivalenceClass, info *machineInfo, free quota.Resources,
 ) victims {
@@ -53,7 +54,9 @@
 		}
 	}
 	sortByPreemptionCost(now, candidates)
-	var selected []*Task // not in the result yet: a short slice then stays off the heap while it grows
+	// A local slice, not a field of the result, so that small results avoid heap
+	// allocations while it grows.
+	var selected []*Task
 	cost := 0.0
 	for _, task := range candidates {
 		if free.Fits(class.need) {
@@ -66,14 +69,15 @@
 	return victims{tasks: selected, free: free, cost: cost}
 }
 
-// sortByPreemptionCost sorts tasks by what preempting them loses, the least first.
+// sortByPreemptionCost sorts tasks in ascending order of preemption cost.
 func sortByPreemptionCost(now time.Time, tasks []*Task) {
 	slices.SortFunc(tasks, func(a, b *Task) int {
 		return cmp.Compare(a.preemptionCost(now), b.preemptionCost(now))
 	})
 }
 
-// preemptionCost returns the work, in machine-seconds, that preempting the task loses.
+// preemptionCost returns the work lost by preempting the task, in machine-seconds: the
+// time to save a checkpoint, or the time since dispatch for tasks that save none.
 func (t *Task) preemptionCost(now time.Time) float64 {
 	lost := now.Sub(t.dispatchedAt).Seconds()
 	if t.Job.savesCheckpoints() {
--- a/internal/placement/preemption_test.go
+++ b/internal/placement/preemption_test.go
@@ -8,8 +8,8 @@
 
 var preemptionCases = []struct {
 	name           string
-	team, priority string // of what runs on both of two machines
-	tasks          int    // of it; 0: as many as fit
+	team, priority string // of the array that runs on both machines
+	tasks          int    // of the array; 0: as many as fit
 	gangTeam       string
 	gangPriority   string
 	preempted      bool
@@ -20,25 +20,26 @@
 		preempted: true,
 	},
 	{
-		name: "the same priority is not",
+		name: "equal priority is not preempted",
 		team: "blue", priority: "normal", gangTeam: "blue", gangPriority: "normal",
 	},
 	{
-		name: "higher priority is not",
+		name: "higher priority is not preempted",
 		team: "blue", priority: "high", gangTeam: "blue", gangPriority: "normal",
 	},
 	{
-		name: "a guarantee is kept against a higher priority over its own",
+		name: "a team within its guarantee is not preempted for higher priority over a guarantee",
 		team: "red", priority: "low", tasks: 2, gangTeam: "blue", gangPriority: "critical",
 	},
 	{
-		name: "a team over its guarantee is preempted for a guarantee",
+		name: "a team over its guarantee is preempted for work within a guarantee",
 		team: "blue", priority: "high", gangTeam: "red", gangPriority: "low",
 		preempted: true,
 	},
 }
 
-// What may be preempted for a gang, by the protocol's rules on preemption.
+// A gang preempts exactly the work that the protocol's rules allow, by priority and
+// guarantee.
 func TestPreemption(t *testing.T) {
 	for _, c := range preemptionCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -63,16 +64,16 @@
 	}
 }
 
-// checkStartsOnceFree checks that a placed gang of one task starts when the two
-// tasks in its way have exited, and not before.
+// checkStartsOnceFree checks that a placed gang of one task starts once the two preempted
+// tasks have exited, and not before.
 func (h *testHarness) checkStartsOnceFree(gang *Job) {
 	h.t.Helper()
 	machine := gang.tasks[0].primary
 	if got := describe(h.heartbeat(machine)); gang.assigned != 0 || len(h.assigned(machine)) != 2 {
-		h.t.Fatalf("started beside what it preempts: %s", got)
+		h.t.Fatalf("gang started before the preempted tasks exited: %s", got)
 	}
 	statuses := exitedAll(h.assigned(machine), wire.ExitStopped)
 	if got := describe(h.heartbeat(machine, statuses...)); gang.assigned != 1 {
-		h.t.Errorf("did not start once the room was free: %s", got)
+		h.t.Errorf("gang did not start after the preempted tasks exited: %s", got)
 	}
 }
--- a/internal/placement/reconciler.go
+++ b/internal/placement/reconciler.go
@@ -9,7 +9,7 @@
 	"juniperchute/internal/worker"
 )
 
-// reconciler acts on what machines report.
+// reconciler reconciles the scheduler's state with the tasks that machines report.
 type reconciler struct {
 	*environment
 	capacity *capacityIndex
@@ -19,15 +19,17 @@
 	failures *failureTracker
 }
 
-// releasePreviousIncarnation gives up what an earlier incarnation of a machine's worker had.
+// releasePreviousIncarnation releases the tasks of the previous incarnation of a
+// machine's worker, and forgets its direct commands and cached images.
 func (r *reconciler) releasePreviousIncarnation(now time.Time, info *machineInfo) {
 	r.tasks.releaseMachine(now, info.machine, "worker has a new incarnation")
-	info.directAttempts = nil // commands to an earlier incarnation are void
+	info.directAttempts = nil // commands to the previous incarnation are never executed
 	info.machine.Images = map[string]time.Time{}
 }
 
-// apply brings the scheduler up to date with a report.
-func (r *reconciler) applyStatus(now time.Time, info *machineInfo, from statusUpdate) {
+// applyStatus reconciles the tasks assigned to a machine, then the tasks that the
+// machine reports.
+func (r *reconciler) applyStatus(now time.Time, info *machineInfo, update statusUpdate) {
 	machine := info.machine
 	reported := make(map[string]*wire.TaskStatus, len(machine.Tasks))
 	for i := range machine.Tasks {
@@ -35,20 +37,21 @@
 		reported[status.Name] = status
 	}
 	for _, task := range slices.Clone(info.assigned) {
-		if task.machine == machine { // an earlier one may have taken its whole gang along
-			r.applyAssigned(now, task, reported[task.Name()], from)
+		if task.machine == machine { // an earlier iteration may have released its whole gang
+			r.applyAssigned(now, task, reported[task.Name()], update)
 		}
 	}
 	r.applyReported(now, machine)
 }
 
-// applyAssigned acts on what a report shows of an assigned task.
-func (r *reconciler) applyAssigned(now time.Time, task *Task, reported *wire.TaskStatus, from statusUpdate) {
-	switch reconcileAssigned(task, reported, from) {
+// applyAssigned reconciles a task assigned to the machine with its reported status, nil
+// if the machine does not report it.
+func (r *reconciler) applyAssigned(now time.Time, task *Task, reported *wire.TaskStatus, update statusUpdate) {
+	switch reconcileAssigned(task, reported, update) {
 	case assignedInFlight:
 	case assignedPresent:
 		task.reported = true
-		r.recordStage(now, task, reported)
+		r.recordReportedState(now, task, reported)
 	case assignedExited:
 		task.reported = true
 		r.handleExit(now, task, reported)
@@ -59,8 +62,9 @@
 	}
 }
 
-// recordStage records the state of a task that has not exited.
-func (r *reconciler) recordStage(now time.Time, task *Task, reported *wire.TaskStatus) {
+// recordReportedState records the reported state of a task that has not exited. The
+// first report makes a dispatched task active.
+func (r *reconciler) recordReportedState(now time.Time, task *Task, reported *wire.TaskStatus) {
 	machine := task.machine
 	if reported.State != wire.TaskFetching {
 		machine.Images[task.Job.Spec.Image] = now
@@ -69,8 +73,8 @@
 		task.runningSince = now
 	}
 	if task.stage != reported.State {
-		r.log.Debug("task stage changed", "task", reported.Name, "attempt", reported.Attempt,
-			"worker", machine.Host, "stage", reported.State)
+		r.log.Debug("task state changed", "task", reported.Name, "attempt", reported.Attempt,
+			"worker", machine.Host, "to", reported.State)
 	}
 	task.stage = reported.State
 	task.Job.recordHealthyRun(now, task)
@@ -79,7 +83,7 @@
 	}
 }
 
-// handleExit acts on a task's exit.
+// handleExit completes or releases an exited task, depending on its exit reason.
 func (r *reconciler) handleExit(now time.Time, task *Task, reported *wire.TaskStatus) {
 	job, machine := task.Job, task.machine
 	r.log.Debug("task exited", "task", reported.Name, "attempt", reported.Attempt, "worker", machine.Host,
@@ -106,34 +110,35 @@
 	}
 }
 
-// applyReported acts on the tasks that a machine reports and that are not
-// assigned to it: those that an earlier term started, and the remains of closed jobs.
+// applyReported handles reported tasks that are not assigned to the machine, such as
+// tasks started by an earlier term and tasks of closed jobs.
 func (r *reconciler) applyReported(now time.Time, machine *worker.Machine) {
 	machine.HasUnknownTasks = false
 	for i := range machine.Tasks {
 		reported := &machine.Tasks[i]
 		job, index := r.jobs.ofTask(reported.Name)
-		finding := reconcileReported(job, index, machine, reported)
-		switch finding {
-		case reportedExpected, reportedOver:
+		state := reconcileReported(job, index, machine, reported)
+		switch state {
+		case reportedExpected, reportedFinished:
 		case reportedCompleted:
 			r.recordEarlierCompletion(now, job, index)
 		case reportedAdoptable:
 			r.adopt(now, job, index, machine, reported)
-		case reportedStray, reportedUnknown:
-			// commandsForReported has it stopped
+		case reportedObsolete, reportedUnknownJob:
+			// commandBuilder.forReported stops the task.
 			r.log.Info("unexpected task reported", "task", reported.Name, "attempt", reported.Attempt,
 				"worker", machine.Host)
-			machine.HasUnknownTasks = machine.HasUnknownTasks || finding == reportedUnknown
+			machine.HasUnknownTasks = machine.HasUnknownTasks || state == reportedUnknownJob
 		}
 	}
 }
 
-// recordEarlierCompletion records a completion that an earlier term did not.
+// recordEarlierCompletion records a completion that no earlier term recorded. If a
+// second copy is on a machine, it stops that copy.
 func (r *reconciler) recordEarlierCompletion(now time.Time, job *Job, index int) {
 	task := job.tasks[index]
 	if task != nil && task.phase.onMachine() {
-		// a second copy of the completed task: it ends as a stray
+		// The second copy counts as obsolete from now on.
 		r.tasks.stop(now, task, 0, "completed elsewhere")
 		r.tasks.markCompleted(now, job, index)
 		return
@@ -147,7 +152,8 @@
 	}
 }
 
-// adopt takes over a task that an earlier term started.
+// adopt assigns a task that an earlier term started to the machine that runs it. Tasks
+// of one gang with different attempts abort the gang.
 func (r *reconciler) adopt(now time.Time, job *Job, index int, machine *worker.Machine, reported *wire.TaskStatus) {
 	task := job.tasks[index]
 	if task == nil {
@@ -156,7 +162,7 @@
 	r.queues.withdrawCopies(task)
 	r.tasks.dispatch(now, task, assignment{machine: machine, attempt: reported.Attempt}, "adopted")
 	task.commandSent, task.reported = true, true
-	r.recordStage(now, task, reported)
+	r.recordReportedState(now, task, reported)
 	if !job.IsGang() {
 		return
 	}
--- a/internal/placement/reconciliation.go
+++ b/internal/placement/reconciliation.go
@@ -5,31 +5,33 @@
 	"juniperchute/internal/worker"
 )
 
-// report is what a machine has reported, and the message in which it did.
+// statusUpdate identifies a machine with a new status and the kind of message that
+// carried the status.
 type statusUpdate struct {
 	machine *worker.Machine
 	source  worker.StatusSource
 }
 
-// assignedFinding is what a report shows of a task that is assigned to the machine.
-type assignedFinding int
+// assignedState classifies a task that is assigned to a machine, by the machine's
+// newest status.
+type assignedState int
 
 const (
-	// assignedInFlight: not reported, but the command to run it may still arrive.
-	assignedInFlight assignedFinding = iota
+	// assignedInFlight: not reported, but the run command may still be executed.
+	assignedInFlight assignedState = iota
 	// assignedPresent: reported, and has not exited.
 	assignedPresent
 	// assignedExited: reported as exited.
 	assignedExited
-	// assignedLost: reported earlier, and not any more.
+	// assignedLost: reported before, and no longer.
 	assignedLost
-	// assignedNeverStarted: was to be stopped, and surely was never started.
+	// assignedNeverStarted: stopping, and its run command can no longer be executed.
 	assignedNeverStarted
 )
 
-// reconcileAssigned compares what is known of a task that is assigned to a
-// machine with what the machine reports under the task's name; nil if nothing.
-func reconcileAssigned(known *Task, reported *wire.TaskStatus, from statusUpdate) assignedFinding {
+// reconcileAssigned compares an assigned task with the status that its machine reports
+// under the task's name, nil if there is none.
+func reconcileAssigned(known *Task, reported *wire.TaskStatus, update statusUpdate) assignedState {
 	if reported != nil && reported.Attempt == known.attempt {
 		if reported.State == wire.TaskExited {
 			return assignedExited
@@ -39,54 +41,56 @@
 	switch {
 	case known.reported:
 		return assignedLost
-	case known.phase == Stopping && !known.mayArrive(from):
+	case known.phase == Stopping && !known.runCommandInFlight(update):
 		return assignedNeverStarted
 	}
 	return assignedInFlight
 }
 
-// mayArrive reports whether the command to run a copy that the machine has
-// never reported may still be executed there: it may be in a direct request
-// that nobody answered, or in the reply to the newest heartbeat. A later
-// heartbeat shows that the worker did not act on that reply.
-func (d *commandDelivery) mayArrive(from statusUpdate) bool {
+// runCommandInFlight reports whether the run command of a copy that was never reported
+// may still be executed. The command is in flight in an unanswered direct request, or
+// in the reply to a heartbeat until a later heartbeat shows that the worker did not
+// execute it.
+func (d *commandDelivery) runCommandInFlight(update statusUpdate) bool {
 	switch {
 	case d.unansweredCommands > 0:
 		return true
 	case !d.commandSent:
 		return false
 	}
-	seenSince := from.source == worker.FromHeartbeat && (d.commandSeq == 0 || from.machine.Sequence > d.commandSeq)
-	return !seenSince
+	ruledOut := update.source == worker.FromHeartbeat &&
+		(d.commandSeq == 0 || update.machine.Sequence > d.commandSeq)
+	return !ruledOut
 }
 
-// reportedFinding is what is known of a task that a machine reports.
-type reportedFinding int
+// reportedState classifies a task that a machine reports, by the scheduler's state.
+type reportedState int
 
 const (
-	// reportedExpected: the attempt that is assigned to the machine.
-	reportedExpected reportedFinding = iota
-	// reportedOver: has exited, and nothing follows from it.
-	reportedOver
-	// reportedCompleted: a completion that is not recorded yet.
+	// reportedExpected: the attempt assigned to the machine.
+	reportedExpected reportedState = iota
+	// reportedFinished: exited, and requires no action.
+	reportedFinished
+	// reportedCompleted: completed, which is not recorded yet.
 	reportedCompleted
-	// reportedAdoptable: runs, as an earlier term started it, while no copy is dispatched.
+	// reportedAdoptable: runs, started by an earlier term, and no copy is dispatched.
 	reportedAdoptable
-	// reportedStray: runs although its job, or another copy, rules that out.
-	reportedStray
-	// reportedUnknown: runs, and belongs to no known job.
-	reportedUnknown
+	// reportedObsolete: runs although its job is closed, the task has completed, or
+	// another copy is assigned.
+	reportedObsolete
+	// reportedUnknownJob: runs, but its job is unknown.
+	reportedUnknownJob
 )
 
-// reconcileReported compares a task that a machine reports with what is known
-// of it: its job, nil if there is none, and its index there.
-func reconcileReported(job *Job, index int, machine *worker.Machine, reported *wire.TaskStatus) reportedFinding {
+// reconcileReported compares a reported task with the scheduler's state of its job, nil
+// if the job is unknown, and of the task with that index.
+func reconcileReported(job *Job, index int, machine *worker.Machine, reported *wire.TaskStatus) reportedState {
 	exited := reported.State == wire.TaskExited
 	if job == nil {
 		if exited {
-			return reportedOver
+			return reportedFinished
 		}
-		return reportedUnknown
+		return reportedUnknownJob
 	}
 	task := job.tasks[index]
 	completed := job.completed.has(index)
@@ -96,9 +100,9 @@
 	case exited && reported.ExitReason == wire.ExitDone && !job.IsService() && !completed:
 		return reportedCompleted
 	case exited:
-		return reportedOver
+		return reportedFinished
 	case !job.closed && !completed && (task == nil || task.phase == Unassigned):
 		return reportedAdoptable
 	}
-	return reportedStray
+	return reportedObsolete
 }
--- a/internal/placement/reconciliation_test.go
+++ b/internal/placement/reconciliation_test.go
@@ -8,23 +8,23 @@
 	"juniperchute/internal/worker"
 )
 
-// reportSequence is the number of the heartbeat in the tests of reconciliation.
-const reportSequence = 5
+// statusSequence is the sequence number of the newest heartbeat in TestReconcileAssigned.
+const statusSequence = 5
 
-// assignedCase is what is known of an assigned task with attempt 1, and what
-// its machine reports of it.
+// assignedCase pairs the scheduler's state of an assigned task, attempt 1, with the
+// status that its machine reports.
 type assignedCase struct {
 	name     string
 	phase    Phase
 	delivery commandDelivery
-	reported *wire.TaskStatus // nil: nothing under the task's name
+	reported *wire.TaskStatus // nil: the machine does not report the task
 	source   worker.StatusSource
-	want     assignedFinding
+	want     assignedState
 }
 
 var assignedCases = []assignedCase{
 	{
-		name:     "it runs",
+		name:     "reported running: present",
 		phase:    Dispatched,
 		delivery: commandDelivery{commandSent: true, commandSeq: 4},
 		reported: &wire.TaskStatus{Attempt: 1, State: wire.TaskRunning},
@@ -32,7 +32,7 @@
 		want:     assignedPresent,
 	},
 	{
-		name:     "it has exited",
+		name:     "reported exited: exited",
 		phase:    Active,
 		delivery: commandDelivery{reported: true, commandSent: true},
 		reported: &wire.TaskStatus{Attempt: 1, State: wire.TaskExited, ExitReason: wire.ExitDone},
@@ -40,14 +40,14 @@
 		want:     assignedExited,
 	},
 	{
-		name:     "it was reported, and is not any more",
+		name:     "no longer reported: lost",
 		phase:    Active,
 		delivery: commandDelivery{reported: true, commandSent: true},
 		source:   worker.FromHeartbeat,
 		want:     assignedLost,
 	},
 	{
-		name:     "another attempt is reported in its place",
+		name:     "another attempt reported instead: lost",
 		phase:    Active,
 		delivery: commandDelivery{reported: true, commandSent: true},
 		reported: &wire.TaskStatus{Attempt: 2, State: wire.TaskRunning},
@@ -55,48 +55,48 @@
 		want:     assignedLost,
 	},
 	{
-		name:     "it is still to start",
+		name:     "dispatched and not reported yet: in flight",
 		phase:    Dispatched,
 		delivery: commandDelivery{commandSent: true, commandSeq: 4},
 		source:   worker.FromHeartbeat,
 		want:     assignedInFlight,
 	},
 	{
-		name:   "stopped before the command to run it was sent",
+		name:   "stopping, run command never sent: never started",
 		phase:  Stopping,
 		source: worker.FromCommandReply,
 		want:   assignedNeverStarted,
 	},
 	{
-		name:     "stopped, and a later heartbeat than the one with the command does not show it",
+		name:     "stopping, missing in a heartbeat after the one whose reply had the command: never started",
 		phase:    Stopping,
-		delivery: commandDelivery{commandSent: true, commandSeq: reportSequence - 1},
+		delivery: commandDelivery{commandSent: true, commandSeq: statusSequence - 1},
 		source:   worker.FromHeartbeat,
 		want:     assignedNeverStarted,
 	},
 	{
-		name:     "stopped, and the command went out in the reply to this heartbeat",
+		name:     "stopping, run command in the reply to this heartbeat: in flight",
 		phase:    Stopping,
-		delivery: commandDelivery{commandSent: true, commandSeq: reportSequence},
+		delivery: commandDelivery{commandSent: true, commandSeq: statusSequence},
 		source:   worker.FromHeartbeat,
 		want:     assignedInFlight,
 	},
 	{
-		name:     "stopped, and only the response to another command does not show it",
+		name:     "stopping, missing only in the reply to another command: in flight",
 		phase:    Stopping,
-		delivery: commandDelivery{commandSent: true, commandSeq: reportSequence - 1},
+		delivery: commandDelivery{commandSent: true, commandSeq: statusSequence - 1},
 		source:   worker.FromCommandReply,
 		want:     assignedInFlight,
 	},
 	{
-		name:     "stopped, and a direct command to run it was not answered",
+		name:     "stopping, direct run command unanswered: in flight",
 		phase:    Stopping,
 		delivery: commandDelivery{commandSent: true, unansweredCommands: 1},
 		source:   worker.FromHeartbeat,
 		want:     assignedInFlight,
 	},
 	{
-		name:     "stopped, and the direct command to run it was settled",
+		name:     "stopping, direct run command settled: never started",
 		phase:    Stopping,
 		delivery: commandDelivery{commandSent: true},
 		source:   worker.FromHeartbeat,
@@ -104,87 +104,89 @@
 	},
 }
 
+// A task that may still start counted as never started would be started twice; one that
+// is gone counted as in flight would never be rescheduled.
 func TestReconcileAssigned(t *testing.T) {
 	for _, c := range assignedCases {
 		t.Run(c.name, func(t *testing.T) {
-			machine := &worker.Machine{Liveness: worker.Liveness{Sequence: reportSequence}}
+			machine := &worker.Machine{Liveness: worker.Liveness{Sequence: statusSequence}}
 			task := &Task{phase: c.phase}
 			task.assignment = assignment{machine: machine, attempt: 1, commandDelivery: c.delivery}
 			got := reconcileAssigned(task, c.reported, statusUpdate{machine: machine, source: c.source})
 			if got != c.want {
-				t.Errorf("finding %d, want %d", got, c.want)
+				t.Errorf("state %d, want %d", got, c.want)
 			}
 		})
 	}
 }
 
-// reportedCase is what a machine reports of the first task of a job, and what
-// is known of it.
+// reportedCase pairs the status that a machine reports of a job's first task with the
+// scheduler's state of the task.
 type reportedCase struct {
 	name       string
 	shape      string
 	unknownJob bool
 	closed     bool
 	completed  bool
-	phase      Phase // Unassigned: nothing is known to be on a machine
-	elsewhere  bool  // the known copy is on another machine
+	phase      Phase // Unassigned: no copy is assigned
+	elsewhere  bool  // the assigned copy is on another machine
 	state      string
 	exitReason string
-	want       reportedFinding
+	want       reportedState
 }
 
 var reportedCases = []reportedCase{
 	{
-		name:  "the assigned attempt runs",
+		name:  "assigned attempt running: expected",
 		phase: Active,
 		state: wire.TaskRunning,
 		want:  reportedExpected,
 	},
 	{
-		name:  "it runs while nothing is assigned",
+		name:  "running and unassigned: adoptable",
 		state: wire.TaskRunning,
 		want:  reportedAdoptable,
 	},
 	{
-		name:      "it runs while another copy is assigned elsewhere",
+		name:      "running while another copy is assigned: obsolete",
 		phase:     Active,
 		elsewhere: true,
 		state:     wire.TaskRunning,
-		want:      reportedStray,
+		want:      reportedObsolete,
 	},
 	{
-		name:      "it runs although it has completed",
+		name:      "running after its completion: obsolete",
 		completed: true,
 		state:     wire.TaskRunning,
-		want:      reportedStray,
+		want:      reportedObsolete,
 	},
 	{
-		name:   "it runs although its job is closed",
+		name:   "running for a closed job: obsolete",
 		closed: true,
 		state:  wire.TaskRunning,
-		want:   reportedStray,
+		want:   reportedObsolete,
 	},
 	{
-		name:       "it runs and belongs to no job",
+		name:       "running for an unknown job: unknown job",
 		unknownJob: true,
 		state:      wire.TaskRunning,
-		want:       reportedUnknown,
+		want:       reportedUnknownJob,
 	},
 	{
-		name:       "it has exited and belongs to no job",
+		name:       "exited for an unknown job: finished",
 		unknownJob: true,
 		state:      wire.TaskExited,
 		exitReason: wire.ExitDone,
-		want:       reportedOver,
+		want:       reportedFinished,
 	},
 	{
-		name:       "it has completed, which is not recorded",
+		name:       "completed and not recorded: completed",
 		state:      wire.TaskExited,
 		exitReason: wire.ExitDone,
 		want:       reportedCompleted,
 	},
 	{
-		name:       "it has completed while another copy is assigned elsewhere",
+		name:       "completed while another copy is assigned: completed",
 		phase:      Active,
 		elsewhere:  true,
 		state:      wire.TaskExited,
@@ -192,40 +194,42 @@
 		want:       reportedCompleted,
 	},
 	{
-		name:       "it has completed, which is recorded",
+		name:       "completed and recorded: finished",
 		completed:  true,
 		state:      wire.TaskExited,
 		exitReason: wire.ExitDone,
-		want:       reportedOver,
+		want:       reportedFinished,
 	},
 	{
-		name:       "it has failed while nothing is assigned",
+		name:       "failed and unassigned: finished",
 		state:      wire.TaskExited,
 		exitReason: wire.ExitError,
-		want:       reportedOver,
+		want:       reportedFinished,
 	},
 	{
-		name:       "a replica has ended while nothing is assigned",
+		name:       "replica exited and unassigned: finished",
 		shape:      wire.ShapeService,
 		state:      wire.TaskExited,
 		exitReason: wire.ExitDone,
-		want:       reportedOver,
+		want:       reportedFinished,
 	},
 }
 
+// A wrong state would stop a task that should run, keep one that should not, or lose a
+// completion.
 func TestReconcileReported(t *testing.T) {
 	for _, c := range reportedCases {
 		t.Run(c.name, func(t *testing.T) {
 			machine := &worker.Machine{Identity: worker.Identity{Host: "reporting"}}
 			reported := &wire.TaskStatus{Attempt: 1, State: c.state, ExitReason: c.exitReason}
 			if got := reconcileReported(c.job(machine), 0, machine, reported); got != c.want {
-				t.Errorf("finding %d, want %d", got, c.want)
+				t.Errorf("state %d, want %d", got, c.want)
 			}
 		})
 	}
 }
 
-// job returns the job of which the machine reports the first task.
+// job returns the job whose first task the machine reports, nil if the job is unknown.
 func (c *reportedCase) job(machine *worker.Machine) *Job {
 	if c.unknownJob {
 		return nil
@@ -245,7 +249,8 @@
 	return job
 }
 
-// A task that its machine no longer reports is pending again.
+// A task that its machine no longer reports becomes pending again and restarts under a
+// new attempt.
 func TestLostTaskIsPendingAgain(t *testing.T) {
 	h := newHarness(t, 1)
 	machine := h.registry.All()[0]
@@ -253,15 +258,15 @@
 	h.scheduler.Schedule(h.now)
 	h.heartbeats(2)
 	if job.RunningTasks() != 1 {
-		t.Fatal("not running")
+		t.Fatal("the task is not running")
 	}
 	attempt := job.tasks[0].attempt
 	h.applyHeartbeat(machine, h.newHeartbeat(machine), worker.FromHeartbeat)
 	if job.assigned != 0 || job.pendingTasks() != 1 {
-		t.Fatalf("%d assigned, %d pending", job.assigned, job.pendingTasks())
+		t.Fatalf("%d tasks assigned, %d pending, want 0 and 1", job.assigned, job.pendingTasks())
 	}
 	h.heartbeats(1)
 	if job.assigned != 1 || job.tasks[0].attempt <= attempt {
-		t.Errorf("%d assigned again", job.assigned)
+		t.Errorf("%d tasks assigned, want 1 under a new attempt", job.assigned)
 	}
 }
--- a/internal/placement/replica_rank.go
+++ b/internal/placement/replica_rank.go
@@ -6,18 +6,20 @@
 	"juniperchute/internal/tuning"
 )
 
-// replicaRank ranks the machine, which has room for a replica; the lowest is best: with
-// as few replicas of the same service as can be, so that the loss of one
-// machine takes few; not spot, if there are others; with the image; with other
-// services, so that services keep few machines from being terminated; then the
-// fuller ones.
+// replicaRank ranks a machine on which a replica fits; the lowest rank is best. The
+// criteria, in descending order of weight:
+//   - few replicas of the same service, which limits the effect of losing a machine;
+//   - on demand rather than spot;
+//   - the image is cached;
+//   - other services are there, so that few machines are pinned by services;
+//   - high allocation.
 func (info *machineInfo) replicaRank(service *Job) int {
 	const (
-		step      = 2 * tuning.FillLevels // more than any fill
+		step      = 2 * tuning.FillLevels // exceeds any free level
 		noService = 1 * step
 		noImage   = 2 * step
 		onSpot    = 4 * step
-		sibling   = 8 * step // each
+		sibling   = 8 * step // for each replica of the same service
 	)
 	rank := freeLevel(info.machine) + sibling*info.replicasOf(service)
 	if !info.hostsService() {
@@ -32,7 +34,7 @@
 	return rank
 }
 
-// replicasOf counts a service's replicas that are on the machine or queued there.
+// replicasOf counts the service's replicas that are assigned to the machine or queued there.
 func (info *machineInfo) replicasOf(service *Job) int {
 	n := 0
 	for _, list := range [][]*Task{info.assigned, info.primaryQueue} {
@@ -45,7 +47,7 @@
 	return n
 }
 
-// hostsService reports whether a replica of any service is on the machine.
+// hostsService reports whether a replica of any service is assigned to the machine.
 func (info *machineInfo) hostsService() bool {
 	return slices.ContainsFunc(info.assigned, func(task *Task) bool { return task.Job.IsService() })
 }
--- a/internal/placement/service.go
+++ b/internal/placement/service.go
@@ -7,7 +7,7 @@
 	"juniperchute/internal/worker"
 )
 
-// serviceScheduler places the replicas of services, and moves them.
+// serviceScheduler places and migrates the replicas of services.
 type serviceScheduler struct {
 	*environment
 	capacity *capacityIndex
@@ -18,10 +18,9 @@
 	attempts *attemptNumbers
 }
 
-// schedule places a service's pending replicas. A replica has no backup
-// and does not queue behind other tasks: it is dispatched as soon as there is
-// room, by a direct command, and work of lower priority is preempted for it
-// where there is none.
+// schedule places a service's pending replicas. A replica has no backup copy and does
+// not queue behind other tasks: a direct command dispatches it as soon as it fits on a
+// machine. If it fits nowhere, it preempts other tasks as preemptionRules allows.
 func (s *serviceScheduler) schedule(now time.Time, service *Job, scope preemptionScope) {
 	if !s.markers.ensure(now, service) {
 		return
@@ -40,14 +39,14 @@
 	}
 }
 
-// placeReplica places one of a service's pending replicas and reports whether
-// it found a place: dispatched where there is room, or queued where work of
-// lower priority is preempted for it.
+// placeReplica places one pending replica of a service and reports whether it found a
+// machine. It dispatches the replica if it fits at once; otherwise it queues the
+// replica and preempts the victims.
 func (s *serviceScheduler) placeReplica(now time.Time, service *Job, scope preemptionScope) bool {
-	machine := s.findMachine(service, nil, anyMachine)
+	machine := s.findFreeMachine(service, nil, anyMachine)
 	var victims []*Task
 	if machine == nil {
-		machine, victims = s.findVictims(now, service, scope)
+		machine, victims = s.findPreemption(now, service, scope)
 	}
 	if machine == nil {
 		s.setPendingReason(service, "no room")
@@ -73,54 +72,56 @@
 	return true
 }
 
-// migrateReplica stops a replica whose machine has a preemption notice, once
-// another machine would take it at once, or at the last moment. Two copies may
-// not exist at a time: the replica is down from this stop to the next start.
-func (s *serviceScheduler) migrateReplica(now time.Time, task *Task, lastMoment bool) {
-	if lastMoment || s.findMachine(task.Job, task, cachedImage) != nil {
+// migrateReplica stops a replica on a machine with a preemption notice if another
+// machine with its image can run it at once, or unconditionally if force is set. Two
+// copies must not run at the same time, so the replica is unavailable from this stop
+// to the next start.
+func (s *serviceScheduler) migrateReplica(now time.Time, task *Task, force bool) {
+	if force || s.findFreeMachine(task.Job, task, cachedImage) != nil {
 		s.Counters.Relocated++
 		s.tasks.stop(now, task, 0, "machine has a preemption notice")
 	}
 }
 
-// mustLeave reports whether the task is a replica on a machine with a preemption notice.
-func (t *Task) mustLeave() bool {
+// mustMigrate reports whether the task is an active replica on a machine with a
+// preemption notice.
+func (t *Task) mustMigrate() bool {
 	return t.Job.IsService() && t.phase == Active && !t.machine.PreemptionTime.IsZero()
 }
 
-// replacementsNeeded returns how many of a service's replicas have to leave
-// their machines. Each needs another place by then; the team's limit has
-// admitted them already.
+// replacementsNeeded returns the number of a service's replicas that must migrate. Each
+// needs capacity on another machine, but no further quota.
 func (j *Job) replacementsNeeded() (n int) {
 	if !j.IsService() {
 		return 0
 	}
 	for _, task := range j.tasks {
-		if task.mustLeave() {
+		if task.mustMigrate() {
 			n++
 		}
 	}
 	return n
 }
 
-// stayingTasksByZone counts the scheduled tasks by zone, without replicas that
-// have to leave their machines.
-func (j *Job) stayingTasksByZone() map[string]int {
+// remainingTasksByZone counts the scheduled tasks by zone, without replicas that must
+// migrate.
+func (j *Job) remainingTasksByZone() map[string]int {
 	tasksByZone := j.tasksByZone(scheduledTasks)
 	for _, task := range j.tasks {
-		if task.mustLeave() {
+		if task.mustMigrate() {
 			tasksByZone[task.machine.Zone]--
 		}
 	}
 	return tasksByZone
 }
 
-// findMachine finds a random one among the best machines with room for
-// one more replica. The leaving replica, if any, gives up its machine for it.
-func (s *serviceScheduler) findMachine(
-	service *Job, leaving *Task, requirement imageRequirement,
+// findFreeMachine returns a random one of the lowest-ranked machines on which one more
+// replica fits without preemption, or nil if there is none. The zone constraints are
+// checked without the migrating replica, nil if none migrates.
+func (s *serviceScheduler) findFreeMachine(
+	service *Job, migrating *Task, requirement imageRequirement,
 ) *worker.Machine {
-	tasksByZone := service.constrainedTasksByZone(leaving)
+	tasksByZone := service.constrainedTasksByZone(migrating)
 	var best []*worker.Machine
 	lowest := 0
 	for _, machine := range s.registry.All() {
@@ -146,9 +147,9 @@
 	return best[s.rng.IntN(len(best))]
 }
 
-// findVictims finds the machine where preempting work of lower priority
-// for a replica loses least, and that work; nil if there is none.
-func (s *serviceScheduler) findVictims(
+// findPreemption returns the machine on which a replica fits at the lowest preemption
+// cost, and the victims there. It returns a nil machine if there is none.
+func (s *serviceScheduler) findPreemption(
 	now time.Time, service *Job, scope preemptionScope,
 ) (*worker.Machine, []*Task) {
 	tasksByZone := service.constrainedTasksByZone(nil)
--- a/internal/placement/service_migration_test.go
+++ b/internal/placement/service_migration_test.go
@@ -9,39 +9,40 @@
 	"juniperchute/internal/worker"
 )
 
-// A replica migrates when the cloud is about to preempt its machine, within
-// what its service demands of zones.
+// A replica on a machine with a preemption notice migrates before the preemption, and every
+// restart respects the service's zone constraints.
 func TestServiceMigration(t *testing.T) {
 	runServiceCases(t, []serviceCase{
 		{
-			name:     "it is stopped only when another machine takes it at once",
+			name:     "a replica stops only once another machine can start it at once",
 			machines: 2,
 			run:      replicaMigratesToCachedImage,
 		},
 		{
-			name:     "no other machine has its image: it migrates at the last moment",
+			name:     "without its image elsewhere a replica migrates just before preemption",
 			machines: 2,
 			run:      replicaMigratesAtLastMoment,
 		},
 		{
-			name:     "cancelled while it migrates: stopped, and started nowhere",
+			name:     "a service cancelled during migration is not restarted",
 			machines: 2,
 			run:      cancelledReplicaStaysStopped,
 		},
 		{
-			name:     "spread across zones: it migrates within its zone",
+			name:     "a replica of a spread service migrates within its zone",
 			machines: 4,
 			run:      spreadReplicaMigratesWithinZone,
 		},
 		{
-			name:     "in one zone, a machine is lost: its replica stays in the zone of the others",
+			name:     "a replica of a single-zone service restarts in that zone",
 			machines: 4,
 			run:      lostReplicaStaysInZone,
 		},
 	})
 }
 
-// noticePreemption gives a machine a preemption notice of 30 s, of which some time has passed.
+// noticePreemption gives a machine a preemption notice of 30 s and advances the clock by the
+// part that has passed.
 func (h *testHarness) noticePreemption(machine *worker.Machine, passed time.Duration) {
 	machine.PreemptionTime = h.now.Add(30 * time.Second)
 	h.now = h.now.Add(passed)
@@ -56,17 +57,17 @@
 	delete(other.Images, testImage)
 	h.noticePreemption(from, time.Second)
 	if sent := h.deliverDirect(); strings.Contains(sent, "stop") {
-		t.Fatal("stopped before its image is anywhere else")
+		t.Fatal("replica stopped before another machine has its image")
 	}
 	other.Images[testImage] = h.now
 	h.now = h.now.Add(time.Second)
 	if sent := h.deliverDirect(); !strings.Contains(sent, "stop") {
-		t.Fatal("not stopped")
+		t.Fatal("replica not stopped although another machine has its image")
 	}
 	h.heartbeat(from, replicaExited(service, wire.ExitStopped))
 	h.deliverDirect()
-	if h.machinesOf(service)[other.Host] != 1 {
-		t.Error("not started on the other machine")
+	if h.replicasByHost(service)[other.Host] != 1 {
+		t.Error("replica not restarted on the other machine")
 	}
 }
 
@@ -80,7 +81,7 @@
 	}
 	h.noticePreemption(from, 28*time.Second)
 	if sent := h.deliverDirect(); !strings.Contains(sent, "stop") {
-		t.Error("left to end with its machine")
+		t.Error("replica not stopped just before the preemption")
 	}
 }
 
@@ -89,22 +90,22 @@
 	from := service.tasks[0].machine
 	h.noticePreemption(from, time.Second)
 	if sent := h.deliverDirect(); !strings.Contains(sent, "stop") {
-		t.Fatal("does not migrate")
+		t.Fatal("replica not stopped for migration")
 	}
 	h.scheduler.CloseJob(h.now, service.Spec.ID, h.now.Add(time.Minute))
 	h.heartbeat(from, replicaExited(service, wire.ExitStopped))
 	for range 20 {
 		if sent := h.deliverDirect(); strings.Contains(sent, "run ") {
-			t.Fatal("started again")
+			t.Fatal("cancelled replica restarted")
 		}
 	}
 	if service.AssignedTasks() != 0 {
-		t.Error("left on a machine")
+		t.Error("cancelled replica still assigned")
 	}
 }
 
-// twoZones puts every other machine into another zone.
-func (h *testHarness) twoZones() {
+// splitIntoTwoZones assigns the machines to two zones in turn.
+func (h *testHarness) splitIntoTwoZones() {
 	zones := []string{"a", "b"}
 	h.scheduler.platform.Zones = zones
 	for i, machine := range h.registry.All() {
@@ -113,32 +114,32 @@
 }
 
 func spreadReplicaMigratesWithinZone(t *testing.T, h *testHarness) {
-	h.twoZones()
+	h.splitIntoTwoZones()
 	service := h.addService(2)
 	service.Spec.SpreadAcrossZones = true
 	h.deliverDirect()
 	if zones := service.tasksByZone(assignedTasks); zones["a"] != 1 || zones["b"] != 1 {
-		t.Fatal("not spread")
+		t.Fatal("replicas not spread across zones")
 	}
 	from := service.tasks[0].machine
 	for _, machine := range h.registry.All() {
 		if machine.Zone != from.Zone && !h.hosts(machine, service) {
-			machine.Quarantined = true // only a machine of the same zone is left
+			machine.Quarantined = true // leaves only a machine in the same zone
 		}
 	}
 	h.noticePreemption(from, time.Second)
 	if sent := h.deliverDirect(); !strings.Contains(sent, "stop") {
-		t.Fatal("does not migrate while there is a place")
+		t.Fatal("replica not stopped although a machine in its zone is free")
 	}
 	h.heartbeat(from, replicaExited(service, wire.ExitStopped))
 	h.deliverDirect()
 	if to := service.tasks[0].machine; to == nil || to.Zone != from.Zone || to == from {
-		t.Error("not migrated within its zone")
+		t.Error("replica not migrated within its zone")
 	}
 }
 
 func lostReplicaStaysInZone(t *testing.T, h *testHarness) {
-	h.twoZones()
+	h.splitIntoTwoZones()
 	service := h.addService(2)
 	service.Spec.SameZone = true
 	h.deliverDirect()
@@ -146,6 +147,6 @@
 	h.loseMachine(service.tasks[0].machine)
 	h.deliverDirect()
 	if to := service.tasks[0].machine; to == nil || to.Zone != zone {
-		t.Error("in another zone")
+		t.Error("replica not restarted in the zone of the others")
 	}
 }
--- a/internal/placement/service_preemption_test.go
+++ b/internal/placement/service_preemption_test.go
@@ -6,30 +6,30 @@
 	"juniperchute/internal/wire"
 )
 
-// Work of lower priority is preempted for a replica where there is no room, and
-// where its team is at its limit. The limit of the team red is 4 GPUs.
+// Work of lower priority is preempted for a replica that fits on no machine, or whose team is
+// at its limit. The limit of team red is 4 GPUs.
 func TestServicePreemption(t *testing.T) {
 	runServiceCases(t, []serviceCase{
-		{name: "lower work is preempted", machines: 1, run: lowerWorkIsPreempted},
+		{name: "work of lower priority is preempted", machines: 1, run: lowerWorkIsPreempted},
 		{
-			name:     "its team is at its limit: queued lower work is requeued, and the replica starts",
+			name:     "at the team's limit queued work of lower priority is requeued",
 			machines: 4,
 			run:      queuedWorkIsRequeuedForQuota,
 		},
 		{
-			name:     "its team is at its limit: as much of its lower work as it takes is stopped",
+			name:     "at the team's limit only as much running work as needed is stopped",
 			machines: 4,
 			run:      runningWorkIsPreemptedForQuota,
 		},
 		{
-			name:     "its team is at its limit with work as important: nothing is stopped",
+			name:     "at the team's limit work of equal priority is not stopped",
 			machines: 4,
 			run:      equalWorkIsNotPreemptedForQuota,
 		},
 	})
 }
 
-// stoppingTasks lists the job's tasks that are being stopped.
+// stoppingTasks returns the job's tasks in phase Stopping.
 func stoppingTasks(job *Job) (tasks []*Task) {
 	for _, task := range job.tasksByIndex() {
 		if task.phase == Stopping {
@@ -48,12 +48,12 @@
 	service := h.startService(1)
 	stopping := stoppingTasks(low)
 	if len(stopping) != 1 {
-		t.Fatalf("%d tasks stopped", len(stopping))
+		t.Fatalf("%d tasks stopped, want 1", len(stopping))
 	}
 	h.heartbeat(machine, exited(stopping[0].Name(), wire.ExitStopped))
 	h.deliverDirect()
 	if service.AssignedTasks() != 1 {
-		t.Error("the replica did not get the room")
+		t.Error("replica not started after the preempted task exited")
 	}
 }
 
@@ -61,12 +61,12 @@
 	low := h.addJob("red", wire.ShapeBatch, "low", 4, 1)
 	h.scheduler.Schedule(h.now)
 	if len(low.tasks) != 4 {
-		t.Fatal("not queued")
+		t.Fatal("tasks of the array not queued")
 	}
 	service := h.addJob("red", wire.ShapeService, "critical", 1, 1)
 	h.deliverDirect()
 	if service.AssignedTasks() != 1 || len(low.tasks) != 3 {
-		t.Errorf("%d replicas, %d queued", service.AssignedTasks(), len(low.tasks))
+		t.Errorf("%d replicas assigned, %d tasks queued, want 1 and 3", service.AssignedTasks(), len(low.tasks))
 	}
 }
 
@@ -81,7 +81,7 @@
 	}
 	stopping := stoppingTasks(low)
 	if len(stopping) != 1 || len(stoppingTasks(other)) != 0 || service.AssignedTasks() != 0 {
-		t.Fatalf("%d of its team's and %d of another's stopped, %d replicas",
+		t.Fatalf("%d tasks of the team and %d of another stopped, %d replicas assigned, want 1, 0 and 0",
 			len(stopping), len(stoppingTasks(other)), service.AssignedTasks())
 	}
 	for _, task := range stopping {
@@ -89,7 +89,7 @@
 	}
 	h.deliverDirect()
 	if service.AssignedTasks() != 1 {
-		t.Error("not started")
+		t.Error("replica not started after the preempted task exited")
 	}
 }
 
@@ -103,6 +103,6 @@
 		t.Fatal("stopped " + task.Name())
 	}
 	if service.AssignedTasks() != 0 || service.PendingReason() != "team's limit" {
-		t.Error("waits for " + service.PendingReason())
+		t.Errorf("%d replicas assigned, pending reason %q", service.AssignedTasks(), service.PendingReason())
 	}
 }
--- a/internal/placement/service_quota.go
+++ b/internal/placement/service_quota.go
@@ -7,20 +7,19 @@
 	"juniperchute/internal/quota"
 )
 
-// quotaPreemption makes room for a replica within its team's limit at the cost
-// of work of lower priority of the same team.
+// quotaPreemption frees quota for a replica by preempting work of lower priority of
+// the same team.
 type quotaPreemption struct {
 	scheduler *serviceScheduler
 	service   *Job
-	// releasing is what stopping tasks of the team will give back.
+	// releasing is the quota that stopping tasks of the team will release.
 	releasing quota.Resources
 	running   []*Task // tasks that may be preempted
 }
 
-// preemptForQuota makes room for a replica within its team's limit: tasks that
-// are only queued become pending again, and if that is not enough, running
-// ones are preempted, those that lose least first. It reports whether the
-// replica may start now.
+// preemptForQuota frees quota for a replica of a team at its limit. It requeues queued
+// primaries of lower priority first, then preempts running tasks in ascending order of
+// preemption cost. It reports whether the limit admits the replica now.
 func (s *serviceScheduler) preemptForQuota(now time.Time, service *Job) bool {
 	p := &quotaPreemption{scheduler: s, service: service}
 	for _, machine := range s.registry.All() {
@@ -32,43 +31,47 @@
 		return true
 	}
 	p.preemptRunning(now)
-	return false // not before what stops has ended
+	return false // the stopping tasks still hold their quota
 }
 
-// admits reports whether the limit will admit the replica once what stops has ended.
+// admits reports whether the limit admits the replica once the stopping tasks have exited.
 func (p *quotaPreemption) admits() bool {
 	return p.scheduler.ledger.AdmitsReservation(p.service.Spec.Team, p.service.need.Sub(p.releasing))
 }
 
-// givesWay reports whether a task's use of the limit may go to the service.
-func (p *quotaPreemption) givesWay(task *Task) bool {
+// preemptible reports whether a task belongs to an open job of the same team with lower
+// priority than the service.
+func (p *quotaPreemption) preemptible(task *Task) bool {
 	other := task.Job
 	return other.Spec.Team == p.service.Spec.Team && other.priority < p.service.priority && !other.closed
 }
 
-// requeuePrimaries returns primaries that are queued at a machine, as long as it takes.
+// requeuePrimaries makes queued primaries of a machine pending again until the limit
+// admits the replica.
 func (p *quotaPreemption) requeuePrimaries(now time.Time, info *machineInfo) {
 	for _, task := range slices.Clone(info.primaryQueue) {
-		// requeuing one of a gang has taken the others out of the queue
-		if !p.admits() && p.givesWay(task) && task.primary == info.machine {
+		// Requeuing a task of a gang also removes the gang's other tasks from the queue.
+		if !p.admits() && p.preemptible(task) && task.primary == info.machine {
 			p.scheduler.queues.requeue(now, task)
 		}
 	}
 }
 
-// collectRunning notes which tasks on a machine stop and which may be preempted.
+// collectRunning adds up the quota of the team's stopping tasks on a machine, and
+// collects the tasks there that may be preempted.
 func (p *quotaPreemption) collectRunning(now time.Time, info *machineInfo) {
 	for _, task := range info.assigned {
 		switch {
 		case task.phase == Stopping && task.Job.Spec.Team == p.service.Spec.Team:
 			p.releasing = p.releasing.Add(task.Job.need)
-		case p.givesWay(task) && !task.Job.starving(now):
+		case p.preemptible(task) && !task.Job.starving(now):
 			p.running = append(p.running, task)
 		}
 	}
 }
 
-// preemptRunning preempts as many running tasks as it takes, and none if all would not do.
+// preemptRunning preempts running tasks until the limit admits the replica. If
+// preempting all of them does not suffice, it preempts none.
 func (p *quotaPreemption) preemptRunning(now time.Time) {
 	sortByPreemptionCost(now, p.running)
 	var victims []*Task
@@ -84,7 +87,7 @@
 	}
 	for _, task := range victims {
 		if task.phase == Stopping {
-			continue // its gang has been stopped as a whole
+			continue // stopped together with its gang
 		}
 		p.scheduler.Counters.Preempted++
 		p.scheduler.tasks.preempt(now, task, "gives its team's quota to "+p.service.Spec.ID)
--- a/internal/placement/service_reserve.go
+++ b/internal/placement/service_reserve.go
@@ -7,40 +7,41 @@
 	"juniperchute/internal/worker"
 )
 
-// reserveForServices keeps machines for what the next service, or the replicas
-// on a machine that is lost, will need: it is there before they need it.
+// reserveForServices keeps headroom for the replicas of the largest service on at least
+// tuning.ReserveMachines on-demand machines, so that a new service, or replicas of a lost
+// machine, need not wait for a machine to boot.
 func (p *demandPlan) reserveForServices() {
 	service := p.largestService()
 	if service == nil {
 		p.reserveForUnseenClasses()
 		return
 	}
-	missing, machines := service.Spec.Tasks, 0 // replicas without a place, machines kept
-	// machines that are in use anyway come first: an idle one costs as much
+	unplaced, machines := service.Spec.Tasks, 0
+	// Machines in use come first: reserving on them costs nothing extra.
 	for _, inUse := range []bool{true, false} {
 		for _, b := range p.bins {
-			if b.inUse() != inUse || missing <= 0 && machines >= tuning.ReserveMachines {
+			if b.inUse() != inUse || unplaced <= 0 && machines >= tuning.ReserveMachines {
 				continue
 			}
 			if n := p.replicaSlots(service, b); n > 0 {
-				missing -= n
+				unplaced -= n
 				machines++
 				b.markNeeded()
 			}
 		}
 	}
-	for missing > 0 || machines < tuning.ReserveMachines {
+	for unplaced > 0 || machines < tuning.ReserveMachines {
 		b := p.openBin(service, "")
 		if b == nil || b.kind.spot {
 			return
 		}
-		missing -= b.capacity.FitCount(service.need, service.Spec.Tasks)
+		unplaced -= b.capacity.FitCount(service.need, service.Spec.Tasks)
 		machines++
 	}
 }
 
-// largestService returns the open service whose replicas together take most of
-// a machine, nil if there is no service.
+// largestService returns the open service with the largest total need, as a dominant
+// share of the typical capacity. It returns nil if no service is open.
 func (p *demandPlan) largestService() *Job {
 	typical := p.typicalCapacity()
 	size := func(service *Job) float64 { return service.totalNeed().DominantShare(typical) }
@@ -53,8 +54,8 @@
 	return largest
 }
 
-// typicalCapacity returns the capacity of the first machine type on offer, by
-// which needs are compared.
+// typicalCapacity returns the capacity of the first offer, the reference for comparing
+// needs. It returns zero resources if there are no offers.
 func (p *demandPlan) typicalCapacity() quota.Resources {
 	if len(p.offers) == 0 {
 		return quota.Resources{}
@@ -62,8 +63,8 @@
 	return p.offers[0].Capacity
 }
 
-// replicaSlots returns how many replicas of a service a machine could take if
-// work of lower priority is preempted.
+// replicaSlots returns the number of replicas of a service that fit in an on-demand bin
+// if all work of lower priority there is preempted. It returns 0 for spot bins.
 func (p *demandPlan) replicaSlots(service *Job, b *bin) int {
 	if b.kind.spot || !b.suits(service) {
 		return 0
@@ -82,9 +83,8 @@
 	return free.FitCount(service.need, service.Spec.Tasks)
 }
 
-// reserveForUnseenClasses keeps one machine that is not spot for a class that
-// should start in far less time than a machine takes to boot, and of which no
-// job has come yet.
+// reserveForUnseenClasses keeps one on-demand machine if some class without any job so
+// far has a start objective much shorter than the boot time of a machine.
 func (p *demandPlan) reserveForUnseenClasses() {
 	boot := p.shortestBoot()
 	for _, objective := range p.platform.Objectives {
@@ -98,7 +98,8 @@
 	}
 }
 
-// shortestBoot returns the shortest boot time on offer, in seconds; 0 if there is no offer.
+// shortestBoot returns the shortest boot time of the offers in seconds, or 0 if there are
+// no offers.
 func (p *demandPlan) shortestBoot() float64 {
 	boot := 0.0
 	for i := range p.offers {
@@ -109,7 +110,8 @@
 	return boot
 }
 
-// reserveOnDemand keeps one machine of any kind that is not spot.
+// reserveOnDemand marks the first on-demand bin as needed, or opens a bin if there is
+// none.
 func (p *demandPlan) reserveOnDemand() {
 	for _, b := range p.bins {
 		if !b.kind.spot {
--- a/internal/placement/service_restart_test.go
+++ b/internal/placement/service_restart_test.go
@@ -10,53 +10,57 @@
 	"juniperchute/internal/worker"
 )
 
-// A replica runs again when it ends, fails, or its machine is lost, after a
-// pause while none of its service lasts.
+// A replica restarts after it exits, fails or loses its machine. The restart is delayed by a
+// backoff while no replica of the service runs long enough to count as healthy.
 func TestServiceRestart(t *testing.T) {
 	runServiceCases(t, []serviceCase{
-		{name: "one that ends runs again, and is never completed", machines: 1, run: endedReplicaRestarts},
-		{name: "one that ends as it starts waits", machines: 1, run: shortRunWaits},
-		{name: "one that ends at once again and again is started less often", machines: 1, run: shortRunsBackOff},
-		{name: "one that fails everywhere backs off and blames no machine", machines: 4, run: failingServiceBacksOff},
+		{name: "an exited replica restarts and never completes", machines: 1, run: exitedReplicaRestarts},
+		{name: "a replica with a short run restarts after a backoff", machines: 1, run: shortRunBacksOff},
+		{name: "repeated short runs increase the backoff", machines: 1, run: repeatedShortRunsBackOff},
 		{
-			name:     "one that ran well and then fails on some machines is not at fault",
+			name:     "a replica that fails everywhere backs off and no machine is quarantined",
+			machines: 4,
+			run:      failingServiceBacksOff,
+		},
+		{
+			name:     "failures after a healthy run do not delay restarts",
 			machines: 5,
-			run:      healthyServiceIsNotBlamed,
+			run:      healthyServiceIsNotDelayed,
 		},
-		{name: "a lost machine's replica runs elsewhere at once", machines: 2, run: lostReplicaRestarts},
+		{name: "a lost machine's replica restarts elsewhere at once", machines: 2, run: lostReplicaRestarts},
 		{
-			name:     "its machine hangs: it runs elsewhere only once the lease has expired",
+			name:     "an unresponsive machine's replica restarts only after lease expiry",
 			machines: 2,
 			run:      unresponsiveReplicaWaits,
 		},
 	})
 }
 
-func endedReplicaRestarts(t *testing.T, h *testHarness) {
+func exitedReplicaRestarts(t *testing.T, h *testHarness) {
 	service := h.startService(1)
 	h.now = h.now.Add(tuning.ServiceHealthyAfter + time.Second)
 	h.heartbeat(h.registry.All()[0], replicaExited(service, wire.ExitDone))
 	sent := h.deliverDirect()
 	started := strings.Contains(sent, "run ") || service.AssignedTasks() == 1
 	if service.CompletedTasks() != 0 || !started {
-		t.Error("not started again: " + sent)
+		t.Error("replica not restarted, sent " + sent)
 	}
 }
 
-func shortRunWaits(t *testing.T, h *testHarness) {
+func shortRunBacksOff(t *testing.T, h *testHarness) {
 	service := h.startService(1)
 	h.heartbeat(h.registry.All()[0], replicaExited(service, wire.ExitDone))
 	if h.deliverDirect(); service.AssignedTasks() != 0 {
-		t.Fatal("started again at once")
+		t.Fatal("replica restarted without a backoff")
 	}
 	h.now = h.now.Add(tuning.RetryInitial + time.Second)
 	if h.deliverDirect(); service.AssignedTasks() != 1 {
-		t.Error("not started again")
+		t.Error("replica not restarted after the backoff")
 	}
 }
 
-// exitReplicas lets the machines with a replica of a service report its exit,
-// and counts them.
+// exitReplicas lets each machine with a replica of the service report its exit, and
+// returns the number of these machines.
 func (h *testHarness) exitReplicas(service *Job, reason string) (exits int) {
 	for _, machine := range h.registry.All() {
 		if h.hosts(machine, service) {
@@ -67,7 +71,7 @@
 	return exits
 }
 
-func shortRunsBackOff(t *testing.T, h *testHarness) {
+func repeatedShortRunsBackOff(t *testing.T, h *testHarness) {
 	service := h.addService(1)
 	starts := 0
 	for range 120 {
@@ -76,7 +80,7 @@
 		starts += h.exitReplicas(service, wire.ExitDone)
 	}
 	if starts < 5 || starts > 10 {
-		t.Errorf("%d starts in two minutes", starts)
+		t.Errorf("%d starts in two minutes, want 5 to 10", starts)
 	}
 }
 
@@ -90,15 +94,15 @@
 	}
 	for _, machine := range h.registry.All() {
 		if machine.Quarantined {
-			t.Fatal("blamed " + machine.Host)
+			t.Fatal("quarantined " + machine.Host)
 		}
 	}
 	if starts < 4 || starts > 12 {
-		t.Error("not backed off")
+		t.Errorf("%d starts in 40 s, want 4 to 12", starts)
 	}
 }
 
-func healthyServiceIsNotBlamed(t *testing.T, h *testHarness) {
+func healthyServiceIsNotDelayed(t *testing.T, h *testHarness) {
 	service := h.startService(1)
 	h.now = h.now.Add(tuning.ServiceHealthyAfter + time.Second)
 	for range 4 {
@@ -111,7 +115,7 @@
 		}
 		h.now = h.now.Add(tuning.RetryInitial + 100*time.Millisecond)
 		if h.deliverDirect(); service.AssignedTasks() != 1 {
-			t.Fatal("held back")
+			t.Fatal("restart of a healthy service delayed")
 		}
 	}
 }
@@ -121,7 +125,7 @@
 	lost := service.tasks[0].machine
 	h.loseMachine(lost)
 	if sent := h.deliverDirect(); !strings.Contains(sent, "run ") || h.hosts(lost, service) {
-		t.Error("sent " + sent)
+		t.Error("replica not restarted on the other machine, sent " + sent)
 	}
 }
 
@@ -131,11 +135,11 @@
 	h.registry.SetState(h.now, hanging, worker.Unresponsive, "test")
 	for range 50 {
 		if sent := h.deliverDirect(); strings.Contains(sent, "run ") {
-			t.Fatal("started beside the one that hangs")
+			t.Fatal("second copy started before the lease expired")
 		}
 	}
 	h.loseMachine(hanging)
 	if h.deliverDirect(); service.AssignedTasks() != 1 || h.hosts(hanging, service) {
-		t.Error("not started elsewhere")
+		t.Error("replica not restarted elsewhere after lease expiry")
 	}
 }
--- a/internal/placement/service_test.go
+++ b/internal/placement/service_test.go
@@ -10,7 +10,7 @@
 	"juniperchute/internal/worker"
 )
 
-// serviceCase is a scenario with services. Each machine has the jobs' image.
+// serviceCase is a scenario with services. Each machine has the services' image cached.
 type serviceCase struct {
 	name     string
 	machines int
@@ -34,15 +34,15 @@
 	return h.addJob("blue", wire.ShapeService, "critical", replicas, 0)
 }
 
-// startService adds a service and lets its replicas start.
+// startService adds a service and delivers the commands that start its replicas.
 func (h *testHarness) startService(replicas int) *Job {
 	service := h.addService(replicas)
 	h.deliverDirect()
 	return service
 }
 
-// machinesOf counts a service's replicas by the name of their machine.
-func (h *testHarness) machinesOf(service *Job) map[string]int {
+// replicasByHost counts a service's replicas by the host name of their machine.
+func (h *testHarness) replicasByHost(service *Job) map[string]int {
 	counts := map[string]int{}
 	for _, task := range service.tasks {
 		if task.machine != nil {
@@ -52,39 +52,39 @@
 	return counts
 }
 
-// hosts reports whether a replica of a service is on a machine.
+// hosts reports whether a replica of the service is assigned to the machine.
 func (h *testHarness) hosts(machine *worker.Machine, service *Job) bool {
-	return h.machinesOf(service)[machine.Host] > 0
+	return h.replicasByHost(service)[machine.Host] > 0
 }
 
-// replicaExited is the status of a service's first replica that has exited.
+// replicaExited returns the status of a service's first replica after its exit.
 func replicaExited(service *Job, reason string) wire.TaskStatus {
 	return exited(service.Spec.ID+"/0", reason)
 }
 
-// A replica is dispatched at once, by a direct command, with few of its
-// siblings beside it.
+// Replicas are dispatched at once by direct commands and spread over machines, on demand
+// before spot. They are neither aged nor consolidated.
 func TestServicePlacement(t *testing.T) {
 	runServiceCases(t, []serviceCase{
-		{name: "at once, one a machine", machines: 3, run: replicasStartAtOnce},
-		{name: "more replicas than machines", machines: 2, run: replicasAreSpread},
-		{name: "not on spot while there are others", machines: 2, run: replicasAvoidSpot},
-		{name: "its age raises it over nobody", machines: 1, run: servicesDoNotAge},
-		{name: "a machine with a replica is not emptied", machines: 2, run: replicasAreNotConsolidated},
+		{name: "replicas start at once, one per machine", machines: 3, run: replicasStartAtOnce},
+		{name: "more replicas than machines are spread evenly", machines: 2, run: replicasAreSpread},
+		{name: "on-demand is preferred to spot", machines: 2, run: replicasAvoidSpot},
+		{name: "waiting does not raise the priority", machines: 1, run: servicesDoNotAge},
+		{name: "a machine with a replica is not consolidated", machines: 2, run: replicasAreNotConsolidated},
 	})
 }
 
 func replicasStartAtOnce(t *testing.T, h *testHarness) {
 	service := h.addService(3)
-	if sent := h.deliverDirect(); strings.Count(sent, "run ") != 3 || len(h.machinesOf(service)) != 3 {
-		t.Error("sent " + sent)
+	if sent := h.deliverDirect(); strings.Count(sent, "run ") != 3 || len(h.replicasByHost(service)) != 3 {
+		t.Error("replicas not started on three machines, sent " + sent)
 	}
 }
 
 func replicasAreSpread(t *testing.T, h *testHarness) {
 	service := h.startService(4)
-	if on := h.machinesOf(service); on["i-0"] != 2 || on["i-1"] != 2 {
-		t.Error("not spread")
+	if on := h.replicasByHost(service); on["i-0"] != 2 || on["i-1"] != 2 {
+		t.Errorf("replicas by machine: %v, want 2 on each", on)
 	}
 }
 
@@ -93,14 +93,14 @@
 	service := h.addService(2)
 	service.Spec.Spot = true
 	h.deliverDirect()
-	if on := h.machinesOf(service); on["i-1"] != 1 || on["i-0"] != 1 {
-		t.Fatal("siblings share a machine")
+	if on := h.replicasByHost(service); on["i-1"] != 1 || on["i-0"] != 1 {
+		t.Fatal("replicas of one service share a machine")
 	}
 	second := h.addService(1)
 	second.Spec.Spot = true
 	h.deliverDirect()
-	if h.machinesOf(second)["i-1"] != 1 {
-		t.Error("on spot")
+	if h.replicasByHost(second)["i-1"] != 1 {
+		t.Error("replica not on the on-demand machine")
 	}
 }
 
@@ -111,7 +111,7 @@
 	h.scheduler.Schedule(h.now)
 	raised := old.starving(h.now) || old.starvationBoost(h.now) != 0
 	if raised || old.effectivePriority > young.effectivePriority {
-		t.Error("raised")
+		t.Error("priority of the service raised")
 	}
 }
 
@@ -121,7 +121,7 @@
 	h.scheduler.consolidator.consolidate(h.now)
 	for _, machine := range h.registry.All() {
 		if machine.Cordoned {
-			t.Error("emptied " + machine.Host)
+			t.Error("cordoned " + machine.Host)
 		}
 	}
 }
--- a/internal/placement/start_marker.go
+++ b/internal/placement/start_marker.go
@@ -6,26 +6,27 @@
 	"juniperchute/internal/tuning"
 )
 
-// startMarkerState reports whether a job's start marker is durable. A job's
-// tasks start only once it is: a successor then knows that tasks of jobs
-// without a marker are on no machine.
+// startMarkerState is the state of a job's start marker, a record that is written
+// before any task of the job starts. After a failover, jobs without a marker are known
+// to have no tasks on machines.
 type startMarkerState int
 
 const (
 	startMarkerAbsent    startMarkerState = iota
-	startMarkerRequested                  // being written to the state service
+	startMarkerRequested                  // write in flight
 	startMarkerDurable
 )
 
-// startMarkers requests start markers, and tells what may start.
+// startMarkers requests start markers and decides which jobs may start.
 type startMarkers struct {
 	*environment
 	pass    *passState
-	request func(now time.Time, job *Job) // nil: jobs start without
-	pending int                           // requested and not durable yet
+	request func(now time.Time, job *Job) // nil: jobs start without a marker
+	pending int                           // writes in flight
 }
 
-// written records that a job's start marker is durable.
+// markDurable records that the job's start marker was written, and requests a full
+// scheduling pass.
 func (m *startMarkers) markDurable(job *Job) {
 	if job.startMarker == startMarkerRequested {
 		m.pending--
@@ -34,9 +35,9 @@
 	m.pass.requestFull()
 }
 
-// canRequest reports whether a job has its start marker or could
-// request it now. Thousands of jobs may wait for theirs after a failover: no
-// room is sought for them until it is their turn.
+// canRequest reports whether the job's start marker is durable or can be requested now.
+// The writes in flight are limited: after a failover, thousands of jobs may wait for
+// their markers, and scheduling skips them until theirs can be requested.
 func (m *startMarkers) canRequest(job *Job) bool {
 	if m.request == nil || job.startMarker == startMarkerDurable {
 		return true
@@ -48,8 +49,8 @@
 	return job.startMarker == startMarkerAbsent && m.pending < limit
 }
 
-// ensure reports whether a job's start marker is durable, and
-// requests it if it can.
+// ensure reports whether the job's start marker is durable. If not, it requests the
+// marker, within the limit of canRequest, and sets the job's pending reason.
 func (m *startMarkers) ensure(now time.Time, job *Job) bool {
 	if m.request == nil || job.startMarker == startMarkerDurable {
 		return true
@@ -63,9 +64,8 @@
 	return false
 }
 
-// safeToStart reports whether a pending task of the job surely runs nowhere:
-// all machines have been reconciled, or no earlier term can have started any
-// of its tasks.
+// safeToStart reports whether no pending task of the job can be running on a machine:
+// either all machines are reconciled, or no earlier term can have started the job.
 func (m *startMarkers) safeToStart(job *Job) bool {
 	if m.reconciled || !job.FromEarlierTerm {
 		return true
--- a/internal/placement/start_marker_test.go
+++ b/internal/placement/start_marker_test.go
@@ -7,8 +7,8 @@
 	"juniperchute/internal/wire"
 )
 
-// No task of a job is queued before the job's start marker is durable; once it
-// is, the next pass goes on although no machine has gained anything.
+// No task is queued before its job's start marker is durable. Afterwards the next pass
+// queues the task, although no machine has changed.
 func TestStartMarker(t *testing.T) {
 	h := newHarness(t, 1)
 	var requested []*Job
@@ -18,11 +18,11 @@
 		h.scheduler.Schedule(h.now)
 	}
 	if len(requested) != 1 || requested[0] != job || len(job.tasks) != 0 {
-		t.Fatalf("%d markers requested, %d tasks queued", len(requested), len(job.tasks))
+		t.Fatalf("%d markers requested, %d tasks queued, want 1 and 0", len(requested), len(job.tasks))
 	}
 	h.scheduler.StartMarkerWritten(job)
 	h.scheduler.Schedule(h.now)
 	if len(job.tasks) != 1 {
-		t.Error("not queued once the marker is durable")
+		t.Error("task not queued once the marker is durable")
 	}
 }
