--- a/internal/placement/scheduler.go
+++ b/internal/placement/scheduler.go
@@ -237,7 +237,7 @@
 }
 
 // StartMarkerWritten records that a job's start marker is durable.
-func (s *Scheduler) StartMarkerWritten(job *Job) { s.markers.written(job) }
+func (s *Scheduler) StartMarkerWritten(job *Job) { s.markers.markDurable(job) }
 
 // Reconciled reports whether MarkReconciled was called in this term.
 func (s *Scheduler) Reconciled() bool { return s.reconciled }
