--- a/internal/controller/intents.go
+++ b/internal/controller/intents.go
@@ -96,7 +96,7 @@
 		})
 	}
 	c.provisionRequests.Each(func(kv wire.KeyValue) {
-		if name, token, open := fleet.UnansweredRequest(kv, shard); open {
+		if name, token, open := fleet.PendingRequest(kv, shard); open {
 			intents[intentlog.Provision] = append(intents[intentlog.Provision], intentlog.IntentStatus{
 				Operation: intentlog.Provision,
 				Target:    name,
--- a/internal/controller/intents_failover_test.go
+++ b/internal/controller/intents_failover_test.go
@@ -36,7 +36,7 @@
 			names = nil
 		}
 		if len(page) == perPage {
-			sim.putState(fmt.Sprintf("%s%d", intentlog.LogPrefix(0), i/perPage), page)
+			sim.putState(fmt.Sprintf("%s%d", intentlog.ShardPrefix(0), i/perPage), page)
 			page = map[string]storedIntent{}
 		}
 	}
--- a/internal/fleet/records.go
+++ b/internal/fleet/records.go
@@ -71,9 +71,9 @@
 	return shard, record.Hosts
 }
 
-// UnansweredRequest reports whether a provisioning record is one of the shard's that names no machines
+// PendingRequest reports whether a provisioning record is one of the shard's that names no machines
 // yet, and under which token it was recorded.
-func UnansweredRequest(item wire.KeyValue, shard int) (name string, token uint64, pending bool) {
+func PendingRequest(item wire.KeyValue, shard int) (name string, token uint64, pending bool) {
 	name, ok := strings.CutPrefix(item.Key, ShardProvisioningPrefix(shard))
 	if !ok {
 		return "", 0, false
--- a/internal/intentlog/log.go
+++ b/internal/intentlog/log.go
@@ -47,7 +47,7 @@
 		l.intents[operation] = map[string]*Intent{}
 	}
 	l.pages = store.NewPages(store.PagesOptions{
-		Prefix:        LogPrefix(options.Shard),
+		Prefix:        ShardPrefix(options.Shard),
 		ValueKB:       options.ValueKB,
 		WriteInterval: tuning.IntentWriteInterval,
 		Priority:      store.PriorityTerm,
--- a/internal/intentlog/model_owner_test.go
+++ b/internal/intentlog/model_owner_test.go
@@ -83,7 +83,7 @@
 func (o *modelOwner) load() {
 	m := o.model
 	var pages []wire.KeyValue
-	list := store.Call{Op: store.OpList, Prefix: intentlog.LogPrefix(0)}
+	list := store.Call{Op: store.OpList, Prefix: intentlog.ShardPrefix(0)}
 	m.state.Call(list, func(result store.Result) { pages = result.KeyValues })
 	o.loaded = true
 	// An owner that is superseded already may read entries of a later term. It may not act on
--- a/internal/intentlog/record.go
+++ b/internal/intentlog/record.go
@@ -10,8 +10,8 @@
 // Prefix is the key prefix of the logs of all shards.
 const Prefix = "d/"
 
-// LogPrefix is the key prefix of the pages of a shard's log.
-func LogPrefix(shard int) string { return fmt.Sprintf("%s%d/", Prefix, shard) }
+// ShardPrefix is the key prefix of the pages of a shard's log.
+func ShardPrefix(shard int) string { return fmt.Sprintf("%s%d/", Prefix, shard) }
 
 var errUnknownOperation = errors.New("unknown operation")
 
--- a/internal/intentlog/spans.go
+++ b/internal/intentlog/spans.go
@@ -37,7 +37,7 @@
 
 // identity names an intent among all those of a deployment.
 func (l *Log) identity(intent *Intent) string {
-	return LogPrefix(l.options.Shard) + string(intent.Operation) + "/" + intent.Target
+	return ShardPrefix(l.options.Shard) + string(intent.Operation) + "/" + intent.Target
 }
 
 func (l *Log) attributes(intent *Intent) []attribute.KeyValue {
--- a/internal/term/recovery.go
+++ b/internal/term/recovery.go
@@ -28,7 +28,7 @@
 		{term: t, prefix: completionPrefix(t.Shard), into: &t.recovery.completions},
 		{term: t, prefix: fleet.RegistrationPrefix(t.Shard), into: &t.recovery.registrations},
 		{term: t, prefix: startMarkerPrefix(t.Shard), into: &t.recovery.startMarkers},
-		{term: t, prefix: intentlog.LogPrefix(t.Shard), into: &t.recovery.intents},
+		{term: t, prefix: intentlog.ShardPrefix(t.Shard), into: &t.recovery.intents},
 	}
 	t.recovery.readsInFlight = len(caches) + len(lists)
 	for _, cache := range caches {
