--- a/internal/fleet/autoscaler.go
+++ b/internal/fleet/autoscaler.go
@@ -76,7 +76,7 @@
 		intents:  options.Intents,
 		lists:    newListHistory(),
 	}
-	limited := newLimitedCloud(options.Cloud, options.Config.Cloud.RPS)
+	limited := newRateLimitedCloud(options.Cloud, options.Config.Cloud.RPS)
 	records := &termStore{termCompare: options.TermCompare, call: options.Store, onTermLost: options.OnTermLost}
 	a.types = &machineTypes{cloud: limited, store: records, registry: options.Registry, scheduler: options.Scheduler,
 		recorder: options.Shard == 0, byName: map[string]wire.MachineType{}, recorded: map[string]string{}}
@@ -86,7 +86,7 @@
 	a.demand = &demandPlanner{cloudLimits: options.Config.Cloud, stateLimits: options.Config.State,
 		registry: options.Registry, scheduler: options.Scheduler, types: a.types, provisioner: a.provisioner,
 		termStartedAt: now}
-	a.deprovisioner = &deprovisioner{token: options.Token, lease: config.Seconds(options.Config.Workers.LeaseS),
+	a.deprovisioner = &deprovisioner{token: options.Token, workerLease: config.Seconds(options.Config.Workers.LeaseS),
 		cloud: limited, intents: options.Intents, registry: options.Registry, scheduler: options.Scheduler,
 		types: a.types, provisioner: a.provisioner, lists: a.lists,
 		onDeleted: options.OnDeleted, forget: a.forgetMachine, termStartedAt: now}
@@ -96,7 +96,7 @@
 	return a
 }
 
-func (a *Autoscaler) newProvisioner(options Options, limited *limitedCloud, records *termStore) *provisioner {
+func (a *Autoscaler) newProvisioner(options Options, limited *rateLimitedCloud, records *termStore) *provisioner {
 	return &provisioner{
 		shard: options.Shard, token: options.Token, log: options.Log,
 		cloud: limited, store: records, intents: options.Intents, machines: a.machines,
@@ -121,7 +121,7 @@
 		OnTermLost:    options.OnTermLost,
 	})
 	return &registrations{machines: a.machines, provisioner: a.provisioner, scheduler: options.Scheduler,
-		pages: pages, started: map[string]bool{}}
+		pages: pages, submitted: map[string]bool{}}
 }
 
 // ApplyMachineType adds a machine type as it is stored for all controllers.
@@ -168,7 +168,7 @@
 	a.scaleIn(now)
 	a.deprovisioner.deleteMachines(now)
 	a.types.refresh(now)
-	a.inventory.continueReading(now)
+	a.inventory.readNextPage(now)
 	a.demand.scaleOutIfDue(now, a.Settings)
 }
 
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -21,19 +21,19 @@
 	provisioner *provisioner
 
 	termStartedAt time.Time
-	nextAt        time.Time
+	nextPlanAt    time.Time
 }
 
 // scaleOutIfDue plans once an interval. Machines that this term has not been in contact with yet
 // look as if there were none: planning then would replace the whole fleet at each failover.
 func (d *demandPlanner) scaleOutIfDue(now time.Time, settings Settings) {
-	if len(d.types.byName) == 0 || now.Before(d.nextAt) {
+	if len(d.types.byName) == 0 || now.Before(d.nextPlanAt) {
 		return
 	}
 	if !d.scheduler.Reconciled() && now.Sub(d.termStartedAt) <= tuning.ScaleOutDelay {
 		return
 	}
-	d.nextAt = now.Add(tuning.ScaleOutInterval)
+	d.nextPlanAt = now.Add(tuning.ScaleOutInterval)
 	d.scaleOut(now, settings)
 }
 
--- a/internal/fleet/deprovisioner.go
+++ b/internal/fleet/deprovisioner.go
@@ -15,8 +15,8 @@
 // deprovisioner terminates machines: it logs the intent, then deletes them.
 type deprovisioner struct {
 	token       uint64
-	lease       time.Duration // of a worker
-	cloud       *limitedCloud
+	workerLease time.Duration // of a worker
+	cloud       *rateLimitedCloud
 	intents     *intentlog.Log
 	registry    *worker.Registry
 	scheduler   *placement.Scheduler
@@ -35,7 +35,7 @@
 
 // scaleIn terminates the machines that the rules give up.
 func (d *deprovisioner) scaleIn(now time.Time, idleTimeout time.Duration) {
-	rules := terminationRules{now: now, termAge: now.Sub(d.termStartedAt), lease: d.lease,
+	rules := terminationRules{now: now, termAge: now.Sub(d.termStartedAt), workerLease: d.workerLease,
 		idleTimeout: idleTimeout, fewUnreconciled: d.fewUnreconciled()}
 	for _, machine := range d.registry.All() {
 		if decision := rules.decide(d.candidate(machine)); decision.operation != "" {
--- a/internal/fleet/deprovisioner_test.go
+++ b/internal/fleet/deprovisioner_test.go
@@ -24,73 +24,73 @@
 const unknownMachine worker.State = -1
 
 type recoveredIntentTest struct {
-	name    string
-	token   uint64 // of the intent
-	record  string
-	play    func(f *fixture)
-	deletes bool
-	state   worker.State
-	kept    bool // the intent is still in the log
+	name         string
+	token        uint64 // of the intent
+	record       string
+	setup        func(f *fixture)
+	wantDeletion bool
+	wantState    worker.State
+	wantKept     bool // the intent is still in the log
 }
 
 var recoveredIntentTests = []recoveredIntentTest{
 	{
-		name:    "of the term before: completed at once",
-		token:   6,
-		record:  grantedRecord,
-		deletes: true, state: worker.Deleting, kept: true,
+		name:         "of the term before: completed at once",
+		token:        6,
+		record:       grantedRecord,
+		wantDeletion: true, wantState: worker.Deleting, wantKept: true,
 	},
 	{
-		name:    "of an earlier term: contact with the machine comes first",
-		token:   4,
-		record:  grantedRecord,
-		deletes: false, state: worker.Deleting, kept: true,
+		name:         "of an earlier term: contact with the machine comes first",
+		token:        4,
+		record:       grantedRecord,
+		wantDeletion: false, wantState: worker.Deleting, wantKept: true,
 	},
 	{
-		name:    "contact, and the machine has no work",
-		token:   4,
-		record:  grantedRecord,
-		play:    sendHeartbeat(nil),
-		deletes: true, state: worker.Deleting, kept: true,
+		name:         "contact, and the machine has no work",
+		token:        4,
+		record:       grantedRecord,
+		setup:        sendHeartbeat(nil),
+		wantDeletion: true, wantState: worker.Deleting, wantKept: true,
 	},
 	{
-		name:    "contact, and the machine has work of a term since, which read no log",
-		token:   4,
-		record:  grantedRecord,
-		play:    sendHeartbeat(workOfTerm(5)),
-		deletes: false, state: worker.Up, kept: false,
+		name:         "contact, and the machine has work of a term since, which read no log",
+		token:        4,
+		record:       grantedRecord,
+		setup:        sendHeartbeat(workOfTerm(5)),
+		wantDeletion: false, wantState: worker.Up, wantKept: false,
 	},
 	{
-		name:    "contact, and the machine has work of the intent's own term",
-		token:   4,
-		record:  grantedRecord,
-		play:    sendHeartbeat(workOfTerm(4)),
-		deletes: true, state: worker.Deleting, kept: true,
+		name:         "contact, and the machine has work of the intent's own term",
+		token:        4,
+		record:       grantedRecord,
+		setup:        sendHeartbeat(workOfTerm(4)),
+		wantDeletion: true, wantState: worker.Deleting, wantKept: true,
 	},
 	{
-		name:    "no contact, and the machine's lease has expired",
-		token:   4,
-		record:  grantedRecord,
-		play:    expireLeases,
-		deletes: true, state: worker.Deleting, kept: true,
+		name:         "no contact, and the machine's lease has expired",
+		token:        4,
+		record:       grantedRecord,
+		setup:        expireLeases,
+		wantDeletion: true, wantState: worker.Deleting, wantKept: true,
 	},
 	{
-		name:    "a pending request may name the machine: deleted by its name",
-		token:   6,
-		record:  unansweredRecord,
-		deletes: true, state: unknownMachine, kept: true,
+		name:         "a pending request may name the machine: deleted by its name",
+		token:        6,
+		record:       unansweredRecord,
+		wantDeletion: true, wantState: unknownMachine, wantKept: true,
 	},
 	{
-		name:    "the same, and another term may have used it",
-		token:   4,
-		record:  unansweredRecord,
-		deletes: false, state: unknownMachine, kept: true,
+		name:         "the same, and another term may have used it",
+		token:        4,
+		record:       unansweredRecord,
+		wantDeletion: false, wantState: unknownMachine, wantKept: true,
 	},
 	{
-		name:    "no record names the machine: it is deleted",
-		token:   6,
-		record:  otherHostRecord,
-		deletes: false, state: unknownMachine, kept: false,
+		name:         "no record names the machine: it is deleted",
+		token:        6,
+		record:       otherHostRecord,
+		wantDeletion: false, wantState: unknownMachine, wantKept: false,
 	},
 }
 
@@ -118,22 +118,22 @@
 	for _, test := range recoveredIntentTests {
 		t.Run(test.name, func(t *testing.T) {
 			f := newLoggedFixture(t, intentPage("i-1", intentlog.Deprovision, test.token))
-			f.loadUsed(test.record)
-			if test.play != nil {
-				test.play(f)
+			f.loadUsedMachine(test.record)
+			if test.setup != nil {
+				test.setup(f)
 			}
 			f.advance(time.Second)
-			if deletes := len(f.deletedHosts()) > 0; deletes != test.deletes {
+			if deletes := len(f.deletedHosts()) > 0; deletes != test.wantDeletion {
 				t.Errorf("deletions %v", f.deletedHosts())
 			}
 			state := unknownMachine
 			if machine := f.registry.Get("i-1"); machine != nil {
 				state = machine.State
 			}
-			if state != test.state {
-				t.Errorf("state %d, want %d", state, test.state)
+			if state != test.wantState {
+				t.Errorf("state %d, want %d", state, test.wantState)
 			}
-			if kept := f.intents.Get(intentlog.Deprovision, "i-1") != nil; kept != test.kept {
+			if kept := f.intents.Get(intentlog.Deprovision, "i-1") != nil; kept != test.wantKept {
 				t.Errorf("intent kept: %v", kept)
 			}
 		})
@@ -143,7 +143,7 @@
 // A request that turns out to name a machine with an intent brings none: it gets no work.
 func TestLateGrantOfTerminatedMachine(t *testing.T) {
 	f := newLoggedFixture(t, intentPage("i-1", intentlog.Deprovision, 4))
-	f.loadUsed(`{"Build":"g2","Yard":"a","Number":2}`)
+	f.loadUsedMachine(`{"Build":"g2","Yard":"a","Number":2}`)
 	f.advance(time.Second)
 	f.answerCall(cloud.CreateMachines, granted("i-1", "i-2"))
 	if machine := f.registry.Get("i-1"); machine == nil || machine.State != worker.Deleting {
@@ -158,7 +158,7 @@
 // successor that found the machine recorded and no intent would wait for it.
 func TestIntentOutlivesRecord(t *testing.T) {
 	f := newLoggedFixture(t, intentPage("i-1", intentlog.Deprovision, 6))
-	f.loadUsed(`{"Build":"g2","Yard":"a","Number":2,"Hosts":["i-1","i-2"]}`)
+	f.loadUsedMachine(`{"Build":"g2","Yard":"a","Number":2,"Hosts":["i-1","i-2"]}`)
 	f.advance(time.Second)
 	f.answerCall(cloud.DeleteMachines, cloud.Success(cloud.Response{}))
 	if intent := f.intents.Get(intentlog.Deprovision, "i-1"); intent == nil || intent.State() != intentlog.Completed {
@@ -174,7 +174,7 @@
 // An older version of the record, which becomes durable later, still names the machine.
 func TestIntentOutlivesOlderVersion(t *testing.T) {
 	f := newLoggedFixture(t)
-	f.loadUsed(`{"Build":"g2","Yard":"a","Number":3,"Hosts":["i-1","i-2","i-3"]}`)
+	f.loadUsedMachine(`{"Build":"g2","Yard":"a","Number":3,"Hosts":["i-1","i-2","i-3"]}`)
 	f.terminateAndDelete("i-1")
 	f.advance(0) // the record without i-1 is being written
 	older := f.storeReplies
@@ -188,14 +188,14 @@
 		callback(f.now, store.Result{Revision: 20})
 	}
 	request := f.autoscaler.provisioner.byHost["i-3"]
-	if len(request.unrecording) != 1 || request.unrecording[0].host != "i-2" {
-		t.Errorf("waiting for the record: %+v", request.unrecording)
+	if len(request.pendingRemovals) != 1 || request.pendingRemovals[0].host != "i-2" {
+		t.Errorf("waiting for the record: %+v", request.pendingRemovals)
 	}
 	f.commitWrites()
 	f.advance(0)
 	f.commitWrites()
-	if len(request.unrecording) != 0 {
-		t.Errorf("still waiting: %+v", request.unrecording)
+	if len(request.pendingRemovals) != 0 {
+		t.Errorf("still waiting: %+v", request.pendingRemovals)
 	}
 }
 
--- a/internal/fleet/fixture_test.go
+++ b/internal/fleet/fixture_test.go
@@ -144,8 +144,8 @@
 	f.autoscaler.LoadRequest(f.now, wire.KeyValue{Key: "h/0/" + name, Value: []byte(record), Version: 4})
 }
 
-// loadUsed loads the record of request b0-3-1, and machine i-1 as registered.
-func (f *fixture) loadUsed(record string) {
+// loadUsedMachine loads the record of request b0-3-1, and machine i-1 as registered.
+func (f *fixture) loadUsedMachine(record string) {
 	f.loadRequest("b0-3-1", record)
 	f.loadRegistrations(`{"i-1":"addr"}`)
 }
--- a/internal/fleet/inventory.go
+++ b/internal/fleet/inventory.go
@@ -14,7 +14,7 @@
 // known.
 type inventory struct {
 	cloudLimits   config.CloudLimits
-	cloud         *limitedCloud
+	cloud         *rateLimitedCloud
 	machines      *machines
 	provisioner   *provisioner
 	deprovisioner *deprovisioner
@@ -24,11 +24,11 @@
 	// ownedByOtherShard is Options.OwnedByOtherShard.
 	ownedByOtherShard func(host string, existedAt time.Time) bool
 
-	reading listReading
+	cursor listCursor
 }
 
-// listReading is the list being read, a page at a time.
-type listReading struct {
+// listCursor is the list being read, a page at a time.
+type listCursor struct {
 	nextAt   time.Time // when the next page, or a new list, is due
 	inFlight bool      // a page is under way
 	after    string    // the last machine of the pages read so far; "": a new list starts
@@ -39,13 +39,13 @@
 // listHistory counts in how many lists in a row machines were missing, and in how many lists
 // unknown machines were.
 type listHistory struct {
-	listed  map[string]bool // hosts expected in the lists
-	missed  map[string]int  // lists in a row without a host that is expected
-	unknown map[string]int  // lists with a host that is not known
+	expected map[string]bool // hosts expected in the lists
+	missed   map[string]int  // lists in a row without a host that is expected
+	unknown  map[string]int  // lists with a host that is not known
 }
 
 func newListHistory() *listHistory {
-	return &listHistory{listed: map[string]bool{}, missed: map[string]int{}, unknown: map[string]int{}}
+	return &listHistory{expected: map[string]bool{}, missed: map[string]int{}, unknown: map[string]int{}}
 }
 
 // forget drops the count of a deleted machine.
@@ -60,45 +60,45 @@
 
 // countMissed counts the expected machines that a list does not show.
 func (h *listHistory) countMissed(shown map[string]bool, registry *worker.Registry) {
-	for host := range h.listed {
+	for host := range h.expected {
 		switch {
 		case shown[host]:
 			delete(h.missed, host)
 		case registry.Get(host) == nil:
-			delete(h.listed, host)
+			delete(h.expected, host)
 		default:
 			h.missed[host]++
 		}
 	}
 }
 
-// continueReading asks for the next page when it is due. Each page takes its part of the cloud's
+// readNextPage asks for the next page when it is due. Each page takes its part of the cloud's
 // rate: a large fleet's list has many.
-func (i *inventory) continueReading(now time.Time) {
-	if i.reading.inFlight || now.Before(i.reading.nextAt) || !i.cloud.allow(now) {
+func (i *inventory) readNextPage(now time.Time) {
+	if i.cursor.inFlight || now.Before(i.cursor.nextAt) || !i.cloud.allow(now) {
 		return
 	}
-	i.reading.inFlight = true
-	i.cloud.call(cloud.Call{Operation: cloud.ListMachines, After: i.reading.after}, i.handlePage)
+	i.cursor.inFlight = true
+	i.cloud.call(cloud.Call{Operation: cloud.ListMachines, After: i.cursor.after}, i.handlePage)
 }
 
 func (i *inventory) handlePage(now time.Time, result cloud.Result) {
-	i.reading.inFlight = false
+	i.cursor.inFlight = false
 	response, err := result.Response()
 	if err != nil {
-		i.reading = listReading{nextAt: i.cloud.nextRetry(now)}
+		i.cursor = listCursor{nextAt: i.cloud.nextRetry(now)}
 		return
 	}
 	page := response.Page
-	i.reading.pages++
-	i.reading.hosts = append(i.reading.hosts, page.Machines...)
+	i.cursor.pages++
+	i.cursor.hosts = append(i.cursor.hosts, page.Machines...)
 	if n := len(page.Machines); page.More && n > 0 {
-		i.reading.after = page.Machines[n-1].ID
-		i.continueReading(now)
+		i.cursor.after = page.Machines[n-1].ID
+		i.readNextPage(now)
 		return
 	}
-	hosts := i.reading.hosts
-	i.reading = listReading{nextAt: now.Add(i.interval(i.reading.pages))}
+	hosts := i.cursor.hosts
+	i.cursor = listCursor{nextAt: now.Add(i.interval(i.cursor.pages))}
 	i.reconcile(now, hosts)
 }
 
@@ -113,10 +113,10 @@
 	registry := i.machines.registry
 	shown := map[string]bool{}
 	for _, host := range hosts {
-		shown[host.ID], i.lists.listed[host.ID] = true, true
+		shown[host.ID], i.lists.expected[host.ID] = true, true
 		machine := registry.Get(host.ID)
 		if machine == nil {
-			if machine = i.addUnexpected(now, host); machine == nil {
+			if machine = i.addOrphan(now, host); machine == nil {
 				continue
 			}
 		}
@@ -128,16 +128,16 @@
 	for _, machine := range registry.All() {
 		if machine.State == worker.Unreconciled {
 			// It was up in an earlier term, so it should be listed.
-			i.lists.listed[machine.Host] = true
+			i.lists.expected[machine.Host] = true
 		}
 	}
 	i.lists.countMissed(shown, registry)
 }
 
-// addUnexpected adds a listed machine that no shard knows, and returns nil unless it is sure to
+// addOrphan adds a listed machine that no shard knows, and returns nil unless it is sure to
 // be one. Deleted machines stay listed for a while: only one that is still there well after the
 // lag was created by a call that was executed late.
-func (i *inventory) addUnexpected(now time.Time, host wire.Machine) *worker.Machine {
+func (i *inventory) addOrphan(now time.Time, host wire.Machine) *worker.Machine {
 	createdAt := now.Add(-config.Seconds(host.AgeS))
 	if !i.adopter || i.provisioner.hasPending() || i.ownedByOtherShard(host.ID, createdAt) {
 		return nil
--- a/internal/fleet/machine_types.go
+++ b/internal/fleet/machine_types.go
@@ -19,7 +19,7 @@
 // machineTypes keeps the machine types that the cloud offers, and has the lease holder of the
 // first shard record them for all controllers.
 type machineTypes struct {
-	cloud     *limitedCloud
+	cloud     *rateLimitedCloud
 	store     *termStore
 	registry  *worker.Registry
 	scheduler *placement.Scheduler
--- a/internal/fleet/provisioner.go
+++ b/internal/fleet/provisioner.go
@@ -22,7 +22,7 @@
 	shard    int
 	token    uint64
 	log      *slog.Logger
-	cloud    *limitedCloud
+	cloud    *rateLimitedCloud
 	store    *termStore
 	intents  *intentlog.Log
 	machines *machines
@@ -65,7 +65,7 @@
 	for _, request := range p.sorted() {
 		request.writer.Tick(now)
 		p.closeRefused(now, request)
-		due := request.state == provisioningRequested && !request.inFlight && !now.Before(request.retryAt)
+		due := request.state == requestPending && !request.inFlight && !now.Before(request.retryAt)
 		if due && p.cloud.allow(now) {
 			p.send(request)
 		}
@@ -86,7 +86,7 @@
 func (p *provisioner) newRequest(now time.Time, record ProvisioningRecord) *provisioningRequest {
 	p.sequence++
 	request := &provisioningRequest{name: requestName(p.shard, p.token, p.sequence), record: record}
-	request.intent = p.intents.RecordElsewhere(intentlog.Provision, request.name, "demand")
+	request.intent = p.intents.RecordExternal(intentlog.Provision, request.name, "demand")
 	p.openWriter(request, 0)
 	p.requests[request.name] = request
 	p.log.Info("provisioning machines", "request", request.name,
@@ -143,7 +143,7 @@
 		p.close(now, request, "no machines")
 		return
 	}
-	request.setState(p.log, provisioningGranted, "granted")
+	request.setState(p.log, requestGranted, "granted")
 	request.record.Hosts = hosts
 	request.writer.Set(request.record)
 	p.addHosts(now, request)
@@ -164,7 +164,7 @@
 // explains.
 func (p *provisioner) handleRefusal(now time.Time, request *provisioningRequest) {
 	if p.intents.Durable() {
-		request.setState(p.log, provisioningRefused, "no capacity")
+		request.setState(p.log, requestRefused, "no capacity")
 		return
 	}
 	p.close(now, request, "no capacity")
@@ -172,7 +172,7 @@
 
 // closeRefused ends a refused request of which no call can arrive late any more.
 func (p *provisioner) closeRefused(now time.Time, request *provisioningRequest) {
-	if request.state == provisioningRefused && now.Sub(request.answeredAt) > tuning.LateCallWindow {
+	if request.state == requestRefused && now.Sub(request.answeredAt) > tuning.LateCallWindow {
 		p.close(now, request, "no capacity")
 	}
 }
@@ -182,7 +182,7 @@
 func (p *provisioner) retryRefused(now time.Time, kind machineKind, maxMachines int) *provisioningRequest {
 	for _, request := range p.sorted() {
 		if request.retryable(now, kind, maxMachines, tuning.NoCapacityPause) {
-			request.setState(p.log, provisioningRequested, "retried")
+			request.setState(p.log, requestPending, "retried")
 			return request
 		}
 	}
@@ -207,7 +207,7 @@
 	request := &provisioningRequest{name: "found-" + machine.Host, record: ProvisioningRecord{
 		Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot, Number: 1, Hosts: []string{machine.Host}}}
 	p.openWriter(request, 0)
-	request.setState(p.log, provisioningGranted, "adopted")
+	request.setState(p.log, requestGranted, "adopted")
 	p.requests[request.name], p.byHost[machine.Host] = request, request
 	request.writer.Set(request.record)
 	machine.Recorded = true
--- a/internal/fleet/provisioner_records.go
+++ b/internal/fleet/provisioner_records.go
@@ -26,11 +26,11 @@
 	if len(record.Hosts) == 0 {
 		// The earlier lease holder did not get to record the answer. Calling again by the
 		// same name gets it, or creates the machines now.
-		request.intent = p.intents.RecoverElsewhere(intentlog.Provision, name, tokenOfRequest(name))
-		request.setState(p.log, provisioningRequested, "recovered without an answer")
+		request.intent = p.intents.RecoverExternal(intentlog.Provision, name, requestToken(name))
+		request.setState(p.log, requestPending, "recovered without an answer")
 		return
 	}
-	request.setState(p.log, provisioningGranted, "recovered")
+	request.setState(p.log, requestGranted, "recovered")
 	request.recordDurable = true
 	p.addHosts(now, request)
 }
@@ -53,15 +53,15 @@
 
 // handleDurable goes on with a request of whose record a version has become durable.
 func (p *provisioner) handleDurable(now time.Time, request *provisioningRequest, version int) {
-	p.forgetUnrecorded(request, version)
+	p.forgetDurable(request, version)
 	switch request.state {
-	case provisioningRecording:
+	case requestRecording:
 		p.intents.MarkRecorded(request.intent)
-		request.setState(p.log, provisioningRequested, "recorded")
-	case provisioningGranted:
+		request.setState(p.log, requestPending, "recorded")
+	case requestGranted:
 		request.recordDurable = true
 		p.onRecordDurable(now, request.record.Hosts)
-	case provisioningClosed:
+	case requestClosed:
 		if request.writer.Durable() {
 			delete(p.requests, request.name)
 		}
@@ -73,7 +73,7 @@
 // durable no machine is used, so one that a crash leaves out of both is adopted as unexpected.
 func (p *provisioner) splitRecord(now time.Time, request *provisioningRequest) bool {
 	count := len(request.record.Hosts)
-	if request.state != provisioningGranted || count < 2 {
+	if request.state != requestGranted || count < 2 {
 		return false
 	}
 	p.maxMachinesPerRequest = min(p.maxMachinesPerRequest, count/2)
@@ -84,7 +84,7 @@
 	half.record.Hosts, half.record.Number = request.record.Hosts[count/2:], count-count/2
 	request.record.Hosts = request.record.Hosts[:count/2]
 	p.openWriter(half, 0)
-	half.setState(p.log, provisioningGranted, "split")
+	half.setState(p.log, requestGranted, "split")
 	p.requests[half.name] = half
 	for _, host := range half.record.Hosts {
 		p.byHost[host] = half
@@ -101,7 +101,7 @@
 	if request.intent != nil {
 		p.intents.Complete(request.intent, reason)
 	}
-	request.setState(p.log, provisioningClosed, reason)
+	request.setState(p.log, requestClosed, reason)
 	request.writer.Set(nil)
 	request.writer.Tick(now)
 }
@@ -119,27 +119,27 @@
 		return other == host
 	})
 	if len(request.record.Hosts) == 0 {
-		deleted := deletedMachine{host: host, version: request.writer.WantedVersion() + 1}
-		request.unrecording = append(request.unrecording, deleted)
+		deleted := pendingRemoval{host: host, version: request.writer.WantedVersion() + 1}
+		request.pendingRemovals = append(request.pendingRemovals, deleted)
 		p.close(now, request, "all machines deleted")
 		return
 	}
-	deleted := deletedMachine{host: host, version: request.writer.Set(request.record)}
-	request.unrecording = append(request.unrecording, deleted)
+	deleted := pendingRemoval{host: host, version: request.writer.Set(request.record)}
+	request.pendingRemovals = append(request.pendingRemovals, deleted)
 }
 
-// forgetUnrecorded forgets the intents that a durable version of a request's record makes
+// forgetDurable forgets the intents that a durable version of a request's record makes
 // superfluous: that of the request, and those of deleted machines that it does not name any more.
-func (p *provisioner) forgetUnrecorded(request *provisioningRequest, version int) {
-	waiting := request.unrecording[:0]
-	for _, deleted := range request.unrecording {
+func (p *provisioner) forgetDurable(request *provisioningRequest, version int) {
+	waiting := request.pendingRemovals[:0]
+	for _, deleted := range request.pendingRemovals {
 		if deleted.version > version {
 			waiting = append(waiting, deleted)
 			continue
 		}
 		p.forgetTermination(deleted.host)
 	}
-	request.unrecording = waiting
+	request.pendingRemovals = waiting
 	if request.intent != nil {
 		p.intents.Forget(request.intent)
 	}
--- a/internal/fleet/provisioner_test.go
+++ b/internal/fleet/provisioner_test.go
@@ -10,32 +10,32 @@
 )
 
 type provisioningTest struct {
-	name    string
-	answers []cloud.Result
-	again   bool // the same name is asked for once more
-	hosts   int
+	name         string
+	answers      []cloud.Result
+	wantRetry    bool // the same name is asked for once more
+	wantMachines int
 }
 
 var provisioningTests = []provisioningTest{
 	{
-		name:    "granted",
-		answers: []cloud.Result{granted("i-1")},
-		hosts:   1,
+		name:         "granted",
+		answers:      []cloud.Result{granted("i-1")},
+		wantMachines: 1,
 	},
 	{
-		name:    "no response, then granted",
-		answers: []cloud.Result{cloud.Failure(cloud.ErrNoResponse), granted("i-1")},
-		hosts:   1,
+		name:         "no response, then granted",
+		answers:      []cloud.Result{cloud.Failure(cloud.ErrNoResponse), granted("i-1")},
+		wantMachines: 1,
 	},
 	{
-		name:    "outage, then granted",
-		answers: []cloud.Result{cloud.Failure(cloud.ErrUnavailable), granted("i-1")},
-		hosts:   1,
+		name:         "outage, then granted",
+		answers:      []cloud.Result{cloud.Failure(cloud.ErrUnavailable), granted("i-1")},
+		wantMachines: 1,
 	},
 	{
-		name:    "throttled",
-		answers: []cloud.Result{cloud.Failure(cloud.ErrThrottled)},
-		again:   true,
+		name:      "throttled",
+		answers:   []cloud.Result{cloud.Failure(cloud.ErrThrottled)},
+		wantRetry: true,
 	},
 	{
 		name:    "no capacity",
@@ -72,7 +72,7 @@
 			for _, call := range f.cloudCalls {
 				again = again || call.Operation == cloud.CreateMachines && call.Request.Name == name
 			}
-			if again != test.again || len(f.registry.All()) != test.hosts {
+			if again != test.wantRetry || len(f.registry.All()) != test.wantMachines {
 				t.Errorf("asked again: %t, machines %d", again, len(f.registry.All()))
 			}
 		})
--- a/internal/fleet/limited_cloud.go
+++ b/internal/fleet/rate_limited_cloud.go
@@ -12,15 +12,15 @@
 	"juniperchute/internal/tuning"
 )
 
-// limitedCloud calls the cloud within the share of its rate that one lease holder may use, and
+// rateLimitedCloud calls the cloud within the share of its rate that one lease holder may use, and
 // spaces retries out while calls fail in a row.
-type limitedCloud struct {
+type rateLimitedCloud struct {
 	caller  cloud.Caller
 	limiter *rate.Limiter
 	backoff *backoff.ExponentialBackOff
 }
 
-func newLimitedCloud(caller cloud.Caller, requestsPerSecond float64) *limitedCloud {
+func newRateLimitedCloud(caller cloud.Caller, requestsPerSecond float64) *rateLimitedCloud {
 	retryBackoff := backoff.NewExponentialBackOff()
 	retryBackoff.InitialInterval, retryBackoff.MaxInterval = tuning.CloudRetryInitial, tuning.CloudRetryMax
 	// A single lease holder calls: there is no crowd to spread out, and tests are repeatable.
@@ -28,14 +28,14 @@
 	retryBackoff.Reset()
 	share := requestsPerSecond * tuning.CloudRateShare
 	limiter := rate.NewLimiter(rate.Limit(share), max(1, int(share)))
-	return &limitedCloud{caller: caller, limiter: limiter, backoff: retryBackoff}
+	return &rateLimitedCloud{caller: caller, limiter: limiter, backoff: retryBackoff}
 }
 
 // allow reports whether the rate has room for one more call, and takes that room.
-func (c *limitedCloud) allow(now time.Time) bool { return c.limiter.AllowN(now, 1) }
+func (c *rateLimitedCloud) allow(now time.Time) bool { return c.limiter.AllowN(now, 1) }
 
 // call executes a call that allow has allowed.
-func (c *limitedCloud) call(call cloud.Call, callback func(now time.Time, result cloud.Result)) {
+func (c *rateLimitedCloud) call(call cloud.Call, callback func(now time.Time, result cloud.Result)) {
 	c.caller(call, func(now time.Time, result cloud.Result) {
 		if err := result.Err(); err == nil || errors.Is(err, cloud.ErrNoCapacity) {
 			c.backoff.Reset()
@@ -45,7 +45,9 @@
 }
 
 // nextRetry returns when a call that has just failed may be made again.
-func (c *limitedCloud) nextRetry(now time.Time) time.Time { return now.Add(c.backoff.NextBackOff()) }
+func (c *rateLimitedCloud) nextRetry(now time.Time) time.Time {
+	return now.Add(c.backoff.NextBackOff())
+}
 
 // outcomeOf returns the outcome of an operation whose call ended with err.
 func outcomeOf(err error) intentlog.Outcome {
--- a/internal/fleet/records.go
+++ b/internal/fleet/records.go
@@ -82,7 +82,7 @@
 	if err := json.Unmarshal(item.Value, &record); err != nil {
 		return "", 0, false
 	}
-	return name, tokenOfRequest(name), len(record.Hosts) == 0
+	return name, requestToken(name), len(record.Hosts) == 0
 }
 
 // requestName is the name of a provisioning request. A name is never used for a second request:
@@ -91,8 +91,8 @@
 	return fmt.Sprintf("b%d-%d-%d", shard, token, sequence)
 }
 
-// tokenOfRequest is the token of the term that made a request's name, 0 if the name is of another form.
-func tokenOfRequest(name string) uint64 {
+// requestToken is the token of the term that made a request's name, 0 if the name is of another form.
+func requestToken(name string) uint64 {
 	var shard, number int
 	var token uint64
 	if _, err := fmt.Sscanf(name, "b%d-%d-%d", &shard, &token, &number); err != nil {
--- a/internal/fleet/registrations.go
+++ b/internal/fleet/registrations.go
@@ -17,20 +17,20 @@
 	provisioner *provisioner
 	scheduler   *placement.Scheduler
 
-	pages   *store.Pages
-	started map[string]bool // hosts that are, or are about to be, named
+	pages     *store.Pages
+	submitted map[string]bool // hosts that are, or are about to be, named
 }
 
 // load takes over the registrations of earlier terms, after their provisioning records. A machine
 // that no record names has been deleted, if all records could be read.
 func (r *registrations) load(now time.Time, items []wire.KeyValue) {
-	r.pages.Load(items, func(host string, raw json.RawMessage) { r.recoverHost(now, host, raw) })
+	r.pages.Load(items, func(host string, raw json.RawMessage) { r.recoverRegistration(now, host, raw) })
 	if r.pages.Unreadable() > 0 {
 		r.assumeRegistered(now)
 	}
 }
 
-func (r *registrations) recoverHost(now time.Time, host string, raw json.RawMessage) {
+func (r *registrations) recoverRegistration(now time.Time, host string, raw json.RawMessage) {
 	allRecordsRead := r.provisioner.unreadableRecords == 0
 	machine := r.machines.registry.Get(host)
 	if machine == nil && !allRecordsRead {
@@ -40,7 +40,7 @@
 		r.pages.Delete(host)
 		return
 	}
-	r.started[host], machine.Registered = true, true
+	r.submitted[host], machine.Registered = true, true
 	if machine.State == worker.Booting {
 		_ = json.Unmarshal(raw, &machine.Address) // without one, its next heartbeat gives it
 		r.machines.registry.SetState(now, machine, worker.Unreconciled, "used in an earlier term")
@@ -60,14 +60,14 @@
 // register names a machine, once its provisioning record is durable: a successor that found the
 // machine registered and in no record would take it for deleted.
 func (r *registrations) register(now time.Time, machine *worker.Machine) {
-	if machine.Registered || machine.State == worker.Deleting || r.started[machine.Host] {
+	if machine.Registered || machine.State == worker.Deleting || r.submitted[machine.Host] {
 		return
 	}
 	if !r.provisioner.recordsDurably(machine.Host) {
 		return
 	}
 	r.machines.types.setCapacity(machine)
-	r.started[machine.Host] = true
+	r.submitted[machine.Host] = true
 	r.pages.Put(machine.Host, machine.Address, func(time.Time) {
 		machine.Registered = true
 		r.scheduler.MarkMachineChanged(machine)
@@ -77,6 +77,6 @@
 
 // forget removes a deleted machine.
 func (r *registrations) forget(host string) {
-	delete(r.started, host)
+	delete(r.submitted, host)
 	r.pages.Delete(host)
 }
--- a/internal/fleet/termination.go
+++ b/internal/fleet/termination.go
@@ -23,7 +23,7 @@
 type terminationRules struct {
 	now         time.Time
 	termAge     time.Duration // since the term started
-	lease       time.Duration // of a worker
+	workerLease time.Duration // of a worker
 	idleTimeout time.Duration
 	// fewUnreconciled: so few machines are unreconciled that the work waiting for them is worth more.
 	fewUnreconciled bool
@@ -69,7 +69,7 @@
 }
 
 func (r terminationRules) decideUp(candidate terminationCandidate) termination {
-	if candidate.Unreachable(r.now, tuning.UnreachableLeases*r.lease) && candidate.ActiveCopies == 0 {
+	if candidate.Unreachable(r.now, tuning.UnreachableLeases*r.workerLease) && candidate.ActiveCopies == 0 {
 		return reclaim("unreachable")
 	}
 	if candidate.UnansweredCommands > 0 && candidate.onlyUnconfirmedStops {
@@ -108,7 +108,7 @@
 	switch {
 	case candidate.missedLists >= tuning.UnreconciledMissedListsLimit:
 		return reclaim("not listed, no contact in this term")
-	case r.termAge > r.lease:
+	case r.termAge > r.workerLease:
 		return reclaim("no contact in this term")
 	case r.fewUnreconciled && r.termAge > tuning.FewUnreconciledTimeout:
 		return reclaim("one of few without contact in this term")
--- a/internal/intentlog/history.go
+++ b/internal/intentlog/history.go
@@ -7,27 +7,27 @@
 	"juniperchute/internal/tracing"
 )
 
-// Step is one step in the history of an intent.
+// Step is one event in the history of an intent, as one controller traced it.
 type Step struct {
 	At     time.Time
 	Member string
 	// Token is the fencing token under which the member acted.
 	Token string
-	// Text says what was done, as the trace command prints it.
+	// Text describes the event in the wording of the trace command.
 	Text string
 }
 
-// History is the course of one intent according to the controllers' traces.
+// History is the sequence of events of one intent, joined from the controllers' traces.
 type History struct {
 	Operation, Target, Shard string
 	Steps                    []Step
-	// FailedOver: whether a successor recovered it.
+	// FailedOver reports whether a later term recovered the intent.
 	FailedOver bool
-	// Completed: whether its end is in the traces.
+	// Completed reports whether the traces show the completion of the intent.
 	Completed bool
 }
 
-// Duration is the time from the first to the last step.
+// Duration returns the time from the first to the last step, zero without steps.
 func (h History) Duration() time.Duration {
 	if len(h.Steps) == 0 {
 		return 0
@@ -35,8 +35,8 @@
 	return h.Steps[len(h.Steps)-1].At.Sub(h.Steps[0].At)
 }
 
-// Histories joins the spans of all controllers into one history for each intent, in the order
-// in which the intents were decided. Spans of other things are left out.
+// Histories joins the spans of several controllers into one history per intent, ordered by each
+// intent's first span. It ignores spans that belong to no intent.
 func Histories(spans []tracing.Span) []History {
 	var histories []History
 	for _, group := range tracing.GroupByTrace(spans) {
@@ -47,7 +47,7 @@
 	return histories
 }
 
-// newHistory makes a history of the spans of one trace.
+// newHistory builds a history from the spans of one trace. There must be at least one span.
 func newHistory(spans []tracing.Span) History {
 	first := spans[0]
 	h := History{
@@ -68,7 +68,7 @@
 	return h
 }
 
-// stepText describes a span. The wording is that of the operators' documentation.
+// stepText describes a span in the wording of the operators' documentation, which scripts match.
 func stepText(span tracing.Span) string {
 	duration := span.End.Sub(span.Start).Round(time.Millisecond)
 	switch span.Name {
--- a/internal/intentlog/history_specification_test.go
+++ b/internal/intentlog/history_specification_test.go
@@ -7,11 +7,11 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// historyOperationKind is what an owner does to the entry of one machine.
+// historyOperationKind is the kind of an operation on the entry of one machine.
 type historyOperationKind int
 
 const (
-	failoverOperation historyOperationKind = iota // becomes the owner, and reads whether there is an entry
+	failoverOperation historyOperationKind = iota // starts a term and reads whether there is an entry
 	recordOperation
 	completeOperation
 )
@@ -23,15 +23,16 @@
 	machineID string
 }
 
-// operationResult is what the owner knows of the operation's outcome.
+// operationResult is what the holder knows about the outcome of an operation.
 type operationResult struct {
-	known      bool // it was executed
-	entryFound bool // failoverOperation: there was an entry
+	known      bool // the operation is known to have been executed
+	entryFound bool // a failoverOperation found an entry
 }
 
 var completed = operationResult{known: true}
 
-// addToHistory notes an operation; if its outcome was never known, it ends at math.MaxInt64.
+// addToHistory adds an operation to the history. An operation of unknown outcome ends at
+// math.MaxInt64.
 func (m *model) addToHistory(operation historyOperation, startedAt, endedAt int64, result operationResult) {
 	m.observed.history = append(m.observed.history, porcupine.Operation{
 		ClientId: int(operation.token),
@@ -42,25 +43,25 @@
 	})
 }
 
-// closeHistory adds the entries whose outcome their owners never knew.
+// closeHistory adds the entries whose outcome their holders never learned.
 func (m *model) closeHistory() {
-	for _, owner := range m.owners {
-		for _, pending := range owner.recording {
+	for _, holder := range m.holders {
+		for _, pending := range holder.recording {
 			if !pending.outcomeKnown {
-				m.addToHistory(pending.operation(owner), pending.startedAt, math.MaxInt64, operationResult{})
+				m.addToHistory(pending.operation(holder), pending.startedAt, math.MaxInt64, operationResult{})
 			}
 		}
 	}
 }
 
-// entryState is the entry of one machine in a log that one owner at a time may change.
+// entryState is the state of one machine's entry in the specification.
 type entryState struct {
 	token    uint64
 	recorded bool
 }
 
-// fencedLog is the specification: entries change under the highest token only, and a failover
-// sees exactly what was recorded and not completed before it.
+// fencedLog returns the specification: only the highest token changes entries, and a failover reads
+// exactly the entries that were recorded and not completed before it.
 func fencedLog() porcupine.Model {
 	specification := porcupine.NondeterministicModel{
 		Partition: partitionByMachine,
@@ -85,7 +86,7 @@
 	return partitions
 }
 
-// nextStates lists the states that an operation with a result may lead to; none: it is a violation.
+// nextStates returns the states that an operation with a result may lead to, none for a violation.
 func nextStates(state entryState, operation historyOperation, result operationResult) []any {
 	if operation.kind == failoverOperation {
 		if operation.token <= state.token || result.entryFound != state.recorded {
@@ -103,8 +104,6 @@
 	return next
 }
 
-// The operations that the cases below are made of.
-
 func failover(token uint64, startedAt, endedAt int64, entryFound bool) porcupine.Operation {
 	return porcupine.Operation{
 		Input:  historyOperation{kind: failoverOperation, token: token, machineID: "i-1"},
@@ -134,20 +133,20 @@
 	want    bool
 }{
 	{
-		name:    "recorded, and found by the successor",
+		name:    "recorded, then found by the successor",
 		history: []porcupine.Operation{firstTerm, recorded, failover(2, 4, 5, true)},
 		want:    true,
 	},
 	{
-		name:    "recorded, and not found",
+		name:    "recorded, then not found",
 		history: []porcupine.Operation{firstTerm, recorded, failover(2, 4, 5, false)},
 	},
 	{
-		name:    "found, and never recorded",
+		name:    "found without being recorded",
 		history: []porcupine.Operation{firstTerm, failover(2, 4, 5, true)},
 	},
 	{
-		name:    "recorded after the failover",
+		name:    "recorded by a superseded holder",
 		history: []porcupine.Operation{firstTerm, failover(2, 2, 3, false), change(recordOperation, 4, 5, completed)},
 	},
 	{
@@ -155,7 +154,7 @@
 		history: []porcupine.Operation{firstTerm, failover(1, 2, 3, false)},
 	},
 	{
-		name: "perhaps recorded, and found",
+		name: "record of unknown outcome, then found",
 		history: []porcupine.Operation{
 			firstTerm,
 			change(recordOperation, 2, 99, operationResult{}),
@@ -164,7 +163,7 @@
 		want: true,
 	},
 	{
-		name: "perhaps completed, and not found",
+		name: "completion of unknown outcome, then not found",
 		history: []porcupine.Operation{
 			firstTerm,
 			recorded,
@@ -175,7 +174,7 @@
 	},
 }
 
-// The check of histories finds each violation of the specification.
+// The checker accepts valid histories and rejects each violation of the specification.
 func TestHistoryCheck(t *testing.T) {
 	for _, c := range historyCases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/intentlog/intent.go
+++ b/internal/intentlog/intent.go
@@ -1,13 +1,13 @@
-// Package intentlog is the write-ahead log of what a shard's owner intends to do in the cloud:
-// provisioning, deprovisioning and reclaiming machines.
+// Package intentlog is the write-ahead log of a shard's cloud operations: provisioning,
+// deprovisioning and reclaiming machines.
 //
-// The cloud compares no fencing tokens, so a call that a superseded owner sent may be executed
-// at any later time. An intent is therefore recorded under its owner's token before the call is
-// sent, and is never withdrawn: the next owner recovers it, plans as if it were executed, and
-// completes it. A late call then only repeats what was decided.
+// The cloud does not check fencing tokens, so a call of a superseded lease holder may execute at
+// any later time. The log therefore records each intent under its lease holder's token before the
+// call is sent, and never withdraws it. The next lease holder recovers the intent, plans as if it
+// had been executed, and completes it. A late call is then a repeat of an idempotent request.
 //
-// Deletions of records from the state service need no intent, since the state service compares
-// versions. They pass through the log as well, which rejects those not conditioned on the term.
+// Deletions of records from the state service need no intent, since the state service supports
+// compare-and-swap. The log rejects those that are not conditioned on the term.
 package intentlog
 
 import (
@@ -17,39 +17,40 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// Operation is a kind of operation that one controller at a time carries out for a shard.
+// Operation is a kind of operation that only the shard's lease holder may carry out.
 type Operation string
 
-// The operations. Their values are stored, and shown to operators.
+// The operations. Their values are stored in log entries and shown to operators.
 const (
 	// Provision requests machines from the cloud.
 	Provision Operation = "rent"
-	// Deprovision returns machines that are known to have no work.
+	// Deprovision returns idle machines to the cloud.
 	Deprovision Operation = "return"
-	// Reclaim deletes machines that are lost: unresponsive, stuck, preempted or failed.
+	// Reclaim deletes failed machines: unresponsive, stuck in boot, preempted or failed in the cloud.
 	Reclaim Operation = "reclaim"
-	// Cleanup deletes records that nothing needs any more.
+	// Cleanup deletes obsolete records from the state service.
 	Cleanup Operation = "clean-up"
 )
 
-// Operations lists all operations.
+// Operations returns all operations in the order in which Status reports them.
 func Operations() []Operation { return []Operation{Provision, Deprovision, Reclaim, Cleanup} }
 
-// known reports whether this version has the operation; entries of other versions may name others.
-func (o Operation) known() bool { return slices.Contains(Operations(), o) }
+// supported reports whether this version implements the operation. Entries written by other versions
+// may name others.
+func (o Operation) supported() bool { return slices.Contains(Operations(), o) }
 
-// State is how far an intent has come.
+// State is a state in the lifecycle of an intent.
 type State int
 
 // The states of an intent.
 const (
-	// Recording: the entry is being written and is not known to be durable.
+	// Recording means that the entry is being written and is not known to be durable.
 	Recording State = iota
-	// Recorded: the entry is durable, and no call is in flight.
+	// Recorded means that the entry is durable and no call is in flight.
 	Recorded
-	// InFlight: a call has been sent and not been answered.
+	// InFlight means that a call was sent and has not been answered.
 	InFlight
-	// Completed: the outcome is known.
+	// Completed means that the effect is known to be in place, or is no longer wanted.
 	Completed
 )
 
@@ -57,8 +58,8 @@
 	return [...]string{"recording", "recorded", "in flight", "completed"}[s]
 }
 
-// follows reports whether an intent may change from one state to this one.
-func (s State) follows(from State) bool {
+// reachableFrom reports whether the state machine allows the transition from one state to this one.
+func (s State) reachableFrom(from State) bool {
 	switch s {
 	case Recorded:
 		return from == Recording || from == InFlight
@@ -70,23 +71,23 @@
 	return false
 }
 
-// Intent is one intended operation. Its state is changed by the Log that it belongs to.
+// Intent is one intended operation. Only the Log that it belongs to changes its state.
 type Intent struct {
 	Operation Operation
-	// Target names the machine, or the provisioning request. Neither name is ever reused.
+	// Target is the name of the machine or of the provisioning request. Names are never reused.
 	Target string
 	// Token is the fencing token of the term that recorded the intent.
 	Token uint64
-	// DecidedAt is when it was decided, by the deciding controller's wall clock; zero: not known.
+	// DecidedAt is the time of the decision by the deciding controller's wall clock, zero if unknown.
 	DecidedAt time.Time
-	// Recovered: an earlier term recorded it.
+	// Recovered reports whether an earlier term recorded the intent.
 	Recovered bool
 
-	state              State
-	calls              int  // calls made in this term
-	recordedExternally bool // a record outside the log is its entry
-	span               trace.Span
+	state         State
+	calls         int  // number of calls made in this term
+	externalEntry bool // the entry is a record outside the log
+	span          trace.Span
 }
 
-// State is how far the intent has come.
+// State returns the current state.
 func (i *Intent) State() State { return i.state }
--- a/internal/intentlog/model_checks_test.go
+++ b/internal/intentlog/model_checks_test.go
@@ -9,9 +9,9 @@
 	"juniperchute/internal/intentlog"
 )
 
-// observations are what is known of a model's course from outside.
+// observations are what an observer outside the model knows about a run.
 type observations struct {
-	recordedToken map[string]uint64 // by machine: the token of its entry, if one was ever durable
+	recordedToken map[string]uint64 // by machine: the token of its last durable entry
 	violations    []string
 	history       []porcupine.Operation
 }
@@ -20,7 +20,7 @@
 	m.observed.violations = append(m.observed.violations, fmt.Sprintf(format, args...))
 }
 
-// storedTokens reads the log as the state service has it: by machine, the token of its entry.
+// storedTokens returns the token of each machine's entry in the state service.
 func (m *model) storedTokens() map[string]uint64 {
 	tokens := map[string]uint64{}
 	for key, item := range m.state.Keys {
@@ -38,28 +38,28 @@
 	return tokens
 }
 
-// observeStored notes which entries are durable.
+// observeStored tracks the entries that are durable.
 func (m *model) observeStored() {
 	for machineID, token := range m.storedTokens() {
 		m.observed.recordedToken[machineID] = token
 	}
 }
 
-// observeRecorded notes which entries their owners know to be durable.
-func (m *model) observeRecorded() {
-	for _, owner := range m.owners {
-		for _, pending := range owner.recording {
-			intent := owner.log.Get(intentlog.Deprovision, pending.machineID)
+// observeAcknowledged adds the entries to the history that their holders now know to be durable.
+func (m *model) observeAcknowledged() {
+	for _, holder := range m.holders {
+		for _, pending := range holder.recording {
+			intent := holder.log.Get(intentlog.Deprovision, pending.machineID)
 			if pending.outcomeKnown || intent == nil || intent.State() == intentlog.Recording {
 				continue
 			}
 			pending.outcomeKnown = true
-			m.addToHistory(pending.operation(owner), pending.startedAt, m.step, completed)
+			m.addToHistory(pending.operation(holder), pending.startedAt, m.step, completed)
 		}
 	}
 }
 
-// checkDeletion checks the rules for a machine that the cloud has just deleted.
+// checkDeletion checks the invariants of a machine that the cloud has just deleted.
 func (m *model) checkDeletion(machineID string) {
 	recordedToken := m.observed.recordedToken[machineID]
 	workToken := m.machines[machineID].workToken
@@ -73,21 +73,21 @@
 	}
 }
 
-// checkWorkStart checks that a machine that gets work under a token was not recorded under an earlier one.
+// checkWorkStart checks that a machine that gets work was never recorded under an earlier token.
 func (m *model) checkWorkStart(machineID string, token uint64) {
 	if recorded := m.observed.recordedToken[machineID]; recorded != 0 && recorded < token {
 		m.violation("%s gets work under token %d, recorded under %d", machineID, token, recorded)
 	}
 }
 
-// checkFinished checks that all intents were completed and no entry is left.
+// checkFinished checks that all intents are completed and that no entry is left in the log.
 func (m *model) checkFinished() {
 	for machineID := range m.observed.recordedToken {
 		if m.machines[machineID].exists {
 			m.violation("%s was recorded and still exists", machineID)
 		}
 	}
-	if left := m.storedTokens(); len(left) > 0 && m.fault != ignoresRecovered {
+	if left := m.storedTokens(); len(left) > 0 && m.fault != skipsRecovery {
 		m.violation("entries are left in the log: %v", left)
 	}
 }
--- a/internal/intentlog/model_delivery_test.go
+++ b/internal/intentlog/model_delivery_test.go
@@ -8,7 +8,7 @@
 	"juniperchute/internal/store"
 )
 
-// inFlight are the messages that have been sent and not been delivered.
+// inFlight holds the messages that have been sent and not been delivered.
 type inFlight struct {
 	stateCalls []*stateCall
 	deletions  []*deletion
@@ -16,62 +16,62 @@
 
 // stateCall is a call of the state service.
 type stateCall struct {
-	owner *modelOwner // nil: nobody waits for the answer any more
-	call  store.Call
-	reply func(now time.Time, result store.Result)
+	holder *modelHolder // nil if the caller has timed out
+	call   store.Call
+	reply  func(now time.Time, result store.Result)
 }
 
 func (c *stateCall) answer(now time.Time, result store.Result) {
-	if c.owner != nil {
+	if c.holder != nil {
 		c.reply(now, result)
 	}
 }
 
 // deletion is a call of the cloud to delete a machine.
 type deletion struct {
-	owner     *modelOwner // nil: nobody waits for the answer any more
+	holder    *modelHolder // nil if the caller has timed out
 	intent    *intentlog.Intent
 	machineID string
 }
 
 func (d *deletion) answer(outcome intentlog.Outcome) {
-	if d.owner != nil {
-		d.owner.finishCall(d.intent, outcome)
+	if d.holder != nil {
+		d.holder.finishCall(d.intent, outcome)
 	}
 }
 
-// fates is the number that the fate of a message is drawn from. Those without a name of their
-// own are executed and answered.
-const fates = 10
+// deliveryOutcomes is the number of equally likely outcomes of a message. Outcomes above the named
+// ones are successful deliveries.
+const deliveryOutcomes = 10
 
-// stateCallFate is what becomes of a call of the state service.
-type stateCallFate int
+// stateCallOutcome is the outcome of sending a call to the state service.
+type stateCallOutcome int
 
 const (
-	stateCallRefused stateCallFate = iota
+	stateCallRefused stateCallOutcome = iota
 	stateCallLost
 	stateAnswerLost
-	stateCallLate // it comes when nobody waits for it
+	stateCallDelayed // executed after the caller has timed out
 	stateCallDelivered
 )
 
-// deletionFate is what becomes of a deletion.
-type deletionFate int
+// deletionOutcome is the outcome of sending a deletion to the cloud.
+type deletionOutcome int
 
 const (
-	deletionRefused deletionFate = iota
+	deletionRefused deletionOutcome = iota
 	deletionLost
 	deletionAnswerLost
-	deletionLate
-	deletionRepeated // it is executed, and a repeat comes late
+	deletionDelayed
+	deletionDuplicated // executed at once, and again later
 	deletionDelivered
 )
 
-func (m *model) deliverStateCall(i int, fate stateCallFate) {
+func (m *model) deliverStateCall(i int, outcome stateCallOutcome) {
 	c := m.inFlight.stateCalls[i]
 	m.inFlight.stateCalls = slices.Delete(m.inFlight.stateCalls, i, i+1)
 	noAnswer := store.Result{Err: store.ErrNoResponse}
-	switch fate {
+	switch outcome {
 	case stateCallRefused:
 		c.answer(m.now(), store.Result{Err: store.ErrThrottled})
 	case stateCallLost:
@@ -79,7 +79,7 @@
 	case stateAnswerLost:
 		m.executeStateCall(c.call, func(store.Result) {})
 		c.answer(m.now(), noAnswer)
-	case stateCallLate:
+	case stateCallDelayed:
 		c.answer(m.now(), noAnswer)
 		m.inFlight.stateCalls = append(m.inFlight.stateCalls, &stateCall{call: c.call})
 	default:
@@ -92,11 +92,11 @@
 	m.observeStored()
 }
 
-func (m *model) deliverDeletion(i int, fate deletionFate) {
+func (m *model) deliverDeletion(i int, outcome deletionOutcome) {
 	d := m.inFlight.deletions[i]
 	m.inFlight.deletions = slices.Delete(m.inFlight.deletions, i, i+1)
 	late := &deletion{machineID: d.machineID}
-	switch fate {
+	switch outcome {
 	case deletionRefused:
 		d.answer(intentlog.NotExecuted)
 	case deletionLost:
@@ -104,10 +104,10 @@
 	case deletionAnswerLost:
 		m.executeDeletion(d.machineID)
 		d.answer(intentlog.Unknown)
-	case deletionLate:
+	case deletionDelayed:
 		m.inFlight.deletions = append(m.inFlight.deletions, late)
 		d.answer(intentlog.Unknown)
-	case deletionRepeated:
+	case deletionDuplicated:
 		m.executeDeletion(d.machineID)
 		m.inFlight.deletions = append(m.inFlight.deletions, late)
 		d.answer(intentlog.Done)
@@ -117,7 +117,7 @@
 	}
 }
 
-// executeDeletion has the cloud delete a machine; a repeat does nothing.
+// executeDeletion deletes a machine in the cloud. A repeat has no effect.
 func (m *model) executeDeletion(machineID string) {
 	machine := m.machines[machineID]
 	if !machine.exists {
@@ -127,7 +127,7 @@
 	m.checkDeletion(machineID)
 }
 
-// deliverAll delivers all messages without faults, those sent meanwhile included.
+// deliverAll delivers all messages without faults, including those sent meanwhile.
 func (m *model) deliverAll() {
 	for len(m.inFlight.stateCalls) > 0 {
 		m.deliverStateCall(0, stateCallDelivered)
--- a/internal/intentlog/property_test.go
+++ b/internal/intentlog/property_test.go
@@ -10,22 +10,22 @@
 	"juniperchute/internal/intentlog"
 )
 
-// Length and number of the histories drawn with plain random numbers.
+// Number and length of the histories of TestRandomHistories and TestInjectedFaults.
 const (
 	randomHistories = 1500
 	randomSteps     = 200
 )
 
-// run has a number of things happen to a model, and returns the violations.
+// run executes a number of random actions and returns the violations.
 func run(m *model, steps int) []string {
 	for range steps {
-		if m.act(); len(m.observed.violations) > 0 {
+		if m.randomAction(); len(m.observed.violations) > 0 {
 			return m.observed.violations
 		}
 	}
 	m.finish()
 	if len(m.observed.violations) == 0 && !porcupine.CheckOperations(fencedLog(), m.observed.history) {
-		m.violation("the history of an entry is not that of a log with one owner at a time")
+		m.violation("the history of an entry does not match the specification of a fenced log")
 	}
 	return m.observed.violations
 }
@@ -35,10 +35,8 @@
 	return func(_ string, n int) int { return rng.IntN(n) }
 }
 
-// Whatever is lost, late, repeated or unanswered, and whichever superseded owner goes on: no
-// machine is deleted that was not recorded, whose intent was completed or that has work, none
-// that was recorded gets work, every intent is completed in the end, and the log's history is
-// that of one owner at a time.
+// Under lost, delayed and duplicated messages and superseded holders, no machine is deleted without a
+// pending intent or with work, none with an intent gets work, and every intent is completed.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		choose := func(label string, n int) int { return rapid.IntRange(0, n-1).Draw(t, label) }
@@ -49,7 +47,7 @@
 	})
 }
 
-// The same with plain random numbers, of which more fit into the same time.
+// The same properties hold for many longer histories, without the overhead of rapid.
 func TestRandomHistories(t *testing.T) {
 	deletions := 0
 	for seed := range uint64(randomHistories) {
@@ -64,17 +62,17 @@
 		}
 	}
 	if deletions < randomHistories {
-		t.Errorf("%d machines were deleted in %d histories: this tests little", deletions, randomHistories)
+		t.Errorf("%d machines deleted in %d histories, want at least one per history", deletions, randomHistories)
 	}
 }
 
-// Each planted fault is found.
-func TestPlantedFaults(t *testing.T) {
-	for name, fault := range map[string]plantedFault{
-		"calls before the entry is durable":  callsEarly,
-		"successor that ignores the log":     ignoresRecovered,
-		"unanswered calls forgotten":         forgetsUnanswered,
-		"writes not conditioned on the term": writesUnfenced,
+// The checks detect each injected bug.
+func TestInjectedFaults(t *testing.T) {
+	for name, fault := range map[string]injectedFault{
+		"calls before the entry is durable":        callsBeforeDurable,
+		"successor skips recovery":                 skipsRecovery,
+		"intents of unknown outcome are forgotten": forgetsUnknown,
+		"writes are not conditioned on the term":   writesUnfenced,
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(randomHistories) {
@@ -83,19 +81,19 @@
 					return
 				}
 			}
-			t.Error("not found")
+			t.Error("not detected")
 		})
 	}
 }
 
-// An owner of the model completes an intent, so that the tests above are known to get that far.
+// A holder of the model completes an intent without faults, so the tests above cover completion.
 func TestModelCompletes(t *testing.T) {
 	m := newModel(randomChooser(1), noFault)
-	owner := m.presentOwner()
-	owner.load()
-	owner.record("i-0")
+	holder := m.currentHolder()
+	holder.load()
+	holder.record("i-0")
 	m.finish()
-	intent := owner.log.Get(intentlog.Deprovision, "i-0")
+	intent := holder.log.Get(intentlog.Deprovision, "i-0")
 	if exists := m.machines["i-0"].exists; len(m.observed.violations) > 0 || exists || intent != nil {
 		t.Errorf("%v, machine exists: %v, intent: %v", m.observed.violations, exists, intent)
 	}
--- a/internal/intentlog/record.go
+++ b/internal/intentlog/record.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// Prefix is the key prefix of the logs of all shards.
+// Prefix is the common key prefix of the logs of all shards.
 const Prefix = "d/"
 
-// ShardPrefix is the key prefix of the pages of a shard's log.
+// ShardPrefix returns the key prefix of the pages of a shard's log.
 func ShardPrefix(shard int) string { return fmt.Sprintf("%s%d/", Prefix, shard) }
 
 var errUnknownOperation = errors.New("unknown operation")
 
-// entryRecord is a log entry as stored in a page, under the intent's target.
+// entryRecord is the stored form of a log entry. Pages map targets to entries.
 type entryRecord struct {
 	Operation   Operation `json:"Duty"`
 	Token       uint64
@@ -28,30 +28,32 @@
 
 func (r entryRecord) decidedAt() time.Time { return time.UnixMilli(r.DecidedAtMs) }
 
-// decodeEntry reads an entry of one of this version's operations.
+// decodeEntry decodes a log entry. It returns errUnknownOperation for an operation that this version
+// does not implement.
 func decodeEntry(value json.RawMessage) (entryRecord, error) {
 	var record entryRecord
 	if err := json.Unmarshal(value, &record); err != nil {
 		return entryRecord{}, fmt.Errorf("decode intent log entry: %w", err)
 	}
-	if !record.Operation.known() {
-		return entryRecord{}, fmt.Errorf("%w %q", errUnknownOperation, record.Operation)
+	if !record.Operation.supported() {
+		return entryRecord{}, fmt.Errorf("decode intent log entry: %w %q", errUnknownOperation, record.Operation)
 	}
 	return record, nil
 }
 
-// Entry is an entry of a log as read from its pages.
+// Entry is a decoded entry of a log page.
 type Entry struct {
 	Operation Operation
-	// Target is what Intent.Target is.
+	// Target is the name of the machine or of the provisioning request.
 	Target string
 	// Token is the fencing token of the term that recorded the entry.
 	Token uint64
-	// DecidedAt is when it was decided, by the deciding controller's wall clock.
+	// DecidedAt is the time of the decision by the deciding controller's wall clock.
 	DecidedAt time.Time
 }
 
-// ReadPage decodes the entries of a page of a log, in no particular order.
+// ReadPage decodes the entries of a log page, in no particular order. It does not reject operations
+// of other versions.
 func ReadPage(value json.RawMessage) ([]Entry, error) {
 	records := map[string]entryRecord{}
 	if err := json.Unmarshal(value, &records); err != nil {
--- a/internal/intentlog/record_test.go
+++ b/internal/intentlog/record_test.go
@@ -8,7 +8,7 @@
 	"juniperchute/internal/tuning"
 )
 
-// Several intents share one write, and each waits for the write that holds it.
+// Intents share one write, and each becomes ready with the write that contains it.
 func TestEntriesShareWrites(t *testing.T) {
 	log := newDurableTestLog()
 	for i := range 5 {
@@ -23,11 +23,11 @@
 	}
 	log.answerAll(store.Result{Revision: 9})
 	if ready := log.readyCount(Deprovision); ready != 1 {
-		t.Errorf("%d are ready after the first write, which had one", ready)
+		t.Errorf("%d ready after the first write, want 1", ready)
 	}
 	log.Tick(testTime.Add(tuning.IntentWriteInterval))
 	if len(log.calls) != 1 {
-		t.Fatalf("%d writes for the others", len(log.calls))
+		t.Fatalf("%d writes for the other intents, want 1", len(log.calls))
 	}
 	entries, err := ReadPage(log.calls[0].Transaction.Writes[0].Value)
 	if err != nil || len(entries) != 5 || entries[0].Token != testToken {
@@ -35,16 +35,16 @@
 	}
 	log.answerAll(store.Result{Revision: 10})
 	if ready := log.readyCount(Deprovision); ready != 5 {
-		t.Errorf("%d are ready", ready)
+		t.Errorf("%d ready after the second write, want 5", ready)
 	}
 }
 
-// A full log refuses intents until some are completed, and a refusal changes nothing.
+// A full log rejects new intents without side effects until some are completed.
 func TestFullLog(t *testing.T) {
 	log := newTestLog()
 	for i := range tuning.MaxOpenIntents {
 		if !log.Record(testTime, Deprovision, fmt.Sprintf("i-%d", i), "idle") {
-			t.Fatalf("no room for intent %d", i)
+			t.Fatalf("intent %d rejected before the log is full", i)
 		}
 	}
 	if log.Record(testTime, Deprovision, "i-more", "idle") || log.Get(Deprovision, "i-more") != nil {
@@ -55,11 +55,11 @@
 	log.FinishCall(intent, Done)
 	log.Forget(intent)
 	if !log.Record(testTime, Deprovision, "i-more", "idle") {
-		t.Error("no room after one was completed")
+		t.Error("rejected after one was completed")
 	}
 }
 
-// Without durability nothing is written, and calls may be made at once.
+// Without durability, intents are ready at once and the log writes nothing.
 func TestRecordWithoutDurability(t *testing.T) {
 	log := newTestLog()
 	log.Record(testTime, Reclaim, testTarget, "unresponsive")
--- a/internal/intentlog/recovery.go
+++ b/internal/intentlog/recovery.go
@@ -7,8 +7,8 @@
 	"juniperchute/internal/wire"
 )
 
-// Load recovers the intents that earlier terms recorded, from the pages of the shard's log.
-// Recovered lists them afterwards.
+// Load recovers the intents of earlier terms from the pages of the shard's log. Recovered then
+// returns them. Entries that cannot be decoded are logged and ignored.
 func (l *Log) Load(pages []wire.KeyValue) {
 	l.pages.Load(pages, l.loadEntry)
 }
@@ -16,20 +16,21 @@
 func (l *Log) loadEntry(target string, value json.RawMessage) {
 	record, err := decodeEntry(value)
 	if err != nil {
-		l.options.Log.Error("intent log entry cannot be read", "target", target, "error", err)
+		l.options.Log.Error("cannot decode intent log entry", "target", target, "error", err)
 		return
 	}
 	l.recoverIntent(record.Operation, target, record.Token, record.decidedAt())
 }
 
-// UnreadablePages is the number of pages that could not be read. Their targets are not known,
-// so a late call of an earlier term may come for any machine.
+// UnreadablePages returns the number of pages that could not be decoded. Their targets are unknown,
+// so a late call of an earlier term may affect any machine.
 func (l *Log) UnreadablePages() int { return l.pages.Unreadable() }
 
-// RecoverElsewhere recovers an intent whose entry is a record outside the log.
-func (l *Log) RecoverElsewhere(operation Operation, target string, token uint64) *Intent {
+// RecoverExternal recovers the intent of an earlier term whose entry is a record outside the log.
+// The token is that of the term that wrote the record.
+func (l *Log) RecoverExternal(operation Operation, target string, token uint64) *Intent {
 	intent := l.recoverIntent(operation, target, token, time.Time{})
-	intent.recordedExternally = true
+	intent.externalEntry = true
 	return intent
 }
 
--- a/internal/intentlog/recovery_test.go
+++ b/internal/intentlog/recovery_test.go
@@ -8,17 +8,17 @@
 	"juniperchute/internal/wire"
 )
 
-// Stored entries of earlier terms.
+// Stored pages of earlier terms.
 const (
 	oneEntry   = `{"i-1":{"Duty":"return","Token":4,"At":5000}}`
 	twoEntries = `{"i-2":{"Duty":"reclaim","Token":3,"At":0},"i-3":{"Duty":"return","Token":4,"At":0}}`
 )
 
 type loadCase struct {
-	name       string
-	pages      []string
-	ready      int
-	unreadable int // pages
+	name            string
+	pages           []string
+	ready           int
+	unreadablePages int
 }
 
 var loadCases = []loadCase{
@@ -31,15 +31,15 @@
 		ready: 3,
 	},
 	{
-		name:  "entry on two pages, as its term ended while it was moved",
+		name:  "entry on two pages after a failover during its move",
 		pages: []string{oneEntry, oneEntry},
 		ready: 1,
 	},
 	{
-		name:       "unreadable page",
-		pages:      []string{`"x`, twoEntries},
-		ready:      2,
-		unreadable: 1,
+		name:            "unreadable page",
+		pages:           []string{`"x`, twoEntries},
+		ready:           2,
+		unreadablePages: 1,
 	},
 	{
 		name:  "entry of an unknown operation",
@@ -47,12 +47,12 @@
 		ready: 2,
 	},
 	{
-		name:  "entry of another form",
+		name:  "malformed entry",
 		pages: []string{`{"i-1":7}`},
 	},
 }
 
-// What a successor recovers from the pages it reads.
+// A successor recovers every readable entry once and never overwrites an unreadable page.
 func TestLoad(t *testing.T) {
 	for _, c := range loadCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -60,7 +60,7 @@
 			pages := storedPages(c.pages)
 			log.Load(pages)
 			ready := log.Ready(Deprovision, Reclaim)
-			if len(ready) != c.ready || log.UnreadablePages() != c.unreadable || log.Pending() != c.ready {
+			if len(ready) != c.ready || log.UnreadablePages() != c.unreadablePages || log.Pending() != c.ready {
 				t.Fatalf("%d ready, %d unreadable, %d pending", len(ready), log.UnreadablePages(), log.Pending())
 			}
 			for _, intent := range ready {
@@ -83,13 +83,13 @@
 	return pages
 }
 
-// requireUnreadableKept checks that no write replaces a page that cannot be read.
+// requireUnreadableKept checks that no write overwrites an unreadable page.
 func requireUnreadableKept(t *testing.T, log *testLog, pages []wire.KeyValue) {
 	t.Helper()
 	for _, call := range log.calls {
 		for i, page := range pages {
 			if call.Transaction.Writes[0].Put == page.Key && !json.Valid(page.Value) {
-				t.Errorf("page %d, which cannot be read, is overwritten", i)
+				t.Errorf("unreadable page %d is overwritten", i)
 			}
 		}
 	}
--- a/internal/intentlog/removals_test.go
+++ b/internal/intentlog/removals_test.go
@@ -31,7 +31,7 @@
 		key:      "h/0/x",
 	},
 	{
-		name: "not conditioned",
+		name: "unconditional",
 		key:  "h/0/x",
 	},
 	{
@@ -41,7 +41,7 @@
 	},
 }
 
-// Removals pass only if they are conditioned on the term, and are counted.
+// Deletions under the guarded prefixes pass only if conditioned on the term, and are counted.
 func TestGuardRemovals(t *testing.T) {
 	for _, c := range removalCases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/intentlog/spans.go
+++ b/internal/intentlog/spans.go
@@ -7,7 +7,7 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// Names of spans and of their attributes. They are stored, and read by other versions.
+// Names of spans and of their attributes. They are stored in trace files that other versions read.
 const (
 	spanDecision   = "decision"
 	spanRecording  = "entry"
@@ -26,16 +26,16 @@
 	attributeReason        = "why"
 )
 
-// Tracer makes the spans of intents. All controllers that handle an intent put its spans into
-// one trace, which is found by the intent's identity.
+// Tracer creates the spans of intents. The trace of a span is derived from the intent's identity, so
+// that the spans of all controllers that handle an intent belong to one trace.
 type Tracer interface {
-	// Begin starts a span of the identity's trace. The caller ends it.
+	// Begin starts a span in the trace of the identity. The caller ends the span.
 	Begin(identity, name string, attributes ...attribute.KeyValue) trace.Span
-	// Event makes a span that ends at once.
+	// Event creates a span without duration in the trace of the identity.
 	Event(identity, name string, attributes ...attribute.KeyValue)
 }
 
-// identity names an intent among all those of a deployment.
+// identity returns a name of the intent that is unique in the deployment.
 func (l *Log) identity(intent *Intent) string {
 	return ShardPrefix(l.options.Shard) + string(intent.Operation) + "/" + intent.Target
 }
@@ -51,14 +51,14 @@
 	}
 }
 
-// traceEvent makes a span of an intent that ends at once.
+// traceEvent creates a span of an intent without duration.
 func (l *Log) traceEvent(intent *Intent, name string, more ...attribute.KeyValue) {
 	if l.options.Tracer != nil {
 		l.options.Tracer.Event(l.identity(intent), name, append(l.attributes(intent), more...)...)
 	}
 }
 
-// startSpan starts a span of an intent, which endSpan ends.
+// startSpan starts a span of an intent. An intent has at most one open span, which endSpan ends.
 func (l *Log) startSpan(intent *Intent, name string) {
 	if l.options.Tracer != nil {
 		intent.span = l.options.Tracer.Begin(l.identity(intent), name, l.attributes(intent)...)
@@ -84,8 +84,8 @@
 
 func (l *Log) traceCallStarted(intent *Intent) { l.startSpan(intent, spanCall) }
 
-func (l *Log) traceCallFinished(intent *Intent, outcome Outcome) {
+func (l *Log) traceCallResult(intent *Intent, outcome Outcome) {
 	intent.endSpan(attribute.String(attributeOutcome, outcome.String()), attribute.Int(attributeCalls, intent.calls))
 }
 
-func (l *Log) traceForgotten(intent *Intent) { l.traceEvent(intent, spanCompletion) }
+func (l *Log) traceCompletion(intent *Intent) { l.traceEvent(intent, spanCompletion) }
--- a/internal/intentlog/status.go
+++ b/internal/intentlog/status.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// IntentStatus describes an intent that is not completed.
+// IntentStatus is a snapshot of an intent that is not completed.
 type IntentStatus struct {
 	Operation Operation
 	Target    string
 	Token     uint64
 	State     State
-	// DecidedAt is zero if it is not known.
+	// DecidedAt is zero if the time of the decision is unknown.
 	DecidedAt time.Time
 	Recovered bool
 }
 
-// OperationStatus describes one operation.
+// OperationStatus is a snapshot of the intents of one operation.
 type OperationStatus struct {
 	Operation Operation
-	// Intents are those that are not completed, by target.
+	// Intents are the intents that are not completed, ordered by target.
 	Intents []IntentStatus
 	// RemovalsInFlight and RemovalsDone count the deletions of records in this term, for Cleanup only.
 	RemovalsInFlight, RemovalsDone int
-	// OldestRemovalSentAt is when the oldest removal in flight was sent, by the wall clock; zero: there is none.
+	// OldestRemovalSentAt is the wall-clock time since which removals are in flight, zero without any.
 	OldestRemovalSentAt time.Time
 }
 
-// Status describes all operations, in the order of Operations.
+// Status returns a snapshot of each operation, in the order of Operations.
 func (l *Log) Status() []OperationStatus {
 	var statuses []OperationStatus
 	for _, operation := range Operations() {
--- a/internal/intentlog/support_test.go
+++ b/internal/intentlog/support_test.go
@@ -21,7 +21,7 @@
 	written     = store.Result{Revision: 9}
 )
 
-// testLog is a log whose calls of the state service are held until answerAll.
+// testLog is a log whose calls of the state service wait for answerAll.
 type testLog struct {
 	*Log
 	calls   []store.Call
@@ -52,7 +52,7 @@
 	l.calls, l.replies = append(l.calls, call), append(l.replies, reply)
 }
 
-// answerAll answers all held calls alike.
+// answerAll answers all waiting calls with the same result.
 func (l *testLog) answerAll(result store.Result) {
 	replies := l.replies
 	l.calls, l.replies = nil, nil
@@ -61,7 +61,7 @@
 	}
 }
 
-// intent is the intent that the methods below act on.
+// intent returns the intent that the methods below act on.
 func (l *testLog) intent() *Intent { return l.Get(Deprovision, testTarget) }
 
 func (l *testLog) record() { l.Record(testTime, Deprovision, testTarget, "idle") }
@@ -78,10 +78,10 @@
 
 func (l *testLog) finishCall(outcome Outcome) { l.FinishCall(l.intent(), outcome) }
 
-// readyCount is the number of intents of an operation for which a call may be made.
+// readyCount returns the number of intents of an operation for which a call may be made.
 func (l *testLog) readyCount(operation Operation) int { return len(l.Ready(operation)) }
 
-// deleteCall is a call that deletes a record on conditions.
+// deleteCall returns a call that deletes a record under conditions.
 func deleteCall(key string, compares []wire.Compare) store.Call {
 	transaction := wire.Transaction{Compares: compares, Writes: []wire.Write{store.Delete(key)}}
 	return store.Call{Op: store.OpTransaction, Transaction: transaction}
--- a/internal/intentlog/transitions.go
+++ b/internal/intentlog/transitions.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Outcome is what is known of a call that was made.
+// Outcome is what the caller knows about the execution of a call.
 type Outcome int
 
 // The outcomes of a call.
 const (
-	// NotExecuted: the call was refused, or never sent.
+	// NotExecuted means that the call was rejected or never sent.
 	NotExecuted Outcome = iota
-	// Unknown: no answer came. The call may have been executed, or be executed later.
+	// Unknown means that there was no response. The call may have been executed or may execute later.
 	Unknown
-	// Done: the call was executed.
+	// Done means that the call was executed.
 	Done
 )
 
@@ -19,8 +19,9 @@
 	return [...]string{"not executed", "unknown", "done"}[o]
 }
 
-// Record decides on an intent: calls may be made once its entry is durable. It returns false,
-// and changes nothing, if the log is full. A target that has an intent already keeps it.
+// Record adds an intent for a target. Calls may be made once its entry is durable. Record returns
+// false and changes nothing if the log is full. A target that already has an intent, of whichever
+// operation, keeps it, and Record returns true.
 func (l *Log) Record(now time.Time, operation Operation, target, reason string) bool {
 	if l.hasTarget(target) {
 		return true
@@ -28,7 +29,7 @@
 	if l.Full() {
 		return false
 	}
-	intent := l.decide(operation, target, reason)
+	intent := l.newIntent(operation, target, reason)
 	if !l.durable {
 		l.MarkRecorded(intent)
 		return true
@@ -38,15 +39,15 @@
 	return true
 }
 
-// RecordElsewhere decides on an intent whose entry is a record outside the log. The caller
-// writes that record, and calls MarkRecorded when it is durable.
-func (l *Log) RecordElsewhere(operation Operation, target, reason string) *Intent {
-	intent := l.decide(operation, target, reason)
-	intent.recordedExternally = true
+// RecordExternal adds an intent whose entry is a record outside the log. The caller writes that
+// record and calls MarkRecorded when the record is durable.
+func (l *Log) RecordExternal(operation Operation, target, reason string) *Intent {
+	intent := l.newIntent(operation, target, reason)
+	intent.externalEntry = true
 	return intent
 }
 
-func (l *Log) decide(operation Operation, target, reason string) *Intent {
+func (l *Log) newIntent(operation Operation, target, reason string) *Intent {
 	intent := &Intent{
 		Operation: operation,
 		Target:    target,
@@ -58,14 +59,15 @@
 	return intent
 }
 
-// MarkRecorded notes that the entry of an intent is durable. It may be called repeatedly.
+// MarkRecorded marks the entry of an intent as durable. It is idempotent.
 func (l *Log) MarkRecorded(intent *Intent) {
 	if intent.state == Recording && l.setState(intent, Recorded, "entry durable") {
 		l.traceRecorded(intent)
 	}
 }
 
-// StartCall reports whether a call may be made for an intent now, and marks it as in flight if so.
+// StartCall marks an intent as in flight. It returns false, and the caller may make no call, unless
+// the intent is in the state Recorded.
 func (l *Log) StartCall(intent *Intent) bool {
 	if intent.state != Recorded {
 		return false
@@ -76,13 +78,13 @@
 	return true
 }
 
-// FinishCall notes the outcome of the call in flight. After any outcome but Done, the call has
-// to be made again.
+// FinishCall applies the outcome of the call in flight. After any outcome but Done, the intent is
+// ready for a retry.
 func (l *Log) FinishCall(intent *Intent, outcome Outcome) {
 	if intent.state != InFlight {
 		return
 	}
-	l.traceCallFinished(intent, outcome)
+	l.traceCallResult(intent, outcome)
 	if outcome == Done {
 		l.setState(intent, Completed, "done")
 		return
@@ -90,34 +92,34 @@
 	l.setState(intent, Recorded, "call "+outcome.String())
 }
 
-// Complete ends an intent without a call of this term: its effect is there already, or is
-// wanted no more.
+// Complete marks an intent as completed without the outcome of a call, because its effect is already
+// in place or is no longer wanted.
 func (l *Log) Complete(intent *Intent, reason string) {
 	if intent.state == InFlight || intent.state == Recorded {
 		l.setState(intent, Completed, reason)
 	}
 }
 
-// Forget removes a completed intent and its entry. The caller has made its effect durable in
-// other records, so that a successor plans on it without the entry.
+// Forget removes a completed intent and its entry. The caller must first have made the effect of the
+// intent durable in other records, which a successor loads instead of the entry.
 func (l *Log) Forget(intent *Intent) {
 	if intent.state != Completed {
 		return
 	}
 	delete(l.intents[intent.Operation], intent.Target)
-	if !intent.recordedExternally {
+	if !intent.externalEntry {
 		l.pages.Delete(intent.Target)
 	}
-	l.traceForgotten(intent)
+	l.traceCompletion(intent)
 }
 
-// setState is the only function that changes the state of an intent. It refuses changes that
-// the state machine does not have.
+// setState is the only function that changes the state of an intent. It rejects transitions that
+// the state machine does not allow.
 func (l *Log) setState(intent *Intent, to State, reason string) bool {
 	attributes := []any{"operation", intent.Operation, "target", intent.Target,
 		"from", intent.state, "to", to, "reason", reason}
-	if !to.follows(intent.state) {
-		l.options.Log.Error("intent state change rejected", attributes...)
+	if !to.reachableFrom(intent.state) {
+		l.options.Log.Error("rejected invalid intent state transition", attributes...)
 		return false
 	}
 	l.options.Log.Debug("intent state changed", attributes...)
--- a/internal/intentlog/transitions_test.go
+++ b/internal/intentlog/transitions_test.go
@@ -9,36 +9,36 @@
 
 type lifecycleCase struct {
 	name  string
-	play  func(log *testLog)
+	run   func(log *testLog)
 	want  State
 	ready bool // a call may be made
 }
 
 var recordingCases = []lifecycleCase{
 	{
-		name: "decided",
-		play: (*testLog).record,
+		name: "entry write in flight",
+		run:  (*testLog).record,
 		want: Recording,
 	},
 	{
-		name: "entry refused",
-		play: func(log *testLog) {
+		name: "entry write rejected",
+		run: func(log *testLog) {
 			log.record()
 			log.answerAll(store.Result{Err: store.ErrUnavailable})
 		},
 		want: Recording,
 	},
 	{
-		name: "entry not answered",
-		play: func(log *testLog) {
+		name: "entry write without a response",
+		run: func(log *testLog) {
 			log.record()
 			log.answerAll(store.Result{Err: store.ErrNoResponse})
 		},
 		want: Recording,
 	},
 	{
-		name: "term over",
-		play: func(log *testLog) {
+		name: "entry write after the end of the term",
+		run: func(log *testLog) {
 			log.record()
 			log.answerAll(store.Result{Err: &store.ConflictError{FailedKeys: []string{termKey}}})
 		},
@@ -46,7 +46,7 @@
 	},
 	{
 		name: "completed before its entry is durable",
-		play: func(log *testLog) {
+		run: func(log *testLog) {
 			log.record()
 			log.Complete(log.intent(), "")
 		},
@@ -54,7 +54,7 @@
 	},
 	{
 		name:  "recorded",
-		play:  (*testLog).recordDurably,
+		run:   (*testLog).recordDurably,
 		want:  Recorded,
 		ready: true,
 	},
@@ -63,12 +63,12 @@
 var callCases = []lifecycleCase{
 	{
 		name: "call in flight",
-		play: (*testLog).startCall,
+		run:  (*testLog).startCall,
 		want: InFlight,
 	},
 	{
-		name: "call refused",
-		play: func(log *testLog) {
+		name: "call rejected",
+		run: func(log *testLog) {
 			log.startCall()
 			log.finishCall(NotExecuted)
 		},
@@ -76,8 +76,8 @@
 		ready: true,
 	},
 	{
-		name: "call not answered",
-		play: func(log *testLog) {
+		name: "call without a response",
+		run: func(log *testLog) {
 			log.startCall()
 			log.finishCall(Unknown)
 		},
@@ -86,7 +86,7 @@
 	},
 	{
 		name: "call executed",
-		play: func(log *testLog) {
+		run: func(log *testLog) {
 			log.startCall()
 			log.finishCall(Done)
 		},
@@ -94,7 +94,7 @@
 	},
 	{
 		name: "outcome without a call",
-		play: func(log *testLog) {
+		run: func(log *testLog) {
 			log.recordDurably()
 			log.finishCall(Done)
 		},
@@ -102,16 +102,16 @@
 		ready: true,
 	},
 	{
-		name: "forgotten before it is completed",
-		play: func(log *testLog) {
+		name: "forgotten before completion",
+		run: func(log *testLog) {
 			log.startCall()
 			log.Forget(log.intent())
 		},
 		want: InFlight,
 	},
 	{
-		name: "recorded for a second operation",
-		play: func(log *testLog) {
+		name: "recorded again for another operation",
+		run: func(log *testLog) {
 			log.startCall()
 			log.Record(testTime, Reclaim, testTarget, "unresponsive")
 		},
@@ -119,12 +119,12 @@
 	},
 }
 
-// An intent goes from its entry to its completion in this order only, whatever is asked of it.
+// No call is made before the entry is durable, and no intent completes out of order.
 func TestIntentLifecycle(t *testing.T) {
 	for _, c := range slices.Concat(recordingCases, callCases) {
 		t.Run(c.name, func(t *testing.T) {
 			log := newDurableTestLog()
-			c.play(log)
+			c.run(log)
 			intent := log.intent()
 			if intent == nil || intent.State() != c.want {
 				t.Fatalf("%+v, want %v", intent, c.want)
@@ -139,7 +139,7 @@
 	}
 }
 
-// No state change but the allowed ones is carried out, whoever asks for it.
+// Only the transitions of the state machine are carried out.
 func TestStateTransitions(t *testing.T) {
 	allowed := map[State][]State{
 		Recording: {Recorded},
