--- a/internal/fleet/autoscaler.go
+++ b/internal/fleet/autoscaler.go
@@ -1,6 +1,7 @@
-// Package fleet scales out and in: it provisions the machines that a shard's work needs and
-// deprovisions the others. Every change is recorded in the state service before the cloud is
-// called, so that the shard's next lease holder can go on with it.
+// Package fleet implements the autoscaler: it provisions the machines that a shard's workload needs
+// and deprovisions idle and failed ones. Provisioning requests, and terminations while the intent
+// log is in force, are recorded in the state service before the cloud is called, so that the shard's
+// next lease holder can complete them.
 package fleet
 
 import (
@@ -17,18 +18,18 @@
 	"juniperchute/internal/worker"
 )
 
-// Settings are the operators' settings of the autoscaler.
+// Settings are the operators' settings of the autoscaler. They apply from the next Tick.
 type Settings struct {
-	MaxMachines int           // 0: no bound
-	Paused      bool          // no scaling out
-	IdleTimeout time.Duration // after which an idle machine is deprovisioned
+	MaxMachines int           // upper bound on the shard's machines, 0 for none
+	Paused      bool          // suspends scale-out
+	IdleTimeout time.Duration // idle time after which a machine is deprovisioned
 }
 
-// Options are the term's parts that the autoscaler works with. All are required.
+// Options are the dependencies of an autoscaler. All are required.
 type Options struct {
 	Shard int
 	Token uint64
-	// TermCompare is the condition of each write: that the term lasts.
+	// TermCompare is the condition of all writes. It fails once the term has ended.
 	TermCompare wire.Compare
 	Config      config.Platform
 	Cloud       cloud.Caller
@@ -36,24 +37,24 @@
 	Log         *slog.Logger
 	Registry    *worker.Registry
 	Scheduler   *placement.Scheduler
-	// Intents is the log of the operations that the cloud is called for.
+	// Intents is the write-ahead log of the shard's cloud operations.
 	Intents *intentlog.Log
-	// OnTermLost is called when a write shows that the term has ended.
+	// OnTermLost is called when a write fails on TermCompare.
 	OnTermLost func(now time.Time)
 	// OnDeleted is called when the cloud confirms a machine's deletion, before the machine leaves
 	// the registry.
 	OnDeleted func(now time.Time, machine *worker.Machine)
-	// OwnedByOtherShard reports whether a machine that existed at some time is, or may turn out to
-	// be, another shard's.
+	// OwnedByOtherShard reports whether a machine that existed at existedAt belongs, or may belong,
+	// to another shard.
 	OwnedByOtherShard func(host string, existedAt time.Time) bool
 }
 
-// Autoscaler scales the machines of one shard during one term. It is not safe for concurrent use;
-// its callbacks run on the goroutine that calls it.
+// Autoscaler scales the machines of one shard during one term. It is not safe for concurrent use:
+// the results of cloud and store calls must arrive on the goroutine that calls its methods.
 type Autoscaler struct {
 	Settings Settings
-	// WorkersUnreachable: no worker has contact with this process, so that a missing heartbeat
-	// says nothing about a machine.
+	// WorkersUnreachable suspends scale-in. It is set while no worker has contact with this process,
+	// so that missing heartbeats are no evidence of a machine's failure.
 	WorkersUnreachable bool
 
 	registry      *worker.Registry
@@ -68,7 +69,7 @@
 	inventory     *inventory
 }
 
-// New makes the autoscaler of a term that starts now.
+// New returns the autoscaler of a term that starts at now.
 func New(now time.Time, options Options) *Autoscaler {
 	a := &Autoscaler{
 		Settings: Settings{IdleTimeout: tuning.MachineIdleTimeout},
@@ -124,23 +125,23 @@
 		pages: pages, submitted: map[string]bool{}}
 }
 
-// ApplyMachineType adds a machine type as it is stored for all controllers.
+// ApplyMachineType adds a machine type from its record, whose stored value is raw.
 func (a *Autoscaler) ApplyMachineType(machineType wire.MachineType, raw string) {
 	a.types.apply(machineType, raw)
 }
 
-// LoadRequest takes over a provisioning record of an earlier term.
+// LoadRequest recovers a provisioning record of an earlier term.
 func (a *Autoscaler) LoadRequest(now time.Time, item wire.KeyValue) { a.provisioner.load(now, item) }
 
-// LoadRegistrations takes over the pages that name the machines used in earlier terms. All
-// provisioning records must have been loaded before.
+// LoadRegistrations recovers the registrations of earlier terms from their pages. All provisioning
+// records and the intent log must be loaded before.
 func (a *Autoscaler) LoadRegistrations(now time.Time, items []wire.KeyValue) {
 	a.registrations.load(now, items)
 	a.machines.resumeTerminations(now)
 }
 
-// HandleHeartbeat follows up on a heartbeat of a machine: an unexpected machine is adopted, and one
-// not used before is registered.
+// HandleHeartbeat processes a heartbeat that the registry has applied. It resumes a termination of an
+// earlier term, adopts a machine that no record names, and registers an unregistered machine.
 func (a *Autoscaler) HandleHeartbeat(now time.Time, machine *worker.Machine) {
 	a.machines.resumeTermination(now, machine)
 	if !machine.Recorded && !machine.Registered {
@@ -149,9 +150,9 @@
 	a.registrations.register(now, machine)
 }
 
-// RegisterOnFirstContact follows up on a machine's first heartbeat, which may be an old copy: the
-// machine is registered all the same, so that it can be given tasks as soon as its
-// heartbeats count.
+// RegisterOnFirstContact registers a booting machine on its first heartbeat. The heartbeat may be a
+// delayed copy and is not applied, but early registration lets the machine get tasks as soon as its
+// heartbeats are applied.
 func (a *Autoscaler) RegisterOnFirstContact(now time.Time, machine *worker.Machine, heartbeat *wire.Heartbeat) {
 	if machine.State == worker.Booting {
 		machine.Address = heartbeat.Address
@@ -159,7 +160,7 @@
 	}
 }
 
-// Tick starts what is due.
+// Tick starts the writes and cloud calls that are due. It must be called regularly.
 func (a *Autoscaler) Tick(now time.Time) {
 	a.types.writeChanges(now)
 	a.registrations.pages.Tick(now)
@@ -178,7 +179,8 @@
 	}
 }
 
-// registerContacted registers machines that sent a heartbeat before their record was durable.
+// registerContacted registers the machines among hosts that sent a heartbeat before their record was
+// durable.
 func (a *Autoscaler) registerContacted(now time.Time, hosts []string) {
 	for _, host := range hosts {
 		if machine := a.registry.Get(host); machine != nil && machine.SeenIncarnation > 0 {
@@ -187,7 +189,7 @@
 	}
 }
 
-// forgetMachine removes a deleted machine from all that is kept of it.
+// forgetMachine removes a deleted machine from the list history, the registrations and its record.
 func (a *Autoscaler) forgetMachine(now time.Time, host string) {
 	a.lists.forget(host)
 	a.registrations.forget(host)
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -11,7 +11,8 @@
 	"juniperchute/internal/worker"
 )
 
-// demandPlanner compares the pending work with the machines and scales out by what is missing.
+// demandPlanner compares the pending workload with the available machines and scales out by the
+// shortfall.
 type demandPlanner struct {
 	cloudLimits config.CloudLimits
 	stateLimits config.StateLimits
@@ -24,8 +25,8 @@
 	nextPlanAt    time.Time
 }
 
-// scaleOutIfDue plans once an interval. Machines that this term has not been in contact with yet
-// look as if there were none: planning then would replace the whole fleet at each failover.
+// scaleOutIfDue scales out at most once per interval. It waits after a failover, since planning
+// without the machines that are not reconciled yet would provision the whole fleet anew.
 func (d *demandPlanner) scaleOutIfDue(now time.Time, settings Settings) {
 	if len(d.types.byName) == 0 || now.Before(d.nextPlanAt) {
 		return
@@ -60,22 +61,22 @@
 	}
 }
 
-// maxRequestSize is how many machines one request may ask for: its record names them all, and
-// has to fit the state service's limits, present and announced.
+// maxRequestSize returns the number of machines that one request may ask for. The request's record
+// names them all and must fit the state service's present and announced limits.
 func (d *demandPlanner) maxRequestSize() int {
 	maxBytes := int(d.stateLimits.StoredLimits().ValueKB * 1024 * tuning.PageFillShare)
 	forHosts := maxBytes - tuning.ProvisioningRecordBytes
 	return max(1, min(d.provisioner.maxMachinesPerRequest, forHosts/tuning.HostNameBytes))
 }
 
-// maxRequests is how many requests the cloud's rate allows until the next pass.
+// maxRequests returns the number of requests that the cloud's rate limit allows per interval.
 func (d *demandPlanner) maxRequests() int {
 	rate := d.cloudLimits.RPS * tuning.CloudRateShare * tuning.ProvisioningRateShare
 	return max(1, int(rate*tuning.ScaleOutInterval.Seconds()))
 }
 
-// machinesAllowed is how many more machines the operators' bound allows, 0 standing for no bound.
-// Machines requested and not yet granted count.
+// machinesAllowed returns the number of machines that may be added under the operators' bound, where
+// 0 means no bound. Machines requested and not yet granted count towards the bound.
 func (d *demandPlanner) machinesAllowed(maxMachines int) int {
 	if maxMachines <= 0 {
 		return math.MaxInt
@@ -94,8 +95,8 @@
 	return max(0, allowed)
 }
 
-// offers lists the kinds of machines, each with as many available, or none while the cloud is
-// known to have none.
+// offers returns an offer for each kind of machine. Each has the given number available, or zero
+// after the cloud has reported no capacity for the kind.
 func (d *demandPlanner) offers(now time.Time, available int) []placement.Offer {
 	var offers []placement.Offer
 	for _, name := range d.types.names() {
@@ -126,7 +127,7 @@
 	return machineKind{machineType: offer.Type, zone: offer.Zone, spot: offer.Spot}
 }
 
-// pending returns, for each offer, how many machines have been requested and not yet granted.
+// pending returns the number of machines requested and not yet granted for each offer.
 func (d *demandPlanner) pending(offers []placement.Offer) []int {
 	numbers := map[machineKind]int{}
 	for _, request := range d.provisioner.requests {
--- a/internal/fleet/demand_test.go
+++ b/internal/fleet/demand_test.go
@@ -9,16 +9,16 @@
 	"juniperchute/internal/tuning"
 )
 
-// A morning asks for hundreds of machines at once: in requests of the cloud's size, and never for
-// more than the operators' bound, those not yet granted counted.
+// A burst of demand is split into requests of the cloud's size and, counting requests not granted
+// yet, does not exceed the operators' bound.
 func TestRequestSizes(t *testing.T) {
 	for _, test := range []struct {
 		name        string
 		maxMachines int
-		want        int // machines asked for
+		want        int // machines requested
 	}{
 		{name: "no bound", maxMachines: 0, want: 300},
-		{name: "the operators' bound", maxMachines: 70, want: 70},
+		{name: "bound below the demand", maxMachines: 70, want: 70},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t)
@@ -33,28 +33,28 @@
 			for _, request := range f.autoscaler.provisioner.sorted() {
 				total += request.record.Number
 				if request.record.Number < 1 || request.record.Number > 50 {
-					t.Errorf("a request for %d machines", request.record.Number)
+					t.Errorf("request for %d machines, want 1 to 50", request.record.Number)
 				}
 			}
 			if total != test.want {
-				t.Errorf("%d machines asked for, want %d", total, test.want)
+				t.Errorf("%d machines requested, want %d", total, test.want)
 			}
 		})
 	}
 }
 
-// A request's record names all its machines: it asks for no more than fit the state service's
-// limits, present and announced.
+// A request asks for no more machines than its record can name within the state service's present
+// and announced limits.
 func TestRequestFitsLimits(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		valueKB float64 // the limit announced
-		want    int     // machines of a request
+		valueKB float64 // announced limit
+		want    int     // machines per request
 	}{
-		{name: "as now", valueKB: 4, want: tuning.MaxMachinesPerRequest},
-		{name: "half of that", valueKB: 2, want: tuning.MaxMachinesPerRequest},
-		{name: "half a KiB", valueKB: 0.5, want: 17},
-		{name: "next to nothing", valueKB: 0.1, want: 1},
+		{name: "announced limit equal to the present one", valueKB: 4, want: tuning.MaxMachinesPerRequest},
+		{name: "announced limit of 2 KiB", valueKB: 2, want: tuning.MaxMachinesPerRequest},
+		{name: "announced limit of 0.5 KiB", valueKB: 0.5, want: 17},
+		{name: "announced limit of 0.1 KiB", valueKB: 0.1, want: 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t)
--- a/internal/fleet/deprovisioner.go
+++ b/internal/fleet/deprovisioner.go
@@ -12,10 +12,10 @@
 	"juniperchute/internal/worker"
 )
 
-// deprovisioner terminates machines: it logs the intent, then deletes them.
+// deprovisioner terminates machines. It logs the intent before it calls the cloud.
 type deprovisioner struct {
 	token       uint64
-	workerLease time.Duration // of a worker
+	workerLease time.Duration // duration of a worker's lease
 	cloud       *rateLimitedCloud
 	intents     *intentlog.Log
 	registry    *worker.Registry
@@ -23,17 +23,17 @@
 	types       *machineTypes
 	provisioner *provisioner
 	lists       *listHistory
-	// onDeleted gets each machine of the registry whose deletion is confirmed, and forget the
-	// host of each deleted machine.
+	// onDeleted is called for each machine of the registry whose deletion is confirmed.
 	onDeleted func(now time.Time, machine *worker.Machine)
-	forget    func(now time.Time, host string)
+	// forget is called for each deleted machine, also for one that is not in the registry.
+	forget func(now time.Time, host string)
 
 	termStartedAt time.Time
-	inFlight      bool // a deletion is under way
+	inFlight      bool // a deletion is in flight
 	retryAt       time.Time
 }
 
-// scaleIn terminates the machines that the rules give up.
+// scaleIn terminates the machines selected by the termination rules.
 func (d *deprovisioner) scaleIn(now time.Time, idleTimeout time.Duration) {
 	rules := terminationRules{now: now, termAge: now.Sub(d.termStartedAt), workerLease: d.workerLease,
 		idleTimeout: idleTimeout, fewUnreconciled: d.fewUnreconciled()}
@@ -63,8 +63,8 @@
 	}
 }
 
-// terminate logs the intent to terminate a machine. From here on it gets no work; if the log is
-// full the machine stays as it is, and the next pass decides again.
+// terminate logs the intent to terminate a machine, which from then on gets no tasks. If the log is
+// full the machine is unchanged and the next pass retries.
 func (d *deprovisioner) terminate(now time.Time, machine *worker.Machine, decision termination) {
 	if d.intents.Record(now, decision.operation, machine.Host, decision.reason) {
 		d.registry.SetState(now, machine, worker.Deleting, decision.reason)
@@ -78,7 +78,8 @@
 	}
 }
 
-// deleteMachines deletes the machines that are ready for it, one call at a time.
+// deleteMachines sends a deletion of the machines that are ready for it. At most one call is in
+// flight.
 func (d *deprovisioner) deleteMachines(now time.Time) {
 	if d.inFlight || now.Before(d.retryAt) {
 		return
@@ -119,7 +120,7 @@
 	}
 }
 
-// ready lists the intents whose machines may be deleted now, as many as one call takes.
+// ready returns the intents whose machines may be deleted now, at most as many as one call accepts.
 func (d *deprovisioner) ready(now time.Time) []*intentlog.Intent {
 	var ready []*intentlog.Intent
 	for _, intent := range d.intents.Ready(intentlog.Deprovision, intentlog.Reclaim) {
@@ -133,14 +134,15 @@
 	return ready
 }
 
-// confirmRecovered reports whether a recovered intent stands. A term of an earlier version may have
-// held the shard since: it reads no log, and may have given the machine work. If no other
-// token lies between it cannot; otherwise contact with the machine is needed first, or its
-// lease must have expired. The intent for one that has work of a later term is void.
+// confirmRecovered reports whether the machine of a recovered intent may be deleted. An intermediate
+// term of an old version, which reads no log, may have assigned tasks to the machine. Consecutive
+// tokens rule that out. Otherwise the machine must have been in contact with this term, its lease must
+// have expired, or it must be unregistered. The intent is abandoned if the machine has tasks of a
+// later term.
 func (d *deprovisioner) confirmRecovered(now time.Time, intent *intentlog.Intent) bool {
 	machine := d.registry.Get(intent.Target)
 	if machine == nil && !d.provisioner.hasPending() && d.provisioner.unreadableRecords == 0 {
-		// No record names it: it is deleted, and that is recorded.
+		// A machine that no record names was deleted, and its record was updated.
 		d.intents.Complete(intent, "deleted already")
 		d.intents.Forget(intent)
 		return false
@@ -149,7 +151,7 @@
 		return true
 	}
 	if machine == nil {
-		return false // a pending request may turn out to name it
+		return false // a pending request may be granted with this machine
 	}
 	if machine.LastContact.IsZero() {
 		return machine.LeaseEnded || !machine.Registered
@@ -164,7 +166,7 @@
 	return true
 }
 
-// hasWorkAfter reports whether a machine has tasks that a term with a higher token gave it.
+// hasWorkAfter reports whether a machine has tasks that a term with a higher token assigned.
 func hasWorkAfter(machine *worker.Machine, token uint64) bool {
 	return slices.ContainsFunc(machine.Tasks, func(task wire.TaskStatus) bool {
 		return task.Attempt>>tuning.AttemptBits > token
--- a/internal/fleet/deprovisioner_test.go
+++ b/internal/fleet/deprovisioner_test.go
@@ -20,12 +20,12 @@
 	otherHostRecord  = `{"Build":"g2","Yard":"a","Number":1,"Hosts":["i-8"]}`
 )
 
-// unknownMachine is the state of a machine that is not in the registry.
+// unknownMachine stands for the state of a machine that is not in the registry.
 const unknownMachine worker.State = -1
 
 type recoveredIntentTest struct {
 	name         string
-	token        uint64 // of the intent
+	token        uint64 // token of the intent
 	record       string
 	setup        func(f *fixture)
 	wantDeletion bool
@@ -35,59 +35,59 @@
 
 var recoveredIntentTests = []recoveredIntentTest{
 	{
-		name:         "of the term before: completed at once",
+		name:         "intent of the previous term: deleted at once",
 		token:        6,
 		record:       grantedRecord,
 		wantDeletion: true, wantState: worker.Deleting, wantKept: true,
 	},
 	{
-		name:         "of an earlier term: contact with the machine comes first",
+		name:         "intent of an older term, no contact: not deleted yet",
 		token:        4,
 		record:       grantedRecord,
 		wantDeletion: false, wantState: worker.Deleting, wantKept: true,
 	},
 	{
-		name:         "contact, and the machine has no work",
+		name:         "contact, no tasks: deleted",
 		token:        4,
 		record:       grantedRecord,
 		setup:        sendHeartbeat(nil),
 		wantDeletion: true, wantState: worker.Deleting, wantKept: true,
 	},
 	{
-		name:         "contact, and the machine has work of a term since, which read no log",
+		name:         "contact, tasks of an intermediate term: intent abandoned",
 		token:        4,
 		record:       grantedRecord,
 		setup:        sendHeartbeat(workOfTerm(5)),
 		wantDeletion: false, wantState: worker.Up, wantKept: false,
 	},
 	{
-		name:         "contact, and the machine has work of the intent's own term",
+		name:         "contact, tasks of the intent's own term: deleted",
 		token:        4,
 		record:       grantedRecord,
 		setup:        sendHeartbeat(workOfTerm(4)),
 		wantDeletion: true, wantState: worker.Deleting, wantKept: true,
 	},
 	{
-		name:         "no contact, and the machine's lease has expired",
+		name:         "no contact, lease expired: deleted",
 		token:        4,
 		record:       grantedRecord,
 		setup:        expireLeases,
 		wantDeletion: true, wantState: worker.Deleting, wantKept: true,
 	},
 	{
-		name:         "a pending request may name the machine: deleted by its name",
+		name:         "no record, pending request, previous term: deleted",
 		token:        6,
 		record:       unansweredRecord,
 		wantDeletion: true, wantState: unknownMachine, wantKept: true,
 	},
 	{
-		name:         "the same, and another term may have used it",
+		name:         "no record, pending request, older term: not deleted yet",
 		token:        4,
 		record:       unansweredRecord,
 		wantDeletion: false, wantState: unknownMachine, wantKept: true,
 	},
 	{
-		name:         "no record names the machine: it is deleted",
+		name:         "no record, no pending request: intent completed without a call",
 		token:        6,
 		record:       otherHostRecord,
 		wantDeletion: false, wantState: unknownMachine, wantKept: false,
@@ -98,7 +98,7 @@
 	return []wire.TaskStatus{{Name: "job-1/0", Attempt: token<<tuning.AttemptBits | 1, State: wire.TaskRunning}}
 }
 
-// sendHeartbeat has i-1 send a heartbeat with some tasks.
+// sendHeartbeat returns a setup in which machine i-1 sends a heartbeat that reports tasks.
 func sendHeartbeat(tasks []wire.TaskStatus) func(f *fixture) {
 	return func(f *fixture) {
 		machine := f.registry.Get("i-1")
@@ -113,7 +113,7 @@
 	f.registry.ExpireLeases(f.now, f.now.Add(-time.Second))
 }
 
-// What a successor, with token 7, does with an intent that it recovers.
+// A successor, with token 7, does not delete a machine that an intermediate term may be using.
 func TestRecoveredIntent(t *testing.T) {
 	for _, test := range recoveredIntentTests {
 		t.Run(test.name, func(t *testing.T) {
@@ -124,7 +124,7 @@
 			}
 			f.advance(time.Second)
 			if deletes := len(f.deletedHosts()) > 0; deletes != test.wantDeletion {
-				t.Errorf("deletions %v", f.deletedHosts())
+				t.Errorf("deleted %v, want a deletion: %t", f.deletedHosts(), test.wantDeletion)
 			}
 			state := unknownMachine
 			if machine := f.registry.Get("i-1"); machine != nil {
@@ -134,28 +134,28 @@
 				t.Errorf("state %d, want %d", state, test.wantState)
 			}
 			if kept := f.intents.Get(intentlog.Deprovision, "i-1") != nil; kept != test.wantKept {
-				t.Errorf("intent kept: %v", kept)
+				t.Errorf("intent kept: %t, want %t", kept, test.wantKept)
 			}
 		})
 	}
 }
 
-// A request that turns out to name a machine with an intent brings none: it gets no work.
+// A machine with a termination intent gets no tasks if a pending request is granted with it.
 func TestLateGrantOfTerminatedMachine(t *testing.T) {
 	f := newLoggedFixture(t, intentPage("i-1", intentlog.Deprovision, 4))
 	f.loadUsedMachine(`{"Build":"g2","Yard":"a","Number":2}`)
 	f.advance(time.Second)
 	f.answerCall(cloud.CreateMachines, granted("i-1", "i-2"))
 	if machine := f.registry.Get("i-1"); machine == nil || machine.State != worker.Deleting {
-		t.Errorf("with an intent: %+v", machine)
+		t.Errorf("machine with an intent: %+v, want state %v", machine, worker.Deleting)
 	}
 	if machine := f.registry.Get("i-2"); machine == nil || machine.State != worker.Booting {
-		t.Errorf("without an intent: %+v", machine)
+		t.Errorf("machine without an intent: %+v, want state %v", machine, worker.Booting)
 	}
 }
 
-// The intent of a deletion stays until the provisioning record does not name the machine: a
-// successor that found the machine recorded and no intent would wait for it.
+// A deletion intent is kept until a durable record no longer names the machine. Otherwise a successor
+// would wait for contact with a machine that does not exist.
 func TestIntentOutlivesRecord(t *testing.T) {
 	f := newLoggedFixture(t, intentPage("i-1", intentlog.Deprovision, 6))
 	f.loadUsedMachine(`{"Build":"g2","Yard":"a","Number":2,"Hosts":["i-1","i-2"]}`)
@@ -167,16 +167,17 @@
 	f.advance(time.Second)
 	f.commitWrites()
 	if f.intents.Get(intentlog.Deprovision, "i-1") != nil {
-		t.Error("kept although the record is durable")
+		t.Error("intent kept after the record became durable")
 	}
 }
 
-// An older version of the record, which becomes durable later, still names the machine.
+// A deletion intent is kept when an older version of the record, which names the machine, becomes
+// durable.
 func TestIntentOutlivesOlderVersion(t *testing.T) {
 	f := newLoggedFixture(t)
 	f.loadUsedMachine(`{"Build":"g2","Yard":"a","Number":3,"Hosts":["i-1","i-2","i-3"]}`)
 	f.terminateAndDelete("i-1")
-	f.advance(0) // the record without i-1 is being written
+	f.advance(0) // starts the write of the record without i-1
 	older := f.storeReplies
 	f.storeCalls, f.storeReplies = nil, nil
 	if len(older) == 0 {
@@ -189,27 +190,27 @@
 	}
 	request := f.autoscaler.provisioner.byHost["i-3"]
 	if len(request.pendingRemovals) != 1 || request.pendingRemovals[0].host != "i-2" {
-		t.Errorf("waiting for the record: %+v", request.pendingRemovals)
+		t.Errorf("pending removals after the older version: %+v", request.pendingRemovals)
 	}
 	f.commitWrites()
 	f.advance(0)
 	f.commitWrites()
 	if len(request.pendingRemovals) != 0 {
-		t.Errorf("still waiting: %+v", request.pendingRemovals)
+		t.Errorf("pending removals after the newest version: %+v", request.pendingRemovals)
 	}
 }
 
 func (f *fixture) terminateAndDelete(host string) {
 	f.t.Helper()
 	f.autoscaler.deprovisioner.terminate(f.now, f.registry.Get(host), deprovision("idle"))
-	f.commitWrites() // its intent, and whatever is not durable yet
+	f.commitWrites() // including the intent
 	f.advance(tuning.IntentWriteInterval)
 	f.commitWrites()
 	f.autoscaler.deprovisioner.deleteMachines(f.now)
 	f.answerCall(cloud.DeleteMachines, cloud.Success(cloud.Response{}))
 }
 
-// A machine stays in use while the log has no room for the intent to terminate it.
+// A machine remains in use while the log is too full for the intent to terminate it.
 func TestIntentLogFull(t *testing.T) {
 	f := newLoggedFixture(t)
 	for i := range tuning.MaxOpenIntents {
@@ -219,6 +220,6 @@
 	machine.Incarnation, machine.LastContact, machine.IdleSince = 1, f.now, f.now.Add(-time.Hour)
 	f.advance(time.Second)
 	if machine.State != worker.Up {
-		t.Errorf("%v although the intent is not logged", machine.State)
+		t.Errorf("state %v without a logged intent, want %v", machine.State, worker.Up)
 	}
 }
--- a/internal/fleet/fixture_test.go
+++ b/internal/fleet/fixture_test.go
@@ -18,7 +18,7 @@
 	"juniperchute/internal/worker"
 )
 
-// fixture is an autoscaler, under token 7 of shard 0, whose calls are caught.
+// fixture is an autoscaler with token 7 for shard 0. It captures calls until a test answers them.
 type fixture struct {
 	t            *testing.T
 	now          time.Time
@@ -59,8 +59,8 @@
 	return f
 }
 
-// newLoggedFixture is a fixture whose intents are logged; items are the pages of the log that an
-// earlier term left.
+// newLoggedFixture returns a fixture with a durable intent log. The items are the log pages of earlier
+// terms.
 func newLoggedFixture(t *testing.T, items ...wire.KeyValue) *fixture {
 	f := newFixture(t)
 	f.intents.EnableDurability()
@@ -76,7 +76,7 @@
 	f.cloudCalls, f.cloudReplies = append(f.cloudCalls, call), append(f.cloudReplies, callback)
 }
 
-// commitWrites has the state service commit every write.
+// commitWrites makes the state service commit all captured writes, including those sent meanwhile.
 func (f *fixture) commitWrites() {
 	for len(f.storeReplies) > 0 {
 		callback := f.storeReplies[0]
@@ -85,7 +85,8 @@
 	}
 }
 
-// answerCall answers the oldest call of an operation, and returns it.
+// answerCall answers the oldest call of an operation and returns the call. It fails the test if there
+// is none.
 func (f *fixture) answerCall(operation cloud.Operation, result cloud.Result) cloud.Call {
 	f.t.Helper()
 	for i, call := range f.cloudCalls {
@@ -110,7 +111,7 @@
 	return false
 }
 
-// deletedHosts lists the machines of the deletions asked for.
+// deletedHosts returns the machines of the deletion calls that are not answered.
 func (f *fixture) deletedHosts() (hosts []string) {
 	for _, call := range f.cloudCalls {
 		if call.Operation == cloud.DeleteMachines {
@@ -125,26 +126,26 @@
 	f.autoscaler.Tick(f.now)
 }
 
-// addGang adds job number n, a gang whose tasks each fill a machine of type g2.
+// addGang adds job n, a gang whose tasks each need a whole machine of type g2.
 func (f *fixture) addGang(n uint64, tasks int, spot bool) {
 	spec := wire.JobSpec{ID: fmt.Sprintf("job-%d", n), Team: "red", Class: "l", Shape: wire.ShapeGang, Priority: "low",
 		Tasks: tasks, Vcpus: 10, Gpus: 2, MemGb: 77, AnyType: true, Spot: spot}
 	f.scheduler.AddJob(f.now, spec, f.now, n, false)
 }
 
-// addMachine adds a machine of type g2 that may have been given tasks.
+// addMachine adds a registered machine of type g2.
 func (f *fixture) addMachine(host string, state worker.State) *worker.Machine {
 	machine := f.registry.Add(f.now, host, state)
 	machine.Type, machine.Registered, machine.Recorded, machine.IdleSince = "g2", true, true, f.now
 	return machine
 }
 
-// loadRequest loads the record of a request that an earlier term made.
+// loadRequest loads the provisioning record of an earlier term.
 func (f *fixture) loadRequest(name, record string) {
 	f.autoscaler.LoadRequest(f.now, wire.KeyValue{Key: "h/0/" + name, Value: []byte(record), Version: 4})
 }
 
-// loadUsedMachine loads the record of request b0-3-1, and machine i-1 as registered.
+// loadUsedMachine loads the record of request b0-3-1 and the registration of machine i-1.
 func (f *fixture) loadUsedMachine(record string) {
 	f.loadRequest("b0-3-1", record)
 	f.loadRegistrations(`{"i-1":"addr"}`)
@@ -154,7 +155,7 @@
 	f.autoscaler.LoadRegistrations(f.now, []wire.KeyValue{{Key: "u/0/0", Value: []byte(page), Version: 3}})
 }
 
-// intentPage is a page of the intent log with one entry.
+// intentPage returns a page of the intent log with one entry.
 func intentPage(host string, operation intentlog.Operation, token uint64) wire.KeyValue {
 	entry := fmt.Appendf(nil, `{%q:{"Duty":%q,"Token":%d,"At":0}}`, host, operation, token)
 	return wire.KeyValue{Key: "d/0/0", Value: entry, Version: 5}
@@ -164,7 +165,7 @@
 	return cloud.Success(cloud.Response{Hosts: hosts})
 }
 
-// listed is a list of running machines of type g2.
+// listed returns a complete list of running machines of type g2.
 func listed(hosts ...string) cloud.Result {
 	var page wire.MachinePage
 	for _, host := range hosts {
--- a/internal/fleet/inventory.go
+++ b/internal/fleet/inventory.go
@@ -10,8 +10,8 @@
 	"juniperchute/internal/worker"
 )
 
-// inventory reads the cloud's list of machines, which lags behind, and reconciles it with what is
-// known.
+// inventory reconciles the registry with the cloud's list of machines, which is eventually
+// consistent.
 type inventory struct {
 	cloudLimits   config.CloudLimits
 	cloud         *rateLimitedCloud
@@ -19,46 +19,44 @@
 	provisioner   *provisioner
 	deprovisioner *deprovisioner
 	lists         *listHistory
-	// adopter: this shard's lease holder is the one that adopts machines nobody knows.
-	adopter bool
-	// ownedByOtherShard is Options.OwnedByOtherShard.
-	ownedByOtherShard func(host string, existedAt time.Time) bool
+	// adopter is set on the one shard that adopts listed machines without a record.
+	adopter           bool
+	ownedByOtherShard func(host string, existedAt time.Time) bool // see Options
 
 	cursor listCursor
 }
 
-// listCursor is the list being read, a page at a time.
+// listCursor is the position in a paginated list.
 type listCursor struct {
-	nextAt   time.Time // when the next page, or a new list, is due
-	inFlight bool      // a page is under way
-	after    string    // the last machine of the pages read so far; "": a new list starts
-	hosts    []wire.Machine
-	pages    int
+	nextAt   time.Time      // when the next page or list is due
+	inFlight bool           // a page has been requested
+	after    string         // last machine of the pages read so far, empty for a new list
+	hosts    []wire.Machine // of the pages read so far
+	pages    int            // number of pages read so far
 }
 
-// listHistory counts in how many lists in a row machines were missing, and in how many lists
-// unknown machines were.
+// listHistory counts the lists that miss expected machines or contain unknown ones.
 type listHistory struct {
 	expected map[string]bool // hosts expected in the lists
-	missed   map[string]int  // lists in a row without a host that is expected
-	unknown  map[string]int  // lists with a host that is not known
+	missed   map[string]int  // number of consecutive lists without an expected host
+	unknown  map[string]int  // number of lists with a host that is not in the registry
 }
 
 func newListHistory() *listHistory {
 	return &listHistory{expected: map[string]bool{}, missed: map[string]int{}, unknown: map[string]int{}}
 }
 
-// forget drops the count of a deleted machine.
 func (h *listHistory) forget(host string) { delete(h.missed, host) }
 
-// observeUnknown counts a list with an unknown machine, and reports whether there have been so many
-// that it is not one just deleted: lists lag.
+// observeUnknown counts a list with an unknown machine and reports whether the machine may be
+// adopted. A stale list may contain a machine that was deleted recently.
 func (h *listHistory) observeUnknown(host string) bool {
 	h.unknown[host]++
 	return h.unknown[host] >= tuning.AdoptionLists
 }
 
-// countMissed counts the expected machines that a list does not show.
+// countMissed updates the counts of the expected machines by a list. Machines that have left the
+// registry are no longer expected.
 func (h *listHistory) countMissed(shown map[string]bool, registry *worker.Registry) {
 	for host := range h.expected {
 		switch {
@@ -72,8 +70,8 @@
 	}
 }
 
-// readNextPage asks for the next page when it is due. Each page takes its part of the cloud's
-// rate: a large fleet's list has many.
+// readNextPage requests the next page when it is due. Each page counts towards the cloud's rate
+// limit.
 func (i *inventory) readNextPage(now time.Time) {
 	if i.cursor.inFlight || now.Before(i.cursor.nextAt) || !i.cloud.allow(now) {
 		return
@@ -102,13 +100,13 @@
 	i.reconcile(now, hosts)
 }
 
-// interval is the time from one list of so many pages to the next: lists take no more than their
-// share of the cloud's rate.
+// interval returns the time from a list with a number of pages to the next list. It grows with the
+// pages, so that lists keep to their share of the cloud's rate limit.
 func (i *inventory) interval(pages int) time.Duration {
 	return max(tuning.ListInterval, config.Seconds(float64(pages)/(i.cloudLimits.RPS*tuning.ListRateShare)))
 }
 
-// reconcile compares a list with what is known.
+// reconcile updates the registry by a complete list.
 func (i *inventory) reconcile(now time.Time, hosts []wire.Machine) {
 	registry := i.machines.registry
 	shown := map[string]bool{}
@@ -127,16 +125,16 @@
 	}
 	for _, machine := range registry.All() {
 		if machine.State == worker.Unreconciled {
-			// It was up in an earlier term, so it should be listed.
+			// The machine was up in an earlier term, so the cloud should list it.
 			i.lists.expected[machine.Host] = true
 		}
 	}
 	i.lists.countMissed(shown, registry)
 }
 
-// addOrphan adds a listed machine that no shard knows, and returns nil unless it is sure to
-// be one. Deleted machines stay listed for a while: only one that is still there well after the
-// lag was created by a call that was executed late.
+// addOrphan adopts a listed machine that belongs to no shard. It returns nil if the machine may be
+// explained otherwise: by a pending request, by another shard or by a stale list. An orphan is the
+// result of a create call that executed late.
 func (i *inventory) addOrphan(now time.Time, host wire.Machine) *worker.Machine {
 	createdAt := now.Add(-config.Seconds(host.AgeS))
 	if !i.adopter || i.provisioner.hasPending() || i.ownedByOtherShard(host.ID, createdAt) {
--- a/internal/fleet/inventory_test.go
+++ b/internal/fleet/inventory_test.go
@@ -13,8 +13,8 @@
 	"juniperchute/internal/worker"
 )
 
-// A failover need not wait for the lease of a machine that the cloud no longer lists; one list
-// may be too old to show it.
+// An unreconciled machine is reclaimed before its lease expires if several consecutive lists miss it.
+// A single list may be stale.
 func TestUnreconciledAndNotListed(t *testing.T) {
 	f := newFixture(t)
 	f.loadRequest("b0-3-1", `{"Build":"g2","Yard":"a","Number":2,"Hosts":["i-1","i-2"]}`)
@@ -33,9 +33,9 @@
 	}
 }
 
-// An unexpected machine is adopted once no pending request may explain it, and not because a
-// list lags behind a deletion.
-func TestAdoptUnexpected(t *testing.T) {
+// An orphaned machine is adopted only after several lists, since a stale list may contain a machine
+// that was deleted.
+func TestAdoptOrphan(t *testing.T) {
 	f := newFixture(t)
 	for i := range tuning.AdoptionLists + 1 {
 		f.advance(tuning.ListInterval + time.Second)
@@ -51,15 +51,15 @@
 	}
 }
 
-// listPages has the autoscaler read a list of a number of pages, and the first page of the next
-// list. It returns when each page was asked for.
-func (f *fixture) listPages(pages int) (asked []time.Time) {
+// listPages answers the reads of a list with a number of pages and of the first page of the next list.
+// It returns the time of each read.
+func (f *fixture) listPages(pages int) (requestedAt []time.Time) {
 	f.t.Helper()
 	start := f.now
-	for len(asked) < pages+1 {
+	for len(requestedAt) < pages+1 {
 		f.advance(100 * time.Millisecond)
 		if f.now.Sub(start) > time.Minute {
-			f.t.Fatalf("%d pages in a minute", len(asked))
+			f.t.Fatalf("%d pages requested in a minute, want %d", len(requestedAt), pages+1)
 		}
 		for f.hasCall(cloud.ListMachineTypes) {
 			f.answerCall(cloud.ListMachineTypes, cloud.Success(cloud.Response{}))
@@ -67,8 +67,8 @@
 		if !f.hasCall(cloud.ListMachines) {
 			continue
 		}
-		n := len(asked) % pages
-		asked = append(asked, f.now)
+		n := len(requestedAt) % pages
+		requestedAt = append(requestedAt, f.now)
 		host := wire.Machine{ID: fmt.Sprintf("i-%d", n), State: wire.MachineRunning}
 		page := wire.MachinePage{Machines: []wire.Machine{host}, More: n < pages-1}
 		call := f.answerCall(cloud.ListMachines, cloud.Success(cloud.Response{Page: page}))
@@ -76,22 +76,22 @@
 			f.t.Errorf("page %d starts after %q", n, call.After)
 		}
 	}
-	return asked
+	return requestedAt
 }
 
-// The pages of a large fleet's list keep to the cloud's rate, and lists of many pages are read
-// less often.
+// The pages of a large list keep to the cloud's rate limit, and lists of many pages are read less
+// often.
 func TestListPages(t *testing.T) {
 	const pages, rps = 8, 2
 	f := newFixture(t)
 	f.autoscaler.inventory.cloudLimits.RPS = rps
 	f.autoscaler.inventory.cloud.limiter = rate.NewLimiter(rps*tuning.CloudRateShare, 1)
-	asked := f.listPages(pages)
-	if took := asked[pages-1].Sub(asked[0]); took < (pages-2)*time.Second/rps {
-		t.Errorf("%d pages within %v", pages, took)
+	requestedAt := f.listPages(pages)
+	if duration := requestedAt[pages-1].Sub(requestedAt[0]); duration < (pages-2)*time.Second/rps {
+		t.Errorf("%d pages requested within %v", pages, duration)
 	}
-	pause, share := asked[pages].Sub(asked[pages-1]), float64(pages)/(rps*tuning.ListRateShare)
-	if pause.Seconds() < share {
-		t.Errorf("the next list started after %v, its share of the rate allows one in %v s", pause, share)
+	interval, minSeconds := requestedAt[pages].Sub(requestedAt[pages-1]), float64(pages)/(rps*tuning.ListRateShare)
+	if interval.Seconds() < minSeconds {
+		t.Errorf("next list requested after %v, want at least %v s", interval, minSeconds)
 	}
 }
--- a/internal/fleet/machine_types.go
+++ b/internal/fleet/machine_types.go
@@ -16,23 +16,24 @@
 	"juniperchute/internal/worker"
 )
 
-// machineTypes keeps the machine types that the cloud offers, and has the lease holder of the
-// first shard record them for all controllers.
+// machineTypes caches the machine types that the cloud offers. The lease holder of the first shard
+// also records them for all controllers.
 type machineTypes struct {
 	cloud     *rateLimitedCloud
 	store     *termStore
 	registry  *worker.Registry
 	scheduler *placement.Scheduler
-	// recorder: this shard's lease holder is the one that records the types.
+	// recorder is set on the one shard that records the types.
 	recorder bool
 
 	byName    map[string]wire.MachineType
-	recorded  map[string]string     // the stored value of each type
+	recorded  map[string]string     // stored value by type name
 	writers   []*store.DesiredValue // in the order of the changes
 	refreshAt time.Time
 }
 
-// apply adds a machine type as it is stored.
+// apply adds a machine type from its record. It keeps a type that is present, since records have no
+// prices.
 func (t *machineTypes) apply(machineType wire.MachineType, raw string) {
 	t.recorded[machineType.Name] = raw
 	if _, ok := t.byName[machineType.Name]; !ok {
@@ -41,10 +42,10 @@
 	t.setCapacities()
 }
 
-// names returns the names of the types in order.
+// names returns the sorted names of the types.
 func (t *machineTypes) names() []string { return slices.Sorted(maps.Keys(t.byName)) }
 
-// bootTime is the usual boot time of a type, 0 if the type is not known.
+// bootTime returns the usual boot time of a type, 0 for an unknown type.
 func (t *machineTypes) bootTime(name string) time.Duration {
 	return config.Seconds(t.byName[name].BootTimeS)
 }
@@ -53,7 +54,7 @@
 	return quota.Resources{CPUs: machineType.Vcpus, GPUs: machineType.Gpus, MemGB: machineType.MemGb}
 }
 
-// setCapacity gives a machine the capacity of its type, if that is known.
+// setCapacity sets a machine's capacity to that of its type, if the type is known.
 func (t *machineTypes) setCapacity(machine *worker.Machine) {
 	machineType, ok := t.byName[machine.Type]
 	if capacity := capacityOf(machineType); ok && machine.Capacity != capacity {
@@ -68,14 +69,14 @@
 	}
 }
 
-// writeChanges writes what has not been written yet.
+// writeChanges writes the records that are not durable yet.
 func (t *machineTypes) writeChanges(now time.Time) {
 	for _, writer := range t.writers {
 		writer.Tick(now)
 	}
 }
 
-// refresh lists the machine types anew when that is due.
+// refresh lists the cloud's machine types when a refresh is due.
 func (t *machineTypes) refresh(now time.Time) {
 	if now.Before(t.refreshAt) || !t.cloud.allow(now) {
 		return
@@ -100,8 +101,8 @@
 	t.setCapacities()
 }
 
-// record stores one of a number of machine types unless it is stored already. Prices move all the
-// time, and controllers need the record only to check submissions: it has no prices.
+// record stores one of total machine types unless the stored record is the same. The record omits
+// prices, which change often and are not needed to validate submissions.
 func (t *machineTypes) record(now time.Time, machineType wire.MachineType, total int) {
 	machineType.Price, machineType.SpotPrice = 0, 0
 	record := MachineTypeRecord{MachineType: machineType, Total: total}
--- a/internal/fleet/machines.go
+++ b/internal/fleet/machines.go
@@ -7,15 +7,15 @@
 	"juniperchute/internal/worker"
 )
 
-// machines adds machines to the registry. A machine whose termination an earlier term has
-// intended is being deleted from the moment that it is known.
+// machines adds machines to the registry. A machine with a termination intent of an earlier term
+// enters the state Deleting as soon as it is added.
 type machines struct {
 	registry *worker.Registry
 	types    *machineTypes
 	intents  *intentlog.Log
 }
 
-// add makes a machine known, as booting unless it is known already.
+// add adds a machine in the state Booting, or updates the kind of one that the registry has.
 func (m *machines) add(now time.Time, host string, kind machineKind) *worker.Machine {
 	machine := m.registry.Get(host)
 	if machine == nil {
@@ -28,8 +28,8 @@
 	return machine
 }
 
-// addUnrecorded makes a machine known that was used and whose provisioning record cannot be read.
-// Its type is not known, so it counts as the largest.
+// addUnrecorded adds a machine whose provisioning record may be unreadable. The type is unknown, so
+// the machine gets the maximum capacity of all types.
 func (m *machines) addUnrecorded(now time.Time, host string) *worker.Machine {
 	machine := m.add(now, host, machineKind{})
 	for _, machineType := range m.types.byName {
@@ -38,8 +38,8 @@
 	return machine
 }
 
-// resumeTerminations goes on with the machines whose termination earlier terms have intended: they
-// get no work, and are deleted, again if need be.
+// resumeTerminations resumes the terminations that earlier terms recorded. Their machines get no
+// tasks and are deleted, again if an earlier call was executed.
 func (m *machines) resumeTerminations(now time.Time) {
 	for _, intent := range m.intents.Recovered(intentlog.Deprovision, intentlog.Reclaim) {
 		if machine := m.registry.Get(intent.Target); machine != nil {
--- a/internal/fleet/provisioner.go
+++ b/internal/fleet/provisioner.go
@@ -15,9 +15,9 @@
 	"juniperchute/internal/worker"
 )
 
-// provisioner makes provisioning requests and keeps their records. A request's name is durable
-// before the cloud is called and stays the same until the answer is certain, so that
-// repeating the call creates no machine twice.
+// provisioner sends provisioning requests and maintains their records. A request's name is its
+// idempotency key: it is durable before the cloud is called and unchanged until the outcome is known,
+// so that a retry creates no machine twice.
 type provisioner struct {
 	shard    int
 	token    uint64
@@ -28,15 +28,15 @@
 	machines *machines
 	// ownedByOtherShard is Options.OwnedByOtherShard.
 	ownedByOtherShard func(host string, existedAt time.Time) bool
-	// onRecordDurable gets the hosts that a record now names durably.
+	// onRecordDurable is called with the hosts that a durable record names.
 	onRecordDurable func(now time.Time, hosts []string)
 
 	requests map[string]*provisioningRequest // by name
 	byHost   map[string]*provisioningRequest // by the hosts that their records name
-	sequence int                             // of the newest request
-	// unreadableRecords counts records that cannot be read: their machines are not known.
+	sequence int                             // sequence number of the latest request of this term
+	// unreadableRecords counts the records that cannot be decoded. Their machines are unknown.
 	unreadableRecords int
-	// maxMachinesPerRequest falls when the state service refuses a record for its size.
+	// maxMachinesPerRequest is lowered when the state service rejects a record for its size.
 	maxMachinesPerRequest int
 	noCapacityUntil       map[machineKind]time.Time
 }
@@ -50,17 +50,18 @@
 	return requests
 }
 
-// hasPending reports whether the machines of some request are not known yet.
+// hasPending reports whether any request may yet be granted machines that are unknown so far.
 func (p *provisioner) hasPending() bool {
 	return slices.ContainsFunc(p.sorted(), (*provisioningRequest).pending)
 }
 
-// hasCapacity reports whether the cloud may have machines of a kind, as far as known.
+// hasCapacity reports whether a request for a kind may be sent. It returns false for a while after
+// the cloud has reported no capacity.
 func (p *provisioner) hasCapacity(now time.Time, kind machineKind) bool {
 	return !now.Before(p.noCapacityUntil[kind])
 }
 
-// tick writes records and makes the calls that are due.
+// tick starts the record writes and cloud calls that are due.
 func (p *provisioner) tick(now time.Time) {
 	for _, request := range p.sorted() {
 		request.writer.Tick(now)
@@ -72,8 +73,9 @@
 	}
 }
 
-// request provisions machines by the record: by a refused request for the same kind if there
-// is one for no more machines, otherwise by a new one. It returns the number of machines asked for.
+// request provisions machines of the record's kind. It retries a refused request for the kind and at
+// most maxMachines machines if there is one, and otherwise creates a request by the record. It
+// returns the number of machines requested.
 func (p *provisioner) request(now time.Time, record ProvisioningRecord, maxMachines int) int {
 	request := p.retryRefused(now, record.kind(), maxMachines)
 	if request == nil {
@@ -82,7 +84,7 @@
 	return request.record.Number
 }
 
-// newRequest records a new request; the cloud is called once the record is durable.
+// newRequest creates and records a request. The cloud is called once the record is durable.
 func (p *provisioner) newRequest(now time.Time, record ProvisioningRecord) *provisioningRequest {
 	p.sequence++
 	request := &provisioningRequest{name: requestName(p.shard, p.token, p.sequence), record: record}
@@ -90,13 +92,13 @@
 	p.openWriter(request, 0)
 	p.requests[request.name] = request
 	p.log.Info("provisioning machines", "request", request.name,
-		"type", record.Type, "zone", record.Zone, "spot", record.Spot, "number", record.Number)
+		"type", record.Type, "zone", record.Zone, "spot", record.Spot, "count", record.Number)
 	request.writer.Set(request.record)
 	request.writer.Tick(now)
 	return request
 }
 
-// send calls the cloud for a request's machines.
+// send sends a request to the cloud.
 func (p *provisioner) send(request *provisioningRequest) {
 	if !p.intents.StartCall(request.intent) {
 		return
@@ -135,7 +137,7 @@
 	record := request.record
 	p.log.Info("machines provisioned", "request", request.name, "type", record.Type, "zone", record.Zone,
 		"spot", record.Spot, "requested", record.Number, "granted", len(hosts))
-	// Some may have been adopted already, or deleted by the intent of an earlier term.
+	// Some machines may have been adopted already, or deleted by an intent of an earlier term.
 	hosts = slices.DeleteFunc(slices.Clone(hosts), func(host string) bool {
 		return p.byHost[host] != nil || p.machines.registry.WasDeleted(host)
 	})
@@ -150,7 +152,7 @@
 	request.writer.Tick(now)
 }
 
-// addHosts makes the machines known that a request's record names.
+// addHosts adds the machines that a request's record names to the registry.
 func (p *provisioner) addHosts(now time.Time, request *provisioningRequest) {
 	for _, host := range request.record.Hosts {
 		p.byHost[host] = request
@@ -158,10 +160,9 @@
 	}
 }
 
-// handleRefusal ends a request for which the cloud has no capacity. While intents are logged its
-// name is kept for as long as a repeat of the call may arrive late and be granted: the next
-// request for the kind uses the same name, and so does whoever finds machines that no record
-// explains.
+// handleRefusal handles a request for which the cloud has no capacity. While the intent log is
+// durable, the request is kept as long as a delayed copy of the call may still be granted. Demand for
+// the kind, or a machine without a record, then retries it under the same name.
 func (p *provisioner) handleRefusal(now time.Time, request *provisioningRequest) {
 	if p.intents.Durable() {
 		request.setState(p.log, requestRefused, "no capacity")
@@ -170,15 +171,15 @@
 	p.close(now, request, "no capacity")
 }
 
-// closeRefused ends a refused request of which no call can arrive late any more.
+// closeRefused closes a refused request once no delayed copy of its call can be executed any more.
 func (p *provisioner) closeRefused(now time.Time, request *provisioningRequest) {
 	if request.state == requestRefused && now.Sub(request.answeredAt) > tuning.LateCallWindow {
 		p.close(now, request, "no capacity")
 	}
 }
 
-// retryRefused makes a refused request for a kind pending again. It returns nil if there is none
-// that the cloud has not just answered.
+// retryRefused makes a refused request for a kind and at most maxMachines machines pending again. It
+// returns nil if there is none whose backoff has passed.
 func (p *provisioner) retryRefused(now time.Time, kind machineKind, maxMachines int) *provisioningRequest {
 	for _, request := range p.sorted() {
 		if request.retryable(now, kind, maxMachines, tuning.NoCapacityPause) {
@@ -189,10 +190,10 @@
 	return nil
 }
 
-// adopt records a machine that no record explains: a call was executed late.
+// adopt creates a record for an orphaned machine, the result of a create call that executed late.
 func (p *provisioner) adopt(now time.Time, machine *worker.Machine) {
 	if p.hasPending() || p.ownedByOtherShard(machine.Host, machine.CreatedAt) {
-		return // a pending request may explain it
+		return // the machine may belong to a pending request or to another shard
 	}
 	kind := machineKind{machineType: machine.Type, zone: machine.Zone, spot: machine.Spot}
 	if machine.Type != "" && p.retryRefused(now, kind, math.MaxInt) != nil {
@@ -202,7 +203,7 @@
 		machine.Recorded = true
 		return
 	}
-	p.log.Info("adopting an unexpected machine", "worker", machine.Host)
+	p.log.Info("adopting orphaned machine", "worker", machine.Host)
 	p.machines.types.setCapacity(machine)
 	request := &provisioningRequest{name: "found-" + machine.Host, record: ProvisioningRecord{
 		Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot, Number: 1, Hosts: []string{machine.Host}}}
--- a/internal/fleet/provisioner_records.go
+++ b/internal/fleet/provisioner_records.go
@@ -11,12 +11,12 @@
 	"juniperchute/internal/wire"
 )
 
-// load takes over a provisioning record of an earlier term.
+// load recovers a provisioning record of an earlier term. It counts a record that it cannot decode.
 func (p *provisioner) load(now time.Time, item wire.KeyValue) {
 	name := strings.TrimPrefix(item.Key, ShardProvisioningPrefix(p.shard))
 	var record ProvisioningRecord
 	if err := json.Unmarshal(item.Value, &record); err != nil {
-		p.log.Error("provisioning record cannot be read", "key", item.Key, "error", err)
+		p.log.Error("cannot decode provisioning record", "key", item.Key, "error", err)
 		p.unreadableRecords++
 		return
 	}
@@ -24,8 +24,8 @@
 	p.openWriter(request, item.Version)
 	p.requests[name] = request
 	if len(record.Hosts) == 0 {
-		// The earlier lease holder did not get to record the answer. Calling again by the
-		// same name gets it, or creates the machines now.
+		// The earlier term recorded no grant. The request is idempotent: a retry under its name
+		// returns the machines that were granted, or creates them now.
 		request.intent = p.intents.RecoverExternal(intentlog.Provision, name, requestToken(name))
 		request.setState(p.log, requestPending, "recovered without an answer")
 		return
@@ -41,7 +41,8 @@
 	return request != nil && request.recordDurable
 }
 
-// openWriter makes the writer of a request's record, which is stored at a version, 0 for none.
+// openWriter creates the writer of a request's record. The version is that of the stored record, 0
+// if there is none.
 func (p *provisioner) openWriter(request *provisioningRequest, version uint64) {
 	request.writer = p.store.newValue(store.DesiredValueOptions{
 		Key:        ShardProvisioningPrefix(p.shard) + request.name,
@@ -51,7 +52,7 @@
 	})
 }
 
-// handleDurable goes on with a request of whose record a version has become durable.
+// handleDurable advances a request after a version of its record has become durable.
 func (p *provisioner) handleDurable(now time.Time, request *provisioningRequest, version int) {
 	p.forgetDurable(request, version)
 	switch request.state {
@@ -68,17 +69,17 @@
 	}
 }
 
-// splitRecord gives half of a request's machines a record of their own: the state service has
-// refused one that names them all, by a limit that it did not announce. Until its record is
-// durable no machine is used, so one that a crash leaves out of both is adopted as unexpected.
+// splitRecord moves half of a request's machines to a second record and reports whether it did. It is
+// called when the state service rejects the record for its size under an unannounced limit. Machines
+// get no tasks before their record is durable, so a crash leaves at most orphans, which are adopted.
 func (p *provisioner) splitRecord(now time.Time, request *provisioningRequest) bool {
 	count := len(request.record.Hosts)
 	if request.state != requestGranted || count < 2 {
 		return false
 	}
 	p.maxMachinesPerRequest = min(p.maxMachinesPerRequest, count/2)
-	p.log.Warn("state service has rejected a provisioning record for its size",
-		"request", request.name, "machines", count)
+	p.log.Warn("state service rejected provisioning record for its size; splitting it",
+		"request", request.name, "count", count)
 	p.sequence++
 	half := &provisioningRequest{name: requestName(p.shard, p.token, p.sequence), record: request.record}
 	half.record.Hosts, half.record.Number = request.record.Hosts[count/2:], count-count/2
@@ -96,7 +97,7 @@
 	return true
 }
 
-// close ends a request without machines and deletes its record.
+// close completes the intent of a request that has no machines and deletes the request's record.
 func (p *provisioner) close(now time.Time, request *provisioningRequest, reason string) {
 	if request.intent != nil {
 		p.intents.Complete(request.intent, reason)
@@ -106,8 +107,9 @@
 	request.writer.Tick(now)
 }
 
-// removeHost removes a deleted machine from its record. The intent of its deletion is kept until
-// that is durable: a successor that found the machine recorded and no intent would wait for it.
+// removeHost removes a deleted machine from its record. The deletion intent is kept until the new
+// record is durable. Otherwise a successor could load a record that names the machine and no intent,
+// and would wait for contact with a machine that does not exist.
 func (p *provisioner) removeHost(now time.Time, host string) {
 	request := p.byHost[host]
 	if request == nil {
@@ -128,8 +130,8 @@
 	request.pendingRemovals = append(request.pendingRemovals, deleted)
 }
 
-// forgetDurable forgets the intents that a durable version of a request's record makes
-// superfluous: that of the request, and those of deleted machines that it does not name any more.
+// forgetDurable forgets the completed intents whose effects a durable version of a request's record
+// reflects: the request's own, and those of the deleted machines that the version no longer names.
 func (p *provisioner) forgetDurable(request *provisioningRequest, version int) {
 	waiting := request.pendingRemovals[:0]
 	for _, deleted := range request.pendingRemovals {
@@ -145,7 +147,7 @@
 	}
 }
 
-// forgetTermination forgets the completed intent of a machine's deletion.
+// forgetTermination forgets the completed termination intent of a machine.
 func (p *provisioner) forgetTermination(host string) {
 	for _, operation := range []intentlog.Operation{intentlog.Deprovision, intentlog.Reclaim} {
 		if intent := p.intents.Get(operation, host); intent != nil {
--- a/internal/fleet/provisioner_test.go
+++ b/internal/fleet/provisioner_test.go
@@ -12,7 +12,7 @@
 type provisioningTest struct {
 	name         string
 	answers      []cloud.Result
-	wantRetry    bool // the same name is asked for once more
+	wantRetry    bool // the request is sent again under the same name
 	wantMachines int
 }
 
@@ -43,8 +43,8 @@
 	},
 }
 
-// A request's name is durable before the cloud is called, stays the same until the answer is
-// certain, and is never used for another request.
+// A request's name is durable before the cloud is called, and retries use it until the outcome is
+// known. Otherwise a retry could create machines twice.
 func TestProvisioningRequest(t *testing.T) {
 	for _, test := range provisioningTests {
 		t.Run(test.name, func(t *testing.T) {
@@ -52,7 +52,7 @@
 			f.addGang(1, 1, true)
 			f.advance(0)
 			if f.hasCall(cloud.CreateMachines) {
-				t.Fatal("called the cloud before the name was durable")
+				t.Fatal("cloud called before the name is durable")
 			}
 			f.commitWrites()
 			name := ""
@@ -60,27 +60,28 @@
 				f.advance(2 * time.Second)
 				sent := f.answerCall(cloud.CreateMachines, answer).Request
 				if name != "" && sent.Name != name {
-					t.Errorf("asked for %s after %s", sent.Name, name)
+					t.Errorf("request %s sent after %s", sent.Name, name)
 				}
 				if name = sent.Name; !sent.Spot {
-					t.Error("asked for an on-demand machine where a spot one would do")
+					t.Error("on-demand machine requested for a job that allows spot machines")
 				}
 			}
 			f.commitWrites()
 			f.advance(2 * time.Second)
-			again := false
+			retried := false
 			for _, call := range f.cloudCalls {
-				again = again || call.Operation == cloud.CreateMachines && call.Request.Name == name
+				retried = retried || call.Operation == cloud.CreateMachines && call.Request.Name == name
 			}
-			if again != test.wantRetry || len(f.registry.All()) != test.wantMachines {
-				t.Errorf("asked again: %t, machines %d", again, len(f.registry.All()))
+			if retried != test.wantRetry || len(f.registry.All()) != test.wantMachines {
+				t.Errorf("retried: %t, want %t; %d machines, want %d",
+					retried, test.wantRetry, len(f.registry.All()), test.wantMachines)
 			}
 		})
 	}
 }
 
-// What a successor makes of provisioning records: a name without an answer is asked for again,
-// only machines that were used are waited for.
+// A successor retries pending requests under their names, and reconciles only machines that may have
+// been assigned tasks.
 func TestRecoverRequests(t *testing.T) {
 	f := newFixture(t)
 	f.loadRequest("b0-3-1", `{"Build":"g2","Yard":"a","Number":2,"Hosts":["i-1","i-2"]}`)
@@ -88,21 +89,22 @@
 	f.loadRegistrations(`{"i-0":"10.1.0.9:9000","i-1":"10.1.0.1:9000"}`)
 	machine := f.registry.Get("i-1")
 	if machine.State != worker.Unreconciled || machine.Address != "10.1.0.1:9000" || machine.Capacity.GPUs != 2 {
-		t.Errorf("used machine: %+v", machine)
+		t.Errorf("registered machine: %+v", machine)
 	}
 	if machine := f.registry.Get("i-2"); machine.State != worker.Booting || machine.Registered {
-		t.Errorf("unused machine: %+v", machine)
+		t.Errorf("unregistered machine: %+v", machine)
 	}
 	f.advance(0)
 	if call := f.answerCall(cloud.CreateMachines, granted("i-3")); call.Request.Name != "b0-3-2" {
-		t.Errorf("asked for %s", call.Request.Name)
+		t.Errorf("request %s retried, want b0-3-2", call.Request.Name)
 	}
 	if f.registry.Get("i-3") == nil {
-		t.Error("the answer's machine is not known")
+		t.Error("granted machine i-3 is not in the registry")
 	}
 }
 
-// refuseRequest makes a request, has the cloud refuse it, and returns the call.
+// refuseRequest creates demand for one machine, refuses the request for lack of capacity and returns
+// the call.
 func (f *fixture) refuseRequest() cloud.Call {
 	f.t.Helper()
 	f.addGang(1, 1, false)
@@ -112,9 +114,9 @@
 	return f.answerCall(cloud.CreateMachines, cloud.Failure(cloud.ErrNoCapacity))
 }
 
-// A refused request's name is kept while its call may be repeated late.
+// A refused request is kept while a delayed copy of its call may still be granted.
 func TestRefusedRequest(t *testing.T) {
-	t.Run("the next request for the kind has the same name", func(t *testing.T) {
+	t.Run("retried under the same name for new demand", func(t *testing.T) {
 		f := newLoggedFixture(t)
 		first := f.refuseRequest()
 		f.advance(tuning.NoCapacityPause)
@@ -125,10 +127,10 @@
 			t.Errorf("%+v, then %+v", first.Request, again.Request)
 		}
 	})
-	t.Run("retried for a machine that no record explains", func(t *testing.T) {
+	t.Run("retried for a machine without a record", func(t *testing.T) {
 		f := newLoggedFixture(t)
 		first := f.refuseRequest()
-		f.autoscaler.Settings.Paused = true // no demand
+		f.autoscaler.Settings.Paused = true // no retry for demand
 		f.advance(tuning.NoCapacityPause)
 		machine := f.registry.Add(f.now, "i-5", worker.Booting)
 		machine.Type, machine.Zone = "g2", "a"
@@ -139,12 +141,12 @@
 			t.Errorf("%+v, then %+v", first.Request, again.Request)
 		}
 		f.commitWrites()
-		explained := f.autoscaler.provisioner.byHost["i-5"]
-		if explained == nil || explained.name != first.Request.Name {
-			t.Errorf("explained by %+v", explained)
+		request := f.autoscaler.provisioner.byHost["i-5"]
+		if request == nil || request.name != first.Request.Name {
+			t.Errorf("i-5 belongs to request %+v, want %s", request, first.Request.Name)
 		}
 	})
-	t.Run("closed when no repeat can arrive any more", func(t *testing.T) {
+	t.Run("closed after the window for delayed copies", func(t *testing.T) {
 		f := newLoggedFixture(t)
 		f.refuseRequest()
 		f.autoscaler.Settings.Paused = true
@@ -159,7 +161,7 @@
 			t.Errorf("%d requests, %d pending intents", len(requests), f.intents.Pending())
 		}
 	})
-	t.Run("closed at once where intents are not logged", func(t *testing.T) {
+	t.Run("closed at once without a durable intent log", func(t *testing.T) {
 		f := newFixture(t)
 		f.refuseRequest()
 		f.commitWrites()
--- a/internal/fleet/rate_limited_cloud.go
+++ b/internal/fleet/rate_limited_cloud.go
@@ -12,8 +12,8 @@
 	"juniperchute/internal/tuning"
 )
 
-// rateLimitedCloud calls the cloud within the share of its rate that one lease holder may use, and
-// spaces retries out while calls fail in a row.
+// rateLimitedCloud limits calls to a lease holder's share of the cloud's rate limit and applies
+// exponential backoff to retries.
 type rateLimitedCloud struct {
 	caller  cloud.Caller
 	limiter *rate.Limiter
@@ -23,7 +23,7 @@
 func newRateLimitedCloud(caller cloud.Caller, requestsPerSecond float64) *rateLimitedCloud {
 	retryBackoff := backoff.NewExponentialBackOff()
 	retryBackoff.InitialInterval, retryBackoff.MaxInterval = tuning.CloudRetryInitial, tuning.CloudRetryMax
-	// A single lease holder calls: there is no crowd to spread out, and tests are repeatable.
+	// Each shard has a single caller, so retries need no jitter, and tests stay deterministic.
 	retryBackoff.RandomizationFactor = 0
 	retryBackoff.Reset()
 	share := requestsPerSecond * tuning.CloudRateShare
@@ -31,10 +31,11 @@
 	return &rateLimitedCloud{caller: caller, limiter: limiter, backoff: retryBackoff}
 }
 
-// allow reports whether the rate has room for one more call, and takes that room.
+// allow reports whether the rate limit permits a call now. If so, it consumes a token of the bucket.
 func (c *rateLimitedCloud) allow(now time.Time) bool { return c.limiter.AllowN(now, 1) }
 
-// call executes a call that allow has allowed.
+// call sends a call for which allow has returned true. A success or a lack of capacity resets the
+// backoff.
 func (c *rateLimitedCloud) call(call cloud.Call, callback func(now time.Time, result cloud.Result)) {
 	c.caller(call, func(now time.Time, result cloud.Result) {
 		if err := result.Err(); err == nil || errors.Is(err, cloud.ErrNoCapacity) {
@@ -44,12 +45,12 @@
 	})
 }
 
-// nextRetry returns when a call that has just failed may be made again.
+// nextRetry returns the time of the next retry and increases the backoff.
 func (c *rateLimitedCloud) nextRetry(now time.Time) time.Time {
 	return now.Add(c.backoff.NextBackOff())
 }
 
-// outcomeOf returns the outcome of an operation whose call ended with err.
+// outcomeOf returns the intent's outcome for a call that ended with err.
 func outcomeOf(err error) intentlog.Outcome {
 	switch {
 	case err == nil:
--- a/internal/fleet/records.go
+++ b/internal/fleet/records.go
@@ -11,56 +11,58 @@
 	"juniperchute/internal/wire"
 )
 
-// Key prefixes: the provisioning records of all shards, and the machine types among the control
-// records.
 const (
+	// ProvisioningPrefix is the common key prefix of the provisioning records of all shards.
 	ProvisioningPrefix = "h/"
-	machineTypePrefix  = "c/f/"
+
+	machineTypePrefix = "c/f/" // key prefix of machine type records
 )
 
-// ShardProvisioningPrefix is the key prefix of a shard's provisioning records.
+// ShardProvisioningPrefix returns the key prefix of a shard's provisioning records.
 func ShardProvisioningPrefix(shard int) string {
 	return fmt.Sprintf("%s%d/", ProvisioningPrefix, shard)
 }
 
-// RegistrationPrefix is the key prefix of the pages that name a shard's machines that may have
-// been given tasks, with their workers' addresses. A machine is registered before its first
-// task, so a successor need not wait for a machine that is not named.
+// RegistrationPrefix returns the key prefix of a shard's registration pages. They map each machine
+// that may have been assigned tasks to its worker's address. A machine is registered before its first
+// task, so a successor need not reconcile unregistered machines.
 func RegistrationPrefix(shard int) string { return fmt.Sprintf("u/%d/", shard) }
 
-// MachineTypeName returns the name of the machine type that a control key holds, if it holds one.
+// MachineTypeName returns the machine type that a key of a machine type record names. The result is
+// false for other keys.
 func MachineTypeName(key string) (string, bool) { return strings.CutPrefix(key, machineTypePrefix) }
 
-// MachineTypeRecord is a machine type as stored for all controllers. Each tells how many there
-// are: until a controller knows them all, it cannot say that a job fits none.
+// MachineTypeRecord is the stored form of a machine type, shared by all controllers.
 type MachineTypeRecord struct {
 	wire.MachineType
+	// Total is the number of machine types. A controller that has loaded fewer cannot reject a job
+	// for fitting none.
 	Total int `json:"Of"`
 }
 
-// ProvisioningRecord is the record of a provisioning request. It is durable before the cloud is
-// called, and until the last of its machines is deleted.
+// ProvisioningRecord is the stored form of a provisioning request. It is durable before the cloud is
+// called and exists until the last of its machines is deleted.
 type ProvisioningRecord struct {
 	Type   string `json:"Build"`
 	Zone   string `json:"Yard"`
 	Spot   bool   `json:"Loaners"`
 	Number int
-	Hosts  []string `json:",omitempty"` // none until the cloud has granted the request
+	Hosts  []string `json:",omitempty"` // empty until the cloud has granted the request
 }
 
 func (r ProvisioningRecord) kind() machineKind {
 	return machineKind{machineType: r.Type, zone: r.Zone, spot: r.Spot}
 }
 
-// machineKind is what the cloud's capacity is counted by.
+// machineKind is the unit for which the cloud grants or refuses capacity.
 type machineKind struct {
 	machineType string
 	zone        string
 	spot        bool
 }
 
-// RecordedHosts returns the shard of a provisioning record and the machines that the record
-// names, none while the request is pending.
+// RecordedHosts returns the shard of a provisioning record and the machines that the record names,
+// none while the request is pending. It returns zero values for a malformed key or record.
 func RecordedHosts(item wire.KeyValue) (shard int, hosts []string) {
 	shardText, _, _ := strings.Cut(strings.TrimPrefix(item.Key, ProvisioningPrefix), "/")
 	var record ProvisioningRecord
@@ -71,8 +73,8 @@
 	return shard, record.Hosts
 }
 
-// PendingRequest reports whether a provisioning record is one of the shard's that names no machines
-// yet, and under which token it was recorded.
+// PendingRequest returns the name and token of the shard's provisioning request that a key-value pair
+// records, and whether the request is pending: its record names no machines yet.
 func PendingRequest(item wire.KeyValue, shard int) (name string, token uint64, pending bool) {
 	name, ok := strings.CutPrefix(item.Key, ShardProvisioningPrefix(shard))
 	if !ok {
@@ -85,30 +87,31 @@
 	return name, requestToken(name), len(record.Hosts) == 0
 }
 
-// requestName is the name of a provisioning request. A name is never used for a second request:
-// the cloud would take that for a repeat of the first.
+// requestName returns a unique name for a provisioning request. The cloud deduplicates requests by
+// name, so no two requests may share one.
 func requestName(shard int, token uint64, sequence int) string {
 	return fmt.Sprintf("b%d-%d-%d", shard, token, sequence)
 }
 
-// requestToken is the token of the term that made a request's name, 0 if the name is of another form.
+// requestToken returns the fencing token in a request's name, 0 if requestName did not create it.
 func requestToken(name string) uint64 {
-	var shard, number int
+	var shard, sequence int
 	var token uint64
-	if _, err := fmt.Sscanf(name, "b%d-%d-%d", &shard, &token, &number); err != nil {
+	if _, err := fmt.Sscanf(name, "b%d-%d-%d", &shard, &token, &sequence); err != nil {
 		return 0
 	}
 	return token
 }
 
-// termStore makes writers whose writes succeed only while the term lasts.
+// termStore creates writers whose writes are conditioned on the term.
 type termStore struct {
 	termCompare wire.Compare
 	call        store.Caller
 	onTermLost  func(now time.Time)
 }
 
-// newValue makes the writer of a value. Options say its key, its version and what is specific to it.
+// newValue returns the writer of a value. It sets the options that are common to all values of the
+// term.
 func (s *termStore) newValue(options store.DesiredValueOptions) *store.DesiredValue {
 	options.Priority = store.PriorityTerm
 	options.TermCompare = s.termCompare
--- a/internal/fleet/registrations.go
+++ b/internal/fleet/registrations.go
@@ -10,19 +10,18 @@
 	"juniperchute/internal/worker"
 )
 
-// registrations keeps the pages that name the machines that may have been given tasks. They may
-// name a machine too many, never one too few.
+// registrations maintains the pages that name the machines that may have been assigned tasks. The
+// pages may name a machine without tasks, but never omit one with tasks.
 type registrations struct {
 	machines    *machines
 	provisioner *provisioner
 	scheduler   *placement.Scheduler
 
 	pages     *store.Pages
-	submitted map[string]bool // hosts that are, or are about to be, named
+	submitted map[string]bool // hosts whose registration is durable or being written
 }
 
-// load takes over the registrations of earlier terms, after their provisioning records. A machine
-// that no record names has been deleted, if all records could be read.
+// load recovers the registrations of earlier terms. The provisioning records must be loaded before.
 func (r *registrations) load(now time.Time, items []wire.KeyValue) {
 	r.pages.Load(items, func(host string, raw json.RawMessage) { r.recoverRegistration(now, host, raw) })
 	if r.pages.Unreadable() > 0 {
@@ -30,6 +29,8 @@
 	}
 }
 
+// recoverRegistration restores the registration of a machine. If all provisioning records are
+// readable, a machine that none of them names was deleted, and its registration is removed.
 func (r *registrations) recoverRegistration(now time.Time, host string, raw json.RawMessage) {
 	allRecordsRead := r.provisioner.unreadableRecords == 0
 	machine := r.machines.registry.Get(host)
@@ -42,13 +43,13 @@
 	}
 	r.submitted[host], machine.Registered = true, true
 	if machine.State == worker.Booting {
-		_ = json.Unmarshal(raw, &machine.Address) // without one, its next heartbeat gives it
+		_ = json.Unmarshal(raw, &machine.Address) // on an error, the next heartbeat has the address
 		r.machines.registry.SetState(now, machine, worker.Unreconciled, "used in an earlier term")
 	}
 }
 
-// assumeRegistered has all machines count as registered: pages that name those that are cannot
-// be read.
+// assumeRegistered makes all booting machines unreconciled, since any of them may be named on a page
+// that is unreadable.
 func (r *registrations) assumeRegistered(now time.Time) {
 	for _, machine := range r.machines.registry.All() {
 		if machine.State == worker.Booting {
@@ -57,8 +58,8 @@
 	}
 }
 
-// register names a machine, once its provisioning record is durable: a successor that found the
-// machine registered and in no record would take it for deleted.
+// register adds a machine to the pages if its provisioning record is durable. A successor treats a
+// registered machine without a record as deleted.
 func (r *registrations) register(now time.Time, machine *worker.Machine) {
 	if machine.Registered || machine.State == worker.Deleting || r.submitted[machine.Host] {
 		return
@@ -75,7 +76,7 @@
 	r.pages.Tick(now)
 }
 
-// forget removes a deleted machine.
+// forget removes the registration of a deleted machine.
 func (r *registrations) forget(host string) {
 	delete(r.submitted, host)
 	r.pages.Delete(host)
--- a/internal/fleet/request.go
+++ b/internal/fleet/request.go
@@ -8,22 +8,22 @@
 	"juniperchute/internal/store"
 )
 
-// requestState is how far a provisioning request has come.
+// requestState is a state in the lifecycle of a provisioning request.
 type requestState int
 
 const (
-	requestRecording requestState = iota // its record is being made durable
-	requestPending                       // the cloud is being called until it answers
-	requestRefused                       // no capacity; a late repeat of the call may still be granted
-	requestGranted                       // its machines are known
-	requestClosed                        // it has no machines; its record is being deleted
+	requestRecording requestState = iota // the record is being made durable
+	requestPending                       // the call is retried until the outcome is known
+	requestRefused                       // no capacity; a delayed copy of the call may still be granted
+	requestGranted                       // the machines are known
+	requestClosed                        // without machines; the record is being deleted
 )
 
 func (s requestState) String() string {
 	return [...]string{"recording", "requested", "refused", "granted", "closed"}[s]
 }
 
-// provisioningRequest is a request for a number of machines of one kind, and what became of it.
+// provisioningRequest is a request for a number of machines of one kind.
 type provisioningRequest struct {
 	name   string
 	record ProvisioningRecord
@@ -31,14 +31,14 @@
 
 	writer        *store.DesiredValue // of the record
 	recordDurable bool                // a durable version of the record names the machines
-	// unrecording is the deleted machines whose removal from the record is not durable yet.
+	// pendingRemovals are the deleted machines whose removal from the record is not durable yet.
 	pendingRemovals []pendingRemoval
 
-	// intent is the intended provisioning, nil for a request that was granted in an earlier term.
+	// intent is nil for a request granted in an earlier term, adopted or split off another one.
 	intent     *intentlog.Intent
 	inFlight   bool
 	retryAt    time.Time
-	answeredAt time.Time // when the last call ended
+	answeredAt time.Time // when the last call finished
 }
 
 // pendingRemoval is a deleted machine and the first version of the record that does not name it.
@@ -47,20 +47,20 @@
 	version int
 }
 
-// pending reports whether the request may still be granted in the normal course of events.
+// pending reports whether the cloud has yet to grant or refuse the request.
 func (r *provisioningRequest) pending() bool {
 	return r.state == requestRecording || r.state == requestPending
 }
 
-// retryable reports whether a refused request may stand for a new one.
-func (r *provisioningRequest) retryable(now time.Time, kind machineKind, maxMachines int, pause time.Duration) bool {
+// retryable reports whether a refused request can be retried in place of a new one.
+func (r *provisioningRequest) retryable(now time.Time, kind machineKind, maxMachines int, backoff time.Duration) bool {
 	return r.state == requestRefused && r.record.kind() == kind && r.record.Number <= maxMachines &&
-		now.Sub(r.answeredAt) >= pause
+		now.Sub(r.answeredAt) >= backoff
 }
 
 func (r *provisioningRequest) setState(log *slog.Logger, state requestState, reason string) {
 	if r.state != state {
-		log.Debug("provisioning request changed", "request", r.name,
+		log.Debug("provisioning request state changed", "request", r.name,
 			"from", r.state.String(), "to", state.String(), "reason", reason)
 	}
 	r.state = state
--- a/internal/fleet/termination.go
+++ b/internal/fleet/termination.go
@@ -9,7 +9,8 @@
 	"juniperchute/internal/worker"
 )
 
-// termination is why a machine is terminated, and by which operation; the zero value keeps it.
+// termination is the decision to terminate a machine: the operation and its reason. The zero value
+// keeps the machine.
 type termination struct {
 	operation intentlog.Operation
 	reason    string
@@ -19,26 +20,28 @@
 func deprovision(reason string) termination { return termination{intentlog.Deprovision, reason} }
 func reclaim(reason string) termination     { return termination{intentlog.Reclaim, reason} }
 
-// terminationRules decide which machines to terminate. They hold for all machines at one time.
+// terminationRules decide which machines to terminate in one pass.
 type terminationRules struct {
 	now         time.Time
-	termAge     time.Duration // since the term started
-	workerLease time.Duration // of a worker
+	termAge     time.Duration // time since the start of the term
+	workerLease time.Duration // duration of a worker's lease
 	idleTimeout time.Duration
-	// fewUnreconciled: so few machines are unreconciled that the work waiting for them is worth more.
+	// fewUnreconciled is set if the unreconciled machines are few enough to be replaced early,
+	// rather than delay the rest of the failover.
 	fewUnreconciled bool
 }
 
-// terminationCandidate is a machine and what others know of it.
+// terminationCandidate is a machine with the state that other components keep about it.
 type terminationCandidate struct {
 	*worker.Machine
-	missedLists int           // lists in a row that did not show it
-	bootTime    time.Duration // usual for its type; 0: not known
-	// onlyUnconfirmedStops: all that may run on it is tasks to be stopped that it never reported.
+	missedLists int           // number of consecutive lists without the machine
+	bootTime    time.Duration // usual boot time of the type, 0 if unknown
+	// onlyUnconfirmedStops is set if the machine can only run tasks that were stopped and that it has
+	// never reported.
 	onlyUnconfirmedStops bool
 }
 
-// decide has no side effects.
+// decide returns the termination that applies to a candidate. It has no side effects.
 func (r terminationRules) decide(candidate terminationCandidate) termination {
 	switch candidate.State {
 	case worker.Booting:
@@ -73,8 +76,8 @@
 		return reclaim("unreachable")
 	}
 	if candidate.UnansweredCommands > 0 && candidate.onlyUnconfirmedStops {
-		// A direct command without a reply may still start its task there, minutes
-		// from now: only the machine's deletion rules that out.
+		// A delayed copy of a command without a reply may still start its task minutes later.
+		// Only the deletion of the machine rules that out.
 		return reclaim("command not answered")
 	}
 	switch {
--- a/internal/fleet/termination_test.go
+++ b/internal/fleet/termination_test.go
@@ -15,7 +15,7 @@
 	state worker.State
 	set   func(machine *worker.Machine)
 	wait  time.Duration
-	want  bool // terminated
+	want  bool // the machine is terminated
 }
 
 var scaleInTests = []scaleInTest{
@@ -25,18 +25,18 @@
 		want: true,
 	},
 	{
-		name: "not idle for long", state: worker.Up,
+		name: "idle for less than the timeout", state: worker.Up,
 		wait: tuning.MachineIdleTimeout / 2,
 		want: false,
 	},
 	{
-		name: "working", state: worker.Up,
+		name: "running a task", state: worker.Up,
 		set:  func(machine *worker.Machine) { machine.ActiveCopies = 1 },
 		wait: time.Hour,
 		want: false,
 	},
 	{
-		name: "working and quarantined", state: worker.Up,
+		name: "running a task and quarantined", state: worker.Up,
 		set:  func(machine *worker.Machine) { machine.ActiveCopies, machine.Quarantined = 1, true },
 		wait: time.Hour,
 		want: false,
@@ -54,7 +54,7 @@
 		want: false,
 	},
 	{
-		name: "an unanswered command, nothing else", state: worker.Up,
+		name: "unanswered command and no tasks", state: worker.Up,
 		set:  func(machine *worker.Machine) { machine.UnansweredCommands = 1 },
 		wait: time.Second,
 		want: true,
@@ -66,7 +66,7 @@
 		want: true,
 	},
 	{
-		name: "unreachable for no longer than a lease", state: worker.Up,
+		name: "unreachable for less than two leases", state: worker.Up,
 		set:  makeUnreachable,
 		wait: 12 * time.Second,
 		want: false,
@@ -104,14 +104,14 @@
 	},
 }
 
-// makeUnreachable makes a machine one whose heartbeats arrive, and that nothing reaches.
+// makeUnreachable makes a machine's heartbeats arrive without confirming any reply or command.
 func makeUnreachable(machine *worker.Machine) {
 	since := machine.IdleSince
 	machine.ReplyConfirmed, machine.Needed = false, true
 	machine.UnconfirmedSince, machine.LastHeartbeat = since, since.Add(time.Second)
 }
 
-// Idle and faulty machines are terminated, a machine with work never is.
+// Idle and failed machines are terminated. Machines that run tasks are not.
 func TestScaleIn(t *testing.T) {
 	for _, test := range scaleInTests {
 		t.Run(test.name, func(t *testing.T) {
@@ -129,9 +129,8 @@
 	}
 }
 
-// Whatever was started before a failover waits for the last machine without contact: one that the
-// cloud had preempted held a fleet up for 19 s. A few are terminated soon; as many as a network
-// partition cuts off are not.
+// A few unreconciled machines are terminated early, since they delay the failover of a large fleet.
+// As many as a network partition cuts off are not.
 func TestFewUnreconciled(t *testing.T) {
 	for _, test := range []struct {
 		name         string
@@ -146,12 +145,12 @@
 			want: true,
 		},
 		{
-			name:     "one of a large fleet, at once",
+			name:     "one of a large fleet, before the timeout",
 			machines: 200, unreconciled: 1, after: tuning.FewUnreconciledTimeout / 2,
 			want: false,
 		},
 		{
-			name:     "as many as a partition cuts off",
+			name:     "a tenth of a large fleet",
 			machines: 200, unreconciled: 20, after: tuning.FewUnreconciledTimeout + time.Second,
 			want: false,
 		},
