--- a/internal/term/recovery.go
+++ b/internal/term/recovery.go
@@ -28,7 +28,7 @@
 		{term: t, prefix: completionPrefix(t.Shard), results: &t.recovery.completions},
 		{term: t, prefix: fleet.RegistrationPrefix(t.Shard), results: &t.recovery.registrations},
 		{term: t, prefix: startMarkerPrefix(t.Shard), results: &t.recovery.startMarkers},
-		{term: t, prefix: intentlog.LogPrefix(t.Shard), results: &t.recovery.intents},
+		{term: t, prefix: intentlog.ShardPrefix(t.Shard), results: &t.recovery.intents},
 	}
 	t.recovery.readsInFlight = len(caches) + len(reads)
 	for _, cache := range caches {
