--- a/internal/controller/cancellation_loading_test.go
+++ b/internal/controller/cancellation_loading_test.go
@@ -214,7 +214,7 @@
 // passCancellation has another controller tell a controller of a cancellation.
 func (sim *simulation) passCancellation(n *simulatedNode, job string) *peerpb.PeerHeartbeat {
 	other := sim.firstNodeExcept(n)
-	m := other.controller.peerHeartbeat(sim.clock.Now(), n.name)
+	m := other.controller.newPeerHeartbeat(sim.clock.Now(), n.name)
 	m.Cancelled = []string{job}
 	return n.controller.HandlePeerHeartbeat(sim.clock.Now(), m)
 }
--- a/internal/controller/cancellation_watermark_test.go
+++ b/internal/controller/cancellation_watermark_test.go
@@ -84,7 +84,7 @@
 	var heartbeats []*peerpb.PeerHeartbeat
 	for _, n := range sim.nodes {
 		if n != holder {
-			m := n.controller.peerHeartbeat(sim.clock.Now(), holder.name)
+			m := n.controller.newPeerHeartbeat(sim.clock.Now(), holder.name)
 			c.change(holder, m)
 			heartbeats = append(heartbeats, m)
 		}
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -95,7 +95,7 @@
 	then  []func(now time.Time, r *peerpb.ProgressReply, err error)
 }
 
-func (e *heldProgressRequests) AskProgress(
+func (e *heldProgressRequests) QueryProgress(
 	_ string, m *peerpb.ProgressRequest, then func(now time.Time, r *peerpb.ProgressReply, err error),
 ) {
 	e.asked, e.then = append(e.asked, m), append(e.then, then)
--- a/internal/controller/effects.go
+++ b/internal/controller/effects.go
@@ -14,7 +14,7 @@
 	// SendHeartbeat exchanges heartbeats with another controller.
 	SendHeartbeat(member string, heartbeat *peerpb.PeerHeartbeat,
 		then func(now time.Time, answer *peerpb.PeerHeartbeat, err error))
-	// AskProgress asks another controller for the progress of jobs.
-	AskProgress(member string, request *peerpb.ProgressRequest,
+	// QueryProgress asks another controller for the progress of jobs.
+	QueryProgress(member string, request *peerpb.ProgressRequest,
 		then func(now time.Time, reply *peerpb.ProgressReply, err error))
 }
--- a/internal/controller/peer_heartbeat.go
+++ b/internal/controller/peer_heartbeat.go
@@ -83,8 +83,8 @@
 	return out
 }
 
-// peerHeartbeat makes the heartbeat for another controller.
-func (c *Controller) peerHeartbeat(now time.Time, to string) *peerpb.PeerHeartbeat {
+// newPeerHeartbeat makes the heartbeat for another controller.
+func (c *Controller) newPeerHeartbeat(now time.Time, to string) *peerpb.PeerHeartbeat {
 	heartbeat := &peerpb.PeerHeartbeat{
 		Member:            c.config.Member,
 		StateContactAgeMs: c.stateUnreachableFor(now).Milliseconds(),
@@ -116,7 +116,7 @@
 
 // exchange sends a heartbeat to another controller and applies its answer.
 func (c *Controller) exchange(now time.Time, member string, then func(now time.Time)) {
-	c.environment.Effects.SendHeartbeat(member, c.peerHeartbeat(now, member),
+	c.environment.Effects.SendHeartbeat(member, c.newPeerHeartbeat(now, member),
 		func(now time.Time, answer *peerpb.PeerHeartbeat, err error) {
 			if err == nil {
 				c.applyPeerHeartbeat(now, member, answer)
@@ -128,7 +128,7 @@
 // HandlePeerHeartbeat answers another controller's heartbeat.
 func (c *Controller) HandlePeerHeartbeat(now time.Time, heartbeat *peerpb.PeerHeartbeat) *peerpb.PeerHeartbeat {
 	c.applyPeerHeartbeat(now, heartbeat.Member, heartbeat)
-	return c.peerHeartbeat(now, heartbeat.Member)
+	return c.newPeerHeartbeat(now, heartbeat.Member)
 }
 
 func (c *Controller) applyPeerHeartbeat(now time.Time, member string, heartbeat *peerpb.PeerHeartbeat) {
--- a/internal/controller/process_effects.go
+++ b/internal/controller/process_effects.go
@@ -193,8 +193,8 @@
 	}()
 }
 
-// AskProgress is part of Effects.
-func (e *processEffects) AskProgress(member string, request *peerpb.ProgressRequest,
+// QueryProgress is part of Effects.
+func (e *processEffects) QueryProgress(member string, request *peerpb.ProgressRequest,
 	then func(now time.Time, reply *peerpb.ProgressReply, err error)) {
 	go func() {
 		defer e.peerSlots.acquire()()
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -57,7 +57,7 @@
 	}
 	holder, _, _ := c.holderOf(shard)
 	queue.inFlight = true
-	c.environment.Effects.AskProgress(holder, request, func(now time.Time, reply *peerpb.ProgressReply, err error) {
+	c.environment.Effects.QueryProgress(holder, request, func(now time.Time, reply *peerpb.ProgressReply, err error) {
 		queue.inFlight = false
 		answerQueries(now, batch, reply, err)
 		c.sendProgressQueries(shard, queue)
--- a/internal/controller/simulation_peers_test.go
+++ b/internal/controller/simulation_peers_test.go
@@ -53,8 +53,8 @@
 	}, then)
 }
 
-// AskProgress is part of Effects.
-func (e *simulatedEffects) AskProgress(
+// QueryProgress is part of Effects.
+func (e *simulatedEffects) QueryProgress(
 	member string, m *peerpb.ProgressRequest,
 	then func(now time.Time, r *peerpb.ProgressReply, err error),
 ) {
