--- a/internal/controller/cancellations.go
+++ b/internal/controller/cancellations.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// recordCancellation takes note of a cancellation that is about to be confirmed to a user, and
-// forwards it to the shard's lease holder at once: one that cannot read it in the state
-// service would go on renewing the leases of its tasks' workers. The user's answer does not
-// wait.
+// recordCancellation records a cancellation before it is confirmed to the user, and forwards it
+// to the lease holders at once. A lease holder that cannot read the cancellation from the state
+// service would otherwise keep renewing the leases of the workers that run the job's tasks. The
+// response to the user does not wait for the forwarding.
 func (c *Controller) recordCancellation(now time.Time, id string) {
 	c.cancellationLog.Add(now, id)
 	for shard := range c.options.Shards {
@@ -13,19 +13,19 @@
 			t.CancelJob(now, id)
 			c.cancellationLog.Acknowledge([]string{id}, shard, t.Token)
 		}
-		if holder, _, live := c.holderOf(shard); live {
+		if holder, _, live := c.leaseHolder(shard); live {
 			c.forwardCancellations(now, holder)
 		}
 	}
 }
 
-// forwardCancellations sends a lease holder the cancellations that it has not acknowledged.
-// One message at a time: what comes up meanwhile goes with the next.
+// forwardCancellations sends a lease holder the cancellations that are not acknowledged. At most
+// one message to a member is in flight; later cancellations are sent with the next message.
 func (c *Controller) forwardCancellations(now time.Time, holder string) {
 	if c.peers.byName[holder] == nil || c.peers.forwardingTo[holder] {
 		return
 	}
-	sent, _ := c.cancellationLog.Pending(now, c.tokens())
+	sent, _ := c.cancellationLog.Pending(now, c.fencingTokens())
 	if len(sent) == 0 {
 		return
 	}
@@ -33,7 +33,7 @@
 	c.peers.forwardingTo[holder] = true
 	c.exchange(now, holder, func(now time.Time) {
 		c.peers.forwardingTo[holder] = false
-		pending, _ := c.cancellationLog.Pending(now, c.tokens())
+		pending, _ := c.cancellationLog.Pending(now, c.fencingTokens())
 		if len(pending) > 0 && pending[len(pending)-1] != newest {
 			c.forwardCancellations(now, holder)
 		}
--- a/internal/controller/connection_limits.go
+++ b/internal/controller/connection_limits.go
@@ -6,24 +6,26 @@
 	"juniperchute/internal/tuning"
 )
 
-// connectionLimits are how many of a controller's own connections may be under way at once,
-// by what they are for, within the machine's limit of sockets.
+// connectionLimits bounds the concurrent connections of a controller by purpose.
 type connectionLimits struct {
-	commands int // direct commands, and as many again that only ask for an account
+	commands int // direct commands; heartbeat requests to workers have a limit of the same size
 	clients  int // connections of workers, users and health checks
 }
 
-// newConnectionLimits divides the sockets. Commands get a part that grows with the limit, as
-// a fifth of the machines may hang at once; clients get whatever the controller itself
-// does not need. Where that is fewer than the machines, workers take turns.
-func newConnectionLimits(l config.MachineLimits, peers int) connectionLimits {
-	p := connectionLimits{commands: max(tuning.CommandsInFlight, int(float64(l.Sockets)*tuning.CommandSocketShare))}
-	own := 2*p.commands + stateConnections() + tuning.CloudCallsInFlight + 2*peers + tuning.ReservedSockets
-	p.clients = max(tuning.MinClientConnections, l.Sockets-own)
-	return p
+// newConnectionLimits divides the machine's sockets. The limit of commands grows with the number
+// of sockets, because a fifth of the workers may hang at once. Clients get the sockets that the
+// controller's own calls do not need, but at least tuning.MinClientConnections. A fleet with more
+// workers than that shares the connections.
+func newConnectionLimits(machine config.MachineLimits, peers int) connectionLimits {
+	commands := max(tuning.CommandsInFlight, int(float64(machine.Sockets)*tuning.CommandSocketShare))
+	internal := 2*commands + stateConnections() + tuning.CloudCallsInFlight + 2*peers + tuning.ReservedSockets
+	return connectionLimits{
+		commands: commands,
+		clients:  max(tuning.MinClientConnections, machine.Sockets-internal),
+	}
 }
 
-// stateConnections is how many connections to the state service there may be.
+// stateConnections returns the maximum number of connections to the state service.
 func stateConnections() int {
 	return tuning.StoreReadsInFlight + store.Priorities*tuning.StoreWritesInFlight + tuning.StoreExtraInFlight
 }
--- a/internal/controller/connection_limits_test.go
+++ b/internal/controller/connection_limits_test.go
@@ -7,10 +7,9 @@
 	"juniperchute/internal/tuning"
 )
 
-// Every worker keeps a connection to the shard's lease holder: the machines of a
-// fleet half as large again as the settings' must fit beside users and the
-// controller's own calls.
-func TestConnectionLimits(t *testing.T) {
+// Guards against socket exhaustion: each worker keeps a connection to the lease holder, and a fleet
+// 1.5 times the configured size must fit beside users and the controller's own calls.
+func TestConnectionLimitsFitWorkersAndUsers(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		sockets  int
@@ -19,21 +18,21 @@
 		users    int
 	}{
 		{
-			name:     "one of three, 1,350 machines",
+			name:     "three controllers, 1,350 machines",
 			sockets:  2991,
 			peers:    2,
 			machines: 1350,
 			users:    200,
 		},
 		{
-			name:     "one of seven, 1,850 machines",
+			name:     "seven controllers, 1,850 machines",
 			sockets:  2179,
 			peers:    6,
 			machines: 1850,
 			users:    50,
 		},
 		{
-			name:     "one of three, 48 machines",
+			name:     "three controllers, 48 machines",
 			sockets:  900,
 			peers:    2,
 			machines: 48,
@@ -43,11 +42,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			limits := newConnectionLimits(config.MachineLimits{Sockets: c.sockets}, c.peers)
 			if limits.clients < c.machines+c.users {
-				t.Errorf("%d connections for %d workers and %d users", limits.clients, c.machines, c.users)
+				t.Errorf("client connections: got %d, want at least %d for workers and %d for users",
+					limits.clients, c.machines, c.users)
 			}
-			own := 2*limits.commands + stateConnections() + tuning.CloudCallsInFlight + 2*c.peers
-			if limits.clients+own > c.sockets {
-				t.Errorf("%d and %d of its own are more than %d sockets", limits.clients, own, c.sockets)
+			internal := 2*limits.commands + stateConnections() + tuning.CloudCallsInFlight + 2*c.peers
+			if limits.clients+internal > c.sockets {
+				t.Errorf("%d client and %d internal connections exceed the limit of %d sockets",
+					limits.clients, internal, c.sockets)
 			}
 		})
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,9 +1,9 @@
-// Package controller is one controller of a deployment: it elects, routes, and runs the terms
-// of the shards that it owns.
+// Package controller implements one controller of a deployment: it takes part in leader
+// election, routes requests, and runs the terms of the shards whose leases it holds.
 //
-// A Controller is the state that one goroutine owns. It takes events, decides without any
-// I/O, and asks its Effects for what is to be done; their results come back as events. A
-// Runtime is that goroutine in a real process, with servers and connections.
+// A Controller is a state machine that is confined to one goroutine, the event loop. It
+// handles events without any I/O and delegates I/O to its Effects, whose results return as
+// events. A Runtime runs the event loop in a process, with its servers and connections.
 package controller
 
 import (
@@ -24,15 +24,16 @@
 	"juniperchute/internal/wire"
 )
 
-// Environment is what a controller needs of the process that it runs in.
+// Environment provides a controller with the facilities of its process.
 type Environment struct {
 	Effects   Effects
 	Rand      *rand.Rand
-	WallClock func() time.Time // the time of day, for records that operators read
+	WallClock func() time.Time // the time of day, for timestamps that operators read
 	Log       *slog.Logger
 }
 
-// Controller is all state of one controller. It belongs to one goroutine.
+// Controller holds the state of one controller. Its methods may be called only on the event
+// loop.
 type Controller struct {
 	config      *config.Config
 	options     Options
@@ -41,50 +42,50 @@
 	process processIdentity
 	timers  []timer
 
-	membership  *leader.Membership
-	submissions *submission.Service
-	terms       map[int]*term.Term // by shard; ended ones until the records show that
-	settings    admin.Settings
-	machines    machineTypes
-	storedLogs  storedIntents // as last read for an operator
+	membership    *leader.Membership
+	submissions   *submission.Service
+	terms         map[int]*term.Term // by shard; an ended term stays until the control records drop it
+	settings      admin.Settings
+	machineTypes  machineTypes
+	storedIntents storedIntents // as of the last complete read for an operator
 
-	// Watch caches of all shards' records.
+	// Watch caches of the records of all shards.
 	openJobs          *store.WatchCache
 	provisionRequests *store.WatchCache
-	shardOfMachine    map[string]int // by the provision requests that name the machines
+	shardOfMachine    map[string]int // from the provisioning requests that name machines
 
 	peers           peerGroup
 	progressQueries map[int]*progressQueue // by shard
 	cancellationLog *submission.CancellationLog
 }
 
-// processIdentity tells this process from others of the member's name.
+// processIdentity distinguishes this process from earlier processes of the same member.
 type processIdentity struct {
-	id        uint64    // drawn at the start
-	startedAt time.Time // its first tick; zero before
+	id        uint64    // random, never 0
+	startedAt time.Time // time of the first tick; zero before it
 }
 
-// timer is a function to run on the owner goroutine at some time.
+// timer runs a function on the event loop at a given time.
 type timer struct {
 	at  time.Time
 	run func(now time.Time)
 }
 
-// machineTypes are the cloud's machine types as the control records have them.
+// machineTypes holds the cloud's machine types that have been read from the control records.
 type machineTypes struct {
 	byName  map[string]wire.MachineType
-	records map[string]string // as stored
-	total   int               // how many there are, known or not
+	records map[string]string // encoded records, by name
+	total   int               // number of machine types in the control records
 }
 
-// NewController makes the state of one controller. It does nothing before the first Tick.
+// NewController returns a controller that does nothing before the first Tick.
 func NewController(cfg *config.Config, options Options, environment Environment) *Controller {
 	c := &Controller{
 		config: cfg, options: options, environment: environment,
 		process:         processIdentity{id: environment.Rand.Uint64() | 1},
 		terms:           map[int]*term.Term{},
 		settings:        admin.Defaults(),
-		machines:        machineTypes{byName: map[string]wire.MachineType{}, records: map[string]string{}},
+		machineTypes:    machineTypes{byName: map[string]wire.MachineType{}, records: map[string]string{}},
 		shardOfMachine:  map[string]int{},
 		peers:           newPeerGroup(cfg.Peers),
 		progressQueries: map[int]*progressQueue{},
@@ -124,8 +125,7 @@
 	return c
 }
 
-// callState sends a call of the state service, and reconciles the terms when its result has
-// been handled.
+// callState calls the state service and reconciles the terms after the result has been handled.
 func (c *Controller) callState(call store.Call, then func(time.Time, store.Result)) {
 	c.environment.Effects.CallState(call, func(now time.Time, result store.Result) {
 		then(now, result)
@@ -133,12 +133,11 @@
 	})
 }
 
-// Schedule runs a function on the owner goroutine after a delay, at the precision of ticks.
+// Schedule runs a function on the event loop after a delay, rounded up to the next tick.
 func (c *Controller) Schedule(now time.Time, delay time.Duration, run func(now time.Time)) {
 	c.timers = append(c.timers, timer{now.Add(delay), run})
 }
 
-// runTimers runs the timers that are due.
 func (c *Controller) runTimers(now time.Time) {
 	for i := 0; i < len(c.timers); {
 		due := c.timers[i]
@@ -151,14 +150,14 @@
 	}
 }
 
-// applyOpenJob takes note of a change of an open job's record.
+// applyOpenJob passes a change of an open job's record to all terms.
 func (c *Controller) applyOpenJob(now time.Time, _ string, kv wire.KeyValue, deleted bool) {
 	for _, t := range c.terms {
 		t.ApplyOpenJob(now, kv, deleted)
 	}
 }
 
-// applyControlRecord takes note of a change of a control record that is not of the membership.
+// applyControlRecord applies a change of a control record other than the membership records.
 func (c *Controller) applyControlRecord(_ time.Time, key string, kv wire.KeyValue, deleted bool) {
 	if key == admin.Key {
 		c.applySettings(kv, deleted)
@@ -180,33 +179,34 @@
 }
 
 func (c *Controller) applyMachineType(name string, kv wire.KeyValue, deleted bool) {
-	delete(c.machines.byName, name)
-	delete(c.machines.records, name)
+	delete(c.machineTypes.byName, name)
+	delete(c.machineTypes.records, name)
 	if deleted {
 		return
 	}
 	var record fleet.MachineTypeRecord
 	if err := json.Unmarshal(kv.Value, &record); err != nil {
-		c.environment.Log.Error("machine type's record unreadable", "key", kv.Key, "error", err)
+		c.environment.Log.Error("machine type record cannot be decoded", "key", kv.Key, "error", err)
 		return
 	}
-	c.machines.byName[name] = record.MachineType
-	c.machines.records[name] = string(kv.Value)
-	c.machines.total = record.Total
+	c.machineTypes.byName[name] = record.MachineType
+	c.machineTypes.records[name] = string(kv.Value)
+	c.machineTypes.total = record.Total
 	for _, t := range c.terms {
 		t.ApplyMachineType(record.MachineType, string(kv.Value))
 	}
 }
 
-// allMachineTypes are the machine types, none until all of them are known.
+// allMachineTypes returns the machine types by name, or nil until all of them have been read.
 func (c *Controller) allMachineTypes() map[string]wire.MachineType {
-	if len(c.machines.byName) < c.machines.total {
+	if len(c.machineTypes.byName) < c.machineTypes.total {
 		return nil
 	}
-	return c.machines.byName
+	return c.machineTypes.byName
 }
 
-// Tick starts what is due.
+// Tick runs due timers, reconciles the terms, and starts the calls and heartbeats that are due.
+// It must be called at every tuning.TickInterval.
 func (c *Controller) Tick(now time.Time) {
 	if c.process.startedAt.IsZero() {
 		c.process.startedAt = now
@@ -232,9 +232,10 @@
 	}
 }
 
-// Healthy reports whether this controller can take requests. One that alone lost the state
-// service, or that hears neither it nor any peer, says no, so that users go to the others; in
-// an outage all stay, as they would be slow to come back.
+// Healthy reports whether this controller can take requests. It returns false if only this
+// controller has lost the state service, or if neither the state service nor a peer responds:
+// users then turn to the other controllers. In an outage of the state service all controllers
+// stay healthy, because an unhealthy controller gets requests again only after a delay.
 func (c *Controller) Healthy(now time.Time) bool {
 	if !c.membership.Synced() || !c.openJobs.Synced() || len(c.allMachineTypes()) == 0 {
 		return false
@@ -242,20 +243,21 @@
 	if c.stateUnreachableFor(now) < tuning.IsolatedAfter+tuning.WatchTimeout {
 		return true
 	}
-	alone := len(c.peers.byName) > 0
+	isolated := len(c.peers.byName) > 0
 	for _, peer := range c.peers.byName {
 		if !peer.live(now) {
 			continue
 		}
-		alone = false
+		isolated = false
 		if peer.stateUnreachableFor < tuning.IsolatedAfter {
 			return false
 		}
 	}
-	return !alone
+	return !isolated
 }
 
-// HandleHeartbeat answers a worker's heartbeat, or redirects it to its shard's lease holder.
+// HandleHeartbeat answers a worker's heartbeat. If this process does not hold the shard's lease,
+// HandleHeartbeat redirects the worker to the lease holder.
 func (c *Controller) HandleHeartbeat(now time.Time, heartbeat *wire.Heartbeat, reply func(status int, body any)) {
 	shard := c.shardOf(heartbeat.Host)
 	if t := c.liveTerm(shard); t != nil {
@@ -265,24 +267,24 @@
 	c.Redirect(shard, reply)
 }
 
-// ObserveQueueDelay takes note of how long the next heartbeat has waited for its turn.
+// ObserveQueueDelay records the time for which the next heartbeat has been queued.
 func (c *Controller) ObserveQueueDelay(delay time.Duration) {
 	for _, t := range c.terms {
 		t.ObserveQueueDelay(delay)
 	}
 }
 
-// Submit answers a user who submits a job.
+// Submit handles a user's request to submit a job.
 func (c *Controller) Submit(_ time.Time, spec wire.JobSpec, reply func(submission.Response)) {
 	c.submissions.Submit(spec, reply)
 }
 
-// Query answers a user who asks for a job's state.
+// Query handles a user's request for the state of a job.
 func (c *Controller) Query(now time.Time, job string, reply func(submission.Response)) {
 	c.submissions.Query(now, job, reply)
 }
 
-// Cancel answers a user who cancels a job.
+// Cancel handles a user's request to cancel a job.
 func (c *Controller) Cancel(_ time.Time, job string, reply func(submission.Response)) {
 	c.submissions.Cancel(job, reply)
 }
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -15,10 +15,10 @@
 	"juniperchute/internal/wire"
 )
 
-// discardLogger logs to nowhere.
+// discardLogger returns a logger that discards its output.
 func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// newTestController is a controller without timers, whose clock stands still.
+// newTestController returns a controller with a wall clock fixed at now. Nothing calls its Tick.
 func newTestController(cfg *config.Config, shards int, effects Effects, now time.Time) *Controller {
 	rng := rand.New(rand.NewPCG(1, 1))
 	clock := func() time.Time { return now }
@@ -27,46 +27,45 @@
 	})
 }
 
-// redirectCase is what a controller knows of the lease holder from its peers.
+// redirectCase is a sequence of lease claims from peers and the redirect that must follow.
 type redirectCase struct {
 	name   string
-	claims []*peerpb.LeaseClaim // from peers, in this order
-	want   string               // the member that workers are sent to; "": none
+	claims []*peerpb.LeaseClaim // in the order of arrival
+	want   string               // the member in the redirect; empty if none
 }
 
 var redirectCases = []redirectCase{
 	{
-		name: "nothing known",
+		name: "no claim: redirect names no member",
 	},
 	{
-		name:   "a peer knows",
+		name:   "one claim: its holder",
 		claims: []*peerpb.LeaseClaim{{Token: 4, Holder: "n1"}},
 		want:   "n1",
 	},
 	{
-		name:   "a newer claim counts",
+		name:   "higher token arrives last: its holder",
 		claims: []*peerpb.LeaseClaim{{Token: 4, Holder: "n1"}, {Token: 5, Holder: "n2"}},
 		want:   "n2",
 	},
 	{
-		name:   "an older claim does not",
+		name:   "lower token arrives last: ignored",
 		claims: []*peerpb.LeaseClaim{{Token: 5, Holder: "n2"}, {Token: 4, Holder: "n1"}},
 		want:   "n2",
 	},
 	{
-		name:   "given back, not yet given away",
+		name:   "shard resigned and unassigned: redirect names no member",
 		claims: []*peerpb.LeaseClaim{{Token: 4, Holder: "n1"}, {Token: 5}},
 	},
 	{
-		name:   "never to itself",
+		name:   "claim names this controller: redirect names no member",
 		claims: []*peerpb.LeaseClaim{{Token: 4, Holder: "n0"}},
 	},
 }
 
-// Where a controller that does not hold the shard's lease sends a worker. Cut off from the
-// state service it has only its peers' claims: sending workers by its own stale records
-// kept them from the new lease holder until their leases were over.
-func TestRedirect(t *testing.T) {
+// Guards against redirects by stale control records: a controller that is partitioned from the
+// state service must use its peers' claims, so that workers reach the new lease holder.
+func TestWorkerRedirectsToLeaseHolder(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, c := range redirectCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -81,34 +80,34 @@
 			heartbeat := &wire.Heartbeat{Host: "i-1", Incarnation: 1, Sequence: 1}
 			controller.HandleHeartbeat(now, heartbeat, func(status int, body any) {
 				if r, ok := body.(wire.Redirect); status != 421 || !ok || r.Member != c.want {
-					t.Errorf("answered %d %+v, want 421 to %q", status, body, c.want)
+					t.Errorf("got status %d, body %+v; want 421 with member %q", status, body, c.want)
 				}
 			})
 		})
 	}
 }
 
-// heldProgressRequests is a double of Effects that keeps the calls for progress.
-type heldProgressRequests struct {
+// capturedProgressQueries is a fake of Effects that captures progress queries and their callbacks.
+type capturedProgressQueries struct {
 	Effects
-	asked []*peerpb.ProgressRequest
-	then  []func(now time.Time, r *peerpb.ProgressReply, err error)
+	requests []*peerpb.ProgressRequest
+	replies  []func(now time.Time, r *peerpb.ProgressReply, err error)
 }
 
-func (e *heldProgressRequests) QueryProgress(
+func (e *capturedProgressQueries) QueryProgress(
 	_ string, m *peerpb.ProgressRequest, then func(now time.Time, r *peerpb.ProgressReply, err error),
 ) {
-	e.asked, e.then = append(e.asked, m), append(e.then, then)
+	e.requests, e.replies = append(e.requests, m), append(e.replies, then)
 }
 
-// A lease holder answers about thousands of jobs every few seconds: all that is asked
-// while one call is under way goes with the next, and each gets its own answer.
-func TestProgressTogether(t *testing.T) {
+// Queries that arrive while a call is in flight must go out together in the next call, and each
+// must get the answer for its own job.
+func TestProgressQueriesAreBatched(t *testing.T) {
 	now := time.Unix(1000, 0)
 	cfg := testConfig(oneZone, steadyTeams, 1.5, 10)
 	cfg.Member, cfg.Peers = "n0", []config.Peer{{Member: "n1"}}
-	held := &heldProgressRequests{}
-	controller := newTestController(cfg, 1, held, now)
+	effects := &capturedProgressQueries{}
+	controller := newTestController(cfg, 1, effects, now)
 	claim := &peerpb.LeaseClaim{Token: 4, Holder: "n1"}
 	controller.HandlePeerHeartbeat(now, &peerpb.PeerHeartbeat{Member: "n1", Claims: []*peerpb.LeaseClaim{claim}})
 	const queries = 90
@@ -117,24 +116,24 @@
 		record := func(_ time.Time, p submission.Progress) { got[i] = p }
 		controller.jobProgress(now, 0, fmt.Sprintf("job-%d", i), record)
 	}
-	for i := 0; i < len(held.then); i++ {
+	for i := 0; i < len(effects.replies); i++ {
 		r := &peerpb.ProgressReply{}
-		for _, id := range held.asked[i].Jobs {
+		for _, id := range effects.requests[i].Jobs {
 			n, _ := strconv.ParseInt(id[len("job-"):], 10, 64)
 			r.Jobs = append(r.Jobs, &peerpb.JobProgress{Known: true, Done: n})
 		}
 		if i == 0 {
-			held.then[i](now, nil, errUnreachable)
+			effects.replies[i](now, nil, errUnreachable)
 			continue
 		}
-		held.then[i](now, r, nil)
+		effects.replies[i](now, r, nil)
 	}
-	if len(held.asked) != 2 || len(got) != queries {
-		t.Fatalf("%d calls, %d of %d answered", len(held.asked), len(got), queries)
+	if len(effects.requests) != 2 || len(got) != queries {
+		t.Fatalf("got %d calls and %d answers, want 2 calls and %d answers", len(effects.requests), len(got), queries)
 	}
 	for i, p := range got {
 		if p.Known != (i > 0) || i > 0 && p.Done != i {
-			t.Errorf("query %d got %+v", i, p)
+			t.Errorf("query %d: got progress %+v", i, p)
 		}
 	}
 }
--- a/internal/controller/effects.go
+++ b/internal/controller/effects.go
@@ -7,11 +7,11 @@
 	"juniperchute/internal/term"
 )
 
-// Effects are what a controller asks of the outside. Each returns at once; its result comes
-// back later, on the goroutine that owns the controller.
+// Effects performs the I/O of a controller. Each method returns immediately and delivers its
+// result by calling then on the controller's event loop.
 type Effects interface {
 	term.Effects
-	// SendHeartbeat exchanges heartbeats with another controller.
+	// SendHeartbeat sends a heartbeat to another controller, which answers with its own.
 	SendHeartbeat(member string, heartbeat *peerpb.PeerHeartbeat,
 		then func(now time.Time, answer *peerpb.PeerHeartbeat, err error))
 	// QueryProgress asks another controller for the progress of jobs.
--- a/internal/controller/http_test.go
+++ b/internal/controller/http_test.go
@@ -14,11 +14,11 @@
 	"juniperchute/internal/tuning"
 )
 
-// unreachableAddress is the address of an outside service that cannot be reached.
+// unreachableAddress is a loopback address on which nothing listens.
 const unreachableAddress = "127.0.0.1:1"
 
-// newUnreachableRuntime is a controller whose outside services cannot be reached, and whose
-// events nobody handles yet.
+// newUnreachableRuntime returns a runtime without a running event loop whose state service and
+// cloud cannot be reached.
 func newUnreachableRuntime(tb testing.TB) *Runtime {
 	cfg := testConfig(oneZone, steadyTeams, 1.5, 10)
 	cfg.External = config.External{Cloud: unreachableAddress, State: unreachableAddress}
@@ -28,7 +28,7 @@
 	return r
 }
 
-// handleEvents handles what comes to a controller until the test ends.
+// handleEvents runs a minimal event loop until the test ends.
 func handleEvents(tb testing.TB, r *Runtime) {
 	for {
 		select {
@@ -44,7 +44,7 @@
 	}
 }
 
-// fillQueues makes a controller whose owner loop is far behind.
+// fillQueues fills the request and heartbeat queues, as if the event loop were overloaded.
 func fillQueues(r *Runtime) {
 	for range cap(r.requests) {
 		r.requests <- func(time.Time) {}
@@ -52,27 +52,27 @@
 	}
 }
 
-// serve is a controller's HTTP server.
+// serve starts an HTTP server with the API of a controller, which is closed at the end of the test.
 func serve(t *testing.T, r *Runtime) *httptest.Server {
 	srv := httptest.NewServer(r.api.Handler())
 	t.Cleanup(srv.Close)
 	return srv
 }
 
-// testHeartbeat is a worker's first heartbeat.
+// testHeartbeat is the body of a worker's first heartbeat.
 const testHeartbeat = `{"Host":"i-1","Address":"1.2.3.4:5","Build":"g","Yard":"a","Loaners":false,` +
 	`"Stint":1,"Tally":1,"Baton":0,"RecallS":null,"Pieces":[],"New":{}}`
 
-// httpCase is a request and what it must be answered with.
+// httpCase is a request and the expected response.
 type httpCase struct {
 	name       string
 	method     string
 	path       string
 	body       string
-	queuesFull bool // the controller's owner loop is far behind
+	queuesFull bool // send the request to a controller with full queues
 	status     int
-	header     string // a header that must have the value
-	value      string
+	header     string // name of a response header
+	value      string // expected value of the header
 }
 
 var httpCases = []httpCase{
@@ -83,7 +83,7 @@
 		status: http.StatusNotFound,
 	},
 	{
-		name:   "path below a job",
+		name:   "unknown path below a job",
 		method: http.MethodGet,
 		path:   "/submissions/job-1/x",
 		status: http.StatusNotFound,
@@ -106,7 +106,7 @@
 		value:  "GET",
 	},
 	{
-		name:   "get on cancel",
+		name:   "wrong method on a cancellation",
 		method: http.MethodGet,
 		path:   "/submissions/job-1/cancel",
 		status: http.StatusMethodNotAllowed,
@@ -114,40 +114,40 @@
 		value:  "POST",
 	},
 	{
-		name:   "not JSON",
+		name:   "submission that is not JSON",
 		method: http.MethodPost,
 		path:   "/submissions",
 		body:   "hello",
 		status: http.StatusBadRequest,
 	},
 	{
-		name:   "not an object",
+		name:   "submission that is a JSON array",
 		method: http.MethodPost,
 		path:   "/submissions",
 		body:   "[1]",
 		status: http.StatusBadRequest,
 	},
 	{
-		name:   "oversized",
+		name:   "submission that exceeds the size limit",
 		method: http.MethodPost,
 		path:   "/submissions",
 		body:   `{"Id":"` + strings.Repeat("x", tuning.MaxBodyBytes) + `"}`,
 		status: http.StatusBadRequest,
 	},
 	{
-		name:   "an id that cannot be",
+		name:   "query with a malformed job ID",
 		method: http.MethodGet,
 		path:   "/submissions/bad%20id",
 		status: http.StatusNotFound,
 	},
 	{
-		name:   "cancel of an id that cannot be",
+		name:   "cancellation with a malformed job ID",
 		method: http.MethodPost,
 		path:   "/submissions/bad/cancel",
 		status: http.StatusNotFound,
 	},
 	{
-		name:   "health before anything is known",
+		name:   "health check before the first read of the state service",
 		method: http.MethodGet,
 		path:   "/healthz",
 		status: http.StatusServiceUnavailable,
@@ -155,28 +155,28 @@
 		value:  "2",
 	},
 	{
-		name:   "a heartbeat while nobody holds the shard's lease",
+		name:   "heartbeat for a shard without a lease holder",
 		method: http.MethodPost,
 		path:   "/checkin",
 		body:   testHeartbeat,
 		status: http.StatusMisdirectedRequest,
 	},
 	{
-		name:   "a truncated heartbeat",
+		name:   "truncated heartbeat",
 		method: http.MethodPost,
 		path:   "/checkin",
 		body:   testHeartbeat[:50],
 		status: http.StatusBadRequest,
 	},
 	{
-		name:   "a heartbeat of nobody",
+		name:   "heartbeat without a host",
 		method: http.MethodPost,
 		path:   "/checkin",
 		body:   "{}",
 		status: http.StatusBadRequest,
 	},
 	{
-		name:   "state service out of reach",
+		name:   "query while the state service is unreachable",
 		method: http.MethodGet,
 		path:   "/submissions/job-1",
 		status: http.StatusServiceUnavailable,
@@ -184,7 +184,7 @@
 		value:  "2",
 	},
 	{
-		name:       "a full request queue",
+		name:       "query with a full request queue",
 		method:     http.MethodGet,
 		path:       "/submissions/job-1",
 		queuesFull: true,
@@ -193,7 +193,7 @@
 		value:      "1",
 	},
 	{
-		name:       "a full heartbeat queue: not before the worker has waited",
+		name:       "heartbeat with a full heartbeat queue: rejected after the queue timeout",
 		method:     http.MethodPost,
 		path:       "/checkin",
 		body:       testHeartbeat,
@@ -204,7 +204,7 @@
 	},
 }
 
-func TestHTTP(t *testing.T) {
+func TestHTTPResponses(t *testing.T) {
 	ready := newUnreachableRuntime(t)
 	go handleEvents(t, ready)
 	readyServer := serve(t, ready)
@@ -234,10 +234,10 @@
 	defer resp.Body.Close()
 	value := resp.Header.Get(c.header)
 	if resp.StatusCode != c.status || value != c.value {
-		t.Errorf("%d, %s %q; want %d, %q", resp.StatusCode, c.header, value, c.status, c.value)
+		t.Errorf("got status %d, %s %q; want status %d, %q", resp.StatusCode, c.header, value, c.status, c.value)
 	}
 	var body map[string]any
 	if json.NewDecoder(resp.Body).Decode(&body) != nil {
-		t.Error("the body is not a JSON object")
+		t.Error("response body is not a JSON object")
 	}
 }
--- a/internal/controller/intents.go
+++ b/internal/controller/intents.go
@@ -14,27 +14,28 @@
 	"juniperchute/internal/wire"
 )
 
-// errRecordsNotRead tells that this controller has not read what it is asked for yet.
-var errRecordsNotRead = errors.New("the control records have not been read yet")
+// errControlRecordsNotLoaded rejects an operator's query before the first read of the control
+// records. The text is returned to the operator.
+var errControlRecordsNotLoaded = errors.New("the control records have not been read yet")
 
-// Intents tells an operator who owns the shards and which cloud operations are not completed.
-// The intent logs are read anew; if the state service does not answer, what was read last is
-// shown with its age.
+// Intents reports the lease holder and the uncompleted cloud operations of each shard. It reads
+// the intent logs from the state service. If that fails, the reply holds the result of the last
+// complete read and its age.
 func (c *Controller) Intents(now time.Time, reply func(*peerpb.IntentsReply, error)) {
 	if !c.membership.Synced() {
-		reply(nil, errRecordsNotRead)
+		reply(nil, errControlRecordsNotLoaded)
 		return
 	}
-	read := newStoredIntents(now)
-	c.readIntentLogs(read, "", func(now time.Time, ok bool) {
+	intents := newStoredIntents(now)
+	c.readIntentLogs(intents, "", func(now time.Time, ok bool) {
 		if ok {
-			c.storedLogs = read
+			c.storedIntents = intents
 		}
 		reply(c.intentsReply(now), nil)
 	})
 }
 
-// ageMs is how long ago something was, in milliseconds, -1 if it never was.
+// ageMs returns the time since an event in milliseconds, or -1 if at is zero.
 func ageMs(now, at time.Time) int64 {
 	if at.IsZero() {
 		return -1
@@ -47,7 +48,7 @@
 		Member:       c.config.Member,
 		InForce:      c.membership.FeatureInForce(featuregate.IntentLogFeature),
 		HoldersAgeMs: ageMs(now, c.membership.LastContact()),
-		IntentsAgeMs: ageMs(now, c.storedLogs.readAt),
+		IntentsAgeMs: ageMs(now, c.storedIntents.readAt),
 	}
 	for shard := range c.options.Shards {
 		reply.Shards = append(reply.Shards, c.shardIntents(shard))
@@ -55,8 +56,9 @@
 	return reply
 }
 
-// shardIntents are the operations of one shard: as its term in this process knows them, or
-// else as they are stored.
+// shardIntents returns the lease holder and the uncompleted operations of one shard. The
+// operations come from the shard's term if this process runs it, and from the stored records
+// otherwise.
 func (c *Controller) shardIntents(shard int) *peerpb.ShardIntents {
 	holder, token, live := c.membership.Holder(shard)
 	out := &peerpb.ShardIntents{
@@ -64,7 +66,7 @@
 		Holder:          holder,
 		Token:           token,
 		Live:            live,
-		UnreadablePages: int32(c.storedLogs.unreadable[shard]),
+		UnreadablePages: int32(c.storedIntents.unreadable[shard]),
 	}
 	if assignedAt := c.membership.ShardAssignedAt(shard); !assignedAt.IsZero() {
 		out.AssignedAtMs = assignedAt.UnixMilli()
@@ -72,8 +74,8 @@
 	operations := c.storedOperations(shard)
 	if t := c.liveTerm(shard); t != nil {
 		out.State = t.State().String()
-		if known, ok := t.Operations(); ok {
-			operations = known
+		if current, ok := t.Operations(); ok {
+			operations = current
 		}
 	}
 	for _, operation := range operations {
@@ -82,11 +84,11 @@
 	return out
 }
 
-// storedOperations are a shard's operations as stored: the entries of its intent log, and the
-// provision requests that name no machines yet.
+// storedOperations returns a shard's operations from the stored records: the entries of its
+// intent log, and the provisioning requests that name no machines yet.
 func (c *Controller) storedOperations(shard int) []intentlog.OperationStatus {
 	intents := map[intentlog.Operation][]intentlog.IntentStatus{}
-	for _, entry := range c.storedLogs.entries[shard] {
+	for _, entry := range c.storedIntents.entries[shard] {
 		intents[entry.Operation] = append(intents[entry.Operation], intentlog.IntentStatus{
 			Operation: entry.Operation,
 			Target:    entry.Target,
@@ -112,8 +114,8 @@
 	return out
 }
 
-// operationStatus is one kind of operation as the administration API has it, the oldest
-// intents first.
+// operationStatus encodes the intents of one operation for the administration API, oldest first
+// and at most tuning.MaxIntentsShown.
 func (c *Controller) operationStatus(status intentlog.OperationStatus) *peerpb.OperationStatus {
 	out := &peerpb.OperationStatus{
 		Operation:        string(status.Operation),
@@ -135,8 +137,8 @@
 	return out
 }
 
-// adminIntentState is the name of an intent's state in the administration API. Commands of all
-// versions show these names, so they stay as they are.
+// adminIntentState returns the name of an intent's state in the administration API. The names
+// are part of the API and must not change.
 func adminIntentState(state intentlog.State) string {
 	switch state {
 	case intentlog.Recording:
--- a/internal/controller/latency.go
+++ b/internal/controller/latency.go
@@ -7,30 +7,30 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// callKind is a kind of call whose latency is recorded.
+// callKind selects the latency histogram of a call.
 type callKind int
 
 const (
 	latencyUser callKind = iota
 	latencyState
 	latencyCloud
-	callKinds
+	callKindCount
 )
 
-// latencyNames begin the names of the counters in the status.
-var latencyNames = [callKinds]string{"requests", "state", "cloud"}
+// latencyNames holds the prefix of each kind's counters in the status reply.
+var latencyNames = [callKindCount]string{"requests", "state", "cloud"}
 
-// Bounds of the recorded latencies, in milliseconds, and their precision in digits.
+// Range and precision of the histograms.
 const (
 	latencyMinMs  = 1
 	latencyMaxMs  = 60_000
-	latencyDigits = 2
+	latencyDigits = 2 // significant digits
 )
 
-// latencyRecorder records how long calls took. It may be used by several goroutines.
+// latencyRecorder records call latencies. It is safe for concurrent use.
 type latencyRecorder struct {
 	lock       sync.Mutex
-	histograms [callKinds]*hdrhistogram.Histogram
+	histograms [callKindCount]*hdrhistogram.Histogram
 }
 
 func newLatencyRecorder() *latencyRecorder {
@@ -44,11 +44,11 @@
 func (r *latencyRecorder) record(kind callKind, latency time.Duration) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	// a latency beyond the bounds counts as the nearest one, so there is no error
+	// The value is clamped to the histogram's range, so RecordValue cannot fail.
 	_ = r.histograms[kind].RecordValue(min(max(latency.Milliseconds(), latencyMinMs), latencyMaxMs))
 }
 
-// values are the median and the 99th percentile of each kind, by the counters' names.
+// values returns the median and the 99th percentile of each kind, by counter name.
 func (r *latencyRecorder) values() map[string]int64 {
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/internal/controller/options.go
+++ b/internal/controller/options.go
@@ -11,18 +11,17 @@
 	"juniperchute/internal/tuning"
 )
 
-// Options are what a controller is started with beside the platform's settings.
+// Options configures a controller beyond its settings file.
 type Options struct {
-	Shards   int               // of the deployment; the same for all members
-	Features featuregate.Gates // that this process has switched on
-	Tracer   intentlog.Tracer  // nil: no spans are made
+	Shards   int               // number of shards in the deployment; the same for all members
+	Features featuregate.Gates // feature gates that this process enables
+	Tracer   intentlog.Tracer  // nil disables tracing
 }
 
-// bytesPerMB is the unit of the trace's size.
 const bytesPerMB = 1 << 20
 
-// NewOptions makes the options of a member that has some feature gates on. closeTrace writes what
-// is left of its trace.
+// NewOptions returns the options of a member with the given feature gates, and opens the trace
+// file if one is configured. closeTrace flushes and closes the trace.
 func NewOptions(gates featuregate.Gates, member string, rng *rand.Rand) (
 	options Options, closeTrace func(), err error) {
 	options = Options{Shards: tuning.Shards, Features: gates}
@@ -31,7 +30,7 @@
 	}
 	recorder, err := tracing.Open(gates.Trace.File, int64(gates.Trace.MaxMB*bytesPerMB), member, time.Now, rng)
 	if err != nil {
-		return Options{}, nil, fmt.Errorf("open trace: %w", err)
+		return Options{}, nil, fmt.Errorf("open trace file: %w", err)
 	}
 	options.Tracer = recorder
 	return options, recorder.Close, nil
--- a/internal/controller/peer_heartbeat.go
+++ b/internal/controller/peer_heartbeat.go
@@ -10,12 +10,12 @@
 	"juniperchute/internal/tuning"
 )
 
-// peerGroup is what this controller knows of the others, and from them.
+// peerGroup holds the state of the other controllers and the lease claims that they report.
 type peerGroup struct {
 	byName       map[string]*peerStatus
-	heartbeatAt  time.Time                  // when the next exchange begins
-	claims       map[int]*peerpb.LeaseClaim // the highest token that peers know of each shard
-	forwardingTo map[string]bool            // members that cancellations are being forwarded to
+	heartbeatAt  time.Time                  // time of the next heartbeats
+	claims       map[int]*peerpb.LeaseClaim // by shard, the claim with the highest fencing token
+	forwardingTo map[string]bool            // members to which a forwarded cancellation is in flight
 }
 
 func newPeerGroup(peers []config.Peer) peerGroup {
@@ -30,24 +30,24 @@
 	return group
 }
 
-// peerStatus is what this controller knows of another one.
+// peerStatus holds the state of one peer as of its last heartbeats.
 type peerStatus struct {
-	lastHeartbeat       time.Time     // when it arrived
-	stateUnreachableFor time.Duration // by the peer's own account
-	processID           uint64        // of the newest heartbeat
-	clockNs             int64         // the peer's clock in that heartbeat
+	lastHeartbeat       time.Time     // time of arrival
+	stateUnreachableFor time.Duration // as reported by the peer
+	processID           uint64        // of the peer's newest heartbeat
+	clockNs             int64         // the peer's uptime in its newest heartbeat
 	version             string
-	// unacknowledged are cancellations that the peer forwarded and that the next heartbeat to
-	// it acknowledges.
+	// unacknowledged lists the cancellations that the peer has forwarded and that the next
+	// heartbeat to the peer acknowledges.
 	unacknowledged []string
 }
 
-// live reports whether the peer's heartbeats arrive.
+// live reports whether a heartbeat of the peer has arrived within the last three intervals.
 func (p *peerStatus) live(now time.Time) bool {
 	return now.Sub(p.lastHeartbeat) < 3*tuning.PeerHeartbeatInterval
 }
 
-// peerNames are the other members of the deployment.
+// peerNames returns the names of the other members of the deployment.
 func (c *Controller) peerNames() (names []string) {
 	for _, peer := range c.config.Peers {
 		names = append(names, peer.Member)
@@ -55,8 +55,8 @@
 	return names
 }
 
-// stateUnreachableFor is how long the state service has not answered this controller; never
-// answered counts as a very long time.
+// stateUnreachableFor returns the time since the state service last answered this controller,
+// or one hour if it has never answered.
 func (c *Controller) stateUnreachableFor(now time.Time) time.Duration {
 	if c.membership.LastContact().IsZero() {
 		return time.Hour
@@ -64,26 +64,28 @@
 	return now.Sub(c.membership.LastContact())
 }
 
-// tokens are the highest fencing tokens known, by shard.
-func (c *Controller) tokens() []uint64 {
+// fencingTokens returns the highest known fencing token of each shard.
+func (c *Controller) fencingTokens() []uint64 {
 	tokens := make([]uint64, c.options.Shards)
 	for shard := range tokens {
-		_, tokens[shard], _ = c.holderOf(shard)
+		_, tokens[shard], _ = c.leaseHolder(shard)
 	}
 	return tokens
 }
 
-// claims lists the shards' lease holders, as far as this controller knows.
+// claims returns the lease claim with the highest known fencing token of each shard. It omits
+// shards for which no lease is known.
 func (c *Controller) claims() (out []*peerpb.LeaseClaim) {
 	for shard := range c.options.Shards {
-		if holder, token, _ := c.holderOf(shard); token > 0 {
+		if holder, token, _ := c.leaseHolder(shard); token > 0 {
 			out = append(out, &peerpb.LeaseClaim{Shard: int32(shard), Token: token, Holder: holder})
 		}
 	}
 	return out
 }
 
-// newPeerHeartbeat makes the heartbeat for another controller.
+// newPeerHeartbeat returns a heartbeat for another controller. The heartbeat takes over the
+// acknowledgements that are due to that controller.
 func (c *Controller) newPeerHeartbeat(now time.Time, to string) *peerpb.PeerHeartbeat {
 	heartbeat := &peerpb.PeerHeartbeat{
 		Member:            c.config.Member,
@@ -93,10 +95,10 @@
 		Claims:            c.claims(),
 	}
 	if !c.process.startedAt.IsZero() {
-		up := now.Sub(c.process.startedAt)
-		heartbeat.UpMs, heartbeat.ClockNs = up.Milliseconds(), int64(up)
+		uptime := now.Sub(c.process.startedAt)
+		heartbeat.UpMs, heartbeat.ClockNs = uptime.Milliseconds(), int64(uptime)
 	}
-	heartbeat.Cancelled, heartbeat.CancellationsComplete = c.cancellationLog.Pending(now, c.tokens())
+	heartbeat.Cancelled, heartbeat.CancellationsComplete = c.cancellationLog.Pending(now, c.fencingTokens())
 	if peer := c.peers.byName[to]; peer != nil {
 		heartbeat.EchoProcess, heartbeat.EchoNs = peer.processID, peer.clockNs
 		heartbeat.AcknowledgedCancelled = peer.unacknowledged
@@ -108,13 +110,14 @@
 func (c *Controller) sendHeartbeats(now time.Time) {
 	for _, peer := range c.config.Peers {
 		if peer.Member < c.config.Member {
-			continue // it asks: one exchange brings both all there is to know
+			continue // the peer initiates the exchange, which updates both sides
 		}
 		c.exchange(now, peer.Member, func(time.Time) {})
 	}
 }
 
-// exchange sends a heartbeat to another controller and applies its answer.
+// exchange sends a heartbeat to another controller and applies the answer. It calls then even if
+// the call fails.
 func (c *Controller) exchange(now time.Time, member string, then func(now time.Time)) {
 	c.environment.Effects.SendHeartbeat(member, c.newPeerHeartbeat(now, member),
 		func(now time.Time, answer *peerpb.PeerHeartbeat, err error) {
@@ -125,7 +128,7 @@
 		})
 }
 
-// HandlePeerHeartbeat answers another controller's heartbeat.
+// HandlePeerHeartbeat applies a heartbeat of another controller and returns the answer.
 func (c *Controller) HandlePeerHeartbeat(now time.Time, heartbeat *peerpb.PeerHeartbeat) *peerpb.PeerHeartbeat {
 	c.applyPeerHeartbeat(now, heartbeat.Member, heartbeat)
 	return c.newPeerHeartbeat(now, heartbeat.Member)
@@ -145,7 +148,8 @@
 	}
 }
 
-// apply takes note of what a peer says of itself, and of cancellations to acknowledge.
+// apply updates the status from a heartbeat and queues the acknowledgement of the cancellations
+// in it.
 func (p *peerStatus) apply(now time.Time, heartbeat *peerpb.PeerHeartbeat) {
 	p.lastHeartbeat = now
 	p.stateUnreachableFor = time.Duration(heartbeat.StateContactAgeMs) * time.Millisecond
@@ -157,8 +161,8 @@
 	p.unacknowledged = p.unacknowledged[max(0, len(p.unacknowledged)-tuning.MaxCancellationsPerMessage):]
 }
 
-// applyLeaseClaim takes note of who owns a shard by a peer's account. A higher token than this
-// process's own ends its term.
+// applyLeaseClaim records a lease claim from a peer's heartbeat. A claim with a higher fencing
+// token than that of this process's term ends the term.
 func (c *Controller) applyLeaseClaim(now time.Time, member string, claim *peerpb.LeaseClaim,
 	heartbeat *peerpb.PeerHeartbeat) {
 	shard := int(claim.Shard)
@@ -178,18 +182,19 @@
 	}
 }
 
-// acknowledgeCancellations passes a peer's acknowledgement on to a term: that the term knows
-// every cancellation that the peer has confirmed. A peer that knows of another lease holder
-// forwards what that one lacks. One that echoes what this process sent has made its heartbeat
-// after that was sent; any other heartbeat may have been held back.
+// acknowledgeCancellations tells a term that it knows every cancellation that the peer confirmed
+// before it made the heartbeat. This holds only if the heartbeat names the term's fencing token:
+// a peer that knows another lease holder forwards the cancellations which that one lacks. The
+// heartbeat must echo the clock of this process, which proves that it was made after the echoed
+// time; any other heartbeat may have been delayed in the network.
 func (c *Controller) acknowledgeCancellations(now time.Time, t *term.Term, member string,
 	heartbeat *peerpb.PeerHeartbeat) {
-	echoes := heartbeat.EchoProcess == c.process.id
-	if c.peers.byName[member] == nil || !heartbeat.CancellationsComplete || !echoes {
+	echoed := heartbeat.EchoProcess == c.process.id
+	if c.peers.byName[member] == nil || !heartbeat.CancellationsComplete || !echoed {
 		return
 	}
-	up := time.Duration(heartbeat.UpMs) * time.Millisecond
-	drift := time.Duration(float64(up) * 2 * tuning.MaxClockDrift)
+	uptime := time.Duration(heartbeat.UpMs) * time.Millisecond
+	drift := time.Duration(float64(uptime) * 2 * tuning.MaxClockDrift)
 	until := c.process.startedAt.Add(time.Duration(heartbeat.EchoNs))
-	t.AcknowledgeCancellations(member, heartbeat.Process, now.Add(-up+drift), until)
+	t.AcknowledgeCancellations(member, heartbeat.Process, now.Add(-uptime+drift), until)
 }
--- a/internal/controller/process_effects.go
+++ b/internal/controller/process_effects.go
@@ -19,29 +19,29 @@
 	"juniperchute/internal/wire"
 )
 
-// slots bounds how many calls of one kind are under way at once.
-type slots chan struct{}
+// semaphore bounds the number of concurrent calls of one kind.
+type semaphore chan struct{}
 
-// acquire waits for a free slot; the function it returns frees it again.
-func (s slots) acquire() (release func()) {
+// acquire blocks until a call may start. The caller must call release when the call has ended.
+func (s semaphore) acquire() (release func()) {
 	s <- struct{}{}
 	return func() { <-s }
 }
 
-// effectOptions are what the effects of a process need of it.
+// effectOptions holds the facilities of the process that processEffects uses.
 type effectOptions struct {
 	clock     *clock.Clock
 	log       *slog.Logger
 	latencies *latencyRecorder
-	post      func(event func(now time.Time)) // hands a result to the owner
+	post      func(event func(now time.Time)) // queues a result for the event loop
 }
 
-// processEffects carries out a controller's effects with real connections. Each call runs on
-// a goroutine of its own, which ends with the call's time limit or with the process's
-// context; its result is posted to the owner.
+// processEffects implements Effects with network connections. Each call runs on its own
+// goroutine, ends by its timeout or with the process's context, and posts its result to the
+// event loop.
 type processEffects struct {
 	effectOptions
-	ctx context.Context // of the process; set before the first effect
+	ctx context.Context // the process's context; set before the first effect
 
 	state   *store.Client
 	cloud   *cloud.Client
@@ -51,12 +51,12 @@
 	rateLimiterLock sync.Mutex
 	rateLimiter     *store.RateLimiter
 
-	readSlots    slots
-	writeSlots   [store.Priorities]slots
-	cloudSlots   slots
-	commandSlots slots
-	fencingSlots slots
-	peerSlots    slots
+	readSemaphore             semaphore
+	writeSemaphores           [store.Priorities]semaphore
+	cloudSemaphore            semaphore
+	commandSemaphore          semaphore
+	heartbeatRequestSemaphore semaphore
+	peerSemaphore             semaphore
 }
 
 func newProcessEffects(cfg *config.Config, connections connectionLimits, options effectOptions) *processEffects {
@@ -67,19 +67,19 @@
 		effectOptions: options,
 		ctx:           context.Background(),
 
-		state:        store.NewClient(cfg.External.State, toState, options.clock.Now),
-		cloud:        cloud.NewClient(cfg.External.Cloud, toCloud),
-		workers:      workerClient{&http.Client{Transport: toWorkers}},
-		peers:        peer.NewClients(cfg.Peers),
-		rateLimiter:  store.NewRateLimiter(cfg.Platform.State, len(cfg.Peers)+1),
-		readSlots:    make(slots, tuning.StoreReadsInFlight),
-		cloudSlots:   make(slots, tuning.CloudCallsInFlight),
-		commandSlots: make(slots, connections.commands),
-		fencingSlots: make(slots, connections.commands),
-		peerSlots:    make(slots, tuning.PeerCallsInFlight),
+		state:                     store.NewClient(cfg.External.State, toState, options.clock.Now),
+		cloud:                     cloud.NewClient(cfg.External.Cloud, toCloud),
+		workers:                   workerClient{&http.Client{Transport: toWorkers}},
+		peers:                     peer.NewClients(cfg.Peers),
+		rateLimiter:               store.NewRateLimiter(cfg.Platform.State, len(cfg.Peers)+1),
+		readSemaphore:             make(semaphore, tuning.StoreReadsInFlight),
+		cloudSemaphore:            make(semaphore, tuning.CloudCallsInFlight),
+		commandSemaphore:          make(semaphore, connections.commands),
+		heartbeatRequestSemaphore: make(semaphore, connections.commands),
+		peerSemaphore:             make(semaphore, tuning.PeerCallsInFlight),
 	}
-	for i := range e.writeSlots {
-		e.writeSlots[i] = make(slots, tuning.StoreWritesInFlight)
+	for i := range e.writeSemaphores {
+		e.writeSemaphores[i] = make(semaphore, tuning.StoreWritesInFlight)
 	}
 	return e
 }
@@ -94,23 +94,23 @@
 	}
 }
 
-// close closes the connections to the other controllers.
+// close closes the connections to peers.
 func (e *processEffects) close() { e.peers.Close() }
 
-// CallState is part of Effects.
+// CallState implements Effects.
 func (e *processEffects) CallState(call store.Call, then func(now time.Time, result store.Result)) {
 	go func() {
 		switch {
-		case call.Priority == store.PriorityLease: // leases and watches wait behind nothing
+		case call.Priority == store.PriorityLease: // leases and watches are not limited
 		case len(call.Transaction.Writes) > 0:
-			defer e.writeSlots[call.Priority].acquire()()
+			defer e.writeSemaphores[call.Priority].acquire()()
 		default:
-			defer e.readSlots.acquire()()
+			defer e.readSemaphore.acquire()()
 		}
-		e.waitForRate(call)
+		e.waitForRateLimiter(call)
 		start := time.Now()
 		result := e.state.Execute(e.ctx, call)
-		e.observeRate(call, result)
+		e.observeResult(call, result)
 		if call.Op != store.OpWatch {
 			e.latencies.record(latencyState, time.Since(start))
 		}
@@ -118,8 +118,8 @@
 	}()
 }
 
-// waitForRate waits until the rate limiter lets a call pass, or the process ends.
-func (e *processEffects) waitForRate(call store.Call) {
+// waitForRateLimiter blocks until the rate limiter permits a call or the process ends.
+func (e *processEffects) waitForRateLimiter(call store.Call) {
 	for {
 		e.rateLimiterLock.Lock()
 		wait, ok := e.rateLimiter.Take(e.clock.Now(), call)
@@ -130,25 +130,25 @@
 		select {
 		case <-time.After(wait):
 		case <-e.ctx.Done():
-			return // the call itself fails with the context
+			return // the call fails because its context is done
 		}
 	}
 }
 
-// observeRate tells the rate limiter what came of a call.
-func (e *processEffects) observeRate(call store.Call, result store.Result) {
+// observeResult reports the result of a call to the rate limiter.
+func (e *processEffects) observeResult(call store.Call, result store.Result) {
 	e.rateLimiterLock.Lock()
 	lowered := e.rateLimiter.Observe(e.clock.Now(), call, result.Err)
 	e.rateLimiterLock.Unlock()
 	if lowered {
-		e.log.Warn("state service has lowered its limits", "error", result.Err)
+		e.log.Warn("state service enforces its next limits; switching to them", "error", result.Err)
 	}
 }
 
-// CallCloud is part of Effects.
+// CallCloud implements Effects.
 func (e *processEffects) CallCloud(call cloud.Call, then func(now time.Time, result cloud.Result)) {
 	go func() {
-		defer e.cloudSlots.acquire()()
+		defer e.cloudSemaphore.acquire()()
 		start := time.Now()
 		if !call.Deadline.IsZero() && !e.clock.Advance().Before(call.Deadline) {
 			e.post(func(now time.Time) { then(now, cloud.Result{}) })
@@ -160,17 +160,17 @@
 	}()
 }
 
-// SendCommands is part of Effects.
+// SendCommands implements Effects.
 func (e *processEffects) SendCommands(address string, commands wire.DirectCommands, deadline time.Time,
 	then func(now time.Time, heartbeat *wire.Heartbeat, err error)) {
 	go func() {
-		// A fifth of the machines may hang when a failover asks them all: what starts tasks
-		// does not wait behind that.
-		slots := e.commandSlots
+		// A message without commands only requests a heartbeat. After a failover these requests
+		// go to all workers, and many may hang: commands must not wait for them.
+		limit := e.commandSemaphore
 		if len(commands.Commands) == 0 {
-			slots = e.fencingSlots
+			limit = e.heartbeatRequestSemaphore
 		}
-		defer slots.acquire()()
+		defer limit.acquire()()
 		if !e.clock.Advance().Before(deadline) {
 			e.post(func(now time.Time) { then(now, nil, term.ErrDeadlinePassed) })
 			return
@@ -182,10 +182,11 @@
 	}()
 }
 
-// SendHeartbeat is part of Effects.
+// SendHeartbeat implements Effects. Heartbeats are not limited: they are few, and must not wait
+// for other calls to peers.
 func (e *processEffects) SendHeartbeat(member string, heartbeat *peerpb.PeerHeartbeat,
 	then func(now time.Time, answer *peerpb.PeerHeartbeat, err error)) {
-	go func() { // one a second and peer: no slot, so that it waits behind nothing
+	go func() {
 		ctx, cancel := context.WithTimeout(e.ctx, tuning.PeerHeartbeatTimeout)
 		defer cancel()
 		answer, err := e.peers.Peer(member).Pulse(ctx, heartbeat)
@@ -193,11 +194,11 @@
 	}()
 }
 
-// QueryProgress is part of Effects.
+// QueryProgress implements Effects.
 func (e *processEffects) QueryProgress(member string, request *peerpb.ProgressRequest,
 	then func(now time.Time, reply *peerpb.ProgressReply, err error)) {
 	go func() {
-		defer e.peerSlots.acquire()()
+		defer e.peerSemaphore.acquire()()
 		ctx, cancel := context.WithTimeout(e.ctx, tuning.ProgressTimeout)
 		defer cancel()
 		reply, err := e.peers.Peer(member).Progress(ctx, request)
@@ -205,11 +206,11 @@
 	}()
 }
 
-// ProbeWorkers is part of Effects.
+// ProbeWorkers implements Effects.
 func (e *processEffects) ProbeWorkers(member string, request *peerpb.ProbeRequest,
 	then func(now time.Time, reply *peerpb.ProbeReply, err error)) {
 	go func() {
-		defer e.peerSlots.acquire()()
+		defer e.peerSemaphore.acquire()()
 		ctx, cancel := context.WithTimeout(e.ctx, tuning.ProbeTimeout+tuning.ProgressTimeout)
 		defer cancel()
 		reply, err := e.peers.Peer(member).Probe(ctx, request)
@@ -217,14 +218,15 @@
 	}()
 }
 
-// probe asks workers for their state and counts those that answer.
+// probe queries workers concurrently and returns the number of those that answer within
+// tuning.ProbeTimeout.
 func (e *processEffects) probe(ctx context.Context, addresses []string) (answered int) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.ProbeTimeout)
 	defer cancel()
 	results := make(chan bool, len(addresses))
 	for _, address := range addresses {
 		go func() {
-			defer e.fencingSlots.acquire()()
+			defer e.heartbeatRequestSemaphore.acquire()()
 			results <- e.workers.probe(ctx, address)
 		}()
 	}
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -8,9 +8,9 @@
 	"juniperchute/internal/tuning"
 )
 
-// progressQueue holds the queries about a shard's jobs that its lease holder has to be asked.
-// One call at a time carries all that have come by then: users ask about thousands of jobs
-// every few seconds, at every controller.
+// progressQueue batches the progress queries for a shard's jobs. At most one call to the lease
+// holder is in flight, and the next call carries the queries that have arrived meanwhile. Without
+// batching, users' queries at each controller would reach the lease holder one by one.
 type progressQueue struct {
 	inFlight bool
 	queries  []progressQuery
@@ -22,15 +22,15 @@
 	reply func(now time.Time, progress submission.Progress)
 }
 
-// jobProgress finds out how far a job is, from its shard's lease holder. Where none is known
-// or it does not answer, the reply's progress is not known.
+// jobProgress obtains the progress of a job from its shard's lease holder. If no lease holder is
+// known or the call fails, the reply has Known unset.
 func (c *Controller) jobProgress(now time.Time, shard int, job string,
 	reply func(now time.Time, progress submission.Progress)) {
 	if t := c.liveTerm(shard); t != nil {
 		reply(now, t.JobProgress(job))
 		return
 	}
-	holder, _, live := c.holderOf(shard)
+	holder, _, live := c.leaseHolder(shard)
 	if !live || c.peers.byName[holder] == nil {
 		reply(now, submission.Progress{})
 		return
@@ -43,7 +43,7 @@
 	c.sendProgressQueries(shard, queue)
 }
 
-// sendProgressQueries sends the queries that wait, unless a call is under way.
+// sendProgressQueries sends the next batch of queued queries unless a call is in flight.
 func (c *Controller) sendProgressQueries(shard int, queue *progressQueue) {
 	if queue.inFlight || len(queue.queries) == 0 {
 		return
@@ -55,7 +55,7 @@
 	for _, query := range batch {
 		request.Jobs = append(request.Jobs, query.job)
 	}
-	holder, _, _ := c.holderOf(shard)
+	holder, _, _ := c.leaseHolder(shard)
 	queue.inFlight = true
 	c.environment.Effects.QueryProgress(holder, request, func(now time.Time, reply *peerpb.ProgressReply, err error) {
 		queue.inFlight = false
@@ -64,7 +64,8 @@
 	})
 }
 
-// answerQueries answers a batch of queries with the lease holder's reply.
+// answerQueries answers a batch of queries from the lease holder's reply. After an error or an
+// incomplete reply the progress of all jobs in the batch is unknown.
 func answerQueries(now time.Time, batch []progressQuery, reply *peerpb.ProgressReply, err error) {
 	for i, query := range batch {
 		progress := submission.Progress{}
@@ -76,7 +77,8 @@
 	}
 }
 
-// HandleProgress answers another controller's queries.
+// HandleProgress answers another controller's progress queries. The reply is empty if this
+// process does not hold the shard's lease.
 func (c *Controller) HandleProgress(request *peerpb.ProgressRequest) *peerpb.ProgressReply {
 	reply := &peerpb.ProgressReply{}
 	t := c.liveTerm(int(request.Shard))
--- a/internal/controller/routing.go
+++ b/internal/controller/routing.go
@@ -8,8 +8,8 @@
 	"juniperchute/internal/wire"
 )
 
-// shardOf finds the shard of a machine: the one whose provision requests name it. Machines
-// that nobody expected go to the first shard.
+// shardOf returns the shard of a machine: the shard of a term that has registered it, or else
+// the shard whose provisioning request names it. An unknown machine belongs to shard 0.
 func (c *Controller) shardOf(machine string) int {
 	if c.options.Shards == 1 {
 		return 0
@@ -22,7 +22,8 @@
 	return c.shardOfMachine[machine]
 }
 
-// applyProvisionRequest takes note of a change of a provision request's record.
+// applyProvisionRequest updates the map from machines to shards after a change of a provisioning
+// request's record.
 func (c *Controller) applyProvisionRequest(_ time.Time, _ string, kv wire.KeyValue, deleted bool) {
 	shard, machines := fleet.RecordedHosts(kv)
 	for _, machine := range machines {
@@ -34,9 +35,10 @@
 	}
 }
 
-// MayBelongToOtherShard reports whether a machine, which existed at some time, belongs, or may
-// turn out to belong, to another shard than the given one. Records read before then say
-// nothing: the provision request that brought it may be younger.
+// MayBelongToOtherShard reports whether a machine that existed at existedAt belongs, or may
+// belong, to a shard other than the given one. It returns true while the provisioning requests
+// have not been read after existedAt, or while another shard has a request that names no machines
+// yet: such a request may have created the machine.
 func (c *Controller) MayBelongToOtherShard(shard int, machine string, existedAt time.Time) bool {
 	if c.options.Shards == 1 {
 		return false
@@ -47,7 +49,7 @@
 	if recorded, ok := c.shardOfMachine[machine]; ok {
 		return recorded != shard
 	}
-	unanswered := false // a request of another shard that names no machines yet
+	unanswered := false // another shard has a request that names no machines yet
 	c.provisionRequests.Each(func(kv wire.KeyValue) {
 		requester, machines := fleet.RecordedHosts(kv)
 		unanswered = unanswered || requester != shard && len(machines) == 0
@@ -55,11 +57,11 @@
 	return unanswered
 }
 
-// holderOf names a shard's lease holder and its token: as the records say, or a peer that has
-// seen newer ones. A controller cut off from the state service would otherwise redirect
-// workers to a former lease holder, and two such controllers to each other, until their
-// leases end.
-func (c *Controller) holderOf(shard int) (member string, token uint64, live bool) {
+// leaseHolder returns a shard's lease holder and fencing token, from the control records or from
+// the claim of a peer if that has a higher token. Without the claims, a controller that is
+// partitioned from the state service would redirect workers to a former lease holder, and two
+// such controllers would redirect workers to each other until the workers' leases expire.
+func (c *Controller) leaseHolder(shard int) (member string, token uint64, live bool) {
 	member, token, live = c.membership.Holder(shard)
 	if claim := c.peers.claims[shard]; claim != nil && claim.Token > token {
 		return claim.Holder, claim.Token, claim.Holder != ""
@@ -67,9 +69,10 @@
 	return member, token, live
 }
 
-// Redirect sends a worker to its shard's lease holder.
+// Redirect answers a worker with the name of the shard's lease holder. The name is empty if there
+// is no live lease holder other than this controller.
 func (c *Controller) Redirect(shard int, reply func(status int, body any)) {
-	holder, _, live := c.holderOf(shard)
+	holder, _, live := c.leaseHolder(shard)
 	if !live || holder == c.config.Member {
 		holder = ""
 	}
--- a/internal/controller/runtime.go
+++ b/internal/controller/runtime.go
@@ -19,18 +19,19 @@
 	"juniperchute/internal/tuning"
 )
 
-// LimitProcess keeps this process within the machine's share of one core and its memory.
-func LimitProcess(l config.MachineLimits) {
+// LimitProcess limits this process to one core, and sets the runtime's soft memory limit to a share
+// of the machine's memory.
+func LimitProcess(limits config.MachineLimits) {
 	runtime.GOMAXPROCS(1)
 	debug.SetGCPercent(tuning.GCPercent)
-	debug.SetMemoryLimit(int64(l.MemoryMB * (1 << 20) * tuning.HeapMemoryShare))
+	debug.SetMemoryLimit(int64(limits.MemoryMB * bytesPerMB * tuning.HeapMemoryShare))
 }
 
-// queue holds events for the goroutine that owns all state.
-type queue chan func(now time.Time)
+// eventQueue is a bounded queue of events for the event loop.
+type eventQueue chan func(now time.Time)
 
-// tryPost adds an event unless the queue is full.
-func (q queue) tryPost(event func(now time.Time)) bool {
+// tryPost adds an event without blocking. It returns false if the queue is full.
+func (q eventQueue) tryPost(event func(now time.Time)) bool {
 	select {
 	case q <- event:
 		return true
@@ -39,41 +40,41 @@
 	}
 }
 
-// Runtime runs a Controller in a real process: the goroutine that owns the controller's
-// state, the servers that hand it requests, and the effects that it asks for.
+// Runtime runs a Controller in a process: the event loop, the servers that receive requests, and
+// the effects of the controller.
 type Runtime struct {
 	config     *config.Config
 	log        *slog.Logger
-	clock      *clock.Clock // by which leases are judged
+	clock      *clock.Clock // clock for lease deadlines, which may count suspensions
 	controller *Controller
 	effects    *processEffects
 	api        *httpapi.Server
 	latencies  *latencyRecorder
 
-	// What waits for the owner, each in a small buffer: results of its effects and peers'
-	// calls first, then workers' heartbeats and users' requests in turn.
-	events     queue
-	heartbeats queue
-	requests   queue
-	done       chan struct{} // closed when the owner has ended
+	// Queues of the event loop. Results of effects and calls of peers (events) go before workers'
+	// heartbeats and users' requests, which have the same priority.
+	events     eventQueue
+	heartbeats eventQueue
+	requests   eventQueue
+	done       chan struct{} // closed when the event loop has ended
 
-	suspendedFor time.Duration // by the clock, when the owner last looked
-	healthy      atomic.Bool   // as of the last tick: health is answered without the owner
+	suspendedFor time.Duration // the clock's total of suspensions as of the last event
+	healthy      atomic.Bool   // as of the last tick; health checks bypass the event loop
 }
 
-// NewRuntime makes the runtime of a controller; Run starts it.
-func NewRuntime(cfg *config.Config, options Options, steady *clock.Clock, log *slog.Logger, rng *rand.Rand) *Runtime {
+// NewRuntime returns a runtime, which Run starts.
+func NewRuntime(cfg *config.Config, options Options, clk *clock.Clock, log *slog.Logger, rng *rand.Rand) *Runtime {
 	connections := newConnectionLimits(cfg.Platform.MachineLimits, len(cfg.Peers))
 	r := &Runtime{
-		config: cfg, log: log, clock: steady,
+		config: cfg, log: log, clock: clk,
 		latencies:  newLatencyRecorder(),
-		events:     make(queue, tuning.EventQueueSize),
-		heartbeats: make(queue, tuning.EventQueueSize),
-		requests:   make(queue, tuning.EventQueueSize),
+		events:     make(eventQueue, tuning.EventQueueSize),
+		heartbeats: make(eventQueue, tuning.EventQueueSize),
+		requests:   make(eventQueue, tuning.EventQueueSize),
 		done:       make(chan struct{}),
 	}
 	r.effects = newProcessEffects(cfg, connections, effectOptions{
-		clock: steady, log: log, latencies: r.latencies, post: r.post,
+		clock: clk, log: log, latencies: r.latencies, post: r.post,
 	})
 	r.controller = NewController(cfg, options, Environment{
 		Effects: r.effects, Rand: rng, WallClock: time.Now, Log: log,
@@ -84,7 +85,7 @@
 		Requests:       r.requests,
 		Healthy:        r.healthy.Load,
 		ObserveLatency: func(d time.Duration) { r.latencies.record(latencyUser, d) },
-		Now:            steady.Now,
+		Now:            clk.Now,
 		Workers:        cfg.Platform.Workers,
 		MaxConnections: connections.clients,
 		Log:            log,
@@ -92,42 +93,42 @@
 	return r
 }
 
-// Run serves until the context ends or a listener fails.
+// Run serves until the context is done or a listener fails. It may be called once.
 func (r *Runtime) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	r.effects.ctx = ctx
 	defer close(r.done)
-	api, err := net.Listen("tcp", r.config.APIAddr)
+	apiListener, err := net.Listen("tcp", r.config.APIAddr)
 	if err != nil {
-		return fmt.Errorf("listen at api_addr: %w", err)
+		return fmt.Errorf("listen on api_addr: %w", err)
 	}
-	inner, err := net.Listen("tcp", r.config.PeerBind)
+	peerListener, err := net.Listen("tcp", r.config.PeerBind)
 	if err != nil {
-		return fmt.Errorf("listen at peer_bind: %w", err)
+		return fmt.Errorf("listen on peer_bind: %w", err)
 	}
 	failed := make(chan error, 2)
-	go func() { failed <- r.api.Serve(api) }()
+	go func() { failed <- r.api.Serve(apiListener) }()
 	rpc := peer.NewServer(r)
-	go func() { failed <- rpc.Serve(inner) }()
+	go func() { failed <- rpc.Serve(peerListener) }()
 	defer func() {
 		r.api.Close()
 		rpc.Stop()
 		r.effects.close()
 	}()
-	r.log.Info("controller serving", "api", r.config.APIAddr, "peers", r.config.PeerBind)
-	return r.runLoop(ctx, failed)
+	r.log.Info("controller started", "api_addr", r.config.APIAddr, "peer_bind", r.config.PeerBind)
+	return r.runEventLoop(ctx, failed)
 }
 
-// runLoop is the loop of the goroutine that owns all state. A lease's renewal must wait
-// neither behind a thousand heartbeats nor behind the results of all that the shard needs:
-// ticks go first, then results, then heartbeats and requests in turn.
-func (r *Runtime) runLoop(ctx context.Context, failed <-chan error) error {
+// runEventLoop runs the event loop, to which all state of the controller is confined. Ticks go
+// first, because they renew the member's lease, then events, then heartbeats and requests: a
+// renewal must not wait for a backlog of heartbeats or of results.
+func (r *Runtime) runEventLoop(ctx context.Context, failed <-chan error) error {
 	ticker := time.NewTicker(tuning.TickInterval)
 	defer ticker.Stop()
 	lastTick := r.clock.Now()
 	tick := func(time.Time) {
-		now := r.clock.Advance() // leases may have ended while the machine was suspended
+		now := r.clock.Advance() // leases may have expired while the machine was suspended
 		r.logLateTick(now.Sub(lastTick) - tuning.TickInterval)
 		lastTick = now
 		r.controller.Tick(now)
@@ -164,31 +165,32 @@
 	}
 }
 
-// logLateTick warns of a tick that came late: leases and heartbeats are next.
-func (r *Runtime) logLateTick(late time.Duration) {
-	if late > tuning.LateTickThreshold {
-		r.log.Warn("tick late for lack of processor time", "late", late, "goroutines", runtime.NumGoroutine(),
+// logLateTick warns of a delayed tick, which precedes missed lease renewals and heartbeats.
+func (r *Runtime) logLateTick(delay time.Duration) {
+	if delay > tuning.LateTickThreshold {
+		r.log.Warn("event loop tick delayed", "delay", delay, "goroutines", runtime.NumGoroutine(),
 			"events", len(r.events), "heartbeats", len(r.heartbeats), "requests", len(r.requests))
 	}
 }
 
-// runEvent has the owner handle one event, and warns of one that took long: on a starved
-// machine that is what makes leases and heartbeats late.
+// runEvent handles one event. It ends all terms first if the machine has been suspended, and
+// warns of a slow event, which delays lease renewals and heartbeats.
 func (r *Runtime) runEvent(kind string, event func(now time.Time)) {
 	start := r.clock.Now()
 	if suspended := r.clock.SuspendedFor(); suspended != r.suspendedFor {
-		r.log.Warn("machine was suspended: clock moved forward", "by", suspended-r.suspendedFor)
+		r.log.Warn("machine was suspended; clock advanced", "duration", suspended-r.suspendedFor)
 		r.suspendedFor = suspended
 		r.controller.EndTermsAfterSuspension(start)
 	}
 	event(start)
-	if took := r.clock.Now().Sub(start); took > tuning.SlowEventThreshold {
-		r.log.Warn("event took long", "kind", kind, "took", took,
+	if duration := r.clock.Now().Sub(start); duration > tuning.SlowEventThreshold {
+		r.log.Warn("slow event", "kind", kind, "duration", duration,
 			"events", len(r.events), "heartbeats", len(r.heartbeats), "requests", len(r.requests))
 	}
 }
 
-// post hands an event to the owner, waiting for room.
+// post adds an event to the events queue. It blocks while the queue is full, and drops the event
+// once the event loop has ended.
 func (r *Runtime) post(event func(now time.Time)) {
 	select {
 	case r.events <- event:
@@ -196,15 +198,16 @@
 	}
 }
 
-// errOverloaded tells that the owner's queue is full.
-var errOverloaded = errors.New("busy")
+// errQueueFull means that the events queue is full. The text is returned to operators and peers.
+var errQueueFull = errors.New("busy")
 
-// Ask runs f on the owner goroutine and waits for it. It fails when the owner's queue is
-// full, the context ends first, or the owner has ended (net.ErrClosed).
-func (r *Runtime) Ask(ctx context.Context, f func(now time.Time)) error {
+// RunOnLoop runs f on the event loop and waits until it returns. It fails if the events queue is
+// full, the context is done first, or the event loop has ended (net.ErrClosed). After an error
+// f may still run, unless the queue was full.
+func (r *Runtime) RunOnLoop(ctx context.Context, f func(now time.Time)) error {
 	finished := make(chan struct{})
 	if !r.events.tryPost(func(now time.Time) { f(now); close(finished) }) {
-		return errOverloaded
+		return errQueueFull
 	}
 	select {
 	case <-finished:
@@ -216,5 +219,5 @@
 	}
 }
 
-// Controller is the state that Ask's functions may use.
+// Controller returns the controller, which only functions passed to RunOnLoop may use.
 func (r *Runtime) Controller() *Controller { return r.controller }
--- a/internal/controller/runtime_test.go
+++ b/internal/controller/runtime_test.go
@@ -23,7 +23,8 @@
 	"juniperchute/internal/wire"
 )
 
-// newTestRuntime is a controller whose effects' results wait to be handled by the test.
+// newTestRuntime returns a runtime without a running event loop: the test takes the results of
+// effects from the events queue.
 func newTestRuntime(t *testing.T, stateAddress string) *Runtime {
 	cfg := testConfig(oneZone, steadyTeams, 1.5, 10)
 	cfg.External = config.External{Cloud: unreachableAddress, State: stateAddress}
@@ -36,9 +37,9 @@
 	return r
 }
 
-// A read goes out although writes of every priority wait for the service's rate: users
-// timed out behind a morning's submissions.
-func TestReadsBesideWrites(t *testing.T) {
+// Guards against users' timeouts under a backlog of submissions: a read must be sent while writes
+// of each priority wait for the rate limiter.
+func TestReadsBypassThrottledWrites(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(w, `{"Epoch":1}`)
 	}))
@@ -63,61 +64,61 @@
 		(<-r.events)(time.Now())
 	}
 	if written >= store.Priorities*tuning.StoreWritesInFlight {
-		t.Errorf("%d writes came first", written)
+		t.Errorf("%d writes completed before the read", written)
 	}
 }
 
-// A command that could only be sent when the lease may be over is not sent, and one
-// that starts tasks does not wait behind heartbeat requests to machines that hang.
-func TestDirectCommands(t *testing.T) {
-	var asked []string
+// A command must not be sent after the lease deadline, and a command that starts tasks must not
+// wait for heartbeat requests to hung workers.
+func TestDirectCommandsNotDelayedByHungWorkers(t *testing.T) {
+	var bodies []string
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		raw, _ := io.ReadAll(req.Body)
-		asked = append(asked, string(raw))
+		bodies = append(bodies, string(raw))
 		fmt.Fprint(w, `{"Host":"i-1"}`)
 	}))
 	defer srv.Close()
-	hangs, err := net.Listen("tcp", "127.0.0.1:0") // takes connections and never says anything
+	hung, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and never responds
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer hangs.Close()
+	defer hung.Close()
 	r := newTestRuntime(t, unreachableAddress)
-	later := time.Now().Add(time.Hour)
-	hung, hanging := 0, 2*cap(r.effects.commandSlots)
+	future := time.Now().Add(time.Hour)
+	ended, hungRequests := 0, 2*cap(r.effects.commandSemaphore)
 	noCommands := wire.DirectCommands{Commands: []wire.Command{}}
-	for range hanging {
-		r.effects.SendCommands(hangs.Addr().String(), noCommands, later,
-			func(time.Time, *wire.Heartbeat, error) { hung++ })
+	for range hungRequests {
+		r.effects.SendCommands(hung.Addr().String(), noCommands, future,
+			func(time.Time, *wire.Heartbeat, error) { ended++ })
 	}
 	results := map[string]error{}
-	for name, by := range map[string]time.Time{"in time": later, "too late": time.Now()} {
+	for name, deadline := range map[string]time.Time{"before deadline": future, "after deadline": time.Now()} {
 		start := wire.DirectCommands{Commands: []wire.Command{{Verb: wire.VerbRun, Task: name}}}
-		r.effects.SendCommands(srv.Listener.Addr().String(), start, by,
+		r.effects.SendCommands(srv.Listener.Addr().String(), start, deadline,
 			func(_ time.Time, _ *wire.Heartbeat, err error) { results[name] = err })
 	}
 	for len(results) < 2 {
 		(<-r.events)(time.Now())
 	}
-	if results["in time"] != nil || !errors.Is(results["too late"], term.ErrDeadlinePassed) {
-		t.Errorf("%v", results)
+	if results["before deadline"] != nil || !errors.Is(results["after deadline"], term.ErrDeadlinePassed) {
+		t.Errorf("got results %v, want ErrDeadlinePassed only after the deadline", results)
 	}
-	if len(asked) != 1 || !strings.Contains(asked[0], "in time") {
-		t.Errorf("sent %v", asked)
+	if len(bodies) != 1 || !strings.Contains(bodies[0], "before deadline") {
+		t.Errorf("got commands %v, want only the one before its deadline", bodies)
 	}
-	if hung > 0 {
-		t.Errorf("%d heartbeat requests to hanging machines came first", hung)
+	if ended > 0 {
+		t.Errorf("%d heartbeat requests to hung workers ended before the commands", ended)
 	}
 	if n := threadCount(t); n > 200 {
-		t.Errorf("%d threads with %d connections hanging", n, hanging)
+		t.Errorf("%d threads with %d hung connections, want at most 200", n, hungRequests)
 	}
 }
 
-// threadCount is how many threads this process has.
+// threadCount returns the number of threads of this process.
 func threadCount(t *testing.T) (n int) {
 	raw, err := os.ReadFile("/proc/self/status")
 	if err != nil {
-		t.Skip("threads cannot be counted here")
+		t.Skip("/proc/self/status is not available")
 	}
 	_, rest, _ := strings.Cut(string(raw), "Threads:")
 	if _, err := fmt.Sscan(rest, &n); err != nil {
@@ -126,12 +127,12 @@
 	return n
 }
 
-// What a lease that ended while the machine was suspended must not do is not sent, and
-// the owner loop knows of it before it handles anything else.
-func TestSuspendedBeforeAnEffect(t *testing.T) {
-	asked := make(chan string, 10)
+// Cloud calls and commands must not be sent if their deadline passed while the machine was
+// suspended, and the event loop must detect the suspension before it handles an event.
+func TestEffectsAreNotSentAfterSuspension(t *testing.T) {
+	paths := make(chan string, 10)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		asked <- req.URL.Path
+		paths <- req.URL.Path
 		fmt.Fprint(w, `{"Host":"i-1"}`)
 	}))
 	defer srv.Close()
@@ -156,35 +157,37 @@
 	}
 	call()
 	command()
-	if len(asked) != 2 || cloudError != nil || commandError != nil {
-		t.Fatalf("before: cloud %v, worker %v, %d calls", cloudError, commandError, len(asked))
+	if len(paths) != 2 || cloudError != nil || commandError != nil {
+		t.Fatalf("before the suspension: cloud error %v, command error %v, %d calls",
+			cloudError, commandError, len(paths))
 	}
 	suspended.Store(int64(time.Minute))
 	call()
 	r.effects.clock = clock.New(suspendedFor)
-	suspended.Store(int64(2 * time.Minute)) // the command has to look for itself
+	suspended.Store(int64(2 * time.Minute)) // the command must detect the suspension itself
 	command()
 	notSent := errors.Is(cloudError, cloud.ErrNoResponse) && errors.Is(commandError, term.ErrDeadlinePassed)
-	if len(asked) != 2 || !notSent {
-		t.Errorf("after: cloud %v, worker %v, %d calls", cloudError, commandError, len(asked))
+	if len(paths) != 2 || !notSent {
+		t.Errorf("after the suspension: cloud error %v, command error %v, %d calls",
+			cloudError, commandError, len(paths))
 	}
 	r.clock = r.effects.clock
-	reported := time.Duration(0)
-	r.runEvent("event", func(time.Time) { reported = r.suspendedFor })
-	if reported < time.Minute {
-		t.Errorf("the owner loop knows of a suspension of %v", reported)
+	detected := time.Duration(0)
+	r.runEvent("event", func(time.Time) { detected = r.suspendedFor })
+	if detected < time.Minute {
+		t.Errorf("event loop detected a suspension of %v, want at least a minute", detected)
 	}
 }
 
-// A machine that is newer than what is known of the provisioning requests may belong to
-// another shard.
+// Guards against deleting another shard's machine: a machine created after the last read of the
+// provisioning requests may belong to another shard.
 func TestMayBelongToOtherShard(t *testing.T) {
 	now := time.Unix(1000, 0)
-	held := &heldStateCalls{}
-	controller := newTestController(testConfig(oneZone, steadyTeams, 1.5, 10), 2, held, now)
+	effects := &capturedStateCall{}
+	controller := newTestController(testConfig(oneZone, steadyTeams, 1.5, 10), 2, effects, now)
 	controller.provisionRequests.Tick(now)
 	request := wire.KeyValue{Key: "h/1/b1-2-1", Value: []byte(`{"Number":1,"Hosts":["i-1"]}`), Version: 4}
-	held.then(now, store.Result{SentAt: now, Revision: 5, KeyValues: []wire.KeyValue{request}})
+	effects.reply(now, store.Result{SentAt: now, Revision: 5, KeyValues: []wire.KeyValue{request}})
 	for _, c := range []struct {
 		name      string
 		host      string
@@ -192,13 +195,13 @@
 		want      bool
 	}{
 		{
-			name:      "named by the other shard's provisioning request",
+			name:      "named by another shard's provisioning request",
 			host:      "i-1",
 			createdAt: now.Add(-time.Minute),
 			want:      true,
 		},
 		{
-			name:      "named by none",
+			name:      "not named by a provisioning request",
 			host:      "i-2",
 			createdAt: now.Add(-time.Minute),
 			want:      false,
@@ -211,17 +214,17 @@
 		},
 	} {
 		if got := controller.MayBelongToOtherShard(0, c.host, c.createdAt); got != c.want {
-			t.Errorf("%s: may belong to another shard %v", c.name, got)
+			t.Errorf("%s: MayBelongToOtherShard: got %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// heldStateCalls is a double of Effects that keeps the newest call of the state service.
-type heldStateCalls struct {
+// capturedStateCall is a fake of Effects that captures the callback of the latest state call.
+type capturedStateCall struct {
 	Effects
-	then func(now time.Time, r store.Result)
+	reply func(now time.Time, r store.Result)
 }
 
-func (e *heldStateCalls) CallState(_ store.Call, then func(now time.Time, r store.Result)) {
-	e.then = then
+func (e *capturedStateCall) CallState(_ store.Call, then func(now time.Time, r store.Result)) {
+	e.reply = then
 }
--- a/internal/controller/settings.go
+++ b/internal/controller/settings.go
@@ -13,16 +13,17 @@
 	"juniperchute/internal/wire"
 )
 
-// Errors of SetSetting beside those of a value that is refused. Operators read the texts.
+// Errors of SetSetting other than an invalid value. Their texts are returned to operators.
 var (
-	errSettingsNotRead   = errors.New("settings have not been read yet")
-	errSettingsUnwritten = errors.New("the state service does not answer")
-	errSettingsConflict  = status.Error(codes.Aborted,
+	errSettingsNotLoaded  = errors.New("settings have not been read yet")
+	errSettingsNotWritten = errors.New("the state service does not answer")
+	errSettingsConflict   = status.Error(codes.Aborted,
 		"the settings were changed by somebody else just now; look at them again")
 )
 
-// SetSetting checks a change of the operators' settings and writes it. reply gets the settings
-// as they are then.
+// SetSetting validates a change of one of the operators' settings and writes it by
+// compare-and-swap. reply receives the settings after the change, or the current ones with an
+// error.
 func (c *Controller) SetSetting(name, value string, reply func(admin.Settings, error)) {
 	next, err := c.settings.With(name, value)
 	if err != nil {
@@ -30,7 +31,7 @@
 		return
 	}
 	if !c.membership.Synced() {
-		reply(c.settings, errSettingsNotRead)
+		reply(c.settings, errSettingsNotLoaded)
 		return
 	}
 	values := map[string]string{}
@@ -43,12 +44,12 @@
 	c.callState(call, func(_ time.Time, result store.Result) {
 		switch {
 		case result.OK():
-			c.environment.Log.Info("setting changed", "name", name, "value", value)
+			c.environment.Log.Info("setting changed", "key", name, "value", value)
 			reply(next, nil)
 		case errors.Is(result.Err, store.ErrConflict):
 			reply(c.settings, errSettingsConflict)
 		default:
-			reply(c.settings, errSettingsUnwritten)
+			reply(c.settings, errSettingsNotWritten)
 		}
 	})
 }
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -8,8 +8,8 @@
 	"juniperchute/internal/peer/peerpb"
 )
 
-// Status is what operators are shown of this controller and the shards that it owns.
-// latencies are added to each shard's counters.
+// Status returns the status of this controller and of the shards whose terms it runs. The
+// latencies are added to the counters of each shard.
 func (c *Controller) Status(now time.Time, latencies map[string]int64) *peerpb.StatusReply {
 	members, leader := c.membership.Members()
 	out := &peerpb.StatusReply{
--- a/internal/controller/stored_intents.go
+++ b/internal/controller/stored_intents.go
@@ -11,21 +11,21 @@
 	"juniperchute/internal/wire"
 )
 
-// storedIntents are the intent logs of all shards as this controller last read them.
+// storedIntents holds the intent logs of all shards from one read of the state service.
 type storedIntents struct {
 	entries    map[int][]intentlog.Entry // by shard
-	unreadable map[int]int               // pages that cannot be read, by shard
-	readAt     time.Time                 // zero: never
+	unreadable map[int]int               // pages that cannot be decoded, by shard
+	readAt     time.Time                 // zero if they have never been read
 }
 
 func newStoredIntents(now time.Time) storedIntents {
 	return storedIntents{entries: map[int][]intentlog.Entry{}, unreadable: map[int]int{}, readAt: now}
 }
 
-// add takes in a page of a shard's intent log.
-func (s *storedIntents) add(page wire.KeyValue) {
-	number, _, _ := strings.Cut(strings.TrimPrefix(page.Key, intentlog.Prefix), "/")
-	shard, err := strconv.Atoi(number)
+// addPage adds the entries of one page of a shard's intent log.
+func (s *storedIntents) addPage(page wire.KeyValue) {
+	segment, _, _ := strings.Cut(strings.TrimPrefix(page.Key, intentlog.Prefix), "/")
+	shard, err := strconv.Atoi(segment)
 	if err != nil {
 		return
 	}
@@ -37,8 +37,8 @@
 	s.entries[shard] = append(s.entries[shard], entries...)
 }
 
-// readIntentLogs reads the intent logs of all shards, from the key after the given one on. ok
-// reports whether all pages have been read.
+// readIntentLogs reads the pages of all shards' intent logs whose keys follow after. It calls then
+// with ok set if all pages have been read.
 func (c *Controller) readIntentLogs(into storedIntents, after string, then func(now time.Time, ok bool)) {
 	call := store.Call{
 		Op:       store.OpList,
@@ -53,7 +53,7 @@
 			return
 		}
 		for _, page := range result.KeyValues {
-			into.add(page)
+			into.addPage(page)
 		}
 		if n := len(result.KeyValues); result.More && n > 0 {
 			c.readIntentLogs(into, result.KeyValues[n-1].Key, then)
--- a/internal/controller/terms.go
+++ b/internal/controller/terms.go
@@ -8,7 +8,7 @@
 	"juniperchute/internal/term"
 )
 
-// liveTerm is this process's term of a shard, nil if it does not own the shard.
+// liveTerm returns this process's term of a shard, or nil if this process does not lead the shard.
 func (c *Controller) liveTerm(shard int) *term.Term {
 	if t := c.terms[shard]; t != nil && t.Live() {
 		return t
@@ -16,7 +16,7 @@
 	return nil
 }
 
-// ReconcileTerms starts and ends terms as the control records say.
+// ReconcileTerms starts and ends terms to match the shard assignments in the control records.
 func (c *Controller) ReconcileTerms(now time.Time) {
 	assigned := c.membership.Terms()
 	for shard := range c.options.Shards {
@@ -31,7 +31,8 @@
 	}
 }
 
-// reconcileTerm ends a term that the records no longer support, and drops an ended one.
+// reconcileTerm ends a superseded term and removes an ended one. It resigns the shard if the
+// control records still assign the ended term to this process.
 func (c *Controller) reconcileTerm(now time.Time, t *term.Term, assigned []leader.Term) {
 	if t.Live() {
 		c.endSupersededTerm(now, t)
@@ -39,12 +40,11 @@
 	if t.Live() {
 		return
 	}
-	assignedStill := slices.ContainsFunc(assigned, func(a leader.Term) bool {
+	stillAssigned := slices.ContainsFunc(assigned, func(a leader.Term) bool {
 		return a.Shard == t.Shard && a.Token == t.Token
 	})
-	if assignedStill {
-		// Ended for another reason while the records still name this process: left alone,
-		// the shard would have no lease holder for good.
+	if stillAssigned {
+		// Without resignation the shard would never get another lease holder.
 		c.membership.Resign(now, t.Term, t.WorkersUnreachable())
 		return
 	}
@@ -56,7 +56,7 @@
 	_, token, known := c.membership.Holder(t.Shard)
 	switch {
 	case incarnation != 0 && incarnation != t.Incarnation():
-		// a new lease: nothing of the old one's may be used beside it
+		// Terms of an expired lease must not continue under a new one.
 		t.End(now, "this process has a new lease")
 	case known && token > t.Token:
 		t.End(now, "the shard was assigned anew")
@@ -81,18 +81,18 @@
 		WallClock:         c.environment.WallClock,
 		Log:               c.environment.Log,
 	})
-	for name, machineType := range c.machines.byName {
-		t.ApplyMachineType(machineType, c.machines.records[name])
+	for name, machineType := range c.machineTypes.byName {
+		t.ApplyMachineType(machineType, c.machineTypes.records[name])
 	}
 	t.ApplySettings(c.settings)
 	t.Start(now)
 	return t
 }
 
-// EndTermsAfterSuspension ends all terms after the clock was moved forward. This process's own
-// lease may have ended by it, which is safe. That a worker's lease has ended must not be
-// concluded from time that may not have passed: whoever owns the shards next waits for leases
-// from the beginning of its own term.
+// EndTermsAfterSuspension ends all terms after the clock has advanced for a suspension. The
+// advance may exceed the time that has passed for the workers. Early expiry of this member's own
+// lease is safe, early expiry of a worker's lease is not. The next lease holder of each shard
+// waits for the workers' leases from the start of its own term.
 func (c *Controller) EndTermsAfterSuspension(now time.Time) {
 	for _, t := range c.terms {
 		t.End(now, "the clock was moved forward")
--- a/internal/controller/worker_client.go
+++ b/internal/controller/worker_client.go
@@ -13,10 +13,10 @@
 	"juniperchute/internal/wire"
 )
 
-// workerClient sends requests straight to workers.
+// workerClient is an HTTP client for the workers' API.
 type workerClient struct{ http *http.Client }
 
-// probe reports whether a worker answers.
+// probe reports whether a worker answers a request for its state.
 func (c workerClient) probe(ctx context.Context, address string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/show", nil)
 	if err != nil {
@@ -31,9 +31,10 @@
 	return err == nil && resp.StatusCode == http.StatusOK
 }
 
-// send sends commands straight to a worker and returns the worker's state after them. The
-// worker executes all of them or, under an old token or for another incarnation, none: its
-// state tells which.
+// send sends commands to a worker and returns the worker's state after them. The worker rejects
+// all commands if their fencing token is stale or they are meant for another incarnation, and
+// executes all of them otherwise; the returned state shows which. If no response arrives, the error
+// wraps term.ErrNoReply. After any error the commands may still have been executed.
 func (c workerClient) send(ctx context.Context, address string, commands wire.DirectCommands) (*wire.Heartbeat, error) {
 	raw, err := json.Marshal(commands)
 	if err != nil {
@@ -50,12 +51,12 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusConflict {
-		return nil, fmt.Errorf("send commands to %s: status %d", address, resp.StatusCode)
+		return nil, fmt.Errorf("send commands to %s: unexpected HTTP status %d", address, resp.StatusCode)
 	}
 	var heartbeat wire.Heartbeat
-	answer := io.LimitReader(resp.Body, tuning.MaxWorkerResponseBytes)
-	if err := json.NewDecoder(answer).Decode(&heartbeat); err != nil {
-		return nil, fmt.Errorf("read the answer of %s: %w", address, err)
+	body := io.LimitReader(resp.Body, tuning.MaxWorkerResponseBytes)
+	if err := json.NewDecoder(body).Decode(&heartbeat); err != nil {
+		return nil, fmt.Errorf("decode response of %s: %w", address, err)
 	}
 	return &heartbeat, nil
 }
