--- a/internal/submission/cancel.go
+++ b/internal/submission/cancel.go
@@ -9,7 +9,8 @@
 	"juniperchute/internal/wire"
 )
 
-// Cancel cancels a job unless it has ended. Cancellations are idempotent.
+// Cancel cancels an open job and calls reply with the job's final state. The request is idempotent:
+// the state of a job that has ended does not change.
 func (s *Service) Cancel(id string, reply func(Response)) {
 	if !wire.ValidID(id) {
 		reply(notFoundResponse())
@@ -30,8 +31,8 @@
 	})
 }
 
-// tryCancel reads a job's records and, if it is open, writes its end; it starts over when
-// the record was changed in between.
+// tryCancel reads a job's records and cancels the job if it is open. It retries if the open job's
+// record changes between the read and the write.
 func (s *Service) tryCancel(id string, attempt int, reply func(Response)) {
 	s.lookUp(id, func(found jobStatus, err error) {
 		switch {
@@ -47,7 +48,8 @@
 	})
 }
 
-// writeCancellation ends an open job whose record has the version given.
+// writeCancellation replaces the open job's record by its end record in one compare-and-swap, which
+// fails unless the open job's record has the given version.
 func (s *Service) writeCancellation(id string, version uint64, attempt int, reply func(Response)) {
 	transaction := wire.Transaction{
 		Compares: []wire.Compare{store.VersionEquals(OpenJobKey(id), version)},
@@ -61,7 +63,7 @@
 		switch {
 		case result.OK():
 			s.options.Log.Debug("job cancelled", "job", id)
-			s.rememberEnd(now, wire.JobState{ID: id, State: wire.JobCancelled})
+			s.observeEnd(now, wire.JobState{ID: id, State: wire.JobCancelled})
 			reply(stateResponse(id, wire.JobCancelled))
 		case mayHaveChanged(result.Err) && attempt < tuning.MaxCancelTries:
 			s.tryCancel(id, attempt+1, reply)
@@ -73,8 +75,8 @@
 	})
 }
 
-// mayHaveChanged reports whether a transaction's error leaves open what the records say
-// now: they changed before it, or it was executed without a response.
+// mayHaveChanged reports whether the records must be read again after a failed transaction: either they
+// changed before it, or it may have been executed although no response arrived.
 func mayHaveChanged(err error) bool {
 	return errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrNoResponse)
 }
--- a/internal/submission/cancel_test.go
+++ b/internal/submission/cancel_test.go
@@ -8,52 +8,52 @@
 	"juniperchute/internal/wire"
 )
 
-// cancelTest is a cancellation of job-1, the results of the calls of the state service
-// that it leads to, and the response to it.
+// cancelTest is a cancellation of job-1, the results of the resulting state service calls, and the
+// expected response.
 type cancelTest struct {
 	name       string
 	results    []store.Result
 	wantStatus int
-	wantState  string // "" when the response reports an error
+	wantState  string // "" for an error response
 }
 
 var cancelTests = []cancelTest{
 	{
-		name:       "open",
+		name:       "open job",
 		results:    []store.Result{storedJob(wire.JobPending), success},
 		wantStatus: http.StatusOK,
 		wantState:  wire.JobCancelled,
 	},
 	{
-		name:       "done",
+		name:       "completed job",
 		results:    []store.Result{notFound, storedJob(wire.JobDone)},
 		wantStatus: http.StatusOK,
 		wantState:  wire.JobDone,
 	},
 	{
-		name:       "done meanwhile",
+		name:       "job completed between read and write",
 		results:    []store.Result{storedJob(wire.JobPending), conflict, notFound, storedJob(wire.JobDone)},
 		wantStatus: http.StatusOK,
 		wantState:  wire.JobDone,
 	},
 	{
-		name:       "no response but written",
+		name:       "write executed without a response",
 		results:    []store.Result{storedJob(wire.JobPending), noResponse, notFound, storedJob(wire.JobCancelled)},
 		wantStatus: http.StatusOK,
 		wantState:  wire.JobCancelled,
 	},
 	{
-		name:       "unknown",
+		name:       "unknown job",
 		results:    []store.Result{notFound, notFound},
 		wantStatus: http.StatusNotFound,
 	},
 	{
-		name:       "outage",
+		name:       "state service unavailable on read",
 		results:    []store.Result{outage},
 		wantStatus: http.StatusServiceUnavailable,
 	},
 	{
-		name:       "outage after the look-up",
+		name:       "state service unavailable on write",
 		results:    []store.Result{storedJob(wire.JobPending), outage},
 		wantStatus: http.StatusServiceUnavailable,
 	},
@@ -77,9 +77,9 @@
 		return
 	}
 	checkState(t, got, test.wantState)
-	// a final state is remembered, and never changes
+	// The final state is served from the cache and never changes.
 	f.query(func(response Response) { got = &response })
 	if body, ok := got.Body.(wire.JobState); !ok || body.State != test.wantState || len(f.calls) != 0 {
-		t.Errorf("queried after the cancellation: %+v", got)
+		t.Errorf("query after the cancellation: got %+v and %d calls in flight", got, len(f.calls))
 	}
 }
--- a/internal/submission/cancellation_log.go
+++ b/internal/submission/cancellation_log.go
@@ -7,41 +7,43 @@
 	"juniperchute/internal/tuning"
 )
 
-// CancellationLog lists the cancellations that this process has reported to users. The owner
-// of a shard that is cut off from the state service cannot read them there, yet it goes on
-// renewing its workers' leases: it has to learn of them from the process that reported them.
+// CancellationLog holds the recent cancellations that this process has confirmed to users, for
+// delivery to the lease holders of all shards. A lease holder that is partitioned from the state service
+// continues to renew worker leases, and learns of these cancellations only from this process. The log is
+// not safe for concurrent use.
 type CancellationLog struct {
 	shards    int
-	retention time.Duration        // after it the job's tasks have been killed, whoever owns their shard
+	retention time.Duration        // all tasks of the job have been killed after it
 	capacity  int                  // in entries
 	entries   []*cancellationEntry // in the order of recordedAt
 	byID      map[string]*cancellationEntry
-	droppedAt time.Time // when an entry was last dropped for lack of capacity; zero: not within retention
+	droppedAt time.Time // last drop of an entry for lack of capacity; zero if none within retention
 }
 
 type cancellationEntry struct {
 	id         string
 	recordedAt time.Time
-	// acknowledged holds for each shard the highest token under which its owner has
+	// acknowledged holds, by shard, the highest fencing token under which a lease holder has
 	// acknowledged the cancellation.
 	acknowledged []uint64
 }
 
-// NewCancellationLog returns an empty log. All tasks of a cancelled job are killed within
-// cancelTime; the state service takes writesPerS writes a second. The log has room for all
-// cancellations that can be written while an entry is kept.
+// NewCancellationLog returns an empty log. cancelTime bounds the time in which all tasks of a cancelled
+// job are killed. writesPerS is the write rate limit of the state service: the log has capacity for all
+// cancellations that can be written at that rate within the retention time.
 func NewCancellationLog(shards int, cancelTime time.Duration, writesPerS float64) *CancellationLog {
 	retention := cancelTime * tuning.CancellationRetentionFactor
-	written := int(retention.Seconds() * writesPerS / tuning.WritesPerCancellation)
+	maxWritten := int(retention.Seconds() * writesPerS / tuning.WritesPerCancellation)
 	return &CancellationLog{
 		shards:    shards,
 		retention: retention,
-		capacity:  max(tuning.MinCancellationsKept, written),
+		capacity:  max(tuning.MinCancellationsKept, maxWritten),
 		byID:      map[string]*cancellationEntry{},
 	}
 }
 
-// Add records a cancellation. It must be called before it is reported to the user.
+// Add records a cancellation. The caller must not confirm the cancellation to the user before Add has
+// returned. A full log drops the new entry, after which Pending reports an incomplete list.
 func (l *CancellationLog) Add(now time.Time, id string) {
 	l.prune(now)
 	if l.byID[id] != nil {
@@ -56,11 +58,12 @@
 	l.byID[id] = entry
 }
 
-// Acknowledge records that the owner of a shard under a token knows of cancellations. Its
-// successor, under a higher token, may not: what it read last may be older.
+// Acknowledge records that the lease holder of a shard, under the given fencing token, knows the given
+// cancellations. The next lease holder, under a higher token, has to acknowledge them again because its
+// last read of the state service may be older.
 func (l *CancellationLog) Acknowledge(ids []string, shard int, token uint64) {
 	if shard < 0 || shard >= l.shards {
-		return // from a controller with more shards
+		return // the sender is configured with more shards
 	}
 	for _, id := range ids {
 		if entry := l.byID[id]; entry != nil {
@@ -69,9 +72,9 @@
 	}
 }
 
-// Pending returns the cancellations that some shard's owner has not acknowledged, given the
-// owners' tokens by shard, 0 for a shard without an owner. It returns at most
-// tuning.MaxCancellationsPerMessage; complete reports whether these are all.
+// Pending returns the IDs of at most tuning.MaxCancellationsPerMessage jobs whose cancellation is not
+// acknowledged by the lease holders of all shards. tokens holds each shard's fencing token, 0 for a shard
+// without a lease holder. complete reports whether ids contains every such job.
 func (l *CancellationLog) Pending(now time.Time, tokens []uint64) (ids []string, complete bool) {
 	l.prune(now)
 	for _, entry := range l.entries {
@@ -86,7 +89,8 @@
 	return ids, l.droppedAt.IsZero()
 }
 
-// acknowledgedBy reports whether the owners of all shards have acknowledged the cancellation.
+// acknowledgedBy reports whether the lease holders of all shards have acknowledged the cancellation under
+// the given fencing tokens or later ones.
 func (e *cancellationEntry) acknowledgedBy(tokens []uint64) bool {
 	for shard, token := range tokens {
 		if token == 0 || e.acknowledged[shard] < token {
@@ -96,6 +100,7 @@
 	return true
 }
 
+// prune removes the entries, and the mark of a dropped entry, that are older than the retention time.
 func (l *CancellationLog) prune(now time.Time) {
 	expired := 0
 	for expired < len(l.entries) && now.Sub(l.entries[expired].recordedAt) > l.retention {
--- a/internal/submission/cancellation_log_test.go
+++ b/internal/submission/cancellation_log_test.go
@@ -23,9 +23,9 @@
 	}
 }
 
-// When the state service takes many writes, more cancellations are possible than the least
-// capacity holds: there is room for all that can be written while they are kept.
-func TestCancellationLogSize(t *testing.T) {
+// At a high write rate of the state service, the minimum capacity would be too small for all cancellations
+// that can be written within the retention time.
+func TestCancellationLogCapacity(t *testing.T) {
 	const (
 		cancelTime = 40 * time.Second
 		writesPerS = 200
@@ -35,7 +35,7 @@
 	addCancellations(log, written)
 	acknowledgeCancellations(log, written, 4)
 	if _, complete := log.Pending(startTime, []uint64{4}); !complete {
-		t.Error("a cancellation that can be written was dropped")
+		t.Error("a cancellation within the write rate was dropped")
 	}
 	log.Add(startTime, "job-last")
 	if _, complete := log.Pending(startTime, []uint64{4}); complete {
@@ -43,14 +43,14 @@
 	}
 }
 
-// secondsAfterStart is a moment of the tests of the cancellation log.
+// secondsAfterStart returns the time s seconds after startTime.
 func secondsAfterStart(s float64) time.Time {
 	return startTime.Add(time.Duration(s * float64(time.Second)))
 }
 
 func addOne(log *CancellationLog) { log.Add(startTime, "job-1") }
 
-// pendingTest is what was recorded in a log, and what is pending for the shard owners' tokens.
+// pendingTest is the content of a log, and the cancellations expected to be pending for the given tokens.
 type pendingTest struct {
 	name         string
 	record       func(log *CancellationLog)
@@ -80,7 +80,7 @@
 		wantComplete: true,
 	},
 	{
-		name: "acknowledged by the predecessor",
+		name: "acknowledged by the previous lease holder",
 		record: func(log *CancellationLog) {
 			addOne(log)
 			log.Acknowledge([]string{"job-1"}, 0, 4)
@@ -91,7 +91,7 @@
 		wantComplete: true,
 	},
 	{
-		name: "late acknowledgement of the predecessor",
+		name: "delayed acknowledgement of the previous lease holder",
 		record: func(log *CancellationLog) {
 			addOne(log)
 			log.Acknowledge([]string{"job-1"}, 0, 5)
@@ -102,7 +102,7 @@
 		wantComplete: true,
 	},
 	{
-		name: "acknowledged by the owner of one of two shards",
+		name: "acknowledged for one of two shards",
 		record: func(log *CancellationLog) {
 			addOne(log)
 			log.Acknowledge([]string{"job-1"}, 0, 4)
@@ -113,7 +113,7 @@
 		wantComplete: true,
 	},
 	{
-		name:         "shard without an owner",
+		name:         "shard without a lease holder",
 		record:       addOne,
 		atSeconds:    1,
 		tokens:       []uint64{0},
@@ -132,7 +132,7 @@
 		wantComplete: true,
 	},
 	{
-		name:         "within the retention",
+		name:         "within the retention time",
 		record:       addOne,
 		atSeconds:    69,
 		tokens:       []uint64{4},
@@ -140,7 +140,7 @@
 		wantComplete: true,
 	},
 	{
-		name: "past the retention",
+		name: "past the retention time",
 		record: func(log *CancellationLog) {
 			addOne(log)
 			log.Add(secondsAfterStart(20), "job-2")
@@ -151,7 +151,7 @@
 		wantComplete: true,
 	},
 	{
-		name: "one dropped within the retention",
+		name: "entry dropped within the retention time",
 		record: func(log *CancellationLog) {
 			addCancellations(log, tuning.MinCancellationsKept+1)
 			acknowledgeCancellations(log, tuning.MinCancellationsKept, 4)
@@ -160,7 +160,7 @@
 		tokens:    []uint64{4},
 	},
 	{
-		name: "one dropped past the retention",
+		name: "entry dropped longer ago than the retention time",
 		record: func(log *CancellationLog) {
 			addCancellations(log, tuning.MinCancellationsKept+1)
 		},
@@ -186,19 +186,20 @@
 	addCancellations(log, tuning.MaxCancellationsPerMessage+1)
 	got, complete := log.Pending(startTime, []uint64{1})
 	if len(got) != tuning.MaxCancellationsPerMessage || complete {
-		t.Errorf("more than fit one message: %d pending, complete %v", len(got), complete)
+		t.Errorf("%d pending, complete %v; want %d, false",
+			len(got), complete, tuning.MaxCancellationsPerMessage)
 	}
 }
 
-// recordedFirstTest is a request of which the user may learn that job-1 is cancelled.
-type recordedFirstTest struct {
+// recordedBeforeReplyTest is a request whose response may report that job-1 is cancelled.
+type recordedBeforeReplyTest struct {
 	name     string
 	request  func(f *fixture, reply func(Response))
 	results  []store.Result
-	recorded int // cancellations
+	recorded int // number of cancellations recorded before the reply
 }
 
-var recordedFirstTests = []recordedFirstTest{
+var recordedBeforeReplyTests = []recordedBeforeReplyTest{
 	{
 		name:     "cancellation",
 		request:  (*fixture).cancel,
@@ -206,31 +207,31 @@
 		recorded: 1,
 	},
 	{
-		name:     "cancellation without a response but written",
+		name:     "cancellation executed without a response",
 		request:  (*fixture).cancel,
 		results:  []store.Result{storedJob(wire.JobPending), noResponse, notFound, storedJob(wire.JobCancelled)},
 		recorded: 1,
 	},
 	{
-		name:     "cancelled before by another controller",
+		name:     "job cancelled by another controller",
 		request:  (*fixture).cancel,
 		results:  []store.Result{notFound, storedJob(wire.JobCancelled)},
 		recorded: 1,
 	},
 	{
-		name:     "query",
+		name:     "query of a cancelled job",
 		request:  (*fixture).query,
 		results:  []store.Result{{Revision: 11}, storedJob(wire.JobCancelled)},
 		recorded: 1,
 	},
 	{
-		name:     "repeated submission",
+		name:     "repeated submission of a cancelled job",
 		request:  func(f *fixture, reply func(Response)) { f.submit(newSpec(nil), reply) },
 		results:  []store.Result{conflict, notFound, storedJob(wire.JobCancelled)},
 		recorded: 1,
 	},
 	{
-		name: "repeated submission that would be rejected now",
+		name: "repeated submission of a cancelled job that would be rejected now",
 		request: func(f *fixture, reply func(Response)) {
 			f.submit(newSpec(func(spec *wire.JobSpec) { spec.Team = "green" }), reply)
 		},
@@ -238,7 +239,7 @@
 		recorded: 1,
 	},
 	{
-		name:    "query of a finished job",
+		name:    "query of a completed job",
 		request: (*fixture).query,
 		results: []store.Result{{Revision: 11}, storedJob(wire.JobDone)},
 	},
@@ -249,9 +250,10 @@
 	},
 }
 
-// A cancellation is recorded before it is reported to a user, whatever the request.
-func TestCancellationRecordedFirst(t *testing.T) {
-	for _, test := range recordedFirstTests {
+// A lease holder without access to the state service would not learn of a cancellation that is reported to
+// a user before it is recorded.
+func TestCancellationRecordedBeforeReply(t *testing.T) {
+	for _, test := range recordedBeforeReplyTests {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(testMachineTypes)
 			replied, recorded := false, 0
--- a/internal/submission/ended_jobs.go
+++ b/internal/submission/ended_jobs.go
@@ -5,12 +5,12 @@
 	"juniperchute/internal/wire"
 )
 
-// endedJobCache remembers how the jobs ended of which this controller learnt last, at most
-// tuning.EndedJobsKept of them. The end of a job never changes, so no entry becomes stale.
+// endedJobCache caches the final states of at most tuning.EndedJobsKept jobs and evicts the oldest entry
+// first. Final states never change, so entries do not become stale.
 type endedJobCache struct {
 	byID map[string]wire.JobState
-	ring []string // ids in the order of insertion, from oldest on
-	// oldest is the index in ring of the entry that is replaced next.
+	ring []string // job IDs in the order of insertion, starting at oldest
+	// oldest is the index in ring of the entry to evict next.
 	oldest int
 }
 
--- a/internal/submission/feasibility.go
+++ b/internal/submission/feasibility.go
@@ -10,22 +10,21 @@
 	"juniperchute/internal/wire"
 )
 
-// limitTolerance absorbs the rounding of a job's resources, a product of its tasks and
-// fractions of cores.
+// limitTolerance absorbs floating-point rounding in the product of a task count and fractional resources.
 const limitTolerance = 1e-6
 
-// errMachineTypesUnknown means that it cannot be decided yet whether a job can run.
+// errMachineTypesUnknown means that the feasibility of a job cannot be decided yet. The user may retry.
 var errMachineTypesUnknown = errors.New("machine types are not known yet")
 
-// rejectionError is the reason why a submission is rejected for good.
+// rejectionError is the permanent reason for the rejection of a submission.
 type rejectionError struct {
 	status int    // HTTP status of the response
-	reason string // as the user gets it
+	reason string // sent to the user
 }
 
 func (e *rejectionError) Error() string { return e.reason }
 
-// Rejections of jobs that can never run.
+// Rejections of jobs that can never run. The texts are part of the API.
 var (
 	errUnknownTeam    = &rejectionError{http.StatusUnprocessableEntity, "unknown team"}
 	errOverTeamLimit  = &rejectionError{http.StatusUnprocessableEntity, "needs more than the team's limit"}
@@ -34,8 +33,8 @@
 	errRecordTooLarge = &rejectionError{http.StatusBadRequest, "too large to be kept"}
 )
 
-// checkFeasible returns nil if a job can run on this deployment, a *rejectionError if it
-// never can, or errMachineTypesUnknown.
+// checkFeasible checks whether a job can run on this deployment. It returns a *rejectionError if the job
+// can never run, and errMachineTypesUnknown if that cannot be decided yet.
 func checkFeasible(spec *wire.JobSpec, teams []config.Team, machineTypes map[string]wire.MachineType) error {
 	if err := checkTeamLimit(spec, teams); err != nil {
 		return err
@@ -47,25 +46,26 @@
 	if len(zones) == 0 {
 		return errNoMachineType
 	}
-	mustSpread := runsAllTasksAtOnce(spec) && spec.SpreadAcrossZones && spec.Tasks > 1
+	mustSpread := needsAllTasks(spec) && spec.SpreadAcrossZones && spec.Tasks > 1
 	if mustSpread && (spec.SameZone || len(zones) == 1) {
 		return errCannotBeSpread
 	}
 	return nil
 }
 
-// runsAllTasksAtOnce reports whether a job is of use only while all its tasks run, as a
-// gang and a service are. An array gets on with one task at a time.
-func runsAllTasksAtOnce(spec *wire.JobSpec) bool { return spec.Shape != wire.ShapeBatch }
+// needsAllTasks reports whether all tasks of a job have to run at the same time, as those of a gang or a
+// service do. A job array makes progress with any number of running tasks.
+func needsAllTasks(spec *wire.JobSpec) bool { return spec.Shape != wire.ShapeBatch }
 
-// checkTeamLimit checks that the tasks that have to run at once stay within their team's limit.
+// checkTeamLimit checks that the team exists and that the tasks that have to run at the same time fit into
+// the team's limit.
 func checkTeamLimit(spec *wire.JobSpec, teams []config.Team) error {
 	index := slices.IndexFunc(teams, func(candidate config.Team) bool { return candidate.Name == spec.Team })
 	if index < 0 {
 		return errUnknownTeam
 	}
 	tasks := 1.0
-	if runsAllTasksAtOnce(spec) {
+	if needsAllTasks(spec) {
 		tasks = float64(spec.Tasks)
 	}
 	team := teams[index]
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// feasibleZones returns the zones in which some machine type that the job allows holds
-// one of its tasks.
+// feasibleZones returns the allowed zones that offer an allowed machine type into which one task of the
+// job fits.
 func feasibleZones(spec *wire.JobSpec, machineTypes map[string]wire.MachineType) map[string]bool {
 	required := quota.Resources{CPUs: spec.Vcpus, GPUs: spec.Gpus, MemGB: spec.MemGb}
 	zones := map[string]bool{}
--- a/internal/submission/fixture_test.go
+++ b/internal/submission/fixture_test.go
@@ -19,7 +19,7 @@
 	}
 )
 
-// Results of the state service.
+// Results of state service calls.
 var (
 	noResponse = store.Result{Err: store.ErrNoResponse}
 	success    = store.Result{}
@@ -30,13 +30,13 @@
 	invalid    = store.Result{Err: store.ErrInvalid}
 )
 
-// fixture is a service whose calls of the state service get the results that a test gives.
+// fixture is a Service whose state service calls are completed by the test.
 type fixture struct {
 	service   *Service
 	openJobs  *store.WatchCache
 	calls     []store.Call // in flight
 	callbacks []func(time.Time, store.Result)
-	cancelled []string // jobs passed to RecordCancellation
+	cancelled []string // IDs of jobs passed to RecordCancellation
 }
 
 func newFixture(machineTypes map[string]wire.MachineType) *fixture {
@@ -48,7 +48,7 @@
 	})
 	f.openJobs.Tick(startTime)
 	f.complete(store.Result{Revision: 10})
-	f.complete(noResponse) // the watch ends: only queries refresh the cache
+	f.complete(noResponse) // end the watch, so that only queries refresh the cache
 	f.service = New(Options{
 		Platform: config.Platform{
 			Zones: []string{"a", "b"},
@@ -81,7 +81,7 @@
 	callback(startTime, result)
 }
 
-// completeAll completes the calls in flight, and those that follow from them, in order.
+// completeAll completes the calls in flight, and those that result from them, in order.
 func (f *fixture) completeAll(results []store.Result) {
 	for _, result := range results {
 		f.complete(result)
@@ -96,7 +96,7 @@
 
 func (f *fixture) query(reply func(Response)) { f.service.Query(startTime, "job-1", reply) }
 
-// storedJob is the record of job-1 as it is read: of the open job, or of its end.
+// storedJob returns the result of reading the record of job-1 in the given state.
 func storedJob(state string) store.Result {
 	var record any = JobEndRecord{Stage: state}
 	if state == wire.JobPending {
@@ -110,7 +110,7 @@
 	return store.Result{KeyValue: wire.KeyValue{Value: json.RawMessage(value), Version: 5}}
 }
 
-// newSpec is a gang of two tasks that can be accepted, with a change.
+// newSpec returns the spec of a feasible gang of two tasks, modified by change unless that is nil.
 func newSpec(change func(spec *wire.JobSpec)) wire.JobSpec {
 	spec := wire.JobSpec{
 		ID: "job-1", Team: "red", Class: "l", Shape: wire.ShapeGang, Priority: "low",
@@ -122,7 +122,7 @@
 	return spec
 }
 
-// checkState checks the state that the response to a submission or cancellation reports.
+// checkState checks the state in the response to a submission or cancellation.
 func checkState(t *testing.T, response *Response, want string) {
 	t.Helper()
 	if body, ok := response.Body.(wire.JobAccepted); !ok || body.State != want {
--- a/internal/submission/lookup.go
+++ b/internal/submission/lookup.go
@@ -12,16 +12,16 @@
 // errJobNotFound means that the state service has no record of a job.
 var errJobNotFound = errors.New("job not found")
 
-// jobStatus is what the records in the state service say of a job.
+// jobStatus is the status of a job according to its records in the state service.
 type jobStatus struct {
 	state   string // wire.JobPending while the job is open
-	done    int    // completed tasks of a job that has ended
-	version uint64 // of the record of an open job
+	done    int    // number of completed tasks, if the job has ended
+	version uint64 // of the open job's record, if the job is open
 }
 
-// lookUp reads a job's records: that of the open job first, then that of its end. As one
-// transaction replaces the first by the second, a job cannot be missed in between. The
-// error is errJobNotFound, or another one when the records could not be read.
+// lookUp reads a job's open job record and, if there is none, its end record. One transaction replaces
+// the former by the latter, so reading them in this order finds every job. The callback gets
+// errJobNotFound if there is neither record, and another error if a record cannot be read.
 func (s *Service) lookUp(id string, callback func(found jobStatus, err error)) {
 	key := OpenJobKey(id)
 	call := store.Call{Op: store.OpGet, Priority: store.PriorityUser, Key: key}
@@ -36,7 +36,7 @@
 		}
 		result.KeyValue.Key = key
 		if _, err := ParseOpenJob(result.KeyValue); err != nil {
-			s.options.Log.Error("job entry cannot be read", "key", key, "error", err)
+			s.options.Log.Error("failed to decode open job record", "key", key, "error", err)
 			callback(jobStatus{}, fmt.Errorf("parse open job %s: %w", id, err))
 			return
 		}
@@ -44,7 +44,8 @@
 	})
 }
 
-// lookUpEnd reads how a job ended that is not open. The error is as that of lookUp.
+// lookUpEnd reads the end record of a job that is not open. The callback gets the same errors as that of
+// lookUp.
 func (s *Service) lookUpEnd(id string, callback func(found jobStatus, err error)) {
 	key := JobEndKey(id)
 	call := store.Call{Op: store.OpGet, Priority: store.PriorityUser, Key: key}
@@ -54,16 +55,16 @@
 			return
 		}
 		if !result.OK() {
-			callback(jobStatus{}, fmt.Errorf("read the end of job %s: %w", id, result.Err))
+			callback(jobStatus{}, fmt.Errorf("read end record of job %s: %w", id, result.Err))
 			return
 		}
 		record, err := parseJobEnd(result.KeyValue)
 		if err != nil {
-			s.options.Log.Error("job record cannot be read", "key", key, "error", err)
-			callback(jobStatus{}, fmt.Errorf("parse the end of job %s: %w", id, err))
+			s.options.Log.Error("failed to decode job end record", "key", key, "error", err)
+			callback(jobStatus{}, fmt.Errorf("parse end record of job %s: %w", id, err))
 			return
 		}
-		s.rememberEnd(now, wire.JobState{ID: id, State: record.Stage, Done: record.Done})
+		s.observeEnd(now, wire.JobState{ID: id, State: record.Stage, Done: record.Done})
 		callback(jobStatus{state: record.Stage, done: record.Done}, nil)
 	})
 }
--- a/internal/submission/query.go
+++ b/internal/submission/query.go
@@ -9,7 +9,8 @@
 	"juniperchute/internal/wire"
 )
 
-// Query reports a job's state.
+// Query calls reply with a job's state. The state is no older than the query, so it never contradicts
+// what another controller has reported to a user before.
 func (s *Service) Query(now time.Time, id string, reply func(Response)) {
 	if !wire.ValidID(id) {
 		reply(notFoundResponse())
@@ -28,7 +29,7 @@
 		s.queriesInFlight--
 		reply(response)
 	}
-	// One refresh of the open jobs serves all queries that came before it.
+	// One refresh of the open jobs serves all queries that arrived before it was sent.
 	s.options.OpenJobs.WaitCurrent(now, s.refreshInterval, func(now time.Time, ok bool) {
 		if !ok {
 			finish(UnavailableResponse(reasonStoreUnavailable))
@@ -38,7 +39,7 @@
 	})
 }
 
-// queryCurrent reports a job's state from open jobs that have just been refreshed.
+// queryCurrent replies with a job's state from open jobs that were refreshed after the query arrived.
 func (s *Service) queryCurrent(now time.Time, id string, reply func(Response)) {
 	item, open := s.options.OpenJobs.Get(OpenJobKey(id))
 	if !open {
@@ -47,14 +48,14 @@
 	}
 	record, err := ParseOpenJob(item)
 	if err != nil {
-		s.options.Log.Error("job entry cannot be read", "key", item.Key, "error", err)
+		s.options.Log.Error("failed to decode open job record", "key", item.Key, "error", err)
 		reply(UnavailableResponse("the job's record cannot be read"))
 		return
 	}
 	s.options.QueryProgress(now, record.Shard, id, func(_ time.Time, progress Progress) {
 		if _, open := s.options.OpenJobs.Get(OpenJobKey(id)); !open {
-			// The job ended while the shard's owner was asked, and another controller may
-			// have reported that to a user by now.
+			// The job ended during the progress query, and another controller may already
+			// have reported its final state to a user.
 			s.queryEnded(id, reply)
 			return
 		}
@@ -66,7 +67,7 @@
 	})
 }
 
-// queryEnded reports how a job ended that is not open.
+// queryEnded replies with the final state of a job that is not open.
 func (s *Service) queryEnded(id string, reply func(Response)) {
 	s.lookUpEnd(id, func(found jobStatus, err error) {
 		switch {
--- a/internal/submission/query_test.go
+++ b/internal/submission/query_test.go
@@ -10,33 +10,33 @@
 	"juniperchute/internal/wire"
 )
 
-// openJobEvent is the event of job-1's submission.
+// openJobEvent returns the watch event of job-1's submission.
 func openJobEvent() wire.Event {
 	return wire.Event{Put: OpenJobKey("job-1"), Value: storedJob(wire.JobPending).KeyValue.Value, Version: 12}
 }
 
-// A job ends while its shard's owner is asked for its progress: another controller may have
-// reported that to a user by now, so the response must not be what the cache said before.
+// A job that ends during the progress query must not be reported as open: another controller may already
+// have reported its final state to a user.
 func TestJobEndsDuringQuery(t *testing.T) {
 	jobDeleted := []wire.Event{{Delete: OpenJobKey("job-1"), Version: 13}}
 	for _, test := range []struct {
 		name      string
-		events    []wire.Event // while the owner is asked
+		events    []wire.Event // during the progress query
 		results   []store.Result
 		wantState string
 	}{
 		{
-			name:      "still running",
+			name:      "job still open",
 			wantState: wire.JobRunning,
 		},
 		{
-			name:      "cancelled",
+			name:      "job cancelled",
 			events:    jobDeleted,
 			results:   []store.Result{storedJob(wire.JobCancelled)},
 			wantState: wire.JobCancelled,
 		},
 		{
-			name:      "done",
+			name:      "job completed",
 			events:    jobDeleted,
 			results:   []store.Result{storedJob(wire.JobDone)},
 			wantState: wire.JobDone,
@@ -62,8 +62,8 @@
 	}
 }
 
-// A query must not be answered from a refresh that was sent before it: in between, another
-// controller may have reported something newer to the same user.
+// A query must not be answered from a refresh that was sent before the query: another controller may have
+// reported a newer state to the same user in between.
 func TestQueriesShareOneRefresh(t *testing.T) {
 	f := newFixture(testMachineTypes)
 	var got []int
@@ -80,9 +80,9 @@
 	if len(f.calls) != 1 || f.calls[0].Op != store.OpWatch || f.calls[0].WatchWaitMs != 0 {
 		t.Fatalf("in flight %+v, want one watch that does not wait", f.calls)
 	}
-	f.complete(store.Result{Revision: 11}) // the job was submitted after this refresh
+	f.complete(store.Result{Revision: 11}) // this refresh precedes the submission of the job
 	if len(f.calls) != 2 || f.calls[0].Key != JobEndKey("job-1") {
-		t.Fatalf("in flight %+v, want the look-up of the end and another refresh", f.calls)
+		t.Fatalf("in flight %+v, want the read of the job end record and another refresh", f.calls)
 	}
 	f.complete(notFound)
 	checkStatuses(http.StatusNotFound)
@@ -91,7 +91,7 @@
 	if len(f.calls) != 0 {
 		t.Fatalf("in flight %+v, want no call", f.calls)
 	}
-	// while queries keep coming, refreshes are an interval apart
+	// With a refresh interval, the next query waits for the interval to pass.
 	f.service.refreshInterval = time.Second
 	query()
 	f.complete(store.Result{Revision: 12})
--- a/internal/submission/record.go
+++ b/internal/submission/record.go
@@ -8,31 +8,31 @@
 	"juniperchute/internal/wire"
 )
 
-// OpenJobPrefix is the prefix of the keys of all open jobs' records.
+// OpenJobPrefix starts the keys of all open job records in the state service.
 const OpenJobPrefix = "q/"
 
-// OpenJobKey is the key of an open job's record.
+// OpenJobKey returns the key of a job's OpenJobRecord.
 func OpenJobKey(id string) string { return OpenJobPrefix + id }
 
-// JobEndKey is the key of the record of a job's end.
+// JobEndKey returns the key of a job's JobEndRecord.
 func JobEndKey(id string) string { return "j/" + id }
 
-// OpenJobRecord is the record of an open job. Each change of it compares its version.
+// OpenJobRecord is the stored record of an open job. Every write to it compares its version.
 type OpenJobRecord struct {
 	Spec       wire.JobSpec
 	AcceptedAt int64 `json:"At"` // Unix time in milliseconds
 	Shard      int   `json:"Block,omitempty"`
 }
 
-// JobEndRecord is the record of how a job ended. The transaction that writes it deletes
-// the open job's record, and it is never deleted itself: a job is open or ended, never both.
+// JobEndRecord is the stored record of a job's final state. The transaction that writes it deletes the
+// OpenJobRecord, so a job never has both. It is never changed or deleted.
 type JobEndRecord struct {
-	Stage string // wire.JobDone or wire.JobCancelled
-	Done  int    `json:",omitempty"` // completed tasks
+	Stage string `json:"Stage"`      // wire.JobDone or wire.JobCancelled
+	Done  int    `json:",omitempty"` // number of completed tasks
 }
 
-// ParseOpenJob reads the record of an open job. An error means that this version cannot
-// interpret it: its shape or its form may be of a later version.
+// ParseOpenJob decodes and validates an open job record. An error means that this version cannot interpret
+// the record, which a later version may have written.
 func ParseOpenJob(item wire.KeyValue) (OpenJobRecord, error) {
 	var record OpenJobRecord
 	if err := json.Unmarshal(item.Value, &record); err != nil {
@@ -42,9 +42,9 @@
 	_, knownPriority := wire.Priority(spec.Priority)
 	switch {
 	case spec.ID != strings.TrimPrefix(item.Key, OpenJobPrefix):
-		return OpenJobRecord{}, fmt.Errorf("record names job %q", spec.ID)
+		return OpenJobRecord{}, fmt.Errorf("job ID %q does not match the key", spec.ID)
 	case spec.Tasks < 1 || spec.Tasks > wire.MaxTasksPerJob:
-		return OpenJobRecord{}, fmt.Errorf("%d tasks", spec.Tasks)
+		return OpenJobRecord{}, fmt.Errorf("task count %d is not between 1 and %d", spec.Tasks, wire.MaxTasksPerJob)
 	case !wire.KnownShape(spec.Shape):
 		return OpenJobRecord{}, fmt.Errorf("unknown shape %q", spec.Shape)
 	case !knownPriority:
@@ -53,7 +53,7 @@
 	return record, nil
 }
 
-// parseJobEnd reads the record of a job's end.
+// parseJobEnd decodes and validates a job end record.
 func parseJobEnd(item wire.KeyValue) (JobEndRecord, error) {
 	var record JobEndRecord
 	if err := json.Unmarshal(item.Value, &record); err != nil {
--- a/internal/submission/response.go
+++ b/internal/submission/response.go
@@ -8,18 +8,18 @@
 	"juniperchute/internal/wire"
 )
 
-// Reasons that users get in the responses of more than one request.
+// Error reasons that more than one kind of request returns to users.
 const (
 	reasonNoSuchJob        = "no such job"
 	reasonUndecided        = "cannot tell yet"
 	reasonStoreUnavailable = "state service does not answer"
 )
 
-// Response is the response to a user's request.
+// Response is an HTTP response to a user's request.
 type Response struct {
 	Status     int // HTTP status
 	Body       any // sent as JSON
-	RetryAfter int // seconds; 0: the header is left out
+	RetryAfter int // value of the Retry-After header in seconds; 0 omits the header
 }
 
 // ErrorBody is the body of a response that reports an error.
@@ -31,12 +31,13 @@
 	return Response{Status: status, Body: ErrorBody{reason}, RetryAfter: retryAfter}
 }
 
-// BusyResponse is the response while too many requests are in flight.
+// BusyResponse returns the retryable response to a request that exceeds the limit of requests in flight.
 func BusyResponse() Response {
 	return errorResponse(http.StatusServiceUnavailable, "too many requests at once", tuning.RetryAfterBusyS)
 }
 
-// UnavailableResponse is the response while this controller cannot decide, for the reason given.
+// UnavailableResponse returns the retryable response of a controller that cannot decide on a request for
+// the given reason.
 func UnavailableResponse(reason string) Response {
 	return errorResponse(http.StatusServiceUnavailable, reason, tuning.RetryAfterUnavailableS)
 }
@@ -45,14 +46,14 @@
 	return errorResponse(http.StatusNotFound, reasonNoSuchJob, 0)
 }
 
-// stateResponse is the response to a submission or cancellation of a job that is in the
-// state given: repeated requests are idempotent.
+// stateResponse returns the response to an idempotent submission or cancellation of a job that already is
+// in the given state.
 func stateResponse(id, state string) Response {
 	return Response{Status: http.StatusOK, Body: wire.JobAccepted{ID: id, State: state}}
 }
 
-// rejectionResponse is the response to a job that did not pass its checks: final for a
-// *rejectionError, otherwise an invitation to try again.
+// rejectionResponse returns the response to a submission that failed validation: a permanent error for a
+// *rejectionError, a retryable one otherwise.
 func rejectionResponse(err error) Response {
 	var rejection *rejectionError
 	if errors.As(err, &rejection) {
--- a/internal/submission/service.go
+++ b/internal/submission/service.go
@@ -1,9 +1,9 @@
-// Package submission handles the users' requests: it validates and accepts jobs, reports
-// their state and cancels them. Every controller does so, from the records in the state
-// service, whether or not it holds the lease of a shard.
+// Package submission handles users' requests: it validates and accepts jobs, reports their state and
+// cancels them. Every controller serves these requests from the records in the state service, whether or
+// not it holds the lease of a shard.
 //
-// All methods run on the goroutine that owns the controller's state. None of them blocks:
-// the response is passed to a callback, which may run before the method returns.
+// All methods must be called on the goroutine that owns the controller's state. None of them blocks: they
+// pass the response to a callback, which may run before the method returns.
 package submission
 
 import (
@@ -16,45 +16,46 @@
 	"juniperchute/internal/wire"
 )
 
-// Progress is what a shard's owner reports of an open job's tasks.
+// Progress holds the task counts of an open job, as reported by its shard's lease holder.
 type Progress struct {
-	Known         bool // false when the owner has not answered or does not know the job
-	Done, Running int  // tasks
+	Known         bool // false if the lease holder has not answered or does not know the job
+	Done, Running int  // numbers of tasks
 }
 
-// ProgressQuery asks the owner of a shard for a job's progress.
+// ProgressQuery asks the lease holder of a shard for a job's progress. The callback may run before the
+// call returns.
 type ProgressQuery func(now time.Time, shard int, id string, callback func(now time.Time, progress Progress))
 
-// Options are what a Service needs. All are required.
+// Options holds the configuration and dependencies of a Service. All fields are required.
 type Options struct {
 	Platform  config.Platform
 	Shards    int // number of shards of the deployment
 	WallClock func() time.Time
 	CallStore store.Caller
 	Log       *slog.Logger
-	// MachineTypes returns the machine types that the cloud offers by name, empty while
-	// they are not all known.
+	// MachineTypes returns the machine types of the cloud by name, or an empty map while they are
+	// not all known.
 	MachineTypes func() map[string]wire.MachineType
-	// OpenJobs is the watch cache of the keys below OpenJobPrefix.
+	// OpenJobs caches the keys with the prefix OpenJobPrefix.
 	OpenJobs      *store.WatchCache
 	QueryProgress ProgressQuery
-	// RecordCancellation is called before this controller first reports to a user that a
-	// job is cancelled: the owner of a shard that has lost the state service can learn of
-	// it only from the controller that reported it.
+	// RecordCancellation is called before this controller first reports to a user that a job is
+	// cancelled. A lease holder that cannot reach the state service learns of the cancellation only
+	// from the controller that has reported it.
 	RecordCancellation func(now time.Time, id string)
 }
 
-// Service handles the users' requests on one controller.
+// Service serves users' requests on one controller. It is not safe for concurrent use.
 type Service struct {
 	options         Options
-	refreshInterval time.Duration // least time between two refreshes of the open jobs
+	refreshInterval time.Duration // minimum time between two refreshes of the open jobs
 
 	writesInFlight  int // submissions and cancellations
 	queriesInFlight int
 	endedJobs       endedJobCache
 }
 
-// New returns a service without requests in flight.
+// New returns a service without requests in flight and with an empty cache of ended jobs.
 func New(options Options) *Service {
 	return &Service{
 		options:         options,
@@ -63,8 +64,9 @@
 	}
 }
 
-// refreshInterval divides the part of the state service's rate that is left to queries
-// between the controllers. It is 0 when the rate has no limit.
+// refreshInterval returns the minimum time between two refreshes of the open jobs. It divides the share of
+// the state service's request rate that is allotted to queries evenly among the controllers. It returns
+// 0 if the rate is unlimited.
 func refreshInterval(platform config.Platform) time.Duration {
 	if platform.State.RPS <= 0 {
 		return 0
@@ -73,8 +75,9 @@
 	return time.Duration(controllers / (platform.State.RPS * tuning.QueryRateShare) * float64(time.Second))
 }
 
-// rememberEnd remembers how a job ended. It must run before that is reported to a user.
-func (s *Service) rememberEnd(now time.Time, job wire.JobState) {
+// observeEnd caches a job's final state and records a cancellation. It must run before the state is
+// reported to a user.
+func (s *Service) observeEnd(now time.Time, job wire.JobState) {
 	if job.State == wire.JobCancelled {
 		s.options.RecordCancellation(now, job.ID)
 	}
--- a/internal/submission/submit.go
+++ b/internal/submission/submit.go
@@ -13,14 +13,15 @@
 	"juniperchute/internal/wire"
 )
 
-// The hash that spreads jobs over the shards. Its result is stored in the job's record.
+// Parameters of the hash that distributes jobs over shards. The resulting shard is stored in the job's
+// record.
 const (
 	shardHashFactor  = 31
 	shardHashModulus = 1000003
 )
 
-// Submit accepts or rejects a job whose form is valid. Submissions are idempotent: one of
-// a job that exists gets the job's state, even if it would be rejected now.
+// Submit accepts or rejects a job. The spec must be syntactically valid. The request is idempotent: a
+// repeated submission of an accepted job gets the job's state, even if the job would be rejected now.
 func (s *Service) Submit(spec wire.JobSpec, reply func(Response)) {
 	if job, ok := s.endedJobs.get(spec.ID); ok {
 		reply(stateResponse(job.ID, job.State))
@@ -43,14 +44,14 @@
 	s.create(record, 0, finish)
 }
 
-// newRecord returns the record of a new job, or why it cannot be accepted.
+// newRecord returns the record of a new job, or the reason why the job cannot be accepted now.
 func (s *Service) newRecord(spec wire.JobSpec) (OpenJobRecord, error) {
 	machineTypes := s.options.MachineTypes()
 	if err := checkFeasible(&spec, s.options.Platform.Teams, machineTypes); err != nil {
 		return OpenJobRecord{}, err
 	}
 	if !spec.AnyType {
-		// names of no type would only take room in the record
+		// Unknown machine types would only enlarge the record.
 		spec.Types = slices.DeleteFunc(slices.Clone(spec.Types), func(name string) bool {
 			_, ok := machineTypes[name]
 			return !ok
@@ -67,22 +68,22 @@
 	return record, nil
 }
 
-// chooseShard returns the shard of a new job. All jobs of a team with a limit belong to one
-// shard, whose owner then can enforce the limit alone.
+// chooseShard returns the shard of a new job. All jobs of a team with a limit are assigned to the team's
+// home shard, so that one lease holder can enforce the limit without coordination.
 func (s *Service) chooseShard(spec *wire.JobSpec) int {
 	teams, shards := s.options.Platform.Teams, s.options.Shards
 	if quota.HasLimit(teams, spec.Team) {
 		return quota.HomeShard(teams, spec.Team, shards)
 	}
 	hash := 0
-	for _, letter := range spec.ID {
-		hash = (hash*shardHashFactor + int(letter)) % shardHashModulus
+	for _, char := range spec.ID {
+		hash = (hash*shardHashFactor + int(char)) % shardHashModulus
 	}
 	return hash % shards
 }
 
-// fitsStore reports whether the state service takes a record, now and once its announced
-// limits apply.
+// fitsStore reports whether a record is within the value size limit of the state service, both the
+// current one and an announced future one.
 func (s *Service) fitsStore(record OpenJobRecord) bool {
 	raw, err := json.Marshal(record)
 	if err != nil {
@@ -95,7 +96,7 @@
 	return len(raw) <= int(limits.StoredLimits().ValueKB*1024*tuning.PageFillShare)
 }
 
-// create writes the record of a new job, unless there is one.
+// create writes the record of a new job unless the job already has a record, open or ended.
 func (s *Service) create(record OpenJobRecord, attempt int, reply func(Response)) {
 	id := record.Spec.ID
 	transaction := wire.Transaction{
@@ -111,12 +112,13 @@
 		case errors.Is(result.Err, store.ErrConflict):
 			s.replyExisting(id, reply)
 		case errors.Is(result.Err, store.ErrNoResponse) && attempt == 0:
-			// perhaps written: then the same transaction conflicts with the first
+			// The write may have been executed. If it was, the retry fails with a conflict.
 			s.create(record, attempt+1, reply)
 		case errors.Is(result.Err, store.ErrThrottled):
 			reply(BusyResponse())
 		case errors.Is(result.Err, store.ErrInvalid):
-			// too large by a limit that was not announced, and that may be newer than the job
+			// The record exceeds a limit that was not announced. The limit may have been lowered
+			// after the job was accepted.
 			s.rejectUnlessAccepted(id, errRecordTooLarge, reply)
 		default:
 			reply(UnavailableResponse(reasonStoreUnavailable))
@@ -124,7 +126,7 @@
 	})
 }
 
-// replyExisting replies with the state of a job of which a record is known to exist.
+// replyExisting replies with the state of a job that is known to have a record.
 func (s *Service) replyExisting(id string, reply func(Response)) {
 	s.lookUp(id, func(found jobStatus, err error) {
 		if err != nil {
@@ -135,8 +137,8 @@
 	})
 }
 
-// rejectUnlessAccepted replies with the reason for a rejection, unless the job was accepted
-// before: it stays accepted, whatever has become of the settings, the limits or the machine types.
+// rejectUnlessAccepted replies with a rejection unless the job was accepted before. An accepted job stays
+// accepted even if the settings, limits or machine types have changed since.
 func (s *Service) rejectUnlessAccepted(id string, reason error, reply func(Response)) {
 	s.lookUp(id, func(found jobStatus, err error) {
 		switch {
--- a/internal/submission/submit_cases_test.go
+++ b/internal/submission/submit_cases_test.go
@@ -8,15 +8,15 @@
 	"juniperchute/internal/wire"
 )
 
-// submitTest is a submission of newSpec(change), the results of the calls of the state
-// service that it leads to, and the response to it.
+// submitTest is a submission of newSpec(change), the results of the resulting state service calls, and the
+// expected response.
 type submitTest struct {
 	name                string
 	change              func(spec *wire.JobSpec)
 	machineTypesUnknown bool
 	results             []store.Result
 	wantStatus          int
-	wantState           string // "" when the response reports an error
+	wantState           string // "" for an error response
 }
 
 var submitTests = []submitTest{
@@ -33,24 +33,24 @@
 		wantState:  wire.JobPending,
 	},
 	{
-		name:       "finished job",
+		name:       "completed job",
 		results:    []store.Result{conflict, notFound, storedJob(wire.JobDone)},
 		wantStatus: http.StatusOK,
 		wantState:  wire.JobDone,
 	},
 	{
-		name:       "no response but written",
+		name:       "write executed without a response",
 		results:    []store.Result{noResponse, conflict, storedJob(wire.JobPending)},
 		wantStatus: http.StatusOK,
 		wantState:  wire.JobPending,
 	},
 	{
-		name:       "no response twice",
+		name:       "no response to the write and its retry",
 		results:    []store.Result{noResponse, noResponse},
 		wantStatus: http.StatusServiceUnavailable,
 	},
 	{
-		name:       "outage",
+		name:       "state service unavailable",
 		results:    []store.Result{outage},
 		wantStatus: http.StatusServiceUnavailable,
 	},
@@ -66,7 +66,7 @@
 		wantStatus: http.StatusUnprocessableEntity,
 	},
 	{
-		name:       "unknown team but accepted before",
+		name:       "unknown team, accepted before",
 		change:     func(spec *wire.JobSpec) { spec.Team = "green" },
 		results:    []store.Result{storedJob(wire.JobPending)},
 		wantStatus: http.StatusOK,
@@ -89,7 +89,7 @@
 		wantState:  wire.JobPending,
 	},
 	{
-		name:       "task too large for any machine type",
+		name:       "task too large for every machine type",
 		change:     func(spec *wire.JobSpec) { spec.MemGb = 800 },
 		results:    []store.Result{notFound, notFound},
 		wantStatus: http.StatusUnprocessableEntity,
@@ -116,7 +116,7 @@
 		wantStatus: http.StatusUnprocessableEntity,
 	},
 	{
-		name: "gang in one zone and spread",
+		name: "gang restricted to the same zone and spread",
 		change: func(spec *wire.JobSpec) {
 			spec.SameZone = true
 			spec.SpreadAcrossZones = true
@@ -125,7 +125,7 @@
 		wantStatus: http.StatusUnprocessableEntity,
 	},
 	{
-		name: "single task in one zone and spread",
+		name: "single task restricted to the same zone and spread",
 		change: func(spec *wire.JobSpec) {
 			spec.SameZone = true
 			spec.SpreadAcrossZones = true
@@ -156,7 +156,7 @@
 		wantStatus: http.StatusUnprocessableEntity,
 	},
 	{
-		name: "service over the team's limit but accepted before",
+		name: "service over the team's limit, accepted before",
 		change: func(spec *wire.JobSpec) {
 			spec.Shape = wire.ShapeService
 			spec.Tasks = 9
@@ -166,7 +166,7 @@
 		wantState:  wire.JobPending,
 	},
 	{
-		name: "service over the team's limit but accepted and cancelled before",
+		name: "service over the team's limit, accepted and cancelled before",
 		change: func(spec *wire.JobSpec) {
 			spec.Shape = wire.ShapeService
 			spec.Tasks = 9
@@ -186,7 +186,7 @@
 		wantStatus: http.StatusUnprocessableEntity,
 	},
 	{
-		name: "service spread in one zone",
+		name: "service restricted to zone a and spread",
 		change: func(spec *wire.JobSpec) {
 			spec.Shape = wire.ShapeService
 			spec.SpreadAcrossZones = true
@@ -196,7 +196,7 @@
 		wantStatus: http.StatusUnprocessableEntity,
 	},
 	{
-		name: "service in one zone and spread",
+		name: "service restricted to the same zone and spread",
 		change: func(spec *wire.JobSpec) {
 			spec.Shape = wire.ShapeService
 			spec.SameZone = true
@@ -206,30 +206,30 @@
 		wantStatus: http.StatusUnprocessableEntity,
 	},
 	{
-		name:                "service while machine types are unknown",
+		name:                "service, machine types unknown",
 		change:              func(spec *wire.JobSpec) { spec.Shape = wire.ShapeService },
 		machineTypesUnknown: true,
 		results:             []store.Result{notFound, notFound},
 		wantStatus:          http.StatusServiceUnavailable,
 	},
 	{
-		name:       "size rejected by the state service",
+		name:       "record size rejected by the state service",
 		results:    []store.Result{invalid, notFound, notFound},
 		wantStatus: http.StatusBadRequest,
 	},
 	{
-		name:       "size rejected by the state service but accepted before",
+		name:       "record size rejected by the state service, accepted before",
 		results:    []store.Result{invalid, storedJob(wire.JobPending)},
 		wantStatus: http.StatusOK,
 		wantState:  wire.JobPending,
 	},
 	{
-		name:       "unreadable record of an open job",
+		name:       "unreadable open job record",
 		results:    []store.Result{conflict, storedValue(`{"Spec":{"Id":"job-1","Shape":"swarm","Pieces":1}}`)},
 		wantStatus: http.StatusServiceUnavailable,
 	},
 	{
-		name:       "unreadable record of an end",
+		name:       "unreadable job end record",
 		results:    []store.Result{conflict, notFound, storedValue(`{"Stage":"paused"}`)},
 		wantStatus: http.StatusServiceUnavailable,
 	},
@@ -240,7 +240,7 @@
 		wantStatus:          http.StatusServiceUnavailable,
 	},
 	{
-		name:                "machine types unknown but accepted before",
+		name:                "machine types unknown, accepted before",
 		machineTypesUnknown: true,
 		results:             []store.Result{storedJob(wire.JobPending)},
 		wantStatus:          http.StatusOK,
@@ -253,20 +253,20 @@
 		wantStatus: http.StatusBadRequest,
 	},
 	{
-		name:       "record too large but accepted before",
+		name:       "record too large, accepted before",
 		change:     func(spec *wire.JobSpec) { spec.Image = strings.Repeat("x", 5000) },
 		results:    []store.Result{storedJob(wire.JobPending)},
 		wantStatus: http.StatusOK,
 		wantState:  wire.JobPending,
 	},
 	{
-		name:       "record too large during an outage",
+		name:       "record too large, state service unavailable",
 		change:     func(spec *wire.JobSpec) { spec.Image = strings.Repeat("x", 5000) },
 		results:    []store.Result{outage},
 		wantStatus: http.StatusServiceUnavailable,
 	},
 	{
-		name:       "infeasible during an outage",
+		name:       "unknown team, state service unavailable",
 		change:     func(spec *wire.JobSpec) { spec.Team = "green" },
 		results:    []store.Result{outage},
 		wantStatus: http.StatusServiceUnavailable,
--- a/internal/submission/submit_test.go
+++ b/internal/submission/submit_test.go
@@ -23,7 +23,7 @@
 	f.submit(newSpec(test.change), func(response Response) { got = &response })
 	for _, result := range test.results {
 		if got != nil {
-			t.Fatalf("status %d before all calls were completed", got.Status)
+			t.Fatalf("got status %d before all calls completed", got.Status)
 		}
 		f.complete(result)
 	}
@@ -41,7 +41,9 @@
 	}
 }
 
-func TestTooManyRequests(t *testing.T) {
+// Submissions beyond the limit of requests in flight must be rejected as retryable, without a call of the
+// state service.
+func TestSubmissionsInFlightLimit(t *testing.T) {
 	const submissions = 500
 	f := newFixture(testMachineTypes)
 	rejected := 0
