--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -1,4 +1,3 @@
-// Package quota does the arithmetic of machine resources and keeps the account
-// of what each team's tasks use and have reserved on one shard, so that no
-// start exceeds the team's limit.
+// Package quota implements the arithmetic of machine resources and accounts for the resources that each
+// team's tasks use and have reserved on one shard, so that no task start exceeds its team's limit.
 package quota
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -2,26 +2,25 @@
 
 import "juniperchute/internal/config"
 
-// Ledger is the account of the teams' usage on one shard. Names of teams that
-// are not configured are admitted nothing, and their usage is not recorded.
-// It is not safe for concurrent use.
+// Ledger accounts for the resource usage of all teams on one shard. It admits nothing for a team that is
+// not configured and does not record that team's usage. It is not safe for concurrent use.
 type Ledger struct {
 	teams map[string]*teamAccount
-	// unknownUsage is the capacity of machines whose tasks are not known: any
-	// team may be using all of it.
+	// unknownUsage is the capacity of machines whose tasks are not known. Any team may be using all
+	// of it.
 	unknownUsage Resources
 }
 
-// teamAccount is what one team may use, and what it does.
+// teamAccount holds the guarantee and limit of one team and its usage.
 type teamAccount struct {
-	config.Team // a team without limit has the shard's part of its guarantee here
+	config.Team // without a limit, the guarantee is this shard's part of it
 	used        Resources
 	reserved    Resources
 }
 
-// NewLedger returns an empty account for one of a number of shards. Teams with
-// a limit have their whole guarantee on their home shard; the guarantees of
-// the others are divided among all shards.
+// NewLedger returns a ledger without usage for one shard of a deployment with the given number of shards.
+// A team with a limit has its whole guarantee on its home shard. The guarantee of a team without a limit
+// is divided evenly among all shards.
 func NewLedger(teams []config.Team, shards int) *Ledger {
 	ledger := &Ledger{teams: map[string]*teamAccount{}}
 	for _, team := range teams {
@@ -33,22 +32,22 @@
 	return ledger
 }
 
-// AdmitsReservation reports whether the team's limit allows it to reserve the
-// given amount beside what it uses and has reserved already.
+// AdmitsReservation reports whether the team's limit allows a reservation of the given amount in addition
+// to what the team uses and has reserved already.
 func (l *Ledger) AdmitsReservation(team string, need Resources) bool {
 	account := l.teams[team]
 	return account != nil && l.admits(account, account.used.Add(need).Add(l.unknownUsage).Add(account.reserved))
 }
 
-// AdmitsStart reports whether the team's limit allows tasks that need the
-// given amount to start beside what it uses. Reservations don't count: the
-// tasks that start have theirs among them.
+// AdmitsStart reports whether the team's limit allows tasks that need the given amount to start in
+// addition to what the team uses. Reservations do not count, because they include those of the tasks that
+// are about to start.
 func (l *Ledger) AdmitsStart(team string, need Resources) bool {
 	account := l.teams[team]
 	return account != nil && l.admits(account, account.used.Add(need).Add(l.unknownUsage))
 }
 
-// admits reports whether a team may use the given total.
+// admits reports whether a total usage is within the team's limit.
 func (l *Ledger) admits(account *teamAccount, total Resources) bool {
 	if !hasLimit(account.Team) {
 		return true
@@ -56,11 +55,11 @@
 	return within(account.CPUsMax, total.CPUs) && within(account.GPUsMax, total.GPUs)
 }
 
-// within reports whether an amount is within a bound, of which 0 means none.
+// within reports whether an amount does not exceed a bound. A bound of 0 means unbounded.
 func within(bound, amount float64) bool { return bound == 0 || amount <= bound+roundingTolerance }
 
-// WithinGuarantee reports whether the team stays within its guarantee with
-// need beside what it uses and has reserved. One without a guarantee never does.
+// WithinGuarantee reports whether the team stays within its guarantee with need in addition to what it
+// uses and has reserved. It returns false for a team without a guarantee.
 func (l *Ledger) WithinGuarantee(team string, need Resources) bool {
 	account := l.teams[team]
 	if account == nil || !hasGuarantee(account.Team) {
@@ -70,8 +69,8 @@
 	return within(account.CPUs, total.CPUs) && within(account.GPUs, total.GPUs)
 }
 
-// OverGuarantee reports whether the team uses more than its guarantee. One
-// without a guarantee always does.
+// OverGuarantee reports whether the team uses more than its guarantee. It returns true for a team without
+// a guarantee.
 func (l *Ledger) OverGuarantee(team string) bool {
 	account := l.teams[team]
 	if account == nil || !hasGuarantee(account.Team) {
@@ -80,7 +79,7 @@
 	return !within(account.CPUs, account.used.CPUs) || !within(account.GPUs, account.used.GPUs)
 }
 
-// HasGuarantees reports whether any team has a guarantee.
+// HasGuarantees reports whether at least one team has a guarantee.
 func (l *Ledger) HasGuarantees() bool {
 	for _, account := range l.teams {
 		if hasGuarantee(account.Team) {
@@ -97,7 +96,7 @@
 	}
 }
 
-// RemoveUsed records that a task of the team no longer uses the given amount.
+// RemoveUsed reverts a call of AddUsed for a task that is known to have ended.
 func (l *Ledger) RemoveUsed(team string, amount Resources) {
 	if account := l.teams[team]; account != nil {
 		account.used = account.used.Sub(amount)
@@ -111,25 +110,25 @@
 	}
 }
 
-// RemoveReserved cancels a reservation.
+// RemoveReserved reverts a call of AddReserved for a copy that has left its queue.
 func (l *Ledger) RemoveReserved(team string, amount Resources) {
 	if account := l.teams[team]; account != nil {
 		account.reserved = account.reserved.Sub(amount)
 	}
 }
 
-// SetUnknownUsage sets the amount that any team may be using on machines whose
-// tasks are not known. It counts in full against every team's limit.
+// SetUnknownUsage sets the capacity of machines whose tasks are not known. It counts in full against
+// every team's limit.
 func (l *Ledger) SetUnknownUsage(amount Resources) { l.unknownUsage = amount }
 
-// TeamUsage is a team's usage on the shard, beside its guarantee and limit there.
+// TeamUsage holds a team's usage, guarantee and limit on one shard.
 type TeamUsage struct {
 	Team             string
 	Used, Reserved   Resources
-	Guarantee, Limit Resources // memory is neither guaranteed nor limited
+	Guarantee, Limit Resources // MemGB is not set: memory has neither
 }
 
-// TeamUsages lists the usage of all teams, in no particular order.
+// TeamUsages returns the usage of all configured teams in no particular order.
 func (l *Ledger) TeamUsages() []TeamUsage {
 	var usages []TeamUsage
 	for _, account := range l.teams {
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -10,17 +10,17 @@
 	{Name: "red", GPUs: 4, GPUsMax: 8}, {Name: "blue", CPUs: 10, CPUsMax: 20, GPUs: 2, GPUsMax: 4}, {Name: "free"},
 }
 
-// oneTask is what a task of the tests needs.
+// oneTask holds the resources that one task of the tests needs.
 var oneTask = Resources{CPUs: 1, GPUs: 1}
 
-// ledgerCase is a team's usage and what the ledger allows it in addition.
+// ledgerCase is a team's usage and whether the ledger admits an additional need.
 type ledgerCase struct {
 	name            string
 	team            string
-	used, reserved  float64 // tasks
+	used, reserved  float64 // numbers of tasks
 	unknownUsage    Resources
 	need            Resources
-	asReservation   bool // whether a reservation is asked for; else a start
+	asReservation   bool // need is for a reservation, otherwise for a start
 	admitted        bool
 	withinGuarantee bool
 }
@@ -59,7 +59,7 @@
 		admitted: true,
 	},
 	{
-		name: "any resource may reach its limit",
+		name: "over the CPU limit, within the GPU limit",
 		team: "blue", used: 1, need: Resources{CPUs: 21},
 	},
 	{
@@ -89,8 +89,8 @@
 	}
 }
 
-// A team's limit holds on one shard as a whole, whatever the number of shards.
-// Parts of it could not be enforced exactly, and a large gang would fit none.
+// Every team with a limit must have a valid home shard, and teams with limits must not share one while
+// another shard has none.
 func TestHomeShard(t *testing.T) {
 	for shards := 1; shards <= 3; shards++ {
 		for _, team := range []string{"red", "blue"} {
@@ -100,6 +100,6 @@
 		}
 	}
 	if HomeShard(teams, "red", 2) == HomeShard(teams, "blue", 2) {
-		t.Error("both teams with limits are on one shard while the other has none")
+		t.Error("two teams with limits have the same home shard of two")
 	}
 }
--- a/internal/quota/teams.go
+++ b/internal/quota/teams.go
@@ -2,9 +2,8 @@
 
 import "juniperchute/internal/config"
 
-// HomeShard returns the shard on which a team with a limit may run its tasks.
-// The limit is not divided among shards: it holds exactly without any
-// exchange between them, and a gang that needs much of it still fits.
+// HomeShard returns the only shard on which a team with a limit runs tasks. Confining the team to one shard
+// enforces the limit exactly without coordination between shards, and a gang can use the whole limit.
 func HomeShard(teams []config.Team, name string, shards int) int {
 	limitedTeams := 0
 	for _, team := range teams {
@@ -28,8 +27,8 @@
 	return false
 }
 
-// hasLimit reports whether the team may use only so much; 0 stands for no limit.
+// hasLimit reports whether the team has a limit on CPUs or GPUs. A limit of 0 means unlimited.
 func hasLimit(team config.Team) bool { return team.CPUsMax > 0 || team.GPUsMax > 0 }
 
-// hasGuarantee reports whether the team is guaranteed some amount.
+// hasGuarantee reports whether the team has guaranteed CPUs or GPUs.
 func hasGuarantee(team config.Team) bool { return team.CPUs > 0 || team.GPUs > 0 }
