--- a/internal/worker/heartbeat.go
+++ b/internal/worker/heartbeat.go
@@ -8,33 +8,33 @@
 	"juniperchute/internal/wire"
 )
 
-// StatusSource is the kind of message in which a worker sent its status.
+// StatusSource distinguishes the messages in which a worker sends its status.
 type StatusSource bool
 
 // The sources of a worker's status.
 const (
-	// FromHeartbeat: the worker sent its status on its own.
+	// FromHeartbeat marks the status in a heartbeat, which the worker sends periodically.
 	FromHeartbeat StatusSource = true
-	// FromCommandReply: the status is the worker's reply to a direct command.
+	// FromCommandReply marks the status in a worker's reply to direct commands.
 	FromCommandReply StatusSource = false
 )
 
-// HeartbeatResult is what a worker's status is worth.
+// HeartbeatResult classifies a worker's status by its order relative to the last one applied.
 type HeartbeatResult int
 
 // The results of applying a status.
 const (
-	// HeartbeatCurrent: the newest status so far.
+	// HeartbeatCurrent means that the status is the newest so far and was applied.
 	HeartbeatCurrent HeartbeatResult = iota
-	// HeartbeatStale: an older or repeated message; nothing may be concluded from it.
+	// HeartbeatStale means that the status is older or a duplicate and was ignored.
 	HeartbeatStale
-	// HeartbeatNewIncarnation: the newest status, and the worker's lease had expired since the
-	// one before.
+	// HeartbeatNewIncarnation means that the status was applied and that the worker's lease has expired
+	// since the status before.
 	HeartbeatNewIncarnation
 )
 
-// ObserveSequence notes the sequence number of a message that may be a late copy, so that nothing
-// else is concluded from it, and reports whether it is above all seen so far.
+// ObserveSequence records the incarnation and sequence number of a message without applying its status. It
+// reports whether the message is newer than all messages seen before.
 func (l *Liveness) ObserveSequence(status *wire.Heartbeat) bool {
 	if !isNewer(status, l.SeenIncarnation, l.SeenSequence) {
 		return false
@@ -43,7 +43,8 @@
 	return true
 }
 
-// isNewer reports whether a worker sent the status after the one of that incarnation and sequence.
+// isNewer reports whether a worker sent the status after the message with the given incarnation and
+// sequence number.
 func isNewer(status *wire.Heartbeat, incarnation, sequence uint64) bool {
 	if status.Incarnation != incarnation {
 		return status.Incarnation > incarnation
@@ -51,7 +52,7 @@
 	return status.Sequence > sequence
 }
 
-// ApplyHeartbeat updates a machine by the status that its worker sent, unless that is stale.
+// ApplyHeartbeat applies a worker's status to its machine unless the status is stale.
 func (r *Registry) ApplyHeartbeat(now time.Time, machine *Machine, status *wire.Heartbeat,
 	source StatusSource) HeartbeatResult {
 	if machine.isStale(status) {
@@ -62,7 +63,7 @@
 	result := HeartbeatCurrent
 	if machine.Incarnation != 0 && status.Incarnation > machine.Incarnation {
 		result = HeartbeatNewIncarnation
-		machine.UnansweredCommands = 0 // commands to an earlier incarnation are void
+		machine.UnansweredCommands = 0 // workers reject commands for an earlier incarnation
 	}
 	machine.updateLiveness(now, status, source)
 	machine.updateStatus(now, status)
@@ -72,23 +73,24 @@
 	return result
 }
 
-// isStale reports whether a status is older than what is known. Heartbeats held back by a network
-// partition arrive late and out of order, and their task lists are as old as they are.
+// isStale reports whether a status must be ignored as outdated. A network partition can delay and reorder
+// heartbeats.
 func (m *Machine) isStale(status *wire.Heartbeat) bool {
 	if m.Incarnation != 0 && !isNewer(status, m.Incarnation, m.Sequence) {
 		return true
 	}
-	// An incarnation whose lease has expired has nothing more to say, however late it arrives.
+	// After lease expiry, only a new incarnation can run tasks.
 	return m.State == LeaseExpired && status.Incarnation <= m.SeenIncarnation
 }
 
-// updateReplyConfirmed is to run before the liveness is updated, to which it compares the status.
+// updateReplyConfirmed must run before updateLiveness, since it compares the status with the last one
+// applied.
 func (m *Machine) updateReplyConfirmed(now time.Time, status *wire.Heartbeat, source StatusSource) {
 	switch {
 	case m.confirmsReply(now, status, source):
 		m.ReplyConfirmed, m.UnconfirmedSince = true, time.Time{}
 	case m.UnconfirmedSince.IsZero():
-		// Once proves nothing: a reply was lost, or the lease holder is a new one.
+		// A single unconfirmed status may be due to a lost reply or a change of the lease holder.
 		m.ReplyConfirmed = m.ReplyConfirmed && status.Incarnation == m.Incarnation
 		m.UnconfirmedSince = now
 	default:
@@ -96,12 +98,14 @@
 	}
 }
 
-// confirmsReply reports whether a status shows that the reply to the heartbeat before, or a command
-// since, has reached the worker. A worker that gets no reply gives up after some seconds and
-// tries the next controller, so that it comes back late and with other heartbeats in between.
+// confirmsReply reports whether a status shows that the worker has received the reply to its previous
+// heartbeat or a command since then. A worker without a reply times out and sends its heartbeats to other
+// controllers, so that the next one here arrives late and with a gap in the sequence.
 func (m *Machine) confirmsReply(now time.Time, status *wire.Heartbeat, source StatusSource) bool {
+	// The first status is applied only if it carries this term's token, which a message of this term
+	// must have brought to the worker.
 	if source == FromCommandReply || m.Incarnation == 0 {
-		return true // the worker has just replied to a command; the token has reached it
+		return true
 	}
 	if status.Incarnation != m.Incarnation {
 		return false
@@ -112,9 +116,9 @@
 
 func (l *Liveness) updateLiveness(now time.Time, status *wire.Heartbeat, source StatusSource) {
 	if l.LeaseRenewedAt.IsZero() || status.Incarnation > l.Incarnation {
-		// From here on the worker drops whatever an earlier term replies. An incarnation's
-		// lease runs from its start, which may be a moment ago: a reply to an earlier
-		// incarnation, or to an old copy of its heartbeat, does not bound its end.
+		// The lease of a new incarnation may have started just now: replies to an earlier incarnation
+		// or to a delayed copy of a heartbeat do not bound its end. The worker rejects replies of
+		// earlier terms from now on.
 		l.LeaseRenewedAt = now
 	}
 	l.Incarnation, l.Sequence, l.LastContact = status.Incarnation, status.Sequence, now
--- a/internal/worker/heartbeat_test.go
+++ b/internal/worker/heartbeat_test.go
@@ -21,24 +21,24 @@
 			heartbeats: []heartbeat{{1, 1, HeartbeatCurrent}, {1, 2, HeartbeatCurrent}, {1, 5, HeartbeatCurrent}},
 		},
 		{
-			name:       "repeated",
+			name:       "duplicate",
 			heartbeats: []heartbeat{{1, 3, HeartbeatCurrent}, {1, 3, HeartbeatStale}},
 		},
 		{
-			name:       "held back by a partition",
+			name:       "delayed by a partition",
 			heartbeats: []heartbeat{{1, 7, HeartbeatCurrent}, {1, 4, HeartbeatStale}, {1, 8, HeartbeatCurrent}},
 		},
 		{
-			name: "a new incarnation",
+			name: "new incarnation",
 			heartbeats: []heartbeat{{1, 7, HeartbeatCurrent}, {2, 8, HeartbeatNewIncarnation},
 				{2, 9, HeartbeatCurrent}},
 		},
 		{
-			name:       "from an earlier incarnation",
+			name:       "delayed from an earlier incarnation",
 			heartbeats: []heartbeat{{2, 9, HeartbeatCurrent}, {1, 100, HeartbeatStale}},
 		},
 		{
-			name:       "first contact in a late incarnation",
+			name:       "first contact in a later incarnation",
 			heartbeats: []heartbeat{{4, 90, HeartbeatCurrent}},
 		},
 	} {
@@ -56,7 +56,7 @@
 	}
 }
 
-// Which statuses prove that a reply or a command has reached the worker since the one before.
+// A worker that sends heartbeats but receives no replies must not count as reachable.
 func TestReplyConfirmed(t *testing.T) {
 	type status struct {
 		at                    float64 // seconds
@@ -70,32 +70,32 @@
 		statuses []status
 	}{
 		{
-			name:     "consecutive",
+			name:     "consecutive heartbeats",
 			statuses: []status{first, {4.8, 1, 2, FromHeartbeat, true}},
 		},
 		{
-			name:     "once it tried other controllers in between",
+			name:     "one gap in the sequence numbers",
 			statuses: []status{first, {15, 1, 4, FromHeartbeat, true}},
 		},
 		{
-			name:     "it tries other controllers again and again",
+			name:     "repeated gaps in the sequence numbers",
 			statuses: []status{first, {15, 1, 4, FromHeartbeat, true}, {30, 1, 7, FromHeartbeat, false}},
 		},
 		{
-			name: "and stays from then on",
+			name: "consecutive heartbeats after repeated gaps",
 			statuses: []status{first, {15, 1, 4, FromHeartbeat, true}, {30, 1, 7, FromHeartbeat, false},
 				{34, 1, 8, FromHeartbeat, true}},
 		},
 		{
-			name:     "asked by others in between, but soon again",
+			name:     "gap within the reply timeout",
 			statuses: []status{first, {1.5, 1, 4, FromHeartbeat, true}},
 		},
 		{
-			name:     "its incarnation rises, as nothing renews its lease",
+			name:     "new incarnation in each heartbeat because no reply renews the lease",
 			statuses: []status{first, {15, 2, 4, FromHeartbeat, false}, {30, 3, 7, FromHeartbeat, false}},
 		},
 		{
-			name:     "a command is answered",
+			name:     "reply to a direct command",
 			statuses: []status{first, {15, 2, 4, FromHeartbeat, false}, {16, 2, 9, FromCommandReply, true}},
 		},
 	} {
@@ -113,29 +113,29 @@
 	}
 }
 
-// An incarnation's lease may have started as late as its first status: a reply to an earlier
-// incarnation, or to an old copy of a heartbeat, does not tell when it ends.
+// The lease of a new incarnation must count from its first status. A renewal of an earlier incarnation, or
+// a reply to a delayed copy of a heartbeat, would make it expire too early.
 func TestLeaseOfNewIncarnation(t *testing.T) {
 	for _, test := range []struct {
 		name         string
 		incarnations []uint64 // of statuses a second apart
-		want         float64  // second from which the lease runs
+		want         float64  // LeaseRenewedAt in seconds
 	}{
-		{name: "never answered", incarnations: []uint64{1}, want: 0},
-		{name: "the same incarnation goes on", incarnations: []uint64{1, 1, 1}, want: 0},
-		{name: "a new one", incarnations: []uint64{1, 1, 2}, want: 2},
-		{name: "and it goes on", incarnations: []uint64{1, 2, 2}, want: 1},
+		{name: "first status", incarnations: []uint64{1}, want: 0},
+		{name: "later statuses of the same incarnation", incarnations: []uint64{1, 1, 1}, want: 0},
+		{name: "first status of a new incarnation", incarnations: []uint64{1, 1, 2}, want: 2},
+		{name: "later statuses of a new incarnation", incarnations: []uint64{1, 2, 2}, want: 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			registry := newTestRegistry()
 			machine := registry.Add(time.Unix(0, 0), "i-1", Unreconciled)
-			machine.LeaseRenewedAt = time.Unix(-5, 0) // by an old copy of a heartbeat
+			machine.LeaseRenewedAt = time.Unix(-5, 0) // by a delayed copy of a heartbeat
 			for i, incarnation := range test.incarnations {
 				status := &wire.Heartbeat{Host: "i-1", Incarnation: incarnation, Sequence: uint64(i + 1)}
 				registry.ApplyHeartbeat(time.Unix(int64(i), 0), machine, status, FromCommandReply)
 			}
 			if got := machine.LeaseRenewedAt.Sub(time.Unix(0, 0)).Seconds(); got != test.want {
-				t.Errorf("runs from second %v, want %v", got, test.want)
+				t.Errorf("lease renewed at second %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/internal/worker/machine.go
+++ b/internal/worker/machine.go
@@ -1,5 +1,5 @@
-// Package worker keeps what one term of a shard knows of its machines: the status that
-// their workers sent last, what may run on them, and when their leases have expired.
+// Package worker tracks the machines of a shard during one term: the last status of each worker, the
+// resources allocated on its machine, and the expiry of its lease.
 package worker
 
 import (
@@ -9,39 +9,41 @@
 	"juniperchute/internal/wire"
 )
 
-// State is a stage in the life of a machine as the shard's lease holder sees it.
+// State is the state of a machine as known to the shard's lease holder.
 type State int
 
-// The states of a machine. Registry.SetState is the only way from one to another.
+// The states of a machine. Only Registry.SetState changes the state.
 const (
-	// Booting: provisioned, and never used in any term: nothing can run on it.
+	// Booting means that the machine is provisioned and was not used in any term. Nothing runs on it.
 	Booting State = iota
-	// Unreconciled: used in an earlier term and not in contact in this one.
+	// Unreconciled means that an earlier term may have used the machine, and that its worker has not
+	// been in contact with this term.
 	Unreconciled
-	// Up: its heartbeats arrive.
+	// Up means that heartbeats of the worker arrive.
 	Up
-	// Unresponsive: its heartbeats have stopped; its lease may not have expired yet.
+	// Unresponsive means that heartbeats have stopped, but the worker's lease may not have expired.
 	Unresponsive
-	// LeaseExpired: unresponsive until its lease had expired by any clock: nothing runs on it.
+	// LeaseExpired means that the worker's lease has expired even with the maximum clock drift. Nothing
+	// runs on the machine.
 	LeaseExpired
-	// Deleting: to be deleted, or being deleted.
+	// Deleting means that the deletion of the machine is intended or in progress.
 	Deleting
-	// Deleted: the cloud has confirmed its deletion.
+	// Deleted means that the cloud has confirmed the deletion of the machine.
 	Deleted
 )
 
-// String returns the name of the state in log lines.
+// String returns the name of the state for log lines.
 func (s State) String() string {
 	return [...]string{"booting", "unreconciled", "up", "unresponsive", "lease expired", "deleting", "deleted"}[s]
 }
 
-// ListingName returns the name of the state in the listings that controllers exchange and
-// operators read. These names are part of the interface and do not follow the terms used here.
+// ListingName returns the name of the state for the listings that controllers exchange and operators
+// read. These names are part of the interface and differ from those of String.
 func (s State) ListingName() string {
 	return [...]string{"booting", "unheard", "up", "silent", "lapsed", "deleting", "gone"}[s]
 }
 
-// Machine is one machine of the shard. Its embedded types hold what changes together.
+// Machine holds the state of one machine of the shard, grouped by concern.
 type Machine struct {
 	Identity
 	Lifecycle
@@ -53,105 +55,107 @@
 	ImageCache
 }
 
-// Identity is what a machine is. All but the host's name may become known only with the
+// Identity holds the name, address, type and location of a machine. All but Host may be unset until the
 // first heartbeat.
 type Identity struct {
-	Host    string
+	Host    string // unique name of the machine in the cloud
 	Address string // of the worker, "host:port"
 	Type    string
 	Zone    string
 	Spot    bool
 }
 
-// Lifecycle is how far a machine has come from its creation to its deletion.
+// Lifecycle holds a machine's state between its creation and its deletion.
 type Lifecycle struct {
 	State      State
 	StateSince time.Time
-	// CreatedAt is when this term first knew the machine, less the machine's age where a list
-	// gave it.
+	// CreatedAt is the time of creation according to the cloud's list of machines or, if unknown, the time
+	// at which this term learned of the machine.
 	CreatedAt time.Time
-	// PreemptionTime is when the cloud takes the machine away; zero without a preemption notice.
+	// PreemptionTime is the time at which the cloud preempts the machine, zero without a notice.
 	PreemptionTime time.Time
-	// IdleSince is since when nothing has run on the machine.
+	// IdleSince is the time from which no copy has been active on the machine.
 	IdleSince time.Time
-	// Needed: the last pass of demand planning found a use for the machine.
+	// Needed is set if the last pass of demand planning found a use for the machine, which keeps it from
+	// being terminated as idle.
 	Needed bool
-	// Cordoned: no more work is placed on the machine, so that it can be deprovisioned.
+	// Cordoned is set if no new work is placed on the machine, so that it can be deprovisioned.
 	Cordoned bool
-	// Quarantined: too many tasks failed on the machine.
+	// Quarantined is set if no new work is placed on the machine because too many tasks failed on it.
 	Quarantined bool
 }
 
-// Liveness is how recent the last contact with a worker is, and when its lease expires.
+// Liveness holds the times of the last contact with a worker and of the last renewal of its lease.
 //
-// A worker's incarnation rises when its lease expires; the sequence number rises with each
-// status that it sends. Messages arrive late and out of order, so a status counts only if its
-// pair of both is above that of the last one applied.
+// A worker increments its incarnation when its lease expires, and its sequence number with each status
+// that it sends. Messages can be delayed and reordered, so a status is applied only if its pair
+// (incarnation, sequence) is above that of the last one applied.
 type Liveness struct {
-	// Incarnation and Sequence are those of the last status applied.
+	// Incarnation and Sequence identify the last status applied.
 	Incarnation, Sequence uint64
-	// SeenIncarnation and SeenSequence are the highest of any message, applied or not.
+	// SeenIncarnation and SeenSequence identify the newest message seen, whether applied or not.
 	SeenIncarnation, SeenSequence uint64
-	// LastContact is when the last status was applied, be it a heartbeat or the reply to a command.
+	// LastContact is the time at which the last status from any source was applied.
 	LastContact time.Time
-	// LastHeartbeat is when the last heartbeat was applied.
+	// LastHeartbeat is the time at which the last status from a heartbeat was applied.
 	LastHeartbeat time.Time
-	// LeaseRenewedAt is when the last heartbeat that got a reply arrived. The worker's lease
-	// runs from when it sent the heartbeat, so from no later than this.
+	// LeaseRenewedAt is the arrival time of the last heartbeat whose reply renewed the lease or, if later,
+	// of the first status of the incarnation. The worker's lease starts no later than this.
 	LeaseRenewedAt time.Time
-	// LeaseEnded: the machine is being deleted and its lease has expired: nothing runs on it.
+	// LeaseEnded is set if the worker's lease has expired in the state Deleting. Nothing runs on the
+	// machine.
 	LeaseEnded bool
 }
 
-// Reachability is whether replies and commands reach a worker.
+// Reachability holds evidence of whether replies and commands reach a worker.
 type Reachability struct {
-	// ReplyConfirmed: the newest heartbeats show that a reply or a command has reached the worker
-	// since the ones before. A worker whose heartbeats arrive and to which nothing gets
-	// through holds no lease and executes nothing.
+	// ReplyConfirmed is set while the statuses of the worker show that replies or commands reach it. A
+	// worker that receives none holds no lease and executes nothing, even if its heartbeats arrive.
 	ReplyConfirmed bool
-	// UnconfirmedSince is since when heartbeats have not been confirmed so; zero while they are.
+	// UnconfirmedSince is the time of the first of the latest statuses that show no receipt, zero if the
+	// last one applied shows it.
 	UnconfirmedSince time.Time
-	// CommandInFlight: a direct command has been sent and its result is not known yet.
+	// CommandInFlight is set while the result of a direct command is pending.
 	CommandInFlight bool
-	// UnansweredCommands counts the direct commands of this incarnation that got no reply.
+	// UnansweredCommands counts the direct commands to this incarnation that got no reply.
 	UnansweredCommands int
 }
 
-// Durability is what stored records say of a machine, so what the next term will know of it.
+// Durability holds which stored records name a machine. The next term recovers machines from them.
 type Durability struct {
-	// Recorded: a provisioning record names the machine.
+	// Recorded is set if a provisioning record names the machine.
 	Recorded bool
-	// Registered: the registrations name the machine, so that it may be given tasks.
+	// Registered is set if the registrations name the machine, without which it gets no tasks.
 	Registered bool
 }
 
-// Workload is what a worker reported of its tasks.
+// Workload holds the tasks that a worker has reported.
 type Workload struct {
 	Tasks []wire.TaskStatus
-	// HasUnknownTasks: some of the tasks belong to no open job.
+	// HasUnknownTasks is set if some of the tasks belong to no open job.
 	HasUnknownTasks bool
-	// FailuresByJob counts the tasks of each job, by its ID, that failed here.
+	// FailuresByJob counts the tasks that failed on the machine, by job ID.
 	FailuresByJob map[string]int
 }
 
-// Allocation is the ledger of what may run on a machine. The scheduler keeps it.
+// Allocation accounts for the resources of a machine. The scheduler updates it.
 type Allocation struct {
 	Capacity quota.Resources
-	// Allocated is for the copies dispatched here, until they are known to have ended.
+	// Allocated is the need of all copies dispatched to the machine and not known to have ended.
 	Allocated quota.Resources
-	// BackupAllocated is the part of Allocated that backup copies have.
+	// BackupAllocated is the part of Allocated that belongs to backup copies.
 	BackupAllocated quota.Resources
-	// Reserved is for primary copies in the machine's queue.
+	// Reserved is the need of the primary copies in the machine's queue.
 	Reserved quota.Resources
-	// ActiveCopies counts the copies dispatched here and not known to have ended.
+	// ActiveCopies counts the copies dispatched to the machine and not known to have ended.
 	ActiveCopies int
 }
 
-// ImageCache is the images on a machine and how fast it fetches others.
+// ImageCache holds the container images on a machine and its download rate for others.
 type ImageCache struct {
-	// Images gives the time of last use of each image by its name.
+	// Images maps image names to the times of last use.
 	Images map[string]time.Time
-	// ImagePullGBPerS is in gigabytes a second, 0 while the machine type is not known.
+	// ImagePullGBPerS is the rate in gigabytes per second, 0 while the machine type is unknown.
 	ImagePullGBPerS float64
 }
 
@@ -162,18 +166,18 @@
 	return inService && reachable && m.Registered && !m.HasUnknownTasks
 }
 
-// Unreachable reports whether the machine's heartbeats have arrived for longer than its lease
-// without a sign that any reply or command reaches it.
-func (m *Machine) Unreachable(now time.Time, lease time.Duration) bool {
+// Unreachable reports whether heartbeats of the worker have arrived for longer than threshold without
+// evidence that replies or commands reach it.
+func (m *Machine) Unreachable(now time.Time, threshold time.Duration) bool {
 	return !m.ReplyConfirmed && !m.UnconfirmedSince.IsZero() && m.LastHeartbeat.After(m.UnconfirmedSince) &&
-		now.Sub(m.UnconfirmedSince) > lease
+		now.Sub(m.UnconfirmedSince) > threshold
 }
 
-// Available returns the resources that no copy has.
+// Available returns the resources that are not allocated to a copy.
 func (a *Allocation) Available() quota.Resources { return a.Capacity.Sub(a.Allocated) }
 
-// AvailableToPrimary returns the resources that a primary copy may have: backup copies give
-// way to it, reservations of other primary copies do not.
+// AvailableToPrimary returns the resources available to a new primary copy. It may preempt backup copies,
+// but not use resources that are reserved for other primary copies.
 func (a *Allocation) AvailableToPrimary() quota.Resources {
 	return a.Capacity.Sub(a.Allocated).Add(a.BackupAllocated).Sub(a.Reserved)
 }
--- a/internal/worker/registry.go
+++ b/internal/worker/registry.go
@@ -10,10 +10,10 @@
 	"juniperchute/internal/tuning"
 )
 
-// Registry holds all machines of a shard during one term. It is not safe for concurrent use.
+// Registry tracks all machines of a shard during one term. It is not safe for concurrent use.
 type Registry struct {
-	// HeartbeatDelay is how long the heartbeat handled last had waited for its turn. While
-	// that is long, heartbeats of machines that seem unresponsive may be waiting too.
+	// HeartbeatDelay is the queueing delay of the heartbeat handled last. It extends the heartbeat
+	// timeout, because heartbeats of other machines may be queued for as long.
 	HeartbeatDelay time.Duration
 
 	log              *slog.Logger
@@ -21,11 +21,11 @@
 	leaseExpiry      time.Duration
 
 	byHost  map[string]*Machine
-	ordered []*Machine      // in the order in which they became known
-	deleted map[string]bool // hosts whose deletion was confirmed
+	ordered []*Machine      // in the order of Add
+	deleted map[string]bool // hosts whose deletion the cloud has confirmed
 }
 
-// NewRegistry makes an empty registry.
+// NewRegistry returns an empty registry with the timeouts that follow from the worker settings.
 func NewRegistry(workers config.Workers, log *slog.Logger) *Registry {
 	lease := config.Seconds(workers.LeaseS)
 	drift := time.Duration(float64(lease) * 2 * tuning.MaxClockDrift)
@@ -38,17 +38,17 @@
 	}
 }
 
-// LeaseExpiry is the time from the arrival of the last heartbeat that got a reply to the moment
-// at which the worker's lease has expired by any clock.
+// LeaseExpiry returns the time from the arrival of a heartbeat that renews a worker's lease until the lease
+// has expired even with the maximum clock drift.
 func (r *Registry) LeaseExpiry() time.Duration { return r.leaseExpiry }
 
-// Get returns a machine, or nil.
+// Get returns the machine with the given host name, or nil if there is none.
 func (r *Registry) Get(host string) *Machine { return r.byHost[host] }
 
-// All lists the machines in the order in which they became known.
+// All returns the machines in the order of Add. The caller must not modify the slice.
 func (r *Registry) All() []*Machine { return r.ordered }
 
-// Add makes a machine known. The host must not be known yet.
+// Add adds a machine in the given state and returns it. The registry must not contain the host.
 func (r *Registry) Add(now time.Time, host string, state State) *Machine {
 	machine := &Machine{
 		Identity:   Identity{Host: host},
@@ -61,7 +61,8 @@
 	return machine
 }
 
-// SetState changes a machine's state and logs the reason. A deleted machine leaves the registry.
+// SetState changes a machine's state and logs the change with its reason. The state Deleted removes the
+// machine from the registry.
 func (r *Registry) SetState(now time.Time, machine *Machine, state State, reason string) {
 	if machine.State == state {
 		return
@@ -78,14 +79,13 @@
 	delete(r.byHost, machine.Host)
 	r.RememberDeleted(machine.Host)
 	if i := slices.Index(r.ordered, machine); i >= 0 {
-		// a new array: callers may be iterating over the one that All returned
+		// Allocate a new array because callers may be iterating over the slice that All returned.
 		r.ordered = append(r.ordered[:i:i], r.ordered[i+1:]...)
 	}
 }
 
-// RememberDeleted remembers a deleted machine, so that a late copy of one of its heartbeats
-// does not bring it back. Hosts are named in the order of creation: the smallest names
-// are the oldest, and are forgotten first.
+// RememberDeleted records the deletion of a machine, so that a delayed heartbeat does not add it again. It
+// evicts the hosts with the smallest names first, because host names increase in the order of creation.
 func (r *Registry) RememberDeleted(host string) {
 	r.deleted[host] = true
 	if len(r.deleted) <= tuning.DeletedMachinesKept {
@@ -96,16 +96,17 @@
 	}
 }
 
-// WasDeleted reports whether a machine's deletion was confirmed in this term.
+// WasDeleted reports whether the cloud has confirmed a machine's deletion in this term. Old deletions are
+// evicted.
 func (r *Registry) WasDeleted(host string) bool { return r.deleted[host] }
 
-// ExpireLeases moves machines whose heartbeats have stopped through their states, and returns
-// those whose leases have just expired and on which copies may have run. An unreconciled
-// machine's lease was renewed by an earlier term no later than reconcileDeadline allows for.
-func (r *Registry) ExpireLeases(now time.Time, reconcileDeadline time.Time) []*Machine {
+// ExpireLeases updates the states of machines whose heartbeats have stopped. It returns the machines whose
+// leases have expired and whose copies may still count as running. By unreconciledLeaseExpiry, every lease
+// that an earlier term renewed has expired.
+func (r *Registry) ExpireLeases(now time.Time, unreconciledLeaseExpiry time.Time) []*Machine {
 	var expired []*Machine
 	for _, machine := range r.ordered {
-		leaseExpired := now.After(machine.leaseExpiresAt(r.leaseExpiry, reconcileDeadline))
+		leaseExpired := now.After(machine.leaseExpiresAt(r.leaseExpiry, unreconciledLeaseExpiry))
 		switch machine.State {
 		case Up:
 			if now.Sub(machine.LastContact) > r.heartbeatTimeout+r.HeartbeatDelay {
@@ -117,14 +118,14 @@
 			}
 			if machine.State == Unresponsive {
 				r.SetState(now, machine, LeaseExpired, "lease expired")
-			} else if now.After(reconcileDeadline) {
+			} else if now.After(unreconciledLeaseExpiry) {
 				machine.LeaseEnded = true
 			}
 			if machine.ActiveCopies > 0 {
 				expired = append(expired, machine)
 			}
 		case Unreconciled:
-			if now.After(reconcileDeadline) && leaseExpired {
+			if now.After(unreconciledLeaseExpiry) && leaseExpired {
 				r.SetState(now, machine, LeaseExpired, "lease expired, no contact in this term")
 				expired = append(expired, machine)
 			}
@@ -133,11 +134,11 @@
 	return expired
 }
 
-// leaseExpiresAt is when the worker's lease has expired by any clock unless it is renewed. Without
-// a renewal in this term that is as late as an earlier term's renewal allows.
-func (l *Liveness) leaseExpiresAt(expiry time.Duration, reconcileDeadline time.Time) time.Time {
+// leaseExpiresAt returns the time by which the worker's lease has expired unless it is renewed. Without a
+// renewal in this term, an earlier term may have renewed it.
+func (l *Liveness) leaseExpiresAt(expiry time.Duration, unreconciledLeaseExpiry time.Time) time.Time {
 	if l.LeaseRenewedAt.IsZero() {
-		return reconcileDeadline
+		return unreconciledLeaseExpiry
 	}
 	return l.LeaseRenewedAt.Add(expiry)
 }
--- a/internal/worker/registry_test.go
+++ b/internal/worker/registry_test.go
@@ -16,67 +16,67 @@
 	return NewRegistry(config.Workers{HeartbeatS: 1.5, LeaseS: 10}, discardLogger)
 }
 
-// neverRenewed stands for a lease that this term has not renewed.
+// neverRenewed marks a lease that this term has not renewed.
 const neverRenewed = -1
 
 type leaseExpiryTest struct {
 	name         string
 	state        State
-	renewedAfter time.Duration // since start, or neverRenewed
-	after        time.Duration // since start
+	renewedAfter time.Duration // time of the lease renewal since start, or neverRenewed
+	after        time.Duration // time of the check since start
 	want         State
 }
 
 var leaseExpiryTests = []leaseExpiryTest{
 	{
-		name:  "heartbeats arrive",
+		name:  "last contact within the heartbeat timeout",
 		state: Up, after: time.Second,
 		want: Up,
 	},
 	{
-		name:  "two heartbeats missed",
+		name:  "last contact past the heartbeat timeout",
 		state: Up, after: 4 * time.Second,
 		want: Unresponsive,
 	},
 	{
-		name:  "unresponsive within its lease",
+		name:  "unresponsive before lease expiry",
 		state: Unresponsive, after: 10 * time.Second,
 		want: Unresponsive,
 	},
 	{
-		name:  "unresponsive past its lease",
+		name:  "unresponsive after lease expiry",
 		state: Unresponsive, after: 10*time.Second + 400*time.Millisecond,
 		want: LeaseExpired,
 	},
 	{
-		name:  "lease renewed later",
+		name:  "unresponsive with a later lease renewal",
 		state: Unresponsive, renewedAfter: 5 * time.Second, after: 12 * time.Second,
 		want: Unresponsive,
 	},
 	{
-		name:  "unreconciled before the deadline",
+		name:  "unreconciled before the leases of earlier terms expire",
 		state: Unreconciled, renewedAfter: neverRenewed, after: 29 * time.Second,
 		want: Unreconciled,
 	},
 	{
-		name:  "unreconciled past the deadline",
+		name:  "unreconciled after the leases of earlier terms have expired",
 		state: Unreconciled, renewedAfter: neverRenewed, after: 31 * time.Second,
 		want: LeaseExpired,
 	},
 	{
-		name:  "unreconciled but renewed in this term",
+		name:  "unreconciled with a lease renewal in this term",
 		state: Unreconciled, renewedAfter: 25 * time.Second, after: 31 * time.Second,
 		want: Unreconciled,
 	},
 	{
-		name:  "a booting machine has no lease to lose",
+		name:  "booting without a lease",
 		state: Booting, renewedAfter: neverRenewed, after: time.Hour,
 		want: Booting,
 	},
 }
 
-// A machine whose heartbeats stop goes through its states; its lease has not expired before
-// the worker's own clock says so, however that drifts.
+// A worker's lease must not count as expired while it may still be valid by the worker's own clock, which
+// may drift.
 func TestExpireLeases(t *testing.T) {
 	start := time.Unix(1000, 0)
 	for _, test := range leaseExpiryTests {
@@ -95,10 +95,9 @@
 	}
 }
 
-// A lease holder that is behind with heartbeats does not take the machines for unresponsive
-// whose heartbeats wait for their turn: short of processor time, it took all of them for
-// unresponsive at once, and stopped giving them work.
-func TestHeartbeatDelay(t *testing.T) {
+// A lease holder with a backlog of heartbeats must not consider machines unresponsive whose heartbeats may
+// be queued. An overloaded process would mark all machines unresponsive at once and stop scheduling.
+func TestHeartbeatDelayExtendsTimeout(t *testing.T) {
 	timeout := newTestRegistry().heartbeatTimeout
 	for _, test := range []struct {
 		name  string
@@ -107,22 +106,22 @@
 		want  State
 	}{
 		{
-			name:  "heartbeats in time",
+			name:  "last contact within the timeout",
 			after: timeout - time.Millisecond,
 			want:  Up,
 		},
 		{
-			name:  "heartbeats stopped",
+			name:  "last contact past the timeout",
 			after: timeout + time.Millisecond,
 			want:  Unresponsive,
 		},
 		{
-			name:  "its heartbeat may be waiting here",
+			name:  "last contact past the timeout, heartbeats delayed",
 			after: timeout + time.Millisecond, delay: time.Second,
 			want: Up,
 		},
 		{
-			name:  "no heartbeat for longer than the delay",
+			name:  "last contact past the timeout and the delay",
 			after: timeout + 1001*time.Millisecond, delay: time.Second,
 			want: Unresponsive,
 		},
