--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -105,7 +105,7 @@
 		name: "how a job ended",
 		text: `{"Stage":"done","Done":3}`,
 		into: &submission.JobEndRecord{},
-		want: &submission.JobEndRecord{Stage: "done", Done: 3},
+		want: &submission.JobEndRecord{State: "done", Done: 3},
 	},
 	{
 		name: "a provisioning request",
--- a/internal/fleet/deprovisioner.go
+++ b/internal/fleet/deprovisioner.go
@@ -114,7 +114,7 @@
 			d.onDeleted(now, machine)
 			d.registry.SetState(now, machine, worker.Deleted, "deletion confirmed")
 		} else {
-			d.registry.RememberDeleted(host)
+			d.registry.MarkDeleted(host)
 		}
 		d.forget(now, host)
 	}
@@ -154,7 +154,7 @@
 		return false // a pending request may be granted with this machine
 	}
 	if machine.LastContact.IsZero() {
-		return machine.LeaseEnded || !machine.Registered
+		return machine.ExpiredWhileDeleting || !machine.Registered
 	}
 	if hasWorkAfter(machine, intent.Token) {
 		d.intents.Complete(intent, "superseded by a later term")
--- a/internal/submission/cancel.go
+++ b/internal/submission/cancel.go
@@ -54,7 +54,7 @@
 	transaction := wire.Transaction{
 		Compares: []wire.Compare{store.VersionEquals(OpenJobKey(id), version)},
 		Writes: []wire.Write{
-			store.Put(JobEndKey(id), JobEndRecord{Stage: wire.JobCancelled}, 0),
+			store.Put(JobEndKey(id), JobEndRecord{State: wire.JobCancelled}, 0),
 			store.Delete(OpenJobKey(id)),
 		},
 	}
--- a/internal/submission/fixture_test.go
+++ b/internal/submission/fixture_test.go
@@ -98,7 +98,7 @@
 
 // storedJob returns the result of reading the record of job-1 in the given state.
 func storedJob(state string) store.Result {
-	var record any = JobEndRecord{Stage: state}
+	var record any = JobEndRecord{State: state}
 	if state == wire.JobPending {
 		record = OpenJobRecord{Spec: newSpec(nil)}
 	}
--- a/internal/submission/lookup.go
+++ b/internal/submission/lookup.go
@@ -64,7 +64,7 @@
 			callback(jobStatus{}, fmt.Errorf("parse end record of job %s: %w", id, err))
 			return
 		}
-		s.observeEnd(now, wire.JobState{ID: id, State: record.Stage, Done: record.Done})
-		callback(jobStatus{state: record.Stage, done: record.Done}, nil)
+		s.observeEnd(now, wire.JobState{ID: id, State: record.State, Done: record.Done})
+		callback(jobStatus{state: record.State, done: record.Done}, nil)
 	})
 }
--- a/internal/submission/record.go
+++ b/internal/submission/record.go
@@ -27,7 +27,7 @@
 // JobEndRecord is the stored record of a job's final state. The transaction that writes it deletes the
 // OpenJobRecord, so a job never has both. It is never changed or deleted.
 type JobEndRecord struct {
-	Stage string `json:"Stage"`      // wire.JobDone or wire.JobCancelled
+	State string `json:"Stage"`      // wire.JobDone or wire.JobCancelled
 	Done  int    `json:",omitempty"` // number of completed tasks
 }
 
@@ -59,8 +59,8 @@
 	if err := json.Unmarshal(item.Value, &record); err != nil {
 		return JobEndRecord{}, err
 	}
-	if record.Stage != wire.JobDone && record.Stage != wire.JobCancelled {
-		return JobEndRecord{}, fmt.Errorf("unknown final state %q", record.Stage)
+	if record.State != wire.JobDone && record.State != wire.JobCancelled {
+		return JobEndRecord{}, fmt.Errorf("unknown final state %q", record.State)
 	}
 	return record, nil
 }
--- a/internal/term/completions.go
+++ b/internal/term/completions.go
@@ -132,7 +132,7 @@
 	call := store.Call{Op: store.OpTransaction, Priority: store.PriorityJobEnd, Transaction: wire.Transaction{
 		Compares: []wire.Compare{c.termCompare, store.VersionEquals(submission.OpenJobKey(id), job.Version)},
 		Writes: []wire.Write{
-			store.Put(submission.JobEndKey(id), submission.JobEndRecord{Stage: wire.JobDone, Done: job.Spec.Tasks}, 0),
+			store.Put(submission.JobEndKey(id), submission.JobEndRecord{State: wire.JobDone, Done: job.Spec.Tasks}, 0),
 			store.Delete(submission.OpenJobKey(id)),
 		},
 	}}
--- a/internal/term/fencing.go
+++ b/internal/term/fencing.go
@@ -54,7 +54,7 @@
 // renews the worker's lease, but nothing is concluded from the tasks in that heartbeat.
 func (t *Term) unreconciled(machine *worker.Machine) bool {
 	if machine.State == worker.Deleting {
-		return machine.LastContact.IsZero() && machine.Registered && !machine.LeaseEnded
+		return machine.LastContact.IsZero() && machine.Registered && !machine.ExpiredWhileDeleting
 	}
 	return machine.State == worker.Unreconciled
 }
--- a/internal/worker/machine.go
+++ b/internal/worker/machine.go
@@ -102,9 +102,9 @@
 	// LeaseRenewedAt is the arrival time of the last heartbeat whose reply renewed the lease or, if later,
 	// of the first status of the incarnation. The worker's lease starts no later than this.
 	LeaseRenewedAt time.Time
-	// LeaseEnded is set if the worker's lease has expired in the state Deleting. Nothing runs on the
+	// ExpiredWhileDeleting is set if the worker's lease has expired in the state Deleting. Nothing runs on the
 	// machine.
-	LeaseEnded bool
+	ExpiredWhileDeleting bool
 }
 
 // Reachability holds evidence of whether replies and commands reach a worker.
--- a/internal/worker/registry.go
+++ b/internal/worker/registry.go
@@ -77,16 +77,16 @@
 
 func (r *Registry) remove(machine *Machine) {
 	delete(r.byHost, machine.Host)
-	r.RememberDeleted(machine.Host)
+	r.MarkDeleted(machine.Host)
 	if i := slices.Index(r.ordered, machine); i >= 0 {
 		// Allocate a new array because callers may be iterating over the slice that All returned.
 		r.ordered = append(r.ordered[:i:i], r.ordered[i+1:]...)
 	}
 }
 
-// RememberDeleted records the deletion of a machine, so that a delayed heartbeat does not add it again. It
+// MarkDeleted records the deletion of a machine, so that a delayed heartbeat does not add it again. It
 // evicts the hosts with the smallest names first, because host names increase in the order of creation.
-func (r *Registry) RememberDeleted(host string) {
+func (r *Registry) MarkDeleted(host string) {
 	r.deleted[host] = true
 	if len(r.deleted) <= tuning.DeletedMachinesKept {
 		return
@@ -119,7 +119,7 @@
 			if machine.State == Unresponsive {
 				r.SetState(now, machine, LeaseExpired, "lease expired")
 			} else if now.After(unreconciledLeaseExpiry) {
-				machine.LeaseEnded = true
+				machine.ExpiredWhileDeleting = true
 			}
 			if machine.ActiveCopies > 0 {
 				expired = append(expired, machine)
