--- a/internal/controller/connection_limits.go
+++ b/internal/controller/connection_limits.go
@@ -27,5 +27,5 @@
 
 // stateConnections returns the maximum number of connections to the state service.
 func stateConnections() int {
-	return tuning.StoreReadsInFlight + store.Priorities*tuning.StoreWritesInFlight + tuning.StoreExtraInFlight
+	return tuning.StoreReadsInFlight + store.NumPriorities*tuning.StoreWritesInFlight + tuning.StoreExtraInFlight
 }
--- a/internal/controller/process_effects.go
+++ b/internal/controller/process_effects.go
@@ -52,7 +52,7 @@
 	rateLimiter     *store.RateLimiter
 
 	readSemaphore             semaphore
-	writeSemaphores           [store.Priorities]semaphore
+	writeSemaphores           [store.NumPriorities]semaphore
 	cloudSemaphore            semaphore
 	commandSemaphore          semaphore
 	heartbeatRequestSemaphore semaphore
--- a/internal/controller/runtime_test.go
+++ b/internal/controller/runtime_test.go
@@ -47,7 +47,7 @@
 	r := newTestRuntime(t, srv.Listener.Addr().String())
 	written := 0
 	deletion := wire.Transaction{Writes: []wire.Write{store.Delete("a")}}
-	for priority := range store.Priorities {
+	for priority := range store.NumPriorities {
 		write := store.Call{
 			Op:          store.OpTransaction,
 			Priority:    store.Priority(priority),
@@ -63,7 +63,7 @@
 	for !read {
 		(<-r.events)(time.Now())
 	}
-	if written >= store.Priorities*tuning.StoreWritesInFlight {
+	if written >= store.NumPriorities*tuning.StoreWritesInFlight {
 		t.Errorf("%d writes completed before the read", written)
 	}
 }
--- a/internal/store/desired_value.go
+++ b/internal/store/desired_value.go
@@ -80,8 +80,8 @@
 	return v.wantedVersion
 }
 
-// WantedVersion is the version of the newest wanted value.
-func (v *DesiredValue) WantedVersion() int { return v.wantedVersion }
+// DesiredVersion is the version of the newest wanted value.
+func (v *DesiredValue) DesiredVersion() int { return v.wantedVersion }
 
 // Durable reports whether the newest wanted value is durable.
 func (v *DesiredValue) Durable() bool { return v.durableVersion == v.wantedVersion }
--- a/internal/store/rate_buckets.go
+++ b/internal/store/rate_buckets.go
@@ -13,7 +13,7 @@
 	calls  *rate.Limiter
 	writes *rate.Limiter
 	// reservedWrites is what each priority leaves of the writes for the ones before it.
-	reservedWrites [Priorities]float64
+	reservedWrites [NumPriorities]float64
 }
 
 // newRateBuckets makes full buckets.
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -47,7 +47,7 @@
 	PriorityCompletion
 
 	// Priorities is the number of priorities.
-	Priorities = int(PriorityCompletion) + 1
+	NumPriorities = int(PriorityCompletion) + 1
 )
 
 // Call is one request to the state service.
