--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -14,21 +14,21 @@
 	"juniperchute/internal/wire"
 )
 
-// Client sends calls to the state service over HTTP. It is safe for concurrent use.
+// Client executes calls of the state service over HTTP. It is safe for concurrent use.
 type Client struct {
 	baseURL string
 	http    *http.Client
 	now     func() time.Time
 }
 
-// NewClient makes a client of the service at an address, host:port. now is the clock
-// that Result.SentAt is read from.
+// NewClient returns a client for the service at address, in the form host:port. The clock now
+// provides Result.SentAt.
 func NewClient(address string, transport http.RoundTripper, now func() time.Time) *Client {
 	return &Client{baseURL: "http://" + address, http: &http.Client{Transport: transport}, now: now}
 }
 
-// Execute sends a call. It blocks until the response has come or the call's timeout has
-// passed, and reports failures in the result.
+// Execute sends a call and blocks until the response arrives, the call times out or ctx is
+// done. Failures are reported in Result.Err.
 func (c *Client) Execute(ctx context.Context, call Call) Result {
 	ctx, cancel := context.WithTimeout(ctx, call.Timeout())
 	defer cancel()
@@ -59,8 +59,8 @@
 	return request, nil
 }
 
-// exchange sends a request and reads the response, of its body at most one byte more
-// than tuning.MaxStoreResponseBytes.
+// exchange sends a request and returns the response. It reads one byte more than
+// tuning.MaxStoreResponseBytes, so that the caller can detect a truncated body.
 func (c *Client) exchange(request *http.Request) (status int, body []byte, err error) {
 	response, err := c.http.Do(request)
 	if err != nil {
@@ -71,7 +71,7 @@
 	return response.StatusCode, body, err
 }
 
-// responseBody has the fields of all responses of the service.
+// responseBody is the union of the response bodies of all operations.
 type responseBody struct {
 	wire.KeyValue
 	Items    []wire.KeyValue
@@ -83,8 +83,8 @@
 
 func decodeResult(op Op, status int, raw []byte) Result {
 	if len(raw) > tuning.MaxStoreResponseBytes && op == OpWatch {
-		// A second watch would return the same changes and more: the keys have to be
-		// listed again, a page at a time.
+		// Repeating the watch would return at least as much, so the caller must list the
+		// keys again, page by page.
 		return Result{Err: ErrCompacted}
 	}
 	var body responseBody
@@ -102,11 +102,11 @@
 	}
 }
 
-// encodedCall is the HTTP form of a call.
+// encodedCall holds the parts of the HTTP request for a call.
 type encodedCall struct {
 	method string
-	path   string // with the query
-	body   []byte // nil: none
+	path   string // includes the query
+	body   []byte // nil if the request has no body
 }
 
 func encodeCall(call Call) encodedCall {
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -13,19 +13,18 @@
 	"juniperchute/internal/wire"
 )
 
-// clientCase is a call with the request that it is sent as and the response to it.
 type clientCase struct {
 	name        string
 	call        Call
 	status      int
 	response    string
-	wantRequest string // method, path and body
+	wantRequest string // method, URI and body, separated by spaces
 	check       func(r Result) bool
 }
 
 var clientCases = []clientCase{
 	{
-		name:        "get",
+		name:        "get returns the value and version",
 		call:        Call{Op: OpGet, Key: "j/job-1"},
 		status:      200,
 		response:    `{"Path":"j/job-1","Value":{"x":1},"Stamp":412,"Hold":7}`,
@@ -35,7 +34,7 @@
 		},
 	},
 	{
-		name:        "get nothing",
+		name:        "get of a missing key returns ErrNotFound",
 		call:        Call{Op: OpGet, Key: "a"},
 		status:      404,
 		response:    `{"Epoch":431}`,
@@ -43,7 +42,7 @@
 		check:       func(r Result) bool { return errors.Is(r.Err, ErrNotFound) },
 	},
 	{
-		name:        "list",
+		name:        "list returns a page and the revision",
 		call:        Call{Op: OpList, Prefix: "q/0/", After: "q/0/x", PageSize: 10},
 		status:      200,
 		response:    `{"Items":[{"Path":"q/0/y","Value":1,"Stamp":2}],"More":true,"Epoch":9}`,
@@ -51,7 +50,7 @@
 		check:       func(r Result) bool { return len(r.KeyValues) == 1 && r.More && r.Revision == 9 },
 	},
 	{
-		name: "transaction",
+		name: "transaction reports the failed compares",
 		call: Call{Op: OpTransaction, Transaction: wire.Transaction{
 			Compares: []wire.Compare{VersionEquals("a", 0)},
 			Writes:   []wire.Write{Put("a", 1, 7), Delete("b")},
@@ -63,7 +62,7 @@
 		check: func(r Result) bool { return errors.Is(r.Err, ErrConflict) && r.ConflictsOn("a") },
 	},
 	{
-		name:        "grant a lease",
+		name:        "grant returns the lease",
 		call:        Call{Op: OpGrantLease, LeaseTTL: 3500 * time.Millisecond},
 		status:      200,
 		response:    `{"Hold":7}`,
@@ -71,14 +70,14 @@
 		check:       func(r Result) bool { return r.Lease == 7 },
 	},
 	{
-		name:        "renew a lease",
+		name:        "renewal of an expired lease returns ErrNotFound",
 		call:        Call{Op: OpRenewLease, Lease: 7},
 		status:      404,
 		wantRequest: `POST /grants/7/touch {}`,
 		check:       func(r Result) bool { return errors.Is(r.Err, ErrNotFound) },
 	},
 	{
-		name:        "watch",
+		name:        "watch returns the events",
 		call:        Call{Op: OpWatch, Prefix: "c/", SinceRevision: 5, WatchWaitMs: 10},
 		status:      200,
 		response:    `{"Epoch":6,"Events":[{"Remove":"c/d","Stamp":6}]}`,
@@ -86,7 +85,7 @@
 		check:       func(r Result) bool { return r.Events[0].Delete == "c/d" },
 	},
 	{
-		name:        "an unreadable response is none",
+		name:        "truncated body with status 200 returns ErrNoResponse",
 		call:        Call{Op: OpGet, Key: "a"},
 		status:      200,
 		response:    `{"Path"`,
@@ -94,7 +93,7 @@
 		check:       func(r Result) bool { return errors.Is(r.Err, ErrNoResponse) },
 	},
 	{
-		name:        "an unreadable rejection is one",
+		name:        "malformed body with an error status returns the status's error",
 		call:        Call{Op: OpGet, Key: "a"},
 		status:      503,
 		response:    `oops`,
@@ -124,7 +123,7 @@
 	}
 }
 
-// testClient is a client of a service that ends with the test.
+// testClient returns a client for a test server that is closed at the end of the test.
 func testClient(t *testing.T, serve http.HandlerFunc) *Client {
 	t.Helper()
 	server := httptest.NewServer(serve)
@@ -132,16 +131,16 @@
 	return NewClient(strings.TrimPrefix(server.URL, "http://"), http.DefaultTransport, time.Now)
 }
 
-// A response to a watch that is longer than a member reads: a second watch would return
-// as much, so the cache lists the keys again.
-func TestOversizedWatchResponse(t *testing.T) {
+// Repeating a watch whose response exceeds the size limit would fail forever. The cache must
+// list the keys instead.
+func TestOversizedWatchResponseForcesList(t *testing.T) {
 	long := `{"Epoch":9,"Events":[{"Remove":"` + strings.Repeat("x", tuning.MaxStoreResponseBytes) + `"}]}`
 	client := testClient(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, long) })
 	result := client.Execute(t.Context(), Call{Op: OpWatch, Prefix: "c/", WatchWaitMs: 1})
 	if !errors.Is(result.Err, ErrCompacted) {
 		t.Fatalf("error %v", result.Err)
 	}
-	service := &heldCalls{}
+	service := &pendingCalls{}
 	cache := NewWatchCache(WatchCacheOptions{
 		Prefix:    "c/",
 		StateCall: service.call,
@@ -151,6 +150,6 @@
 	service.reply(t, Result{Revision: 5})
 	service.reply(t, result)
 	if len(service.calls) == 0 || service.calls[0].Op != OpList {
-		t.Errorf("the keys are not listed again: %+v", service.calls)
+		t.Errorf("calls %+v, want a list", service.calls)
 	}
 }
--- a/internal/store/desired_value.go
+++ b/internal/store/desired_value.go
@@ -9,104 +9,106 @@
 	"juniperchute/internal/wire"
 )
 
-// DesiredValueOptions are what a DesiredValue is made of.
+// DesiredValueOptions configures a DesiredValue.
 type DesiredValueOptions struct {
 	Key         string
-	KeyVersion  uint64 // of the key as it is stored now; 0: it does not exist
+	KeyVersion  uint64 // current version of the stored key; 0 if it does not exist
 	Priority    Priority
-	TermCompare wire.Compare // holds while the writer's term goes on
+	TermCompare wire.Compare // succeeds until the writer's term ends
 	StateCall   Caller
-	// OnDurable is called with each version of the wanted value that has become durable.
+	// OnDurable is called with a version of the desired value once that version is durable.
 	OnDurable func(now time.Time, version int)
-	// OnTermLost is called when a write has shown that the term is over.
+	// OnTermLost is called when a write fails because the term has ended.
 	OnTermLost func(now time.Time)
-	// OnTooLarge is called when the service has rejected the wanted value for its size,
-	// and reports whether the owner will set a smaller one. Without it the value is written
-	// again after growing pauses.
+	// OnTooLarge is called when the service rejects the desired value for its size. It
+	// reports whether its implementation will call Set with a smaller value. If it is nil or
+	// returns false, the write is retried with exponential backoff.
 	OnTooLarge func(now time.Time) bool
 }
 
-// DesiredValue keeps one key at a wanted value, through rejections, lost responses and
-// late transactions: each write compares the version before it and the term, so that a
-// late one fails.
+// DesiredValue reconciles one stored key with a desired value despite rejections, lost
+// responses and delayed transactions. Each write is a compare-and-swap on the previous version
+// of the key and on the term, so a delayed write fails.
 //
 //	clean            Set        -> dirty
-//	dirty            Tick       -> writing; clean when there is no key to delete
-//	writing          written    -> clean; dirty when another value is wanted by now
+//	dirty            Tick       -> writing; clean if there is no key to delete
+//	writing          written    -> clean; dirty if the desired value has changed
 //	writing          conflict   -> reading version
-//	writing          too large  -> too large; dirty when the owner sets no smaller value
-//	writing          other      -> dirty, to be tried again after a pause
+//	writing          too large  -> too large; dirty if no smaller value will be set
+//	writing          other      -> dirty, retried after a backoff
 //	reading version  any result -> dirty
 //	too large        Set        -> dirty
 type DesiredValue struct {
-	options        DesiredValueOptions
-	state          desiredValueState
-	keyVersion     uint64
-	wanted         json.RawMessage // nil: no key
-	wantedVersion  int
-	durableVersion int // the newest version of the wanted value that is durable
-	retryAt        time.Time
-	sizeRetryPause time.Duration // after the last rejection for the size; 0: there was none
+	options          DesiredValueOptions
+	state            desiredValueState
+	keyVersion       uint64
+	desired          json.RawMessage // nil: no key
+	desiredVersion   int
+	durableVersion   int // newest durable version of the desired value
+	retryAt          time.Time
+	sizeRetryBackoff time.Duration // after the last size rejection; 0 if there was none
 }
 
 type desiredValueState int
 
 const (
-	valueClean          desiredValueState = iota // the service has what is wanted
-	valueDirty                                   // a write is due
+	valueClean          desiredValueState = iota // the stored value equals the desired value
+	valueDirty                                   // a write is pending
 	valueWriting                                 // a write is in flight
-	valueReadingVersion                          // the key's version is being read again
-	valueTooLarge                                // the owner is to set a smaller value
+	valueReadingVersion                          // a read of the key's version is in flight
+	valueTooLarge                                // waiting for a smaller value
 )
 
-// NewDesiredValue makes the writer of a key. Nothing is wanted before the first Set.
+// NewDesiredValue returns the writer of a key. It writes nothing before the first Set.
 func NewDesiredValue(options DesiredValueOptions) *DesiredValue {
 	return &DesiredValue{options: options, keyVersion: options.KeyVersion}
 }
 
-// Key is the key that is written.
+// Key returns the key in the state service.
 func (v *DesiredValue) Key() string { return v.options.Key }
 
-// Set wants another value, nil for no key, and returns its version. The next Tick writes it.
+// Set changes the desired value and returns its version. A nil value deletes the key. The next
+// Tick starts the write.
 func (v *DesiredValue) Set(value any) int {
-	v.wanted = nil
+	v.desired = nil
 	if value != nil {
-		v.wanted = Put(v.options.Key, value, 0).Value
+		v.desired = Put(v.options.Key, value, 0).Value
 	}
-	v.wantedVersion++
+	v.desiredVersion++
 	if v.state == valueClean || v.state == valueTooLarge {
 		v.state = valueDirty
 	}
-	return v.wantedVersion
+	return v.desiredVersion
 }
 
-// DesiredVersion is the version of the newest wanted value.
-func (v *DesiredValue) DesiredVersion() int { return v.wantedVersion }
+// DesiredVersion returns the version of the last Set. Versions count the calls of Set and are
+// not those of the stored key.
+func (v *DesiredValue) DesiredVersion() int { return v.desiredVersion }
 
-// Durable reports whether the newest wanted value is durable.
-func (v *DesiredValue) Durable() bool { return v.durableVersion == v.wantedVersion }
+// Durable reports whether the value of the last Set is durable.
+func (v *DesiredValue) Durable() bool { return v.durableVersion == v.desiredVersion }
 
-// Tick makes the write that is due.
+// Tick starts a pending write unless a backoff is active. The controller calls it periodically.
 func (v *DesiredValue) Tick(now time.Time) {
 	if v.state != valueDirty || now.Before(v.retryAt) {
 		return
 	}
-	if v.wanted == nil && v.keyVersion == 0 {
-		v.markDurable(now, v.wantedVersion)
+	if v.desired == nil && v.keyVersion == 0 {
+		v.markDurable(now, v.desiredVersion)
 		return
 	}
 	v.startWrite()
 }
 
-// desiredWrite is a write in flight: the wanted value may change meanwhile.
+// desiredWrite describes a write in flight. The desired value may change before it finishes.
 type desiredWrite struct {
-	version int // of the wanted value
+	version int // of the desired value that is written
 	deletes bool
 }
 
 func (v *DesiredValue) startWrite() {
-	write := desiredWrite{version: v.wantedVersion, deletes: v.wanted == nil}
-	change := wire.Write{Put: v.options.Key, Value: v.wanted}
+	write := desiredWrite{version: v.desiredVersion, deletes: v.desired == nil}
+	change := wire.Write{Put: v.options.Key, Value: v.desired}
 	if write.deletes {
 		change = Delete(v.options.Key)
 	}
@@ -132,31 +134,31 @@
 	case errors.Is(result.Err, ErrConflict):
 		v.readVersion()
 	case errors.Is(result.Err, ErrInvalid):
-		v.handleTooLarge(now, write.version)
+		v.handleSizeRejection(now, write.version)
 	default:
 		v.retryAfter(now, tuning.WriterRetryInitial)
 	}
 }
 
-func (v *DesiredValue) retryAfter(now time.Time, pause time.Duration) {
+func (v *DesiredValue) retryAfter(now time.Time, backoff time.Duration) {
 	v.state = valueDirty
-	v.retryAt = now.Add(pause)
+	v.retryAt = now.Add(backoff)
 }
 
 func (v *DesiredValue) markDurable(now time.Time, version int) {
-	v.durableVersion, v.sizeRetryPause = version, 0
+	v.durableVersion, v.sizeRetryBackoff = version, 0
 	v.state = valueClean
-	if v.wantedVersion != version {
+	if v.desiredVersion != version {
 		v.state = valueDirty
 	}
 	v.options.OnDurable(now, version)
 }
 
-// handleTooLarge handles a rejection for the size, by a limit that nobody announced: the
-// same value is not written again and again.
-func (v *DesiredValue) handleTooLarge(now time.Time, version int) {
-	if v.wantedVersion != version {
-		v.state = valueDirty // another value is wanted by now
+// handleSizeRejection waits for a smaller value if one will be set. Otherwise it retries with
+// exponential backoff.
+func (v *DesiredValue) handleSizeRejection(now time.Time, version int) {
+	if v.desiredVersion != version {
+		v.state = valueDirty // the desired value has changed
 		return
 	}
 	if v.options.OnTooLarge != nil {
@@ -165,12 +167,12 @@
 			return
 		}
 	}
-	v.sizeRetryPause = min(max(2*v.sizeRetryPause, tuning.WriterRetryInitial), tuning.WriterRetryMax)
-	v.retryAfter(now, v.sizeRetryPause)
+	v.sizeRetryBackoff = min(max(2*v.sizeRetryBackoff, tuning.WriterRetryInitial), tuning.WriterRetryMax)
+	v.retryAfter(now, v.sizeRetryBackoff)
 }
 
-// readVersion reads the key's version after a conflict: an earlier write, of which no
-// response came, was executed.
+// readVersion reads the key's version after a conflict, which means that an earlier write
+// without a response was executed.
 func (v *DesiredValue) readVersion() {
 	v.state = valueReadingVersion
 	call := Call{Op: OpGet, Priority: v.options.Priority, Key: v.options.Key}
--- a/internal/store/desired_value_test.go
+++ b/internal/store/desired_value_test.go
@@ -9,27 +9,27 @@
 
 type desiredValueCase struct {
 	name         string
-	results      []Result // of the calls, in order
+	results      []Result // results of the calls, in order
 	wantDurable  bool
 	wantTermLost bool
-	wantVersion  uint64 // that the last write compares
+	wantVersion  uint64 // version that the last write compares
 }
 
 var desiredValueCases = []desiredValueCase{
 	{
-		name:        "written",
+		name:        "successful write is durable",
 		results:     []Result{{Revision: 5}},
 		wantDurable: true,
 		wantVersion: 3,
 	},
 	{
-		name:        "unavailable, then written",
+		name:        "unavailable service: write is retried",
 		results:     []Result{{Err: ErrUnavailable}, {Revision: 5}},
 		wantDurable: true,
 		wantVersion: 3,
 	},
 	{
-		name: "no response, and it had been written",
+		name: "executed write without a response: version is read after the conflict",
 		results: []Result{
 			{Err: ErrNoResponse},
 			{Err: &ConflictError{FailedKeys: []string{"k"}}},
@@ -40,7 +40,7 @@
 		wantVersion: 4,
 	},
 	{
-		name: "conflict, and the key is deleted",
+		name: "conflict on a deleted key: version 0 is compared",
 		results: []Result{
 			{Err: &ConflictError{FailedKeys: []string{"k"}}},
 			{Err: ErrNotFound},
@@ -50,7 +50,7 @@
 		wantVersion: 0,
 	},
 	{
-		name:         "the term has ended",
+		name:         "conflict on the term: term is reported lost",
 		results:      []Result{{Err: &ConflictError{FailedKeys: []string{termKey}}}},
 		wantTermLost: true,
 		wantVersion:  3,
@@ -60,7 +60,7 @@
 func TestDesiredValue(t *testing.T) {
 	for _, c := range desiredValueCases {
 		t.Run(c.name, func(t *testing.T) {
-			service := &heldCalls{}
+			service := &pendingCalls{}
 			termLost := false
 			value := NewDesiredValue(DesiredValueOptions{
 				Key:         "k",
--- a/internal/store/errors_test.go
+++ b/internal/store/errors_test.go
@@ -13,21 +13,21 @@
 type statusErrorCase struct {
 	name   string
 	status int
-	want   error // of the sentinel errors; nil: none of them
+	want   error // the only matching sentinel error; nil if none matches
 }
 
 var statusErrorCases = []statusErrorCase{
-	{name: "invalid", status: http.StatusBadRequest, want: ErrInvalid},
-	{name: "not found", status: http.StatusNotFound, want: ErrNotFound},
-	{name: "conflict", status: http.StatusConflict, want: ErrConflict},
-	{name: "compacted", status: http.StatusGone, want: ErrCompacted},
-	{name: "throttled", status: http.StatusTooManyRequests, want: ErrThrottled},
-	{name: "unavailable", status: http.StatusServiceUnavailable, want: ErrUnavailable},
-	{name: "created is not a success", status: http.StatusCreated},
-	{name: "unknown", status: http.StatusInternalServerError},
+	{name: "400 is ErrInvalid", status: http.StatusBadRequest, want: ErrInvalid},
+	{name: "404 is ErrNotFound", status: http.StatusNotFound, want: ErrNotFound},
+	{name: "409 is ErrConflict", status: http.StatusConflict, want: ErrConflict},
+	{name: "410 is ErrCompacted", status: http.StatusGone, want: ErrCompacted},
+	{name: "429 is ErrThrottled", status: http.StatusTooManyRequests, want: ErrThrottled},
+	{name: "503 is ErrUnavailable", status: http.StatusServiceUnavailable, want: ErrUnavailable},
+	{name: "201 is an unexpected status", status: http.StatusCreated},
+	{name: "500 is an unexpected status", status: http.StatusInternalServerError},
 }
 
-// Each status stands for exactly one error, and 200 alone for success.
+// Each status maps to at most one sentinel error, and only 200 to success.
 func TestStatusError(t *testing.T) {
 	if err := statusError(http.StatusOK, nil); err != nil {
 		t.Errorf("200: %v", err)
--- a/internal/store/page_store_test.go
+++ b/internal/store/fake_service_test.go
@@ -12,27 +12,26 @@
 	"juniperchute/internal/wire"
 )
 
-// termKey is the key that the tests' writers compare; their term never ends.
+// termKey is the key of the TermCompare in the tests. fakeStateService always accepts it.
 const termKey = "c/b/0"
 
-// pageStore is a fake of the state service that keeps what is written and rejects values
-// above a limit.
-type pageStore struct {
+// fakeStateService executes transactions and rejects values that exceed the limit.
+type fakeStateService struct {
 	t        *testing.T
-	limit    int // bytes of a value
+	limit    int // size limit of a value in bytes
 	keys     map[string]wire.KeyValue
 	revision uint64
 	writes   int
-	rejected []string // keys with values, in order
+	rejected []string // concatenated keys and values of rejected writes, in order
 	now      time.Time
 }
 
-func newPageStore(t *testing.T, limit int) *pageStore {
-	return &pageStore{t: t, limit: limit, keys: map[string]wire.KeyValue{}, revision: 10, now: time.Unix(0, 0)}
+func newFakeStateService(t *testing.T, limit int) *fakeStateService {
+	return &fakeStateService{t: t, limit: limit, keys: map[string]wire.KeyValue{}, revision: 10, now: time.Unix(0, 0)}
 }
 
-// options are those of pages that write to the store once a second.
-func (s *pageStore) options(prefix string) PagesOptions {
+// options returns options for Pages that write to the service at most once per second.
+func (s *fakeStateService) options(prefix string) PagesOptions {
 	return PagesOptions{
 		Prefix:        prefix,
 		ValueKB:       1,
@@ -45,11 +44,11 @@
 	}
 }
 
-// items are the stored keys, in any order.
-func (s *pageStore) items() []wire.KeyValue { return slices.Collect(maps.Values(s.keys)) }
+// items returns the stored keys in arbitrary order.
+func (s *fakeStateService) items() []wire.KeyValue { return slices.Collect(maps.Values(s.keys)) }
 
-// entries counts the pages that hold each stored entry.
-func (s *pageStore) entries() map[string]int {
+// entries returns the number of stored pages that hold each entry.
+func (s *fakeStateService) entries() map[string]int {
 	counts := map[string]int{}
 	for _, item := range s.keys {
 		page := map[string]json.RawMessage{}
@@ -63,11 +62,11 @@
 	return counts
 }
 
-func (s *pageStore) call(call Call, done func(time.Time, Result)) {
+func (s *fakeStateService) call(call Call, done func(time.Time, Result)) {
 	done(s.now, s.execute(call.Transaction))
 }
 
-func (s *pageStore) execute(transaction wire.Transaction) Result {
+func (s *fakeStateService) execute(transaction wire.Transaction) Result {
 	for _, compare := range transaction.Compares {
 		if compare.Key != termKey && s.keys[compare.Key].Version != compare.Version {
 			return Result{Err: &ConflictError{FailedKeys: []string{compare.Key}}}
--- a/internal/store/page.go
+++ b/internal/store/page.go
@@ -7,38 +7,38 @@
 	"juniperchute/internal/tuning"
 )
 
-// page is one key with the entries that share it.
+// page is one stored key, whose value is a JSON object of entries.
 type page struct {
 	value      *DesiredValue
 	entries    map[string]json.RawMessage
-	size       int  // bytes that the entries take
-	unreadable bool // the stored value cannot be read: it is left as it is
+	size       int  // total size of the entries in bytes
+	unreadable bool // the stored value cannot be decoded and must not be overwritten
 	waiters    []pageWaiter
 
-	changed bool      // an entry was set since the last write
-	writeAt time.Time // when the next write may be made
-	pruned  bool      // entries were removed since the last write: nothing waits for that
-	pruneAt time.Time // when a page that was only pruned is written; zero: not set yet
+	changed bool      // entries were set since the last write
+	writeAt time.Time // earliest time of the next write
+	pruned  bool      // entries were removed since the last write
+	pruneAt time.Time // time of the write if entries were only removed; zero if not scheduled
 }
 
-// pageWaiter waits for a version of a page to become durable.
+// pageWaiter is a callback for the durability of one version of a page.
 type pageWaiter struct {
-	version   int // 0: that of the next write
+	version   int // of the page's DesiredValue; 0 until the next write assigns it
 	onDurable func(now time.Time)
 }
 
-// entryOverhead is what the JSON around an entry takes.
+// entryOverhead is the number of bytes that JSON syntax adds to an entry.
 const entryOverhead = len(`"":,`)
 
-// entrySize is what an entry takes of its page, in bytes.
+// entrySize returns the number of bytes that an entry adds to its page.
 func entrySize(key string, value json.RawMessage) int { return len(key) + len(value) + entryOverhead }
 
-// sizeAfterReplace is the page's size with another value of an entry that it holds.
+// sizeAfterReplace returns the size of the page after replace with the same arguments.
 func (p *page) sizeAfterReplace(key string, value json.RawMessage) int {
 	return p.size + len(value) - len(p.entries[key])
 }
 
-// replace sets another value of an entry that the page holds.
+// replace changes the value of an entry that the page already holds.
 func (p *page) replace(key string, value json.RawMessage) {
 	p.size = p.sizeAfterReplace(key, value)
 	p.entries[key] = value
@@ -51,13 +51,13 @@
 	p.changed = true
 }
 
-// load sets an entry that is stored on the page already.
+// load adds an entry from the stored value of the page, without marking the page as changed.
 func (p *page) load(key string, value json.RawMessage) {
 	p.size += entrySize(key, value)
 	p.entries[key] = value
 }
 
-// remove removes an entry if the page holds it.
+// remove deletes an entry from the page, if the page holds it.
 func (p *page) remove(key string) {
 	if value, ok := p.entries[key]; ok {
 		p.size -= entrySize(key, value)
@@ -66,12 +66,12 @@
 	}
 }
 
-// wait has a function called once the page's entries as they are now are durable.
-func (p *page) wait(onDurable func(now time.Time)) {
+// addWaiter registers a callback that is invoked once the current entries are durable.
+func (p *page) addWaiter(onDurable func(now time.Time)) {
 	p.waiters = append(p.waiters, pageWaiter{onDurable: onDurable})
 }
 
-// notifyWaiters calls those that wait for a version or an earlier one.
+// notifyWaiters invokes the callbacks for all versions up to the given one.
 func (p *page) notifyWaiters(now time.Time, version int) {
 	waiters := p.waiters
 	p.waiters = nil
@@ -84,27 +84,28 @@
 	}
 }
 
-// schedulePrune sets when a pruned page is written if no change comes first.
+// schedulePrune schedules the write of a page from which entries were only removed.
 func (p *page) schedulePrune(now time.Time) {
 	if p.pruned && p.pruneAt.IsZero() {
 		p.pruneAt = now.Add(tuning.PageRemovalInterval)
 	}
 }
 
-// writeDue reports whether the page is to be written now.
+// writeDue reports whether a write of the page may start.
 func (p *page) writeDue(now time.Time) bool {
 	return p.changed && !now.Before(p.writeAt) || p.pruned && !now.Before(p.pruneAt)
 }
 
-// write wants the page's entries to be stored as they are now, and no page without entries.
+// write sets the current entries as the desired value of the key. A page without entries is
+// deleted.
 func (p *page) write(now time.Time, interval time.Duration) {
 	p.changed, p.pruned, p.pruneAt = false, false, time.Time{}
 	p.writeAt = now.Add(interval)
-	var wanted any
+	var desired any
 	if len(p.entries) > 0 {
-		wanted = p.entries
+		desired = p.entries
 	}
-	version := p.value.Set(wanted)
+	version := p.value.Set(desired)
 	for i := range p.waiters {
 		if p.waiters[i].version == 0 {
 			p.waiters[i].version = version
--- a/internal/store/pages.go
+++ b/internal/store/pages.go
@@ -11,42 +11,41 @@
 	"juniperchute/internal/wire"
 )
 
-// PagesOptions are what Pages are made of.
+// PagesOptions configures a set of Pages.
 type PagesOptions struct {
-	Prefix      string  // of the pages' keys; a page's number follows
-	ValueKB     float64 // the service's limit for a value
+	Prefix      string  // of the keys; the number of the page is appended
+	ValueKB     float64 // size limit of a value in the state service
 	Priority    Priority
-	TermCompare wire.Compare // holds while the writer's term goes on
+	TermCompare wire.Compare // succeeds until the writer's term ends
 	StateCall   Caller
 	Log         *slog.Logger
-	// WriteInterval is the least time between two writes of a page.
+	// WriteInterval is the minimum time between two writes of a page.
 	WriteInterval time.Duration
-	// OnTermLost is called when a write has shown that the term is over.
+	// OnTermLost is called when a write fails because the term has ended.
 	OnTermLost func(now time.Time)
 }
 
-// Pages keeps many small entries in few keys, so that many changes cost one write for
-// each interval and page. An entry that its page has no space for is put on another one.
-// A page that is larger than the limit, as it was written under a higher one, is split
-// before it is written again.
+// Pages stores many small entries in few keys, which batches the writes: all changes of a page
+// within WriteInterval cost one write. An entry that no longer fits on its page moves to
+// another page. A page that exceeds the size limit is split before its next write.
 //
-// An entry that moves has copies on two pages until the newer one is durable: what a
-// successor loads may name it twice, but never not at all.
+// While an entry moves, both pages hold a copy until the newer copy is durable. After a
+// failover, Load may therefore return an entry twice but never misses one.
 type Pages struct {
-	// OnLimitLowered is called when the limit of a page has become smaller, as the service
-	// rejected one: the owner has to put entries larger than MaxEntryBytes in smaller
-	// ones. It may be nil.
+	// OnLimitLowered is called after the service has rejected a page for its size and the page
+	// limit was lowered. The callback must replace entries larger than MaxEntryBytes by
+	// smaller ones. It may be nil.
 	OnLimitLowered func()
 
 	options      PagesOptions
-	maxPageBytes int                // that a page's entries may take
-	pages        []*page            // by number; nil: there is none
-	pageOf       map[string]*page   // with the newest copy of an entry
-	stalePagesOf map[string][]*page // with older copies of an entry, until the newest is durable
+	maxPageBytes int                // limit of the total size of a page's entries
+	pages        []*page            // by number; nil if the page does not exist
+	pageOf       map[string]*page   // page with the newest copy, by entry
+	stalePagesOf map[string][]*page // pages with older copies, by entry, until the newest is durable
 	unreadable   int
 }
 
-// NewPages makes empty pages; Load adds what is stored.
+// NewPages returns a set without entries. Load adds the stored entries.
 func NewPages(options PagesOptions) *Pages {
 	return &Pages{
 		options:      options,
@@ -56,10 +55,10 @@
 	}
 }
 
-// MaxEntryBytes is what an entry may take at most.
+// MaxEntryBytes returns the maximum size of an entry, including its key and JSON syntax.
 func (p *Pages) MaxEntryBytes() int { return p.maxPageBytes }
 
-// Put sets an entry and calls onDurable once that is durable.
+// Put sets an entry and calls onDurable once the entry is durable.
 func (p *Pages) Put(key string, value any, onDurable func(now time.Time)) {
 	raw := Put(key, value, 0).Value
 	target := p.pageOf[key]
@@ -73,16 +72,15 @@
 		target.add(key, raw)
 		p.pageOf[key] = target
 	}
-	target.wait(func(now time.Time) {
+	target.addWaiter(func(now time.Time) {
 		p.removeStaleCopies(key)
 		onDurable(now)
 	})
 }
 
-// Delete removes an entry. Nothing waits for it, and a removed entry that is still stored
-// does no harm, so it goes with the page's next write, or after
-// tuning.PageRemovalInterval: jobs that end one after the other would otherwise cost a
-// write each.
+// Delete removes an entry. The removal is stored with the page's next write, or after
+// tuning.PageRemovalInterval if the page does not change, which batches the removals. Load may
+// therefore return an entry that an earlier term has deleted.
 func (p *Pages) Delete(key string) {
 	if holding := p.pageOf[key]; holding != nil {
 		holding.remove(key)
@@ -91,7 +89,7 @@
 	}
 }
 
-// removeStaleCopies removes all copies of an entry but the newest.
+// removeStaleCopies removes all copies of an entry except the newest.
 func (p *Pages) removeStaleCopies(key string) {
 	for _, stale := range p.stalePagesOf[key] {
 		if stale != p.pageOf[key] {
@@ -101,9 +99,9 @@
 	delete(p.stalePagesOf, key)
 }
 
-// Tick makes the writes that are due.
+// Tick starts the writes that are due. The controller calls it periodically.
 func (p *Pages) Tick(now time.Time) {
-	for number := 0; number < len(p.pages); number++ { // a split adds pages
+	for number := 0; number < len(p.pages); number++ { // a split may append pages
 		current := p.pages[number]
 		if current == nil || current.unreadable {
 			continue
@@ -120,8 +118,8 @@
 	}
 }
 
-// pageWithSpace finds a page, other than the excluded one, with space for some bytes, or
-// adds one.
+// pageWithSpace returns the first page other than excluded that has room for the given number
+// of bytes. If there is none, it adds a page.
 func (p *Pages) pageWithSpace(bytes int, excluded *page) *page {
 	for _, candidate := range p.pages {
 		if candidate == nil || candidate == excluded || candidate.unreadable {
@@ -138,7 +136,7 @@
 	return p.addPage(number, 0)
 }
 
-// addPage adds an empty page whose key has a version; 0: it does not exist.
+// addPage adds an empty page. version is that of the stored key, 0 if the key does not exist.
 func (p *Pages) addPage(number int, version uint64) *page {
 	added := &page{entries: map[string]json.RawMessage{}}
 	added.value = NewDesiredValue(DesiredValueOptions{
--- a/internal/store/pages_load.go
+++ b/internal/store/pages_load.go
@@ -13,18 +13,18 @@
 	"juniperchute/internal/wire"
 )
 
-// Load takes over the pages of earlier terms and calls visit for each entry, in key order
-// within a page. A page that cannot be read keeps its place and is never written.
+// Load adds the stored pages of earlier terms and calls visit for each entry, in key order
+// within a page. A page that cannot be decoded is never overwritten.
 func (p *Pages) Load(items []wire.KeyValue, visit func(key string, value json.RawMessage)) {
 	for _, item := range items {
 		if err := p.loadPage(item, visit); err != nil {
-			p.options.Log.Error("page cannot be read", "key", item.Key, "error", err)
+			p.options.Log.Error("failed to decode page", "key", item.Key, "error", err)
 			p.unreadable++
 		}
 	}
 }
 
-// Unreadable is how many pages could not be read: their entries are not known.
+// Unreadable returns the number of pages that Load could not decode. Their entries are unknown.
 func (p *Pages) Unreadable() int { return p.unreadable }
 
 func (p *Pages) loadPage(item wire.KeyValue, visit func(key string, value json.RawMessage)) error {
@@ -47,14 +47,14 @@
 
 func (p *Pages) loadEntry(loaded *page, key string, value json.RawMessage) {
 	if other := p.pageOf[key]; other != nil {
-		// the earlier term ended while the entry moved: which copy is newer is not known
+		// the earlier term ended during a move; which copy is newer is unknown
 		p.stalePagesOf[key] = append(p.stalePagesOf[key], other)
 	}
 	loaded.load(key, value)
 	p.pageOf[key] = loaded
 }
 
-// pageNumber is the number in a page's key.
+// pageNumber parses the number of a page from its key.
 func (p *Pages) pageNumber(key string) (int, error) {
 	number, err := strconv.Atoi(strings.TrimPrefix(key, p.options.Prefix))
 	if err != nil {
@@ -66,7 +66,7 @@
 	return number, nil
 }
 
-// errNoEntries is the error of a page whose value is null.
+// errNoEntries is returned for a page whose value is the JSON null.
 var errNoEntries = errors.New("decode page: no entries")
 
 func decodeEntries(raw json.RawMessage) (map[string]json.RawMessage, error) {
--- a/internal/store/pages_split.go
+++ b/internal/store/pages_split.go
@@ -8,17 +8,18 @@
 	"juniperchute/internal/tuning"
 )
 
-// lowerLimit makes the limit of all pages smaller, as the service has rejected one of
-// them for its size, and reports whether it could be: then the rejected page is split.
+// lowerLimit lowers the size limit of all pages after the service has rejected one. It returns
+// false if the limit is already tuning.MinPageBytes. Otherwise a later Tick splits the
+// rejected page.
 func (p *Pages) lowerLimit(rejected *page) bool {
 	if p.maxPageBytes <= tuning.MinPageBytes {
-		p.options.Log.Error("state service rejects even a small page", "key", rejected.value.Key(),
-			"bytes", rejected.size)
+		p.options.Log.Error("state service rejected a page at the minimum size limit",
+			"key", rejected.value.Key(), "bytes", rejected.size)
 		return false
 	}
 	p.maxPageBytes = max(tuning.MinPageBytes, min(p.maxPageBytes, rejected.size)/2)
-	p.options.Log.Warn("page rejected for its size", "key", rejected.value.Key(), "bytes", rejected.size,
-		"limit", p.maxPageBytes)
+	p.options.Log.Warn("state service rejected a page for its size; page limit lowered",
+		"key", rejected.value.Key(), "bytes", rejected.size, "limit", p.maxPageBytes)
 	rejected.changed = true
 	if p.OnLimitLowered != nil {
 		p.OnLimitLowered()
@@ -26,8 +27,8 @@
 	return true
 }
 
-// split moves entries of a page that is larger than the limit to others, until the rest
-// fits. An entry that is itself too large stays: its owner has to make it smaller.
+// split moves entries to other pages until the remaining entries fit. An entry that exceeds
+// the limit by itself stays; OnLimitLowered must replace it.
 func (p *Pages) split(large *page) {
 	keys := p.newestEntries(large)
 	remaining := 0
@@ -45,7 +46,7 @@
 	}
 }
 
-// newestEntries lists the entries whose newest copy a page holds, in key order.
+// newestEntries returns, in key order, the entries whose newest copy is on the page.
 func (p *Pages) newestEntries(holding *page) []string {
 	var keys []string
 	for _, key := range slices.Sorted(maps.Keys(holding.entries)) {
@@ -56,12 +57,13 @@
 	return keys
 }
 
-// moveEntry copies an entry to another page. The copy here goes once the other is durable.
+// moveEntry copies an entry to another page and removes the old copy once the new one is
+// durable.
 func (p *Pages) moveEntry(key string, from *page) {
 	value := from.entries[key]
 	to := p.pageWithSpace(entrySize(key, value), from)
 	to.add(key, value)
 	p.pageOf[key] = to
 	p.stalePagesOf[key] = append(p.stalePagesOf[key], from)
-	to.wait(func(time.Time) { p.removeStaleCopies(key) })
+	to.addWaiter(func(time.Time) { p.removeStaleCopies(key) })
 }
--- a/internal/store/pages_test.go
+++ b/internal/store/pages_test.go
@@ -13,13 +13,13 @@
 	"juniperchute/internal/wire"
 )
 
-// Entries share pages, pages keep to their limit, each is written once an interval, and a
-// successor finds everything again.
-func TestPages(t *testing.T) {
-	service := newPageStore(t, 1024)
+// Pages must respect the size limit and the write interval, and a successor must load every
+// entry.
+func TestPagesShareAndBatchWrites(t *testing.T) {
+	service := newFakeStateService(t, 1024)
 	defer func() {
 		for _, value := range service.rejected {
-			t.Errorf("written above the limit: %.40s", value)
+			t.Errorf("write exceeds the size limit: %.40s", value)
 		}
 	}()
 	pages := NewPages(service.options("t/0/"))
@@ -29,29 +29,29 @@
 		pages.Put(fmt.Sprintf("job-%d/0", i), strings.Repeat("x", 20), countDurable)
 	}
 	if durable != 0 {
-		t.Fatal("durable before it was written")
+		t.Fatal("entries are reported durable before a write")
 	}
 	pages.Tick(service.now)
 	if durable != 60 || service.writes != len(service.keys) || service.writes < 2 || service.writes > 4 {
-		t.Fatalf("%d durable by %d writes in %d pages", durable, service.writes, len(service.keys))
+		t.Fatalf("%d entries durable after %d writes to %d pages", durable, service.writes, len(service.keys))
 	}
 	before := service.writes
 	pages.Put("job-0/0", strings.Repeat("y", 20), countDurable)
 	pages.Delete("job-1/0")
 	for range 10 {
-		pages.Tick(service.now) // not yet
+		pages.Tick(service.now) // before the write interval has passed
 	}
 	service.now = service.now.Add(time.Second)
 	pages.Tick(service.now)
 	if durable != 61 || service.writes != before+1 {
-		t.Errorf("%d durable by %d more writes, want one", durable, service.writes-before)
+		t.Errorf("%d entries durable after %d more writes, want 61 after 1", durable, service.writes-before)
 	}
-	requireSuccessor(t, service)
+	requireLoadAndRemoval(t, service)
 }
 
-// requireSuccessor checks that a successor finds what TestPages has stored, and that what
-// it removes costs few writes.
-func requireSuccessor(t *testing.T, service *pageStore) {
+// requireLoadAndRemoval checks that a successor loads the stored entries and that it batches
+// the removal of all of them.
+func requireLoadAndRemoval(t *testing.T, service *fakeStateService) {
 	t.Helper()
 	found := map[string]string{}
 	pages := NewPages(service.options("t/0/"))
@@ -63,23 +63,23 @@
 	for key := range found {
 		pages.Delete(key)
 	}
-	for range 5 { // nothing waits for this: not each removal is a write
+	for range 5 { // less than tuning.PageRemovalInterval
 		service.now = service.now.Add(time.Second)
 		pages.Tick(service.now)
 	}
 	if service.writes != before {
-		t.Errorf("%d writes for removals", service.writes-before)
+		t.Errorf("%d writes for removals before tuning.PageRemovalInterval, want none", service.writes-before)
 	}
 	pages.Tick(service.now.Add(tuning.PageRemovalInterval))
 	if len(service.keys) != 0 {
-		t.Errorf("%d empty pages are left", len(service.keys))
+		t.Errorf("%d pages are stored, want none", len(service.keys))
 	}
 }
 
-// A page that was written under a higher limit is split before it is written again, in
-// an order in which no entry is ever missing from what is stored.
-func TestPageSplit(t *testing.T) {
-	service := newPageStore(t, 1024)
+// A stored page that exceeds the current limit must be split before it is written, and no entry
+// may be missing from the store at any point of the split.
+func TestPagesSplitWithoutLosingEntries(t *testing.T) {
+	service := newFakeStateService(t, 1024)
 	large := map[string]string{}
 	for i := range 60 {
 		large[fmt.Sprintf("i-%06d", i)] = fmt.Sprintf("10.0.0.%d:9000", i)
@@ -87,14 +87,14 @@
 	raw, _ := json.Marshal(large)
 	service.keys["u/0/0"] = wire.KeyValue{Key: "u/0/0", Value: raw, Version: 5}
 
-	held := &heldCalls{}
+	held := &pendingCalls{}
 	options := service.options("u/0/")
 	options.StateCall = held.call
 	pages := NewPages(options)
 	pages.Load(service.items(), func(string, json.RawMessage) {})
 	pages.Tick(service.now)
 	if len(held.calls) != 0 {
-		t.Fatal("a page that nothing changed was written")
+		t.Fatal("an unchanged page was written")
 	}
 	pages.Put("i-000060", "10.0.0.60:9000", func(time.Time) {})
 	pages.Delete("i-000003")
@@ -112,14 +112,14 @@
 	}
 	for key, count := range stored {
 		if _, wanted := large[key]; count != 1 || !wanted {
-			t.Errorf("%s is in %d pages", key, count)
+			t.Errorf("%s is on %d pages, want 1 (0 if it was deleted)", key, count)
 		}
 	}
 }
 
-// executeNewestFirst executes the calls in flight, the newest first, and checks that none
-// exceeds the limit and that after each the wanted entries are stored.
-func executeNewestFirst(t *testing.T, service *pageStore, held *heldCalls, wanted []string) {
+// executeNewestFirst executes the calls in flight in reverse order. It checks that none exceeds
+// the size limit and that all wanted entries are stored after each.
+func executeNewestFirst(t *testing.T, service *fakeStateService, held *pendingCalls, wanted []string) {
 	t.Helper()
 	for last := len(held.calls) - 1; last >= 0; last-- {
 		call, done := held.calls[last], held.done[last]
@@ -131,35 +131,35 @@
 		stored := service.entries()
 		for _, key := range wanted {
 			if stored[key] == 0 {
-				t.Fatalf("%s is in no page any more", key)
+				t.Fatalf("%s is not on any stored page", key)
 			}
 		}
 		done(service.now, result)
 	}
 	if len(held.calls) != 0 {
-		t.Fatalf("%d calls in reply to results", len(held.calls))
+		t.Fatalf("%d calls were sent by the callbacks of results, want none", len(held.calls))
 	}
 }
 
 type unannouncedLimitCase struct {
 	name    string
 	limit   int
-	durable bool // whether all entries can become durable
+	durable bool // whether all entries fit within the limit
 }
 
 var unannouncedLimitCases = []unannouncedLimitCase{
-	{name: "half of the present one", limit: 512, durable: true},
-	{name: "an eighth of it", limit: 130, durable: true},
-	{name: "less than one entry takes", limit: 20, durable: false},
+	{name: "half of the configured limit", limit: 512, durable: true},
+	{name: "an eighth of the configured limit", limit: 130, durable: true},
+	{name: "below the size of one entry", limit: 20, durable: false},
 }
 
-// A limit that nobody announced shows by a rejection for the size: the page is split until
-// it is accepted, nothing is dropped, and no rejected value is written a second time.
-func TestUnannouncedLimit(t *testing.T) {
+// The service may enforce a lower size limit than the settings announce. Rejected pages must be
+// split until they fit, without loss of entries and without retries of a rejected value.
+func TestPagesAdaptToSizeLimit(t *testing.T) {
 	const entries, seconds = 60, 60 * 60
 	for _, c := range unannouncedLimitCases {
 		t.Run(c.name, func(t *testing.T) {
-			service := newPageStore(t, c.limit)
+			service := newFakeStateService(t, c.limit)
 			pages, durable := NewPages(service.options("u/0/")), map[string]bool{}
 			for i := range entries {
 				key := fmt.Sprintf("i-%06d", i)
@@ -173,26 +173,27 @@
 			successor := NewPages(service.options("u/0/"))
 			successor.Load(service.items(), func(key string, _ json.RawMessage) { found[key] = true })
 			if c.durable != (len(durable) == entries) || c.durable != (len(found) == entries) {
-				t.Errorf("%d of %d durable, %d found", len(durable), entries, len(found))
+				t.Errorf("%d of %d entries durable, %d loaded", len(durable), entries, len(found))
 			}
 			times := map[string]int{}
 			for _, value := range service.rejected {
 				if times[value]++; c.durable && times[value] > 1 {
-					t.Errorf("rejected again: %.40s", value)
+					t.Errorf("rejected value was written again: %.40s", value)
 				}
 			}
 			most := seconds / int(tuning.WriterRetryMax.Seconds()) * (len(times) + 1)
 			if len(service.rejected) > most {
-				t.Errorf("%d rejections in an hour, %d values", len(service.rejected), len(times))
+				t.Errorf("%d rejections of %d values in an hour, want at most %d",
+					len(service.rejected), len(times), most)
 			}
 		})
 	}
 }
 
-// A page that cannot be read keeps its place: nothing is written over it.
-func TestUnreadablePage(t *testing.T) {
+// Overwriting a page that cannot be decoded would destroy its entries.
+func TestPagesKeepUndecodablePage(t *testing.T) {
 	for _, value := range []string{`{"i-000001":"10.0`, `["i-000001"]`, `null`, `7`} {
-		service := newPageStore(t, 1024)
+		service := newFakeStateService(t, 1024)
 		service.keys["u/0/0"] = wire.KeyValue{Key: "u/0/0", Value: json.RawMessage(value), Version: 5}
 		service.keys["u/0/1"] = wire.KeyValue{Key: "u/0/1", Value: json.RawMessage(`{"i-000002":"a"}`), Version: 6}
 		pages, found, durable := NewPages(service.options("u/0/")), 0, 0
@@ -205,7 +206,7 @@
 		}
 		stored := string(service.keys["u/0/0"].Value)
 		if stored != value || pages.Unreadable() != 1 || found != 1 || durable != 80 {
-			t.Errorf("%s became %s; %d unreadable, %d found, %d durable",
+			t.Errorf("%s became %s; %d unreadable, %d entries loaded, %d durable",
 				value, stored, pages.Unreadable(), found, durable)
 		}
 	}
--- a/internal/store/rate_buckets.go
+++ b/internal/store/rate_buckets.go
@@ -8,15 +8,17 @@
 	"juniperchute/internal/tuning"
 )
 
-// rateBuckets are the token buckets of the rates, each with a burst of one second.
+// rateBuckets holds the token buckets for calls and for writes. The burst of each bucket is
+// the rate of one second.
 type rateBuckets struct {
 	calls  *rate.Limiter
 	writes *rate.Limiter
-	// reservedWrites is what each priority leaves of the writes for the ones before it.
+	// reservedWrites is, by priority, the number of write tokens that calls of that priority
+	// must leave for more urgent calls.
 	reservedWrites [NumPriorities]float64
 }
 
-// newRateBuckets makes full buckets.
+// newRateBuckets returns full buckets.
 func newRateBuckets(r rates) rateBuckets {
 	buckets := rateBuckets{
 		calls:  rate.NewLimiter(rate.Limit(r.calls), burst(r.calls)),
@@ -28,7 +30,7 @@
 
 func burst(perSecond float64) int { return max(1, int(perSecond)) }
 
-// setRates changes the rates and leaves what the buckets hold.
+// setRates changes the rates and keeps the tokens that the buckets hold.
 func (b *rateBuckets) setRates(now time.Time, r rates) {
 	b.calls.SetLimitAt(now, rate.Limit(r.calls))
 	b.calls.SetBurstAt(now, burst(r.calls))
@@ -45,8 +47,9 @@
 
 func (b *rateBuckets) allowCall(now time.Time) bool { return b.calls.TokensAt(now) >= 1 }
 
-// allowWrites reports whether a call's writes leave what is reserved for other priorities.
-// A transaction larger than the bucket needs a full one only.
+// allowWrites reports whether the write bucket holds enough tokens for a call in addition to
+// the reservation for more urgent calls. A transaction larger than the bucket only requires a
+// full bucket.
 func (b *rateBuckets) allowWrites(now time.Time, call Call) bool {
 	count := len(call.Transaction.Writes)
 	if count == 0 {
@@ -60,15 +63,15 @@
 	return b.writes.TokensAt(now) >= needed+reserved
 }
 
-func (b *rateBuckets) spend(now time.Time, call Call) {
+func (b *rateBuckets) consume(now time.Time, call Call) {
 	if count := len(call.Transaction.Writes); count > 0 {
 		b.writes.AllowN(now, min(count, b.writes.Burst()))
 	}
 	b.calls.AllowN(now, 1)
 }
 
-// drain empties the bucket of the rate that a call was rejected for: other members have
-// used it up. As it fills again the most urgent calls may spend it first.
+// drain empties the bucket for which a call was throttled, because other members have used up
+// the rate. While the bucket refills, the reservations let the most urgent calls pass first.
 func (b *rateBuckets) drain(now time.Time, call Call) {
 	bucket := b.calls
 	if len(call.Transaction.Writes) > 0 {
--- a/internal/store/rate_limiter_test.go
+++ b/internal/store/rate_limiter_test.go
@@ -9,52 +9,52 @@
 	"juniperchute/internal/wire"
 )
 
-// oneWrite is a transaction with one write.
-func oneWrite(priority Priority) Call {
+// singleWrite returns a transaction with one write.
+func singleWrite(priority Priority) Call {
 	return Call{Op: OpTransaction, Priority: priority, Transaction: wire.Transaction{Writes: []wire.Write{Delete("a")}}}
 }
 
-// fallingLimits are 20 writes a second now and 10 later.
-func fallingLimits(callsPerSecond float64) config.StateLimits {
+// decreasingLimits returns limits of 20 writes per second at present and 10 in the future.
+func decreasingLimits(callsPerSecond float64) config.StateLimits {
 	return config.StateLimits{RPS: callsPerSecond, WriteRPS: 20, Next: config.UpcomingLimits{"write_rps": 10.0}}
 }
 
+// Less urgent writes must not consume the tokens that are reserved for more urgent ones.
 func TestRateLimiterPriorities(t *testing.T) {
 	now := time.Unix(100, 0)
 	limiter := NewRateLimiter(config.StateLimits{RPS: 200, WriteRPS: 20}, 1)
 	spend := func(priority Priority) (writes int) {
 		for {
-			if _, ok := limiter.Take(now, oneWrite(priority)); !ok {
+			if _, ok := limiter.Take(now, singleWrite(priority)); !ok {
 				return writes
 			}
 			writes++
 		}
 	}
-	// each priority leaves something for the ones before it
 	for _, c := range []struct {
 		name     string
 		priority Priority
 		want     int
 	}{
 		{name: "completions", priority: PriorityCompletion, want: 12},
-		{name: "ends of jobs", priority: PriorityJobEnd, want: 4},
+		{name: "job ends", priority: PriorityJobEnd, want: 4},
 		{name: "users", priority: PriorityUser, want: 2},
 		{name: "leases", priority: PriorityLease, want: 2},
 	} {
 		if got := spend(c.priority); got != c.want {
-			t.Errorf("%s: %d writes of a bucket of 20, want %d", c.name, got, c.want)
+			t.Errorf("%s: %d writes from a bucket of 20 tokens, want %d", c.name, got, c.want)
 		}
 	}
 	if _, ok := limiter.Take(now, Call{Op: OpGet}); !ok {
-		t.Error("a read was held back by writes")
+		t.Error("a read was rejected because the write bucket is empty")
 	}
 	now = now.Add(time.Second)
-	if _, ok := limiter.Take(now, oneWrite(PriorityCompletion)); !ok {
-		t.Error("the bucket did not fill again")
+	if _, ok := limiter.Take(now, singleWrite(PriorityCompletion)); !ok {
+		t.Error("the write bucket was not refilled")
 	}
 }
 
-type lowerCase struct {
+type lowerLimitsCase struct {
 	name     string
 	call     Call
 	err      error
@@ -63,53 +63,53 @@
 	want     bool
 }
 
-var lowerCases = []lowerCase{
+var lowerLimitsCases = []lowerLimitsCase{
 	{
-		name: "responses as usual", call: oneWrite(PriorityUser), err: nil,
+		name: "successes keep the current limits", call: singleWrite(PriorityUser), err: nil,
 		interval: time.Millisecond, count: 100, want: false,
 	},
 	{
-		name: "conflicts", call: oneWrite(PriorityUser), err: &ConflictError{},
+		name: "conflicts keep the current limits", call: singleWrite(PriorityUser), err: &ConflictError{},
 		interval: time.Millisecond, count: 100, want: false,
 	},
 	{
-		name: "an outage", call: oneWrite(PriorityUser), err: ErrUnavailable,
+		name: "an outage keeps the current limits", call: singleWrite(PriorityUser), err: ErrUnavailable,
 		interval: time.Millisecond, count: 100, want: false,
 	},
 	{
-		name: "a few rejections in a burst", call: oneWrite(PriorityUser), err: ErrThrottled,
+		name: "a short burst of throttling keeps the limits", call: singleWrite(PriorityUser), err: ErrThrottled,
 		interval: 100 * time.Millisecond, count: 8, want: false,
 	},
 	{
-		name: "rejections now and then", call: oneWrite(PriorityUser), err: ErrThrottled,
+		name: "sporadic throttled calls keep the current limits", call: singleWrite(PriorityUser), err: ErrThrottled,
 		interval: 2 * time.Second, count: 60, want: false,
 	},
 	{
-		name: "a rate of rejections", call: oneWrite(PriorityUser), err: ErrThrottled,
+		name: "sustained throttling lowers the limits", call: singleWrite(PriorityUser), err: ErrThrottled,
 		interval: 300 * time.Millisecond, count: 20, want: true,
 	},
 	{
-		name: "one for a size", call: oneWrite(PriorityUser), err: ErrInvalid,
+		name: "one size rejection lowers the limits", call: singleWrite(PriorityUser), err: ErrInvalid,
 		interval: 0, count: 1, want: true,
 	},
 	{
-		name: "an expired lease",
+		name: "an expired lease keeps the current limits",
 		call: Call{Op: OpTransaction, Transaction: wire.Transaction{Writes: []wire.Write{{Put: "c/leader", Lease: 7}}}},
 		err:  ErrInvalid, interval: 0, count: 3, want: false,
 	},
 	{
-		name: "a malformed read", call: Call{Op: OpGet}, err: ErrInvalid,
+		name: "an invalid read keeps the current limits", call: Call{Op: OpGet}, err: ErrInvalid,
 		interval: 0, count: 3, want: false,
 	},
 }
 
-// Nobody announces when the limits fall: rejections beyond what uneven shares explain do,
-// or one for a size. Until then the current rate is used.
+// The service lowers its limits without notice. The limiter must infer that from sustained
+// throttling or a size rejection, and must use the current rate otherwise.
 func TestRateLimiterLowers(t *testing.T) {
-	for _, c := range lowerCases {
+	for _, c := range lowerLimitsCases {
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Unix(100, 0)
-			limiter := NewRateLimiter(fallingLimits(100), 1)
+			limiter := NewRateLimiter(decreasingLimits(100), 1)
 			lowered := false
 			for range c.count {
 				now = now.Add(c.interval)
@@ -118,65 +118,64 @@
 			now = now.Add(time.Minute)
 			writes := 0
 			for end := now.Add(10 * time.Second); now.Before(end); now = now.Add(10 * time.Millisecond) {
-				if _, ok := limiter.Take(now, oneWrite(PriorityUser)); ok {
+				if _, ok := limiter.Take(now, singleWrite(PriorityUser)); ok {
 					writes++
 				}
 			}
 			if low := writes < 150; lowered != c.want || low != c.want {
-				t.Errorf("lowered %v, %d writes in 10 s", lowered, writes)
+				t.Errorf("lowered %v, %d writes in 10 s; want lowered %v", lowered, writes, c.want)
 			}
 		})
 	}
 }
 
-type trialCase struct {
+type limitsTrialCase struct {
 	name           string
-	fallen         bool
-	leastRejected  int
-	mostRejected   int
-	leastPerSecond int // writes, at the end
-	mostPerSecond  int
+	serviceLowered bool
+	minRejections  int
+	maxRejections  int
+	minPerSecond   int // writes per second at the end of the test
+	maxPerSecond   int
 }
 
-var trialCases = []trialCase{
+var limitsTrialCases = []limitsTrialCase{
 	{
-		name: "a burst passes", fallen: false,
-		leastRejected: 0, mostRejected: 0,
-		leastPerSecond: 18, mostPerSecond: 21,
+		name: "temporary burst: current limits are restored", serviceLowered: false,
+		minRejections: 0, maxRejections: 0,
+		minPerSecond: 18, maxPerSecond: 21,
 	},
 	{
-		name: "the limits have fallen", fallen: true,
-		leastRejected: 1, mostRejected: 60,
-		leastPerSecond: 8, mostPerSecond: 11,
+		name: "lowered service limits: trials fail with few rejections", serviceLowered: true,
+		minRejections: 1, maxRejections: 60,
+		minPerSecond: 8, maxPerSecond: 11,
 	},
 }
 
-// A lowered rate is tried again after a while, as a burst of other members looks like a
-// change of the limits; where the limits have fallen, a trial costs few rejections and
-// the next one comes later.
+// A burst by other members must not lower the rate permanently, and trials of the current
+// limits must cause few rejections if the service has lowered them.
 func TestRateLimiterTrial(t *testing.T) {
 	const hours = 2
-	for _, c := range trialCases {
+	for _, c := range limitsTrialCases {
 		t.Run(c.name, func(t *testing.T) {
-			limiter := NewRateLimiter(fallingLimits(100), 1)
+			limiter := NewRateLimiter(decreasingLimits(100), 1)
 			start := time.Unix(100, 0)
 			now := start
 			for range tuning.RateLowerRefusals {
 				now = now.Add(100 * time.Millisecond)
-				limiter.Observe(now, oneWrite(PriorityUser), ErrThrottled)
+				limiter.Observe(now, singleWrite(PriorityUser), ErrThrottled)
 			}
 			if limiter.limits.level != limitsLowered {
 				t.Fatalf("level %v", limiter.limits.level)
 			}
 			tokens, rejected, last := 10.0, 0, 0
 			for end := start.Add(hours * time.Hour); now.Before(end); now = now.Add(20 * time.Millisecond) {
-				tokens = min(10, tokens+0.2) // ten a second, with bursts of a second
-				if _, ok := limiter.Take(now, oneWrite(PriorityUser)); !ok {
+				tokens = min(10, tokens+0.2) // 10 per second, with a burst of one second
+				if _, ok := limiter.Take(now, singleWrite(PriorityUser)); !ok {
 					continue
 				}
-				if c.fallen && tokens < 1 {
+				if c.serviceLowered && tokens < 1 {
 					rejected++
-					limiter.Observe(now, oneWrite(PriorityUser), ErrThrottled)
+					limiter.Observe(now, singleWrite(PriorityUser), ErrThrottled)
 					continue
 				}
 				tokens--
@@ -184,52 +183,52 @@
 					last++
 				}
 			}
-			if rejected < c.leastRejected || rejected > c.mostRejected {
+			if rejected < c.minRejections || rejected > c.maxRejections {
 				t.Errorf("%d rejections in %d hours", rejected, hours)
 			}
-			if last < 10*c.leastPerSecond || last > 10*c.mostPerSecond {
+			if last < 10*c.minPerSecond || last > 10*c.maxPerSecond {
 				t.Errorf("%d writes in the last 10 s", last)
 			}
 		})
 	}
 }
 
-type shareCase struct {
-	name      string
-	perSecond int  // writes that are wanted
-	rejected  bool // by the service, once a second
-	least     int  // written in the last ten seconds
-	most      int
-	wantShare float64
+type rateShareCase struct {
+	name            string
+	demandPerSecond int  // requested writes
+	rejected        bool // whether the service throttles one call per second
+	minWritten      int  // writes in the last 10 s
+	maxWritten      int
+	wantFraction    float64
 }
 
-var shareCases = []shareCase{
+var rateShareCases = []rateShareCase{
 	{
-		name: "more than its part is wanted, and there is room", perSecond: 30, rejected: false,
-		least: 180, most: 201, wantShare: 1,
+		name: "demand above the share without rejections: share grows", demandPerSecond: 30, rejected: false,
+		minWritten: 180, maxWritten: 201, wantFraction: 1,
 	},
 	{
-		name: "less than its part is wanted", perSecond: 5, rejected: false,
-		least: 49, most: 51, wantShare: tuning.StoreRateShare,
+		name: "demand below the share: share stays at the minimum", demandPerSecond: 5, rejected: false,
+		minWritten: 49, maxWritten: 51, wantFraction: tuning.StoreRateShare,
 	},
 	{
-		name: "the others use theirs: rejections", perSecond: 30, rejected: true,
-		least: 0, most: 125, wantShare: tuning.StoreRateShare,
+		name: "rejections: share stays at the minimum", demandPerSecond: 30, rejected: true,
+		minWritten: 0, maxWritten: 125, wantFraction: tuning.StoreRateShare,
 	},
 }
 
-// A member whose writes wait while the others leave theirs uses more than its part, and
-// no more than that once the service rejects something.
+// A member must be able to use capacity that other members leave idle, and must fall back to
+// its minimum share when the service rejects calls.
 func TestRateLimiterShareGrows(t *testing.T) {
 	const seconds = 60
-	call := oneWrite(PriorityJobEnd)
-	for _, c := range shareCases {
+	call := singleWrite(PriorityJobEnd)
+	for _, c := range rateShareCases {
 		t.Run(c.name, func(t *testing.T) {
 			limiter := NewRateLimiter(config.StateLimits{RPS: 1000, WriteRPS: 20}, 3)
 			now := time.Unix(100, 0)
 			written, wanted := 0, 0.0
 			for end := now.Add(seconds * time.Second); now.Before(end); now = now.Add(10 * time.Millisecond) {
-				wanted = min(wanted+float64(c.perSecond)/100, 50)
+				wanted = min(wanted+float64(c.demandPerSecond)/100, 50)
 				for wanted >= 1 {
 					if _, ok := limiter.Take(now, call); !ok {
 						break
@@ -246,8 +245,9 @@
 					limiter.Observe(now, call, ErrThrottled)
 				}
 			}
-			if written < c.least || written > c.most || limiter.share.part != c.wantShare {
-				t.Errorf("%d writes in the last 10 s, share %g", written, limiter.share.part)
+			if written < c.minWritten || written > c.maxWritten || limiter.share.fraction != c.wantFraction {
+				t.Errorf("%d writes in the last 10 s, share %g, want %d to %d and %g",
+					written, limiter.share.fraction, c.minWritten, c.maxWritten, c.wantFraction)
 			}
 		})
 	}
--- a/internal/store/rate_limits.go
+++ b/internal/store/rate_limits.go
@@ -7,48 +7,48 @@
 	"juniperchute/internal/tuning"
 )
 
-// limitLevel tells which of the service's limits are kept to.
+// limitLevel selects the service limits that the rate limiter enforces.
 type limitLevel int
 
 const (
-	limitsCurrent limitLevel = iota // the current limits of the settings
-	limitsLowered                   // the upcoming limits: rejections have shown them
-	limitsTrial                     // the current limits again, to see whether they are rejected
+	limitsCurrent limitLevel = iota // current limits of the settings
+	limitsLowered                   // upcoming limits, after rejections of the current ones
+	limitsTrial                     // current limits again, to test whether calls are rejected
 )
 
 func (l limitLevel) String() string {
 	return [...]string{"current", "lowered", "trial"}[l]
 }
 
-// serviceLimits decides which of the service's limits are in force.
+// serviceLimits selects the limits to enforce.
 //
-//	current  rejections                    -> lowered
-//	lowered  after lowerFor, then doubled  -> trial
-//	trial    rejections, fewer of them     -> lowered
-//	trial    after tuning.RateLowerWindow  -> current
+//	current  tuning.RateLowerRefusals rejections  -> lowered
+//	lowered  after loweredDuration                -> trial
+//	trial    tuning.RateTrialRefusals rejections  -> lowered
+//	trial    after tuning.RateLowerWindow         -> current
 type serviceLimits struct {
 	current         config.StateLimits
 	upcoming        config.StateLimits
 	level           limitLevel
-	levelReviewAt   time.Time // when the lowered limits or the trial have lasted long enough
-	lowerFor        time.Duration
-	rejections      int // since rejectionsSince
+	levelEndsAt     time.Time     // end of the lowered level or the trial
+	loweredDuration time.Duration // of the next lowered level; doubles each time
+	rejections      int           // since rejectionsSince
 	rejectionsSince time.Time
 }
 
 func newServiceLimits(limits config.StateLimits) serviceLimits {
-	return serviceLimits{current: limits, upcoming: limits.Upcoming(), lowerFor: tuning.RateRaiseInitial}
+	return serviceLimits{current: limits, upcoming: limits.Upcoming(), loweredDuration: tuning.RateRaiseInitial}
 }
 
-// inForce are the limits to keep to.
-func (s *serviceLimits) inForce() config.StateLimits {
+// effective returns the limits that the current level selects.
+func (s *serviceLimits) effective() config.StateLimits {
 	if s.level == limitsLowered {
 		return s.upcoming
 	}
 	return s.current
 }
 
-// countSizeRejection counts a rejection for a size, of which one is enough.
+// countSizeRejection records a size rejection. One is enough to lower the limits.
 func (s *serviceLimits) countSizeRejection() { s.rejections = tuning.RateLowerRefusals }
 
 func (s *serviceLimits) countRateRejection(now time.Time) {
@@ -57,13 +57,14 @@
 	}
 	s.rejections++
 	if s.level == limitsLowered {
-		// even the lowered rate is rejected: other members have not noticed yet
-		s.levelReviewAt = latest(s.levelReviewAt, now.Add(tuning.RateRaiseInitial))
+		// other members still use the current limits: extend the lowered level
+		s.levelEndsAt = latest(s.levelEndsAt, now.Add(tuning.RateRaiseInitial))
 	}
 }
 
-// lowerDue reports whether the rejections show that the upcoming limits are in force.
-func (s *serviceLimits) lowerDue() bool {
+// shouldLower reports whether the rejections indicate that the service enforces the upcoming
+// limits.
+func (s *serviceLimits) shouldLower() bool {
 	switch s.level {
 	case limitsLowered:
 		return false
@@ -73,10 +74,10 @@
 	return s.rejections >= tuning.RateLowerRefusals
 }
 
-// levelDue is the level that time alone leads to.
-func (s *serviceLimits) levelDue(now time.Time) limitLevel {
+// levelAt returns the level at a time if no further call is rejected.
+func (s *serviceLimits) levelAt(now time.Time) limitLevel {
 	switch {
-	case now.Before(s.levelReviewAt):
+	case now.Before(s.levelEndsAt):
 		return s.level
 	case s.level == limitsLowered:
 		return limitsTrial
@@ -89,10 +90,10 @@
 	s.rejections = 0
 	switch level {
 	case limitsLowered:
-		s.levelReviewAt = now.Add(s.lowerFor)
-		s.lowerFor = min(2*s.lowerFor, tuning.RateRaiseMax)
+		s.levelEndsAt = now.Add(s.loweredDuration)
+		s.loweredDuration = min(2*s.loweredDuration, tuning.RateRaiseMax)
 	case limitsTrial:
-		s.levelReviewAt = now.Add(tuning.RateLowerWindow)
+		s.levelEndsAt = now.Add(tuning.RateLowerWindow)
 	}
 }
 
--- a/internal/store/rate_share.go
+++ b/internal/store/rate_share.go
@@ -6,39 +6,39 @@
 	"juniperchute/internal/tuning"
 )
 
-// rateShare decides which part of the service's rates this member uses. It grows while
-// its writes wait and the service rejects nothing: the others then need less than their
-// parts. A rejection takes it back to the least share.
+// rateShare determines the fraction of the service's rate limits that this member uses. The
+// fraction grows while writes are delayed and the service rejects none, which means that the
+// other members use less than their fractions. A rejection resets it to the minimum.
 type rateShare struct {
-	members      int
-	part         float64
-	writesWaited bool // since the last review
-	reviewAt     time.Time
+	members        int
+	fraction       float64
+	writesDelayed  bool // since the last adjustment
+	nextAdjustment time.Time
 }
 
 func newRateShare(members int) rateShare {
 	share := rateShare{members: max(1, members)}
-	share.part = share.least()
+	share.fraction = share.minimum()
 	return share
 }
 
-// least is the part of the rates that a member uses whatever the others do.
-func (s *rateShare) least() float64 {
+// minimum returns the fraction that a member may use regardless of the other members' load.
+func (s *rateShare) minimum() float64 {
 	if s.members == 1 {
 		return 1
 	}
 	return tuning.StoreRateShare
 }
 
-// review returns the part to be used from now on.
-func (s *rateShare) review(now time.Time) float64 {
-	if now.Before(s.reviewAt) {
-		return s.part
+// adjust returns the fraction to use from now on.
+func (s *rateShare) adjust(now time.Time) float64 {
+	if now.Before(s.nextAdjustment) {
+		return s.fraction
 	}
-	s.reviewAt = now.Add(tuning.RateShareInterval)
-	if !s.writesWaited {
-		return s.part
+	s.nextAdjustment = now.Add(tuning.RateShareInterval)
+	if !s.writesDelayed {
+		return s.fraction
 	}
-	s.writesWaited = false
-	return min(1, s.part+tuning.RateShareStep)
+	s.writesDelayed = false
+	return min(1, s.fraction+tuning.RateShareStep)
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,10 +1,11 @@
 // Package store is the client of the state service, the consensus-backed key-value store
-// that holds everything the controllers must not lose. It offers single calls (Client), a
-// cache of the keys under a prefix (WatchCache), writers of single keys (DesiredValue) and
-// of many small entries (Pages), and the member's share of the service's rates (RateLimiter).
+// that stores all durable state of the controllers. It provides single calls (Client), a
+// watch-based cache of the keys under a prefix (WatchCache), writers for a single key
+// (DesiredValue) and for many small entries (Pages), and a client-side rate limiter
+// (RateLimiter).
 //
-// But for Client none of the types is safe for concurrent use: a member's event loop owns
-// them, and calls report back to it through a Caller.
+// Only Client is safe for concurrent use. The other types belong to the controller's event
+// loop, which receives the results of their calls through a Caller.
 package store
 
 import (
@@ -16,10 +17,10 @@
 	"juniperchute/internal/wire"
 )
 
-// Op is a kind of call.
+// Op selects the operation of a Call.
 type Op int
 
-// The calls of the state service.
+// Operations of the state service.
 const (
 	OpGet Op = iota
 	OpList
@@ -29,43 +30,43 @@
 	OpWatch
 )
 
-// Priority orders calls when the rate is short: a lower one goes first.
+// Priority orders calls when the rate limit is reached. A lower value is sent first.
 type Priority int
 
-// Priorities of calls, in the order in which they may spend the rate.
+// Priorities of calls, from the most to the least urgent.
 const (
-	// PriorityLease is for leases, elections and watches.
+	// PriorityLease applies to leases, elections and watches.
 	PriorityLease Priority = iota
-	// PriorityTerm is for what a lease holder has to write before it can go on:
+	// PriorityTerm applies to writes that block a lease holder until they are durable:
 	// provisioning requests, used workers, start markers.
 	PriorityTerm
-	// PriorityUser is for what a user waits for.
+	// PriorityUser applies to calls that a user's request waits for.
 	PriorityUser
-	// PriorityJobEnd is for the ends of jobs.
+	// PriorityJobEnd applies to writes that record the end of a job.
 	PriorityJobEnd
-	// PriorityCompletion is for completed tasks of jobs that go on.
+	// PriorityCompletion applies to writes that record completed tasks of open jobs.
 	PriorityCompletion
 
-	// Priorities is the number of priorities.
+	// NumPriorities is the length of an array that is indexed by Priority.
 	NumPriorities = int(PriorityCompletion) + 1
 )
 
-// Call is one request to the state service.
+// Call is one request to the state service. Op determines which of the other fields apply.
 type Call struct {
 	Op            Op
 	Priority      Priority
 	Key           string           // OpGet
 	Prefix        string           // OpList, OpWatch
-	After         string           // OpList: the last key of the page before, "" for the first page
-	PageSize      int              // OpList
-	SinceRevision uint64           // OpWatch: changes after this revision
-	WatchWaitMs   int              // OpWatch: how long to wait for a change
+	After         string           // OpList: last key of the previous page, "" for the first page
+	PageSize      int              // OpList: maximum number of keys
+	SinceRevision uint64           // OpWatch: only changes after this revision are returned
+	WatchWaitMs   int              // OpWatch: time that the service waits for a change
 	Transaction   wire.Transaction // OpTransaction
 	Lease         uint64           // OpRenewLease
 	LeaseTTL      time.Duration    // OpGrantLease
 }
 
-// Timeout is how long a call may take.
+// Timeout returns the time after which the call fails with ErrNoResponse.
 func (c Call) Timeout() time.Duration {
 	switch c.Op {
 	case OpWatch:
@@ -78,28 +79,30 @@
 
 // Result is the outcome of a call. Without a response only Err and SentAt are set.
 type Result struct {
-	// Err is nil when the call was executed as asked, else one of this package's errors.
+	// Err is nil if the call succeeded. Otherwise it is one of the errors of this package, or
+	// the error of an unexpected HTTP status.
 	Err error
-	// SentAt is when the call was sent: the response holds whatever was written before.
+	// SentAt is the time at which the call was sent. The response reflects all writes that
+	// were committed before.
 	SentAt    time.Time
 	KeyValue  wire.KeyValue   // OpGet
 	KeyValues []wire.KeyValue // OpList
-	More      bool            // OpList: a further page exists
-	Revision  uint64          // of the service, at the time of the response
+	More      bool            // OpList: another page exists
+	Revision  uint64          // revision of the service as of the response
 	Lease     uint64          // OpGrantLease, OpRenewLease
 	Events    []wire.Event    // OpWatch
 }
 
-// OK reports whether the call was executed as asked.
+// OK reports whether the call succeeded.
 func (r Result) OK() bool { return r.Err == nil }
 
-// ConflictsOn reports whether the transaction failed as the key has another version than
-// its compare names.
+// ConflictsOn reports whether the transaction failed because the version of key differs from
+// the one that the transaction compares.
 func (r Result) ConflictsOn(key string) bool {
 	var conflict *ConflictError
 	return errors.As(r.Err, &conflict) && slices.Contains(conflict.FailedKeys, key)
 }
 
-// Caller executes a call in the background and passes the result to done, exactly once,
-// on the goroutine that owns all state. now is the time at which done runs.
+// Caller starts a call and returns without waiting for the response. It invokes done exactly
+// once, on the controller's event loop, with the time at which done runs and the result.
 type Caller func(call Call, done func(now time.Time, result Result))
--- a/internal/store/watch_cache.go
+++ b/internal/store/watch_cache.go
@@ -10,37 +10,38 @@
 	"juniperchute/internal/wire"
 )
 
-// WatchCacheOptions are what a WatchCache is made of.
+// WatchCacheOptions configures a WatchCache.
 type WatchCacheOptions struct {
-	Prefix    string // of the keys
+	Prefix    string // of the cached keys
 	StateCall Caller
-	// OnChange is called for each change, in order, once the cache holds it. A deleted
-	// key comes with its last value.
+	// OnChange is called for each change, in order, after the cache has applied it. For a
+	// deleted key, item is the last value.
 	OnChange func(now time.Time, key string, item wire.KeyValue, deleted bool)
 }
 
-// WatchCache keeps a copy of all keys with a prefix. It lists them, then watches for
-// changes, and lists them again when it has fallen too far behind.
+// WatchCache maintains a copy of all keys under a prefix. It lists the keys, then watches for
+// changes, and lists again if the service has compacted the revision that it needs.
 //
 //	idle               Tick       -> watching; listing while not synced
-//	listing            page       -> listing the next one; watching after the last
-//	watching           changes    -> watching; idle until the next watch may be made
+//	listing            page       -> listing the next page; watching after the last page
+//	watching           changes    -> watching; idle until the minimum watch interval has passed
 //	watching           compacted  -> listing
 //	listing, watching  failed     -> idle until the retry
 //
-// Except when idle exactly one list or watch is in flight. A catch-up, for those who wait
-// for a current cache, goes on beside them.
+// Exactly one list or watch is in flight unless the cache is idle. A catch-up, which
+// WaitCurrent starts, runs concurrently with them.
 type WatchCache struct {
-	// MinWatchInterval is the least time between two watches, so that a busy prefix does
-	// not cost a call for each change. WaitCurrent does not wait for it.
+	// MinWatchInterval is the minimum time from a watch that returned changes to the next
+	// one. It bounds the number of calls for a prefix with frequent changes. WaitCurrent does
+	// not wait for it.
 	MinWatchInterval time.Duration
 
-	options WatchCacheOptions
-	state   watchCacheState
-	retryAt time.Time // when an idle cache makes its next call
+	options    WatchCacheOptions
+	state      watchCacheState
+	nextCallAt time.Time // earliest time of an idle cache's next call
 
 	items       map[string]wire.KeyValue
-	revision    uint64 // up to which all changes have been applied
+	revision    uint64 // all changes up to this revision have been applied
 	synced      bool
 	lastContact time.Time
 	currentAsOf time.Time
@@ -52,54 +53,56 @@
 type watchCacheState int
 
 const (
-	cacheIdle     watchCacheState = iota // nothing in flight
-	cacheListing                         // a page of the list is in flight
+	cacheIdle     watchCacheState = iota // no call in flight
+	cacheListing                         // a list call is in flight
 	cacheWatching                        // a watch is in flight
 )
 
-// listProgress is how far a list of all keys has got.
+// listProgress is the state of a paginated list of all keys.
 type listProgress struct {
-	number   int             // tells the lists of a cache apart
-	revision uint64          // of the first page: changes after it are still to be watched; 0: no page yet
-	sentAt   time.Time       // when the first page was asked for
-	listed   map[string]bool // the keys on the pages so far
+	generation int             // number of the list, from 1
+	revision   uint64          // of the first page, from which the watch starts; 0 before that page
+	sentAt     time.Time       // time at which the first page was requested
+	listed     map[string]bool // keys on the pages received so far
 }
 
-// NewWatchCache makes an empty cache. It makes no call before the first Tick.
+// NewWatchCache returns an empty cache. It sends no call before the first Tick.
 func NewWatchCache(options WatchCacheOptions) *WatchCache {
 	return &WatchCache{options: options, items: map[string]wire.KeyValue{}}
 }
 
-// Synced reports whether the cache holds all keys: they have been listed, and the changes
-// since then can be watched.
+// Synced reports whether the cache has listed all keys and can follow the changes since then
+// with watches.
 func (c *WatchCache) Synced() bool { return c.synced }
 
-// LastContact is when the state service last replied to this cache.
+// LastContact returns the time of the state service's last response to this cache, or the zero
+// time if there was none.
 func (c *WatchCache) LastContact() time.Time { return c.lastContact }
 
-// CurrentAsOf is the time up to which all changes have surely been applied.
+// CurrentAsOf returns the time up to which every committed change has been applied. Later
+// changes may have been applied, too.
 func (c *WatchCache) CurrentAsOf() time.Time { return c.currentAsOf }
 
-// Each calls visit for every key, in key order.
+// Each calls visit for every cached key, in key order.
 func (c *WatchCache) Each(visit func(item wire.KeyValue)) {
 	for _, key := range slices.Sorted(maps.Keys(c.items)) {
 		visit(c.items[key])
 	}
 }
 
-// Get returns a key, and whether it exists.
+// Get returns the cached value of a key, and false if the cache holds no such key.
 func (c *WatchCache) Get(key string) (wire.KeyValue, bool) {
 	item, ok := c.items[key]
 	return item, ok
 }
 
-// Version returns a key's version, 0 when it does not exist.
+// Version returns the version of a key, 0 if the cache holds no such key.
 func (c *WatchCache) Version(key string) uint64 { return c.items[key].Version }
 
-// Tick makes the calls that are due.
+// Tick starts the calls that are due. The controller calls it periodically.
 func (c *WatchCache) Tick(now time.Time) {
 	c.startCatchUp(now, 0)
-	if c.state != cacheIdle || now.Before(c.retryAt) {
+	if c.state != cacheIdle || now.Before(c.nextCallAt) {
 		return
 	}
 	if c.synced {
@@ -109,18 +112,18 @@
 	}
 }
 
-// pause makes the cache idle for some time.
-func (c *WatchCache) pause(now time.Time, interval time.Duration) {
+// backOff makes the cache idle for the given time.
+func (c *WatchCache) backOff(now time.Time, interval time.Duration) {
 	c.state = cacheIdle
-	c.retryAt = now.Add(interval)
+	c.nextCallAt = now.Add(interval)
 }
 
 func (c *WatchCache) startList() {
-	c.list = listProgress{number: c.list.number + 1, listed: map[string]bool{}}
+	c.list = listProgress{generation: c.list.generation + 1, listed: map[string]bool{}}
 	c.requestPage("")
 }
 
-// requestPage asks for the keys after another one.
+// requestPage requests the page of keys that follow after.
 func (c *WatchCache) requestPage(after string) {
 	c.state = cacheListing
 	call := Call{
@@ -135,7 +138,7 @@
 
 func (c *WatchCache) applyPage(now time.Time, after string, page Result) {
 	if !page.OK() {
-		c.pause(now, tuning.WatchCacheRetry)
+		c.backOff(now, tuning.WatchCacheRetry)
 		return
 	}
 	c.lastContact = now
@@ -155,7 +158,8 @@
 	c.finishList(now)
 }
 
-// finishList removes what was not listed and goes on with the changes since the first page.
+// finishList removes the keys that were not listed and watches from the revision of the first
+// page.
 func (c *WatchCache) finishList(now time.Time) {
 	for _, key := range slices.Sorted(maps.Keys(c.items)) {
 		if !c.list.listed[key] {
@@ -173,7 +177,7 @@
 	c.options.StateCall(c.watchCall(PriorityLease, tuning.WatchTimeout), c.applyWatch)
 }
 
-// watchCall asks for the changes since the cache's revision.
+// watchCall returns a call that requests the changes since the cache's revision.
 func (c *WatchCache) watchCall(priority Priority, wait time.Duration) Call {
 	return Call{
 		Op:            OpWatch,
@@ -191,12 +195,12 @@
 		c.state = cacheIdle
 		c.Tick(now)
 	case !result.OK():
-		c.pause(now, tuning.WatchCacheRetry)
+		c.backOff(now, tuning.WatchCacheRetry)
 	default:
 		c.lastContact = now
 		c.applyEvents(now, result)
 		if len(result.Events) > 0 && c.MinWatchInterval > 0 {
-			c.pause(now, c.MinWatchInterval)
+			c.backOff(now, c.MinWatchInterval)
 			return
 		}
 		c.startWatch()
@@ -205,7 +209,7 @@
 
 // applyEvents applies the changes up to the result's revision.
 func (c *WatchCache) applyEvents(now time.Time, result Result) {
-	if result.Revision > c.revision { // else a later watch or catch-up was faster
+	if result.Revision > c.revision { // otherwise a concurrent call has applied them
 		for _, event := range result.Events {
 			if event.Version > c.revision {
 				c.applyEvent(now, event)
@@ -226,8 +230,8 @@
 	}
 }
 
-// put sets a key unless the cache holds this version or a newer one: a list may already
-// have shown what a watch reports.
+// put sets a key unless the cache holds the same or a newer version, which happens because a
+// list may already include changes that a watch reports.
 func (c *WatchCache) put(now time.Time, item wire.KeyValue) {
 	if old, ok := c.items[item.Key]; ok && old.Version >= item.Version {
 		return
--- a/internal/store/watch_cache_catch_up.go
+++ b/internal/store/watch_cache_catch_up.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// catchUp brings a WatchCache up to whatever the service holds by now, for those who wait
-// for that. At most one is in flight.
+// catchUp is the state of the non-blocking watches that WaitCurrent sends. At most one is in
+// flight.
 type catchUp struct {
 	inFlight    bool
-	notBefore   time.Time       // when the next one may start
-	waiters     []catchUpWaiter // for the one in flight
-	nextWaiters []catchUpWaiter // for the one after it
+	notBefore   time.Time       // earliest start of the next catch-up
+	waiters     []catchUpWaiter // of the catch-up in flight
+	nextWaiters []catchUpWaiter // of the next catch-up
 }
 
-// catchUpWaiter is called with whether the cache is current.
+// catchUpWaiter is called at the end of a catch-up. ok reports whether the cache is current.
 type catchUpWaiter func(now time.Time, ok bool)
 
-// WaitCurrent brings the cache up to whatever the service holds by now and then calls
-// done; ok is false when that failed, or the cache is not synced. Calls that come while a
-// catch-up is in flight share the next one, as the one in flight may be older than they
-// are. Two start no sooner than minInterval after each other.
+// WaitCurrent applies all changes that are committed at the time of the call, and then calls
+// done. ok is false if that failed or the cache is not synced. Calls that arrive while a
+// catch-up is in flight share the next one, because the response to the one in flight may not
+// include changes that preceded them. Catch-ups start at least minInterval apart.
 func (c *WatchCache) WaitCurrent(now time.Time, minInterval time.Duration, done func(now time.Time, ok bool)) {
 	c.catchUp.nextWaiters = append(c.catchUp.nextWaiters, done)
 	c.startCatchUp(now, minInterval)
 }
 
-// startCatchUp starts the next catch-up if it is waited for and may start.
+// startCatchUp starts the next catch-up if it has waiters and none is in flight.
 func (c *WatchCache) startCatchUp(now time.Time, minInterval time.Duration) {
 	u := &c.catchUp
 	if u.inFlight || len(u.nextWaiters) == 0 || now.Before(u.notBefore) {
@@ -35,16 +35,17 @@
 		c.finishCatchUp(now, minInterval, false)
 		return
 	}
-	list := c.list.number
+	list := c.list.generation
 	c.options.StateCall(c.watchCall(PriorityUser, 0), func(now time.Time, result Result) {
 		c.finishCatchUp(now, minInterval, c.applyCatchUp(now, list, result))
 	})
 }
 
-// applyCatchUp applies the changes and reports whether the cache is current. A list that
-// was started meanwhile does not mix with changes since an earlier revision.
+// applyCatchUp applies the changes and reports whether the cache is current. It discards the
+// result if a new list has started, because the changes follow an older revision than the
+// list's.
 func (c *WatchCache) applyCatchUp(now time.Time, list int, result Result) bool {
-	if !result.OK() || c.list.number != list {
+	if !result.OK() || c.list.generation != list {
 		return false
 	}
 	c.lastContact = now
@@ -52,7 +53,7 @@
 	return true
 }
 
-// finishCatchUp calls the waiters and starts the next catch-up.
+// finishCatchUp calls the waiters and starts the next catch-up if it is due.
 func (c *WatchCache) finishCatchUp(now time.Time, minInterval time.Duration, ok bool) {
 	c.catchUp.inFlight = false
 	waiters := c.catchUp.waiters
--- a/internal/store/watch_cache_test.go
+++ b/internal/store/watch_cache_test.go
@@ -8,8 +8,10 @@
 	"juniperchute/internal/wire"
 )
 
-func TestWatchCache(t *testing.T) {
-	service := &heldCalls{}
+// Changes that a list and a watch both return must be reported once, and compaction must not
+// lose or repeat changes.
+func TestWatchCacheMergesListAndWatch(t *testing.T) {
+	service := &pendingCalls{}
 	changes := ""
 	onChange := func(_ time.Time, key string, item wire.KeyValue, deleted bool) {
 		if deleted {
@@ -25,15 +27,15 @@
 	service.reply(t, Result{Revision: 10, More: true, KeyValues: []wire.KeyValue{item("q/a", "1", 3)}})
 	service.reply(t, Result{Revision: 12, KeyValues: []wire.KeyValue{item("q/b", "2", 12)}})
 	if watch := service.calls[0]; watch.Op != OpWatch || watch.SinceRevision != 10 {
-		t.Fatalf("watches from %d, want the first page's revision", watch.SinceRevision)
+		t.Fatalf("watch from revision %d, want that of the first page", watch.SinceRevision)
 	}
-	// what the list already showed, and what is older than it, comes again
+	// events that the list includes or that are older than the list
 	service.reply(t, Result{Revision: 13, Events: []wire.Event{
 		{Delete: "q/b", Version: 11},
 		{Put: "q/b", Value: json.RawMessage("2"), Version: 12},
 		{Delete: "q/a", Version: 13},
 	}})
-	// fallen too far behind: everything is listed again
+	// compaction: the keys are listed again
 	service.reply(t, Result{Err: ErrCompacted})
 	service.reply(t, Result{Revision: 900, KeyValues: []wire.KeyValue{item("q/c", "3", 700)}})
 	if want := "q/a1 q/b2 -q/a1 q/c3 -q/b2 "; changes != want {
