--- a/internal/cloud/call.go
+++ b/internal/cloud/call.go
@@ -1,4 +1,4 @@
-// Package cloud is the client of the cloud that machines are provisioned from.
+// Package cloud is an HTTP client for the cloud API that provisions, lists and deletes machines.
 package cloud
 
 import (
@@ -12,34 +12,35 @@
 	"juniperchute/internal/wire"
 )
 
-// Operation is a kind of call.
+// Operation selects the operation of a Call.
 type Operation int
 
-// The operations of the cloud.
+// Operations of the cloud API.
 const (
-	// ListMachineTypes gets Response.MachineTypes.
+	// ListMachineTypes returns the machine types with their prices in Response.MachineTypes.
 	ListMachineTypes Operation = iota
-	// CreateMachines creates Call.Request.Count machines or fewer, and gets Response.Hosts. It is
-	// idempotent by the request's name.
+	// CreateMachines provisions up to Call.Request.Count machines and returns them in
+	// Response.Hosts. It is idempotent: the name of the request is its idempotency key.
 	CreateMachines
-	// DeleteMachines deletes the machines of Call.Hosts. It is idempotent.
+	// DeleteMachines deletes the machines in Call.Hosts. It is idempotent.
 	DeleteMachines
-	// ListMachines gets the page of machines that follow Call.After, as Response.Page.
+	// ListMachines returns the page of machines after Call.After in Response.Page.
 	ListMachines
 )
 
-// Call is one request to the cloud.
+// Call is one request to the cloud. Operation determines which of the other fields apply.
 type Call struct {
 	Operation Operation
-	Request   wire.ProvisionRequest // of CreateMachines
-	Hosts     []string              // of DeleteMachines
-	After     string                // of ListMachines: the last host of the page before, "" for the first page
-	// Deadline is until when the call may be sent; zero: any time. A process that was suspended
-	// must not delete machines on what it knew before.
+	Request   wire.ProvisionRequest // CreateMachines
+	Hosts     []string              // DeleteMachines
+	After     string                // ListMachines: last host of the previous page, "" for the first page
+	// Deadline is the time after which the call must not be sent, or zero if there is none. It
+	// prevents a process that was suspended from deleting machines based on outdated state.
 	Deadline time.Time
 }
 
-// httpRequest is the call's HTTP request; a nil body means none.
+// httpRequest returns the parts of the HTTP request for the call. A nil body means that the
+// request has none.
 func (c Call) httpRequest() (method, path string, body []byte) {
 	switch c.Operation {
 	case CreateMachines:
@@ -58,7 +59,7 @@
 	return http.MethodGet, "/flavors", nil
 }
 
-// decode reads the body of the response to a call that succeeded.
+// decode parses the body of a response with status 200.
 func (c Call) decode(body []byte) (Response, error) {
 	var response Response
 	var err error
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -10,19 +10,19 @@
 	"juniperchute/internal/tuning"
 )
 
-// Client calls the cloud over HTTP.
+// Client executes calls of the cloud API over HTTP. It is safe for concurrent use.
 type Client struct {
 	baseURL string
 	http    *http.Client
 }
 
-// NewClient makes a client of the cloud at an address, "host:port".
+// NewClient returns a client for the cloud API at address, in the form host:port.
 func NewClient(address string, transport http.RoundTripper) *Client {
 	return &Client{baseURL: "http://" + address, http: &http.Client{Transport: transport}}
 }
 
-// Do executes a call. It blocks until the response arrives, the call's time limit passes or the
-// context ends. The call's deadline is the caller's to heed.
+// Do executes a call. It blocks until the response arrives, tuning.CloudTimeout passes or ctx is
+// done. Do does not check Call.Deadline; the caller must do so.
 func (c *Client) Do(ctx context.Context, call Call) Result {
 	status, body, err := c.exchange(ctx, call)
 	if err != nil {
@@ -33,12 +33,12 @@
 	}
 	response, err := call.decode(body)
 	if err != nil {
-		return Failure(fmt.Errorf("%w: decoding it: %w", ErrNoResponse, err))
+		return Failure(fmt.Errorf("%w: decode response: %w", ErrNoResponse, err))
 	}
 	return Success(response)
 }
 
-// exchange sends the call's HTTP request and reads the response.
+// exchange sends the HTTP request for a call and returns the status and body of the response.
 func (c *Client) exchange(ctx context.Context, call Call) (status int, body []byte, err error) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.CloudTimeout)
 	defer cancel()
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Every status of the protocol has its error; a response that cannot be read is as good as none.
+// A wrong error for a status or a malformed body would make the autoscaler assume a wrong outcome.
 func TestClientErrors(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -17,37 +17,37 @@
 		want   error
 	}{
 		{
-			name:   "created",
+			name:   "200 with hosts succeeds",
 			status: http.StatusOK, body: `{"Hosts":["i-1"]}`,
 			want: nil,
 		},
 		{
-			name:   "unreadable",
+			name:   "200 with a truncated body is ErrNoResponse",
 			status: http.StatusOK, body: `{"Hosts":`,
 			want: ErrNoResponse,
 		},
 		{
-			name:   "malformed",
+			name:   "400 is ErrInvalid",
 			status: http.StatusBadRequest, body: `{"error":"bad Build"}`,
 			want: ErrInvalid,
 		},
 		{
-			name:   "too many calls",
+			name:   "429 is ErrThrottled",
 			status: http.StatusTooManyRequests, body: `{}`,
 			want: ErrThrottled,
 		},
 		{
-			name:   "no capacity",
+			name:   "503 without capacity is ErrNoCapacity",
 			status: http.StatusServiceUnavailable, body: `{"error":"no capacity"}`,
 			want: ErrNoCapacity,
 		},
 		{
-			name:   "outage",
+			name:   "503 with another error is ErrUnavailable",
 			status: http.StatusServiceUnavailable, body: `{"error":"trouble"}`,
 			want: ErrUnavailable,
 		},
 		{
-			name:   "outage behind a proxy",
+			name:   "503 from a proxy is ErrUnavailable",
 			status: http.StatusServiceUnavailable, body: `<html>`,
 			want: ErrUnavailable,
 		},
@@ -67,7 +67,7 @@
 	}
 }
 
-// A fake that forgets to say what came of a call does not claim success.
+// A Result that was never set must not count as success.
 func TestZeroResultIsNoResponse(t *testing.T) {
 	if _, err := (Result{}).Response(); !errors.Is(err, ErrNoResponse) {
 		t.Errorf("error %v, want %v", err, ErrNoResponse)
--- a/internal/cloud/errors.go
+++ b/internal/cloud/errors.go
@@ -7,31 +7,33 @@
 	"net/http"
 )
 
-// Errors of a call, to be told apart with errors.Is. After all but ErrNoResponse the call was
-// not executed.
+// Errors of a call. Match them with errors.Is. Except after ErrNoResponse, the call was not
+// executed.
 var (
-	// ErrNoResponse means that no response came that could be read: the call may have been
-	// executed, and may still be.
+	// ErrNoResponse means that no readable response arrived. The call may have been executed, or
+	// may still be executed later.
 	ErrNoResponse = errors.New("no response from the cloud")
-	// ErrNoCapacity means that the cloud has no machine of the kind asked for at present.
+	// ErrNoCapacity means that the cloud currently has no machine of the requested type, zone
+	// and price class.
 	ErrNoCapacity = errors.New("the cloud has no capacity")
-	// ErrUnavailable means that the cloud's interface has an outage.
+	// ErrUnavailable means that the cloud API has an outage.
 	ErrUnavailable = errors.New("cloud unavailable")
-	// ErrThrottled means that the call exceeds the cloud's rate limit.
+	// ErrThrottled means that the call exceeded the cloud's rate limit.
 	ErrThrottled = errors.New("rate limit of the cloud exceeded")
-	// ErrInvalid means that the cloud rejects the request as malformed.
+	// ErrInvalid means that the cloud rejected the request as malformed.
 	ErrInvalid = errors.New("request rejected by the cloud as invalid")
 )
 
-// noCapacity is the error text by which the cloud tells a lack of capacity from an outage.
+// noCapacity is the error text that distinguishes a lack of capacity from an outage, since both
+// have status 503.
 const noCapacity = "no capacity"
 
-// statusError is the error that an HTTP status other than 200 stands for, with the response's body.
+// statusError maps an HTTP status other than 200, and the body of the response, to an error.
 func statusError(status int, body []byte) error {
 	var failure struct {
 		Error string `json:"error"`
 	}
-	_ = json.Unmarshal(body, &failure) // proxies send other bodies: then the status has to do
+	_ = json.Unmarshal(body, &failure) // the body may come from a proxy and not be JSON
 	switch {
 	case status == http.StatusServiceUnavailable && failure.Error == noCapacity:
 		return ErrNoCapacity
