--- a/internal/httpapi/body.go
+++ b/internal/httpapi/body.go
@@ -11,15 +11,15 @@
 	"juniperchute/internal/tuning"
 )
 
-// errBodyTooLarge tells that a request's body is larger than the protocol allows.
+// errBodyTooLarge means that a request body exceeds tuning.MaxBodyBytes. Clients receive the text.
 var errBodyTooLarge = errors.New("body is too large")
 
-// errBodyUnreadable tells that a request's body did not arrive whole.
+// errBodyUnreadable means that a request body did not arrive completely. Clients receive the text.
 var errBodyUnreadable = errors.New("body cannot be read")
 
-// readBody reads a request body of at most the protocol's size. One that says that it is
-// larger is refused unread, and a small one that says its size is read into just that: what
-// a client only claims to send takes no memory.
+// readBody reads a request body. It rejects a body whose Content-Length exceeds the limit without
+// reading it. The memory that it allocates before data arrives is bounded by
+// tuning.BodyPreallocateBytes, whatever length the client announces.
 func readBody(w http.ResponseWriter, req *http.Request) ([]byte, error) {
 	if req.ContentLength > tuning.MaxBodyBytes {
 		return nil, errBodyTooLarge
@@ -35,7 +35,7 @@
 	return raw, nil
 }
 
-// readAll reads a body of the given length; -1: it is not known.
+// readAll reads a body of the given length, or of unknown length if length is negative.
 func readAll(body io.Reader, length int64) ([]byte, error) {
 	if length < 0 || length > tuning.BodyPreallocateBytes {
 		return io.ReadAll(body)
@@ -45,7 +45,7 @@
 	return raw, err
 }
 
-// writeJSON answers a request; retryAfter is in seconds, 0: no such header.
+// writeJSON sends a response. retryAfter is in seconds; with 0 the header is omitted.
 func writeJSON(w http.ResponseWriter, status int, body any, retryAfter int) {
 	raw, err := json.Marshal(body)
 	if err != nil {
@@ -58,7 +58,7 @@
 		header.Set("Retry-After", strconv.Itoa(retryAfter))
 	}
 	w.WriteHeader(status)
-	_, _ = w.Write(raw) // a client that has gone away is no concern of ours
+	_, _ = w.Write(raw) // fails only if the client has disconnected
 }
 
 func writeResponse(w http.ResponseWriter, response submission.Response) {
--- a/internal/httpapi/handlers.go
+++ b/internal/httpapi/handlers.go
@@ -10,7 +10,8 @@
 	"juniperchute/internal/wire"
 )
 
-// requireMethod refuses requests of other methods.
+// requireMethod wraps a handler and answers requests with another method with status 405. A handler
+// for GET also accepts HEAD.
 func requireMethod(method string, handle http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		if req.Method != method && !(method == http.MethodGet && req.Method == http.MethodHead) {
@@ -22,8 +23,8 @@
 	}
 }
 
-// handleHealth does not wait for the owner: a node that is busy is not unhealthy, and the
-// load balancer is slow to come back to one that was too late twice.
+// handleHealth answers without the event loop. A controller whose event loop is busy is not
+// unhealthy, and a load balancer that has ejected it is slow to restore it.
 func (s *Server) handleHealth(w http.ResponseWriter, _ *http.Request) {
 	if s.options.Healthy() {
 		writeJSON(w, http.StatusOK, struct{}{}, 0)
@@ -34,7 +35,7 @@
 
 func (s *Server) handleSubmit(w http.ResponseWriter, req *http.Request) {
 	if len(s.options.Requests) == cap(s.options.Requests) {
-		writeResponse(w, submission.BusyResponse()) // before the work of reading it
+		writeResponse(w, submission.BusyResponse()) // avoids the cost of parsing the body
 		return
 	}
 	raw, err := readBody(w, req)
@@ -44,21 +45,21 @@
 	}
 	spec, err := wire.ParseJobSpec(raw)
 	if err != nil {
-		s.options.Log.Debug("submission refused", "error", err)
+		s.options.Log.Debug("submission rejected", "error", err)
 		writeError(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	s.askOwner(w, req, func(now time.Time, reply func(submission.Response)) {
+	s.callController(w, req, func(now time.Time, reply func(submission.Response)) {
 		s.options.Controller.Submit(now, spec, reply)
 	})
 }
 
-// handleJob answers queries and cancellations of one job.
+// handleJob handles queries and cancellations of one job.
 func (s *Server) handleJob(w http.ResponseWriter, req *http.Request) {
 	job := strings.TrimPrefix(req.URL.Path, "/submissions/")
 	if cancelled, ok := strings.CutSuffix(job, "/cancel"); ok && !strings.Contains(cancelled, "/") {
 		requireMethod(http.MethodPost, func(w http.ResponseWriter, req *http.Request) {
-			s.askOwner(w, req, func(now time.Time, reply func(submission.Response)) {
+			s.callController(w, req, func(now time.Time, reply func(submission.Response)) {
 				s.options.Controller.Cancel(now, cancelled, reply)
 			})
 		})(w, req)
@@ -69,20 +70,20 @@
 		return
 	}
 	requireMethod(http.MethodGet, func(w http.ResponseWriter, req *http.Request) {
-		s.askOwner(w, req, func(now time.Time, reply func(submission.Response)) {
+		s.callController(w, req, func(now time.Time, reply func(submission.Response)) {
 			s.options.Controller.Query(now, job, reply)
 		})
 	})(w, req)
 }
 
-// askOwner hands a user's request to the owner and waits for its answer. When the queue is
-// full the user is told so at once.
-func (s *Server) askOwner(w http.ResponseWriter, req *http.Request,
-	ask func(now time.Time, reply func(submission.Response))) {
+// callController runs call on the event loop and writes the response that call passes to reply. If
+// the queue is full, it answers with status 503 immediately.
+func (s *Server) callController(w http.ResponseWriter, req *http.Request,
+	call func(now time.Time, reply func(submission.Response))) {
 	start := time.Now()
 	answered := make(chan submission.Response, 1)
 	reply := func(response submission.Response) { answered <- response }
-	if !tryPost(s.options.Requests, func(now time.Time) { ask(now, reply) }) {
+	if !tryEnqueue(s.options.Requests, func(now time.Time) { call(now, reply) }) {
 		writeResponse(w, submission.BusyResponse())
 		return
 	}
@@ -94,8 +95,8 @@
 	}
 }
 
-// tryPost puts an event into a queue unless that is full.
-func tryPost(queue chan<- func(now time.Time), event func(now time.Time)) bool {
+// tryEnqueue adds an event to a queue. It returns false if the queue is full.
+func tryEnqueue(queue chan<- func(now time.Time), event func(now time.Time)) bool {
 	select {
 	case queue <- event:
 		return true
@@ -113,7 +114,7 @@
 	var heartbeat wire.Heartbeat
 	err = wire.ParseHeartbeat(raw, &heartbeat)
 	if err != nil || heartbeat.Host == "" || heartbeat.Incarnation == 0 {
-		s.options.Log.Debug("heartbeat refused", "from", req.RemoteAddr, "error", err)
+		s.options.Log.Debug("heartbeat rejected", "from", req.RemoteAddr, "error", err)
 		writeError(w, http.StatusBadRequest, "not a report")
 		return
 	}
@@ -128,7 +129,7 @@
 			answered <- submission.Response{Status: status, Body: body}
 		})
 	}
-	if !tryPost(s.options.Heartbeats, event) && !s.waitForTurn(w, req, event) {
+	if !tryEnqueue(s.options.Heartbeats, event) && !s.enqueueWithTimeout(w, req, event) {
 		return
 	}
 	select {
@@ -138,10 +139,11 @@
 	}
 }
 
-// waitForTurn hands a heartbeat to the owner whose queue is full. A worker has one heartbeat
-// in hand, so it waits for its turn: refused, it would go to another node, be sent back and
-// ask again, when there is most to do.
-func (s *Server) waitForTurn(w http.ResponseWriter, req *http.Request, event func(now time.Time)) bool {
+// enqueueWithTimeout waits until a full queue accepts a heartbeat. If the wait times out, it answers
+// with status 503 and returns false. Rejecting heartbeats immediately would amplify the overload:
+// workers would retry at other controllers and be redirected back. A worker has at most one
+// heartbeat in flight, which bounds the number of waiting requests.
+func (s *Server) enqueueWithTimeout(w http.ResponseWriter, req *http.Request, event func(now time.Time)) bool {
 	timeout := time.NewTimer(tuning.HeartbeatQueueTimeout)
 	defer timeout.Stop()
 	select {
--- a/internal/httpapi/listener.go
+++ b/internal/httpapi/listener.go
@@ -10,42 +10,45 @@
 	"juniperchute/internal/tuning"
 )
 
-// limitedListener is the listener for workers, users and health checks. It keeps their
-// connections within a limit. When that is reached, a new one takes the place of the
-// user's connection that has been idle longest, so that users push no worker out and a
-// successor has room for all workers at once. If there is none, it takes the place of
-// the idle worker's connection that was answered last: a worker reports no sooner than
-// half a second after an answer, so no report is lost by that. Only when every
-// connection has a request in hand is a new one refused, at once.
+// limitedListener bounds the number of open connections of workers, users and health checks. At
+// the limit, a new connection evicts an idle one:
+//
+//   - the least recently used connection of a user, so that users cannot displace workers and a
+//     controller can accept all workers at once after a failover;
+//   - otherwise the most recently used connection of a worker. By the protocol, a worker sends its
+//     next heartbeat no sooner than 500 ms after a response, so no heartbeat is lost.
+//
+// If no connection is idle, the new connection is closed.
 type limitedListener struct {
 	net.Listener
-	limit      int
-	sharedFrom int // from so many open connections on, workers share them in time
-	clock      func() time.Time
-	lock       sync.Mutex
-	open       map[*clientConnection]bool
+	limit          int
+	keepAliveLimit int // number of open connections from which keep-alive is off for workers
+	clock          func() time.Time
+	mu             sync.Mutex
+	open           map[*clientConnection]bool
 }
 
 func newLimitedListener(l net.Listener, limit int, clock func() time.Time) *limitedListener {
 	return &limitedListener{
-		Listener:   l,
-		limit:      limit,
-		sharedFrom: int(float64(limit) * tuning.KeepAliveConnectionShare),
-		clock:      clock,
-		open:       map[*clientConnection]bool{},
+		Listener:       l,
+		limit:          limit,
+		keepAliveLimit: int(float64(limit) * tuning.KeepAliveConnectionShare),
+		clock:          clock,
+		open:           map[*clientConnection]bool{},
 	}
 }
 
-// clientConnection is one connection.
+// clientConnection is an accepted connection. The listener's mutex guards isWorker, idleSince and
+// receivedRequest.
 type clientConnection struct {
 	net.Conn
-	listener   *limitedListener
-	isWorker   bool      // it has brought a report
-	idleSince  time.Time // since when it has waited for a request; zero: one is in hand
-	hadRequest bool      // it has brought a request
+	listener        *limitedListener
+	isWorker        bool      // a heartbeat has arrived
+	idleSince       time.Time // zero while a request is in flight
+	receivedRequest bool      // a request has arrived
 }
 
-// Accept is part of net.Listener.
+// Accept implements net.Listener. It blocks until a connection arrives for which there is room.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -53,7 +56,7 @@
 			return nil, err
 		}
 		c := &clientConnection{Conn: conn, listener: l, idleSince: l.clock()}
-		l.lock.Lock()
+		l.mu.Lock()
 		room := len(l.open) < l.limit
 		var evicted *clientConnection
 		if !room {
@@ -62,7 +65,7 @@
 		if room || evicted != nil {
 			l.open[c] = true
 		}
-		l.lock.Unlock()
+		l.mu.Unlock()
 		if evicted != nil {
 			evicted.Close()
 		} else if !room {
@@ -73,17 +76,17 @@
 	}
 }
 
-// evictionCandidate finds the idle connection whose end costs least: the user's that has been
-// idle longest, or else the worker's that has been idle shortest.
+// evictionCandidate returns the connection to evict, or nil if none is idle. The caller must hold
+// the mutex.
 func (l *limitedListener) evictionCandidate() *clientConnection {
 	var user, worker *clientConnection
 	now := l.clock()
 	for c := range l.open {
 		switch {
 		case c.idleSince.IsZero():
-		case !c.hadRequest && now.Sub(c.idleSince) < tuning.FirstRequestTimeout:
-			// its first request is on its way: in a burst of new connections each
-			// would take the place of the one before
+		case !c.receivedRequest && now.Sub(c.idleSince) < tuning.FirstRequestTimeout:
+			// Its first request is probably in transit. Without this case, a burst of new
+			// connections would evict each other.
 		case c.isWorker:
 			if worker == nil || c.idleSince.After(worker.idleSince) {
 				worker = c
@@ -98,33 +101,33 @@
 	return worker
 }
 
-// crowded reports whether a worker's connection is to be closed with the answer to its
-// report, so that another worker's has room.
-func (l *limitedListener) crowded() bool {
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	return len(l.open) >= l.sharedFrom
+// nearLimit reports whether the connections of workers must be closed after each response, which
+// makes room for other workers.
+func (l *limitedListener) nearLimit() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.open) >= l.keepAliveLimit
 }
 
-// Close is part of net.Conn.
+// Close implements net.Conn. It also removes the connection from the listener's open connections.
 func (c *clientConnection) Close() error {
-	c.listener.lock.Lock()
+	c.listener.mu.Lock()
 	delete(c.listener.open, c)
-	c.listener.lock.Unlock()
+	c.listener.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// trackState follows a connection for http.Server.
+// trackState implements http.Server.ConnState to record when connections are idle.
 func (l *limitedListener) trackState(conn net.Conn, s http.ConnState) {
 	c, ok := conn.(*clientConnection)
 	if !ok {
 		return
 	}
-	l.lock.Lock()
-	defer l.lock.Unlock()
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	switch s {
 	case http.StateActive:
-		c.idleSince, c.hadRequest = time.Time{}, true
+		c.idleSince, c.receivedRequest = time.Time{}, true
 	case http.StateIdle:
 		c.idleSince = l.clock()
 	}
@@ -136,15 +139,15 @@
 	return context.WithValue(ctx, clientConnectionKey{}, conn)
 }
 
-// markWorkerConnection notes that a request's connection is a worker's, and reports whether it is to
-// be closed with the answer.
+// markWorkerConnection marks the connection of a request as that of a worker. It reports whether the
+// connection must be closed after the response.
 func markWorkerConnection(req *http.Request) (closes bool) {
 	c, ok := req.Context().Value(clientConnectionKey{}).(*clientConnection)
 	if !ok {
 		return false
 	}
-	c.listener.lock.Lock()
+	c.listener.mu.Lock()
 	c.isWorker = true
-	c.listener.lock.Unlock()
-	return c.listener.crowded()
+	c.listener.mu.Unlock()
+	return c.listener.nearLimit()
 }
--- a/internal/httpapi/listener_test.go
+++ b/internal/httpapi/listener_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// queuedListener is a listener with a number of connections waiting.
+// queuedListener is a net.Listener that accepts the connections in its queue.
 type queuedListener struct {
 	net.Listener
 	connections []net.Conn
@@ -26,7 +26,7 @@
 	return first, nil
 }
 
-// fakeConnection is a connection that only knows whether it was closed.
+// fakeConnection is a net.Conn that records whether it was closed.
 type fakeConnection struct {
 	net.Conn
 	closed bool
@@ -37,8 +37,8 @@
 	return nil
 }
 
-// markAsWorker tells the server that a worker's heartbeat came over a connection, and
-// returns whether the connection is to be closed with the answer.
+// markAsWorker simulates a heartbeat over a connection and reports whether the connection must be
+// closed after the response.
 func markAsWorker(t *testing.T, connection net.Conn) bool {
 	t.Helper()
 	ctx := withClientConnection(t.Context(), connection)
@@ -49,74 +49,75 @@
 	return markWorkerConnection(req)
 }
 
-// clientKind is the other end of a connection and what it does.
+// clientKind is the kind of client of a connection, and whether it has a request in flight.
 type clientKind string
 
 const (
 	idleUser   clientKind = "idle user"
 	busyUser   clientKind = "busy user"
-	idleWorker clientKind = "worker"
+	idleWorker clientKind = "idle worker"
 	busyWorker clientKind = "busy worker"
 )
 
-// none is the index of no connection.
-const none = -1
+// noneEvicted is the value of admissionCase.evicted if no connection is evicted.
+const noneEvicted = -1
 
-// admissionCase is what happens to the open connections when one more comes.
+// admissionCase describes the effect of one more connection at a limit of three.
 type admissionCase struct {
 	name     string
 	open     []clientKind // oldest first
 	accepted bool
-	closed   int // which of the open ones makes room, or none
+	evicted  int // index in open, or noneEvicted
 }
 
 var admissionCases = []admissionCase{
 	{
-		name:     "there is room",
+		name:     "below the limit: nothing is evicted",
 		open:     []clientKind{idleWorker, idleUser},
 		accepted: true,
-		closed:   none,
+		evicted:  noneEvicted,
 	},
 	{
-		name:     "the user idle longest makes room",
+		name:     "idle users: least recently used one is evicted",
 		open:     []clientKind{idleWorker, idleUser, idleUser},
 		accepted: true,
-		closed:   1,
+		evicted:  1,
 	},
 	{
-		name:     "not one whose request is in hand",
+		name:     "busy user: idle user is evicted instead",
 		open:     []clientKind{busyUser, idleWorker, idleUser},
 		accepted: true,
-		closed:   2,
+		evicted:  2,
 	},
 	{
-		name:     "the worker answered last does if there is no user",
+		name:     "only idle workers: most recently used one is evicted",
 		open:     []clientKind{idleWorker, idleWorker, idleWorker},
 		accepted: true,
-		closed:   2,
+		evicted:  2,
 	},
 	{
-		name:     "not one whose heartbeat is in hand",
+		name:     "busy workers: idle worker is evicted instead",
 		open:     []clientKind{idleWorker, busyWorker, busyWorker},
 		accepted: true,
-		closed:   0,
+		evicted:  0,
 	},
 	{
-		name:     "no worker while a user is idle",
+		name:     "idle user and idle workers: user is evicted",
 		open:     []clientKind{idleUser, idleWorker, idleWorker},
 		accepted: true,
-		closed:   0,
+		evicted:  0,
 	},
 	{
-		name:     "nobody can",
+		name:     "no idle connection: new connection is closed",
 		open:     []clientKind{busyWorker, busyUser, busyUser},
 		accepted: false,
-		closed:   none,
+		evicted:  noneEvicted,
 	},
 }
 
-// Users took the place of workers, whose tasks were killed when their leases ran out.
-func TestClientListener(t *testing.T) {
+// Connections of users must not displace those of workers, whose leases would expire and whose
+// tasks would be killed.
+func TestConnectionEviction(t *testing.T) {
 	for _, c := range admissionCases {
 		t.Run(c.name, c.run)
 	}
@@ -128,7 +129,7 @@
 	queue := &queuedListener{}
 	listener := newLimitedListener(queue, limit, func() time.Time { return now })
 	var open []*fakeConnection
-	for _, who := range c.open {
+	for _, kind := range c.open {
 		accepted := &fakeConnection{}
 		open = append(open, accepted)
 		queue.connections = []net.Conn{accepted}
@@ -138,10 +139,10 @@
 		}
 		now = now.Add(time.Second)
 		listener.trackState(connection, http.StateActive)
-		if who == idleWorker || who == busyWorker {
+		if kind == idleWorker || kind == busyWorker {
 			markAsWorker(t, connection)
 		}
-		if who == idleUser || who == idleWorker {
+		if kind == idleUser || kind == idleWorker {
 			listener.trackState(connection, http.StateIdle)
 		}
 	}
@@ -152,18 +153,18 @@
 		t.Errorf("accepted %v, closed %v; want accepted %v", accepted, last.closed, c.accepted)
 	}
 	for i, connection := range open {
-		if connection.closed != (i == c.closed) {
+		if connection.closed != (i == c.evicted) {
 			t.Errorf("connection %d (%s): closed %v", i, c.open[i], connection.closed)
 		}
 	}
 	if len(listener.open) > limit {
-		t.Errorf("%d are open", len(listener.open))
+		t.Errorf("%d connections are open, limit %d", len(listener.open), limit)
 	}
 }
 
-// A worker's connection is kept until nearly as many are open as there may be, and closed
-// with the answer from then on.
-func TestWorkerConnectionsNearLimit(t *testing.T) {
+// Connections of workers must stay open until their number is close to the limit, and must be closed
+// after each response from then on.
+func TestWorkerConnectionsCloseNearLimit(t *testing.T) {
 	const limit = 100
 	queue := &queuedListener{}
 	listener := newLimitedListener(queue, limit, time.Now)
@@ -174,22 +175,22 @@
 			t.Fatal(err)
 		}
 		if closes, want := markAsWorker(t, connection), n >= limit*98/100; closes != want {
-			t.Errorf("with %d of %d open: closed %v", n, limit, closes)
+			t.Errorf("with %d of %d connections open: close %v, want %v", n, limit, closes, want)
 		}
 	}
 }
 
-// Workers whose controller has fewer sockets than there are machines share them in time:
-// every heartbeat is answered, and as many connections as there may be are kept open.
-func TestSharedConnections(t *testing.T) {
+// With more workers than connections, every heartbeat must be answered and most of the permitted
+// connections must stay open.
+func TestWorkersShareConnections(t *testing.T) {
 	const (
-		limit   = 50
-		workers = 120
-		rounds  = 10
-		atOnce  = 8 // requests in hand
-		// leastPause is the protocol's least time between an answer and the worker's next
-		// heartbeat. The listener counts on it when it evicts the worker answered last.
-		leastPause = 500 * time.Millisecond
+		limit       = 50
+		workers     = 120
+		rounds      = 10
+		maxInFlight = 8 // concurrent requests
+		// minHeartbeatDelay is the protocol's minimum time between a response and the worker's
+		// next heartbeat. The choice of the evicted worker depends on it.
+		minHeartbeatDelay = 500 * time.Millisecond
 	)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -206,7 +207,7 @@
 	srv.Config.ConnState, srv.Config.ConnContext = listener.trackState, withClientConnection
 	srv.Start()
 	defer srv.Close()
-	slots := make(chan struct{}, atOnce)
+	slots := make(chan struct{}, maxInFlight)
 	var running sync.WaitGroup
 	var clientsOfWorkers []*http.Client
 	for range workers {
@@ -217,22 +218,22 @@
 				slots <- struct{}{}
 				postHeartbeat(t, client, srv.URL)
 				<-slots
-				time.Sleep(leastPause)
+				time.Sleep(minHeartbeatDelay)
 			}
 		})
 	}
 	running.Wait()
-	listener.lock.Lock()
+	listener.mu.Lock()
 	if n := len(listener.open); n > limit || n < limit*9/10 {
-		t.Errorf("%d connections are open, the limit is %d", n, limit)
+		t.Errorf("%d connections are open, want %d to %d", n, limit*9/10, limit)
 	}
-	listener.lock.Unlock()
+	listener.mu.Unlock()
 	for _, client := range clientsOfWorkers {
 		client.CloseIdleConnections()
 	}
 }
 
-// postHeartbeat sends a request and reads its answer, so that the connection can be kept.
+// postHeartbeat sends a request and reads the whole response, so that the connection can be reused.
 func postHeartbeat(t *testing.T, client *http.Client, url string) {
 	resp, err := client.Post(url, "application/json", strings.NewReader("{}"))
 	if err != nil {
--- a/internal/httpapi/server.go
+++ b/internal/httpapi/server.go
@@ -1,6 +1,6 @@
-// Package httpapi is the HTTP server for users, workers and health checks. It reads and
-// checks requests, hands them to the goroutine that owns the controller's state, and writes
-// the answers. It holds no state of its own beyond the open connections.
+// Package httpapi is the HTTP server for users, workers and health checks. It parses and validates
+// requests, passes them to the controller's event loop, and writes the responses. It holds no state
+// other than the open connections.
 package httpapi
 
 import (
@@ -15,46 +15,47 @@
 	"juniperchute/internal/wire"
 )
 
-// Controller answers requests. Its methods are called on the goroutine that owns its state;
-// each calls reply once, then or later.
+// Controller handles requests. The server calls its methods on the controller's event loop. Each
+// method with a reply callback must invoke it exactly once, immediately or later.
 type Controller interface {
-	// Submit accepts a job, or answers what became of it if it is known already.
+	// Submit accepts a job. It is idempotent: for a known job it replies with the job's state.
 	Submit(now time.Time, spec wire.JobSpec, reply func(submission.Response))
-	// Query answers a job's state.
+	// Query replies with the state of a job.
 	Query(now time.Time, job string, reply func(submission.Response))
-	// Cancel cancels a job.
+	// Cancel cancels a job. It is idempotent.
 	Cancel(now time.Time, job string, reply func(submission.Response))
-	// HandleHeartbeat answers a worker's heartbeat.
+	// HandleHeartbeat processes a worker's heartbeat and replies with a status and a JSON body.
 	HandleHeartbeat(now time.Time, heartbeat *wire.Heartbeat, reply func(status int, body any))
-	// ObserveQueueDelay takes note of how long the next heartbeat has waited for its turn.
+	// ObserveQueueDelay records the time that a heartbeat has spent in the queue. It is called
+	// before HandleHeartbeat.
 	ObserveQueueDelay(delay time.Duration)
 }
 
-// Options are what a server is made of.
+// Options configures a Server.
 type Options struct {
 	Controller Controller
-	// Heartbeats and Requests are the bounded queues of the goroutine that owns the
-	// controller's state.
+	// Heartbeats and Requests are the bounded queues of the controller's event loop.
 	Heartbeats, Requests chan<- func(now time.Time)
-	// Healthy tells, without waiting for the owner, whether this node can take requests.
+	// Healthy reports whether this controller can accept requests. It must not block on the
+	// event loop.
 	Healthy func() bool
-	// ObserveLatency takes note of how long a user's request took.
+	// ObserveLatency records the latency of a user's request.
 	ObserveLatency func(time.Duration)
-	// Now is the steady clock.
+	// Now returns the time of the monotonic clock.
 	Now     func() time.Time
 	Workers config.Workers
-	// MaxConnections bounds the open connections.
+	// MaxConnections is the maximum number of open connections.
 	MaxConnections int
 	Log            *slog.Logger
 }
 
-// Server is the HTTP server of one controller.
+// Server is the HTTP server of one controller. Serve may be called once.
 type Server struct {
 	options Options
 	http    *http.Server
 }
 
-// NewServer makes a server; Serve starts it.
+// NewServer returns a server, which Serve starts.
 func NewServer(options Options) *Server {
 	s := &Server{options: options}
 	s.http = &http.Server{
@@ -67,20 +68,21 @@
 	return s
 }
 
-// maxHeaderBytes bounds a request's header: users and workers send a few hundred bytes.
+// maxHeaderBytes bounds the header of a request. Users and workers send a few hundred bytes.
 const maxHeaderBytes = 16 << 10
 
-// Serve accepts connections until the listener fails or the server is closed.
+// Serve handles connections until the listener fails or the server is closed. It always returns a
+// non-nil error.
 func (s *Server) Serve(listener net.Listener) error {
 	limited := newLimitedListener(listener, s.options.MaxConnections, s.options.Now)
 	s.http.ConnState, s.http.ConnContext = limited.trackState, withClientConnection
 	return s.http.Serve(limited)
 }
 
-// Close closes the listener and all connections at once.
+// Close closes the listener and all connections immediately. Requests in flight are not completed.
 func (s *Server) Close() error { return s.http.Close() }
 
-// Handler is the server's handler of requests, without its listener.
+// Handler returns the request handler, for use without a listener.
 func (s *Server) Handler() http.Handler { return s.http.Handler }
 
 func (s *Server) routes() http.Handler {
@@ -95,9 +97,9 @@
 	return mux
 }
 
-// idleTimeout is after how long without a request a client's connection is closed: a worker
-// sends heartbeats, and a user asks, several times within it, so one that does not is dead,
-// and after a network partition there would be one of them for each machine.
+// idleTimeout returns the time without a request after which a connection is closed. Live workers and
+// users send several requests within that time. After a network partition, each machine would
+// otherwise leave a dead connection behind.
 func idleTimeout(w config.Workers) time.Duration {
 	return max(tuning.MinConnectionIdleTimeout, config.Seconds(w.HeartbeatS*tuning.IdleConnectionHeartbeats))
 }
