--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -14,31 +14,31 @@
 	"juniperchute/internal/tuning"
 )
 
-// Growth of the pauses between attempts to connect.
+// Growth of the backoff between connection attempts.
 const (
-	retryMultiplier = 1.6
-	retryJitter     = 0.2
+	reconnectMultiplier = 1.6
+	reconnectJitter     = 0.2
 )
 
-// bufferBytes is the size of a connection's read and of its write buffer: messages are small, and
-// a controller's memory is too.
-const bufferBytes = 4 << 10
+// connectionBufferBytes is the size of each connection's read buffer and of its write buffer.
+// Messages are small, and smaller buffers save memory.
+const connectionBufferBytes = 4 << 10
 
-// ErrUnknownMember means that a member is none of the peers in the settings.
+// ErrUnknownMember means that a member is not among the peers in the settings.
 var ErrUnknownMember = errors.New("unknown member")
 
-// Clients are the connections to the other controllers, opened when first needed. They may be used
-// by several goroutines.
+// Clients holds the gRPC connections to the other controllers. Each is opened at its first call.
+// Clients is safe for concurrent use.
 type Clients struct {
 	connections map[string]*grpc.ClientConn // by member
 }
 
-// NewClients prepares the connections.
+// NewClients returns clients for the given peers without connecting to them.
 func NewClients(peers []config.Peer) *Clients {
 	c := &Clients{connections: map[string]*grpc.ClientConn{}}
 	for _, peer := range peers {
-		// Addresses are IP numbers, checked by config, so this cannot fail
-		// for a reason that a later call would not report.
+		// Package config has validated the address, so Dial does not fail because of it.
+		// A peer for which it fails anyway is treated as unknown.
 		connection, err := Dial(peer.Address)
 		if err == nil {
 			c.connections[peer.Member] = connection
@@ -47,34 +47,34 @@
 	return c
 }
 
-// Dial prepares a connection to a controller's peer address, which is opened when first needed.
+// Dial returns a connection to a controller's peer address. It is opened at the first call.
 func Dial(address string) (*grpc.ClientConn, error) {
 	return grpc.NewClient("passthrough:///"+address,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithNoProxy(),
 		grpc.WithDisableServiceConfig(),
-		grpc.WithReadBufferSize(bufferBytes),
-		grpc.WithWriteBufferSize(bufferBytes),
+		grpc.WithReadBufferSize(connectionBufferBytes),
+		grpc.WithWriteBufferSize(connectionBufferBytes),
 		grpc.WithConnectParams(grpc.ConnectParams{
 			Backoff: backoff.Config{
 				BaseDelay:  tuning.PeerRetryInitial,
-				Multiplier: retryMultiplier,
-				Jitter:     retryJitter,
+				Multiplier: reconnectMultiplier,
+				Jitter:     reconnectJitter,
 				MaxDelay:   tuning.PeerRetryMax,
 			},
 			MinConnectTimeout: tuning.DialTimeout,
 		}))
 }
 
-// Close closes all connections.
+// Close closes all connections. Calls in flight fail.
 func (c *Clients) Close() {
 	for _, connection := range c.connections {
 		connection.Close()
 	}
 }
 
-// Peer is the client of one member. For a member that is no peer, all its calls fail with
-// ErrUnknownMember.
+// Peer returns the client for a member. If the member is not a peer, all calls of the client fail
+// with ErrUnknownMember.
 func (c *Clients) Peer(member string) peerpb.PeerClient {
 	if connection := c.connections[member]; connection != nil {
 		return peerpb.NewPeerClient(connection)
@@ -82,11 +82,11 @@
 	return unknownPeer{member}
 }
 
-// unknownPeer is the client of a member that is no peer.
+// unknownPeer is the client for a member that is not a peer.
 type unknownPeer struct{ member string }
 
 func (u unknownPeer) err() error {
-	return fmt.Errorf("calling peer %q: %w", u.member, ErrUnknownMember)
+	return fmt.Errorf("call peer %q: %w", u.member, ErrUnknownMember)
 }
 
 func (u unknownPeer) Pulse(context.Context, *peerpb.PeerHeartbeat, ...grpc.CallOption) (
--- a/internal/peer/doc.go
+++ b/internal/peer/doc.go
@@ -1,3 +1,3 @@
-// Package peer is the gRPC client and server of a controller's peer address, at which the other
-// controllers and operators call it. Package peerpb has the messages.
+// Package peer implements the gRPC server of a controller's peer address and the clients that
+// other controllers and operators use. Package peerpb defines the services and messages.
 package peer
--- a/internal/peer/peerpb/doc.go
+++ b/internal/peer/peerpb/doc.go
@@ -1,3 +1,3 @@
-// Package peerpb is the generated code of peer.proto: the messages and calls between the
-// controllers, and those of the administration API.
+// Package peerpb contains the code generated from peer.proto: the services and messages of the
+// calls between controllers and of the administration API.
 package peerpb
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -12,11 +12,11 @@
 	"juniperchute/internal/tuning"
 )
 
-// handshakeTimeout bounds the setting up of a connection from its acceptance on.
+// handshakeTimeout bounds the time from the acceptance of a connection to the end of its handshake.
 const handshakeTimeout = 5 * time.Second
 
-// Handler answers the calls of peers and operators. Its methods are called on goroutines of the
-// server's. An error that has no gRPC status is returned to the caller as Unavailable.
+// Handler handles the calls of peers and operators. The server invokes its methods concurrently. An
+// error without a gRPC status is returned to the caller with the status Unavailable.
 type Handler interface {
 	HandleHeartbeat(context.Context, *peerpb.PeerHeartbeat) (*peerpb.PeerHeartbeat, error)
 	HandleProgress(context.Context, *peerpb.ProgressRequest) (*peerpb.ProgressReply, error)
@@ -27,11 +27,11 @@
 	HandleSetSetting(ctx context.Context, name, value string) (*peerpb.Settings, error)
 }
 
-// NewServer makes the gRPC server of a controller, for peers and for operators.
+// NewServer returns the gRPC server of a controller, which serves the peer and the admin API.
 func NewServer(handler Handler) *grpc.Server {
 	server := grpc.NewServer(
-		grpc.ReadBufferSize(bufferBytes),
-		grpc.WriteBufferSize(bufferBytes),
+		grpc.ReadBufferSize(connectionBufferBytes),
+		grpc.WriteBufferSize(connectionBufferBytes),
 		grpc.MaxRecvMsgSize(tuning.MaxBodyBytes),
 		grpc.MaxConcurrentStreams(tuning.PeerCallsInFlight),
 		grpc.ConnectionTimeout(handshakeTimeout),
@@ -42,15 +42,15 @@
 	return server
 }
 
-// service maps the methods on the wire to those of the handler.
+// service implements the generated server interfaces by calling the handler.
 type service struct {
 	peerpb.UnimplementedPeerServer
 	peerpb.UnimplementedAdminServer
 	handler Handler
 }
 
-// withStatus gives an error that has no gRPC status the status Unavailable.
-func withStatus[T any](reply T, err error) (T, error) {
+// withDefaultStatus adds the status Unavailable to an error without a gRPC status.
+func withDefaultStatus[T any](reply T, err error) (T, error) {
 	if err != nil && status.Code(err) == codes.Unknown {
 		err = status.Error(codes.Unavailable, err.Error())
 	}
@@ -58,29 +58,29 @@
 }
 
 func (s *service) Pulse(ctx context.Context, request *peerpb.PeerHeartbeat) (*peerpb.PeerHeartbeat, error) {
-	return withStatus(s.handler.HandleHeartbeat(ctx, request))
+	return withDefaultStatus(s.handler.HandleHeartbeat(ctx, request))
 }
 
 func (s *service) Progress(ctx context.Context, request *peerpb.ProgressRequest) (*peerpb.ProgressReply, error) {
-	return withStatus(s.handler.HandleProgress(ctx, request))
+	return withDefaultStatus(s.handler.HandleProgress(ctx, request))
 }
 
 func (s *service) Probe(ctx context.Context, request *peerpb.ProbeRequest) (*peerpb.ProbeReply, error) {
-	return withStatus(s.handler.HandleProbe(ctx, request))
+	return withDefaultStatus(s.handler.HandleProbe(ctx, request))
 }
 
 func (s *service) Status(ctx context.Context, _ *peerpb.StatusRequest) (*peerpb.StatusReply, error) {
-	return withStatus(s.handler.HandleStatus(ctx))
+	return withDefaultStatus(s.handler.HandleStatus(ctx))
 }
 
 func (s *service) Duties(ctx context.Context, _ *peerpb.IntentsRequest) (*peerpb.IntentsReply, error) {
-	return withStatus(s.handler.HandleIntents(ctx))
+	return withDefaultStatus(s.handler.HandleIntents(ctx))
 }
 
 func (s *service) GetSettings(ctx context.Context, _ *peerpb.GetSettingsRequest) (*peerpb.Settings, error) {
-	return withStatus(s.handler.HandleSettings(ctx))
+	return withDefaultStatus(s.handler.HandleSettings(ctx))
 }
 
 func (s *service) SetSetting(ctx context.Context, request *peerpb.SetSettingRequest) (*peerpb.Settings, error) {
-	return withStatus(s.handler.HandleSetSetting(ctx, request.Name, request.Value))
+	return withDefaultStatus(s.handler.HandleSetSetting(ctx, request.Name, request.Value))
 }
