--- a/internal/store/watch_cache_catch_up.go
+++ b/internal/store/watch_cache_catch_up.go
@@ -23,7 +23,8 @@
 	c.startCatchUp(now, minInterval)
 }
 
-// startCatchUp starts the next catch-up if it has waiters and none is in flight.
+// startCatchUp starts the next catch-up if it has waiters, none is in flight and the minimum
+// interval has passed.
 func (c *WatchCache) startCatchUp(now time.Time, minInterval time.Duration) {
 	u := &c.catchUp
 	if u.inFlight || len(u.nextWaiters) == 0 || now.Before(u.notBefore) {
