--- a/internal/controller/process_effects.go
+++ b/internal/controller/process_effects.go
@@ -89,7 +89,7 @@
 		DialContext:         (&net.Dialer{Timeout: dialTimeout, KeepAlive: -1}).DialContext,
 		MaxIdleConns:        connections,
 		MaxIdleConnsPerHost: connections,
-		IdleConnTimeout:     tuning.IdleTimeout,
+		IdleConnTimeout:     tuning.IdleConnectionTimeout,
 		DisableCompression:  true,
 	}
 }
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -57,10 +57,10 @@
 		grpc.WithWriteBufferSize(connectionBufferBytes),
 		grpc.WithConnectParams(grpc.ConnectParams{
 			Backoff: backoff.Config{
-				BaseDelay:  tuning.PeerRetryInitial,
+				BaseDelay:  tuning.PeerBackoffInitial,
 				Multiplier: reconnectMultiplier,
 				Jitter:     reconnectJitter,
-				MaxDelay:   tuning.PeerRetryMax,
+				MaxDelay:   tuning.PeerBackoffMax,
 			},
 			MinConnectTimeout: tuning.DialTimeout,
 		}))
--- a/internal/store/desired_value.go
+++ b/internal/store/desired_value.go
@@ -129,14 +129,14 @@
 		}
 		v.markDurable(now, write.version)
 	case result.ConflictsOn(v.options.TermCompare.Key):
-		v.retryAfter(now, tuning.WriterRetryInitial)
+		v.retryAfter(now, tuning.WriterBackoffInitial)
 		v.options.OnTermLost(now)
 	case errors.Is(result.Err, ErrConflict):
 		v.readVersion()
 	case errors.Is(result.Err, ErrInvalid):
 		v.handleSizeRejection(now, write.version)
 	default:
-		v.retryAfter(now, tuning.WriterRetryInitial)
+		v.retryAfter(now, tuning.WriterBackoffInitial)
 	}
 }
 
@@ -167,7 +167,7 @@
 			return
 		}
 	}
-	v.sizeRetryBackoff = min(max(2*v.sizeRetryBackoff, tuning.WriterRetryInitial), tuning.WriterRetryMax)
+	v.sizeRetryBackoff = min(max(2*v.sizeRetryBackoff, tuning.WriterBackoffInitial), tuning.WriterBackoffMax)
 	v.retryAfter(now, v.sizeRetryBackoff)
 }
 
@@ -188,6 +188,6 @@
 		v.state = valueDirty
 		v.keyVersion = 0
 	default:
-		v.retryAfter(now, tuning.WriterRetryInitial)
+		v.retryAfter(now, tuning.WriterBackoffInitial)
 	}
 }
--- a/internal/store/pages_test.go
+++ b/internal/store/pages_test.go
@@ -181,7 +181,7 @@
 					t.Errorf("rejected value was written again: %.40s", value)
 				}
 			}
-			most := seconds / int(tuning.WriterRetryMax.Seconds()) * (len(times) + 1)
+			most := seconds / int(tuning.WriterBackoffMax.Seconds()) * (len(times) + 1)
 			if len(service.rejected) > most {
 				t.Errorf("%d rejections of %d values in an hour, want at most %d",
 					len(service.rejected), len(times), most)
--- a/internal/store/rate_limiter.go
+++ b/internal/store/rate_limiter.go
@@ -33,11 +33,11 @@
 	l.updateLevel(now)
 	l.setShare(now, l.share.adjust(now))
 	if !l.buckets.allowCall(now) {
-		return tuning.RateLimitRetry, false
+		return tuning.RateLimitBackoff, false
 	}
 	if !l.buckets.allowWrites(now, call) {
 		l.share.writesDelayed = true
-		return tuning.RateLimitRetry, false
+		return tuning.RateLimitBackoff, false
 	}
 	l.buckets.consume(now, call)
 	return 0, true
@@ -55,7 +55,7 @@
 		l.limits.countSizeRejection()
 	case errors.Is(err, ErrThrottled):
 		l.setShare(now, l.share.minimum())
-		l.share.nextAdjustment = now.Add(tuning.RateSharePause)
+		l.share.nextAdjustment = now.Add(tuning.RateShareCooldown)
 		l.buckets.drain(now, call)
 		l.limits.countRateRejection(now)
 	default:
--- a/internal/store/rate_limits.go
+++ b/internal/store/rate_limits.go
@@ -22,9 +22,9 @@
 
 // serviceLimits selects the limits to enforce.
 //
-//	current  tuning.RateLowerRefusals rejections  -> lowered
+//	current  tuning.RateLowerRejections rejections  -> lowered
 //	lowered  after loweredDuration                -> trial
-//	trial    tuning.RateTrialRefusals rejections  -> lowered
+//	trial    tuning.RateTrialRejections rejections  -> lowered
 //	trial    after tuning.RateLowerWindow         -> current
 type serviceLimits struct {
 	current         config.StateLimits
@@ -49,7 +49,7 @@
 }
 
 // countSizeRejection records a size rejection. One is enough to lower the limits.
-func (s *serviceLimits) countSizeRejection() { s.rejections = tuning.RateLowerRefusals }
+func (s *serviceLimits) countSizeRejection() { s.rejections = tuning.RateLowerRejections }
 
 func (s *serviceLimits) countRateRejection(now time.Time) {
 	if now.Sub(s.rejectionsSince) > tuning.RateLowerWindow {
@@ -69,9 +69,9 @@
 	case limitsLowered:
 		return false
 	case limitsTrial:
-		return s.rejections >= tuning.RateTrialRefusals
+		return s.rejections >= tuning.RateTrialRejections
 	}
-	return s.rejections >= tuning.RateLowerRefusals
+	return s.rejections >= tuning.RateLowerRejections
 }
 
 // levelAt returns the level at a time if no further call is rejected.
--- a/internal/store/watch_cache.go
+++ b/internal/store/watch_cache.go
@@ -138,7 +138,7 @@
 
 func (c *WatchCache) applyPage(now time.Time, after string, page Result) {
 	if !page.OK() {
-		c.backOff(now, tuning.WatchCacheRetry)
+		c.backOff(now, tuning.WatchCacheBackoff)
 		return
 	}
 	c.lastContact = now
@@ -195,7 +195,7 @@
 		c.state = cacheIdle
 		c.Tick(now)
 	case !result.OK():
-		c.backOff(now, tuning.WatchCacheRetry)
+		c.backOff(now, tuning.WatchCacheBackoff)
 	default:
 		c.lastContact = now
 		c.applyEvents(now, result)
--- a/internal/submission/cancel.go
+++ b/internal/submission/cancel.go
@@ -12,7 +12,7 @@
 // Cancel cancels an open job and calls reply with the job's final state. The request is idempotent:
 // the state of a job that has ended does not change.
 func (s *Service) Cancel(id string, reply func(Response)) {
-	if !wire.ValidID(id) {
+	if !wire.ValidJobID(id) {
 		reply(notFoundResponse())
 		return
 	}
@@ -65,7 +65,7 @@
 			s.options.Log.Debug("job cancelled", "job", id)
 			s.observeEnd(now, wire.JobState{ID: id, State: wire.JobCancelled})
 			reply(stateResponse(id, wire.JobCancelled))
-		case mayHaveChanged(result.Err) && attempt < tuning.MaxCancelTries:
+		case mayHaveChanged(result.Err) && attempt < tuning.MaxCancelAttempts:
 			s.tryCancel(id, attempt+1, reply)
 		case errors.Is(result.Err, store.ErrThrottled):
 			reply(BusyResponse())
--- a/internal/submission/query.go
+++ b/internal/submission/query.go
@@ -12,7 +12,7 @@
 // Query calls reply with a job's state. The state is no older than the query, so it never contradicts
 // what another controller has reported to a user before.
 func (s *Service) Query(now time.Time, id string, reply func(Response)) {
-	if !wire.ValidID(id) {
+	if !wire.ValidJobID(id) {
 		reply(notFoundResponse())
 		return
 	}
--- a/internal/tuning/httpapi.go
+++ b/internal/tuning/httpapi.go
@@ -4,8 +4,8 @@
 
 // Requests and connections of workers and users, used by package httpapi.
 const (
-	// HeaderTimeout bounds what a client may take for a request.
-	HeaderTimeout = 5 * time.Second
+	// RequestReadTimeout bounds what a client may take for a request.
+	RequestReadTimeout = 5 * time.Second
 	// FirstRequestTimeout is how long the first request of a new connection may take to arrive
 	// before the connection counts as idle.
 	FirstRequestTimeout = 1 * time.Second
@@ -31,6 +31,6 @@
 
 // The controller's own connections, used by package controller.
 const (
-	// IdleTimeout is how long one of them is kept for the next call.
-	IdleTimeout = 90 * time.Second
+	// IdleConnectionTimeout is how long one of them is kept for the next call.
+	IdleConnectionTimeout = 90 * time.Second
 )
