--- a/cmd/juniperchute/check.go
+++ b/cmd/juniperchute/check.go
@@ -35,7 +35,7 @@
 	if _, err := loadFeatures(featureFile); err != nil {
 		return err
 	}
-	for _, reason := range settings.Platform.MachineLimits.BelowMeasured() {
+	for _, reason := range settings.Platform.MachineLimits.BelowRecommended() {
 		fmt.Fprintf(out, "%s: warning: %s\n", settingsFile, reason)
 	}
 	fmt.Fprintf(out, "%s: valid: it configures controller %s, one of %d, for %s.\n", settingsFile, settings.Member,
--- a/cmd/juniperchute/serve.go
+++ b/cmd/juniperchute/serve.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		return err
 	}
-	for _, reason := range settings.Platform.MachineLimits.BelowMeasured() {
+	for _, reason := range settings.Platform.MachineLimits.BelowRecommended() {
 		log.Warn("machine smaller than any measured", "reason", reason)
 	}
 	features, err := loadFeatures(featureFile)
--- a/internal/admin/settings.go
+++ b/internal/admin/settings.go
@@ -13,7 +13,7 @@
 )
 
 // Key is the control record of the operators' settings: a JSON object of texts by name.
-const Key = "c/settings"
+const SettingsKey = "c/settings"
 
 // Settings are what operators may change while the service runs. They hold for all controllers.
 type Settings struct {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -18,7 +18,7 @@
 // Config is the whole settings file.
 type Config struct {
 	Member   string   `toml:"member"`    // this controller's name
-	Area     string   `toml:"area"`      // the zone that it runs in
+	Zone     string   `toml:"area"`      // the zone that it runs in
 	APIAddr  string   `toml:"api_addr"`  // where users, workers and health checks reach it
 	PeerBind string   `toml:"peer_bind"` // where the other controllers and operators reach it
 	Peers    []Peer   `toml:"known"`     // the other controllers
@@ -29,7 +29,7 @@
 // Peer is another controller.
 type Peer struct {
 	Member  string `toml:"member"`
-	Area    string `toml:"area"`
+	Zone    string `toml:"area"`
 	Address string `toml:"address"` // its PeerBind
 }
 
@@ -43,7 +43,7 @@
 type Platform struct {
 	Nodes         int           `toml:"nodes"` // the number of controllers
 	Zones         []string      `toml:"zones"`
-	TimeBoundMS   float64       `toml:"time_bound_ms"` // largest deviation of a wall clock from true time
+	ClockSkewMS   float64       `toml:"time_bound_ms"` // largest deviation of a wall clock from true time
 	Teams         []Team        `toml:"teams"`
 	Objectives    []Objective   `toml:"objectives"`
 	Workers       Workers       `toml:"workers"`
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -265,7 +265,7 @@
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got := c.limits.BelowMeasured()
+			got := c.limits.BelowRecommended()
 			if len(got) != len(c.want) {
 				t.Fatalf("%q, want %q named", got, c.want)
 			}
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -78,17 +78,17 @@
 	Sockets  int     `toml:"sockets"`
 }
 
-// BelowMeasured lists, as warnings, the limits that are lower than any this service was measured
+// BelowRecommended lists, as warnings, the limits that are lower than any this service was measured
 // with. It runs, as the fleet may be small too, but was never seen to keep up.
-func (l MachineLimits) BelowMeasured() []string {
+func (l MachineLimits) BelowRecommended() []string {
 	var warnings []string
 	for _, limit := range []struct {
 		name            string
 		value, measured float64
 	}{
-		{name: "cpu", value: l.CPU, measured: tuning.MeasuredCPU},
-		{name: "memory_mb", value: l.MemoryMB, measured: tuning.MeasuredMemoryMB},
-		{name: "sockets", value: float64(l.Sockets), measured: tuning.MeasuredSockets},
+		{name: "cpu", value: l.CPU, measured: tuning.RecommendedCPU},
+		{name: "memory_mb", value: l.MemoryMB, measured: tuning.RecommendedMemoryMB},
+		{name: "sockets", value: float64(l.Sockets), measured: tuning.RecommendedSockets},
 	} {
 		if limit.value < limit.measured {
 			warnings = append(warnings, fmt.Sprintf("facts.machine_limits.%s: %g is below %g, the least measured",
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -39,7 +39,7 @@
 	if c.Member == "" {
 		return missing("member")
 	}
-	if c.Area == "" {
+	if c.Zone == "" {
 		return missing("area")
 	}
 	names := map[string]bool{c.Member: true}
@@ -136,7 +136,7 @@
 			return invalid(amount.field, "missing or not above 0")
 		}
 	}
-	if p.TimeBoundMS < 0 {
+	if p.ClockSkewMS < 0 {
 		return invalid("facts.time_bound_ms", "negative")
 	}
 	return nil
--- a/internal/controller/cancellation_loading_test.go
+++ b/internal/controller/cancellation_loading_test.go
@@ -186,7 +186,7 @@
 	stopped := false
 	successor.HandleHeartbeat(sim.clock.Now(), cut.Heartbeat(), func(status int, body any) {
 		for _, command := range body.(wire.HeartbeatResponse).Commands {
-			id, _, _ := wire.ParseTask(command.Task)
+			id, _, _ := wire.ParseTaskName(command.Task)
 			stopped = stopped || status == 200 && command.Verb == wire.VerbStop && id == cancelled.Spec.ID
 		}
 	})
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -159,7 +159,7 @@
 
 // applyControlRecord applies a change of a control record other than the membership records.
 func (c *Controller) applyControlRecord(_ time.Time, key string, kv wire.KeyValue, deleted bool) {
-	if key == admin.Key {
+	if key == admin.SettingsKey {
 		c.applySettings(kv, deleted)
 		return
 	}
@@ -217,7 +217,7 @@
 	c.openJobs.MinWatchInterval = tuning.FollowerWatchInterval
 	c.provisionRequests.MinWatchInterval = tuning.FollowerWatchInterval
 	if len(c.terms) > 0 {
-		c.openJobs.MinWatchInterval = tuning.OwnerWatchInterval
+		c.openJobs.MinWatchInterval = tuning.LeaseHolderWatchInterval
 	}
 	c.openJobs.Tick(now)
 	c.provisionRequests.Tick(now)
@@ -240,7 +240,7 @@
 	if !c.membership.Synced() || !c.openJobs.Synced() || len(c.allMachineTypes()) == 0 {
 		return false
 	}
-	if c.stateUnreachableFor(now) < tuning.IsolatedAfter+tuning.WatchTimeout {
+	if c.stateUnreachableFor(now) < tuning.StoreIsolationTimeout+tuning.WatchTimeout {
 		return true
 	}
 	isolated := len(c.peers.byName) > 0
@@ -249,7 +249,7 @@
 			continue
 		}
 		isolated = false
-		if peer.stateUnreachableFor < tuning.IsolatedAfter {
+		if peer.stateUnreachableFor < tuning.StoreIsolationTimeout {
 			return false
 		}
 	}
--- a/internal/controller/process_effects.go
+++ b/internal/controller/process_effects.go
@@ -60,8 +60,8 @@
 }
 
 func newProcessEffects(cfg *config.Config, connections connectionLimits, options effectOptions) *processEffects {
-	toState := transport(stateConnections(), tuning.DialTimeout)
-	toCloud := transport(tuning.CloudCallsInFlight, tuning.DialTimeout)
+	toState := transport(stateConnections(), tuning.PeerDialTimeout)
+	toCloud := transport(tuning.CloudCallsInFlight, tuning.PeerDialTimeout)
 	toWorkers := transport(tuning.CommandIdleConnections, tuning.WorkerDialTimeout)
 	e := &processEffects{
 		effectOptions: options,
@@ -89,7 +89,7 @@
 		DialContext:         (&net.Dialer{Timeout: dialTimeout, KeepAlive: -1}).DialContext,
 		MaxIdleConns:        connections,
 		MaxIdleConnsPerHost: connections,
-		IdleConnTimeout:     tuning.IdleTimeout,
+		IdleConnTimeout:     tuning.IdleConnectionTimeout,
 		DisableCompression:  true,
 	}
 }
--- a/internal/controller/settings.go
+++ b/internal/controller/settings.go
@@ -35,11 +35,11 @@
 		return
 	}
 	values := map[string]string{}
-	c.membership.Each(admin.Key, func(kv wire.KeyValue) { _ = json.Unmarshal(kv.Value, &values) })
+	c.membership.Each(admin.SettingsKey, func(kv wire.KeyValue) { _ = json.Unmarshal(kv.Value, &values) })
 	values[name] = value
 	call := store.Call{Op: store.OpTransaction, Priority: store.PriorityUser, Transaction: wire.Transaction{
-		Compares: []wire.Compare{store.VersionEquals(admin.Key, c.membership.Version(admin.Key))},
-		Writes:   []wire.Write{store.Put(admin.Key, values, 0)},
+		Compares: []wire.Compare{store.VersionEquals(admin.SettingsKey, c.membership.Version(admin.SettingsKey))},
+		Writes:   []wire.Write{store.Put(admin.SettingsKey, values, 0)},
 	}}
 	c.callState(call, func(_ time.Time, result store.Result) {
 		switch {
--- a/internal/controller/simulation_checks_test.go
+++ b/internal/controller/simulation_checks_test.go
@@ -75,7 +75,7 @@
 func (sim *simulation) checkCommands(n *simulatedNode, commands []wire.Command) {
 	const mostWithoutNews = tuning.MemberLease + tuning.WatchTimeout + tuning.StoreTimeout
 	for _, o := range commands {
-		id, _, _ := wire.ParseTask(o.Task)
+		id, _, _ := wire.ParseTaskName(o.Task)
 		j := sim.cluster.Jobs[id]
 		if o.Verb != wire.VerbRun || j == nil || j.KnownState != wire.JobCancelled {
 			continue
--- a/internal/controller/simulation_deployments_test.go
+++ b/internal/controller/simulation_deployments_test.go
@@ -94,7 +94,7 @@
 // testConfig is the configuration of a small deployment.
 func testConfig(zones []string, teams []config.Team, heartbeatS, leaseS float64) *config.Config {
 	platform := fakes.DeploymentConfig(zones, teams, heartbeatS, leaseS)
-	return &config.Config{Member: "x", Area: zones[0], Platform: platform}
+	return &config.Config{Member: "x", Zone: zones[0], Platform: platform}
 }
 
 // steadySimulation is a deployment without random faults, with work under way.
--- a/internal/controller/steady_test.go
+++ b/internal/controller/steady_test.go
@@ -12,7 +12,7 @@
 // leanSimulation is a deployment of the size of a lean one in simulated time, loaded and
 // steady.
 func leanSimulation(load fakes.Workload) *simulation {
-	cfg := &config.Config{Member: "x", Area: "a", Platform: load.Config()}
+	cfg := &config.Config{Member: "x", Zone: "a", Platform: load.Config()}
 	sim := newSimulation(nil, 5, cfg, 1, []wire.MachineType{fakes.LargeMachineType()})
 	sim.state.PageSize, sim.state.MaxHistory, sim.cloud.PageSize = 1000, 10000, 500
 	sim.cloud.Available[fakes.CapacityKey(fakes.LargeMachineType().Name, "a", false)] = load.Machines
--- a/internal/fakes/worker_commands.go
+++ b/internal/fakes/worker_commands.go
@@ -22,7 +22,7 @@
 // execute executes commands in their order.
 func (w *Worker) execute(commands []wire.Command) {
 	for _, command := range commands {
-		jobID, index, ok := wire.ParseTask(command.Task)
+		jobID, index, ok := wire.ParseTaskName(command.Task)
 		job := w.cluster.Jobs[jobID]
 		if !ok || job == nil {
 			w.cluster.AddViolation(Expectation, "a command for a task that nobody submitted: %v", command)
--- a/internal/fakes/workload.go
+++ b/internal/fakes/workload.go
@@ -14,7 +14,7 @@
 	return config.Platform{
 		Nodes:         3,
 		Zones:         zones,
-		TimeBoundMS:   100,
+		ClockSkewMS:   100,
 		Teams:         teams,
 		Objectives:    []config.Objective{{Kind: "finished", Class: "sweep", WithinS: 60, Share: 0.8}},
 		Workers:       config.Workers{HeartbeatS: heartbeatS, LeaseS: leaseS, GangWaitS: 20, GangPeerS: 4, CancelS: 35},
--- a/internal/fleet/machine_types.go
+++ b/internal/fleet/machine_types.go
@@ -81,7 +81,7 @@
 	if now.Before(t.refreshAt) || !t.cloud.allow(now) {
 		return
 	}
-	t.refreshAt = now.Add(tuning.CloudTimeout + tuning.CloudRetryInitial)
+	t.refreshAt = now.Add(tuning.CloudTimeout + tuning.CloudBackoffInitial)
 	t.cloud.call(cloud.Call{Operation: cloud.ListMachineTypes}, t.handleList)
 }
 
--- a/internal/fleet/provisioner.go
+++ b/internal/fleet/provisioner.go
@@ -114,7 +114,7 @@
 	request.inFlight, request.answeredAt = false, now
 	response, err := result.Response()
 	p.intents.FinishCall(request.intent, outcomeOf(err))
-	noCapacityUntil := now.Add(tuning.NoCapacityPause)
+	noCapacityUntil := now.Add(tuning.NoCapacityBackoff)
 	switch {
 	case err == nil:
 		p.handleGrant(now, request, response.Hosts)
@@ -182,7 +182,7 @@
 // returns nil if there is none whose backoff has passed.
 func (p *provisioner) retryRefused(now time.Time, kind machineKind, maxMachines int) *provisioningRequest {
 	for _, request := range p.sorted() {
-		if request.retryable(now, kind, maxMachines, tuning.NoCapacityPause) {
+		if request.retryable(now, kind, maxMachines, tuning.NoCapacityBackoff) {
 			request.setState(p.log, requestPending, "retried")
 			return request
 		}
--- a/internal/fleet/provisioner_test.go
+++ b/internal/fleet/provisioner_test.go
@@ -119,7 +119,7 @@
 	t.Run("retried under the same name for new demand", func(t *testing.T) {
 		f := newLoggedFixture(t)
 		first := f.refuseRequest()
-		f.advance(tuning.NoCapacityPause)
+		f.advance(tuning.NoCapacityBackoff)
 		f.commitWrites()
 		f.advance(tuning.ScaleOutInterval)
 		again := f.answerCall(cloud.CreateMachines, granted("i-1"))
@@ -131,7 +131,7 @@
 		f := newLoggedFixture(t)
 		first := f.refuseRequest()
 		f.autoscaler.Settings.Paused = true // no retry for demand
-		f.advance(tuning.NoCapacityPause)
+		f.advance(tuning.NoCapacityBackoff)
 		machine := f.registry.Add(f.now, "i-5", worker.Booting)
 		machine.Type, machine.Zone = "g2", "a"
 		f.autoscaler.HandleHeartbeat(f.now, machine)
--- a/internal/fleet/rate_limited_cloud.go
+++ b/internal/fleet/rate_limited_cloud.go
@@ -22,7 +22,7 @@
 
 func newRateLimitedCloud(caller cloud.Caller, requestsPerSecond float64) *rateLimitedCloud {
 	retryBackoff := backoff.NewExponentialBackOff()
-	retryBackoff.InitialInterval, retryBackoff.MaxInterval = tuning.CloudRetryInitial, tuning.CloudRetryMax
+	retryBackoff.InitialInterval, retryBackoff.MaxInterval = tuning.CloudBackoffInitial, tuning.CloudBackoffMax
 	// Each shard has a single caller, so retries need no jitter, and tests stay deterministic.
 	retryBackoff.RandomizationFactor = 0
 	retryBackoff.Reset()
--- a/internal/integration/deployment_test.go
+++ b/internal/integration/deployment_test.go
@@ -122,7 +122,7 @@
 	addresses := reserveAddresses(d.tb, d.config.Nodes)
 	var members []config.Peer
 	for i, address := range addresses {
-		members = append(members, config.Peer{Member: fmt.Sprintf("node-%d", i), Area: "a", Address: address.peer})
+		members = append(members, config.Peer{Member: fmt.Sprintf("node-%d", i), Zone: "a", Address: address.peer})
 	}
 	for i, member := range members {
 		d.controllers = append(d.controllers, &controllerProcess{
@@ -130,7 +130,7 @@
 			settingsFile: filepath.Join(dir, member.Member+".toml"),
 			config: config.Config{
 				Member:   member.Member,
-				Area:     member.Area,
+				Zone:     member.Zone,
 				PeerBind: member.Address,
 				APIAddr:  addresses[i].api,
 				Peers:    slices.Concat(members[:i], members[i+1:]),
--- a/internal/leader/lease.go
+++ b/internal/leader/lease.go
@@ -47,7 +47,7 @@
 func (m *Membership) handleGrant(now time.Time, r store.Result) {
 	if !r.OK() || r.Lease == 0 {
 		m.setState(memberOut, "lease refused")
-		m.retryAt = now.Add(tuning.MemberRetry)
+		m.retryAt = now.Add(tuning.MemberBackoff)
 		return
 	}
 	m.lease.granted(r.Lease, r.SentAt)
@@ -80,7 +80,7 @@
 	case errors.Is(r.Err, store.ErrNotFound):
 		m.dropLease("lease expired")
 	default:
-		m.lease.renewAt = now.Add(tuning.MemberRetry)
+		m.lease.renewAt = now.Add(tuning.MemberBackoff)
 	}
 }
 
@@ -94,13 +94,13 @@
 		JoinedAtMs:  m.options.WallClock().UnixMilli(),
 		Features:    m.options.Features,
 	}
-	m.retryAt = now.Add(tuning.StoreTimeout + tuning.MemberRetry)
+	m.retryAt = now.Add(tuning.StoreTimeout + tuning.MemberBackoff)
 	call := store.Call{Op: store.OpTransaction, Transaction: wire.Transaction{
 		Compares: []wire.Compare{store.VersionEquals(key, m.cache.Version(key))},
 		Writes:   []wire.Write{store.Put(key, record, lease)},
 	}}
 	m.options.StateCall(call, func(now time.Time, r store.Result) {
-		m.retryAt = now.Add(tuning.MemberRetry)
+		m.retryAt = now.Add(tuning.MemberBackoff)
 		if m.lease.id == lease && m.state == memberJoining {
 			m.handleJoin(now, r)
 		}
--- a/internal/leader/membership.go
+++ b/internal/leader/membership.go
@@ -121,14 +121,14 @@
 }
 
 // sendTransaction sends an election or assignment transaction. mayTransact returns false until
-// tuning.ElectionPause after the response.
+// tuning.ElectionCooldown after the response.
 func (m *Membership) sendTransaction(transaction wire.Transaction) {
 	m.transacting = true
 	call := store.Call{Op: store.OpTransaction, Transaction: transaction}
 	m.options.StateCall(call, func(now time.Time, _ store.Result) {
 		m.transacting = false
 		// The outcome, written by this process or another, arrives through the watch cache.
-		m.retryAt = now.Add(tuning.ElectionPause)
+		m.retryAt = now.Add(tuning.ElectionCooldown)
 	})
 }
 
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -57,12 +57,12 @@
 		grpc.WithWriteBufferSize(bufferBytes),
 		grpc.WithConnectParams(grpc.ConnectParams{
 			Backoff: backoff.Config{
-				BaseDelay:  tuning.PeerRetryInitial,
+				BaseDelay:  tuning.PeerBackoffInitial,
 				Multiplier: retryMultiplier,
 				Jitter:     retryJitter,
-				MaxDelay:   tuning.PeerRetryMax,
+				MaxDelay:   tuning.PeerBackoffMax,
 			},
-			MinConnectTimeout: tuning.DialTimeout,
+			MinConnectTimeout: tuning.PeerDialTimeout,
 		}))
 }
 
--- a/internal/placement/array.go
+++ b/internal/placement/array.go
@@ -174,7 +174,7 @@
 			a.markers.ensure(now, job)
 		}
 		firstPosition = min(firstPosition, job.fairSharePosition)
-		job.outsideLocalityWindow = job.fairSharePosition > firstPosition+tuning.ImageLocalityPatience.Seconds()
+		job.outsideLocalityWindow = job.fairSharePosition > firstPosition+tuning.ImageLocalityWindow.Seconds()
 		machinesNeeded := float64(job.pendingTasks()) * job.machineShare(a.registry)
 		job.imageUnderReplicated = float64(machinesByImage[job.Spec.Image]) < machinesNeeded
 	}
--- a/internal/placement/array_candidates.go
+++ b/internal/placement/array_candidates.go
@@ -37,8 +37,8 @@
 // terminated.
 func (info *machineInfo) rankFor(job *Job) int {
 	const (
-		noImage  = 2 * tuning.FillLevels // outweighs any fill level
-		onDemand = 4 * tuning.FillLevels // outweighs the image and any fill level
+		noImage  = 2 * tuning.FreeShareLevels // outweighs any fill level
+		onDemand = 4 * tuning.FreeShareLevels // outweighs the image and any fill level
 	)
 	rank := freeLevel(info.machine)
 	if job.Spec.Spot && !info.machine.Spot {
@@ -50,9 +50,9 @@
 	return rank
 }
 
-// freeLevel quantizes the free share of a machine to tuning.FillLevels levels; 0 is a full machine.
+// freeLevel quantizes the free share of a machine to tuning.FreeShareLevels levels; 0 is a full machine.
 func freeLevel(machine *worker.Machine) int {
-	return int(tuning.FillLevels * machine.AvailableToPrimary().DominantShare(machine.Capacity))
+	return int(tuning.FreeShareLevels * machine.AvailableToPrimary().DominantShare(machine.Capacity))
 }
 
 // hasImage reports whether the machine caches an image, or will pull it for a
--- a/internal/placement/commands.go
+++ b/internal/placement/commands.go
@@ -42,7 +42,7 @@
 // forReported returns at most one command for a task that a machine reports: a
 // stop for an unexpected or stopping attempt, a reap for an exited one.
 func (b *commandBuilder) forReported(machine *worker.Machine, reported *wire.TaskStatus) []wire.Command {
-	id, _, _ := wire.ParseTask(reported.Name)
+	id, _, _ := wire.ParseTaskName(reported.Name)
 	if b.jobs.unreadable[id] {
 		return nil
 	}
@@ -119,7 +119,7 @@
 func (b *commandBuilder) stopsForClosedJobs(tasks []wire.TaskStatus) []wire.Command {
 	var commands []wire.Command
 	for _, reported := range tasks {
-		id, _, ok := wire.ParseTask(reported.Name)
+		id, _, ok := wire.ParseTaskName(reported.Name)
 		if !ok || reported.State == wire.TaskExited || b.jobs.unreadable[id] {
 			continue
 		}
--- a/internal/placement/consolidation.go
+++ b/internal/placement/consolidation.go
@@ -33,7 +33,7 @@
 	plan := c.plan()
 	cordoned := 0
 	for i, machine := range plan.sources {
-		if cordoned == plan.limit || i == tuning.ConsolidationTries*plan.limit {
+		if cordoned == plan.limit || i == tuning.ConsolidationCandidates*plan.limit {
 			break
 		}
 		if _, isTarget := plan.planned[machine]; isTarget || !plan.planMoves(c.capacity.info(machine)) {
@@ -81,7 +81,7 @@
 			continue
 		}
 		inUse++
-		if machine.AvailableToPrimary().DominantShare(machine.Capacity) > tuning.ConsolidationMinFree {
+		if machine.AvailableToPrimary().DominantShare(machine.Capacity) > tuning.ConsolidationMinFreeShare {
 			p.targets = append(p.targets, machine)
 		}
 		if c.capacity.info(machine).canRelocate() {
--- a/internal/placement/failures.go
+++ b/internal/placement/failures.go
@@ -53,15 +53,15 @@
 	for host := range job.succeededOn {
 		succeededElsewhere = succeededElsewhere || host != machine.Host
 	}
-	faultyForJob := succeededElsewhere && machine.FailuresByJob[job.Spec.ID] >= tuning.QuarantineErrors
-	if jobs >= tuning.QuarantineJobs || faultyForJob {
+	faultyForJob := succeededElsewhere && machine.FailuresByJob[job.Spec.ID] >= tuning.QuarantineFailedTasks
+	if jobs >= tuning.QuarantineFailedJobs || faultyForJob {
 		if !machine.Quarantined {
 			f.log.Info("worker quarantined after failures of jobs", "worker", machine.Host, "count", jobs)
 		}
 		machine.Quarantined = true
 	}
 	if job.failsEverywhere() {
-		backoff := tuning.RetryInitial << min(job.failures, tuning.RetryDoublings)
+		backoff := tuning.TaskBackoffInitial << min(job.failures, tuning.TaskBackoffDoublings)
 		job.backoffUntil = now.Add(backoff)
 		f.log.Info("job backed off after failures", "job", job.Spec.ID, "backoff", backoff)
 	}
@@ -90,7 +90,7 @@
 	if task.healthy(now) {
 		return 0
 	}
-	backoff := tuning.RetryInitial << min(j.consecutiveShortRuns, tuning.RetryDoublings)
+	backoff := tuning.TaskBackoffInitial << min(j.consecutiveShortRuns, tuning.TaskBackoffDoublings)
 	j.consecutiveShortRuns++
 	return backoff
 }
--- a/internal/placement/fair_share.go
+++ b/internal/placement/fair_share.go
@@ -41,7 +41,7 @@
 		job.fairSharePosition = float64(job.AcceptedAt.UnixMilli()) / 1000
 		switch work := pendingWork[job]; {
 		case !job.isArray():
-			job.fairSharePosition -= tuning.GangHeadStart.Seconds()
+			job.fairSharePosition -= tuning.GangPositionBonus.Seconds()
 		case work > 0:
 			job.fairSharePosition += tuning.MaxBacklogPenalty.Seconds() * work / (work + average)
 		}
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -69,7 +69,7 @@
 	case g.pass.blockingGang != nil && g.pass.blockingGang != gang:
 		g.setPendingReason(gang, "an older gang goes first")
 		return false
-	case g.pass.gangsWithoutRoom >= tuning.MaxGangAttempts:
+	case g.pass.gangsWithoutRoom >= tuning.MaxUnplacedGangs:
 		return false // bounds the failed searches per pass
 	case !g.capacity.gangMayFit(now, gang, scope):
 		g.pass.gangsWithoutRoom++
@@ -130,13 +130,13 @@
 }
 
 // recordPlacementFailure sets the gang's pending reason. A gang that has waited
-// longer than tuning.GangPatience becomes the blocking gang: other gangs are not
+// longer than tuning.GangBlockingDelay becomes the blocking gang: other gangs are not
 // placed before it, because small gangs would otherwise take every machine that
 // becomes free and starve a large one. A gang that exceeds the capacity of all
 // machines never blocks others.
 func (g *gangScheduler) recordPlacementFailure(now time.Time, gang *Job) {
 	g.setPendingReason(gang, "no room for all tasks")
-	if g.pass.blockingGang != nil || now.Sub(gang.KnownSince) <= tuning.GangPatience {
+	if g.pass.blockingGang != nil || now.Sub(gang.KnownSince) <= tuning.GangBlockingDelay {
 		return
 	}
 	class, slots := gang.equivalenceClass(anyWork), 0
--- a/internal/placement/gang_placement.go
+++ b/internal/placement/gang_placement.go
@@ -74,13 +74,13 @@
 		}
 		c := &gangCandidate{gangSlot: gangSlot{machine: machine}, free: machine.AvailableToPrimary()}
 		if c.costExact = c.free.Fits(gang.need); !c.costExact {
-			c.cost = tuning.ScorePreempt
+			c.cost = tuning.CostPreemption
 		}
 		if _, ok := machine.Images[gang.Spec.Image]; !ok {
 			c.cost += g.imageFetchCost(gang, machine)
 		}
 		if gang.Spec.Spot && !machine.Spot {
-			c.cost += tuning.ScoreOnDemand
+			c.cost += tuning.CostOnDemand
 		}
 		candidates = append(candidates, c)
 	}
@@ -170,8 +170,8 @@
 	start := gang.imageFetchTime(machine)*tuning.ImagePullSlack + g.platform.Workers.HeartbeatS
 	for _, objective := range g.platform.Objectives {
 		if isStartObjective(objective, gang) && machine.ImagePullGBPerS > 0 && start < objective.WithinS {
-			return tuning.ScoreImageInTime
+			return tuning.CostImagePull
 		}
 	}
-	return tuning.ScoreNoImage
+	return tuning.CostImageMissing
 }
--- a/internal/placement/gang_slots.go
+++ b/internal/placement/gang_slots.go
@@ -126,7 +126,7 @@
 	class := gang.equivalenceClass(scope)
 	slots := c.slotsByClass[class]
 	if slots == nil {
-		if len(c.slotsByClass) >= tuning.MaxGangKinds {
+		if len(c.slotsByClass) >= tuning.MaxGangClasses {
 			clear(c.slotsByClass)
 		}
 		slots = newSlotCounts()
--- a/internal/placement/job.go
+++ b/internal/placement/job.go
@@ -35,7 +35,7 @@
 
 // newJob returns a job whose tasks are all pending.
 func newJob(now time.Time, spec wire.JobSpec, acceptedAt time.Time, version uint64) *Job {
-	priority, _ := wire.Priority(spec.Priority)
+	priority, _ := wire.PriorityRank(spec.Priority)
 	return &Job{
 		Spec:           spec,
 		AcceptedAt:     acceptedAt,
--- a/internal/placement/job_table.go
+++ b/internal/placement/job_table.go
@@ -32,7 +32,7 @@
 // findTask returns the job, open or closed, and the index of the task with the
 // given name. It returns a nil job if there is no such task.
 func (t *jobTable) findTask(name string) (*Job, int) {
-	id, index, ok := wire.ParseTask(name)
+	id, index, ok := wire.ParseTaskName(name)
 	if !ok {
 		return nil, 0
 	}
--- a/internal/placement/reconciler.go
+++ b/internal/placement/reconciler.go
@@ -100,11 +100,11 @@
 		}
 	case wire.ExitError:
 		r.failures.record(now, machine, task)
-		r.tasks.releaseTask(now, task, tuning.RetryInitial, reported.ExitReason)
+		r.tasks.releaseTask(now, task, tuning.TaskBackoffInitial, reported.ExitReason)
 	case wire.ExitInsufficientResources, wire.ExitOtherAttemptPresent, wire.ExitUnknownTask:
 		r.log.Info("task start refused", "task", reported.Name, "attempt", reported.Attempt,
 			"worker", machine.Host, "reason", reported.ExitReason)
-		r.tasks.releaseTask(now, task, tuning.RefusedStartPause, reported.ExitReason)
+		r.tasks.releaseTask(now, task, tuning.RejectedStartBackoff, reported.ExitReason)
 	default:
 		r.tasks.releaseTask(now, task, 0, reported.ExitReason)
 	}
--- a/internal/placement/replica_rank.go
+++ b/internal/placement/replica_rank.go
@@ -15,7 +15,7 @@
 //   - high allocation.
 func (info *machineInfo) replicaRank(service *Job) int {
 	const (
-		step      = 2 * tuning.FillLevels // exceeds any free level
+		step      = 2 * tuning.FreeShareLevels // exceeds any free level
 		noService = 1 * step
 		noImage   = 2 * step
 		onSpot    = 4 * step
--- a/internal/placement/service.go
+++ b/internal/placement/service.go
@@ -168,7 +168,7 @@
 		if !selected.free.Fits(service.need) {
 			continue
 		}
-		cost := selected.cost + float64(s.capacity.info(machine).replicasOf(service))*tuning.ScorePreempt
+		cost := selected.cost + float64(s.capacity.info(machine).replicasOf(service))*tuning.CostPreemption
 		if chosen == nil || cost < lowestCost {
 			chosen, tasks, lowestCost = machine, selected.tasks, cost
 		}
--- a/internal/placement/service_restart_test.go
+++ b/internal/placement/service_restart_test.go
@@ -53,7 +53,7 @@
 	if h.deliverDirectCommands(); service.AssignedTasks() != 0 {
 		t.Fatal("replica restarted without a backoff")
 	}
-	h.now = h.now.Add(tuning.RetryInitial + time.Second)
+	h.now = h.now.Add(tuning.TaskBackoffInitial + time.Second)
 	if h.deliverDirectCommands(); service.AssignedTasks() != 1 {
 		t.Error("replica not restarted after the backoff")
 	}
@@ -113,7 +113,7 @@
 				break
 			}
 		}
-		h.now = h.now.Add(tuning.RetryInitial + 100*time.Millisecond)
+		h.now = h.now.Add(tuning.TaskBackoffInitial + 100*time.Millisecond)
 		if h.deliverDirectCommands(); service.AssignedTasks() != 1 {
 			t.Fatal("restart of a healthy service delayed")
 		}
--- a/internal/placement/starvation.go
+++ b/internal/placement/starvation.go
@@ -17,7 +17,7 @@
 
 // boostedAboveAll reports whether the job has the boost of a starving job with
 // no tasks on machines, which exceeds all priorities.
-func (j *Job) boostedAboveAll() bool { return j.effectivePriority >= wire.Priorities+j.priority }
+func (j *Job) boostedAboveAll() bool { return j.effectivePriority >= wire.PriorityCount+j.priority }
 
 // starvationBoost returns the number of levels to add to the job's priority, so
 // that a continuous load of other jobs cannot starve it. A starving job with no
@@ -29,15 +29,15 @@
 		return 0 // the age of a service does not bound the waiting time of its replicas
 	}
 	if j.starving(now) && j.assigned == 0 {
-		return wire.Priorities
+		return wire.PriorityCount
 	}
-	boost := min(j.effectivePriority-j.priority, wire.Priorities-1)
+	boost := min(j.effectivePriority-j.priority, wire.PriorityCount-1)
 	overdue := now.Sub(j.KnownSince) - tuning.StarvationTimeout
 	waiting := j.pendingTasks() > 0 || len(j.tasks) > j.assigned
 	switch {
 	case overdue >= 0 && waiting:
-		boost = max(boost, 1+min(int(overdue/tuning.StarvationStep), wire.Priorities-2))
-	case boost == wire.Priorities-1:
+		boost = max(boost, 1+min(int(overdue/tuning.StarvationBoostInterval), wire.PriorityCount-2))
+	case boost == wire.PriorityCount-1:
 		boost = 0 // the first tasks of a job boosted above all have started
 	}
 	return boost
--- a/internal/store/desired_value.go
+++ b/internal/store/desired_value.go
@@ -127,14 +127,14 @@
 		}
 		v.markDurable(now, write.version)
 	case result.ConflictsOn(v.options.TermCompare.Key):
-		v.retryAfter(now, tuning.WriterRetryInitial)
+		v.retryAfter(now, tuning.WriterBackoffInitial)
 		v.options.OnTermLost(now)
 	case errors.Is(result.Err, ErrConflict):
 		v.readVersion()
 	case errors.Is(result.Err, ErrInvalid):
 		v.handleTooLarge(now, write.version)
 	default:
-		v.retryAfter(now, tuning.WriterRetryInitial)
+		v.retryAfter(now, tuning.WriterBackoffInitial)
 	}
 }
 
@@ -165,7 +165,7 @@
 			return
 		}
 	}
-	v.sizeRetryPause = min(max(2*v.sizeRetryPause, tuning.WriterRetryInitial), tuning.WriterRetryMax)
+	v.sizeRetryPause = min(max(2*v.sizeRetryPause, tuning.WriterBackoffInitial), tuning.WriterBackoffMax)
 	v.retryAfter(now, v.sizeRetryPause)
 }
 
@@ -186,6 +186,6 @@
 		v.state = valueDirty
 		v.keyVersion = 0
 	default:
-		v.retryAfter(now, tuning.WriterRetryInitial)
+		v.retryAfter(now, tuning.WriterBackoffInitial)
 	}
 }
--- a/internal/store/pages_test.go
+++ b/internal/store/pages_test.go
@@ -181,7 +181,7 @@
 					t.Errorf("rejected again: %.40s", value)
 				}
 			}
-			most := seconds / int(tuning.WriterRetryMax.Seconds()) * (len(times) + 1)
+			most := seconds / int(tuning.WriterBackoffMax.Seconds()) * (len(times) + 1)
 			if len(service.rejected) > most {
 				t.Errorf("%d rejections in an hour, %d values", len(service.rejected), len(times))
 			}
--- a/internal/store/rate_buckets.go
+++ b/internal/store/rate_buckets.go
@@ -39,7 +39,7 @@
 
 func (b *rateBuckets) reserveWrites(perSecond float64) {
 	for priority := range b.reservedWrites {
-		b.reservedWrites[priority] = perSecond * tuning.WriteReserve[priority]
+		b.reservedWrites[priority] = perSecond * tuning.WriteReserveShares[priority]
 	}
 }
 
--- a/internal/store/rate_limiter.go
+++ b/internal/store/rate_limiter.go
@@ -31,11 +31,11 @@
 	l.reviewLevel(now)
 	l.setShare(now, l.share.review(now))
 	if !l.buckets.allowCall(now) {
-		return tuning.RateLimitRetry, false
+		return tuning.RateLimitBackoff, false
 	}
 	if !l.buckets.allowWrites(now, call) {
 		l.share.writesWaited = true
-		return tuning.RateLimitRetry, false
+		return tuning.RateLimitBackoff, false
 	}
 	l.buckets.spend(now, call)
 	return 0, true
@@ -52,7 +52,7 @@
 		l.limits.countSizeRejection()
 	case errors.Is(err, ErrThrottled):
 		l.setShare(now, l.share.least())
-		l.share.reviewAt = now.Add(tuning.RateSharePause)
+		l.share.reviewAt = now.Add(tuning.RateShareCooldown)
 		l.buckets.drain(now, call)
 		l.limits.countRateRejection(now)
 	default:
--- a/internal/store/rate_limiter_test.go
+++ b/internal/store/rate_limiter_test.go
@@ -161,7 +161,7 @@
 			limiter := NewRateLimiter(fallingLimits(100), 1)
 			start := time.Unix(100, 0)
 			now := start
-			for range tuning.RateLowerRefusals {
+			for range tuning.RateLowerRejections {
 				now = now.Add(100 * time.Millisecond)
 				limiter.Observe(now, oneWrite(PriorityUser), ErrThrottled)
 			}
--- a/internal/store/rate_limits.go
+++ b/internal/store/rate_limits.go
@@ -49,7 +49,7 @@
 }
 
 // countSizeRejection counts a rejection for a size, of which one is enough.
-func (s *serviceLimits) countSizeRejection() { s.rejections = tuning.RateLowerRefusals }
+func (s *serviceLimits) countSizeRejection() { s.rejections = tuning.RateLowerRejections }
 
 func (s *serviceLimits) countRateRejection(now time.Time) {
 	if now.Sub(s.rejectionsSince) > tuning.RateLowerWindow {
@@ -68,9 +68,9 @@
 	case limitsLowered:
 		return false
 	case limitsTrial:
-		return s.rejections >= tuning.RateTrialRefusals
+		return s.rejections >= tuning.RateTrialRejections
 	}
-	return s.rejections >= tuning.RateLowerRefusals
+	return s.rejections >= tuning.RateLowerRejections
 }
 
 // levelDue is the level that time alone leads to.
--- a/internal/store/watch_cache.go
+++ b/internal/store/watch_cache.go
@@ -135,7 +135,7 @@
 
 func (c *WatchCache) applyPage(now time.Time, after string, page Result) {
 	if !page.OK() {
-		c.pause(now, tuning.WatchCacheRetry)
+		c.pause(now, tuning.WatchCacheBackoff)
 		return
 	}
 	c.lastContact = now
@@ -191,7 +191,7 @@
 		c.state = cacheIdle
 		c.Tick(now)
 	case !result.OK():
-		c.pause(now, tuning.WatchCacheRetry)
+		c.pause(now, tuning.WatchCacheBackoff)
 	default:
 		c.lastContact = now
 		c.applyEvents(now, result)
--- a/internal/submission/cancel.go
+++ b/internal/submission/cancel.go
@@ -11,7 +11,7 @@
 
 // Cancel cancels a job unless it has ended. Cancellations are idempotent.
 func (s *Service) Cancel(id string, reply func(Response)) {
-	if !wire.ValidID(id) {
+	if !wire.ValidJobID(id) {
 		reply(notFoundResponse())
 		return
 	}
@@ -63,7 +63,7 @@
 			s.options.Log.Debug("job cancelled", "job", id)
 			s.rememberEnd(now, wire.JobState{ID: id, State: wire.JobCancelled})
 			reply(stateResponse(id, wire.JobCancelled))
-		case mayHaveChanged(result.Err) && attempt < tuning.MaxCancelTries:
+		case mayHaveChanged(result.Err) && attempt < tuning.MaxCancelAttempts:
 			s.tryCancel(id, attempt+1, reply)
 		case errors.Is(result.Err, store.ErrThrottled):
 			reply(BusyResponse())
--- a/internal/submission/query.go
+++ b/internal/submission/query.go
@@ -11,7 +11,7 @@
 
 // Query reports a job's state.
 func (s *Service) Query(now time.Time, id string, reply func(Response)) {
-	if !wire.ValidID(id) {
+	if !wire.ValidJobID(id) {
 		reply(notFoundResponse())
 		return
 	}
--- a/internal/submission/record.go
+++ b/internal/submission/record.go
@@ -39,7 +39,7 @@
 		return OpenJobRecord{}, err
 	}
 	spec := &record.Spec
-	_, knownPriority := wire.Priority(spec.Priority)
+	_, knownPriority := wire.PriorityRank(spec.Priority)
 	switch {
 	case spec.ID != strings.TrimPrefix(item.Key, OpenJobPrefix):
 		return OpenJobRecord{}, fmt.Errorf("record names job %q", spec.ID)
--- a/internal/term/completions.go
+++ b/internal/term/completions.go
@@ -153,7 +153,7 @@
 	case errors.Is(result.Err, store.ErrConflict):
 		c.resolveConflict(id)
 	default:
-		c.retryAt[id] = now.Add(tuning.WriterRetryInitial)
+		c.retryAt[id] = now.Add(tuning.WriterBackoffInitial)
 	}
 }
 
@@ -164,7 +164,7 @@
 	call := store.Call{Op: store.OpGet, Priority: store.PriorityJobEnd, Key: submission.OpenJobKey(id)}
 	c.stateCall(call, func(now time.Time, result store.Result) {
 		delete(c.jobEndsInFlight, id)
-		c.retryAt[id] = now.Add(tuning.WriterRetryInitial)
+		c.retryAt[id] = now.Add(tuning.WriterBackoffInitial)
 		job := c.openJob(id)
 		switch {
 		case errors.Is(result.Err, store.ErrNotFound):
--- a/internal/term/fencing.go
+++ b/internal/term/fencing.go
@@ -34,7 +34,7 @@
 func (t *Term) fenceWorkers(now time.Time) {
 	for _, machine := range t.workers.All() {
 		if t.unreconciled(machine) && t.queryDue(now, machine) {
-			t.fencing.queryAt[machine.Host] = now.Add(tuning.ReconcileRetry)
+			t.fencing.queryAt[machine.Host] = now.Add(tuning.ReconcileInterval)
 			t.sendCommands(machine, []wire.Command{})
 		}
 	}
--- a/internal/term/heartbeats.go
+++ b/internal/term/heartbeats.go
@@ -150,7 +150,7 @@
 // does not renew the worker's lease.
 func (t *Term) hasUnloadedJob(heartbeat *wire.Heartbeat) bool {
 	return slices.ContainsFunc(heartbeat.Tasks, func(task wire.TaskStatus) bool {
-		id, _, ok := wire.ParseTask(task.Name)
+		id, _, ok := wire.ParseTaskName(task.Name)
 		if !ok || task.State == wire.TaskExited {
 			return false
 		}
--- a/internal/tuning/controller.go
+++ b/internal/tuning/controller.go
@@ -17,9 +17,9 @@
 	// FollowerWatchInterval is the least time between two watches of the open jobs, and of the
 	// provisioning requests, on a controller that owns no shard: queries refresh its cache.
 	FollowerWatchInterval = 1 * time.Second
-	// OwnerWatchInterval is the same on a shard's owner, which has to act on them.
-	OwnerWatchInterval = 50 * time.Millisecond
-	// IsolatedAfter is how long the state service must have been unreachable for a controller,
+	// LeaseHolderWatchInterval is the same on a shard's owner, which has to act on them.
+	LeaseHolderWatchInterval = 50 * time.Millisecond
+	// StoreIsolationTimeout is how long the state service must have been unreachable for a controller,
 	// while a peer reaches it, for the controller to report itself unhealthy.
-	IsolatedAfter = 4 * time.Second
+	StoreIsolationTimeout = 4 * time.Second
 )
--- a/internal/tuning/fleet.go
+++ b/internal/tuning/fleet.go
@@ -12,11 +12,11 @@
 	CloudPageSize = 500
 	// CloudRateShare is the part of the cloud's rate that one shard's owner uses.
 	CloudRateShare = 0.9
-	// CloudRetryInitial is the pause after a failed call. It grows while calls fail in a row.
-	CloudRetryInitial = 1 * time.Second
-	// CloudRetryMax bounds the growth of CloudRetryInitial: a longer pause would miss the end of
+	// CloudBackoffInitial is the pause after a failed call. It grows while calls fail in a row.
+	CloudBackoffInitial = 1 * time.Second
+	// CloudBackoffMax bounds the growth of CloudBackoffInitial: a longer pause would miss the end of
 	// an outage for long.
-	CloudRetryMax = 3 * time.Second
+	CloudBackoffMax = 3 * time.Second
 	// CloudCallsInFlight is how many calls may be in flight.
 	CloudCallsInFlight = 4
 	// MachineTypesInterval is how often machine types and their prices are read.
@@ -54,8 +54,8 @@
 	ProvisioningRateShare = 0.5
 	// MaxMachinesPerRequest is the most machines in one provisioning request.
 	MaxMachinesPerRequest = 50
-	// NoCapacityPause is the pause after the cloud had no capacity of a kind.
-	NoCapacityPause = 10 * time.Second
+	// NoCapacityBackoff is the pause after the cloud had no capacity of a kind.
+	NoCapacityBackoff = 10 * time.Second
 	// ProvisioningRecordBytes is what the record of a provisioning request takes without its
 	// machines, rounded up.
 	ProvisioningRecordBytes = 160
--- a/internal/tuning/httpapi.go
+++ b/internal/tuning/httpapi.go
@@ -31,6 +31,6 @@
 
 // The controller's own connections, used by package controller.
 const (
-	// IdleTimeout is how long one of them is kept for the next call.
-	IdleTimeout = 90 * time.Second
+	// IdleConnectionTimeout is how long one of them is kept for the next call.
+	IdleConnectionTimeout = 90 * time.Second
 )
--- a/internal/tuning/leadership.go
+++ b/internal/tuning/leadership.go
@@ -16,12 +16,12 @@
 	MaxRenewalsInFlight = 3
 	// RenewTimeout bounds a renewal: a response that comes after the lease's expiry is of no use.
 	RenewTimeout = 3 * time.Second
-	// MemberRetry is the pause after a failed grant or renewal.
-	MemberRetry = 250 * time.Millisecond
+	// MemberBackoff is the pause after a failed grant or renewal.
+	MemberBackoff = 250 * time.Millisecond
 	// LeaseSafetyMargin is how long before its lease may expire a lease holder stops acting:
 	// it covers a late timer and the way to the network.
 	LeaseSafetyMargin = 150 * time.Millisecond
-	// ElectionPause follows each transaction that elects a leader or assigns a shard, so that
+	// ElectionCooldown follows each transaction that elects a leader or assigns a shard, so that
 	// its outcome has arrived before the next.
-	ElectionPause = 50 * time.Millisecond
+	ElectionCooldown = 50 * time.Millisecond
 )
--- a/internal/tuning/peers.go
+++ b/internal/tuning/peers.go
@@ -14,14 +14,14 @@
 	MaxProgressJobs = 500
 	// PeerCallsInFlight is how many calls of peers may be in flight.
 	PeerCallsInFlight = 32
-	// DialTimeout bounds the making of a connection: one that takes longer leads into a
+	// PeerDialTimeout bounds the making of a connection: one that takes longer leads into a
 	// network partition.
-	DialTimeout = 1 * time.Second
-	// PeerRetryInitial is the first pause between attempts to connect to a peer: one that was
+	PeerDialTimeout = 1 * time.Second
+	// PeerBackoffInitial is the first pause between attempts to connect to a peer: one that was
 	// restarted should be reached again at once.
-	PeerRetryInitial = 200 * time.Millisecond
-	// PeerRetryMax bounds the growth of PeerRetryInitial.
-	PeerRetryMax = 1 * time.Second
+	PeerBackoffInitial = 200 * time.Millisecond
+	// PeerBackoffMax bounds the growth of PeerBackoffInitial.
+	PeerBackoffMax = 1 * time.Second
 	// ProbeWorkers is how many workers a peer is asked to probe by a shard's owner that
 	// suspects that it is isolated from them itself.
 	ProbeWorkers = 3
--- a/internal/tuning/placement.go
+++ b/internal/tuning/placement.go
@@ -18,22 +18,22 @@
 	// before its backup copy starts: a primary copy whose machine sends its heartbeats in time
 	// would stop the backup copy at once.
 	BackupStartHeartbeats = 1.5
-	// FillLevels is how many levels of a machine's use are told apart when a task is placed at
+	// FreeShareLevels is how many levels of a machine's use are told apart when a task is placed at
 	// random: finer ones would leave nothing to chance.
-	FillLevels = 4
+	FreeShareLevels = 4
 )
 
 // Scores of the possible places of a gang; the lowest sum is chosen. They are in seconds of a
 // whole machine's work that would be lost. Used by package placement.
 const (
-	// ScorePreempt is for a machine with tasks to preempt: their stop and its report come first.
-	ScorePreempt = 30.0
-	// ScoreNoImage is for a machine without the image: the gang starts late for pulling it.
-	ScoreNoImage = 90.0
-	// ScoreImageInTime is for a machine that can pull the image in time.
-	ScoreImageInTime = 30.0
-	// ScoreOnDemand is for a machine that is not spot where a spot machine would do.
-	ScoreOnDemand = 10.0
+	// CostPreemption is for a machine with tasks to preempt: their stop and its report come first.
+	CostPreemption = 30.0
+	// CostImageMissing is for a machine without the image: the gang starts late for pulling it.
+	CostImageMissing = 90.0
+	// CostImagePull is for a machine that can pull the image in time.
+	CostImagePull = 30.0
+	// CostOnDemand is for a machine that is not spot where a spot machine would do.
+	CostOnDemand = 10.0
 	// GangStartOverhead is what a gang's start takes beside saving checkpoints and pulling
 	// images: commands and heartbeats on their way.
 	GangStartOverhead = 1 * time.Second
--- a/internal/tuning/process.go
+++ b/internal/tuning/process.go
@@ -4,14 +4,14 @@
 
 // The process's share of its machine, used by packages controller and config.
 const (
-	// MeasuredCPU, in cores, is the smallest share of a processor with which the service was
+	// RecommendedCPU, in cores, is the smallest share of a processor with which the service was
 	// seen to keep up with a fleet, of up to 260 simulated machines (docs/operations.md); with
 	// less it warns.
-	MeasuredCPU = 0.036
-	// MeasuredMemoryMB is the same for memory, in MiB.
-	MeasuredMemoryMB = 65
-	// MeasuredSockets is the same for open sockets.
-	MeasuredSockets = 900
+	RecommendedCPU = 0.036
+	// RecommendedMemoryMB is the same for memory, in MiB.
+	RecommendedMemoryMB = 65
+	// RecommendedSockets is the same for open sockets.
+	RecommendedSockets = 900
 	// GCPercent lets the heap grow several times over what is live before it is collected: what
 	// is live is small, and the memory limit bounds the rest.
 	GCPercent = 400
--- a/internal/tuning/scheduling.go
+++ b/internal/tuning/scheduling.go
@@ -13,11 +13,11 @@
 	MaxTasksPerPass = 64
 	// MaxGangsPerPass is the same for gangs.
 	MaxGangsPerPass = 8
-	// MaxGangAttempts is how many gangs may find no place in one pass before the rest is not
+	// MaxUnplacedGangs is how many gangs may find no place in one pass before the rest is not
 	// tried: with thousands waiting the first have not been placed.
-	MaxGangAttempts = 200
-	// MaxGangKinds is for how many kinds of gangs places are counted.
-	MaxGangKinds = 32
+	MaxUnplacedGangs = 200
+	// MaxGangClasses is for how many kinds of gangs places are counted.
+	MaxGangClasses = 32
 	// StartMarkersAhead is for how many arrays next in order start markers are written before
 	// there are resources for them: the marker takes a write, and a place that is not filled
 	// with one heartbeat waits for the next.
@@ -38,13 +38,13 @@
 	// is than that of one with very little; one with the usual amount is in the middle. Small
 	// ones go first, but the largest do not starve.
 	MaxBacklogPenalty = 800 * time.Second
-	// GangHeadStart is how much earlier the position of a gang is than that of an array of its
+	// GangPositionBonus is how much earlier the position of a gang is than that of an array of its
 	// priority: a gang that waits holds no machine up, an array fills whatever is left. It is
 	// bounded, or a burst of gangs would starve the arrays.
-	GangHeadStart = 120 * time.Second
-	// GangPatience is how long a gang waits before no later one of its priority may be placed
+	GangPositionBonus = 120 * time.Second
+	// GangBlockingDelay is how long a gang waits before no later one of its priority may be placed
 	// before it.
-	GangPatience = 60 * time.Second
+	GangBlockingDelay = 60 * time.Second
 	// FirstStartDeadline is how long after its submission a job of which nothing has started
 	// goes first, with FirstStartTasks of its tasks: the largest jobs too should start within
 	// four minutes, whatever the burst.
@@ -52,30 +52,30 @@
 	// FirstStartTasks is how many tasks of such a job go first.
 	FirstStartTasks = 8
 	// StarvationTimeout is how long a job waits for all its tasks to start before it is raised
-	// by a priority, and by another after each StarvationStep.
+	// by a priority, and by another after each StarvationBoostInterval.
 	StarvationTimeout = 260 * time.Second
-	// StarvationStep is the time between two raises.
-	StarvationStep = 15 * time.Second
-	// ImageLocalityPatience is how much later an array's position may be than the first's for
+	// StarvationBoostInterval is the time between two raises.
+	StarvationBoostInterval = 15 * time.Second
+	// ImageLocalityWindow is how much later an array's position may be than the first's for
 	// its tasks to go first where their image is: pulling an image holds resources for as long
 	// as a short task.
-	ImageLocalityPatience = 1000 * time.Second
+	ImageLocalityWindow = 1000 * time.Second
 )
 
 // Retries and quarantine, used by package placement.
 const (
-	// RetryInitial is the pause after a task's failure. It doubles, RetryDoublings times at
+	// TaskBackoffInitial is the pause after a task's failure. It doubles, TaskBackoffDoublings times at
 	// most, while its job fails everywhere.
-	RetryInitial = 1 * time.Second
-	// RetryDoublings bounds the growth of RetryInitial.
-	RetryDoublings = 5
-	// RefusedStartPause is the pause after a worker refused a start.
-	RefusedStartPause = 1 * time.Second
-	// QuarantineJobs is how many jobs must have failed on a machine for it to be quarantined.
-	QuarantineJobs = 2
-	// QuarantineErrors is how many tasks of one job that succeeds elsewhere must have failed on
+	TaskBackoffInitial = 1 * time.Second
+	// TaskBackoffDoublings bounds the growth of TaskBackoffInitial.
+	TaskBackoffDoublings = 5
+	// RejectedStartBackoff is the pause after a worker refused a start.
+	RejectedStartBackoff = 1 * time.Second
+	// QuarantineFailedJobs is how many jobs must have failed on a machine for it to be quarantined.
+	QuarantineFailedJobs = 2
+	// QuarantineFailedTasks is how many tasks of one job that succeeds elsewhere must have failed on
 	// a machine for it to be quarantined.
-	QuarantineErrors = 2
+	QuarantineFailedTasks = 2
 	// FailingJobMachines is on how many machines a job must have failed, without any success,
 	// for the fault to be taken for the job's own.
 	FailingJobMachines = 3
@@ -93,9 +93,9 @@
 	ConsolidationInterval = 3 * time.Second
 	// ConsolidationDivisor is the number of machines in use of which one is drained at a time.
 	ConsolidationDivisor = 40
-	// ConsolidationTries is how many machines are tried for each one that is drained.
-	ConsolidationTries = 4
-	// ConsolidationMinFree is the part of a machine's resources that must be free for it to be
+	// ConsolidationCandidates is how many machines are tried for each one that is drained.
+	ConsolidationCandidates = 4
+	// ConsolidationMinFreeShare is the part of a machine's resources that must be free for it to be
 	// tried whether it would take the tasks of another.
-	ConsolidationMinFree = 0.02
+	ConsolidationMinFreeShare = 0.02
 )
--- a/internal/tuning/store.go
+++ b/internal/tuning/store.go
@@ -15,8 +15,8 @@
 	// WatchTimeout is how long one watch waits for events: short, so that one whose connection
 	// broke without a sign is soon replaced.
 	WatchTimeout = 4 * time.Second
-	// WatchCacheRetry is the pause after a failed list or watch.
-	WatchCacheRetry = 250 * time.Millisecond
+	// WatchCacheBackoff is the pause after a failed list or watch.
+	WatchCacheBackoff = 250 * time.Millisecond
 	// MinTxnOps is how many writes one transaction must take, whatever the service's limits: a
 	// job's end and the deletion of its open record, or a token and the shard that gets it.
 	MinTxnOps = 2
@@ -32,15 +32,15 @@
 	RateShareStep = 0.05
 	// RateShareInterval is the time between two steps of the part.
 	RateShareInterval = 500 * time.Millisecond
-	// RateSharePause is how long the part does not grow after a rejection.
-	RateSharePause = 5 * time.Second
-	// RateLimitRetry is the pause, in the client's own queue, before a call for which no rate
+	// RateShareCooldown is how long the part does not grow after a rejection.
+	RateShareCooldown = 5 * time.Second
+	// RateLimitBackoff is the pause, in the client's own queue, before a call for which no rate
 	// was left is tried again.
-	RateLimitRetry = 50 * time.Millisecond
-	// RateLowerRefusals is how many rejections for the rate within RateLowerWindow, or one for
+	RateLimitBackoff = 50 * time.Millisecond
+	// RateLowerRejections is how many rejections for the rate within RateLowerWindow, or one for
 	// a value's size, show that the service has lowered its limits: a few come in bursts, as
 	// the members share the rate without coordination.
-	RateLowerRefusals = 12
+	RateLowerRejections = 12
 	// RateLowerWindow is the time within which rejections for the rate are counted.
 	RateLowerWindow = 10 * time.Second
 	// RateRaiseInitial is how long a lowered rate is kept before the earlier one is tried again,
@@ -49,13 +49,13 @@
 	RateRaiseInitial = 2 * time.Minute
 	// RateRaiseMax bounds the doubling of RateRaiseInitial.
 	RateRaiseMax = 30 * time.Minute
-	// RateTrialRefusals is how many rejections end a trial of the earlier rate.
-	RateTrialRefusals = 4
+	// RateTrialRejections is how many rejections end a trial of the earlier rate.
+	RateTrialRejections = 4
 )
 
-// WriteReserve is, for each priority of calls (leases, terms, users, ends of jobs, completions),
+// WriteReserveShares is, for each priority of calls (leases, terms, users, ends of jobs, completions),
 // the part of a full bucket of writes that it leaves to the priorities before it.
-var WriteReserve = [...]float64{0, 0.1, 0.1, 0.2, 0.4}
+var WriteReserveShares = [...]float64{0, 0.1, 0.1, 0.2, 0.4}
 
 // Pages and desired values, used by package store and by those that write records themselves.
 const (
@@ -70,11 +70,11 @@
 	// MinPageBytes is the size below which a page is not made smaller, whatever the service
 	// rejects: its longest entries, names with addresses, take half of it.
 	MinPageBytes = 128
-	// WriterRetryInitial is the pause after a failed write of a desired value. It doubles after
+	// WriterBackoffInitial is the pause after a failed write of a desired value. It doubles after
 	// each rejection for the size of a value that cannot be made smaller.
-	WriterRetryInitial = 300 * time.Millisecond
-	// WriterRetryMax bounds the doubling of WriterRetryInitial.
-	WriterRetryMax = 20 * time.Second
+	WriterBackoffInitial = 300 * time.Millisecond
+	// WriterBackoffMax bounds the doubling of WriterBackoffInitial.
+	WriterBackoffMax = 20 * time.Second
 )
 
 // Connections to the state service, used by package controller.
--- a/internal/tuning/submission.go
+++ b/internal/tuning/submission.go
@@ -14,8 +14,8 @@
 	MaxSubmissionsInFlight = 64
 	// MaxQueriesInFlight bounds queries in flight.
 	MaxQueriesInFlight = 128
-	// MaxCancelTries is how often a cancellation starts over after a conflict.
-	MaxCancelTries = 3
+	// MaxCancelAttempts is how often a cancellation starts over after a conflict.
+	MaxCancelAttempts = 3
 	// QueryRateShare is the part of the state service's rate that the queries of open jobs
 	// may take on all controllers together.
 	QueryRateShare = 0.3
--- a/internal/tuning/term.go
+++ b/internal/tuning/term.go
@@ -43,6 +43,6 @@
 	// IsolationHeartbeats is for how many heartbeat intervals none of them may have sent one for
 	// the owner to suspect that it is isolated itself: heartbeats vary by a quarter.
 	IsolationHeartbeats = 1.25
-	// ReconcileRetry is the pause before an unreconciled machine is asked again.
-	ReconcileRetry = 1 * time.Second
+	// ReconcileInterval is the pause before an unreconciled machine is asked again.
+	ReconcileInterval = 1 * time.Second
 )
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -55,11 +55,11 @@
 }
 
 // Priorities is the number of priorities.
-const Priorities = 4
+const PriorityCount = 4
 
 // Priority returns the rank of a named priority, from 0 to Priorities-1: the larger one goes
 // first. It returns false for an unknown name.
-func Priority(name string) (int, bool) {
+func PriorityRank(name string) (int, bool) {
 	switch name {
 	case "critical":
 		return 3, true
@@ -73,8 +73,8 @@
 	return 0, false
 }
 
-// ValidID reports whether a job id has the protocol's form.
-func ValidID(id string) bool {
+// ValidJobID reports whether a job id has the protocol's form.
+func ValidJobID(id string) bool {
 	digits, ok := strings.CutPrefix(id, jobIDPrefix)
 	if !ok || digits == "" || len(digits) > maxIDDigits {
 		return false
@@ -92,10 +92,10 @@
 	return job + "/" + strconv.Itoa(n)
 }
 
-// ParseTask splits a task's name. It returns false for a name that TaskName gives to no task.
-func ParseTask(name string) (job string, n int, ok bool) {
+// ParseTaskName splits a task's name. It returns false for a name that TaskName gives to no task.
+func ParseTaskName(name string) (job string, n int, ok bool) {
 	job, number, found := strings.Cut(name, "/")
-	if !found || !ValidID(job) {
+	if !found || !ValidJobID(job) {
 		return "", 0, false
 	}
 	n, err := strconv.Atoi(number)
--- a/internal/wire/job_parse.go
+++ b/internal/wire/job_parse.go
@@ -58,7 +58,7 @@
 	}
 	// the calls are made in this order
 	spec := JobSpec{
-		ID:                  r.knownText(fieldID, ValidID, "not a job id"),
+		ID:                  r.knownText(fieldID, ValidJobID, "not a job id"),
 		Class:               r.text(fieldClass),
 		Team:                r.text(fieldTeam),
 		Shape:               r.knownText(fieldShape, KnownShape, "unknown"),
@@ -87,7 +87,7 @@
 }
 
 func knownPriority(name string) bool {
-	_, ok := Priority(name)
+	_, ok := PriorityRank(name)
 	return ok
 }
 
--- a/internal/wire/job_parse_test.go
+++ b/internal/wire/job_parse_test.go
@@ -137,7 +137,7 @@
 		{name: "x/1"},
 		{name: "job-1/1/2"},
 	} {
-		if _, n, ok := ParseTask(c.name); n != c.n || ok != c.ok {
+		if _, n, ok := ParseTaskName(c.name); n != c.n || ok != c.ok {
 			t.Errorf("ParseTask(%q) = %d, %t, want %d, %t", c.name, n, ok, c.n, c.ok)
 		}
 	}
