--- a/internal/tuning/controller.go
+++ b/internal/tuning/controller.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// The event loop, used by package controller.
+// Event loop, used by package controller.
 const (
-	// TickInterval is how often everything that acts at a time looks for what is due.
+	// TickInterval is the period of the timer tick that runs all work that is due.
 	TickInterval = 100 * time.Millisecond
-	// SlowEventThreshold is how long one event may take before that is logged: a tenth of a
-	// member's lease.
+	// SlowEventThreshold is the processing time above which an event is logged: a tenth of
+	// MemberLease.
 	SlowEventThreshold = 350 * time.Millisecond
-	// LateTickThreshold is how late a tick may be before that is logged: later than a member's
-	// renewal, it is about to lose its lease.
+	// LateTickThreshold is the delay above which a late tick is logged: beyond it the member is
+	// likely to lose its lease.
 	LateTickThreshold = 1 * time.Second
-	// EventQueueSize is how many events of one kind may wait for the loop.
+	// EventQueueSize is the capacity of the queue of each kind of event.
 	EventQueueSize = 256
-	// FollowerWatchInterval is the least time between two watches of the open jobs, and of the
-	// provisioning requests, on a controller that owns no shard: queries refresh its cache.
+	// FollowerWatchInterval is the minimum time between two watches of the open jobs, and of the
+	// provisioning requests, on a controller that holds no shard lease. Queries refresh its cache.
 	FollowerWatchInterval = 1 * time.Second
-	// LeaseHolderWatchInterval is the same on a shard's owner, which has to act on them.
+	// LeaseHolderWatchInterval is the minimum time between two such watches on a lease holder,
+	// which schedules from them.
 	LeaseHolderWatchInterval = 50 * time.Millisecond
-	// StoreIsolationTimeout is how long the state service must have been unreachable for a controller,
-	// while a peer reaches it, for the controller to report itself unhealthy.
+	// StoreIsolationTimeout is the time without contact to the state service, while a peer has
+	// contact, after which a controller reports itself as unhealthy.
 	StoreIsolationTimeout = 4 * time.Second
 )
--- a/internal/tuning/fleet.go
+++ b/internal/tuning/fleet.go
@@ -2,101 +2,100 @@
 
 import "time"
 
-// Calls of the cloud, used by packages cloud, fleet and controller.
+// Cloud API calls, used by packages cloud, fleet and controller.
 const (
 	// CloudTimeout bounds a call.
 	CloudTimeout = 5 * time.Second
-	// MaxCloudResponseBytes bounds a response.
+	// MaxCloudResponseBytes bounds a response body.
 	MaxCloudResponseBytes = 4 << 20
-	// CloudPageSize is how many machines one call lists, the cloud's largest page.
+	// CloudPageSize is the number of machines per page of a list, the largest that the cloud
+	// allows.
 	CloudPageSize = 500
-	// CloudRateShare is the part of the cloud's rate that one shard's owner uses.
+	// CloudRateShare is the share of the cloud's rate limit that one lease holder uses.
 	CloudRateShare = 0.9
-	// CloudBackoffInitial is the pause after a failed call. It grows while calls fail in a row.
+	// CloudBackoffInitial is the backoff after a failed call. It grows with consecutive failures.
 	CloudBackoffInitial = 1 * time.Second
-	// CloudBackoffMax bounds the growth of CloudBackoffInitial: a longer pause would miss the end of
-	// an outage for long.
+	// CloudBackoffMax bounds the backoff, so that the end of an outage is noticed soon.
 	CloudBackoffMax = 3 * time.Second
-	// CloudCallsInFlight is how many calls may be in flight.
+	// CloudCallsInFlight bounds concurrent calls.
 	CloudCallsInFlight = 4
-	// MachineTypesInterval is how often machine types and their prices are read.
+	// MachineTypesInterval is the polling interval of machine types and their prices.
 	MachineTypesInterval = 30 * time.Second
 )
 
 // Lists of the cloud's machines, used by package fleet.
 const (
-	// ListInterval is the least time between two lists of the machines. Lists of many pages are
-	// further apart, so that they take no more than ListRateShare of the cloud's rate.
+	// ListInterval is the minimum time between two lists of the machines. Lists of many pages are
+	// further apart, to stay within ListRateShare.
 	ListInterval = 5 * time.Second
-	// ListRateShare is the part of the cloud's rate that lists take at most.
+	// ListRateShare bounds the share of the cloud's rate limit that lists use.
 	ListRateShare = 0.3
-	// MissedListsLimit is in how many lists in a row a listed machine must be missing to be
-	// taken for deleted: a list may be older than the one before.
+	// MissedListsLimit is the number of consecutive lists without a machine that was listed before
+	// after which the machine counts as deleted. A list may be older than its predecessor.
 	MissedListsLimit = 3
-	// UnreconciledMissedListsLimit is the same for a machine for which a new owner waits: its
-	// deletion settles what everything else waits to know. It is two, as a machine that has
-	// just booted may not be listed yet.
+	// UnreconciledMissedListsLimit replaces MissedListsLimit for a machine that the lease holder
+	// has not reconciled yet, as such a machine blocks other work. It exceeds 1, as a machine that
+	// has just booted may not be listed yet.
 	UnreconciledMissedListsLimit = 2
-	// AdoptionLists is in how many lists a machine without a record must be before it is
-	// adopted: deleted machines stay listed for a while.
+	// AdoptionLists is the number of lists with a machine that has no record after which the
+	// machine is adopted. Deleted machines stay listed for a while.
 	AdoptionLists = 4
 )
 
-// Scaling out, used by package fleet.
+// Scale-out, used by package fleet.
 const (
-	// ScaleOutInterval is how often the demand is compared with the machines.
+	// ScaleOutInterval is the time between two comparisons of demand and capacity.
 	ScaleOutInterval = 1 * time.Second
-	// ScaleOutDelay is how long after a failover nothing is provisioned while machines are
-	// unreconciled: most answer within a second, the rest may be deleted.
+	// ScaleOutDelay is the time after a failover in which unreconciled machines block
+	// provisioning.
 	ScaleOutDelay = 10 * time.Second
-	// ProvisioningRateShare is the part of the owner's rate of calls that provisioning requests
-	// may take at a time.
+	// ProvisioningRateShare is the share of the lease holder's call rate that provisioning
+	// requests use.
 	ProvisioningRateShare = 0.5
-	// MaxMachinesPerRequest is the most machines in one provisioning request.
+	// MaxMachinesPerRequest bounds the machines of one provisioning request.
 	MaxMachinesPerRequest = 50
-	// NoCapacityBackoff is the pause after the cloud had no capacity of a kind.
+	// NoCapacityBackoff is the backoff for an offer after the cloud reported no capacity for it.
 	NoCapacityBackoff = 10 * time.Second
-	// ProvisioningRecordBytes is what the record of a provisioning request takes without its
-	// machines, rounded up.
+	// ProvisioningRecordBytes is an upper bound of the size of a provisioning request's record
+	// without its machine names.
 	ProvisioningRecordBytes = 160
-	// HostNameBytes is what each machine's name takes of that record, rounded up.
+	// HostNameBytes is an upper bound of the size of a machine name in that record.
 	HostNameBytes = 16
-	// BootTimeoutFactor is after how many times its usual boot time a machine that has sent no
-	// heartbeat is given up.
+	// BootTimeoutFactor times the usual boot time of its type is the time after which a machine
+	// without a heartbeat is deleted.
 	BootTimeoutFactor = 3.0
 )
 
-// Scaling in, used by package fleet.
+// Scale-in, used by package fleet.
 const (
-	// MaxMachinesPerDeletion is the most machines in one deletion, by the protocol.
+	// MaxMachinesPerDeletion is the cloud API's limit on the machines of one deletion call.
 	MaxMachinesPerDeletion = 100
-	// MachineIdleTimeout is how long a machine without work is kept, unless operators have set
-	// another time.
+	// MachineIdleTimeout is the default time after which an idle machine is deleted. Operators can
+	// override it.
 	MachineIdleTimeout = 6 * time.Second
-	// LeaseExpiredTimeout is how long a machine whose lease has expired may stay unresponsive
-	// before it is deleted: it costs as much as one that works.
+	// LeaseExpiredTimeout is the time after which a machine with an expired worker lease is
+	// deleted.
 	LeaseExpiredTimeout = 10 * time.Second
-	// PreemptionGrace is how long after the time in a preemption notice the machine is surely
+	// PreemptionGrace is added to the time in a preemption notice before the machine counts as
 	// deleted.
 	PreemptionGrace = 2 * time.Second
-	// FewUnreconciledTimeout is how long after a failover unreconciled machines are deleted if
-	// they are few, no more than one of FewUnreconciledDivisor: jobs that were started before
-	// wait until the last of them has answered or is deleted, and most answer within a second.
+	// FewUnreconciledTimeout is the time after a failover after which unreconciled machines are
+	// deleted if they are at most one in FewUnreconciledDivisor. Running jobs are blocked until
+	// every machine has been reconciled or deleted.
 	FewUnreconciledTimeout = 4 * time.Second
-	// FewUnreconciledDivisor is the number of machines of which one may be unreconciled for
-	// that to be few.
+	// FewUnreconciledDivisor is the ratio of all machines to unreconciled ones from which on
+	// FewUnreconciledTimeout applies.
 	FewUnreconciledDivisor = 100
 )
 
-// The intent log, used by packages intentlog and fleet.
+// Intent log, used by packages intentlog and fleet.
 const (
-	// IntentWriteInterval is how often a page of the intent log is written: machines are
-	// deleted by tens at a time, and each waits for its entry.
+	// IntentWriteInterval is the minimum time between two writes of a page of the intent log.
+	// Intents are batched in between.
 	IntentWriteInterval = 250 * time.Millisecond
-	// MaxOpenIntents is how many intents may be recorded and not completed. It is four times
-	// the largest fleet measured; further ones wait.
+	// MaxOpenIntents bounds the intents that are recorded and not completed. Further ones wait.
 	MaxOpenIntents = 16000
-	// LateCallWindow is how long a call without a response may still be executed: until then a
-	// provisioning request that was refused meanwhile is repeated under its own name.
+	// LateCallWindow is the time within which the cloud may still execute a call that got no
+	// response. A refused provisioning request is retried under its own name until then.
 	LateCallWindow = 3 * time.Minute
 )
--- a/internal/tuning/httpapi.go
+++ b/internal/tuning/httpapi.go
@@ -2,35 +2,34 @@
 
 import "time"
 
-// Requests and connections of workers and users, used by package httpapi.
+// HTTP requests and connections of workers and users, used by package httpapi.
 const (
-	// HeaderTimeout bounds what a client may take for a request.
+	// HeaderTimeout bounds the time in which a client sends a request, header and body.
 	HeaderTimeout = 5 * time.Second
-	// FirstRequestTimeout is how long the first request of a new connection may take to arrive
-	// before the connection counts as idle.
+	// FirstRequestTimeout is the time for which a new connection without a request is protected
+	// from eviction.
 	FirstRequestTimeout = 1 * time.Second
-	// IdleConnectionHeartbeats is for how many heartbeat intervals a client's connection is
-	// kept without a request, but no less than MinConnectionIdleTimeout.
+	// IdleConnectionHeartbeats is the idle timeout of a client connection, in heartbeat intervals,
+	// subject to MinConnectionIdleTimeout.
 	IdleConnectionHeartbeats = 4
-	// MinConnectionIdleTimeout is how long a client's connection is kept without a request at
-	// least.
+	// MinConnectionIdleTimeout is the lower bound of the idle timeout of a client connection.
 	MinConnectionIdleTimeout = 20 * time.Second
-	// KeepAliveConnectionShare is the part of the clients' connections that may be open before
-	// workers' are closed with the response to each heartbeat: a fleet may have more machines
-	// than a controller has sockets. Below it a connection is kept, which is cheaper.
+	// KeepAliveConnectionShare is the share of the client connections in use from which on worker
+	// connections are closed after each heartbeat. A fleet may have more workers than a controller
+	// has sockets.
 	KeepAliveConnectionShare = 0.98
-	// HeartbeatQueueTimeout bounds how long a heartbeat waits for its turn: its worker turns to
-	// another controller after 4 s.
+	// HeartbeatQueueTimeout bounds the queueing time of a heartbeat. Workers fail over to another
+	// controller after 4 s.
 	HeartbeatQueueTimeout = 3 * time.Second
-	// MaxBodyBytes is the largest request body, by the protocol.
+	// MaxBodyBytes is the protocol's limit on a request body.
 	MaxBodyBytes = 64 << 10
-	// BodyPreallocateBytes is the size up to which a body gets all its memory before it has
-	// arrived: most heartbeats and all usual submissions are smaller.
+	// BodyPreallocateBytes is the largest body whose buffer is allocated before the body arrives.
+	// Most heartbeats and submissions are smaller.
 	BodyPreallocateBytes = 4 << 10
 )
 
-// The controller's own connections, used by package controller.
+// Outgoing connections, used by package controller.
 const (
-	// IdleConnectionTimeout is how long one of them is kept for the next call.
+	// IdleConnectionTimeout is the idle timeout of a pooled connection.
 	IdleConnectionTimeout = 90 * time.Second
 )
--- a/internal/tuning/leadership.go
+++ b/internal/tuning/leadership.go
@@ -4,24 +4,22 @@
 
 // Membership and leader election, used by package leader.
 const (
-	// MemberLease is the time to live of a member's lease in the state service. The design's
-	// 10 s is as long as a worker's own lease where leases are shortest: workers would lose
-	// their tasks before a successor could renew them. A third of that leaves time for a
-	// failover and for two lost renewals.
+	// MemberLease is the TTL of a member's lease in the state service. It is well below a worker's
+	// lease, so that a successor can renew worker leases after a failover, and leaves time for two
+	// lost renewals.
 	MemberLease = 3500 * time.Millisecond
-	// MemberRenewInterval is how long after a renewal the next one is sent: three may be lost
-	// before the lease expires.
+	// MemberRenewInterval is the time between two renewals of the lease.
 	MemberRenewInterval = 1000 * time.Millisecond
-	// MaxRenewalsInFlight is how many renewals of the lease may be in flight.
+	// MaxRenewalsInFlight bounds concurrent renewals of the lease.
 	MaxRenewalsInFlight = 3
-	// RenewTimeout bounds a renewal: a response that comes after the lease's expiry is of no use.
+	// RenewTimeout bounds a renewal. A response after the lease's expiry is of no use.
 	RenewTimeout = 3 * time.Second
-	// MemberBackoff is the pause after a failed grant or renewal.
+	// MemberBackoff is the backoff after a failed grant or renewal.
 	MemberBackoff = 250 * time.Millisecond
-	// LeaseSafetyMargin is how long before its lease may expire a lease holder stops acting:
-	// it covers a late timer and the way to the network.
+	// LeaseSafetyMargin is the time before the earliest expiry of its lease at which a lease holder
+	// stops acting. It covers late timers and network latency.
 	LeaseSafetyMargin = 150 * time.Millisecond
-	// ElectionCooldown follows each transaction that elects a leader or assigns a shard, so that
-	// its outcome has arrived before the next.
+	// ElectionCooldown is the time between the response to a transaction that elects a leader or
+	// assigns a shard and the next such transaction, so that the watch delivers the outcome first.
 	ElectionCooldown = 50 * time.Millisecond
 )
--- a/internal/tuning/peers.go
+++ b/internal/tuning/peers.go
@@ -2,29 +2,28 @@
 
 import "time"
 
-// Calls between the controllers, used by packages controller and peer.
+// Calls between controllers, used by packages controller, term and peer.
 const (
-	// PeerHeartbeatInterval is how often the controllers exchange heartbeats.
+	// PeerHeartbeatInterval is the time between two heartbeats to a peer.
 	PeerHeartbeatInterval = 1 * time.Second
-	// PeerHeartbeatTimeout bounds a heartbeat.
+	// PeerHeartbeatTimeout bounds a heartbeat call.
 	PeerHeartbeatTimeout = 800 * time.Millisecond
-	// ProgressTimeout bounds a query of jobs' progress: a user waits 2 s for a response.
+	// ProgressTimeout bounds a query of job progress. The user's own request times out after 2 s.
 	ProgressTimeout = 400 * time.Millisecond
-	// MaxProgressJobs is about how many jobs one query of progress asks a shard's owner for.
+	// MaxProgressJobs bounds the progress queries that are batched into one call to a lease holder.
 	MaxProgressJobs = 500
-	// PeerCallsInFlight is how many calls of peers may be in flight.
+	// PeerCallsInFlight bounds concurrent calls of peers.
 	PeerCallsInFlight = 32
-	// PeerDialTimeout bounds the making of a connection: one that takes longer leads into a
-	// network partition.
+	// PeerDialTimeout bounds the dial of a connection. A slower dial indicates a network partition.
 	PeerDialTimeout = 1 * time.Second
-	// PeerBackoffInitial is the first pause between attempts to connect to a peer: one that was
-	// restarted should be reached again at once.
+	// PeerBackoffInitial is the first backoff between dials of a peer. It is short, so that a
+	// restarted peer is reached soon.
 	PeerBackoffInitial = 200 * time.Millisecond
-	// PeerBackoffMax bounds the growth of PeerBackoffInitial.
+	// PeerBackoffMax bounds the backoff between dials of a peer.
 	PeerBackoffMax = 1 * time.Second
-	// ProbeWorkers is how many workers a peer is asked to probe by a shard's owner that
-	// suspects that it is isolated from them itself.
+	// ProbeWorkers is the number of workers that a lease holder asks a peer to probe when it
+	// suspects that it is isolated from its workers.
 	ProbeWorkers = 3
-	// ProbeTimeout is how long the peer tries.
+	// ProbeTimeout bounds the peer's probe of a worker.
 	ProbeTimeout = 700 * time.Millisecond
 )
--- a/internal/tuning/placement.go
+++ b/internal/tuning/placement.go
@@ -2,69 +2,69 @@
 
 import "time"
 
-// Primary and backup copies of an array's tasks, used by package placement.
+// Primary and backup copies of the tasks of job arrays, used by package placement.
 const (
-	// BackupWithdrawThreshold is the design document's count of preemptions after which a
-	// backup copy is withdrawn, unless operators have set another.
+	// BackupWithdrawThreshold is the default number of preemptions after which a task's backup
+	// copy is withdrawn. Operators can override it.
 	BackupWithdrawThreshold = 10
-	// MaxBackupsPerWorker is how many backup copies may queue at one worker.
+	// MaxBackupsPerWorker bounds the backup copies queued at one worker.
 	MaxBackupsPerWorker = 8
-	// BackupSamples is how many random machines are tried for a backup copy.
+	// BackupSamples is the number of random machines tried for a backup copy.
 	BackupSamples = 16
-	// RescheduleHeartbeats is the time, in heartbeat intervals, after which a primary copy that
-	// has not started is scheduled again: heartbeats vary by a quarter.
+	// RescheduleHeartbeats is the time, in heartbeat intervals, after which a primary copy that has
+	// not started is rescheduled. It exceeds the jitter of heartbeats.
 	RescheduleHeartbeats = 1.5
-	// BackupStartHeartbeats is how long, in heartbeat intervals, a primary copy must have waited
-	// before its backup copy starts: a primary copy whose machine sends its heartbeats in time
-	// would stop the backup copy at once.
+	// BackupStartHeartbeats is the time, in heartbeat intervals, that a primary copy must have
+	// waited before its backup copy starts. An earlier start would often be stopped at once by a
+	// start of the primary copy.
 	BackupStartHeartbeats = 1.5
-	// FreeShareLevels is how many levels of a machine's use are told apart when a task is placed at
-	// random: finer ones would leave nothing to chance.
+	// FreeShareLevels is the number of levels to which the free share of a machine is quantized.
+	// The choice among machines of one level is random.
 	FreeShareLevels = 4
 )
 
-// Scores of the possible places of a gang; the lowest sum is chosen. They are in seconds of a
-// whole machine's work that would be lost. Used by package placement.
+// Cost of a placement of a gang, used by package placement. A cost is the work that the placement
+// loses, in seconds of a whole machine. The placement of the lowest total cost is selected.
 const (
-	// CostPreemption is for a machine with tasks to preempt: their stop and its report come first.
+	// CostPreemption applies to a machine on which tasks have to be preempted.
 	CostPreemption = 30.0
-	// CostImageMissing is for a machine without the image: the gang starts late for pulling it.
+	// CostImageMissing applies to a machine that cannot pull the image in time.
 	CostImageMissing = 90.0
-	// CostImagePull is for a machine that can pull the image in time.
+	// CostImagePull applies to a machine that can pull the image within a start objective.
 	CostImagePull = 30.0
-	// CostOnDemand is for a machine that is not spot where a spot machine would do.
+	// CostOnDemand applies to an on-demand machine for a gang that may use spot machines.
 	CostOnDemand = 10.0
-	// GangStartOverhead is what a gang's start takes beside saving checkpoints and pulling
-	// images: commands and heartbeats on their way.
+	// GangStartOverhead is the part of a gang's start time that is not spent on saving checkpoints
+	// and pulling images: the latency of commands and heartbeats.
 	GangStartOverhead = 1 * time.Second
-	// ImagePullSlack is how many times slower than its type says a machine may pull images.
+	// ImagePullSlack multiplies the image pull time of a machine's type, as a bound for a slow pull.
 	ImagePullSlack = 1.3
 )
 
 // Services, used by package placement.
 const (
-	// ServiceHealthyAfter is how long a replica must run for its machine, and its service, to
-	// count as healthy.
+	// ServiceHealthyAfter is the run time after which a replica counts as healthy.
 	ServiceHealthyAfter = 10 * time.Second
-	// ReserveMachines is on how many machines that are not spot there are resources for one more
-	// replica of the largest service, lower work being preempted: one machine may be lost.
+	// ReserveMachines is the number of on-demand machines that can each take one more replica of
+	// the largest service, with lower-priority work preempted. Two tolerate the loss of one.
 	ReserveMachines = 2
 )
 
 // Demand for machines, used by package placement.
 const (
-	// DefaultObjective stands for a class's service-level objective where the settings have none.
+	// DefaultObjective applies to a class for which the settings have no service-level objective.
 	DefaultObjective = 300 * time.Second
-	// BacklogObjectiveShare is the part of a class's objective that its waiting work may take on
-	// the machines there are before more are provisioned.
+	// BacklogObjectiveShare is the share of a class's objective within which its pending work has
+	// to drain on the existing machines. Longer backlogs scale out.
 	BacklogObjectiveShare = 0.1
-	// MinRunTime is the least run time assumed of a task.
+	// MinRunTime is the lower bound of a task's estimated run time.
 	MinRunTime = 10 * time.Second
-	// NegligibleBacklog is the waiting work, in tasks, that is not worth another machine.
+	// NegligibleBacklog is the largest pending work, in tasks, for which no machine is provisioned.
 	NegligibleBacklog = 0.5
-	// RunTimeAverageWeight is the weight of the newest run time in a class's moving average.
+	// RunTimeAverageWeight is the weight of the newest run time in a class's exponential moving
+	// average.
 	RunTimeAverageWeight = 0.1
-	// WarmPoolBootFactor is how many times shorter than a boot a class's objective for its start
-	// must be for a machine to be kept before its first job has come.
+	// WarmPoolBootFactor is the ratio of boot time to start objective from which on a machine is
+	// kept warm for a class that has had no job yet.
 	WarmPoolBootFactor = 5.0
 )
--- a/internal/tuning/scheduling.go
+++ b/internal/tuning/scheduling.go
@@ -4,98 +4,93 @@
 
 // Scheduling passes, used by package placement.
 const (
-	// PassInterval is how often a pass is made although nothing changed: pauses end, and
-	// machines become unresponsive.
+	// PassInterval is the time after which a pass runs even without a change, for expired backoffs
+	// and unresponsive machines.
 	PassInterval = 100 * time.Millisecond
-	// MaxTasksPerPass is how many tasks of arrays one pass queues; the next pass goes on. A pass
-	// that placed all of a burst kept an owner with a twentieth of a core from renewing its
-	// lease for a second.
+	// MaxTasksPerPass bounds the array tasks queued in one pass; the next pass continues. A long
+	// pass would delay the renewal of the lease.
 	MaxTasksPerPass = 64
-	// MaxGangsPerPass is the same for gangs.
+	// MaxGangsPerPass bounds the gangs placed in one pass.
 	MaxGangsPerPass = 8
-	// MaxUnplacedGangs is how many gangs may find no place in one pass before the rest is not
-	// tried: with thousands waiting the first have not been placed.
+	// MaxUnplacedGangs bounds the gangs for which one pass fails to find a placement before it
+	// skips the rest.
 	MaxUnplacedGangs = 200
-	// MaxGangClasses is for how many kinds of gangs places are counted.
+	// MaxGangClasses bounds the equivalence classes of gangs whose free slots are cached.
 	MaxGangClasses = 32
-	// StartMarkersAhead is for how many arrays next in order start markers are written before
-	// there are resources for them: the marker takes a write, and a place that is not filled
-	// with one heartbeat waits for the next.
+	// StartMarkersAhead is the number of arrays at the head of the queue whose start markers are
+	// written before resources are free, so that the write does not delay their start.
 	StartMarkersAhead = 8
-	// MaxGangStartMarkers is how many jobs may wait for their start markers before a gang may
-	// not ask for one too.
+	// MaxGangStartMarkers is the number of pending start markers from which on no gang requests
+	// another.
 	MaxGangStartMarkers = 64
 )
 
-// Fair-share order of the jobs, used by package placement. Positions are in seconds.
+// Fair-share order of jobs, used by package placement. A job's position is a time in seconds; the
+// lowest position is scheduled first.
 const (
-	// FairShareInterval is how often the positions are computed: work drains within seconds.
+	// FairShareInterval is the time between two updates of the positions.
 	FairShareInterval = 1 * time.Second
-	// FairShareMinInterval is the least time between two sorts when jobs come and go: a burst
-	// brings tens of them a second.
+	// FairShareMinInterval is the minimum time between two updates when jobs arrive and end.
 	FairShareMinInterval = 100 * time.Millisecond
-	// MaxBacklogPenalty is how much later the position of an array with very much work waiting
-	// is than that of one with very little; one with the usual amount is in the middle. Small
-	// ones go first, but the largest do not starve.
+	// MaxBacklogPenalty is the limit of the penalty on an array's position, which grows with the
+	// array's pending work. The bound keeps the largest arrays from starving.
 	MaxBacklogPenalty = 800 * time.Second
-	// GangPositionBonus is how much earlier the position of a gang is than that of an array of its
-	// priority: a gang that waits holds no machine up, an array fills whatever is left. It is
-	// bounded, or a burst of gangs would starve the arrays.
+	// GangPositionBonus is subtracted from the position of a gang or service. The bound keeps
+	// arrays from starving in a burst of gangs.
 	GangPositionBonus = 120 * time.Second
-	// GangBlockingDelay is how long a gang waits before no later one of its priority may be placed
-	// before it.
+	// GangBlockingDelay is the waiting time after which a gang blocks the placement of later gangs
+	// of its priority.
 	GangBlockingDelay = 60 * time.Second
-	// FirstStartDeadline is how long after its submission a job of which nothing has started
-	// goes first, with FirstStartTasks of its tasks: the largest jobs too should start within
-	// four minutes, whatever the burst.
+	// FirstStartDeadline is the time after which a job without a completed task is starving and has
+	// FirstStartTasks of its tasks scheduled first.
 	FirstStartDeadline = 150 * time.Second
-	// FirstStartTasks is how many tasks of such a job go first.
+	// FirstStartTasks is the number of tasks of a starving job that are scheduled first.
 	FirstStartTasks = 8
-	// StarvationTimeout is how long a job waits for all its tasks to start before it is raised
-	// by a priority, and by another after each StarvationBoostInterval.
+	// StarvationTimeout is the time after which a job with waiting tasks is boosted by one priority
+	// level.
 	StarvationTimeout = 260 * time.Second
-	// StarvationBoostInterval is the time between two raises.
+	// StarvationBoostInterval is the time between two further boosts.
 	StarvationBoostInterval = 15 * time.Second
-	// ImageLocalityWindow is how much later an array's position may be than the first's for
-	// its tasks to go first where their image is: pulling an image holds resources for as long
-	// as a short task.
+	// ImageLocalityWindow is the distance from the first array's position within which arrays
+	// prefer machines that cache their image. A pull holds resources as long as a short task does.
 	ImageLocalityWindow = 1000 * time.Second
 )
 
-// Retries and quarantine, used by package placement.
+// Task retries and machine quarantine, used by package placement.
 const (
-	// TaskBackoffInitial is the pause after a task's failure. It doubles, TaskBackoffDoublings times at
-	// most, while its job fails everywhere.
+	// TaskBackoffInitial is the backoff after a task failure. It doubles, up to
+	// TaskBackoffDoublings times, while the job fails on every machine.
 	TaskBackoffInitial = 1 * time.Second
-	// TaskBackoffDoublings bounds the growth of TaskBackoffInitial.
+	// TaskBackoffDoublings bounds the doublings of TaskBackoffInitial.
 	TaskBackoffDoublings = 5
-	// RejectedStartBackoff is the pause after a worker refused a start.
+	// RejectedStartBackoff is the backoff after a worker rejected a start command.
 	RejectedStartBackoff = 1 * time.Second
-	// QuarantineFailedJobs is how many jobs must have failed on a machine for it to be quarantined.
+	// QuarantineFailedJobs is the number of jobs with failures on a machine that quarantines it.
 	QuarantineFailedJobs = 2
-	// QuarantineFailedTasks is how many tasks of one job that succeeds elsewhere must have failed on
-	// a machine for it to be quarantined.
+	// QuarantineFailedTasks is the number of failures of one job on a machine that quarantines the
+	// machine, if the job succeeds elsewhere.
 	QuarantineFailedTasks = 2
-	// FailingJobMachines is on how many machines a job must have failed, without any success,
-	// for the fault to be taken for the job's own.
+	// FailingJobMachines is the number of machines with failures and without a success from which
+	// on the failures are attributed to the job.
 	FailingJobMachines = 3
 )
 
 // Preemption and consolidation, used by package placement.
 const (
-	// CheckpointGrace is added to the time that a task needs to save a checkpoint.
+	// CheckpointGrace is added to the checkpoint save time of a task that is stopped.
 	CheckpointGrace = 1 * time.Second
-	// PreemptionHeartbeats is how many heartbeat intervals before a spot machine's preemption its
-	// tasks are told to save: the command may have to wait for a heartbeat.
+	// PreemptionHeartbeats is the lead, in heartbeat intervals, with which the tasks of a spot
+	// machine are told to save before its preemption. A command may wait for the next heartbeat.
 	PreemptionHeartbeats = 1.3
-	// ConsolidationInterval is the least time between two times that machines are cordoned and
-	// drained to be deleted: what the first ones' tasks do to the rest shows only then.
+	// ConsolidationInterval is the minimum time between two consolidations. The effect of one on
+	// the placement must show before the next.
 	ConsolidationInterval = 3 * time.Second
-	// ConsolidationDivisor is the number of machines in use of which one is drained at a time.
+	// ConsolidationDivisor is the ratio of machines in use to machines cordoned and drained by one
+	// consolidation.
 	ConsolidationDivisor = 40
-	// ConsolidationCandidates is how many machines are tried for each one that is drained.
+	// ConsolidationCandidates is the number of machines examined for each machine to be drained.
 	ConsolidationCandidates = 4
-	// ConsolidationMinFreeShare is the part of a machine's resources that must be free for it to be
-	// tried whether it would take the tasks of another.
+	// ConsolidationMinFreeShare is the free share of resources above which a machine is examined as
+	// a target for the tasks of a drained machine.
 	ConsolidationMinFreeShare = 0.02
 )
--- a/internal/tuning/submission.go
+++ b/internal/tuning/submission.go
@@ -2,38 +2,35 @@
 
 // Requests of users, used by package submission.
 const (
-	// RetryAfterBusyS is after how many seconds a user is asked to try again when too many
-	// requests are in flight: overload passes quickly.
+	// RetryAfterBusyS is the Retry-After value, in seconds, while too many requests are in flight.
 	RetryAfterBusyS = 1
-	// RetryAfterUnavailableS is the same while a controller cannot decide: an outage takes a
-	// little longer.
+	// RetryAfterUnavailableS is the Retry-After value, in seconds, while the controller cannot
+	// serve a request.
 	RetryAfterUnavailableS = 2
-	// EndedJobsKept is how many ended jobs a controller reports from memory.
+	// EndedJobsKept is the capacity of the cache of ended jobs.
 	EndedJobsKept = 20000
-	// MaxSubmissionsInFlight bounds submissions and cancellations in flight.
+	// MaxSubmissionsInFlight bounds concurrent submissions and cancellations.
 	MaxSubmissionsInFlight = 64
-	// MaxQueriesInFlight bounds queries in flight.
+	// MaxQueriesInFlight bounds concurrent queries.
 	MaxQueriesInFlight = 128
-	// MaxCancelAttempts is how often a cancellation starts over after a conflict.
+	// MaxCancelAttempts bounds the attempts of a cancellation whose transaction conflicts.
 	MaxCancelAttempts = 3
-	// QueryRateShare is the part of the state service's rate that the queries of open jobs
-	// may take on all controllers together.
+	// QueryRateShare is the share of the state service's rate limit that queries of open jobs use
+	// on all controllers together.
 	QueryRateShare = 0.3
 )
 
-// The log of cancellations that were reported to users, used by packages submission,
-// controller and term.
+// Log of the cancellations confirmed to users, used by packages submission, controller and term.
 const (
-	// CancellationRetentionFactor is for how many times the time within which a cancelled job's
-	// tasks are killed a cancellation is kept: after once that time they have been killed,
-	// whoever owns their shard.
+	// CancellationRetentionFactor times the limit within which the tasks of a cancelled job must
+	// have ended is the retention time of a cancellation. After the first such period, no task of
+	// the job runs under any lease holder.
 	CancellationRetentionFactor = 2
-	// MinCancellationsKept is the least capacity of the log. It is larger where more
-	// cancellations can be written in the time for which they are kept.
+	// MinCancellationsKept is the minimum capacity of the log. The capacity is larger if more
+	// cancellations can be written within their retention time.
 	MinCancellationsKept = 4096
-	// WritesPerCancellation is how many writes of the state service a cancellation takes.
+	// WritesPerCancellation is the number of writes that a cancellation takes in the state service.
 	WritesPerCancellation = 2
-	// MaxCancellationsPerMessage is how many cancellations one message to a peer carries, far
-	// below what it may hold.
+	// MaxCancellationsPerMessage bounds the cancellations in one message to a peer.
 	MaxCancellationsPerMessage = 512
 )
--- a/internal/tuning/term.go
+++ b/internal/tuning/term.go
@@ -2,47 +2,46 @@
 
 import "time"
 
-// Records that the owner of a shard writes, used by packages term and fleet.
+// Records that a lease holder writes, used by packages term and fleet.
 const (
-	// CompletionWriteInterval is for how long completions of tasks are collected before they
-	// are written.
+	// CompletionWriteInterval is the time for which task completions are batched into one write.
 	CompletionWriteInterval = 1500 * time.Millisecond
-	// MaxJobEndsInFlight is how many writes of jobs' ends may be in flight: the rest waits in
-	// the order of priority, and not in that of the requests.
+	// MaxJobEndsInFlight bounds concurrent writes of job ends. Further ones wait in order of
+	// priority.
 	MaxJobEndsInFlight = 8
-	// CompletionBitsPerByte is how many bits of a completion bitmap are stored for each byte of
-	// a value's limit: base64 takes its part, and a page should hold the bitmaps of several jobs.
+	// CompletionBitsPerByte is the number of bits of a completion bitmap per byte of a value's size
+	// limit. It allows for base64 and for bitmaps of several jobs in a page.
 	CompletionBitsPerByte = 2
-	// CompletionNameBytes is what the name of a bitmap and the JSON around it take of a page.
+	// CompletionNameBytes is the size of a bitmap's name and its JSON in a page.
 	CompletionNameBytes = 64
-	// StartMarkerInterval is how often start markers are written: a gang waits for its marker.
+	// StartMarkerInterval is the time for which start markers are batched into one write.
 	StartMarkerInterval = 100 * time.Millisecond
-	// RegistrationInterval is how often machines that sent their first heartbeat are recorded:
-	// hundreds boot within seconds, and each waits for its record.
+	// RegistrationInterval is the time for which machines that sent their first heartbeat are
+	// batched into one write.
 	RegistrationInterval = 250 * time.Millisecond
-	// CounterLogInterval is how often the counters of copies of tasks are logged.
+	// CounterLogInterval is the time between two log lines with the task counters.
 	CounterLogInterval = 60 * time.Second
 )
 
-// A shard's owner that cannot reach the state service, used by package term.
+// Lease holders without contact to the state service, used by package term.
 const (
-	// CancellationRenewMargin is the part of the time for a cancellation that the owner keeps
-	// in reserve when it goes on renewing workers' leases.
+	// CancellationRenewMargin is kept in reserve from the limit within which a cancelled job's tasks
+	// must have ended, when a lease holder renews worker leases past its cancellation watermark.
 	CancellationRenewMargin = 5 * time.Second
-	// MinRenewBeyondWatermark is how long past its cancellation watermark the owner answers
-	// heartbeats at least: a watch without events and the wait for the next one take so long.
-	// It only matters where a lease is nearly as long as the time for a cancellation.
+	// MinRenewBeyondWatermark is the lower bound of the time past its cancellation watermark in which
+	// a lease holder answers heartbeats. It exceeds WatchTimeout, as a watch without events advances
+	// the watermark only when it ends.
 	MinRenewBeyondWatermark = 6 * time.Second
 )
 
-// A shard's owner that may be isolated from its workers, used by package term.
+// Lease holders that may be isolated from their workers, used by package term.
 const (
-	// IsolationMinMachines is how many machines must have sent a heartbeat lately for the owner
-	// to conclude anything from their silence.
+	// IsolationMinMachines is the number of recently heard machines below which their silence does
+	// not indicate isolation.
 	IsolationMinMachines = 3
-	// IsolationHeartbeats is for how many heartbeat intervals none of them may have sent one for
-	// the owner to suspect that it is isolated itself: heartbeats vary by a quarter.
+	// IsolationHeartbeats is the time, in heartbeat intervals, without any heartbeat after which a
+	// lease holder suspects its own isolation. It exceeds the jitter of heartbeats.
 	IsolationHeartbeats = 1.25
-	// ReconcileInterval is the pause before an unreconciled machine is asked again.
+	// ReconcileInterval is the time between two queries of an unreconciled machine.
 	ReconcileInterval = 1 * time.Second
 )
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -1,18 +1,17 @@
-// Package tuning holds the service's constants, each with its unit and the reason for its
-// value, in one file for each theme and grouped by the package that uses them. What may
-// differ between deployments is in the platform's settings instead, and what operators may
-// change at run time is set through the administration API.
+// Package tuning holds the constants of the scheduler: intervals, timeouts, backoffs, limits and
+// weights. Each file covers one subject and groups the constants by the package that uses them.
+// Values that differ between deployments are in package config. Values that operators change at run
+// time are in package admin.
 //
-// Names of one pattern have one unit: ...Heartbeats are numbers of the heartbeat interval,
-// which the settings give; ...Share are parts of a whole; ...Factor multiply; ...Divisor divide;
-// ...InFlight are numbers of calls; ...Bytes are bytes.
+// A suffix gives the unit: ...Heartbeats counts heartbeat intervals, as set by package config;
+// ...Share is a fraction of a whole; ...Factor is a multiplier; ...Divisor is a divisor;
+// ...InFlight counts concurrent calls; ...Bytes counts bytes; ...S counts seconds.
 package tuning
 
-// Shards is the number of parts into which the machines are divided, each with one owner.
-// One packs best, keeps quotas exact and is carried by one owner up to 1,850 machines, with
-// an average of a fifth of its share of a processor at most (docs/design.md).
+// Shards is the number of shards into which the machines are partitioned. Each shard has one lease
+// holder. A single shard packs best and keeps quotas exact.
 const Shards = 1
 
-// MaxClockDrift is the largest relative difference in speed between the monotonic clocks of
-// two machines. Leases are judged with it by packages leader, worker and controller.
+// MaxClockDrift is the largest relative difference in rate between the monotonic clocks of two
+// machines. Packages leader, worker and controller add it to every lease that another machine times.
 const MaxClockDrift = 0.0005
--- a/internal/tuning/worker.go
+++ b/internal/tuning/worker.go
@@ -2,64 +2,57 @@
 
 import "time"
 
-// The state of machines and their leases, used by packages worker and fleet.
+// Machine states and worker leases, used by packages worker, fleet and term.
 const (
-	// WorkerLeaseMargin is added to a worker's lease before it counts as expired.
+	// WorkerLeaseMargin is added to a worker's lease before the lease counts as expired.
 	WorkerLeaseMargin = 300 * time.Millisecond
-	// UnresponsiveHeartbeats is for how many heartbeat intervals, with UnresponsiveGrace added, a
-	// machine may send no heartbeat before it gets no new work.
+	// UnresponsiveHeartbeats is the time without a heartbeat, in heartbeat intervals and in addition
+	// to UnresponsiveGrace, after which a machine gets no new tasks.
 	UnresponsiveHeartbeats = 1.6
 	// UnresponsiveGrace is added to UnresponsiveHeartbeats.
 	UnresponsiveGrace = 500 * time.Millisecond
-	// WorkerReplyTimeout is the least time after which a worker that got no response turns to
-	// another controller: by the protocol 4 s, less the time for which a network may have
-	// delayed its previous heartbeat.
+	// WorkerReplyTimeout is the minimum time after which a worker without a response fails over to
+	// another controller: the protocol's 4 s less the network delay of its previous heartbeat.
 	WorkerReplyTimeout = 3500 * time.Millisecond
-	// UnreachableLeases is for how many leases a machine may send heartbeats without a sign that
-	// anything reaches it before it is deleted: a lost response or a failover passes
-	// within one.
+	// UnreachableLeases is the number of worker leases for which a machine may send heartbeats
+	// without a sign that it receives responses before it is deleted. A failover takes less than one.
 	UnreachableLeases = 2
-	// DeletedMachinesKept is how many names of deleted machines are remembered.
+	// DeletedMachinesKept is the number of deleted machines whose names are remembered.
 	DeletedMachinesKept = 20000
 )
 
 // Direct commands to workers, used by package controller.
 const (
-	// CommandTimeout bounds a direct command, which normally takes milliseconds. A response
-	// that an owner short of processor time is too slow to read would count against the
-	// machine, which is deleted: with 3 s an owner without processor time deleted one after the
-	// other.
+	// CommandTimeout bounds a direct command. It is generous, as a timeout counts against the
+	// machine even if the lease holder lacks the CPU time to read the response.
 	CommandTimeout = 8 * time.Second
-	// WorkerDialTimeout is how long the making of a connection to a worker may take: so
-	// machines that cannot be reached are recognised. It is not too short, for the same reason.
+	// WorkerDialTimeout bounds the dial of a connection to a worker. A failed dial shows that the
+	// machine is unreachable.
 	WorkerDialTimeout = 2 * time.Second
-	// CommandsInFlight is how many direct commands may be in flight at least.
+	// CommandsInFlight is the lower bound of the limit on concurrent direct commands.
 	CommandsInFlight = 16
-	// CommandSocketShare is the part of the machine's sockets that commands may take, if that is
-	// more than CommandsInFlight: a fifth of the machines may be unreachable, and each command
-	// to one of them hangs for a second.
+	// CommandSocketShare is the share of the machine's sockets for direct commands, if that exceeds
+	// CommandsInFlight. Commands to unreachable machines hold their sockets until the dial times out.
 	CommandSocketShare = 0.025
-	// CommandIdleConnections is how many connections are kept for further commands.
+	// CommandIdleConnections is the number of idle connections kept for further commands.
 	CommandIdleConnections = 16
-	// MaxWorkerResponseBytes bounds a worker's response: a heartbeat has at most one entry for
-	// each task.
+	// MaxWorkerResponseBytes bounds a worker's response body, a heartbeat with all of its tasks.
 	MaxWorkerResponseBytes = 1 << 20
 )
 
 // Commands and attempts, used by package placement.
 const (
-	// MaxCommandsPerReply bounds the commands in one response to a heartbeat, so that it stays
-	// far below the protocol's 64 KiB a line.
+	// MaxCommandsPerReply bounds the commands in one response to a heartbeat, which must stay below
+	// the protocol's limit of 64 KiB.
 	MaxCommandsPerReply = 300
-	// MaxDirectStarts is how many attempts may be started by direct commands in one incarnation
-	// of a worker. They stay in its heartbeats, which must not grow without bound; beyond it
-	// all starts are sent with responses to heartbeats.
+	// MaxDirectStarts bounds the attempts started by direct commands in one incarnation of a worker.
+	// Such attempts stay in its heartbeats. Further starts are sent with responses to heartbeats.
 	MaxDirectStarts = 40
-	// AttemptBits is how many low bits of an attempt number count a job's attempts within a
-	// term; the others are the term's token.
+	// AttemptBits is the number of low bits of an attempt number that count a job's attempts within
+	// a term. The high bits are the term's fencing token.
 	AttemptBits = 20
-	// AttemptReserve is how many of a job's attempt numbers are left when the owner gives its
-	// shard back, so that the token of the next term begins a new range: no owner starts so
-	// many within one tick.
+	// AttemptReserve is the number of unused attempt numbers of a job at which the lease holder
+	// releases its shard lease, so that the token of the next term opens a new range. It exceeds the
+	// attempts that one tick can start.
 	AttemptReserve = 1 << 17
 )
