--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,8 +1,8 @@
-// Package config reads the settings file that the platform hands to a controller. Its field
-// names are fixed by the platform; fields it does not know are ignored.
+// Package config loads and validates the settings file of a controller. The platform defines the
+// names of its fields. Unknown fields are ignored.
 //
-// Units: fields that end in S are seconds, in MS milliseconds, in KB and MB 1,024 and 1,024^2
-// bytes, in RPS per second.
+// A suffix of a field gives its unit: S is seconds, MS milliseconds, KB 1,024 bytes, MB 1,024^2 bytes,
+// RPS operations per second.
 package config
 
 import (
@@ -15,35 +15,35 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Config is the whole settings file.
+// Config holds the settings file of one controller.
 type Config struct {
-	Member   string   `toml:"member"`    // this controller's name
-	Zone     string   `toml:"area"`      // the zone that it runs in
-	APIAddr  string   `toml:"api_addr"`  // where users, workers and health checks reach it
-	PeerBind string   `toml:"peer_bind"` // where the other controllers and operators reach it
+	Member   string   `toml:"member"`    // name of this controller
+	Zone     string   `toml:"area"`      // zone of this controller
+	APIAddr  string   `toml:"api_addr"`  // listen address for users, workers and health checks
+	PeerBind string   `toml:"peer_bind"` // listen address for the other controllers and operators
 	Peers    []Peer   `toml:"known"`     // the other controllers
 	External External `toml:"external"`
 	Platform Platform `toml:"facts"`
 }
 
-// Peer is another controller.
+// Peer describes another controller of the deployment.
 type Peer struct {
 	Member  string `toml:"member"`
 	Zone    string `toml:"area"`
-	Address string `toml:"address"` // its PeerBind
+	Address string `toml:"address"` // PeerBind of the peer
 }
 
-// External are the addresses of the outside services.
+// External holds the addresses of the cloud API and the state service.
 type External struct {
 	Cloud string `toml:"cloud"`
 	State string `toml:"state"`
 }
 
-// Platform describes the deployment; it is the same for all of its controllers.
+// Platform describes the deployment. All controllers of a deployment have the same Platform.
 type Platform struct {
-	Nodes         int           `toml:"nodes"` // the number of controllers
+	Nodes         int           `toml:"nodes"` // number of controllers
 	Zones         []string      `toml:"zones"`
-	ClockSkewMS   float64       `toml:"time_bound_ms"` // largest deviation of a wall clock from true time
+	ClockSkewMS   float64       `toml:"time_bound_ms"` // bound of a wall clock's error
 	Teams         []Team        `toml:"teams"`
 	Objectives    []Objective   `toml:"objectives"`
 	Workers       Workers       `toml:"workers"`
@@ -52,8 +52,8 @@
 	MachineLimits MachineLimits `toml:"machine_limits"`
 }
 
-// Team is a team's guaranteed quota of each resource, and the limit on what its tasks may use of it.
-// 0 means that there is no such guarantee or limit.
+// Team holds the quotas of a team: for each resource, the guaranteed amount and the limit on the use
+// by the team's tasks. 0 means no guarantee or no limit.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -62,9 +62,8 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Objective is one of the users' service-level objectives for a class of jobs: a share of them,
-// from 0 to 1, is to reach what the kind names within a time. Kinds that this version does not
-// know are kept.
+// Objective is a service-level objective of a class of jobs: the given share of the jobs, from 0 to
+// 1, reaches the condition that Kind names within the given time. Unknown kinds are valid.
 type Objective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
@@ -72,16 +71,16 @@
 	Share   float64 `toml:"share"`
 }
 
-// Workers are the times that hold for all workers.
+// Workers holds the protocol timings of all workers.
 type Workers struct {
-	HeartbeatS float64 `toml:"report_s"`    // between two heartbeats
-	LeaseS     float64 `toml:"lease_s"`     // after which a worker without an answer ends its tasks
-	GangWaitS  float64 `toml:"gang_wait_s"` // for which a task waits for its gang to be complete
-	GangPeerS  float64 `toml:"gang_peer_s"` // within which a gang's tasks notice that one has ended
-	CancelS    float64 `toml:"cancel_s"`    // within which a cancelled job's tasks must have ended
+	HeartbeatS float64 `toml:"report_s"`    // heartbeat interval
+	LeaseS     float64 `toml:"lease_s"`     // time without a response after which a worker kills its tasks
+	GangWaitS  float64 `toml:"gang_wait_s"` // time for which a task waits for its gang to be complete
+	GangPeerS  float64 `toml:"gang_peer_s"` // bound of the time in which a gang's tasks detect the end of one
+	CancelS    float64 `toml:"cancel_s"`    // bound of the time in which the tasks of a cancelled job end
 }
 
-// Load reads and checks a settings file.
+// Load reads and validates the settings file at path. An invalid field is reported as a *FieldError.
 func Load(path string) (*Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -94,20 +93,20 @@
 	return c, nil
 }
 
-// Parse reads and checks settings. The error is one line, and a *FieldError if a field is missing
-// or invalid.
+// Parse decodes and validates settings. The error is a single line. It is a *FieldError if a field is
+// missing or invalid.
 func Parse(raw []byte) (*Config, error) {
 	var c Config
 	if err := toml.Unmarshal(raw, &c); err != nil {
 		return nil, singleLineError(err)
 	}
-	if err := c.check(); err != nil {
+	if err := c.validate(); err != nil {
 		return nil, err
 	}
 	return &c, nil
 }
 
-// singleLineError names the line and the field of a decoder's error.
+// singleLineError prefixes a decoding error with its line and field.
 func singleLineError(err error) error {
 	var decodeError *toml.DecodeError
 	if errors.As(err, &decodeError) {
@@ -117,7 +116,7 @@
 	return err
 }
 
-// Seconds converts an amount of seconds to a duration.
+// Seconds converts a number of seconds to a duration.
 func Seconds(s float64) time.Duration {
 	return time.Duration(s * float64(time.Second))
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// settings are valid; the cases of TestParse replace a part of them.
-const settings = `
+// validSettings is the input that the cases of TestParse modify.
+const validSettings = `
 member = "n0"
 area = "a"
 api_addr = "10.0.0.1:8080"
@@ -55,43 +55,43 @@
 
 type parseCase struct {
 	name     string
-	old, new string // the part of the settings to be replaced, and by what
-	fault    string // named by the error; "" for none
+	old, new string // text of validSettings and its replacement
+	fault    string // field that the error names; "" if valid
 }
 
 var parseCases = []parseCase{
 	{
-		name: "as handed over",
+		name: "valid settings",
 	},
 	{
-		name:  "no member",
+		name:  "member missing",
 		old:   `member = "n0"`,
 		fault: "member",
 	},
 	{
-		name:  "no address",
+		name:  "address missing",
 		old:   `api_addr = "10.0.0.1:8080"`,
 		fault: "api_addr",
 	},
 	{
-		name:  "a name as address",
+		name:  "host name instead of IP address",
 		old:   "10.2.0.1:2379",
 		new:   "state:2379",
 		fault: "external.state",
 	},
 	{
-		name:  "a peer named as this node",
+		name:  "peer with the name of this member",
 		old:   `member = "n1"`,
 		new:   `member = "n0"`,
 		fault: "known[0].member",
 	},
 	{
-		name:  "no zones",
+		name:  "zones missing",
 		old:   `zones = ["a"]`,
 		fault: "facts.zones",
 	},
 	{
-		name:  "no lease",
+		name:  "lease missing",
 		old:   "lease_s = 10.0",
 		fault: "facts.workers.lease_s",
 	},
@@ -114,30 +114,30 @@
 		fault: "line ",
 	},
 	{
-		name:  "no processor share",
+		name:  "CPU limit missing",
 		old:   "cpu = 0.12",
 		fault: "facts.machine_limits.cpu",
 	},
 	{
-		name:  "no memory",
+		name:  "memory limit of zero",
 		old:   "memory_mb = 98.0",
 		new:   "memory_mb = 0.0",
 		fault: "facts.machine_limits.memory_mb",
 	},
 	{
-		name:  "memory that is no number",
+		name:  "memory limit NaN",
 		old:   "memory_mb = 98.0",
 		new:   "memory_mb = nan",
 		fault: "facts.machine_limits.memory_mb",
 	},
 	{
-		name:  "negative sockets",
+		name:  "negative socket limit",
 		old:   "sockets = 900",
 		new:   "sockets = -1",
 		fault: "facts.machine_limits.sockets",
 	},
 	{
-		name:  "negative limit",
+		name:  "negative team limit",
 		old:   "gpus_max = 8.0",
 		new:   "gpus_max = -8.0",
 		fault: "facts.teams[0]",
@@ -148,66 +148,66 @@
 		new:  "txn_ops = 8\n[facts.state.next]\nvalue_kb = 2\nwrite_rps = 15.0\nburst = true",
 	},
 	{
-		name:  "an upcoming limit of zero",
+		name:  "upcoming limit of zero",
 		old:   "txn_ops = 8",
 		new:   "txn_ops = 8\n[facts.state.next]\nvalue_kb = 0.0",
 		fault: "facts.state.next.value_kb",
 	},
 	{
-		name:  "a negative upcoming limit",
+		name:  "negative upcoming limit",
 		old:   "txn_ops = 8",
 		new:   "txn_ops = 8\n[facts.state.next]\nwrite_rps = -1",
 		fault: "facts.state.next.write_rps",
 	},
 	{
-		name:  "an upcoming limit that is not a number",
+		name:  "upcoming limit NaN",
 		old:   "txn_ops = 8",
 		new:   "txn_ops = 8\n[facts.state.next]\nrps = nan",
 		fault: "facts.state.next.rps",
 	},
 	{
-		name:  "an upcoming limit in words",
+		name:  "upcoming limit of type string",
 		old:   "txn_ops = 8",
 		new:   "txn_ops = 8\n[facts.state.next]\ntxn_ops = \"four\"",
 		fault: "facts.state.next.txn_ops",
 	},
 	{
-		name:  "an upcoming limit of half an operation",
+		name:  "fractional upcoming limit of operations",
 		old:   "txn_ops = 8",
 		new:   "txn_ops = 8\n[facts.state.next]\ntxn_ops = 2.5",
 		fault: "facts.state.next.txn_ops",
 	},
 	{
-		name:  "fewer operations than go together",
+		name:  "upcoming limit below the minimum of operations",
 		old:   "txn_ops = 8",
 		new:   "txn_ops = 8\n[facts.state.next]\ntxn_ops = 1",
 		fault: "next.txn_ops",
 	},
 	{
-		name:  "an infinite upcoming limit",
+		name:  "infinite upcoming limit",
 		old:   "txn_ops = 8",
 		new:   "txn_ops = 8\n[facts.state.next]\nvalue_kb = inf",
 		fault: "facts.state.next.value_kb",
 	},
 	{
-		name:  "upcoming limits that are no table",
+		name:  "upcoming limits not a table",
 		old:   "txn_ops = 8",
 		new:   "txn_ops = 8\nnext = 5",
 		fault: "facts.state.next",
 	},
 	{
-		name: "an empty table of upcoming limits",
+		name: "empty table of upcoming limits",
 		old:  "txn_ops = 8",
 		new:  "txn_ops = 8\n[facts.state.next]",
 	},
 	{
-		name: "an objective of an unknown kind",
+		name: "objective of an unknown kind",
 		old:  "[[facts.objectives]]",
 		new: "[[facts.objectives]]\nkind = \"up\"\nclass = \"portal\"\nfrom_s = 5.0\nshare = 0.998\n" +
 			"[[facts.objectives]]",
 	},
 	{
-		name: "whole numbers as amounts",
+		name: "integer where a float is expected",
 		old:  "lease_s = 10.0",
 		new:  "lease_s = 10",
 	},
@@ -216,7 +216,7 @@
 func TestParse(t *testing.T) {
 	for _, c := range parseCases {
 		t.Run(c.name, func(t *testing.T) {
-			text := settings
+			text := validSettings
 			if c.old != "" {
 				text = strings.Replace(text, c.old, c.new, 1)
 			}
@@ -238,28 +238,28 @@
 		t.Fatal(err)
 	}
 	if cfg.Member != "n0" || cfg.Platform.Workers.LeaseS != 10 || cfg.Platform.Teams[0].GPUsMax != 8 {
-		t.Fatalf("read wrongly: %+v", cfg)
+		t.Fatalf("got %+v, want the values of validSettings", cfg)
 	}
 }
 
-// A machine smaller than any measured is warned of, limit by limit, and is no error.
-func TestBelowMeasured(t *testing.T) {
+// Each machine limit below the recommended minimum yields its own warning.
+func TestBelowRecommended(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		limits MachineLimits
-		want   []string // the limits named
+		want   []string // limits that the warnings name
 	}{
 		{
-			name:   "the least measured",
+			name:   "at the recommended minimum",
 			limits: MachineLimits{CPU: 0.036, MemoryMB: 65, Sockets: 900},
 		},
 		{
-			name:   "half the processor share",
+			name:   "half the recommended CPU",
 			limits: MachineLimits{CPU: 0.018, MemoryMB: 65, Sockets: 900},
 			want:   []string{"cpu"},
 		},
 		{
-			name:   "less of all",
+			name:   "all limits too low",
 			limits: MachineLimits{CPU: 0.01, MemoryMB: 20, Sockets: 100},
 			want:   []string{"cpu", "memory_mb", "sockets"},
 		},
@@ -267,7 +267,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			got := c.limits.BelowRecommended()
 			if len(got) != len(c.want) {
-				t.Fatalf("%q, want %q named", got, c.want)
+				t.Fatalf("got warnings %q, want one for each of %q", got, c.want)
 			}
 			for i, name := range c.want {
 				if !strings.Contains(got[i], "facts.machine_limits."+name+":") {
@@ -278,34 +278,33 @@
 	}
 }
 
-// What is written fits both the present limits and the upcoming ones; the rate stays the present
-// one until the service shows the other.
+// Guards against records that fit only the current or only the upcoming limits.
 func TestUpcomingLimits(t *testing.T) {
-	present := StateLimits{RPS: 200, WriteRPS: 20, ValueKB: 4, TxnOps: 8}
+	current := StateLimits{RPS: 200, WriteRPS: 20, ValueKB: 4, TxnOps: 8}
 	for _, c := range []struct {
 		name                     string
 		next                     UpcomingLimits
 		wantUpcoming, wantStored StateLimits
 	}{
 		{
-			name:         "none",
-			wantUpcoming: present,
-			wantStored:   present,
+			name:         "no upcoming limits",
+			wantUpcoming: current,
+			wantStored:   current,
 		},
 		{
-			name:         "lower ones",
+			name:         "lower limits",
 			next:         UpcomingLimits{"value_kb": 2.0, "txn_ops": int64(4), "write_rps": 15.0},
 			wantUpcoming: StateLimits{RPS: 200, WriteRPS: 15, ValueKB: 2, TxnOps: 4},
 			wantStored:   StateLimits{RPS: 200, WriteRPS: 15, ValueKB: 2, TxnOps: 4},
 		},
 		{
-			name:         "a higher one: the present limit for a value holds until then",
+			name:         "higher value size: stored values keep the current limit",
 			next:         UpcomingLimits{"value_kb": 8.0, "rps": int64(100)},
 			wantUpcoming: StateLimits{RPS: 100, WriteRPS: 20, ValueKB: 8, TxnOps: 8},
 			wantStored:   StateLimits{RPS: 100, WriteRPS: 20, ValueKB: 4, TxnOps: 8},
 		},
 	} {
-		limits := present
+		limits := current
 		limits.Next = c.next
 		if got := limits.Upcoming(); !reflect.DeepEqual(got, c.wantUpcoming) {
 			t.Errorf("%s: upcoming %+v, want %+v", c.name, got, c.wantUpcoming)
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -6,21 +6,21 @@
 	"juniperchute/internal/tuning"
 )
 
-// StateLimits are the limits of the state service.
+// StateLimits holds the rate and size limits of the state service.
 type StateLimits struct {
-	RPS      float64 `toml:"rps"`       // requests
-	WriteRPS float64 `toml:"write_rps"` // puts and deletes
-	ValueKB  float64 `toml:"value_kb"`  // of one value
-	TxnOps   int     `toml:"txn_ops"`   // puts and deletes of one transaction
-	// Next are the limits that the service will have from some moment on, which it does not
-	// announce. A limit that is not named stays as it is.
+	RPS      float64 `toml:"rps"`       // requests per second
+	WriteRPS float64 `toml:"write_rps"` // puts and deletes per second
+	ValueKB  float64 `toml:"value_kb"`  // size of a value
+	TxnOps   int     `toml:"txn_ops"`   // puts and deletes per transaction
+	// Next holds the limits after an upcoming change of unknown date. Limits that it omits do not
+	// change.
 	Next UpcomingLimits `toml:"next"`
 }
 
-// UpcomingLimits is the table of upcoming limits as written; names it does not know are ignored.
+// UpcomingLimits maps names of limits to their values in the settings file. Unknown names are ignored.
 type UpcomingLimits map[string]any
 
-// Names of limits in UpcomingLimits: the tags of StateLimits.
+// Keys of UpcomingLimits, which equal the tags of StateLimits.
 const (
 	limitRPS      = "rps"
 	limitWriteRPS = "write_rps"
@@ -28,7 +28,7 @@
 	limitTxnOps   = "txn_ops"
 )
 
-// Upcoming are the upcoming limits, with those that are not named as they are now.
+// Upcoming returns the limits after the upcoming change. Limits that Next omits keep their values.
 func (l StateLimits) Upcoming() StateLimits {
 	return StateLimits{
 		RPS:      l.Next.get(limitRPS, l.RPS),
@@ -38,8 +38,8 @@
 	}
 }
 
-// StoredLimits are the limits for what is stored. It has to fit the service before and after the
-// change, as nobody announces when the change comes.
+// StoredLimits returns the limits for stored records. Records have to fit the service both before and
+// after the upcoming change, as its date is unknown.
 func (l StateLimits) StoredLimits() StateLimits {
 	limits := l.Upcoming()
 	limits.ValueKB = min(limits.ValueKB, l.ValueKB)
@@ -47,12 +47,12 @@
 	return limits
 }
 
-// get is a named limit, or the present one if there is no such number.
-func (u UpcomingLimits) get(name string, present float64) float64 {
+// get returns the named limit, or the current one if the table has no number of this name.
+func (u UpcomingLimits) get(name string, current float64) float64 {
 	if v, ok := number(u[name]); ok {
 		return v
 	}
-	return present
+	return current
 }
 
 func number(v any) (float64, bool) {
@@ -65,34 +65,34 @@
 	return 0, false
 }
 
-// CloudLimits are the limits of the cloud.
+// CloudLimits holds the rate limit of the cloud API and the staleness of its lists.
 type CloudLimits struct {
-	RPS      float64 `toml:"rps"`        // requests
-	ListLagS float64 `toml:"list_lag_s"` // by which the list of machines usually lags
+	RPS      float64 `toml:"rps"`        // requests per second
+	ListLagS float64 `toml:"list_lag_s"` // usual staleness of the list of machines
 }
 
-// MachineLimits are those of the machine that the controller runs on.
+// MachineLimits holds the resources of the machine on which the controller runs.
 type MachineLimits struct {
-	CPU      float64 `toml:"cpu"` // share of one core
+	CPU      float64 `toml:"cpu"` // cores
 	MemoryMB float64 `toml:"memory_mb"`
 	Sockets  int     `toml:"sockets"`
 }
 
-// BelowRecommended lists, as warnings, the limits that are lower than any this service was measured
-// with. It runs, as the fleet may be small too, but was never seen to keep up.
+// BelowRecommended returns a warning for each limit below the recommended minimum. Small fleets run
+// with less.
 func (l MachineLimits) BelowRecommended() []string {
 	var warnings []string
 	for _, limit := range []struct {
-		name            string
-		value, measured float64
+		name           string
+		value, minimum float64
 	}{
-		{name: "cpu", value: l.CPU, measured: tuning.RecommendedCPU},
-		{name: "memory_mb", value: l.MemoryMB, measured: tuning.RecommendedMemoryMB},
-		{name: "sockets", value: float64(l.Sockets), measured: tuning.RecommendedSockets},
+		{name: "cpu", value: l.CPU, minimum: tuning.RecommendedCPU},
+		{name: "memory_mb", value: l.MemoryMB, minimum: tuning.RecommendedMemoryMB},
+		{name: "sockets", value: float64(l.Sockets), minimum: tuning.RecommendedSockets},
 	} {
-		if limit.value < limit.measured {
+		if limit.value < limit.minimum {
 			warnings = append(warnings, fmt.Sprintf("facts.machine_limits.%s: %g is below %g, the least measured",
-				limit.name, limit.value, limit.measured))
+				limit.name, limit.value, limit.minimum))
 		}
 	}
 	return warnings
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -9,9 +9,9 @@
 	"juniperchute/internal/tuning"
 )
 
-// FieldError names the field of the settings that is missing or invalid.
+// FieldError reports a missing or invalid field of the settings.
 type FieldError struct {
-	Field   string // with its tables, such as facts.teams[0].name
+	Field   string // qualified name, such as facts.teams[0].name
 	Problem string
 }
 
@@ -23,19 +23,19 @@
 	return &FieldError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
 
-// check finds the first field that is missing or invalid.
-func (c *Config) check() error {
+// validate returns an error for the first field that is missing or invalid.
+func (c *Config) validate() error {
 	return cmp.Or(
-		c.checkNames(),
-		c.checkAddresses(),
-		c.Platform.checkTeams(),
-		c.Platform.checkObjectives(),
-		c.Platform.checkAmounts(),
-		c.Platform.State.check(),
+		c.validateNames(),
+		c.validateAddresses(),
+		c.Platform.validateTeams(),
+		c.Platform.validateObjectives(),
+		c.Platform.validatePositive(),
+		c.Platform.State.validate(),
 	)
 }
 
-func (c *Config) checkNames() error {
+func (c *Config) validateNames() error {
 	if c.Member == "" {
 		return missing("member")
 	}
@@ -56,7 +56,7 @@
 	return nil
 }
 
-func (c *Config) checkAddresses() error {
+func (c *Config) validateAddresses() error {
 	type address struct{ field, value string }
 	addresses := []address{
 		{field: "api_addr", value: c.APIAddr},
@@ -78,7 +78,7 @@
 	return nil
 }
 
-func (p *Platform) checkTeams() error {
+func (p *Platform) validateTeams() error {
 	if len(p.Zones) == 0 {
 		return missing("facts.zones")
 	}
@@ -102,7 +102,7 @@
 	return nil
 }
 
-func (p *Platform) checkObjectives() error {
+func (p *Platform) validateObjectives() error {
 	for i, objective := range p.Objectives {
 		if objective.Kind == "" || objective.WithinS < 0 {
 			return invalid(fmt.Sprintf("facts.objectives[%d]", i), "invalid")
@@ -111,8 +111,8 @@
 	return nil
 }
 
-func (p *Platform) checkAmounts() error {
-	for _, amount := range []struct {
+func (p *Platform) validatePositive() error {
+	for _, quantity := range []struct {
 		field string
 		value float64
 	}{
@@ -132,8 +132,8 @@
 		{field: "facts.machine_limits.memory_mb", value: p.MachineLimits.MemoryMB},
 		{field: "facts.machine_limits.sockets", value: float64(p.MachineLimits.Sockets)},
 	} {
-		if !(amount.value > 0) { // not a number is not above 0 either
-			return invalid(amount.field, "missing or not above 0")
+		if !(quantity.value > 0) { // rejects NaN
+			return invalid(quantity.field, "missing or not above 0")
 		}
 	}
 	if p.ClockSkewMS < 0 {
@@ -142,8 +142,8 @@
 	return nil
 }
 
-func (l *StateLimits) check() error {
-	if err := l.Next.check(); err != nil {
+func (l *StateLimits) validate() error {
+	if err := l.Next.validate(); err != nil {
 		return err
 	}
 	if l.StoredLimits().TxnOps < tuning.MinTxnOps {
@@ -153,10 +153,10 @@
 	return nil
 }
 
-func (u UpcomingLimits) check() error {
+func (u UpcomingLimits) validate() error {
 	for _, name := range []string{limitRPS, limitWriteRPS, limitValueKB, limitTxnOps} {
-		limit, named := u[name]
-		if named && !validLimit(name, limit) {
+		limit, present := u[name]
+		if present && !validLimit(name, limit) {
 			return invalid("facts.state.next."+name, "%v is not a number above 0", limit)
 		}
 	}
--- a/internal/tuning/store.go
+++ b/internal/tuning/store.go
@@ -5,7 +5,8 @@
 // Calls of the state service, used by package store and, for their own lists and retries, by
 // packages leader, term and config.
 const (
-	// StoreTimeout bounds a call other than a renewal or a watch.
+	// StoreTimeout bounds a call. A renewal has RenewTimeout instead, and a watch its waiting time in
+	// addition.
 	StoreTimeout = 1500 * time.Millisecond
 	// MaxStoreResponseBytes bounds a response body. A page of a list has at most 512 KiB; a watch
 	// may return more.
--- a/internal/tuning/tuning.go
+++ b/internal/tuning/tuning.go
@@ -13,5 +13,6 @@
 const Shards = 1
 
 // MaxClockDrift is the largest relative difference in rate between the monotonic clocks of two
-// machines. Packages leader, worker and controller add it to every lease that another machine times.
+// machines. Packages leader, worker and controller allow for it in every duration that another
+// machine measures.
 const MaxClockDrift = 0.0005
