--- a/internal/admin/settings.go
+++ b/internal/admin/settings.go
@@ -1,5 +1,5 @@
-// Package admin holds what operators change and ask of a running service: its settings and its
-// version. Package peer has the calls of the administration API.
+// Package admin defines the settings that operators change at run time, and the version that they
+// query. Package peer implements the calls of the administration API.
 package admin
 
 import (
@@ -12,18 +12,18 @@
 	"juniperchute/internal/tuning"
 )
 
-// Key is the control record of the operators' settings: a JSON object of texts by name.
+// SettingsKey is the key of the settings record in the state service: a JSON object of strings by name.
 const SettingsKey = "c/settings"
 
-// Settings are what operators may change while the service runs. They hold for all controllers.
+// Settings holds the settings that operators change at run time. They apply to all controllers.
 type Settings struct {
-	BackupWithdrawThreshold int           // preemptions after which a task's backup copy is withdrawn
-	MaxMachines             int           // at a time, with those requested; 0: no limit
-	ScaleOutPaused          bool          // provision no machines
-	IdleTimeout             time.Duration // after which a machine without work is terminated
+	BackupWithdrawThreshold int           // preemptions before a task's backup copy is withdrawn
+	MaxMachines             int           // limit on machines, including requested ones; 0: none
+	ScaleOutPaused          bool          // stops provisioning
+	IdleTimeout             time.Duration // idle time before a machine is terminated
 }
 
-// Defaults are the settings that operators have not changed.
+// Defaults returns the settings before any change by operators.
 func Defaults() Settings {
 	return Settings{
 		BackupWithdrawThreshold: tuning.BackupWithdrawThreshold,
@@ -31,31 +31,31 @@
 	}
 }
 
-// UnknownSettingError means that there is no setting of a name. Operators read its text.
+// UnknownSettingError reports a name that no setting has. Its text is shown to operators.
 type UnknownSettingError struct{ Name string }
 
 func (e *UnknownSettingError) Error() string { return fmt.Sprintf("no setting is called %q", e.Name) }
 
-// InvalidValueError means that a setting cannot have a value. Operators read its text.
+// InvalidValueError reports an invalid value of a setting. Its text is shown to operators.
 type InvalidValueError struct {
 	Name  string
 	Value string
-	Want  string // what the value has to be
+	Want  string // description of the valid values
 }
 
 func (e *InvalidValueError) Error() string {
 	return fmt.Sprintf("%s: %q is not %s", e.Name, e.Value, e.Want)
 }
 
-// setting converts one of the Settings from and to text.
+// setting converts one field of Settings from and to text.
 type setting struct {
-	want   string // which values are valid
+	want   string // description of the valid values
 	format func(Settings) string
-	// parse reports whether the value is valid, and changes the settings only if it is.
+	// parse sets the field and reports whether the value is valid. An invalid value changes nothing.
 	parse func(s *Settings, value string) bool
 }
 
-// settings are all settings by their names, which are part of the administration API.
+// settings maps names to settings. The names are part of the administration API.
 var settings = map[string]setting{
 	"placement.drop_threshold": intSetting(1, 1000, func(s *Settings) *int { return &s.BackupWithdrawThreshold }),
 	"fleet.max_machines":       intSetting(0, 100000, func(s *Settings) *int { return &s.MaxMachines }),
@@ -63,12 +63,12 @@
 	"fleet.idle_return_s":      secondsSetting(5, 3600, func(s *Settings) *time.Duration { return &s.IdleTimeout }),
 }
 
-func intSetting(least, most int, field func(*Settings) *int) setting {
+func intSetting(minimum, maximum int, field func(*Settings) *int) setting {
 	return setting{
-		want:   fmt.Sprintf("a whole number from %d to %d", least, most),
+		want:   fmt.Sprintf("a whole number from %d to %d", minimum, maximum),
 		format: func(s Settings) string { return strconv.Itoa(*field(&s)) },
 		parse: func(s *Settings, value string) bool {
-			n, ok := parseInt(value, least, most)
+			n, ok := parseInt(value, minimum, maximum)
 			if ok {
 				*field(s) = n
 			}
@@ -92,18 +92,18 @@
 	}
 }
 
-func parseInt(value string, least, most int) (n int, ok bool) {
+func parseInt(value string, minimum, maximum int) (n int, ok bool) {
 	n, err := strconv.Atoi(value)
-	return n, err == nil && n >= least && n <= most
+	return n, err == nil && n >= minimum && n <= maximum
 }
 
-// secondsSetting is an intSetting of seconds for a duration.
-func secondsSetting(least, most int, field func(*Settings) *time.Duration) setting {
+// secondsSetting returns a setting for a duration, in whole seconds.
+func secondsSetting(minimum, maximum int, field func(*Settings) *time.Duration) setting {
 	return setting{
-		want:   fmt.Sprintf("a whole number from %d to %d", least, most),
+		want:   fmt.Sprintf("a whole number from %d to %d", minimum, maximum),
 		format: func(s Settings) string { return strconv.Itoa(int(field(&s).Seconds())) },
 		parse: func(s *Settings, value string) bool {
-			n, ok := parseInt(value, least, most)
+			n, ok := parseInt(value, minimum, maximum)
 			if ok {
 				*field(s) = time.Duration(n) * time.Second
 			}
@@ -112,7 +112,7 @@
 	}
 }
 
-// Values returns all settings as text, by name.
+// Values returns the text of each setting by name.
 func (s Settings) Values() map[string]string {
 	values := map[string]string{}
 	for name, setting := range settings {
@@ -121,8 +121,8 @@
 	return values
 }
 
-// With returns the settings with one of them changed. The error is an *UnknownSettingError or an
-// *InvalidValueError, and the settings are then as before.
+// With returns a copy of the settings with one of them changed. On an error, an *UnknownSettingError
+// or an *InvalidValueError, it returns the settings unchanged.
 func (s Settings) With(name, value string) (Settings, error) {
 	setting, ok := settings[name]
 	if !ok {
@@ -134,19 +134,19 @@
 	return s, nil
 }
 
-// Decode reads the settings from their record. A setting that this version does not know or whose
-// value it cannot use is logged and left at its default, so that versions may differ.
+// Decode decodes the settings record. It logs an unknown setting or an invalid value and keeps the
+// default, so that controllers of different versions share a record.
 func Decode(record json.RawMessage, log *slog.Logger) Settings {
 	decoded := Defaults()
 	var values map[string]string
 	if err := json.Unmarshal(record, &values); err != nil {
-		log.Error("settings record cannot be read", "error", err)
+		log.Error("failed to decode settings record", "error", err)
 		return decoded
 	}
 	for name, value := range values {
 		changed, err := decoded.With(name, value)
 		if err != nil {
-			log.Error("setting ignored", "error", err)
+			log.Error("ignoring unusable setting", "error", err)
 			continue
 		}
 		decoded = changed
--- a/internal/admin/settings_test.go
+++ b/internal/admin/settings_test.go
@@ -21,23 +21,23 @@
 		{name: "fleet.idle_return_s", value: "1"},
 		{name: "placement.drop_threshold", value: "3", valid: true},
 		{name: "placement.drop_threshold", value: "0"},
-		{name: "nobody.knows", value: "1"},
+		{name: "unknown.setting", value: "1"},
 	} {
 		s, err := Defaults().With(c.name, c.value)
 		if (err == nil) != c.valid {
-			t.Errorf("%s = %s: %v", c.name, c.value, err)
+			t.Errorf("%s = %s: error %v, want valid %t", c.name, c.value, err, c.valid)
 		}
 		if c.valid && s.Values()[c.name] != c.value {
 			t.Errorf("%s = %s reads back as %s", c.name, c.value, s.Values()[c.name])
 		}
 		if !c.valid && s != Defaults() {
-			t.Errorf("%s = %s changed something", c.name, c.value)
+			t.Errorf("rejected %s = %s changed the settings", c.name, c.value)
 		}
 	}
-	// another version's settings do no harm
+	// unusable settings of another version keep their defaults
 	record := `{"fleet.idle_return_s":"90","of.another.version":"x","fleet.max_machines":"-5"}`
 	s := Decode(json.RawMessage(record), slog.New(slog.DiscardHandler))
 	if s.IdleTimeout != 90*time.Second || s.MaxMachines != 0 {
-		t.Errorf("read %+v", s)
+		t.Errorf("decoded %+v", s)
 	}
 }
--- a/internal/admin/version.go
+++ b/internal/admin/version.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// releaseVersion changes with each release that operators have to tell from the one before.
+	// releaseVersion is the version of the release.
 	releaseVersion = "0.3.0"
-	// revisionLength is how many digits of the commit's hash are shown.
+	// revisionLength is the number of hexadecimal digits of the commit hash in a version.
 	revisionLength = 8
 )
 
-// Version names this program: its release, and the commit it was built from if the build recorded
-// one, such as 0.3.0+6c35e8c1.
+// Version returns the release and, if the build recorded it, the commit of this program, such as
+// 0.3.0+6c35e8c1.
 var Version = sync.OnceValue(func() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,6 +1,6 @@
-// Package clock is the steady clock by which leases are judged. It never goes back, and it counts
-// the time for which the machine was suspended, which the system's monotonic clock does not: a
-// lease may expire early by that, but never late.
+// Package clock implements the monotonic clock that times leases. Unlike the system's monotonic clock
+// it includes the time in which the machine was suspended, so that a lease holder does not act on an
+// expired lease after a suspension.
 package clock
 
 import (
@@ -13,16 +13,16 @@
 	"juniperchute/internal/tuning"
 )
 
-// Clock is a steady clock. It may be used by several goroutines.
+// Clock is a suspend-aware monotonic clock. It is safe for concurrent use.
 type Clock struct {
-	// timeSuspended is how long the machine has been suspended in all; nil if that is not known.
+	// timeSuspended returns the total time in suspension since boot. It is nil if unsupported.
 	timeSuspended func() (time.Duration, error)
-	atStart       time.Duration // timeSuspended when the clock was made
-	suspendedFor  atomic.Int64  // nanoseconds since then, as of the last Advance
+	atStart       time.Duration // result of timeSuspended in New
+	suspendedFor  atomic.Int64  // nanoseconds in suspension since New, as of the last Advance
 }
 
-// New makes a clock. timeSuspended returns how long the machine has been suspended in all, such as
-// the function TimeSuspended. If it is nil or fails now, suspension is not counted.
+// New returns a clock. timeSuspended, such as the function TimeSuspended, returns the total time in
+// suspension since boot. If it is nil or its first call fails, the clock ignores suspensions.
 func New(timeSuspended func() (time.Duration, error)) *Clock {
 	if timeSuspended == nil {
 		return &Clock{}
@@ -34,15 +34,14 @@
 	return &Clock{timeSuspended: timeSuspended, atStart: atStart}
 }
 
-// Now is the time. It lacks a suspension since the last Advance.
+// Now returns the current time, without any suspension since the last Advance.
 func (c *Clock) Now() time.Time { return time.Now().Add(c.SuspendedFor()) }
 
-// SuspendedFor is how long the machine has been suspended since the clock was made, as of the last
-// Advance.
+// SuspendedFor returns the time in suspension since the clock was created, as of the last Advance.
 func (c *Clock) SuspendedFor() time.Duration { return time.Duration(c.suspendedFor.Load()) }
 
-// Advance counts any suspension up to now, and returns the time. It is called before whatever must
-// not be done for a lease that may have expired.
+// Advance adds any suspension up to now and returns the current time. Callers call it before an action
+// that requires an unexpired lease.
 func (c *Clock) Advance() time.Time {
 	if c.timeSuspended != nil {
 		if total, err := c.timeSuspended(); err == nil {
@@ -52,8 +51,8 @@
 	return c.Now()
 }
 
-// advanceTo moves the clock forward. A difference too small for a suspension comes from reading
-// two clocks one after the other, and does not count.
+// advanceTo moves the clock forward, never back. It ignores differences below tuning.MinSuspension,
+// which result from the two system clocks not being read at the same instant.
 func (c *Clock) advanceTo(suspended time.Duration) {
 	for {
 		current := c.suspendedFor.Load()
@@ -66,14 +65,14 @@
 	}
 }
 
-// TimeSuspended is how long this machine has been suspended since it was started.
+// TimeSuspended returns the total time for which this machine has been suspended since boot.
 func TimeSuspended() (time.Duration, error) {
 	var monotonic, boot unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic); err != nil {
-		return 0, fmt.Errorf("reading the monotonic clock: %w", err)
+		return 0, fmt.Errorf("read monotonic clock: %w", err)
 	}
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot); err != nil {
-		return 0, fmt.Errorf("reading the boot time clock: %w", err)
+		return 0, fmt.Errorf("read boot time clock: %w", err)
 	}
 	return time.Duration(boot.Nano() - monotonic.Nano()), nil
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// The clock goes forward by what the machine was suspended, at the next Advance, and never back.
+// Guards against a clock that misses a suspension or goes back.
 func TestAdvance(t *testing.T) {
-	const slack = 2 * time.Second // of this test's own time
+	const slack = 2 * time.Second // for the run time of the test
 	for _, c := range []struct {
 		name      string
-		suspended []time.Duration // in all, at the start and at each Advance
-		want      time.Duration   // by which the clock is ahead in the end
+		suspended []time.Duration // total at the start and at each Advance
+		want      time.Duration   // final lead of the clock
 	}{
 		{
 			name:      "not suspended",
@@ -30,12 +30,12 @@
 			want:      50 * time.Second,
 		},
 		{
-			name:      "two clocks read one after the other",
+			name:      "difference below MinSuspension",
 			suspended: []time.Duration{0, 30 * time.Millisecond},
 			want:      0,
 		},
 		{
-			name:      "less than before",
+			name:      "total decreases",
 			suspended: []time.Duration{0, 20 * time.Second, 5 * time.Second},
 			want:      20 * time.Second,
 		},
@@ -52,30 +52,30 @@
 			for range c.suspended[1:] {
 				now := clock.Advance()
 				if now.Before(last) {
-					t.Fatalf("went back by %v", last.Sub(now))
+					t.Fatalf("clock went back by %v", last.Sub(now))
 				}
 				last = now
 			}
 			if ahead := last.Sub(start); ahead < c.want || ahead > c.want+slack {
-				t.Errorf("ahead by %v, want %v", ahead, c.want)
+				t.Errorf("clock ahead by %v, want %v", ahead, c.want)
 			}
 		})
 	}
 }
 
-// Where the system does not count suspension, the clock is the monotonic one.
-func TestSuspensionUnknown(t *testing.T) {
+// Guards against a clock that jumps or retries where the system does not report suspensions.
+func TestSuspensionUnsupported(t *testing.T) {
 	reads := 0
 	clock := New(func() (time.Duration, error) {
 		reads++
-		return time.Hour, errors.New("not counted")
+		return time.Hour, errors.New("unsupported")
 	})
 	if now := clock.Advance(); time.Until(now) > time.Second || reads != 1 {
-		t.Errorf("ahead by %v after %d reads", time.Until(now), reads)
+		t.Errorf("clock ahead by %v after %d reads", time.Until(now), reads)
 	}
 }
 
-// Two readings of this system's own clocks differ by next to nothing.
+// Guards against clocks of the system that drift apart without a suspension.
 func TestTimeSuspended(t *testing.T) {
 	first, err := TimeSuspended()
 	if err != nil {
@@ -83,6 +83,6 @@
 	}
 	second, err := TimeSuspended()
 	if err != nil || second-first > time.Second || first-second > time.Second {
-		t.Errorf("%v, then %v, %v", first, second, err)
+		t.Errorf("got %v, then %v, error %v", first, second, err)
 	}
 }
--- a/internal/featuregate/featuregate.go
+++ b/internal/featuregate/featuregate.go
@@ -1,5 +1,5 @@
-// Package featuregate reads the switches file, which turns on what a controller may do beyond what
-// all versions do. Everything in it is off by default.
+// Package featuregate loads the file of feature gates, called the switches file in the operators'
+// interface. All gates are off by default.
 package featuregate
 
 import (
@@ -12,30 +12,30 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// IntentLogFeature is the name under which members announce that they can keep an intent log. The
-// name is compared across versions.
+// IntentLogFeature is the name by which members announce support of the intent log. Members of
+// different versions compare it.
 const IntentLogFeature = "duties"
 
-// Gates are the feature gates of one controller.
+// Gates holds the feature gates of one controller.
 type Gates struct {
-	// IntentLog: an operation on the cloud is recorded in a durable log before it is sent. It is
-	// in force once every member announces it.
+	// IntentLog records each cloud operation in a durable log before its call is sent. It takes
+	// effect once every member announces it.
 	IntentLog bool  `toml:"duties"`
 	Trace     Trace `toml:"trace"`
 }
 
-// Trace says where spans are written; none are made without a file.
+// Trace configures the trace file of a controller.
 type Trace struct {
-	File string `toml:"file"`
-	// MaxMB bounds the file and its predecessor together, in units of 1,024^2 bytes.
+	File string `toml:"file"` // "" disables tracing
+	// MaxMB bounds the total size of the file and its predecessor, in units of 1,024^2 bytes.
 	MaxMB float64 `toml:"most_mb"`
 }
 
-// defaultTraceMB is Trace.MaxMB where the file names none.
+// defaultTraceMB is the default of Trace.MaxMB.
 const defaultTraceMB = 16
 
-// Announced lists, by the names that members announce, the gates that are open here and take
-// effect once all members have them.
+// Announced returns the names of the enabled gates that take effect only once all members announce
+// them.
 func (g Gates) Announced() []string {
 	if g.IntentLog {
 		return []string{IntentLogFeature}
@@ -43,7 +43,8 @@
 	return nil
 }
 
-// Load reads a switches file. An error is one line that names the file and the field.
+// Load reads and validates a file of feature gates. An error is a single line that names the file and,
+// if a field is invalid, the field.
 func Load(file string) (Gates, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -62,14 +63,13 @@
 	if err := decoder.Decode(&gates); err != nil {
 		return Gates{}, singleLineError(err)
 	}
-	if !(gates.Trace.MaxMB > 0) { // not a number is not above 0 either
+	if !(gates.Trace.MaxMB > 0) { // rejects NaN
 		return Gates{}, fmt.Errorf("trace.most_mb: %g is not above 0", gates.Trace.MaxMB)
 	}
 	return gates, nil
 }
 
-// singleLineError puts an error of the decoder, whose text has several lines, in one line that
-// names the field.
+// singleLineError reduces a decoding error of several lines to a single line that names the field.
 func singleLineError(err error) error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) && len(unknown.Errors) > 0 {
--- a/internal/featuregate/featuregate_test.go
+++ b/internal/featuregate/featuregate_test.go
@@ -9,12 +9,12 @@
 
 var loadCases = []struct {
 	name  string
-	file  string // its content
+	file  string // content of the file
 	want  Gates
-	fault string // named by the error; "" for none
+	fault string // text that the error contains; "" if valid
 }{
 	{
-		name: "empty: all off",
+		name: "empty file: all gates off",
 		want: Gates{Trace: Trace{MaxMB: defaultTraceMB}},
 	},
 	{
@@ -23,7 +23,7 @@
 		want: Gates{IntentLog: true, Trace: Trace{MaxMB: defaultTraceMB}},
 	},
 	{
-		name: "a trace",
+		name: "trace file",
 		file: "[trace]\nfile = \"trace.json\"\nmost_mb = 2.5\n",
 		want: Gates{Trace: Trace{File: "trace.json", MaxMB: 2.5}},
 	},
@@ -48,12 +48,12 @@
 		fault: "most_mb",
 	},
 	{
-		name:  "not above 0",
+		name:  "trace size of zero",
 		file:  "[trace]\nmost_mb = 0\n",
 		fault: "trace.most_mb",
 	},
 	{
-		name:  "not a number",
+		name:  "trace size NaN",
 		file:  "[trace]\nmost_mb = nan\n",
 		fault: "trace.most_mb",
 	},
@@ -64,7 +64,7 @@
 	},
 }
 
-// What a file turns on, and the one line that ends the start of the process if it is invalid.
+// Guards against an invalid file that is accepted, or whose error does not name the field in one line.
 func TestLoad(t *testing.T) {
 	for _, c := range loadCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -78,31 +78,31 @@
 				return
 			}
 			if err != nil || got != c.want {
-				t.Fatalf("%+v, %v; want %+v", got, err, c.want)
+				t.Fatalf("got %+v, error %v; want %+v", got, err, c.want)
 			}
 		})
 	}
 	if _, err := Load(filepath.Join(t.TempDir(), "none.toml")); err == nil || strings.Contains(err.Error(), "\n") {
-		t.Errorf("a missing file: %v", err)
+		t.Errorf("missing file: error %v, want a single line", err)
 	}
 }
 
 func checkFault(t *testing.T, err error, file, fault string) {
 	t.Helper()
 	if err == nil {
-		t.Fatal("accepted")
+		t.Fatal("invalid file accepted")
 	}
 	text := err.Error()
 	if !strings.Contains(text, fault) || !strings.Contains(text, file) || strings.Contains(text, "\n") {
-		t.Errorf("%q does not name %q of the file in one line", text, fault)
+		t.Errorf("error %q, want a single line that names the file and %q", text, fault)
 	}
 }
 
-// The files that come with the program can be read.
+// Guards against shipped files that the program rejects.
 func TestShippedFiles(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/switches*.toml")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no files: %v", err)
+		t.Fatalf("no shipped files: %v", err)
 	}
 	for _, file := range files {
 		if _, err := Load(file); err != nil {
--- a/internal/tracing/ids.go
+++ b/internal/tracing/ids.go
@@ -9,8 +9,8 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// rootSpanContext is the parent of all spans of an identity. Every controller computes the same
-// one, so that their spans share a trace.
+// rootSpanContext returns the parent of all spans of an identity. It is derived from the identity
+// alone, so that the spans of all controllers share a trace.
 func rootSpanContext(identity string) trace.SpanContext {
 	sum := sha256.Sum256([]byte(identity))
 	root := trace.SpanContextConfig{TraceFlags: trace.FlagsSampled, Remote: true}
@@ -19,22 +19,22 @@
 	return trace.NewSpanContext(root)
 }
 
-// idGenerator draws the IDs of spans from the random numbers passed in.
+// idGenerator implements sdktrace.IDGenerator with IDs from rng. It is safe for concurrent use.
 type idGenerator struct {
 	mutex sync.Mutex
 	rng   *rand.Rand
 }
 
-// NewIDs is part of sdktrace.IDGenerator.
+// NewIDs returns a random trace ID and span ID.
 func (g *idGenerator) NewIDs(ctx context.Context) (traceID trace.TraceID, spanID trace.SpanID) {
 	g.fill(traceID[:])
 	return traceID, g.NewSpanID(ctx, traceID)
 }
 
-// NewSpanID is part of sdktrace.IDGenerator.
+// NewSpanID returns a random span ID for a span of an existing trace.
 func (g *idGenerator) NewSpanID(context.Context, trace.TraceID) (spanID trace.SpanID) {
 	g.fill(spanID[:])
-	spanID[0] |= 1 // an ID of zeros is invalid
+	spanID[0] |= 1 // the zero ID is invalid
 	return spanID
 }
 
--- a/internal/tracing/read.go
+++ b/internal/tracing/read.go
@@ -12,23 +12,23 @@
 	"time"
 )
 
-// maxLineBytes bounds the lines that are read, far above the some hundred bytes of a span.
+// maxLineBytes bounds the length of a line. A span takes some hundred bytes.
 const maxLineBytes = 1 << 20
 
-// Span is a span as read from a file.
+// Span is a span that was read from a trace file.
 type Span struct {
 	TraceID string
 	Name    string
-	// Member is the controller that made it.
+	// Member is the name of the controller that recorded the span.
 	Member     string
 	Start, End time.Time
 	attributes map[string]string
 }
 
-// Attribute returns an attribute as text, "" if the span has none of that name.
+// Attribute returns the text of an attribute, or "" if the span does not have the attribute.
 func (s Span) Attribute(name string) string { return s.attributes[name] }
 
-// storedSpan is a span as stdouttrace writes it.
+// storedSpan is the JSON encoding of a span by stdouttrace.
 type storedSpan struct {
 	Name        string
 	SpanContext struct{ TraceID string }
@@ -62,8 +62,8 @@
 	return span
 }
 
-// text is the attribute's value as text. JSON numbers are formatted without an exponent: all of
-// the spans' numbers are whole.
+// text returns the attribute's value as text. Numbers, all of which are integers, are formatted
+// without an exponent.
 func (a storedAttribute) text() string {
 	if number, ok := a.Value.Value.(float64); ok {
 		return strconv.FormatFloat(number, 'f', -1, 64)
@@ -71,9 +71,9 @@
 	return fmt.Sprint(a.Value.Value)
 }
 
-// Read reads the spans of several recorders' files, each with the one before it if there is one,
-// in the order of their starts. A last line that cannot be read is left out, since a process that
-// is killed may cut it off; any other is an error.
+// Read reads the trace files of several recorders, with their rotated predecessors, and returns the
+// spans sorted by start time. Read skips a last line that cannot be decoded, as a killed process may
+// truncate it. Any other such line is an error.
 func Read(files ...string) ([]Span, error) {
 	var all []Span
 	for _, file := range files {
@@ -100,27 +100,27 @@
 	}
 	defer input.Close()
 	var spans []Span
-	var unreadable error // of the line before
+	var decodeErr error // of the previous line
 	lines := bufio.NewScanner(input)
 	lines.Buffer(nil, maxLineBytes)
 	for number := 1; lines.Scan(); number++ {
-		if unreadable != nil {
-			return nil, unreadable // it was not the last line
+		if decodeErr != nil {
+			return nil, decodeErr // only the last line may be truncated
 		}
 		var stored storedSpan
 		if err := json.Unmarshal(lines.Bytes(), &stored); err != nil {
-			unreadable = fmt.Errorf("%s: line %d is no span: %w", file, number, err)
+			decodeErr = fmt.Errorf("decode span on line %d of %s: %w", number, file, err)
 			continue
 		}
 		spans = append(spans, stored.span())
 	}
 	if err := lines.Err(); err != nil {
-		return nil, fmt.Errorf("%s: %w", file, err)
+		return nil, fmt.Errorf("read trace %s: %w", file, err)
 	}
 	return spans, nil
 }
 
-// GroupByTrace groups spans by their traces, in the order of each trace's first span.
+// GroupByTrace groups spans by trace ID, in the order of the first span of each trace.
 func GroupByTrace(spans []Span) [][]Span {
 	var groups [][]Span
 	groupOf := map[string]int{}
--- a/internal/tracing/rotating_file.go
+++ b/internal/tracing/rotating_file.go
@@ -7,21 +7,21 @@
 	"sync"
 )
 
-// previousSuffix is the suffix of the file before the present one.
+// previousSuffix is appended to the name of a rotated file.
 const previousSuffix = ".1"
 
-// rotatingFile is a file that is replaced by an empty one when it has grown to half of the size
-// allowed. The one before it is kept, so that both together keep to that size.
+// rotatingFile is a log file of bounded size. A file that reaches half of the bound is rotated, and
+// replaces the file rotated before it.
 type rotatingFile struct {
 	name    string
-	maxSize int64 // in bytes, of each of the two files
+	maxSize int64 // bytes, of each of the two files
 
 	mutex sync.Mutex // guards the fields below
 	file  *os.File
 	size  int64
 }
 
-func openRotating(name string, maxBytes int64) (*rotatingFile, error) {
+func openRotatingFile(name string, maxBytes int64) (*rotatingFile, error) {
 	file, err := os.OpenFile(name, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("trace.file: %w", err)
@@ -33,7 +33,7 @@
 	return &rotatingFile{name: name, maxSize: max(1, maxBytes/2), file: file, size: info.Size()}, nil
 }
 
-// Write is part of io.Writer. Data larger than a file may be is dropped.
+// Write implements io.Writer. It drops data that exceeds the size of a file.
 func (f *rotatingFile) Write(data []byte) (int, error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -50,7 +50,7 @@
 	return written, err
 }
 
-// rotate keeps the present file as the one before, and opens an empty one.
+// rotate renames the current file to its predecessor's name and opens an empty file.
 func (f *rotatingFile) rotate() error {
 	if err := f.file.Close(); err != nil {
 		return err
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// Close closes the file.
+// Close closes the current file. Later writes fail.
 func (f *rotatingFile) Close() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -1,7 +1,7 @@
-// Package tracing writes OpenTelemetry spans to a file of bounded size, and reads them.
+// Package tracing records OpenTelemetry spans in a file of bounded size, and reads such files.
 //
-// Spans of the same identity are put into one trace, whichever controllers make them: the trace
-// ID is a hash of the identity, so that no context has to be passed between controllers.
+// An identity names the operation that a trace follows. The trace ID is a hash of the identity, so
+// that the spans of several controllers share a trace without propagation of a trace context.
 package tracing
 
 import (
@@ -21,10 +21,10 @@
 
 const (
 	serviceName     = "juniperchute"
-	memberAttribute = "member" // the attribute that names the controller whose spans they are
+	memberAttribute = "member" // resource attribute with the name of the controller
 )
 
-// Recorder makes spans and writes them to a file. It is safe for concurrent use.
+// Recorder records spans in a file. It is safe for concurrent use.
 type Recorder struct {
 	provider  *sdktrace.TracerProvider
 	tracer    trace.Tracer
@@ -32,16 +32,16 @@
 	wallClock func() time.Time
 }
 
-// Open makes a recorder of one member's spans, which the caller closes. The file and the one
-// before it, which has the suffix ".1", together take at most maxBytes.
+// Open returns a recorder of a member's spans, which the caller must close. The file and its rotated
+// predecessor, which has the suffix ".1", take at most maxBytes together.
 func Open(file string, maxBytes int64, member string, wallClock func() time.Time, rng *rand.Rand) (*Recorder, error) {
-	output, err := openRotating(file, maxBytes)
+	output, err := openRotatingFile(file, maxBytes)
 	if err != nil {
 		return nil, err
 	}
 	exporter, err := stdouttrace.New(stdouttrace.WithWriter(output))
 	if err != nil {
-		return nil, fmt.Errorf("make trace exporter: %w", err)
+		return nil, fmt.Errorf("create trace exporter: %w", err)
 	}
 	provider := sdktrace.NewTracerProvider(
 		sdktrace.WithBatcher(exporter,
@@ -56,23 +56,23 @@
 	return &Recorder{provider: provider, tracer: provider.Tracer(serviceName), file: output, wallClock: wallClock}, nil
 }
 
-// Close writes the spans that are left and closes the file. Spans that cannot be written within
-// tuning.TraceWriteInterval are lost.
+// Close flushes queued spans and closes the file. Spans not written within tuning.TraceWriteInterval
+// are lost.
 func (r *Recorder) Close() {
 	ctx, cancel := context.WithTimeout(context.Background(), tuning.TraceWriteInterval)
 	defer cancel()
-	_ = r.provider.Shutdown(ctx) // nothing depends on the spans
+	_ = r.provider.Shutdown(ctx) // a loss of spans is tolerated
 	r.file.Close()
 }
 
-// Begin starts a span of the identity's trace. The caller ends it.
+// Begin starts a span in the trace of the identity. The caller must end the span.
 func (r *Recorder) Begin(identity, name string, attributes ...attribute.KeyValue) trace.Span {
 	parent := trace.ContextWithRemoteSpanContext(context.Background(), rootSpanContext(identity))
 	_, span := r.tracer.Start(parent, name, trace.WithTimestamp(r.wallClock()), trace.WithAttributes(attributes...))
 	return span
 }
 
-// Event makes a span that ends at once.
+// Event records a span of zero duration in the trace of the identity.
 func (r *Recorder) Event(identity, name string, attributes ...attribute.KeyValue) {
 	r.Begin(identity, name, attributes...).End(trace.WithTimestamp(r.wallClock()))
 }
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -11,18 +11,17 @@
 	"go.opentelemetry.io/otel/attribute"
 )
 
-func openTest(file string, maxBytes int64, member string, seed uint64) (*Recorder, error) {
+func openTestRecorder(file string, maxBytes int64, member string, seed uint64) (*Recorder, error) {
 	return Open(file, maxBytes, member, time.Now, rand.New(rand.NewPCG(seed, 1)))
 }
 
-// Two members' spans of one identity are in one trace, those of another in another, and each
-// names its member.
+// Guards against trace IDs that depend on the member, and against spans without their member.
 func TestSpansShareTrace(t *testing.T) {
 	dir := t.TempDir()
 	var files []string
 	for i, member := range []string{"one", "two"} {
 		file := filepath.Join(dir, member)
-		recorder, err := openTest(file, 1<<20, member, uint64(i))
+		recorder, err := openTestRecorder(file, 1<<20, member, uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -37,21 +36,21 @@
 	}
 	traces := GroupByTrace(spans)
 	if len(spans) != 4 {
-		t.Fatalf("%d spans", len(spans))
+		t.Fatalf("got %d spans, want 4", len(spans))
 	}
 	if len(traces) != 2 || len(traces[0]) != 2 || len(traces[1]) != 2 {
-		t.Fatalf("%d traces: %+v", len(traces), traces)
+		t.Fatalf("got %d traces, want 2 of 2 spans each: %+v", len(traces), traces)
 	}
 	first, second := traces[0][0], traces[0][1]
 	if first.Member != "one" || second.Member != "two" {
-		t.Errorf("members: %+v, %+v", first, second)
+		t.Errorf("got members %q and %q, want one and two", first.Member, second.Member)
 	}
 	if first.Attribute("target") != "i-7" || first.Name != "call" {
-		t.Errorf("%+v", first)
+		t.Errorf("got span %+v, want a call with target i-7", first)
 	}
 }
 
-// A file whose last line is cut off is read up to it; any other damage is an error.
+// Guards against a truncated last line that fails the read, and against other damage that does not.
 func TestReadDamaged(t *testing.T) {
 	const line = `{"Name":"call","SpanContext":{"TraceID":"1"}}` + "\n"
 	for _, test := range []struct {
@@ -61,12 +60,12 @@
 		fails   bool
 	}{
 		{
-			name:    "whole",
+			name:    "intact",
 			content: line + line,
 			spans:   2,
 		},
 		{
-			name:    "last line cut off",
+			name:    "last line truncated",
 			content: line + line[:20],
 			spans:   1,
 		},
@@ -81,16 +80,16 @@
 			t.Fatal(err)
 		}
 		if spans, err := Read(file); len(spans) != test.spans || (err != nil) != test.fails {
-			t.Errorf("%s: %d spans, %v", test.name, len(spans), err)
+			t.Errorf("%s: got %d spans, error %v", test.name, len(spans), err)
 		}
 	}
 }
 
-// However many spans there are, the files keep to the size allowed, and have the newest span.
+// Guards against files that exceed their size limit or lose the newest span.
 func TestRotation(t *testing.T) {
 	const maxBytes, spans = 20_000, 400
 	file := filepath.Join(t.TempDir(), "trace")
-	recorder, err := openTest(file, maxBytes, "one", 1)
+	recorder, err := openTestRecorder(file, maxBytes, "one", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -102,11 +101,11 @@
 	}
 	recorder.Close()
 	if size := fileSize(t, file) + fileSize(t, file+previousSuffix); size > maxBytes {
-		t.Errorf("%d bytes of %d", size, maxBytes)
+		t.Errorf("files take %d bytes, limit %d", size, maxBytes)
 	}
 	content, err := os.ReadFile(file)
 	if err != nil || !strings.Contains(string(content), `"Value":399`) {
-		t.Errorf("the newest span is not there: %v", err)
+		t.Errorf("newest span missing: %v", err)
 	}
 }
 
@@ -120,8 +119,8 @@
 }
 
 func TestOpenFails(t *testing.T) {
-	_, err := openTest(filepath.Join(t.TempDir(), "no", "such"), 1000, "one", 1)
+	_, err := openTestRecorder(filepath.Join(t.TempDir(), "no", "such"), 1000, "one", 1)
 	if err == nil || !strings.Contains(err.Error(), "trace.file") {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want one that names trace.file", err)
 	}
 }
