--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -1,26 +1,26 @@
 package wire
 
-// MachineType is one machine type.
+// MachineType describes a machine type: the resources, prices and zones of its machines.
 type MachineType struct {
 	Name        string
 	Vcpus       float64
 	Gpus        float64
 	MemGb       float64
-	LocalGb     float64 // local disk, which caches images
-	FetchGbPerS float64 // rate of image fetches
+	LocalGb     float64 // local disk, the image cache
+	FetchGbPerS float64 // throughput of image pulls
 	Price       float64
 	SpotPrice   float64  `json:"LowPrice"`
 	BootTimeS   float64  `json:"BootS"`
 	Zones       []string `json:"Yards"`
 }
 
-// MachineTypes is the cloud's answer about its machine types, with the current prices.
+// MachineTypes is the response to a query of machine types, with their current prices.
 type MachineTypes struct {
 	Types []MachineType `json:"Builds"`
 }
 
-// ProvisionRequest asks the cloud for machines. Repeating a request that was granted gives the
-// same answer and provisions nothing, so a name must never be used for another request.
+// ProvisionRequest requests machines from the cloud. It is idempotent: a retry of a granted request
+// returns the same response and provisions nothing. A name must not be reused for another request.
 type ProvisionRequest struct {
 	Name  string `json:"Hire"`
 	Type  string `json:"Build"`
@@ -29,12 +29,12 @@
 	Count int    `json:"Number"`
 }
 
-// MachineNames lists machines by name: those that were provisioned, or that are to be deleted.
+// MachineNames names the machines that a request provisioned, or those that are to be deleted.
 type MachineNames struct {
 	Names []string `json:"Hosts"`
 }
 
-// Machine is one machine in the cloud's list.
+// Machine is an entry of the cloud's list of machines.
 type Machine struct {
 	ID      string  `json:"Id"`
 	Address string  // IP address and port of the worker
@@ -42,11 +42,11 @@
 	Zone    string  `json:"Yard"`
 	Spot    bool    `json:"Loaners"`
 	State   string  `json:"Stage"` // one of the Machine constants
-	AgeS    float64 // since the provisioning request, at the moment that the list describes
+	AgeS    float64 // age since the provisioning request, as of the list's snapshot
 }
 
-// MachinePage is one page of the cloud's list, in order of names. The list lags, and may be older
-// than the one before it.
+// MachinePage is a page of the cloud's list, sorted by name. The list is eventually consistent, and may
+// be older than the previous one.
 type MachinePage struct {
 	Machines []Machine `json:"Hosts"`
 	More     bool
--- a/internal/wire/heartbeat_parse.go
+++ b/internal/wire/heartbeat_parse.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// longNumberDigits is the least number of digits in a row that may exceed a uint64.
+	// longNumberDigits is the smallest number of digits that can exceed a uint64.
 	longNumberDigits = 20
-	// maxNesting is how many objects and arrays a body may hold to be given to a decoder that
-	// does not bound nesting. The largest valid body, with a hundred bytes a task, stays below it.
+	// maxNesting is the largest number of objects and arrays in a body for the fast decoder, which
+	// does not bound nesting. Heartbeats have fewer, as each task takes about a hundred bytes.
 	maxNesting = 1000
 )
 
-// ParseHeartbeat reads a worker's heartbeat, and accepts and rejects what encoding/json does.
+// ParseHeartbeat decodes a worker's heartbeat. It accepts the same inputs as encoding/json.
 //
-// Heartbeats are most of what a controller reads, and encoding/json took a third of the cost of
-// answering one; the decoder of segmentio takes a fifth of that. But it takes numbers beyond 64
-// bits for others and does not bound nesting, so bodies that may hold either go to encoding/json.
+// It uses the faster decoder of segmentio, as heartbeats are most of a controller's load. That decoder
+// overflows on numbers beyond 64 bits and does not bound nesting, so bodies with either are decoded by
+// encoding/json.
 func ParseHeartbeat(raw []byte, heartbeat *Heartbeat) error {
 	nesting := bytes.Count(raw, []byte("{")) + bytes.Count(raw, []byte("["))
 	if nesting > maxNesting || hasLongNumber(raw) {
@@ -28,10 +28,10 @@
 	return fastjson.Unmarshal(raw, heartbeat)
 }
 
-// hasLongNumber reports whether there are so many digits in a row that the number may exceed 64
-// bits.
+// hasLongNumber reports whether raw has longNumberDigits or more consecutive digits, which may exceed
+// 64 bits.
 func hasLongNumber(raw []byte) bool {
-	// Looking at every longNumberDigits-th byte suffices: one of them is in such a row.
+	// every run of that many digits covers an inspected byte
 	for i := longNumberDigits - 1; i < len(raw); i += longNumberDigits {
 		if !isDigit(raw[i]) {
 			continue
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -5,23 +5,23 @@
 	"strings"
 )
 
-// MaxTasksPerJob is the largest number of tasks in one job.
+// MaxTasksPerJob is the protocol's limit on the tasks of a job.
 const MaxTasksPerJob = 100000
 
 const (
 	jobIDPrefix = "job-"
-	maxIDDigits = 20 // behind the prefix
+	maxIDDigits = 20 // after jobIDPrefix
 )
 
-// JobSpec is a job as its user described it. ParseJobSpec checks its values.
+// JobSpec is a job as submitted by a user. ParseJobSpec validates it.
 type JobSpec struct {
-	ID                string  `json:"Id"`   // chosen by the user; a retry uses the same
-	Class             string  `json:"Lane"` // class of jobs, to which service-level objectives apply
-	Team              string  `json:"Crew"` // team whose quota applies
+	ID                string  `json:"Id"`   // chosen by the user, the idempotency key of the submission
+	Class             string  `json:"Lane"` // job class, to which service-level objectives apply
+	Team              string  `json:"Crew"` // team whose quotas apply
 	Shape             string  // one of the Shape constants
 	Priority          string  `json:"Rank"`
 	Tasks             int     `json:"Pieces"`
-	Vcpus             float64 // of each task, as are Gpus and MemGb
+	Vcpus             float64 // per task, as are Gpus and MemGb
 	Gpus              float64
 	MemGb             float64
 	Image             string `json:"Bundle"`
@@ -30,34 +30,34 @@
 	AnyType           bool     `json:"AnyBuild,omitempty"`
 	Zone              string   `json:"Yard,omitempty"`     // the only allowed zone, "" for any
 	SameZone          bool     `json:"Together,omitempty"` // all tasks in one zone
-	SpreadAcrossZones bool     `json:"Apart,omitempty"`    // at most half of the tasks, rounded up, in one zone
-	Spot              bool     `json:"Loaners,omitempty"`  // may use spot machines
-	EstimatedRunTimeS float64  `json:"GuessS"`             // of a task, without the image fetch; often wrong
-	// CheckpointIntervalS is the interval of progress at which a task saves a checkpoint by
-	// itself; 0: it never saves, not even when it is stopped.
+	SpreadAcrossZones bool     `json:"Apart,omitempty"`    // at most half of the tasks, rounded up, per zone
+	Spot              bool     `json:"Loaners,omitempty"`  // allows spot machines
+	EstimatedRunTimeS float64  `json:"GuessS"`             // per task, without the image pull; unreliable
+	// CheckpointIntervalS is the run time between two checkpoints of a task. 0: the task saves no
+	// checkpoints, not even when it is stopped.
 	CheckpointIntervalS float64 `json:"BookmarkS"`
-	CheckpointSaveTimeS float64 `json:"StowS"`          // time to save when the task is stopped
-	DeadlineS           float64 `json:"DueS,omitempty"` // after the submission; 0: none
+	CheckpointSaveTimeS float64 `json:"StowS"`          // time that a stopped task takes to save a checkpoint
+	DeadlineS           float64 `json:"DueS,omitempty"` // from the submission; 0: none
 }
 
-// JobState is the answer to a query.
+// JobState is the response to a query of a job.
 type JobState struct {
 	ID      string `json:"Id"`
 	State   string `json:"Stage"`
-	Done    int    `json:"done"`    // tasks, for display
-	Running int    `json:"running"` // tasks, for display
+	Done    int    `json:"done"`    // completed tasks, for display
+	Running int    `json:"running"` // running tasks, for display
 }
 
-// JobAccepted is the answer to a submission or a cancellation.
+// JobAccepted is the response to a submission or a cancellation.
 type JobAccepted struct {
 	ID    string `json:"Id"`
 	State string `json:"Stage"`
 }
 
-// Priorities is the number of priorities.
+// PriorityCount is the number of job priorities.
 const PriorityCount = 4
 
-// Priority returns the rank of a named priority, from 0 to Priorities-1: the larger one goes
+// PriorityRank returns the rank of a priority, from 0 to PriorityCount-1. Higher ranks are scheduled
 // first. It returns false for an unknown name.
 func PriorityRank(name string) (int, bool) {
 	switch name {
@@ -73,7 +73,7 @@
 	return 0, false
 }
 
-// ValidJobID reports whether a job id has the protocol's form.
+// ValidJobID reports whether id has the form of a job ID: "job-" and 1 to 20 digits.
 func ValidJobID(id string) bool {
 	digits, ok := strings.CutPrefix(id, jobIDPrefix)
 	if !ok || digits == "" || len(digits) > maxIDDigits {
@@ -87,12 +87,12 @@
 	return true
 }
 
-// TaskName names a task of a job; tasks are numbered from 0.
+// TaskName returns the name of the n-th task of a job, counted from 0.
 func TaskName(job string, n int) string {
 	return job + "/" + strconv.Itoa(n)
 }
 
-// ParseTaskName splits a task's name. It returns false for a name that TaskName gives to no task.
+// ParseTaskName splits a name returned by TaskName. It returns false for any other name.
 func ParseTaskName(name string) (job string, n int, ok bool) {
 	job, number, found := strings.Cut(name, "/")
 	if !found || !ValidJobID(job) {
--- a/internal/wire/job_parse.go
+++ b/internal/wire/job_parse.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// maxNameBytes bounds the names a user may choose, in bytes, so that a job always
-	// fits one value of the state service.
+	// maxNameBytes bounds the names that a user chooses, so that a job fits into one value of the
+	// state service.
 	maxNameBytes = 200
-	// maxAmount bounds resources, in their units, and durations, in seconds.
+	// maxAmount bounds resource requests, in their units, and durations, in seconds.
 	maxAmount = 1e9
 )
 
-// JSON names of a submission's fields: the tags of JobSpec.
+// JSON names of a submission's fields, which equal the tags of JobSpec.
 const (
 	fieldID                 = "Id"
 	fieldClass              = "Lane"
@@ -38,10 +38,10 @@
 	fieldDeadline           = "DueS"
 )
 
-// ErrNotObject means that a submission is not a JSON object.
+// ErrNotObject reports a submission that is not a JSON object.
 var ErrNotObject = errors.New("not a JSON object")
 
-// FieldError names the field of a submission that is missing or invalid. Users get its text.
+// FieldError reports a missing or invalid field of a submission. Its text is returned to the user.
 type FieldError struct {
 	Field   string // JSON name
 	Problem string
@@ -49,20 +49,20 @@
 
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
-// ParseJobSpec reads and checks a submission. A malformed one gets ErrNotObject or, for the first
-// field that is missing or invalid, a *FieldError.
+// ParseJobSpec decodes and validates a submission. It returns ErrNotObject or, for the first field that
+// is missing or invalid, a *FieldError.
 func ParseJobSpec(body []byte) (JobSpec, error) {
 	r := &fieldReader{}
 	if err := json.Unmarshal(body, &r.raw); err != nil || r.raw == nil {
 		return JobSpec{}, ErrNotObject
 	}
-	// the calls are made in this order
+	// evaluated in this order, so that the first invalid field is reported
 	spec := JobSpec{
-		ID:                  r.knownText(fieldID, ValidJobID, "not a job id"),
+		ID:                  r.validText(fieldID, ValidJobID, "not a job id"),
 		Class:               r.text(fieldClass),
 		Team:                r.text(fieldTeam),
-		Shape:               r.knownText(fieldShape, KnownShape, "unknown"),
-		Priority:            r.knownText(fieldPriority, knownPriority, "unknown"),
+		Shape:               r.validText(fieldShape, KnownShape, "unknown"),
+		Priority:            r.validText(fieldPriority, knownPriority, "unknown"),
 		Tasks:               r.taskCount(),
 		Vcpus:               r.amount(fieldVcpus),
 		Gpus:                r.amount(fieldGpus),
@@ -82,7 +82,7 @@
 	if r.err != nil {
 		return JobSpec{}, r.err
 	}
-	spec.AnyType = spec.Types == nil // an empty list allows none
+	spec.AnyType = spec.Types == nil // an empty list allows no type
 	return spec, nil
 }
 
@@ -91,8 +91,8 @@
 	return ok
 }
 
-// fieldReader reads the fields of a JSON object by their exact names, and keeps the first error.
-// encoding/json alone would match names without regard to case and take a missing field for zero.
+// fieldReader decodes the fields of a JSON object and records the first error. Unlike a struct decoded
+// by encoding/json, it matches names case-sensitively and tells missing fields from zero values.
 type fieldReader struct {
 	raw map[string]json.RawMessage
 	err error
@@ -104,7 +104,7 @@
 	}
 }
 
-// optional reads a field, and returns false if it is absent or cannot be read.
+// optional decodes a field into target. It returns false if the field is absent or of the wrong type.
 func (r *fieldReader) optional(name string, target any) bool {
 	if r.absent(name) {
 		return false
@@ -116,7 +116,7 @@
 	return true
 }
 
-// required is optional for a field that must not be absent.
+// required decodes a field like optional, but records an error if the field is absent.
 func (r *fieldReader) required(name string, target any) bool {
 	if r.absent(name) {
 		r.fail(name, "missing")
@@ -162,10 +162,10 @@
 	}
 }
 
-// knownText reads a text that a function has to know, or else fails with a problem.
-func (r *fieldReader) knownText(name string, known func(string) bool, problem string) string {
+// validText decodes a text and records problem as the error unless valid accepts the text.
+func (r *fieldReader) validText(name string, valid func(string) bool, problem string) string {
 	s := r.text(name)
-	if !known(s) {
+	if !valid(s) {
 		r.fail(name, problem)
 	}
 	return s
--- a/internal/wire/job_parse_test.go
+++ b/internal/wire/job_parse_test.go
@@ -31,48 +31,48 @@
 	}
 }
 
-// submissionCase changes or drops one field of a valid submission.
+// submissionCase modifies one field of a valid submission.
 type submissionCase struct {
 	name    string
 	field   string
 	value   any
-	drop    bool
-	invalid string // the field that the error names; "" for none
+	omit    bool
+	invalid string // field that the error names; "" if valid
 }
 
 var submissionCases = []submissionCase{
-	{name: "as in the protocol"},
+	{name: "valid submission"},
 	{name: "null machine types", field: "Builds", value: nil},
-	{name: "omitted machine types", field: "Builds", drop: true},
-	{name: "omitted zone", field: "Yard", drop: true},
-	{name: "omitted deadline", field: "DueS", drop: true},
+	{name: "omitted machine types", field: "Builds", omit: true},
+	{name: "omitted zone", field: "Yard", omit: true},
+	{name: "omitted deadline", field: "DueS", omit: true},
 	{name: "null deadline", field: "DueS", value: nil},
-	{name: "an estimate of 0", field: "GuessS", value: 0},
-	{name: "omitted estimate", field: "GuessS", drop: true, invalid: "GuessS"},
-	{name: "estimate as text", field: "GuessS", value: "soon", invalid: "GuessS"},
+	{name: "estimate of 0", field: "GuessS", value: 0},
+	{name: "omitted estimate", field: "GuessS", omit: true, invalid: "GuessS"},
+	{name: "estimate of type string", field: "GuessS", value: "soon", invalid: "GuessS"},
 	{name: "negative estimate", field: "GuessS", value: -1, invalid: "GuessS"},
-	{name: "estimate beyond all numbers", field: "GuessS", value: json.RawMessage("1e999"), invalid: "GuessS"},
-	{name: "memory that is no number", field: "MemGb", value: json.RawMessage(`"NaN"`), invalid: "MemGb"},
-	{name: "shape in other letters", field: "Shape", value: "Standing", invalid: "Shape"},
-	{name: "omitted shape", field: "Shape", drop: true, invalid: "Shape"},
+	{name: "estimate beyond float64", field: "GuessS", value: json.RawMessage("1e999"), invalid: "GuessS"},
+	{name: "memory NaN as string", field: "MemGb", value: json.RawMessage(`"NaN"`), invalid: "MemGb"},
+	{name: "shape in wrong case", field: "Shape", value: "Standing", invalid: "Shape"},
+	{name: "omitted shape", field: "Shape", omit: true, invalid: "Shape"},
 	{name: "unknown field", field: "Extra", value: []int{1}},
-	{name: "whole number as amount", field: "Vcpus", value: 8},
-	{name: "most tasks", field: "Pieces", value: 100000},
-	{name: "omitted id", field: "Id", drop: true, invalid: "Id"},
+	{name: "integer where a float is expected", field: "Vcpus", value: 8},
+	{name: "maximum of tasks", field: "Pieces", value: 100000},
+	{name: "omitted id", field: "Id", omit: true, invalid: "Id"},
 	{name: "null id", field: "Id", value: nil, invalid: "Id"},
 	{name: "id of another form", field: "Id", value: "task-1", invalid: "Id"},
 	{name: "id with a slash", field: "Id", value: "job-1/2", invalid: "Id"},
-	{name: "id as number", field: "Id", value: 12, invalid: "Id"},
+	{name: "id of type number", field: "Id", value: 12, invalid: "Id"},
 	{name: "unknown shape", field: "Shape", value: "daemon", invalid: "Shape"},
 	{name: "unknown priority", field: "Rank", value: "urgent", invalid: "Rank"},
 	{name: "no tasks", field: "Pieces", value: 0, invalid: "Pieces"},
 	{name: "too many tasks", field: "Pieces", value: 100001, invalid: "Pieces"},
-	{name: "half a task", field: "Pieces", value: 1.5, invalid: "Pieces"},
+	{name: "fractional number of tasks", field: "Pieces", value: 1.5, invalid: "Pieces"},
 	{name: "negative amount", field: "Gpus", value: -1, invalid: "Gpus"},
-	{name: "amount as text", field: "MemGb", value: "64", invalid: "MemGb"},
-	{name: "omitted flag", field: "Loaners", drop: true, invalid: "Loaners"},
-	{name: "flag as number", field: "Together", value: 1, invalid: "Together"},
-	{name: "machine types as text", field: "Builds", value: "g8", invalid: "Builds"},
+	{name: "amount of type string", field: "MemGb", value: "64", invalid: "MemGb"},
+	{name: "omitted flag", field: "Loaners", omit: true, invalid: "Loaners"},
+	{name: "flag of type number", field: "Together", value: 1, invalid: "Together"},
+	{name: "machine types of type string", field: "Builds", value: "g8", invalid: "Builds"},
 	{name: "number in machine types", field: "Builds", value: []int{8}, invalid: "Builds"},
 	{name: "long name", field: "Lane", value: strings.Repeat("x", 300), invalid: "Lane"},
 	{name: "empty image", field: "Bundle", value: "", invalid: "Bundle"},
@@ -86,7 +86,7 @@
 	if c.field != "" {
 		fields[c.field] = c.value
 	}
-	if c.drop {
+	if c.omit {
 		delete(fields, c.field)
 	}
 	raw, err := json.Marshal(fields)
@@ -98,7 +98,7 @@
 
 func TestParseJobSpec(t *testing.T) {
 	for _, c := range submissionCases {
-		// the same holds for every shape
+		// validation does not depend on the shape
 		for _, shape := range []string{ShapeBatch, ShapeGang, ShapeService} {
 			if c.field == "Shape" && shape != ShapeBatch {
 				continue
@@ -116,12 +116,12 @@
 	}
 	for _, raw := range []string{"", "{", "[]", "null", `"x"`, "3", `{"id":"job-1"}`} {
 		if _, err := ParseJobSpec([]byte(raw)); err == nil {
-			t.Errorf("%q was taken for a submission", raw)
+			t.Errorf("%q accepted as a submission", raw)
 		}
 	}
 }
 
-func TestParseTask(t *testing.T) {
+func TestParseTaskName(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		n    int
@@ -138,7 +138,7 @@
 		{name: "job-1/1/2"},
 	} {
 		if _, n, ok := ParseTaskName(c.name); n != c.n || ok != c.ok {
-			t.Errorf("ParseTask(%q) = %d, %t, want %d, %t", c.name, n, ok, c.n, c.ok)
+			t.Errorf("ParseTaskName(%q) = %d, %t, want %d, %t", c.name, n, ok, c.n, c.ok)
 		}
 	}
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,70 +1,68 @@
-// Package wire holds the messages of the service's outside interfaces: to users, workers, the
-// cloud and the state service.
+// Package wire defines the messages of the external interfaces: to users, workers, the cloud and the
+// state service.
 //
-// It is the edge where the protocol's words are mapped to the standard ones: Go names are the
-// field's (token, incarnation, task, zone, spot), and the protocol's words stand in the JSON tags
-// and in the values of constants only. Code outside this package uses the Go names. Tags and values
-// are fixed: other programs and earlier versions read them. Receivers ignore fields they do not
-// know; a field that may be null may also be omitted.
+// JSON tags and values of constants are the names of the protocol. They are fixed, as other programs
+// and earlier versions read them. Go names are the usual terms of cluster scheduling. Receivers ignore
+// unknown fields. A field that may be null may also be omitted.
 //
-// Units: names that end in S are seconds, in Ms milliseconds, in Gb gigabytes. Vcpus, Gpus and
-// amounts of memory need not be whole numbers. Prices are per hour of a machine.
+// A suffix gives the unit: S is seconds, Ms milliseconds, Gb gigabytes. Vcpus, Gpus and amounts of
+// memory may be fractional. Prices are per machine and hour.
 package wire
 
-// Shapes of a job.
+// Job shapes.
 const (
-	ShapeBatch = "batch" // independent tasks, each runs to completion (a job array)
-	ShapeGang  = "gang"  // all tasks run at the same time, or none does
-	// ShapeService is a service: its tasks run until its user cancels it.
-	// The protocol's pages do not list it, but its users submit it.
+	ShapeBatch = "batch" // job array: independent tasks that run to completion
+	ShapeGang  = "gang"  // gang scheduling: all tasks run at the same time, or none does
+	// ShapeService is a service, whose tasks run until its user cancels it. The protocol's
+	// documentation omits it.
 	ShapeService = "standing"
 )
 
-// KnownShape reports whether a shape is one of those that this version knows.
+// KnownShape reports whether this version supports a shape.
 func KnownShape(shape string) bool {
 	return shape == ShapeBatch || shape == ShapeGang || shape == ShapeService
 }
 
-// States of a job as its user sees them.
+// Job states as reported to users.
 const (
-	JobPending   = "pending" // no task runs
+	JobPending   = "pending" // no task is running
 	JobRunning   = "running"
-	JobDone      = "done" // all tasks have completed; final
+	JobDone      = "done" // all tasks have completed; terminal
 	JobCancelled = "withdrawn"
 )
 
-// States of a task as its worker reports them.
+// Task states as reported by workers.
 const (
-	TaskFetching = "fetching" // waits for its image
-	TaskWaiting  = "waiting"  // of a gang: waits for the other tasks of its attempt
-	TaskRunning  = "running"  // also while a gang that lost a task or is being stopped ends
-	TaskSaving   = "saving"   // saves a checkpoint after a stop command
-	TaskExited   = "exited"   // with an exit reason
+	TaskFetching = "fetching" // waits for the pull of its image
+	TaskWaiting  = "waiting"  // task of a gang that waits for the other tasks of its attempt
+	TaskRunning  = "running"  // includes a gang's task that is being terminated
+	TaskSaving   = "saving"   // saving a checkpoint after a stop command
+	TaskExited   = "exited"   // has an exit reason
 )
 
-// Exit reasons of a task. The last three refuse the start of a task.
+// Exit reasons of a task. The last three are rejections of a start command.
 const (
 	ExitDone                  = "done"
-	ExitStopped               = "halted"     // by command
-	ExitGangMemberLost        = "mates_gone" // another task of the gang ended
-	ExitGangWaitTimeout       = "alone"      // the gang was not complete in time
-	ExitError                 = "error"      // failed, mostly as the machine is faulty
-	ExitInsufficientResources = "no_room"    // not enough free resources on the machine
-	ExitOtherAttemptPresent   = "in_use"     // the task is on this machine with another attempt
-	ExitUnknownTask           = "unknown"    // no such job or task, or the job is not submitted
+	ExitStopped               = "halted"     // stopped by a command
+	ExitGangMemberLost        = "mates_gone" // another task of the gang exited
+	ExitGangWaitTimeout       = "alone"      // the gang was incomplete after the gang wait timeout
+	ExitError                 = "error"      // task failure, mostly due to a faulty machine
+	ExitInsufficientResources = "no_room"    // the machine lacks free resources
+	ExitOtherAttemptPresent   = "in_use"     // another attempt of the task is on the machine
+	ExitUnknownTask           = "unknown"    // the job or task does not exist or was not submitted
 )
 
-// Verbs of a command to a worker. Commands can be repeated, with one exception: after VerbReap
-// the worker has forgotten the attempt, and VerbRun would start it again.
+// Verbs of a command to a worker. Commands are idempotent, with one exception: a VerbRun after VerbReap
+// starts the attempt again, as VerbReap makes the worker forget it.
 const (
-	VerbRun  = "run"  // no effect if the worker has the task and attempt, in whatever state
-	VerbStop = "stop" // saves a checkpoint first if the grace period is long enough
-	VerbReap = "reap" // removes an exited task from the worker's heartbeats
+	VerbRun  = "run"  // no effect if the worker has the attempt, in any state
+	VerbStop = "stop" // lets the task save a checkpoint if the grace period allows
+	VerbReap = "reap" // removes an exited task from later heartbeats
 )
 
-// States of a machine in the cloud's list.
+// Machine states in the cloud's list.
 const (
-	MachineBooting = "booting" // charged; a few machines never come up
+	MachineBooting = "booting" // charged; may never come up
 	MachineRunning = "running"
-	MachineFailed  = "failed" // not charged any more, listed until it is deleted
+	MachineFailed  = "failed" // not charged; listed until deletion
 )
