--- a/cmd/juniperchute/admin_client.go
+++ b/cmd/juniperchute/admin_client.go
@@ -13,11 +13,11 @@
 	"juniperchute/internal/peer/peerpb"
 )
 
-// adminTimeout bounds a call of the administration API. A frozen controller does not answer.
+// adminTimeout bounds a call of the administration API, for a controller that does not respond.
 const adminTimeout = 5 * time.Second
 
-// adminCommand makes the action of a command that calls the administration API of the
-// controller at an address and prints the reply.
+// adminCommand returns the RunE function of a command that calls the administration API of the
+// controller at address and prints the reply.
 func adminCommand[Reply any](
 	address *string,
 	call func(ctx context.Context, client peerpb.AdminClient, args []string) (Reply, error),
@@ -45,8 +45,7 @@
 	_ = command.MarkPersistentFlagRequired("addr")
 }
 
-// errorMessage is the text of an error for an operator: of a controller's refusal, without
-// that of the call that carried it.
+// errorMessage returns the text of an error for an operator. It omits the gRPC status code.
 func errorMessage(err error) string {
 	s, ok := status.FromError(err)
 	switch {
--- a/cmd/juniperchute/check.go
+++ b/cmd/juniperchute/check.go
@@ -10,7 +10,7 @@
 )
 
 func newCheckCommand() *cobra.Command {
-	var featureFile string
+	var featureGateFile string
 	command := &cobra.Command{
 		Use:   "check FILE",
 		Short: "Check a settings file",
@@ -20,25 +20,25 @@
 			"  juniperchute check --switches switches.toml node-0.toml",
 		Args: cobra.ExactArgs(1),
 		RunE: func(command *cobra.Command, args []string) error {
-			return check(command.OutOrStdout(), args[0], featureFile)
+			return check(command.OutOrStdout(), args[0], featureGateFile)
 		},
 	}
-	command.Flags().StringVar(&featureFile, "switches", "", "check this file of feature gates too")
+	command.Flags().StringVar(&featureGateFile, "switches", "", "check this file of feature gates too")
 	return command
 }
 
-func check(out io.Writer, settingsFile, featureFile string) error {
+func check(out io.Writer, settingsFile, featureGateFile string) error {
 	settings, err := config.Load(settingsFile)
 	if err != nil {
 		return err
 	}
-	if _, err := loadFeatures(featureFile); err != nil {
+	if _, err := loadFeatureGates(featureGateFile); err != nil {
 		return err
 	}
 	for _, reason := range settings.Platform.MachineLimits.BelowRecommended() {
 		fmt.Fprintf(out, "%s: warning: %s\n", settingsFile, reason)
 	}
 	fmt.Fprintf(out, "%s: valid: it configures controller %s, one of %d, for %s.\n", settingsFile, settings.Member,
-		len(settings.Peers)+1, plural(len(settings.Platform.Teams), "team"))
+		len(settings.Peers)+1, formatCount(len(settings.Platform.Teams), "team"))
 	return nil
 }
--- a/cmd/juniperchute/duties.go
+++ b/cmd/juniperchute/intents.go
@@ -10,7 +10,7 @@
 	"juniperchute/internal/peer/peerpb"
 )
 
-func newDutiesCommand() *cobra.Command {
+func newIntentsCommand() *cobra.Command {
 	var address string
 	command := &cobra.Command{
 		Use:     "duties --addr ADDR",
@@ -45,7 +45,7 @@
 	}
 }
 
-// printIntentLogTable prints what the controller that was asked knows of the intent log.
+// printIntentLogTable prints the intent log's state and the staleness of the queried controller's view.
 func printIntentLogTable(out io.Writer, reply *peerpb.IntentsReply) {
 	table := newTable(out)
 	defer table.Flush()
@@ -59,7 +59,7 @@
 	fmt.Fprintf(table, "entries as of\t%s ago\n", formatAge(reply.IntentsAgeMs))
 }
 
-// printShardTables prints a shard's lease, its operations and their intents.
+// printShardTables prints the lease of a shard, its operations and the open intents of each.
 func printShardTables(out io.Writer, shard *peerpb.ShardIntents) {
 	table := newTable(out)
 	defer table.Flush()
--- a/cmd/juniperchute/duties_summary.go
+++ b/cmd/juniperchute/intents_summary.go
@@ -8,7 +8,7 @@
 	"juniperchute/internal/peer/peerpb"
 )
 
-// operationNouns names the operations, by their names in the administration API.
+// operationNouns maps the names of operations in the administration API to descriptions.
 var operationNouns = map[string]string{
 	string(intentlog.Provision):   "provisioning machines",
 	string(intentlog.Deprovision): "deprovisioning machines",
@@ -16,7 +16,7 @@
 	string(intentlog.Cleanup):     "deleting records",
 }
 
-// intentStates describes the states of an intent, by their names in the administration API.
+// intentStates maps the states of an intent in the administration API to descriptions.
 var intentStates = map[string]string{
 	"entering": "is being recorded",
 	"entered":  "is recorded, and no call of this lease holder is in flight",
@@ -24,8 +24,8 @@
 	"settled":  "is completed",
 }
 
-// printIntentsSummary prints sentences for somebody who wants to know what goes on, and
-// whether it goes on.
+// printIntentsSummary prints the state of the intent log, the leases and the pending operations in
+// sentences.
 func printIntentsSummary(out io.Writer, reply *peerpb.IntentsReply) {
 	fmt.Fprintf(out, "Controller %s answers. Its view of the lease holders is %s, that of the intent logs %s.\n",
 		reply.Member, describeAge(reply.HoldersAgeMs), describeAge(reply.IntentsAgeMs))
@@ -43,12 +43,12 @@
 	fmt.Fprintf(out, "Shard %d: %s.\n", shard.Shard, describeLease(shard))
 	if shard.UnreadablePages > 0 {
 		fmt.Fprintf(out, "  %s of its intent log cannot be read: operations recorded there are not completed.\n",
-			plural(shard.UnreadablePages, "page"))
+			formatCount(shard.UnreadablePages, "page"))
 	}
 	printPendingOperations(out, shard)
 }
 
-// describeLease says who holds a shard's lease, and whether the shard is served.
+// describeLease returns a clause on the lease holder of a shard and the state of its term.
 func describeLease(shard *peerpb.ShardIntents) string {
 	if shard.Holder == "" {
 		return "nobody holds the lease, so a failover is in progress"
@@ -61,7 +61,7 @@
 	case !shard.Live:
 		return text + ", but is not a live member, so a failover is in progress"
 	case shard.State == "":
-		return text // the lease holder itself would say more
+		return text // only the lease holder knows the state of its term
 	}
 	return text + ", and " + describeTerm(shard.State)
 }
@@ -80,7 +80,7 @@
 	}
 }
 
-// describeOperation names an operation in words and, for the tables, by its stored name.
+// describeOperation returns the description of an operation with its name in the tables.
 func describeOperation(name string) string {
 	if noun, ok := operationNouns[name]; ok {
 		return fmt.Sprintf("%s (%s)", noun, name)
@@ -90,9 +90,9 @@
 
 func describePending(shard *peerpb.ShardIntents, operation *peerpb.OperationStatus) string {
 	if operation.RemovalsInFlight > 0 && operation.Pending == 0 {
-		return plural(operation.RemovalsInFlight, "deletion") + " in flight"
+		return formatCount(operation.RemovalsInFlight, "deletion") + " in flight"
 	}
-	text := plural(operation.Pending, "operation") + " not completed"
+	text := formatCount(operation.Pending, "operation") + " not completed"
 	if len(operation.Intents) == 0 {
 		return text
 	}
@@ -110,7 +110,7 @@
 
 func describeIntent(state string, shard *peerpb.ShardIntents) string {
 	if state == "entered" && shard.State == "" {
-		// another controller answers, from what is stored
+		// the reply of another controller is based on stored records
 		return "is recorded; only the lease holder knows whether its call is in flight"
 	}
 	if text, ok := intentStates[state]; ok {
--- a/cmd/juniperchute/duties_test.go
+++ b/cmd/juniperchute/intents_test.go
@@ -7,8 +7,9 @@
 	"juniperchute/internal/peer/peerpb"
 )
 
-// dutiesReply is a reply during a failover: a new lease holder recovers a return.
-func dutiesReply() *peerpb.IntentsReply {
+// failoverReply returns a reply during a failover, in which a new lease holder recovers a
+// deprovisioning operation.
+func failoverReply() *peerpb.IntentsReply {
 	return &peerpb.IntentsReply{
 		Member:  "node-0",
 		InForce: true,
@@ -26,8 +27,8 @@
 	}
 }
 
-// The tables are read by scripts: they are as docs/intent-log-operation.md shows them.
-const dutiesTables = `
+// wantIntentTables is a format that scripts parse, documented in docs/intent-log-operation.md.
+const wantIntentTables = `
 asked          node-0
 log of duties  in force
 holders as of  0s ago
@@ -44,7 +45,7 @@
 return    i-000010  entered      entered under token 1, 3.4s ago
 `
 
-const dutiesSummary = "Controller node-0 answers. " +
+const wantIntentSummary = "Controller node-0 answers. " +
 	"Its view of the lease holders is 0s old, that of the intent logs 0s old.\n" +
 	"The intent log is in force: each cloud operation is recorded before its call is sent.\n" +
 	"Shard 0: node-1 holds the lease under token 2, since 2026-12-02 10:34:37 UTC.\n" +
@@ -55,21 +56,21 @@
 
 func TestPrintIntents(t *testing.T) {
 	var out strings.Builder
-	printIntents(&out, dutiesReply())
-	if want := dutiesSummary + dutiesTables; out.String() != want {
+	printIntents(&out, failoverReply())
+	if want := wantIntentSummary + wantIntentTables; out.String() != want {
 		t.Errorf("printed\n%s\nwant\n%s", out.String(), want)
 	}
 }
 
-// dutiesTest is a change of dutiesReply and what is printed then, in sentences and in tables.
-type dutiesTest struct {
+// printIntentsCase is a modification of failoverReply and the output that it causes.
+type printIntentsCase struct {
 	name         string
 	change       func(reply *peerpb.IntentsReply, shard *peerpb.ShardIntents)
 	wantSentence string
-	wantRow      string // cells separated by one blank
+	wantRow      string // cells separated by one space
 }
 
-var dutiesTests = []dutiesTest{
+var printIntentsCases = []printIntentsCase{
 	{
 		name: "intent log not in force",
 		change: func(reply *peerpb.IntentsReply, _ *peerpb.ShardIntents) {
@@ -103,7 +104,7 @@
 		wantRow:      "block 0 held by node-1, which is not a live member: a takeover is going on",
 	},
 	{
-		name: "lease holder fences",
+		name: "lease holder fencing",
 		change: func(_ *peerpb.IntentsReply, shard *peerpb.ShardIntents) {
 			shard.State = "fencing"
 		},
@@ -111,7 +112,7 @@
 		wantRow:      "block 0 held by node-1, still taking over (fencing)",
 	},
 	{
-		name: "lease holder in service, start not reported",
+		name: "lease holder in service, assignment time not reported",
 		change: func(_ *peerpb.IntentsReply, shard *peerpb.ShardIntents) {
 			shard.State, shard.AssignedAtMs = "open", 0
 		},
@@ -135,7 +136,7 @@
 		wantRow:      "return and 60 more",
 	},
 	{
-		name: "recorded, as the lease holder reports it",
+		name: "intent recorded, reported by the lease holder",
 		change: func(_ *peerpb.IntentsReply, shard *peerpb.ShardIntents) {
 			shard.State = "open"
 		},
@@ -143,7 +144,7 @@
 		wantRow:      "return i-000010 entered entered under token 1, 3.4s ago",
 	},
 	{
-		name: "call in flight",
+		name: "intent with a call in flight",
 		change: func(_ *peerpb.IntentsReply, shard *peerpb.ShardIntents) {
 			intent := shard.Operations[1].Intents[0]
 			intent.State, intent.Token = "sent", 2
@@ -152,7 +153,7 @@
 		wantRow:      "return i-000010 sent entered under token 2, 3.4s ago",
 	},
 	{
-		name: "age of an intent not known",
+		name: "age of an intent unknown",
 		change: func(_ *peerpb.IntentsReply, shard *peerpb.ShardIntents) {
 			shard.Operations[1].Intents[0].AgeMs = -1
 		},
@@ -160,7 +161,7 @@
 		wantRow:      "return node-1 1 not known",
 	},
 	{
-		name: "deletions of records in flight",
+		name: "record deletions in flight",
 		change: func(_ *peerpb.IntentsReply, shard *peerpb.ShardIntents) {
 			shard.Operations[3].RemovalsInFlight = 2
 		},
@@ -168,7 +169,7 @@
 		wantRow:      "clean-up node-1 2 -",
 	},
 	{
-		name: "nothing pending",
+		name: "no pending operations",
 		change: func(_ *peerpb.IntentsReply, shard *peerpb.ShardIntents) {
 			shard.Operations[1] = &peerpb.OperationStatus{Operation: "return"}
 		},
@@ -178,9 +179,9 @@
 }
 
 func TestPrintIntentsCases(t *testing.T) {
-	for _, test := range dutiesTests {
+	for _, test := range printIntentsCases {
 		t.Run(test.name, func(t *testing.T) {
-			reply := dutiesReply()
+			reply := failoverReply()
 			test.change(reply, reply.Shards[0])
 			var out strings.Builder
 			printIntents(&out, reply)
@@ -194,7 +195,7 @@
 	}
 }
 
-// hasRow reports whether a line has these words, however far they are apart.
+// hasRow reports whether text has a line of these words, ignoring the amount of space between them.
 func hasRow(text, words string) bool {
 	for line := range strings.Lines(text) {
 		if strings.Join(strings.Fields(line), " ") == words {
--- a/cmd/juniperchute/main.go
+++ b/cmd/juniperchute/main.go
@@ -1,5 +1,5 @@
-// Command juniperchute is the controller of a cluster scheduler. Its subcommands are for
-// operators: they ask a running controller, check settings and read traces.
+// Command juniperchute runs a controller of a cluster scheduler. Its subcommands for operators query a
+// running controller, validate settings files and read traces.
 package main
 
 import (
@@ -20,7 +20,7 @@
 }
 
 func newRootCommand() *cobra.Command {
-	var settingsFile, featureFile string
+	var settingsFile, featureGateFile string
 	command := &cobra.Command{
 		Use:   "juniperchute --config FILE",
 		Short: "A cluster scheduler: runs users' jobs on machines provisioned from a cloud",
@@ -36,15 +36,15 @@
 			if settingsFile == "" {
 				return errors.New("--config: missing (see --help)")
 			}
-			return serve(command.Context(), settingsFile, featureFile)
+			return serve(command.Context(), settingsFile, featureGateFile)
 		},
 	}
 	command.CompletionOptions.DisableDefaultCmd = true
 	command.Flags().StringVar(&settingsFile, "config", "", "settings file (TOML)")
-	command.Flags().StringVar(&featureFile, "switches", "",
+	command.Flags().StringVar(&featureGateFile, "switches", "",
 		"file of feature gates, which turn on what is off by default (TOML)")
 	command.AddCommand(
-		newCheckCommand(), newStatusCommand(), newDutiesCommand(), newTraceCommand(), newSettingsCommand(),
+		newCheckCommand(), newStatusCommand(), newIntentsCommand(), newTraceCommand(), newSettingsCommand(),
 	)
 	return command
 }
--- a/cmd/juniperchute/main_test.go
+++ b/cmd/juniperchute/main_test.go
@@ -11,7 +11,7 @@
 	var check func(command *cobra.Command)
 	check = func(command *cobra.Command) {
 		if !strings.Contains(command.Example, command.CommandPath()) {
-			t.Errorf("%s: the example %q does not show it", command.CommandPath(), command.Example)
+			t.Errorf("%s: example %q does not contain the command", command.CommandPath(), command.Example)
 		}
 		for _, subcommand := range command.Commands() {
 			check(subcommand)
@@ -23,7 +23,7 @@
 func TestIntentsAlias(t *testing.T) {
 	byAlias, _, err := newRootCommand().Find([]string{"intents"})
 	if err != nil || byAlias.Name() != "duties" {
-		t.Errorf("intents finds %q, %v; want duties", byAlias.Name(), err)
+		t.Errorf("intents resolves to %q, error %v; want duties", byAlias.Name(), err)
 	}
 }
 
@@ -31,6 +31,6 @@
 	command := newRootCommand()
 	command.SetArgs([]string{})
 	if err := command.Execute(); err == nil || !strings.Contains(err.Error(), "--config") {
-		t.Errorf("error %v, want one that names --config", err)
+		t.Errorf("got error %v, want one that names --config", err)
 	}
 }
--- a/cmd/juniperchute/serve.go
+++ b/cmd/juniperchute/serve.go
@@ -17,8 +17,9 @@
 	"juniperchute/internal/featuregate"
 )
 
-// serve runs a controller until it is interrupted. The file of feature gates may be "".
-func serve(ctx context.Context, settingsFile, featureFile string) error {
+// serve runs a controller until ctx is cancelled or the process receives SIGINT or SIGTERM. An empty
+// featureGateFile means that all gates are off.
+func serve(ctx context.Context, settingsFile, featureGateFile string) error {
 	log, err := newLogger()
 	if err != nil {
 		return err
@@ -28,9 +29,9 @@
 		return err
 	}
 	for _, reason := range settings.Platform.MachineLimits.BelowRecommended() {
-		log.Warn("machine smaller than any measured", "reason", reason)
+		log.Warn("machine limit below recommended minimum", "reason", reason)
 	}
-	features, err := loadFeatures(featureFile)
+	gates, err := loadFeatureGates(featureGateFile)
 	if err != nil {
 		return err
 	}
@@ -39,7 +40,7 @@
 	if err != nil {
 		return err
 	}
-	options, finish, err := controller.NewOptions(features, settings.Member, rng)
+	options, finish, err := controller.NewOptions(gates, settings.Member, rng)
 	if err != nil {
 		return err
 	}
@@ -47,10 +48,10 @@
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	log = log.With("member", settings.Member)
-	return controller.NewRuntime(settings, options, newClock(features), log, rng).Run(ctx)
+	return controller.NewRuntime(settings, options, newClock(gates), log, rng).Run(ctx)
 }
 
-// newLogger logs to standard error from the level on that LOG_LEVEL names.
+// newLogger returns a logger to standard error with the minimum level that LOG_LEVEL names.
 func newLogger() (*slog.Logger, error) {
 	level := slog.LevelInfo
 	switch name := os.Getenv("LOG_LEVEL"); name {
@@ -65,16 +66,16 @@
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})), nil
 }
 
-// loadFeatures reads a file of feature gates; without a file all are off.
-func loadFeatures(file string) (featuregate.Gates, error) {
+// loadFeatureGates loads a file of feature gates. All gates are off if file is empty.
+func loadFeatureGates(file string) (featuregate.Gates, error) {
 	if file == "" {
 		return featuregate.Gates{}, nil
 	}
 	return featuregate.Load(file)
 }
 
-// newRandom returns a generator with a seed from the operating system: controllers that
-// start at the same time must not draw the same numbers.
+// newRandom returns a generator seeded by the operating system, so that controllers that start at the
+// same time draw different numbers.
 func newRandom() (*rand.Rand, error) {
 	var seed [16]byte
 	if _, err := crand.Read(seed[:]); err != nil {
@@ -84,10 +85,10 @@
 	return rand.New(rand.NewPCG(high, low)), nil
 }
 
-// newClock returns the clock by which leases are judged. With the intent log it counts the
-// time for which the machine was suspended, so that an owner that wakes up stops acting.
-func newClock(features featuregate.Gates) *clock.Clock {
-	if features.IntentLog {
+// newClock returns the clock that times leases. With the intent log enabled, it includes suspensions of
+// the machine, so that a resumed lease holder with an expired lease stops acting.
+func newClock(gates featuregate.Gates) *clock.Clock {
+	if gates.IntentLog {
 		return clock.New(clock.TimeSuspended)
 	}
 	return clock.New(nil)
--- a/cmd/juniperchute/settings.go
+++ b/cmd/juniperchute/settings.go
@@ -44,7 +44,7 @@
 	return client.SetSetting(ctx, &peerpb.SetSettingRequest{Name: args[0], Value: args[1]})
 }
 
-// printSettings prints a comment and then lines of "name = value", which scripts read.
+// printSettings prints a comment line and one line "name = value" per setting. Scripts parse these lines.
 func printSettings(out io.Writer, settings *peerpb.Settings) {
 	fmt.Fprintln(out, "# All controllers apply these settings. A change needs no restart: see settings set --help.")
 	for _, name := range slices.Sorted(maps.Keys(settings.Values)) {
--- a/cmd/juniperchute/status.go
+++ b/cmd/juniperchute/status.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// machineStates describes the states of a machine whose names in the administration API do
-// not say what they mean.
+// machineStates maps the machine states whose names in the administration API need an explanation to
+// that explanation.
 var machineStates = map[string]string{
 	"unheard": "unreconciled: its worker has not answered this term",
 	"silent":  "unresponsive: its heartbeat is late",
@@ -125,7 +125,7 @@
 	}
 }
 
-// formatLimit formats a team's limit; 0 means that there is none.
+// formatLimit formats a team's limit. 0 means no limit.
 func formatLimit(limit float64) string {
 	if limit == 0 {
 		return "none"
@@ -133,7 +133,7 @@
 	return fmt.Sprintf("%g", limit)
 }
 
-// splitJobs tells services, which run until they are cancelled, from jobs that complete.
+// splitJobs separates services from jobs that run to completion.
 func splitJobs(all []*peerpb.Job) (services, jobs []*peerpb.Job) {
 	for _, job := range all {
 		if job.Shape == wire.ShapeService {
--- a/cmd/juniperchute/status_test.go
+++ b/cmd/juniperchute/status_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// A controller without a shard says where to look.
+// Guards against a controller without a shard lease that does not refer operators to a lease holder.
 func TestPrintStatusWithoutLease(t *testing.T) {
 	var out strings.Builder
 	printStatus(&out, &peerpb.StatusReply{Member: "node-0"})
--- a/cmd/juniperchute/term_state.go
+++ b/cmd/juniperchute/term_state.go
@@ -1,7 +1,7 @@
 package main
 
-// termStates are the states of a term, by their names in the administration API, as the
-// end of a sentence about the lease holder.
+// termStates maps the states of a term in the administration API to the end of a sentence about the
+// lease holder.
 var termStates = map[string]string{
 	"loading": "is still taking over: it loads the records of the shard",
 	"fencing": "is still taking over: it waits until the machines of earlier terms have answered, " +
--- a/cmd/juniperchute/text.go
+++ b/cmd/juniperchute/text.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// newTable returns a writer that aligns cells separated by tabs. Flush writes the table.
+// newTable returns a writer that aligns tab-separated cells. The caller must call Flush.
 func newTable(out io.Writer) *tabwriter.Writer {
 	return tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 }
 
-// plural is a number with its noun, as in "1 team" and "2 teams".
-func plural[N int | int32 | int64](n N, noun string) string {
+// formatCount returns a number with its noun, as in "1 team" and "2 teams".
+func formatCount[N int | int32 | int64](n N, noun string) string {
 	if n == 1 {
 		return fmt.Sprintf("%d %s", n, noun)
 	}
 	return fmt.Sprintf("%d %ss", n, noun)
 }
 
-// formatAge formats milliseconds; -1 means that the age is not known.
+// formatAge formats an age in milliseconds. A negative age is unknown.
 func formatAge(ms int64) string {
 	if ms < 0 {
 		return "not known"
@@ -28,7 +28,7 @@
 	return (time.Duration(ms) * time.Millisecond).Round(100 * time.Millisecond).String()
 }
 
-// describeAge is an age as formatAge takes it, as the end of a sentence.
+// describeAge formats an age in milliseconds for the end of a sentence. A negative age is unknown.
 func describeAge(ms int64) string {
 	if ms < 0 {
 		return "of unknown age"
@@ -36,7 +36,7 @@
 	return formatAge(ms) + " old"
 }
 
-// formatUTC formats milliseconds of Unix time.
+// formatUTC formats a Unix time in milliseconds.
 func formatUTC(ms int64) string {
 	return time.UnixMilli(ms).UTC().Format(time.DateTime) + " UTC"
 }
--- a/cmd/juniperchute/trace.go
+++ b/cmd/juniperchute/trace.go
@@ -39,7 +39,7 @@
 	return command
 }
 
-// traceFilter selects the operations that are shown.
+// traceFilter selects operations. The zero value selects all.
 type traceFilter struct {
 	target     string // "": any
 	recovered  bool
@@ -83,7 +83,7 @@
 	fmt.Fprintf(out, "%s %s, block %s: %s, %v in all\n", history.Operation, history.Target, history.Shard,
 		end, formatDuration(history))
 	fmt.Fprintf(out, "Shard %s, %s, target %s: %s.\n", history.Shard, describeOperation(history.Operation),
-		history.Target, describeCourse(history))
+		history.Target, describeProgress(history))
 	table := newTable(out)
 	defer table.Flush()
 	for _, step := range history.Steps {
@@ -92,24 +92,24 @@
 	}
 }
 
-// describeCourse says who handled an operation, and whether it was completed.
-func describeCourse(history intentlog.History) string {
+// describeProgress returns a clause on the members that handled an operation and on its completion.
+func describeProgress(history intentlog.History) string {
 	if len(history.Steps) == 0 {
 		return "no step of it is in these traces"
 	}
 	first, last := history.Steps[0], history.Steps[len(history.Steps)-1]
-	text := "first handled by " + describeActor(first)
+	text := "first handled by " + describeHandler(first)
 	if history.FailedOver {
 		text += ", then recovered after a failover"
 	}
 	if history.Completed {
-		return text + fmt.Sprintf(", and completed by %s after %v", describeActor(last), formatDuration(history))
+		return text + fmt.Sprintf(", and completed by %s after %v", describeHandler(last), formatDuration(history))
 	}
 	return text + fmt.Sprintf("; its completion is not in these traces, which end %v later with %s",
-		formatDuration(history), describeActor(last))
+		formatDuration(history), describeHandler(last))
 }
 
-func describeActor(step intentlog.Step) string {
+func describeHandler(step intentlog.Step) string {
 	return fmt.Sprintf("%s under token %s", step.Member, step.Token)
 }
 
--- a/cmd/juniperchute/trace_test.go
+++ b/cmd/juniperchute/trace_test.go
@@ -8,7 +8,7 @@
 	"juniperchute/internal/intentlog"
 )
 
-// recoveredHistory is an operation that a successor recovered and completed.
+// recoveredHistory returns the history of an operation that a successor recovered and completed.
 func recoveredHistory() intentlog.History {
 	start := time.Date(2026, 12, 2, 10, 46, 1, 120_000_000, time.UTC)
 	return intentlog.History{
