--- a/internal/controller/process_effects.go
+++ b/internal/controller/process_effects.go
@@ -60,8 +60,8 @@
 }
 
 func newProcessEffects(cfg *config.Config, connections connectionLimits, options effectOptions) *processEffects {
-	toState := transport(stateConnections(), tuning.PeerDialTimeout)
-	toCloud := transport(tuning.CloudCallsInFlight, tuning.PeerDialTimeout)
+	toState := transport(stateConnections(), tuning.DialTimeout)
+	toCloud := transport(tuning.CloudCallsInFlight, tuning.DialTimeout)
 	toWorkers := transport(tuning.CommandIdleConnections, tuning.WorkerDialTimeout)
 	e := &processEffects{
 		effectOptions: options,
--- a/internal/httpapi/server.go
+++ b/internal/httpapi/server.go
@@ -59,8 +59,8 @@
 	s := &Server{options: options}
 	s.http = &http.Server{
 		Handler:           s.routes(),
-		ReadHeaderTimeout: tuning.HeaderTimeout,
-		ReadTimeout:       tuning.HeaderTimeout,
+		ReadHeaderTimeout: tuning.RequestReadTimeout,
+		ReadTimeout:       tuning.RequestReadTimeout,
 		IdleTimeout:       idleTimeout(options.Workers),
 		MaxHeaderBytes:    maxHeaderBytes,
 	}
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -62,7 +62,7 @@
 				Jitter:     retryJitter,
 				MaxDelay:   tuning.PeerBackoffMax,
 			},
-			MinConnectTimeout: tuning.PeerDialTimeout,
+			MinConnectTimeout: tuning.DialTimeout,
 		}))
 }
 
--- a/internal/tuning/httpapi.go
+++ b/internal/tuning/httpapi.go
@@ -4,8 +4,8 @@
 
 // HTTP requests and connections of workers and users, used by package httpapi.
 const (
-	// HeaderTimeout bounds the time in which a client sends a request, header and body.
-	HeaderTimeout = 5 * time.Second
+	// RequestReadTimeout bounds the time in which a client sends a request, header and body.
+	RequestReadTimeout = 5 * time.Second
 	// FirstRequestTimeout is the time for which a new connection without a request is protected
 	// from eviction.
 	FirstRequestTimeout = 1 * time.Second
--- a/internal/tuning/peers.go
+++ b/internal/tuning/peers.go
@@ -14,8 +14,8 @@
 	MaxProgressJobs = 500
 	// PeerCallsInFlight bounds concurrent calls of peers.
 	PeerCallsInFlight = 32
-	// PeerDialTimeout bounds the dial of a connection. A slower dial indicates a network partition.
-	PeerDialTimeout = 1 * time.Second
+	// DialTimeout bounds the dial of a connection. A slower dial indicates a network partition.
+	DialTimeout = 1 * time.Second
 	// PeerBackoffInitial is the first backoff between dials of a peer. It is short, so that a
 	// restarted peer is reached soon.
 	PeerBackoffInitial = 200 * time.Millisecond
