--- a/internal/tuning/httpapi.go
+++ b/internal/tuning/httpapi.go
@@ -4,7 +4,7 @@
 
 // HTTP requests and connections of workers and users, used by package httpapi.
 const (
-	// RequestReadTimeout bounds the time in which a client sends a request, header and body.
+	// RequestReadTimeout bounds the time in which a client sends a request, header and body included.
 	RequestReadTimeout = 5 * time.Second
 	// FirstRequestTimeout is the time for which a new connection without a request is protected
 	// from eviction.
--- a/internal/tuning/peers.go
+++ b/internal/tuning/peers.go
@@ -14,7 +14,8 @@
 	MaxProgressJobs = 500
 	// PeerCallsInFlight bounds concurrent calls of peers.
 	PeerCallsInFlight = 32
-	// DialTimeout bounds the dial of a connection. A slower dial indicates a network partition.
+	// DialTimeout bounds the dial of a connection to a peer, the state service or the cloud. A slower
+	// dial indicates a network partition.
 	DialTimeout = 1 * time.Second
 	// PeerBackoffInitial is the first backoff between dials of a peer. It is short, so that a
 	// restarted peer is reached soon.
