--- a/internal/controller/cancellation_loading_test.go
+++ b/internal/controller/cancellation_loading_test.go
@@ -15,10 +15,11 @@
 	"juniperchute/internal/wire"
 )
 
-// maxStepsToFailover is how many steps of the simulated clock a failover takes at most.
+// maxStepsToFailover bounds the clock events for which stepUntilTermIn waits for a term.
 const maxStepsToFailover = 100000
 
-// stepUntilTermIn plays until a controller's term is in a state.
+// stepUntilTermIn runs clock events one by one until the term of a live controller is in a state,
+// and returns that term.
 func (sim *simulation) stepUntilTermIn(state term.State) *term.Term {
 	sim.t.Helper()
 	for range maxStepsToFailover {
@@ -27,12 +28,12 @@
 			return t
 		}
 	}
-	sim.t.Fatal("no successor")
+	sim.t.Fatalf("no term is %v after %d events", state, maxStepsToFailover)
 	return nil
 }
 
-// A successor is still reading the records when the state service goes: it may not renew
-// the lease of a task that was cancelled before its term, as it cannot stop it.
+// Guards against a lease holder that renews the worker leases of cancelled tasks if the state
+// service becomes unavailable while the term is loading: it cannot stop these tasks yet.
 func TestOutageWhileLoading(t *testing.T) {
 	for seed := range uint64(4) {
 		testOutageWhileLoading(t, 20+seed)
@@ -41,8 +42,8 @@
 
 func testOutageWhileLoading(t *testing.T, seed uint64) {
 	sim := steadySimulationWith(t, seed, 6, 2)
-	cancelled := sim.add(trainingArray("job-100", 4, 300), 400*time.Second)
-	other := sim.add(trainingArray("job-101", 2, 300), 400*time.Second)
+	cancelled := sim.submitJob(trainingArray("job-100", 4, 300), 400*time.Second)
+	other := sim.submitJob(trainingArray("job-101", 2, 300), 400*time.Second)
 	sim.runFor(40 * time.Second)
 	holder := sim.leaseHolder()
 	for _, m := range sim.machines {
@@ -55,12 +56,13 @@
 		sim.clock.Step()
 	}
 	if cancelled.KnownState != wire.JobCancelled {
-		t.Fatalf("reported as %q", cancelled.KnownState)
+		t.Fatalf("the user knows the cancelled job as %q, want %q", cancelled.KnownState, wire.JobCancelled)
 	}
 	sim.state.SetUnavailable(true)
 	ofCancelled, ofOthers := sim.renewalsWhileLoading(cancelled)
 	if ofCancelled > 0 || ofOthers == 0 {
-		t.Errorf("leases renewed of %d tasks that were cancelled and of %d others", ofCancelled, ofOthers)
+		t.Errorf("renewed the leases of %d cancelled tasks, want 0, and of %d others, want more than 0",
+			ofCancelled, ofOthers)
 	}
 	for _, id := range sim.machineNames() {
 		m := sim.machines[id]
@@ -74,8 +76,8 @@
 	sim.requireAllJobsEnd()
 }
 
-// renewalsWhileLoading sends every task's heartbeat to the controllers that are loading, and
-// counts the leases that they renew, of the cancelled job's tasks and of others.
+// renewalsWhileLoading sends one heartbeat per task to each term that is loading. It returns the
+// numbers of leases that the terms renew for tasks of the cancelled job and for other tasks.
 func (sim *simulation) renewalsWhileLoading(cancelled *fakes.Job) (ofCancelled, ofOthers int) {
 	for _, n := range sim.nodes {
 		t := n.controller.terms[0]
@@ -103,8 +105,8 @@
 	return ofCancelled, ofOthers
 }
 
-// A cancellation is passed to a lease holder that is still reading the records, and has
-// read the jobs already: it acknowledges it, so it may not take the job up as open.
+// Guards against a lease holder that acknowledges a cancellation while it is loading, and then
+// schedules the job from the records that it read before.
 func TestCancellationReceivedWhileLoading(t *testing.T) {
 	sim := steadySimulation(t, 6, 8)
 	sim.leaseHolder().crash(time.Hour)
@@ -112,45 +114,47 @@
 	n := sim.nodeOf(loading)
 	id, openID := sim.cluster.Submitted[3].Spec.ID, sim.cluster.Submitted[4].Spec.ID
 	if _, open := n.controller.openJobs.Get(submission.OpenJobKey(id)); !open {
-		t.Fatalf("%s is not open", id)
+		t.Fatalf("%s is not an open job before its cancellation", id)
 	}
 	r := sim.passCancellation(n, id)
 	if !slices.Contains(r.AcknowledgedCancelled, id) {
-		t.Fatal("it does not acknowledge the cancellation")
+		t.Fatalf("%s does not acknowledge the cancellation of %s", n.name, id)
 	}
 	for loading.State() == term.Loading {
 		sim.clock.Step()
 	}
 	cancelled := loading.Scheduler().OpenJob(id)
 	if loading.State() != term.Fencing || cancelled != nil || loading.Scheduler().OpenJob(openID) == nil {
-		t.Errorf("%v: the job that was cancelled is open: %v", loading.State(), cancelled != nil)
+		t.Errorf("the term is %v, want %v; the cancelled job is open: %t, want false",
+			loading.State(), term.Fencing, cancelled != nil)
 	}
 }
 
-// A cancellation is passed to a lease holder before it has read that the job was
-// submitted, as the state service's answers are slow: what it reads then is old.
+// Guards against a lease holder that schedules a cancelled job because its watch delivers the job's
+// record after a peer has passed the cancellation.
 func TestCancellationReceivedBeforeJobIsRead(t *testing.T) {
 	sim := steadySimulation(t, 6, 2)
 	n := sim.leaseHolder()
 	sim.passCancellation(n, "job-900")
 	for _, id := range []string{"job-900", "job-901"} {
-		sim.add(sweepJob(id, "normal", 1, 5), 5*time.Second)
+		sim.submitJob(sweepJob(id, "normal", 1, 5), 5*time.Second)
 	}
 	sim.runFor(2 * time.Second)
 	shardTerm := n.controller.terms[0]
 	cancelled, open := shardTerm.Scheduler().OpenJob("job-900"), shardTerm.Scheduler().OpenJob("job-901")
 	if cancelled != nil || open == nil {
-		t.Errorf("cancelled and open: %v; another open: %v", cancelled != nil, open != nil)
+		t.Errorf("the cancelled job is open: %t, want false; the other job is open: %t, want true",
+			cancelled != nil, open != nil)
 	}
 }
 
-// The resources of unreconciled machines count against a team's limit from the moment at
-// which the records are read: a heartbeat, and a start, may come before the next tick.
-func TestUnreconciledMachinesCountAtOnce(t *testing.T) {
+// Guards against starts beyond a team's limit between the loading of the records and the next tick:
+// the resources of unreconciled machines count against the limit at once.
+func TestUnreconciledMachinesCountAgainstLimitAtOnce(t *testing.T) {
 	teams := []config.Team{{Name: "red", GPUsMax: 12}}
 	sim := newSimulation(t, 11, testConfig(oneZone, teams, 1.5, 10), 1, oneZoneTypes)
 	sim.cloud.Available[fakes.CapacityKey(smallType.Name, "a", false)] = 4
-	sim.add(sweepJob("job-1", "normal", 8, 50), 50*time.Second)
+	sim.submitJob(sweepJob("job-1", "normal", 8, 50), 50*time.Second)
 	sim.runFor(25 * time.Second)
 	for _, m := range sim.machines {
 		m.partitioned = true
@@ -159,18 +163,18 @@
 	fencing := sim.stepUntilTermIn(term.Fencing)
 	all := quota.Resources{GPUs: 12}
 	if fencing.Ledger().AdmitsStart("red", all) {
-		t.Error("the whole limit may be used, though no machine has been reconciled")
+		t.Error("the ledger admits the whole limit before any machine has been reconciled")
 	}
 }
 
-// A machine that a successor reconciles for the first time gets the stops for what is
-// cancelled with the very answer that renews its lease.
-func TestRecoveredCancellation(t *testing.T) {
+// Guards against a worker lease that is renewed without a stop command for the cancelled tasks: the
+// answer to a machine's first heartbeat in a term must do both.
+func TestStopSentAtFirstReconciliation(t *testing.T) {
 	sim := steadySimulation(t, 6, 2)
-	cancelled := sim.add(trainingArray("job-100", 2, 300), 400*time.Second)
+	cancelled := sim.submitJob(trainingArray("job-100", 2, 300), 400*time.Second)
 	sim.runFor(40 * time.Second)
-	cut := sim.lastMachineWithTaskOf(cancelled)
-	cut.partitioned = true
+	unreachable := sim.lastMachineWithTaskOf(cancelled)
+	unreachable.partitioned = true
 	sim.leaseHolder().crash(time.Hour)
 	sim.cancel(cancelled)
 	var successor *term.Term
@@ -181,24 +185,25 @@
 		}
 	}
 	if successor == nil || cancelled.KnownState != wire.JobCancelled {
-		t.Fatalf("no successor, or reported as %q", cancelled.KnownState)
+		t.Fatalf("no term is fencing, or the user knows the cancelled job as %q", cancelled.KnownState)
 	}
 	stopped := false
-	successor.HandleHeartbeat(sim.clock.Now(), cut.Heartbeat(), func(status int, body any) {
+	successor.HandleHeartbeat(sim.clock.Now(), unreachable.Heartbeat(), func(status int, body any) {
 		for _, command := range body.(wire.HeartbeatResponse).Commands {
 			id, _, _ := wire.ParseTask(command.Task)
 			stopped = stopped || status == 200 && command.Verb == wire.VerbStop && id == cancelled.Spec.ID
 		}
 	})
 	if !stopped {
-		t.Error("its lease is renewed, and its task not stopped")
+		t.Errorf("the answer to %s has no stop command for %s", unreachable.Host.ID, cancelled.Spec.ID)
 	}
-	cut.partitioned = false
-	sim.release(cut)
+	unreachable.partitioned = false
+	sim.release(unreachable)
 	sim.requireAllJobsEnd()
 }
 
-// lastMachineWithTaskOf is the last machine, by name, that has a task of a job.
+// lastMachineWithTaskOf returns the last machine by name that has a task of the job, or nil if there
+// is none.
 func (sim *simulation) lastMachineWithTaskOf(job *fakes.Job) *machine {
 	var found *machine
 	for _, id := range sim.machineNames() {
@@ -211,7 +216,8 @@
 	return found
 }
 
-// passCancellation has another controller tell a controller of a cancellation.
+// passCancellation delivers a heartbeat with a cancellation from another controller to n and
+// returns the answer of n.
 func (sim *simulation) passCancellation(n *simulatedNode, job string) *peerpb.PeerHeartbeat {
 	other := sim.firstNodeExcept(n)
 	m := other.controller.newPeerHeartbeat(sim.clock.Now(), n.name)
@@ -219,7 +225,7 @@
 	return n.controller.HandlePeerHeartbeat(sim.clock.Now(), m)
 }
 
-// nodeOf is the controller whose term it is.
+// nodeOf returns the controller whose term of the first shard is t, or nil if there is none.
 func (sim *simulation) nodeOf(t *term.Term) *simulatedNode {
 	for _, n := range sim.nodes {
 		if n.controller.terms[0] == t {
--- a/internal/controller/cancellation_outage_test.go
+++ b/internal/controller/cancellation_outage_test.go
@@ -10,45 +10,45 @@
 	"juniperchute/internal/wire"
 )
 
-// cancellationOutage is a case of TestCancelledBeforeOutage.
+// cancellationOutage describes the further faults of a case of TestCancellationBeforeOutage.
 type cancellationOutage struct {
 	name        string
-	before      func(s *outageScenario) // as the state service refuses the lease holder
-	during      func(s *outageScenario) // in the outage
-	keepsLeases bool                    // no worker may lose its lease
+	before      func(s *outageScenario) // runs when the state service begins to refuse the lease holder
+	during      func(s *outageScenario) // runs in the outage
+	keepsLeases bool                    // whether every worker must keep its lease
 }
 
 var cancellationOutages = []cancellationOutage{
 	{
-		name:        "as it was seen",
+		name:        "no further fault, workers keep their leases",
 		keepsLeases: true,
 	},
 	{
-		name:   "the confirming node ends in the outage and is back within a second",
-		during: func(s *outageScenario) { s.confirming.crash(600 * time.Millisecond) },
+		name:   "acknowledging controller restarts within a second during the outage",
+		during: func(s *outageScenario) { s.acknowledging.crash(600 * time.Millisecond) },
 	},
 	{
-		name:   "it ends before it has passed them on, and is back at once",
-		before: crashConfirmingBeforeItPassesOn,
+		name:   "acknowledging controller restarts before it passes the cancellations on",
+		before: crashAcknowledgingBeforePropagation,
 	},
 	{
-		name: "controllers do not reach each other either",
+		name: "no controller reaches a peer",
 		before: func(s *outageScenario) {
 			for _, n := range s.nodes {
-				n.peersCut = true
+				n.peersPartitioned = true
 			}
 		},
 	},
 	{
-		name:   "the confirming node alone is cut off from the others",
-		before: func(s *outageScenario) { s.confirming.peersCut = true },
+		name:   "acknowledging controller is partitioned from its peers",
+		before: func(s *outageScenario) { s.acknowledging.peersPartitioned = true },
 	},
 	{
-		name:   "the lease holder ends in the outage and is back within a second",
+		name:   "lease holder restarts within a second during the outage",
 		during: func(s *outageScenario) { s.holder.crash(400 * time.Millisecond) },
 	},
 	{
-		name: "all end in the outage and are back within a second",
+		name: "all controllers restart within a second during the outage",
 		during: func(s *outageScenario) {
 			for i, n := range s.nodes {
 				n.crash(time.Duration(200+150*i) * time.Millisecond)
@@ -56,39 +56,39 @@
 		},
 	},
 	{
-		name: "a third controller ends in the outage",
+		name: "third controller crashes during the outage",
 		during: func(s *outageScenario) {
 			for _, n := range s.nodes {
-				if n != s.holder && n != s.confirming {
+				if n != s.holder && n != s.acknowledging {
 					n.crash(time.Minute)
 				}
 			}
 		},
 	},
 	{
-		name:   "machines hang as their jobs are cancelled",
+		name:   "machines hang when their jobs are cancelled",
 		before: hangMachinesAtCancellation,
 	},
 	{
-		name:   "no answer of the lease holder reaches some machines",
-		before: cutMachinesInboundAtCancellation,
+		name:   "half of the machines receive no answer",
+		before: blockInboundAtCancellation,
 	},
 }
 
-// justBeforeCancellation is when machines' faults start, after the state service began to
-// refuse the lease holder.
-const justBeforeCancellation = 1450 * time.Millisecond
+// machineFaultDelay is the time from the first refusal of the state service to the start of machine
+// faults, shortly before the jobs are cancelled.
+const machineFaultDelay = 1450 * time.Millisecond
 
-func crashConfirmingBeforeItPassesOn(s *outageScenario) {
-	s.confirming.peersCut = true
+func crashAcknowledgingBeforePropagation(s *outageScenario) {
+	s.acknowledging.peersPartitioned = true
 	s.clock.Schedule(1700*time.Millisecond, func() {
-		s.confirming.crash(300 * time.Millisecond)
-		s.confirming.peersCut = false
+		s.acknowledging.crash(300 * time.Millisecond)
+		s.acknowledging.peersPartitioned = false
 	})
 }
 
 func hangMachinesAtCancellation(s *outageScenario) {
-	s.clock.Schedule(justBeforeCancellation, func() {
+	s.clock.Schedule(machineFaultDelay, func() {
 		for _, m := range s.everyOtherMachine() {
 			m.Hung = true
 			s.clock.Schedule(8*time.Second, func() { m.Hung = false; s.release(m) })
@@ -96,20 +96,17 @@
 	})
 }
 
-func cutMachinesInboundAtCancellation(s *outageScenario) {
-	s.clock.Schedule(justBeforeCancellation, func() {
+func blockInboundAtCancellation(s *outageScenario) {
+	s.clock.Schedule(machineFaultDelay, func() {
 		for _, m := range s.everyOtherMachine() {
-			m.inboundCut = true
+			m.inboundBlocked = true
 		}
 	})
 }
 
-// The state service refuses the lease holder alone, another controller confirms
-// cancellations that the lease holder cannot read there, and then it is down for all,
-// longer than a cancelled job's tasks have, while workers go on sending heartbeats to the
-// lease holder. What the lease holder knows comes from its peers, or its renewals end. That
-// the tasks are terminated in time is checked after each step.
-func TestCancelledBeforeOutage(t *testing.T) {
+// Guards against cancelled tasks that run on because the lease holder cannot read the cancellations
+// from the state service: it must learn of them from its peers or stop renewing worker leases.
+func TestCancellationBeforeOutage(t *testing.T) {
 	for _, c := range cancellationOutages {
 		for seed := range uint64(2) {
 			t.Run(fmt.Sprintf("%s/%d", c.name, seed), func(t *testing.T) {
@@ -120,28 +117,28 @@
 	}
 }
 
-// outageScenario is a deployment in which jobs are cancelled before an outage.
+// outageScenario simulates a deployment whose jobs are cancelled before an outage.
 type outageScenario struct {
 	*simulation
-	holder       *simulatedNode
-	confirming   *simulatedNode    // the controller that confirms the cancellations
-	long         []*fakes.Job      // of long tasks
-	incarnations map[string]uint64 // of the machines
+	holder        *simulatedNode
+	acknowledging *simulatedNode // acknowledges the cancellations to the users
+	longJobs      []*fakes.Job
+	incarnations  map[string]uint64 // by machine, before the outage
 }
 
-// longRunTime is for how long the scenario's long tasks run.
+// longRunTime is the run time of the tasks of longJobs, which exceeds that of any other task.
 const longRunTime = 400 * time.Second
 
-// newOutageScenario is a deployment on which long tasks run.
+// newOutageScenario returns a deployment in which at least six tasks of the long jobs run.
 func newOutageScenario(t *testing.T, seed uint64) *outageScenario {
 	s := &outageScenario{simulation: steadySimulationWith(t, 11+seed, 6, 2), incarnations: map[string]uint64{}}
 	for i := range 4 {
 		spec := trainingArray(fmt.Sprintf("job-1%02d", i), 2, 300)
-		s.long = append(s.long, s.add(spec, longRunTime))
+		s.longJobs = append(s.longJobs, s.submitJob(spec, longRunTime))
 	}
 	s.runFor(45 * time.Second)
 	s.holder = s.leaseHolder()
-	s.confirming = s.lastNodeExcept(s.holder)
+	s.acknowledging = s.lastNodeExcept(s.holder)
 	running := 0
 	for _, id := range s.machineNames() {
 		s.incarnations[id] = s.machines[id].Incarnation
@@ -152,12 +149,12 @@
 		}
 	}
 	if running < 6 {
-		t.Fatalf("only %d long tasks run", running)
+		t.Fatalf("%d tasks of long jobs run, want 6 or more", running)
 	}
 	return s
 }
 
-// everyOtherMachine is half of the machines.
+// everyOtherMachine returns every second machine in the order of the names.
 func (s *outageScenario) everyOtherMachine() []*machine {
 	var half []*machine
 	for i, id := range s.machineNames() {
@@ -168,21 +165,21 @@
 	return half
 }
 
-// run cancels jobs, plays the outage, and lets every job end.
+// run cancels jobs, simulates the outage and waits until every job has ended.
 func (c cancellationOutage) run(s *outageScenario) {
 	s.holder.stateRefused = true
 	if c.before != nil {
 		c.before(s)
 	}
 	s.runFor(1500 * time.Millisecond)
-	cancelled, open := s.long[:3], s.long[3]
+	cancelled, open := s.longJobs[:3], s.longJobs[3]
 	for i, j := range cancelled {
-		s.cancelAtConfirming(j, i == 2)
+		s.cancelThroughAcknowledging(j, i == 2)
 	}
 	s.runFor(300 * time.Millisecond)
 	for _, j := range cancelled {
 		if j.KnownState != wire.JobCancelled {
-			s.t.Fatalf("%s was reported as %q", j.Spec.ID, j.KnownState)
+			s.t.Fatalf("the user knows %s as %q, want %q", j.Spec.ID, j.KnownState, wire.JobCancelled)
 		}
 	}
 	s.state.SetUnavailable(true)
@@ -200,11 +197,11 @@
 	s.requireAllJobsEnd()
 }
 
-// cancelAtConfirming cancels a job through the confirming controller. With resubmission the
-// user learns of the cancellation from a repeated submission, not from the cancellation.
-func (s *outageScenario) cancelAtConfirming(j *fakes.Job, withResubmission bool) {
+// cancelThroughAcknowledging cancels a job through the acknowledging controller. If withResubmission
+// is set, a repeated submission instead of the cancellation tells the user of the final state.
+func (s *outageScenario) cancelThroughAcknowledging(j *fakes.Job, withResubmission bool) {
 	j.CancelRequested = true
-	confirming := s.confirming.controller
+	acknowledging := s.acknowledging.controller
 	now := s.clock.Now()
 	record := func(r submission.Response) {
 		if accepted, ok := r.Body.(wire.JobAccepted); r.Status == 200 && ok {
@@ -212,13 +209,15 @@
 		}
 	}
 	if withResubmission {
-		confirming.Cancel(now, j.Spec.ID, func(submission.Response) { confirming.Submit(now, j.Spec, record) })
+		resubmit := func(submission.Response) { acknowledging.Submit(now, j.Spec, record) }
+		acknowledging.Cancel(now, j.Spec.ID, resubmit)
 		return
 	}
-	confirming.Cancel(now, j.Spec.ID, record)
+	acknowledging.Cancel(now, j.Spec.ID, record)
 }
 
-// checkLeasesKept checks that every machine still has the incarnation that it had.
+// checkLeasesKept adds a violation for each machine whose incarnation has changed since the outage
+// began: a worker takes a new incarnation when its lease expires.
 func (s *outageScenario) checkLeasesKept() {
 	for id, incarnation := range s.incarnations {
 		if m := s.machines[id]; m != nil && m.Incarnation != incarnation {
@@ -227,14 +226,14 @@
 	}
 }
 
-// endFaults ends the outage and all faults.
+// endFaults ends the outage and the faults that last until they are ended explicitly.
 func (s *outageScenario) endFaults() {
 	s.holder.stateRefused = false
 	for _, n := range s.nodes {
-		n.peersCut = false
+		n.peersPartitioned = false
 	}
 	for _, id := range s.machineNames() {
-		s.machines[id].inboundCut = false
+		s.machines[id].inboundBlocked = false
 	}
 	s.state.SetUnavailable(false)
 }
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -6,30 +6,29 @@
 	"time"
 )
 
-// A direct command with a start is held up on its way for longer than a cancelled job's
-// tasks have, on machines that others' work keeps busy. A stop cannot overtake it: only
-// the end of the machine's incarnation voids it.
+// Guards against a start command that is delayed beyond the time in which a cancelled job's tasks
+// must have stopped: only a new incarnation of the machine makes it invalid, as no stop overtakes it.
 func TestCancelledStartInTransit(t *testing.T) {
 	sim := steadySimulation(t, 2, 1)
 	sim.runFor(40 * time.Second)
 	for i := range 3 {
-		sim.add(sweepJob(fmt.Sprintf("job-1%02d", i), "high", 1, 200), 200*time.Second)
+		sim.submitJob(sweepJob(fmt.Sprintf("job-1%02d", i), "high", 1, 200), 200*time.Second)
 	}
 	sim.runFor(30 * time.Second)
 	sim.rates.delayedCommands, sim.rates.commandDelay = 1, 60*time.Second
-	gang := sim.add(trainingGang("job-200", 1, 10), 10*time.Second)
+	gang := sim.submitJob(trainingGang("job-200", 1, 10), 10*time.Second)
 	for range 100 {
 		if sim.runFor(50 * time.Millisecond); sim.commandsInTransit() > 0 {
 			break
 		}
 	}
 	if sim.commandsInTransit() == 0 {
-		t.Fatal("no direct command is on its way")
+		t.Fatal("no direct command is in transit")
 	}
 	sim.rates = faultRates{}
 	for _, m := range sim.machines {
 		if len(m.Tasks) == 0 {
-			t.Fatalf("%s has no other work", m.Host.ID)
+			t.Fatalf("%s has no tasks of other jobs", m.Host.ID)
 		}
 	}
 	sim.cancel(gang)
@@ -37,7 +36,8 @@
 	sim.requireAllJobsEnd()
 }
 
-// commandsInTransit is how many workers have a direct command of the lease holder under way.
+// commandsInTransit returns the number of workers to which the lease holder has sent a direct
+// command that is not answered yet.
 func (sim *simulation) commandsInTransit() int {
 	count := 0
 	shardTerm := sim.leaseHolder().controller.terms[0]
--- a/internal/controller/cancellation_watermark_test.go
+++ b/internal/controller/cancellation_watermark_test.go
@@ -8,36 +8,36 @@
 	"juniperchute/internal/peer/peerpb"
 )
 
-// acknowledgementCase is a case of TestCancellationAcknowledgements: what peers say to a
-// lease holder that cannot read the state service.
+// acknowledgementCase describes the heartbeats that peers send to a lease holder without contact to
+// the state service.
 type acknowledgementCase struct {
 	name     string
-	change   func(holder *simulatedNode, m *peerpb.PeerHeartbeat)
-	advances bool // whether the lease holder's cancellation watermark advances
+	change   func(holder *simulatedNode, m *peerpb.PeerHeartbeat) // changes a peer's heartbeat
+	advances bool                                                 // whether the watermark must advance
 }
 
 var acknowledgementCases = []acknowledgementCase{
 	{
-		name:     "peers that say they have acknowledged nothing else",
+		name:     "complete cancellations from all peers advance it",
 		change:   func(*simulatedNode, *peerpb.PeerHeartbeat) {},
 		advances: true,
 	},
 	{
-		name:   "peers that lost count",
+		name:   "incomplete cancellations do not advance it",
 		change: func(_ *simulatedNode, m *peerpb.PeerHeartbeat) { m.CancellationsComplete = false },
 	},
 	{
-		name: "peers that know of an older token: what the lease holder before has was passed to that one",
+		name: "peers with an older fencing token, whose cancellations went to an earlier lease holder",
 		change: func(_ *simulatedNode, m *peerpb.PeerHeartbeat) {
 			m.Claims = []*peerpb.LeaseClaim{{Token: m.Claims[0].Token - 1, Holder: m.Claims[0].Holder}}
 		},
 	},
 	{
-		name:   "peers that know of no lease holder",
+		name:   "peers that know no lease holder",
 		change: func(_ *simulatedNode, m *peerpb.PeerHeartbeat) { m.Claims = nil },
 	},
 	{
-		name: "peers that echo a former process of the lease holder's name: the mark is of another clock",
+		name: "peers that echo the clock of the member's earlier process",
 		change: func(_ *simulatedNode, m *peerpb.PeerHeartbeat) {
 			m.EchoProcess++
 			m.EchoNs += int64(time.Hour)
@@ -52,30 +52,30 @@
 		},
 	},
 	{
-		name: "peers that were replaced since the lease holder's last read",
+		name: "peers that restarted since the lease holder's last read",
 		change: func(_ *simulatedNode, m *peerpb.PeerHeartbeat) {
 			m.Process++
 			m.UpMs = 100
 		},
 	},
 	{
-		name: "nobody's while the records are being read: what is cancelled cannot be stopped yet",
+		name: "complete cancellations do not advance it while the term is loading",
 		change: func(holder *simulatedNode, _ *peerpb.PeerHeartbeat) {
 			holder.restartTerm()
 		},
 	},
 }
 
-// Whose acknowledgement advances a lease holder's cancellation watermark while it cannot
-// read the state service itself, and what else may not.
+// Guards against a cancellation watermark that passes a cancellation unknown to the lease holder:
+// while it cannot read the state service, only heartbeats of peers may advance the watermark.
 func TestCancellationAcknowledgements(t *testing.T) {
 	for _, c := range acknowledgementCases {
 		t.Run(c.name, c.run)
 	}
-	t.Run("own reads of jobs, while the control records are not read", testReadsOfJobsOnly)
+	t.Run("own reads of jobs do not advance it while control records are not read", testReadsOfJobsOnly)
 }
 
-// run lets a lease holder hear from its peers while the state service is out.
+// run delivers the case's heartbeats to a lease holder during an outage of the state service.
 func (c acknowledgementCase) run(t *testing.T) {
 	sim := steadySimulation(t, 6, 8)
 	holder := sim.leaseHolder()
@@ -88,7 +88,7 @@
 			c.change(holder, m)
 			heartbeats = append(heartbeats, m)
 		}
-		n.peersCut = true
+		n.peersPartitioned = true
 	}
 	shardTerm := holder.controller.terms[0]
 	shardTerm.CancellationWatermark(sim.clock.Now())
@@ -102,23 +102,24 @@
 	shardTerm = holder.controller.terms[0]
 	after := shardTerm.CancellationWatermark(sim.clock.Now())
 	if advanced := after.After(before); advanced != c.advances || after.After(sim.clock.Now()) {
-		t.Errorf("watermark advanced by %v, want %v", after.Sub(before), c.advances)
+		t.Errorf("watermark advanced by %v to %v before now; want an advance: %t",
+			after.Sub(before), sim.clock.Now().Sub(after), c.advances)
 	}
 }
 
-// testReadsOfJobsOnly lets a lease holder read jobs but not the control records, which may
-// say that it has lost its lease.
+// testReadsOfJobsOnly lets a lease holder read the jobs but not the control records, which would
+// tell it that it has lost its lease.
 func testReadsOfJobsOnly(t *testing.T) {
 	sim := steadySimulation(t, 6, 8)
 	holder := sim.leaseHolder()
-	holder.silentWatches, holder.peersCut = leader.ControlPrefix, true
+	holder.silentWatches, holder.peersPartitioned = leader.ControlPrefix, true
 	sim.runFor(10 * time.Second)
 	if n := sim.leaseHolder(); n != holder {
-		t.Fatal("it is not the lease holder any more")
+		t.Fatalf("%s no longer holds the lease", holder.name)
 	}
 	shardTerm := holder.controller.terms[0]
 	watermark := shardTerm.CancellationWatermark(sim.clock.Now())
 	if age := sim.clock.Now().Sub(watermark); age < 4*time.Second {
-		t.Errorf("its watermark is %v old, and it may have lost the shard's lease since", age)
+		t.Errorf("watermark is %v old, want 4s or more: the shard's lease may have been lost since", age)
 	}
 }
--- a/internal/controller/completions_test.go
+++ b/internal/controller/completions_test.go
@@ -8,9 +8,9 @@
 	"juniperchute/internal/tuning"
 )
 
-// While the state service takes few writes, the ends of jobs of higher priority are reported
-// first, and no more than a few are written at once.
-func TestEndsUnderAShortRate(t *testing.T) {
+// Guards against high-priority job ends that wait behind low-priority ones at a low write rate of
+// the state service, and against an unbounded number of concurrent writes.
+func TestJobEndsUnderLowWriteRate(t *testing.T) {
 	sim := newSimulation(t, 5, testConfig(oneZone, steadyTeams, 1.5, 10), 1, oneZoneTypes)
 	sim.cloud.Available[fakes.CapacityKey(smallType.Name, "a", false)] = 40
 	for i := range 150 {
@@ -19,10 +19,10 @@
 		if i%15 == 0 {
 			spec.Priority = "high"
 		}
-		sim.add(spec, 20*time.Second)
+		sim.submitJob(spec, 20*time.Second)
 	}
 	sim.runFor(26 * time.Second)
-	sim.state.Limits.WritesPerS = 4 // two ends a second
+	sim.state.Limits.WritesPerS = 4 // enough for two job ends per second
 	completed, longest := map[*fakes.Job]time.Time{}, map[string]time.Duration{}
 	sim.cluster.OnCompleted = func(j *fakes.Job) { completed[j] = sim.clock.Now() }
 	for range 120 {
@@ -33,7 +33,7 @@
 				continue
 			}
 			if inFlight := shardTerm.JobEndsInFlight(); inFlight > tuning.MaxJobEndsInFlight {
-				t.Fatalf("%d ends are under way", inFlight)
+				t.Fatalf("%d job ends are in flight, want at most %d", inFlight, tuning.MaxJobEndsInFlight)
 			}
 		}
 		for j, at := range completed {
@@ -43,10 +43,12 @@
 		}
 	}
 	if longest["low"] < 20*time.Second {
-		t.Errorf("ends of low priority waited %v at most: the rate is not short", longest["low"])
+		t.Errorf("low-priority job ends waited %v at most, want 20s or more: the write rate is no bottleneck",
+			longest["low"])
 	}
 	if longest["high"] > longest["low"]*3/4 {
-		t.Errorf("an end of high priority waited %v, of low priority %v at most", longest["high"], longest["low"])
+		t.Errorf("high-priority job ends waited up to %v, want at most 3/4 of the low-priority %v",
+			longest["high"], longest["low"])
 	}
 	sim.requireNoViolations()
 }
--- a/internal/controller/digest_test.go
+++ b/internal/controller/digest_test.go
@@ -19,23 +19,23 @@
 	"juniperchute/internal/wire"
 )
 
-// digestVariable names the environment variable with the file that digests are added to.
+// digestVariable names the environment variable that holds the path of the digest file. Without it
+// no digests are computed.
 const digestVariable = "SIMULATION_DIGEST"
 
-// digestFile serialises what parallel simulations add to the file.
-var digestFile sync.Mutex
+// digestFileMutex serialises the writes of parallel simulations to the digest file.
+var digestFileMutex sync.Mutex
 
-// digest hashes every effect that leaves the controllers of one simulation: the bytes and
-// the simulated time. It shows whether a change of names or shape has changed behaviour.
-// A nil digest records nothing. It names no Go type or field, so that renaming them
-// leaves it as it is.
+// digest hashes the content and the simulated time of every effect of a simulation's controllers.
+// Equal digests before and after a refactoring show that behaviour is unchanged. The hash depends on
+// no name of a Go type or field. A nil digest records nothing.
 type digest struct {
 	hash    hash.Hash
-	effects int
+	effects int // number of effects hashed
 }
 
-// newDigest makes the digest of a simulation and has it written when the test ends. It is
-// nil when no digests are asked for.
+// newDigest returns the digest of a simulation, which is written to the digest file when the test
+// ends. It returns nil if digestVariable is not set.
 func newDigest(t *testing.T) *digest {
 	file := os.Getenv(digestVariable)
 	if t == nil || file == "" {
@@ -50,13 +50,13 @@
 	return d
 }
 
-// write adds a line with the test's name, the number of its effects and their hash.
+// write appends a line with the test's name, the number of its effects and their hash to a file.
 func (d *digest) write(file, name string) error {
-	digestFile.Lock()
-	defer digestFile.Unlock()
+	digestFileMutex.Lock()
+	defer digestFileMutex.Unlock()
 	out, err := os.OpenFile(file, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
-		return err
+		return fmt.Errorf("open digest file: %w", err)
 	}
 	if _, err := fmt.Fprintf(out, "%q %d %x\n", name, d.effects, d.hash.Sum(nil)); err != nil {
 		out.Close()
@@ -65,7 +65,7 @@
 	return out.Close()
 }
 
-// add hashes one effect.
+// add hashes one effect of a node: protobuf parts in their wire form, others as JSON.
 func (d *digest) add(at time.Time, node, kind string, parts ...any) {
 	d.effects++
 	fmt.Fprintln(d.hash, sinceEpoch(at), node, kind)
@@ -78,13 +78,13 @@
 			raw, err = json.Marshal(part)
 		}
 		if err != nil {
-			panic(fmt.Sprintf("digest of %s: %v", kind, err))
+			panic(fmt.Sprintf("encode %s effect for digest: %v", kind, err))
 		}
 		fmt.Fprintf(d.hash, "%d %s\n", len(raw), raw)
 	}
 }
 
-// sinceEpoch is a simulated moment; the zero time stays apart from all of them.
+// sinceEpoch returns the nanoseconds from the start of simulated time to at, or -1 for the zero time.
 func sinceEpoch(at time.Time) int64 {
 	if at.IsZero() {
 		return -1
@@ -92,6 +92,7 @@
 	return int64(at.Sub(fakes.Epoch))
 }
 
+// recordStateCall adds a call of the state service to the digest.
 func (sim *simulation) recordStateCall(node string, c store.Call) {
 	if d := sim.digest; d != nil {
 		d.add(sim.clock.Now(), node, "state",
@@ -100,40 +101,42 @@
 	}
 }
 
+// recordCloudCall adds a call of the cloud to the digest.
 func (sim *simulation) recordCloudCall(node string, c cloud.Call) {
 	if d := sim.digest; d != nil {
 		d.add(sim.clock.Now(), node, "cloud", c.Operation, c.Request, c.Hosts, c.After, sinceEpoch(c.Deadline))
 	}
 }
 
+// recordCommand adds a direct command to a worker to the digest.
 func (sim *simulation) recordCommand(node, address string, do wire.DirectCommands, by time.Time) {
 	if d := sim.digest; d != nil {
 		d.add(sim.clock.Now(), node, "command", address, do, sinceEpoch(by))
 	}
 }
 
-// recordPeerCall records a message to another controller.
+// recordPeerCall adds a request to another controller to the digest.
 func (sim *simulation) recordPeerCall(node, member, method string, message proto.Message) {
 	if d := sim.digest; d != nil {
 		d.add(sim.clock.Now(), node, "peer", member, method, message)
 	}
 }
 
-// recordPeerAnswer records what a controller answers another one.
+// recordPeerAnswer adds a controller's answer to a peer to the digest.
 func (sim *simulation) recordPeerAnswer(node, method string, message proto.Message) {
 	if d := sim.digest; d != nil {
 		d.add(sim.clock.Now(), node, "peer answer", method, message)
 	}
 }
 
-// recordWorkerAnswer records what a controller answers a worker's heartbeat.
+// recordWorkerAnswer adds a controller's answer to a worker's heartbeat to the digest.
 func (sim *simulation) recordWorkerAnswer(node, host string, status int, body any) {
 	if d := sim.digest; d != nil {
 		d.add(sim.clock.Now(), node, "worker answer", host, status, body)
 	}
 }
 
-// recordUserAnswer records what a controller answers a user.
+// recordUserAnswer adds a controller's answer to a user's request to the digest.
 func (sim *simulation) recordUserAnswer(node string, r submission.Response) {
 	if d := sim.digest; d != nil {
 		d.add(sim.clock.Now(), node, "user answer", r.Status, r.Body, r.RetryAfter)
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -12,21 +12,20 @@
 	"juniperchute/internal/wire"
 )
 
-// BenchmarkTakeover measures what a failover of a large shard costs: all controllers start,
-// and one has to read, fence and answer for every machine and open job. The processor time
-// includes the fakes'.
-func BenchmarkTakeover(b *testing.B) {
+// BenchmarkFailover measures the failover of a large shard. All controllers start, and one of them
+// loads, fences and reconciles every machine and open job. The real time includes the fakes.
+func BenchmarkFailover(b *testing.B) {
 	for _, size := range []struct{ machines, jobs int }{{850, 4000}, {1850, 6000}, {largeFleet, 12000}} {
 		b.Run(fmt.Sprintf("%d-machines-%d-jobs", size.machines, size.jobs), func(b *testing.B) {
 			for range b.N {
-				benchmarkFailover(b, size.machines, size.jobs)
+				measureFailover(b, size.machines, size.jobs)
 			}
 		})
 	}
 }
 
-// benchmarkFailover measures one failover, and the three seconds after it.
-func benchmarkFailover(b *testing.B, machines, jobs int) {
+// measureFailover measures one failover and the three simulated seconds after it.
+func measureFailover(b *testing.B, machines, jobs int) {
 	cfg := testConfig(oneZone, steadyTeams, 4, 18)
 	cfg.Platform.State.ValueKB = 8
 	sim := newSimulation(nil, 5, cfg, 1, []wire.MachineType{largeMachineType(50)})
@@ -50,8 +49,7 @@
 	}
 }
 
-// storeMachines makes running machines, with the records that an earlier lease holder has
-// left of them.
+// storeMachines adds running machines and the records that an earlier lease holder stored for them.
 func (sim *simulation) storeMachines(count int) {
 	const perRequest = 50
 	const perPage = 5 * perRequest
@@ -74,7 +72,7 @@
 	sim.cloud.Created = count
 }
 
-// storeOpenJob stores a job that was accepted before, a gang or an array.
+// storeOpenJob stores the record of an accepted job: a gang if number is even, else an array.
 func (sim *simulation) storeOpenJob(number int) {
 	spec := sweepJob(fmt.Sprintf("job-%06d", number), "low", 60, 30)
 	spec.Vcpus, spec.Gpus, spec.MemGb = 6, 1, 36
@@ -88,7 +86,8 @@
 	sim.storeDirectly(submission.OpenJobKey(spec.ID), record)
 }
 
-// storeDirectly stores a value without a call of the state service.
+// storeDirectly stores a value under a key without a call of the state service. Watches do not report
+// the change.
 func (sim *simulation) storeDirectly(key string, value any) {
 	raw, _ := json.Marshal(value)
 	sim.state.Revision++
--- a/internal/controller/fault_combinations_test.go
+++ b/internal/controller/fault_combinations_test.go
@@ -8,170 +8,170 @@
 	"juniperchute/internal/fakes"
 )
 
-// faultCombination is a combination of faults that is played on a few seeds.
+// faultCombination describes a combination of faults and the deployment on which it occurs.
 type faultCombination struct {
-	name  string
-	zones int // one or two
-	teams []config.Team
-	play  func(s *faultScenario)
+	name     string
+	zones    int // 1 or 2
+	teams    []config.Team
+	simulate func(s *faultScenario)
 }
 
-// faultCombinations are the combinations of faults that docs/fault-combinations.md lists.
+// faultCombinations holds the combinations of faults that docs/fault-combinations.md lists.
 var faultCombinations = []faultCombination{
 	{
-		name:  "leaders change ten times in two minutes, also in an outage",
-		zones: 1,
-		teams: limitedTeams,
-		play:  playFrequentLeaderChanges,
+		name:     "lease holder crashes ten times in two minutes, also during an outage",
+		zones:    1,
+		teams:    limitedTeams,
+		simulate: simulateFrequentFailovers,
 	},
 	{
-		name:  "jobs bound to one zone lose machines",
-		zones: 2,
-		teams: limitedTeams,
-		play:  playZoneBoundJobsLoseMachines,
+		name:     "machines are deleted under jobs bound to one zone",
+		zones:    2,
+		teams:    limitedTeams,
+		simulate: simulateZoneBoundJobsLoseMachines,
 	},
 	{
-		name:  "cancelled as the state service refuses the leader, and then it is out",
-		zones: 1,
-		teams: limitedTeams,
-		play:  playCancellationsBeforeOutage,
+		name:     "jobs are cancelled while the state service refuses the lease holder, before an outage",
+		zones:    1,
+		teams:    limitedTeams,
+		simulate: simulateCancellationsBeforeOutage,
 	},
 	{
-		name:  "jobs of two or three tasks end far apart across a change of leader",
-		zones: 1,
-		teams: limitedTeams,
-		play:  playTasksEndAcrossFailover,
+		name:     "tasks of small jobs end before and after a failover",
+		zones:    1,
+		teams:    limitedTeams,
+		simulate: simulateTasksEndAcrossFailover,
 	},
 	{
-		name:  "every team at its limit, cancelled with machines cut off or hung, and the leader changes",
-		zones: 1,
-		teams: tightTeams,
-		play:  playFullTeamsCancelDuringMachineFaults,
+		name:     "jobs of teams at their limits are cancelled while machines are unreachable, before a failover",
+		zones:    1,
+		teams:    smallQuotaTeams,
+		simulate: simulateFullTeamsCancelDuringMachineFaults,
 	},
 	{
-		name:  "controllers hand over and back, all end, and one returns",
-		zones: 1,
-		teams: limitedTeams,
-		play:  playRepeatedFailovers,
+		name:     "repeated failovers, then all controllers crash and one restarts first",
+		zones:    1,
+		teams:    limitedTeams,
+		simulate: simulateRepeatedFailovers,
 	},
 	{
-		name:  "a zone with workers and a controller is cut off for longer than a lease",
-		zones: 2,
-		teams: limitedTeams,
-		play:  playZonePartition,
+		name:     "a zone with workers and a controller is partitioned for longer than a lease",
+		zones:    2,
+		teams:    limitedTeams,
+		simulate: simulateZonePartition,
 	},
 	{
-		name:  "all controllers are away for longer than a lease",
-		zones: 1,
-		teams: limitedTeams,
-		play:  playAllControllersDown,
+		name:     "all controllers are down for longer than a lease",
+		zones:    1,
+		teams:    limitedTeams,
+		simulate: simulateAllControllersDown,
 	},
 	{
-		name:  "workers reach no controller, commands reach them",
-		zones: 1,
-		teams: limitedTeams,
-		play:  playWorkersCutOutbound,
+		name:     "workers reach no controller while direct commands reach them",
+		zones:    1,
+		teams:    limitedTeams,
+		simulate: simulateOutboundPartition,
 	},
 	{
-		name:  "machines are up at once and get work while writes lag, and the leader ends",
-		zones: 1,
-		teams: limitedTeams,
-		play:  playInstantBootsWithLateWrites,
+		name:     "machines boot at once while writes are delayed and the lease holder crashes",
+		zones:    1,
+		teams:    limitedTeams,
+		simulate: simulateInstantBootsWithDelayedWrites,
 	},
 	{
-		name:  "a cancellation, a question or a submission meets the end of a job",
-		zones: 1,
-		teams: limitedTeams,
-		play:  playRequestsAtJobEnd,
+		name:     "cancellations, queries and submissions arrive as a job ends",
+		zones:    1,
+		teams:    limitedTeams,
+		simulate: simulateRequestsAtJobEnd,
 	},
 	{
-		name:  "users ask at all nodes within milliseconds of each news",
-		zones: 1,
-		teams: limitedTeams,
-		play:  playBurstsOfQueries,
+		name:     "users query all controllers within milliseconds of each change",
+		zones:    1,
+		teams:    limitedTeams,
+		simulate: simulateQueryBursts,
 	},
 	{
-		name:  "a command or its answer is held up for seconds, and the machine goes on",
-		zones: 1,
-		teams: limitedTeams,
-		play:  playDelayedCommands,
+		name:     "direct commands or their replies are delayed for seconds",
+		zones:    1,
+		teams:    limitedTeams,
+		simulate: simulateDelayedCommands,
 	},
 	{
-		name:  "jobs are cancelled while one controller's work changes hands",
-		zones: 1,
-		teams: limitedTeams,
-		play:  playCancellationsDuringFailover,
+		name:     "jobs are cancelled during a failover",
+		zones:    1,
+		teams:    limitedTeams,
+		simulate: simulateCancellationsDuringFailover,
 	},
 	{
-		name:  "a leader ends while machines with long tasks are not reached, or do not hear the next",
-		zones: 1,
-		teams: limitedTeams,
-		play:  playFailoverWithUnreachableMachines,
+		name:     "lease holder crashes while machines with long tasks are unreachable",
+		zones:    1,
+		teams:    limitedTeams,
+		simulate: simulateFailoverWithUnreachableMachines,
 	},
 	{
-		name:  "an old heartbeat reaches every controller as a new leader begins, or has acted",
-		zones: 1,
-		teams: limitedTeams,
-		play:  playOldHeartbeatsToNewLeader,
+		name:     "old heartbeats reach every controller as a new term starts",
+		zones:    1,
+		teams:    limitedTeams,
+		simulate: simulateOldHeartbeatsToNewLeaseHolder,
 	},
 	{
-		name:  "transactions are carried out late, after newer ones",
-		zones: 1,
-		teams: limitedTeams,
-		play:  playLateTransactions,
+		name:     "transactions are executed after later ones",
+		zones:    1,
+		teams:    limitedTeams,
+		simulate: simulateDelayedTransactions,
 	},
 	{
-		name:  "transactions are carried out, their answers lost, while others read what they wrote",
-		zones: 1,
-		teams: limitedTeams,
-		play:  playLostTransactionReplies,
+		name:     "transactions are executed but their replies are lost",
+		zones:    1,
+		teams:    limitedTeams,
+		simulate: simulateLostTransactionReplies,
 	},
 	{
-		name:  "more work than room, urgent and not, over slow links",
-		zones: 1,
-		teams: tightTeams,
-		play:  playOverloadOnSlowLinks,
+		name:     "more jobs of all priorities than capacity, over slow links",
+		zones:    1,
+		teams:    smallQuotaTeams,
+		simulate: simulateOverloadOnSlowLinks,
 	},
 	{
-		name:  "one-task jobs come four a second, a quarter of them cancelled",
-		zones: 1,
-		teams: limitedTeams,
-		play:  playHighJobRate,
+		name:     "four one-task jobs per second, a quarter of them cancelled",
+		zones:    1,
+		teams:    limitedTeams,
+		simulate: simulateHighJobRate,
 	},
 	{
-		name:  "the state service is slow, or refuses the leader and then all, while users cancel and ask",
-		zones: 1,
-		teams: limitedTeams,
-		play:  playSlowThenRefusingStateService,
+		name:     "state service is slow, then refuses the lease holder, then all, while users cancel and query",
+		zones:    1,
+		teams:    limitedTeams,
+		simulate: simulateSlowThenRefusingStateService,
 	},
 	{
-		name:  "old heartbeats come after newer ones, also of an earlier incarnation or attempt",
-		zones: 1,
-		teams: limitedTeams,
-		play:  playReorderedHeartbeats,
+		name:     "old heartbeats arrive after newer ones, also of an earlier incarnation or attempt",
+		zones:    1,
+		teams:    limitedTeams,
+		simulate: simulateReorderedHeartbeats,
 	},
 	{
-		name:  "a leader left with its workers and users, jobs cancelled through the new one",
-		zones: 1,
-		teams: limitedTeams,
-		play:  playLeaderLeftWithWorkers,
+		name:     "lease holder is isolated with its workers while jobs are cancelled through its successor",
+		zones:    1,
+		teams:    limitedTeams,
+		simulate: simulateLeaseHolderIsolations,
 	},
 	{
-		name:  "a team at its limit, the leader changes, machines cannot be asked, a cancellation in that spell",
-		zones: 1,
-		teams: tightTeams,
-		play:  playFullTeamDuringFailover,
+		name:     "jobs of teams at their limits are cancelled during a failover with unreachable machines",
+		zones:    1,
+		teams:    smallQuotaTeams,
+		simulate: simulateFullTeamDuringFailover,
 	},
 	{
-		name:  "everything is back within a fraction of a second, also in mid-election",
-		zones: 1,
-		teams: limitedTeams,
-		play:  playQuickRestarts,
+		name:     "controllers restart within a fraction of a second, also during an election",
+		zones:    1,
+		teams:    limitedTeams,
+		simulate: simulateQuickRestarts,
 	},
 }
 
-// TestFaultCombinations plays combinations of faults, each on a few seeds, with the rules
-// checked after each step.
+// TestFaultCombinations guards against violations of the protocol's rules, which are checked after
+// each event, and against jobs that never end, under combinations of faults.
 func TestFaultCombinations(t *testing.T) {
 	for _, c := range faultCombinations {
 		for seed := range 2 * seedFactor() {
@@ -183,8 +183,8 @@
 	}
 }
 
-// run plays a combination on one seed, and then lets every job end. Every other seed has
-// long leases.
+// run simulates a combination on one seed and waits until every job has ended. Odd seeds have long
+// worker leases.
 func (c faultCombination) run(t *testing.T, seed int) {
 	zones, machineTypes := oneZone, oneZoneTypes
 	if c.zones == 2 {
@@ -200,9 +200,9 @@
 		sim.cloud.Available[fakes.CapacityKey(machineTypes[0].Name, zone, false)] = 8
 	}
 	s := &faultScenario{simulation: sim, zones: zones, machineTypes: machineTypes}
-	c.play(s)
+	c.simulate(s)
 	s.isolatedZone = ""
-	sim.finish()
+	sim.endFaultsAndAwaitJobs()
 	if len(sim.violations()) > 0 {
 		t.Fatalf("seed %d: %s", seed, sim.violations()[0])
 	}
--- a/internal/controller/fault_scenario_test.go
+++ b/internal/controller/fault_scenario_test.go
@@ -9,23 +9,23 @@
 	"juniperchute/internal/wire"
 )
 
-// faultScenario is what a combination of faults is played with.
+// faultScenario provides a fault combination with a simulation and random jobs for it.
 type faultScenario struct {
 	*simulation
-	zones        []string
-	machineTypes []wire.MachineType
-	jobCount     int // jobs submitted so far
+	zones         []string
+	machineTypes  []wire.MachineType
+	submittedJobs int
 }
 
-// priorities are the priorities that random jobs have.
+// priorities lists the priorities of which random jobs draw one.
 var priorities = []string{"low", "normal", "high", "critical"}
 
-// job makes a user submit a random job, changed as a scenario needs it. The order of the
-// random draws is part of the scenario.
-func (s *faultScenario) job(change func(spec *wire.JobSpec), runTime time.Duration) *fakes.Job {
+// submitRandomJob lets a user submit a random job; change, if not nil, adapts its specification. The
+// order of the random draws must not change, as a seed determines the whole simulation.
+func (s *faultScenario) submitRandomJob(change func(spec *wire.JobSpec), runTime time.Duration) *fakes.Job {
 	teams := s.cfg.Platform.Teams
 	spec := wire.JobSpec{
-		ID:                fmt.Sprintf("job-%06d", s.jobCount),
+		ID:                fmt.Sprintf("job-%06d", s.submittedJobs),
 		Team:              teams[s.rng.IntN(len(teams))].Name,
 		Class:             "sweep",
 		Shape:             wire.ShapeBatch,
@@ -50,25 +50,25 @@
 	if change != nil {
 		change(&spec)
 	}
-	s.jobCount++
-	return s.add(spec, runTime)
+	s.submittedJobs++
+	return s.submitJob(spec, runTime)
 }
 
-// jobs makes users submit several random jobs.
-func (s *faultScenario) jobs(count int, least, most time.Duration) {
+// submitRandomJobs submits random jobs whose run times lie between minRunTime and maxRunTime.
+func (s *faultScenario) submitRandomJobs(count int, minRunTime, maxRunTime time.Duration) {
 	for range count {
-		s.job(nil, least+time.Duration(s.rng.Int64N(int64(most-least)+1)))
+		s.submitRandomJob(nil, minRunTime+time.Duration(s.rng.Int64N(int64(maxRunTime-minRunTime)+1)))
 	}
 }
 
-// randomMillis is a random time from least to most milliseconds.
-func (s *faultScenario) randomMillis(least, most int) time.Duration {
-	return time.Duration(least+s.rng.IntN(most-least+1)) * time.Millisecond
+// randomMillis returns a random duration between two numbers of milliseconds, both included.
+func (s *faultScenario) randomMillis(minMillis, maxMillis int) time.Duration {
+	return time.Duration(minMillis+s.rng.IntN(maxMillis-minMillis+1)) * time.Millisecond
 }
 
-// leaderOrAny is the controller that holds the shard's lease or is taking it over, or
-// any controller if there is none.
-func (s *faultScenario) leaderOrAny() *simulatedNode {
+// leaseHolderOrAny returns the controller with the shard's lease, also while its term is not open
+// yet. It returns a random controller if there is none.
+func (s *faultScenario) leaseHolderOrAny() *simulatedNode {
 	for _, n := range s.nodes {
 		t := n.controller.terms[0]
 		if n.alive && t != nil && t.State() != term.Ended && n.controller.membership.LeaseValid(s.clock.Now()) {
@@ -78,17 +78,17 @@
 	return s.nodes[s.rng.IntN(len(s.nodes))]
 }
 
-// cancelSome has users cancel a part of the jobs that are not over, within a fifth of a
-// second.
-func (s *faultScenario) cancelSome(share float64) {
+// cancelRandomJobs lets users cancel each job that is not known as done with the given probability,
+// within 200 ms.
+func (s *faultScenario) cancelRandomJobs(probability float64) {
 	for _, j := range s.cluster.Submitted {
-		if j.Accepted && !j.CancelRequested && j.KnownState != wire.JobDone && s.rng.Float64() < share {
+		if j.Accepted && !j.CancelRequested && j.KnownState != wire.JobDone && s.rng.Float64() < probability {
 			s.clock.Schedule(s.randomMillis(0, 200), func() { s.cancel(j) })
 		}
 	}
 }
 
-// applyFaultToShare applies a fault to a part of the machines for a time.
+// applyFaultToShare applies a fault to each machine with probability share and ends it after d.
 func (s *faultScenario) applyFaultToShare(share float64, d time.Duration, set machineFlag) {
 	var chosen []*machine
 	for _, name := range s.machineNames() {
--- a/internal/controller/faults_controllers_test.go
+++ b/internal/controller/faults_controllers_test.go
@@ -10,32 +10,32 @@
 	"juniperchute/internal/wire"
 )
 
-// playLeaseHolderIsolated leaves the lease holder with its workers only: it stops acting,
-// and the workers move to its successor.
-func playLeaseHolderIsolated(sim *simulation) {
+// simulateLeaseHolderIsolation partitions the lease holder from all but its workers. Its lease must
+// expire, and the workers must move to its successor.
+func simulateLeaseHolderIsolation(sim *simulation) {
 	holder := sim.leaseHolder()
 	holder.isolate()
 	sim.runFor(tuning.MemberLease + time.Second)
 	if holder.controller.membership.LeaseValid(sim.clock.Now()) {
-		sim.addViolation("the old lease holder still decides")
+		sim.addViolation("the lease of %s is valid after an isolation longer than the lease", holder.name)
 	}
 	sim.runFor(8 * time.Second)
 	if successor := sim.leaseHolder(); successor == nil || successor == holder {
-		sim.addViolation("no successor is open")
+		sim.addViolation("no other controller has an open term")
 		return
 	}
 	for _, id := range sim.machineNames() {
 		m := sim.machines[id]
 		if sim.nodes[m.Controller] == holder || m.Incarnation != 1 {
-			sim.addViolation("%s has not moved over, incarnation %d", id, m.Incarnation)
+			sim.addViolation("%s has not moved to the successor or lost its lease: incarnation %d", id, m.Incarnation)
 		}
 	}
 	holder.reconnect()
 }
 
-// playCancellationBesideIsolatedLeaseHolder cancels a job while the lease holder reaches
-// its workers only. That its tasks stop in time is checked after each step.
-func playCancellationBesideIsolatedLeaseHolder(sim *simulation) {
+// simulateCancellationDuringIsolation cancels a job while the lease holder reaches only its workers.
+// The rule that tasks of cancelled jobs stop in time is checked after each event.
+func simulateCancellationDuringIsolation(sim *simulation) {
 	holder := sim.leaseHolder()
 	holder.isolate()
 	sim.runFor(500 * time.Millisecond)
@@ -44,13 +44,13 @@
 	holder.reconnect()
 }
 
-// playCancellationWithWorkersIsolated cancels a job while the workers reach an isolated
-// lease holder only. The cloud is out, or the successor would delete the machines.
-func playCancellationWithWorkersIsolated(sim *simulation) {
-	long := sim.add(trainingGang("job-100", 2, 300), 300*time.Second)
+// simulateCancellationWithWorkersIsolated cancels a job while the workers reach only an isolated
+// lease holder. The cloud is unavailable, so that the successor cannot delete the machines.
+func simulateCancellationWithWorkersIsolated(sim *simulation) {
+	long := sim.submitJob(trainingGang("job-100", 2, 300), 300*time.Second)
 	sim.runFor(20 * time.Second)
 	if long.KnownState != wire.JobRunning {
-		sim.addViolation("%s is %s", long.Spec.ID, long.KnownState)
+		sim.addViolation("%s is %s, want %s", long.Spec.ID, long.KnownState, wire.JobRunning)
 	}
 	holder := sim.leaseHolder()
 	holder.isolate()
@@ -68,15 +68,15 @@
 	holder.reconnect()
 }
 
-// playMachineCutDuringFailover cuts a machine off as the lease holder crashes: jobs that
-// it may run wait, jobs that were never started do not.
-func playMachineCutDuringFailover(sim *simulation) {
+// simulateMachinePartitionDuringFailover partitions a machine as the lease holder crashes. While the
+// successor cannot reconcile the machine, it must start the jobs that have no start marker.
+func simulateMachinePartitionDuringFailover(sim *simulation) {
 	for i := range 30 {
-		sim.add(sweepJob(fmt.Sprintf("job-1%02d", i), "low", 4, 5), 5*time.Second)
+		sim.submitJob(sweepJob(fmt.Sprintf("job-1%02d", i), "low", 4, 5), 5*time.Second)
 	}
 	sim.runFor(27 * time.Second)
-	cut := sim.lastMachineWithTask()
-	cut.partitioned = true
+	unreachable := sim.lastMachineWithTask()
+	unreachable.partitioned = true
 	before := sim.leaseHolder()
 	startMarkers := string(sim.state.Keys["b/0/0"].Value)
 	before.crash(time.Second)
@@ -86,13 +86,14 @@
 		started += sim.startedWhileFencing(before, startMarkers)
 	}
 	if started == 0 {
-		sim.addViolation("nothing was started while the machine was unreachable")
+		sim.addViolation("no job was started while %s was unreachable", unreachable.Host.ID)
 	}
-	cut.partitioned = false
-	sim.release(cut)
+	unreachable.partitioned = false
+	sim.release(unreachable)
 }
 
-// lastMachineWithTask is the last machine, by name, whose first task is on it.
+// lastMachineWithTask returns the last machine by name whose first task has not ended, or nil if
+// there is none.
 func (sim *simulation) lastMachineWithTask() *machine {
 	var found *machine
 	for _, id := range sim.machineNames() {
@@ -104,8 +105,8 @@
 	return found
 }
 
-// startedWhileFencing counts the jobs without a start marker that successors have started
-// while they are still fencing.
+// startedWhileFencing returns the number of jobs of earlier terms without a start marker that have
+// tasks assigned by a term that is fencing.
 func (sim *simulation) startedWhileFencing(before *simulatedNode, startMarkers string) int {
 	started := 0
 	for _, n := range sim.nodes {
@@ -122,8 +123,8 @@
 	return started
 }
 
-// playRepeatedFreezes freezes the lease holder in the middle of whatever it does.
-func playRepeatedFreezes(sim *simulation) {
+// simulateRepeatedFreezes freezes the lease holder's process just before effects of each kind.
+func simulateRepeatedFreezes(sim *simulation) {
 	durations := []time.Duration{400 * time.Millisecond, 3 * time.Second, 6 * time.Second, 28 * time.Second}
 	effects := []effect{commandEffect, deleteEffect, stateEffect, queryEffect, anyEffect}
 	for i := range 16 {
@@ -131,15 +132,15 @@
 			holder.freezeFor = durations[i%len(durations)]
 			holder.freezeAt = effects[i%len(effects)]
 		}
-		sim.add(trainingGang(fmt.Sprintf("job-2%02d", i), 2, 8), 8*time.Second)
+		sim.submitJob(trainingGang(fmt.Sprintf("job-2%02d", i), 2, 8), 8*time.Second)
 		sim.runFor(time.Duration(1700+900*(i%5)) * time.Millisecond)
 	}
 	sim.runFor(30 * time.Second)
 }
 
-// playQuickRestartsOfAll restarts controllers, now and then all of them, within a
-// fraction of a second.
-func playQuickRestartsOfAll(sim *simulation) {
+// simulateQuickRestartsOfAll restarts one controller at a time, and all of them in every fourth
+// round, within 100 ms.
+func simulateQuickRestartsOfAll(sim *simulation) {
 	for i := range 12 {
 		for k, n := range sim.nodes {
 			if i%4 == 3 || i%3 == k {
@@ -150,8 +151,8 @@
 	}
 }
 
-// playRestartsDuringElection restarts controllers before any election can be over.
-func playRestartsDuringElection(sim *simulation) {
+// simulateRestartsDuringElection restarts controllers before a leader can be elected.
+func simulateRestartsDuringElection(sim *simulation) {
 	for _, n := range sim.nodes {
 		n.crash(50 * time.Millisecond)
 	}
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -2,71 +2,72 @@
 
 import "testing"
 
-// fault is a fault that is played alone, with what must come of it beyond the rules.
+// fault describes a single fault. Its function also checks what is expected beyond the rules.
 type fault struct {
-	name string
-	play func(sim *simulation)
+	name     string
+	simulate func(sim *simulation)
 }
 
-// faults are faults that a random day may or may not contain.
+// faults holds faults that random fault injection need not produce.
 var faults = []fault{
 	{
-		name: "no answer reaches a machine any more: it is deleted, and its work runs elsewhere",
-		play: playInboundCut,
+		name:     "machine that receives no answer is deleted and its tasks run elsewhere",
+		simulate: simulateInboundPartition,
 	},
 	{
-		name: "single answers are lost: no machine is deleted for it",
-		play: playLostReplies,
+		name:     "single lost replies delete no machine",
+		simulate: simulateLostReplies,
 	},
 	{
-		name: "copies of a deleted machine's heartbeats come late",
-		play: playLateHeartbeatsOfDeletedMachine,
+		name:     "late heartbeats of a deleted machine do not add it again",
+		simulate: simulateLateHeartbeatsOfDeletedMachine,
 	},
 	{
-		name: "an unresponsive machine's late heartbeats: what its old incarnation says is void",
-		play: playLateHeartbeatsOfExpiredIncarnation,
+		name:     "late heartbeats of an expired incarnation are rejected",
+		simulate: simulateLateHeartbeatsOfExpiredIncarnation,
 	},
 	{
-		name: "the lease holder is left with its workers only",
-		play: playLeaseHolderIsolated,
+		name:     "workers of an isolated lease holder move to its successor",
+		simulate: simulateLeaseHolderIsolation,
 	},
 	{
-		name: "a cancellation beside a lease holder left with its workers only",
-		play: playCancellationBesideIsolatedLeaseHolder,
+		name:     "cancellation while the lease holder reaches only its workers",
+		simulate: simulateCancellationDuringIsolation,
 	},
 	{
-		name: "a cancellation while a lease holder and the workers are cut off from all the rest",
-		play: playCancellationWithWorkersIsolated,
+		name:     "cancellation while the workers reach only an isolated lease holder",
+		simulate: simulateCancellationWithWorkersIsolated,
 	},
 	{
-		name: "a machine is cut off as the lease holder crashes: what it may run waits, what never started does not",
-		play: playMachineCutDuringFailover,
+		name:     "failover with an unreachable machine starts only jobs that never started",
+		simulate: simulateMachinePartitionDuringFailover,
 	},
 	{
-		name: "the lease holder freezes in the middle of whatever it does, again and again",
-		play: playRepeatedFreezes,
+		name:     "lease holder freezes repeatedly before effects of all kinds",
+		simulate: simulateRepeatedFreezes,
 	},
 	{
-		name: "everything is back within a fraction of a second",
-		play: playQuickRestartsOfAll,
+		name:     "controllers restart within a fraction of a second",
+		simulate: simulateQuickRestartsOfAll,
 	},
 	{
-		name: "the leader and a candidate restart in mid-election",
-		play: playRestartsDuringElection,
+		name:     "controllers restart during an election",
+		simulate: simulateRestartsDuringElection,
 	},
 }
 
-// TestFaults plays faults one by one, without the intent log and with it.
+// TestFaults guards against violations of the protocol's rules and against jobs that never end under
+// single faults, without and with the intent log.
 func TestFaults(t *testing.T) {
 	for _, f := range faults {
 		t.Run(f.name, func(t *testing.T) {
 			sim := steadySimulation(t, 6, 8)
-			f.play(sim)
+			f.simulate(sim)
 			sim.requireAllJobsEnd()
 		})
 		t.Run("intent log, "+f.name, func(t *testing.T) {
 			sim := intentLogSimulation(t)
-			f.play(sim)
+			f.simulate(sim)
 			sim.requireAllJobsEnd()
 		})
 	}
--- a/internal/controller/fleet_limits_test.go
+++ b/internal/controller/fleet_limits_test.go
@@ -11,10 +11,11 @@
 	"juniperchute/internal/wire"
 )
 
-// largeFleet is the number of machines below which nothing may have a fixed limit.
+// largeFleet is a number of machines up to which no part of a controller may have a fixed limit.
 const largeFleet = 4000
 
-// newLargeFleet is a deployment of 4,000 simulated machines, with arrays submitted.
+// newLargeFleet returns a deployment in which largeFleet machines can be provisioned and whose job
+// arrays use nearly all of them.
 func newLargeFleet(t *testing.T) *simulation {
 	const arrays, arrayTasks = 60, 260
 	machineType := largeMachineType(8)
@@ -37,19 +38,19 @@
 		spec.Team = teams[i%2].Name
 		spec.Vcpus, spec.Gpus, spec.MemGb = 16, 2, 90
 		spec.Image = fmt.Sprintf("img-%d", i%12)
-		sim.add(spec, 80*time.Second)
+		sim.submitJob(spec, 80*time.Second)
 	}
 	return sim
 }
 
-// A deployment of 4,000 simulated machines starts, loses its lease holder, fails over and
-// goes on serving: the rules hold, every job ends and no machine loses its lease.
+// Guards against worker leases that expire during a failover of 4,000 simulated machines, and against
+// broken rules and jobs that never end at this size.
 func TestLargeFleet(t *testing.T) {
 	sim := newLargeFleet(t)
 	sim.runFor(70 * time.Second)
 	sim.requireNoViolations()
 	if n := len(sim.machines); n < largeFleet*9/10 {
-		t.Fatalf("%d machines of %d", n, largeFleet)
+		t.Fatalf("%d of %d machines run, want at least 9/10", n, largeFleet)
 	}
 	incarnations := map[string]uint64{}
 	for _, host := range sim.machineNames() {
@@ -59,7 +60,7 @@
 	before.crash(time.Second)
 	sim.runFor(15 * time.Second)
 	if after := sim.leaseHolder(); after == nil || after == before {
-		t.Fatal("nobody has taken over")
+		t.Fatal("no other controller has taken the lease over")
 	}
 	expired := 0
 	for host, incarnation := range incarnations {
@@ -68,21 +69,21 @@
 		}
 	}
 	if expired > 0 {
-		t.Errorf("%d machines lost their leases in the failover", expired)
+		t.Errorf("the leases of %d workers expired in the failover", expired)
 	}
 	sim.requireAllJobsEnd()
 }
 
-// The scheduler of a term whose attempt numbers are nearly used up: the shard is given
-// back, and the next term, under a new token, goes on with all jobs.
-func TestAttemptNumbersUsedUp(t *testing.T) {
+// Guards against a term that continues after its attempt numbers are exhausted: its shard must be
+// released, and the next term must continue all jobs under a higher fencing token.
+func TestAttemptNumbersExhausted(t *testing.T) {
 	sim := steadySimulation(t, 6, 8)
 	before := sim.leaseHolder().controller.terms[0]
 	before.Scheduler().AttemptNumbersExhausted = true
 	sim.runFor(10 * time.Second)
 	next := sim.leaseHolder()
 	if next == nil || next.controller.terms[0].Token <= before.Token {
-		t.Fatal("no term under a newer token")
+		t.Fatal("no open term has a higher fencing token")
 	}
 	sim.requireAllJobsEnd()
 }
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -11,46 +11,46 @@
 	"juniperchute/internal/wire"
 )
 
-// storedFormat is a record as the version in production writes it.
+// storedFormat pairs a record with its encoding by the version in production.
 type storedFormat struct {
-	name string
-	text string
-	into any // an empty record to read it into
-	want any
+	name       string
+	encoded    string
+	decodeInto any // points to an empty record
+	want       any
 }
 
 var storedFormats = []storedFormat{
 	{
-		name: "a member",
-		text: `{"Member":"n0","Inc":7,"Since":1700000000000}`,
-		into: &leader.MemberRecord{},
-		want: &leader.MemberRecord{Member: "n0", Incarnation: 7, JoinedAtMs: 1700000000000},
+		name:       "member",
+		encoded:    `{"Member":"n0","Inc":7,"Since":1700000000000}`,
+		decodeInto: &leader.MemberRecord{},
+		want:       &leader.MemberRecord{Member: "n0", Incarnation: 7, JoinedAtMs: 1700000000000},
 	},
 	{
-		name: "the leader",
-		text: `{"Member":"n0","Inc":7}`,
-		into: &leader.LeaderRecord{},
-		want: &leader.LeaderRecord{Member: "n0", Incarnation: 7},
+		name:       "leader",
+		encoded:    `{"Member":"n0","Inc":7}`,
+		decodeInto: &leader.LeaderRecord{},
+		want:       &leader.LeaderRecord{Member: "n0", Incarnation: 7},
 	},
 	{
-		name: "a shard",
-		text: `{"Holder":"n1","Inc":9,"Baton":4,"Ended":true}`,
-		into: &leader.ShardRecord{},
-		want: &leader.ShardRecord{Holder: "n1", Incarnation: 9, Token: 4, PredecessorEnded: true},
+		name:       "assigned shard",
+		encoded:    `{"Holder":"n1","Inc":9,"Baton":4,"Ended":true}`,
+		decodeInto: &leader.ShardRecord{},
+		want:       &leader.ShardRecord{Holder: "n1", Incarnation: 9, Token: 4, PredecessorEnded: true},
 	},
 	{
-		name: "a shard given back",
-		text: `{"Holder":"","Inc":0,"Baton":4,"Ended":false,"Deaf":"n1"}`,
-		into: &leader.ShardRecord{},
-		want: &leader.ShardRecord{Token: 4, Unreachable: "n1"},
+		name:       "released shard",
+		encoded:    `{"Holder":"","Inc":0,"Baton":4,"Ended":false,"Deaf":"n1"}`,
+		decodeInto: &leader.ShardRecord{},
+		want:       &leader.ShardRecord{Token: 4, Unreachable: "n1"},
 	},
 	{
-		name: "an open job",
-		text: `{"Spec":{"Id":"job-1","Lane":"train","Crew":"red","Shape":"standing","Rank":"critical","Pieces":3,` +
+		name: "open job",
+		encoded: `{"Spec":{"Id":"job-1","Lane":"train","Crew":"red","Shape":"standing","Rank":"critical","Pieces":3,` +
 			`"Vcpus":2,"Gpus":0,"MemGb":12.8,"Bundle":"img-1","ImageGb":1,"Builds":["g8"],"Yard":"a",` +
 			`"Together":true,"Apart":true,"Loaners":true,"GuessS":0,"BookmarkS":5,"StowS":2,"DueS":9},` +
 			`"At":1700000000000,"Block":2}`,
-		into: &submission.OpenJobRecord{},
+		decodeInto: &submission.OpenJobRecord{},
 		want: &submission.OpenJobRecord{
 			AcceptedAt: 1700000000000,
 			Shard:      2,
@@ -77,11 +77,11 @@
 		},
 	},
 	{
-		name: "an open job of any type",
-		text: `{"Spec":{"Id":"job-1","Lane":"l","Crew":"red","Shape":"batch","Rank":"low","Pieces":1,` +
+		name: "open job for any machine type",
+		encoded: `{"Spec":{"Id":"job-1","Lane":"l","Crew":"red","Shape":"batch","Rank":"low","Pieces":1,` +
 			`"Vcpus":1,"Gpus":1,"MemGb":1,"Bundle":"i","ImageGb":1,"AnyBuild":true,"GuessS":1,` +
 			`"BookmarkS":0,"StowS":0},"At":5}`,
-		into: &submission.OpenJobRecord{},
+		decodeInto: &submission.OpenJobRecord{},
 		want: &submission.OpenJobRecord{
 			AcceptedAt: 5,
 			Spec: wire.JobSpec{
@@ -102,15 +102,15 @@
 		},
 	},
 	{
-		name: "how a job ended",
-		text: `{"Stage":"done","Done":3}`,
-		into: &submission.JobEndRecord{},
-		want: &submission.JobEndRecord{Stage: "done", Done: 3},
+		name:       "job end",
+		encoded:    `{"Stage":"done","Done":3}`,
+		decodeInto: &submission.JobEndRecord{},
+		want:       &submission.JobEndRecord{Stage: "done", Done: 3},
 	},
 	{
-		name: "a provisioning request",
-		text: `{"Build":"g8","Yard":"a","Loaners":true,"Number":2,"Hosts":["i-000001","i-000002"]}`,
-		into: &fleet.ProvisioningRecord{},
+		name:       "provisioning request",
+		encoded:    `{"Build":"g8","Yard":"a","Loaners":true,"Number":2,"Hosts":["i-000001","i-000002"]}`,
+		decodeInto: &fleet.ProvisioningRecord{},
 		want: &fleet.ProvisioningRecord{
 			Type:   "g8",
 			Zone:   "a",
@@ -120,10 +120,10 @@
 		},
 	},
 	{
-		name: "a machine type",
-		text: `{"Name":"g8","Vcpus":64,"Gpus":8,"MemGb":384,"LocalGb":0,"FetchGbPerS":0.5,` +
+		name: "machine type",
+		encoded: `{"Name":"g8","Vcpus":64,"Gpus":8,"MemGb":384,"LocalGb":0,"FetchGbPerS":0.5,` +
 			`"Price":0,"LowPrice":0,"BootS":50,"Yards":["a","b"],"Of":2}`,
-		into: &fleet.MachineTypeRecord{},
+		decodeInto: &fleet.MachineTypeRecord{},
 		want: &fleet.MachineTypeRecord{
 			MachineType: wire.MachineType{
 				Name:        "g8",
@@ -139,16 +139,17 @@
 	},
 }
 
-// What the version in production keeps in the state service, as it writes it. Both
-// versions read and rewrite each other's records while they serve side by side.
+// Guards against incompatible changes of stored records: during a rolling upgrade both versions read
+// and rewrite each other's records.
 func TestStoredFormats(t *testing.T) {
 	for _, c := range storedFormats {
 		t.Run(c.name, func(t *testing.T) {
-			if err := json.Unmarshal([]byte(c.text), c.into); err != nil || !reflect.DeepEqual(c.into, c.want) {
-				t.Errorf("read as %+v, %v; want %+v", c.into, err, c.want)
+			err := json.Unmarshal([]byte(c.encoded), c.decodeInto)
+			if err != nil || !reflect.DeepEqual(c.decodeInto, c.want) {
+				t.Errorf("decoded as %+v, %v; want %+v", c.decodeInto, err, c.want)
 			}
-			if raw, err := json.Marshal(c.want); err != nil || string(raw) != c.text {
-				t.Errorf("written as %s, %v; want %s", raw, err, c.text)
+			if raw, err := json.Marshal(c.want); err != nil || string(raw) != c.encoded {
+				t.Errorf("encoded as %s, %v; want %s", raw, err, c.encoded)
 			}
 		})
 	}
--- a/internal/controller/intents_failover_test.go
+++ b/internal/controller/intents_failover_test.go
@@ -14,16 +14,16 @@
 	"juniperchute/internal/wire"
 )
 
-// storedIntent is an intent as it is stored.
+// storedIntent encodes an intent in the stored format of the intent log.
 type storedIntent struct {
 	Duty  intentlog.Operation
 	Token uint64
 	At    int64
 }
 
-// leaveIntents makes a shard whose last lease holder has recorded an intent to deprovision
-// for each of its machines.
-func (sim *simulation) leaveIntents(machines int) {
+// storeIntentBacklog adds running machines and, for each of them, the deprovisioning intent that an
+// earlier lease holder has recorded.
+func (sim *simulation) storeIntentBacklog(machines int) {
 	const perRequest, perPage = 50, 80
 	page, names := map[string]storedIntent{}, []string{}
 	for i := range machines {
@@ -43,7 +43,7 @@
 	sim.cloud.Created = machines
 }
 
-// addRunningMachine adds a machine that runs already.
+// addRunningMachine adds a machine with a running worker to the cloud and returns its name.
 func (sim *simulation) addRunningMachine(number int, machineType string) string {
 	id := fmt.Sprintf("i-%06d", number)
 	host := wire.Machine{
@@ -54,19 +54,19 @@
 		State:   wire.MachineRunning,
 	}
 	sim.cloud.Hosts[id] = &fakes.CloudHost{CreatedAt: sim.clock.Now(), Machine: host}
-	sim.booted(sim.cloud.Hosts[id])
+	sim.startWorker(sim.cloud.Hosts[id])
 	return id
 }
 
-// putState stores a value under a new key.
+// putState stores a value under a new key through a call of the state service.
 func (sim *simulation) putState(key string, value any) {
 	transaction := wire.Transaction{Writes: []wire.Write{store.Put(key, value, 0)}}
 	sim.state.Call(store.Call{Op: store.OpTransaction, Transaction: transaction}, func(store.Result) {})
 }
 
-// newFailoverSimulation is a deployment whose only work at first is to complete the
-// intents of an earlier lease holder, at low rates of the cloud and the state service.
-func newFailoverSimulation(t *testing.T) *simulation {
+// newIntentBacklogSimulation returns a deployment with largeFleet open intents of an earlier lease
+// holder and low rate limits of the cloud and the state service.
+func newIntentBacklogSimulation(t *testing.T) *simulation {
 	const cloudRPS, writesPerS = 4, 20
 	cfg := testConfig(oneZone, steadyTeams, 4, 18)
 	cfg.Platform.Cloud.RPS = cloudRPS
@@ -74,7 +74,7 @@
 	sim.checks.interval = time.Second
 	sim.state.PageSize, sim.cloud.PageSize = tuning.ListPageSize, tuning.CloudPageSize
 	sim.enableIntentLog()
-	sim.leaveIntents(largeFleet)
+	sim.storeIntentBacklog(largeFleet)
 	sim.cloud.Available[fakes.CapacityKey(smallType.Name, "a", false)] = 8
 	sim.state.Limits = fakes.StateLimits{
 		MaxValueBytes: 4 << 10,
@@ -85,11 +85,11 @@
 	return sim
 }
 
-// Thousands of intents to complete after a failover: within the rates of cloud and state
-// service, and nothing else waits for the last of them.
+// Guards against a backlog of thousands of intents that blocks jobs after a failover, or that is not
+// completed in time within the rate limits of the cloud and the state service.
 func TestManyIntentsAfterFailover(t *testing.T) {
-	const most = 90 * time.Second
-	sim := newFailoverSimulation(t)
+	const timeout = 90 * time.Second
+	sim := newIntentBacklogSimulation(t)
 	refused := 0
 	check := sim.state.OnCall
 	sim.state.OnCall = func(c store.Call, err error) {
@@ -98,23 +98,23 @@
 			refused++
 		}
 	}
-	j := sim.add(steadyJob(1), 5*time.Second)
+	j := sim.submitJob(steadyJob(1), 5*time.Second)
 	sim.runFor(40 * time.Second)
 	if !j.Ended() {
-		t.Errorf("a job waits for the intents: it is %q", j.KnownState)
+		t.Errorf("a job has not ended after 40s, with intents still open: it is %q", j.KnownState)
 	}
 	startedAt := sim.clock.Now()
-	for len(sim.loggedTargets()) > 0 && sim.clock.Now().Sub(startedAt) < most {
+	for len(sim.loggedTargets()) > 0 && sim.clock.Now().Sub(startedAt) < timeout {
 		sim.runFor(time.Second)
 	}
 	elapsed := sim.clock.Now().Sub(fakes.Epoch)
 	if left := len(sim.loggedTargets()); left > 0 {
-		t.Errorf("%d intents are left after %v", left, elapsed)
+		t.Errorf("%d intents are open after %v", left, elapsed)
 	}
 	if n := sim.intentChecker.Effects[intentlog.Deprovision]; n < largeFleet {
-		t.Errorf("%d deletions", n)
+		t.Errorf("%d machines were deprovisioned, want at least %d", n, largeFleet)
 	}
-	t.Logf("%d intents completed and removed after %v; %d calls of the state service were refused",
+	t.Logf("%d intents completed and removed after %v; the state service throttled %d calls",
 		largeFleet, elapsed, refused)
 	sim.requireAllJobsEnd()
 }
--- a/internal/controller/intents_state_test.go
+++ b/internal/controller/intents_state_test.go
@@ -6,7 +6,7 @@
 	"juniperchute/internal/intentlog"
 )
 
-// The names of the states in the administration API are those that earlier versions send.
+// Guards against renamed intent states in the administration API, which must match earlier versions.
 func TestAdminIntentState(t *testing.T) {
 	names := map[intentlog.State]string{
 		intentlog.Recording: "entering",
--- a/internal/controller/intents_status_test.go
+++ b/internal/controller/intents_status_test.go
@@ -8,7 +8,8 @@
 	"juniperchute/internal/peer/peerpb"
 )
 
-// queryIntents asks a controller which intents are open.
+// queryIntents returns a controller's reply to an operator's request for the open intents. It takes
+// 200 ms of simulated time.
 func (sim *simulation) queryIntents(n *simulatedNode) (reply *peerpb.IntentsReply) {
 	sim.t.Helper()
 	n.controller.Intents(sim.clock.Now(), func(r *peerpb.IntentsReply, err error) {
@@ -19,12 +20,12 @@
 	})
 	sim.runFor(200 * time.Millisecond)
 	if reply == nil {
-		sim.t.Fatalf("%s does not answer", n.name)
+		sim.t.Fatalf("%s has not replied within 200ms", n.name)
 	}
 	return reply
 }
 
-// intentTargets are the targets of a reply's intents.
+// intentTargets returns the targets of the intents of the first shard in a reply.
 func intentTargets(reply *peerpb.IntentsReply) []string {
 	var targets []string
 	for _, operation := range reply.Shards[0].Operations {
@@ -35,36 +36,36 @@
 	return targets
 }
 
-// What an operator gets to know of the open intents, asked of the lease holder and of
-// others, and while nobody holds the lease.
+// Guards against wrong lease holders or missing intents in the replies to operators, whichever
+// controller is asked, also during a failover and an outage.
 func TestIntentsReported(t *testing.T) {
 	sim := intentLogSimulation(t)
 	sim.runUntilIntentLogged()
 	holder := sim.leaseHolder()
 	target := sim.loggedTargets()[0]
-	sim.cloud.Unavailable = true // so that the intent stays open
+	sim.cloud.Unavailable = true // keeps the intent open
 	sim.checkIntentsOfAll(holder, target)
 
 	holder.crash(time.Hour)
 	sim.runFor(500 * time.Millisecond)
 	other := sim.lastNodeExcept(holder)
 	if r := sim.queryIntents(other); r.Shards[0].Holder != holder.name {
-		t.Errorf("right after the crash: %+v", r.Shards[0])
+		t.Errorf("500ms after the crash: %+v, want lease holder %s", r.Shards[0], holder.name)
 	}
-	sim.runUntil("a record without a live lease holder", 10*time.Second, func() bool {
+	sim.runUntil("the shard has no live lease holder", 10*time.Second, func() bool {
 		_, _, live := other.controller.membership.Holder(0)
 		return !live
 	})
 	if r := sim.queryIntents(other); r.Shards[0].Live && r.Shards[0].Holder == holder.name {
-		t.Errorf("during the failover: %+v", r.Shards[0])
+		t.Errorf("during the failover: %+v, want %s not to be live", r.Shards[0], holder.name)
 	}
 
 	sim.runFor(5 * time.Second)
-	sim.stateOutage(20 * time.Second)
+	sim.injectStateOutage(20 * time.Second)
 	sim.runFor(5 * time.Second)
 	r := sim.queryIntents(other)
 	if r.IntentsAgeMs < 4000 || r.HoldersAgeMs < 3000 || len(intentTargets(r)) == 0 {
-		t.Errorf("in an outage: intents %d ms old, lease holders %d ms, %v",
+		t.Errorf("in an outage: intents are %d ms old, lease holders %d ms, targets %v",
 			r.IntentsAgeMs, r.HoldersAgeMs, intentTargets(r))
 	}
 	sim.cloud.Unavailable = false
@@ -72,7 +73,8 @@
 	sim.requireAllJobsEnd()
 }
 
-// checkIntentsOfAll checks that every controller reports the lease holder and the intent.
+// checkIntentsOfAll checks that every controller reports the lease holder, its fencing token and an
+// intent for the target.
 func (sim *simulation) checkIntentsOfAll(holder *simulatedNode, target string) {
 	sim.t.Helper()
 	token := holder.controller.terms[0].Token
@@ -81,10 +83,10 @@
 		shard := r.Shards[0]
 		known := r.InForce && shard.Holder == holder.name && shard.Live && shard.Token == token
 		if !known || shard.AssignedAtMs == 0 || (shard.State == "open") != (n == holder) {
-			sim.t.Errorf("%s: %+v", n.name, r)
+			sim.t.Errorf("%s replies %+v, want live lease holder %s with token %d", n.name, r, holder.name, token)
 		}
 		if !strings.Contains(strings.Join(intentTargets(r), " "), target) {
-			sim.t.Errorf("%s does not report %s: %v", n.name, target, intentTargets(r))
+			sim.t.Errorf("%s does not report an intent for %s: %v", n.name, target, intentTargets(r))
 		}
 	}
 }
--- a/internal/controller/intents_test.go
+++ b/internal/controller/intents_test.go
@@ -10,12 +10,12 @@
 	"juniperchute/internal/worker"
 )
 
-// intentLogSimulation is a deployment that keeps the intent log, with work under way.
+// intentLogSimulation returns a deployment with the intent log enabled and jobs running.
 func intentLogSimulation(t *testing.T) *simulation {
 	return steadySimulationWith(t, 11, 6, 8, (*simulation).enableIntentLog)
 }
 
-// loggedTargets are the targets of the intents in the stored logs of all shards.
+// loggedTargets returns the targets of the intents in the stored logs of all shards, in no order.
 func (sim *simulation) loggedTargets() []string {
 	var targets []string
 	for key, kv := range sim.state.Keys {
@@ -24,7 +24,7 @@
 		}
 		intents, err := intentlog.ReadPage(kv.Value)
 		if err != nil {
-			sim.addViolation("%s: %v", key, err)
+			sim.addViolation("decode intent log page %s: %v", key, err)
 		}
 		for _, intent := range intents {
 			targets = append(targets, intent.Target)
@@ -33,13 +33,13 @@
 	return targets
 }
 
-// runUntilIntentLogged plays until the log holds an intent.
+// runUntilIntentLogged runs the simulation until the stored log holds an intent.
 func (sim *simulation) runUntilIntentLogged() {
 	sim.t.Helper()
-	sim.runUntil("an intent", 2*time.Minute, func() bool { return len(sim.loggedTargets()) > 0 })
+	sim.runUntil("an intent is stored", 2*time.Minute, func() bool { return len(sim.loggedTargets()) > 0 })
 }
 
-// failureAfterIntent is a failure between the record of an intent and its call.
+// failureAfterIntent describes a failure between the write of an intent and its cloud call.
 type failureAfterIntent struct {
 	name string
 	fail func(sim *simulation, holder *simulatedNode)
@@ -47,41 +47,41 @@
 
 var failuresAfterIntent = []failureAfterIntent{
 	{
-		name: "the state service is out for all",
-		fail: func(sim *simulation, _ *simulatedNode) { sim.stateOutage(20 * time.Second) },
+		name: "state service outage",
+		fail: func(sim *simulation, _ *simulatedNode) { sim.injectStateOutage(20 * time.Second) },
 	},
 	{
-		name: "the state service refuses the lease holder",
-		fail: func(sim *simulation, holder *simulatedNode) { sim.refuseState(holder, 20*time.Second) },
+		name: "state service refuses the lease holder",
+		fail: func(sim *simulation, holder *simulatedNode) { sim.injectStateRefusal(holder, 20*time.Second) },
 	},
 	{
-		name: "the lease holder is cut off from the state service, and what it sent comes late",
+		name: "lease holder is partitioned from the state service and its calls arrive late",
 		fail: func(sim *simulation, holder *simulatedNode) {
-			holder.stateCut = true
+			holder.statePartitioned = true
 			sim.clock.Schedule(20*time.Second, holder.reconnectState)
 		},
 	},
 	{
-		name: "the cloud is out",
+		name: "cloud outage",
 		fail: func(sim *simulation, _ *simulatedNode) {
 			sim.cloud.Unavailable = true
 			sim.clock.Schedule(20*time.Second, func() { sim.cloud.Unavailable = false })
 		},
 	},
 	{
-		name: "the lease holder's calls of the cloud come late",
+		name: "cloud calls of the lease holder are lost or late and it crashes",
 		fail: func(sim *simulation, holder *simulatedNode) {
-			holder.cloudCut = true
+			holder.cloudPartitioned = true
 			sim.clock.Schedule(3*time.Second, func() { holder.crash(time.Second) })
-			sim.clock.Schedule(20*time.Second, func() { holder.cloudCut = false })
+			sim.clock.Schedule(20*time.Second, func() { holder.cloudPartitioned = false })
 		},
 	},
 	{
-		name: "the lease holder ends, and its successor within a second",
+		name: "lease holder crashes, then its successor",
 		fail: crashHolderAndSuccessor,
 	},
 	{
-		name: "all end",
+		name: "all controllers crash",
 		fail: func(sim *simulation, _ *simulatedNode) {
 			for _, n := range sim.nodes {
 				n.crash(time.Second)
@@ -90,10 +90,10 @@
 	},
 }
 
-// crashHolderAndSuccessor crashes the lease holder, and its successor as soon as there is one.
+// crashHolderAndSuccessor crashes the lease holder, and then its successor as soon as it has a term.
 func crashHolderAndSuccessor(sim *simulation, holder *simulatedNode) {
 	holder.crash(500 * time.Millisecond)
-	sim.runUntil("a successor", 20*time.Second, func() bool {
+	sim.runUntil("another controller has a term", 20*time.Second, func() bool {
 		for _, n := range sim.nodes {
 			t := n.controller.terms[0]
 			if n.alive && n != holder && t != nil && t.State() != term.Ended {
@@ -105,8 +105,8 @@
 	})
 }
 
-// A lease holder that loses the state service, the cloud, or its process between the
-// record of a deprovisioning intent and the call: whoever holds the lease then completes it.
+// Guards against deprovisioning intents that are never completed after a failure of the state
+// service, the cloud or the lease holder between the write of the intent and the cloud call.
 func TestFailuresBetweenIntentAndCall(t *testing.T) {
 	for _, c := range failuresAfterIntent {
 		t.Run(c.name, func(t *testing.T) {
@@ -114,14 +114,14 @@
 			sim.runUntilIntentLogged()
 			holder := sim.leaseHolder()
 			if holder == nil {
-				t.Fatal("nobody holds the shard's lease")
+				t.Fatal("no controller holds the shard's lease")
 			}
 			targets := sim.loggedTargets()
 			c.fail(sim, holder)
 			sim.runFor(40 * time.Second)
 			for _, host := range targets {
 				if sim.machines[host] != nil {
-					t.Errorf("%s has a recorded intent and is still there", host)
+					t.Errorf("%s has a recorded deprovisioning intent and still exists", host)
 				}
 			}
 			sim.requireAllJobsEnd()
@@ -129,33 +129,35 @@
 	}
 }
 
-// A machine that an earlier term used, is being deleted, and answers under an older token:
-// what is on it is still not known, so the term must not count it as reconciled.
-func TestDeletingMachineIsReconciledByItsTokenOnly(t *testing.T) {
+// Guards against a term that opens too early: a machine that is being deleted and answers under an
+// older fencing token is not reconciled, as the tasks on it are unknown.
+func TestDeletingMachineNotReconciledUnderOlderToken(t *testing.T) {
 	sim := steadySimulation(t, 6, 8)
-	sim.cloud.Unavailable = true // nothing is deleted
-	cut := sim.lastMachineWithTask()
-	cut.partitioned = true
+	sim.cloud.Unavailable = true // prevents the deletion from completing
+	unreachable := sim.lastMachineWithTask()
+	unreachable.partitioned = true
 	sim.leaseHolder().crash(time.Hour)
-	deleting := sim.runUntilMachineDeleting(cut)
-	deleting.HandleHeartbeat(sim.clock.Now(), cut.Heartbeat(), func(int, any) {})
-	if w := deleting.Workers().Get(cut.Host.ID); w.LeaseRenewedAt.IsZero() {
-		t.Fatal("the older heartbeat was not answered: this tests nothing")
+	deleting := sim.runUntilMachineDeleting(unreachable)
+	deleting.HandleHeartbeat(sim.clock.Now(), unreachable.Heartbeat(), func(int, any) {})
+	if w := deleting.Workers().Get(unreachable.Host.ID); w.LeaseRenewedAt.IsZero() {
+		t.Fatal("the heartbeat under the older token renewed no lease, so the test proves nothing")
 	}
 	sim.runFor(500 * time.Millisecond)
 	if deleting.State() != term.Fencing {
-		t.Errorf("%v although it is not known what is on %s", deleting.State(), cut.Host.ID)
+		t.Errorf("the term is %v, want %v while the tasks on %s are unknown",
+			deleting.State(), term.Fencing, unreachable.Host.ID)
 	}
-	sim.cloud.Unavailable, cut.partitioned = false, false
-	sim.release(cut)
+	sim.cloud.Unavailable, unreachable.partitioned = false, false
+	sim.release(unreachable)
 	sim.requireAllJobsEnd()
 }
 
-// runUntilMachineDeleting plays until a term that is fencing deletes a machine.
+// runUntilMachineDeleting runs the simulation until a term that is fencing deletes a machine, and
+// returns that term.
 func (sim *simulation) runUntilMachineDeleting(m *machine) *term.Term {
 	sim.t.Helper()
 	var deleting *term.Term
-	sim.runUntil("a term that deletes the machine", 20*time.Second, func() bool {
+	sim.runUntil("a term in fencing deletes "+m.Host.ID, 20*time.Second, func() bool {
 		for _, n := range sim.nodes {
 			t := n.controller.terms[0]
 			if !n.alive || t == nil || t.State() != term.Fencing {
@@ -171,19 +173,19 @@
 	return deleting
 }
 
-// A process whose clock was moved forward ends its terms, and concludes nothing from the
-// time that may not have passed.
+// Guards against a process that keeps its terms after its clock was moved forward, and so treats
+// leases as expired although that time may not have passed.
 func TestClockMovedForward(t *testing.T) {
 	sim := intentLogSimulation(t)
 	holder := sim.leaseHolder()
 	before := holder.controller.terms[0]
 	holder.controller.EndTermsAfterSuspension(sim.clock.Now())
 	if before.State() != term.Ended {
-		t.Fatalf("the term is %v", before.State())
+		t.Fatalf("the term is %v, want %v", before.State(), term.Ended)
 	}
 	sim.runFor(10 * time.Second)
 	if next := sim.leaseHolder(); next == nil || next.controller.terms[0].Token <= before.Token {
-		t.Error("no term under a newer token")
+		t.Error("no open term has a higher fencing token")
 	}
 	sim.requireAllJobsEnd()
 }
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -12,29 +12,29 @@
 	"juniperchute/internal/wire"
 )
 
-// maxCloudCallDelay is how late a call of the cloud comes at most in a simulation.
+// maxCloudCallDelay bounds the delay of a cloud call under random message faults.
 const maxCloudCallDelay = 70 * time.Second
 
-// randomDay is a deployment on which random faults are played.
-type randomDay struct {
+// randomFaultsCase describes a deployment on which random faults are injected.
+type randomFaultsCase struct {
 	name         string
 	zones        []string
 	teams        []config.Team
 	machineTypes []wire.MachineType
 	shards       int
-	heartbeatS   float64 // heartbeat interval of the workers
-	leaseS       float64 // lease of the workers
+	heartbeatS   float64 // workers' heartbeat interval in seconds
+	leaseS       float64 // worker lease in seconds
 	seeds        int
-	scale        int // how many times the usual size the deployment, its jobs and its faults have
+	scale        int // multiplies the sizes of the deployment, its arrays and its faults
 
-	// upgrade gives all controllers the new version one after the other, then the state
-	// service's limits fall.
+	// upgrade restarts the controllers with the new version one by one, and then lowers the
+	// limits of the state service.
 	upgrade   bool
 	intentLog bool
 }
 
-// randomDays are the deployments that random faults are played on.
-var randomDays = []randomDay{
+// randomFaultsCases holds the deployments on which random faults are injected.
+var randomFaultsCases = []randomFaultsCase{
 	{
 		name:         "one zone, short leases",
 		zones:        oneZone,
@@ -58,7 +58,7 @@
 		scale:        1,
 	},
 	{
-		name:         "two zones, two types, wide gangs",
+		name:         "two zones, two machine types, large gangs",
 		zones:        twoZones,
 		teams:        limitedTeams,
 		machineTypes: mixedTypes,
@@ -80,9 +80,9 @@
 		scale:        1,
 	},
 	{
-		name:         "a fleet: a tenth and more of the machines hit at a time",
+		name:         "large fleet, faults that hit many machines at once",
 		zones:        twoZones,
-		teams:        fleetTeams,
+		teams:        largeQuotaTeams,
 		machineTypes: mixedTypes,
 		shards:       1,
 		heartbeatS:   5,
@@ -91,9 +91,9 @@
 		scale:        20,
 	},
 	{
-		name:         "an upgrade, and limits that fall",
+		name:         "rolling upgrade, then lower state service limits",
 		zones:        oneZone,
-		teams:        fleetTeams,
+		teams:        largeQuotaTeams,
 		machineTypes: oneZoneTypes,
 		shards:       1,
 		heartbeatS:   1.5,
@@ -139,9 +139,9 @@
 		intentLog:    true,
 	},
 	{
-		name:         "intent log, a fleet",
+		name:         "intent log, large fleet",
 		zones:        twoZones,
-		teams:        fleetTeams,
+		teams:        largeQuotaTeams,
 		machineTypes: mixedTypes,
 		shards:       1,
 		heartbeatS:   5,
@@ -151,9 +151,9 @@
 		intentLog:    true,
 	},
 	{
-		name:         "intent log, an upgrade, and limits that fall",
+		name:         "intent log, rolling upgrade, then lower state service limits",
 		zones:        oneZone,
-		teams:        fleetTeams,
+		teams:        largeQuotaTeams,
 		machineTypes: oneZoneTypes,
 		shards:       1,
 		heartbeatS:   1.5,
@@ -165,25 +165,24 @@
 	},
 }
 
-// TestRandomDays plays random days of crashes, cuts, late messages, outages and restarts,
-// checks the protocol's rules after each step, and that every accepted job ends once the
-// faults are over. Seeds are fixed.
-func TestRandomDays(t *testing.T) {
-	for _, day := range randomDays {
-		for seed := range day.seeds * seedFactor() {
-			t.Run(fmt.Sprintf("%s/%d", day.name, seed), func(t *testing.T) {
+// TestRandomFaults guards against violations of the protocol's rules under random crashes,
+// partitions, late messages, outages and restarts, and against jobs that never end after them.
+func TestRandomFaults(t *testing.T) {
+	for _, c := range randomFaultsCases {
+		for seed := range c.seeds * seedFactor() {
+			t.Run(fmt.Sprintf("%s/%d", c.name, seed), func(t *testing.T) {
 				t.Parallel()
-				day.run(t, seed)
+				c.run(t, seed)
 			})
 		}
 	}
 }
 
-// run plays a day on one seed.
-func (day randomDay) run(t *testing.T, seed int) {
-	sim := day.newSimulation(t, seed)
-	playRandomDay(sim, day.zones, day.machineTypes)
-	if day.intentLog && !day.upgrade {
+// run simulates the case on one seed.
+func (c randomFaultsCase) run(t *testing.T, seed int) {
+	sim := c.newSimulation(t, seed)
+	simulateRandomFaults(sim, c.zones, c.machineTypes)
+	if c.intentLog && !c.upgrade {
 		sim.requireIntentsCarriedOut()
 	}
 	if len(sim.violations()) > 0 {
@@ -191,33 +190,33 @@
 	}
 }
 
-// newSimulation makes the day's deployment, before any job is submitted.
-func (day randomDay) newSimulation(t *testing.T, seed int) *simulation {
-	cfg := testConfig(day.zones, day.teams, day.heartbeatS, day.leaseS)
-	sim := newSimulation(t, uint64(seed), cfg, day.shards, day.machineTypes)
-	for _, machineType := range day.machineTypes {
+// newSimulation returns the case's deployment before any job is submitted.
+func (c randomFaultsCase) newSimulation(t *testing.T, seed int) *simulation {
+	cfg := testConfig(c.zones, c.teams, c.heartbeatS, c.leaseS)
+	sim := newSimulation(t, uint64(seed), cfg, c.shards, c.machineTypes)
+	for _, machineType := range c.machineTypes {
 		for _, zone := range machineType.Zones {
-			sim.cloud.Available[fakes.CapacityKey(machineType.Name, zone, true)] = 5 * day.scale
-			sim.cloud.Available[fakes.CapacityKey(machineType.Name, zone, false)] = 8 * day.scale
+			sim.cloud.Available[fakes.CapacityKey(machineType.Name, zone, true)] = 5 * c.scale
+			sim.cloud.Available[fakes.CapacityKey(machineType.Name, zone, false)] = 8 * c.scale
 		}
 	}
 	sim.cloud.BootFailureShare = 0.02
-	sim.randomMessageFaults, sim.scale = true, day.scale
-	if day.upgrade {
+	sim.randomMessageFaults, sim.scale = true, c.scale
+	if c.upgrade {
 		sim.startOldVersion()
 	}
-	if day.intentLog {
+	if c.intentLog {
 		sim.enableIntentLog()
 	}
-	if day.intentLog && day.upgrade {
+	if c.intentLog && c.upgrade {
 		sim.intentChecker.Grace = maxCloudCallDelay
 	}
 	return sim
 }
 
-// playRandomDay lets users submit for a while under faults, then lets the faults
-// pass and waits for every job's end.
-func playRandomDay(sim *simulation, zones []string, machineTypes []wire.MachineType) {
+// simulateRandomFaults submits random jobs and injects random faults for 60 rounds, ends the faults
+// and waits until every job has ended.
+func simulateRandomFaults(sim *simulation, zones []string, machineTypes []wire.MachineType) {
 	const rounds = 60
 	for i := range rounds {
 		sim.runFor(time.Duration(1+sim.rng.IntN(5)) * time.Second)
@@ -225,19 +224,20 @@
 			return
 		}
 		if sim.rng.IntN(3) > 0 {
-			randomJob(sim, i, zones, machineTypes)
+			submitCancellableJob(sim, i, zones, machineTypes)
 		}
-		if sim.startsOld && i >= 10 && i%6 == 0 {
+		if sim.startsOnOldVersion && i >= 10 && i%6 == 0 {
 			sim.upgradeNext()
 		}
 		if i > 3 && sim.rng.IntN(2) == 0 {
-			sim.randomFault()
+			sim.injectRandomFault()
 		}
 	}
-	sim.finish()
+	sim.endFaultsAndAwaitJobs()
 }
 
-// seedFactor lets a longer search than CI's be asked for.
+// seedFactor returns the factor, from the environment variable SIMULATION_SEEDS, by which a run has
+// more seeds than by default, or 1 if the variable is not set.
 func seedFactor() int {
 	if n, err := strconv.Atoi(os.Getenv("SIMULATION_SEEDS")); err == nil {
 		return n
--- a/internal/controller/random_jobs_test.go
+++ b/internal/controller/random_jobs_test.go
@@ -7,21 +7,21 @@
 	"juniperchute/internal/wire"
 )
 
-// randomJob makes a user submit a random job, and now and then cancel it.
-func randomJob(sim *simulation, number int, zones []string, machineTypes []wire.MachineType) {
+// submitCancellableJob lets a user submit a random job, and cancel it with a probability of 1/6.
+func submitCancellableJob(sim *simulation, number int, zones []string, machineTypes []wire.MachineType) {
 	spec := sim.randomSpec(number, machineTypes)
 	sim.randomPlacement(&spec, zones)
 	if spec.Shape == wire.ShapeBatch {
 		spec.Tasks *= sim.scale
 	}
-	j := sim.add(spec, time.Duration(2+sim.rng.IntN(20))*time.Second)
+	j := sim.submitJob(spec, time.Duration(2+sim.rng.IntN(20))*time.Second)
 	j.Faulty = sim.rng.IntN(25) == 0
 	if sim.rng.IntN(6) == 0 {
 		sim.clock.Schedule(time.Duration(sim.rng.IntN(20))*time.Second, func() { sim.cancel(j) })
 	}
 }
 
-// randomSpec is a random job that may run in any zone.
+// randomSpec returns the specification of a random job without constraints on zones.
 func (sim *simulation) randomSpec(number int, machineTypes []wire.MachineType) wire.JobSpec {
 	teams := sim.cfg.Platform.Teams
 	spec := wire.JobSpec{
@@ -59,7 +59,7 @@
 	return spec
 }
 
-// randomPlacement adds a random rule on zones, one that machines of the job's type can meet.
+// randomPlacement may add a random zone constraint that the job's machine types can satisfy.
 func (sim *simulation) randomPlacement(spec *wire.JobSpec, zones []string) {
 	switch sim.rng.IntN(6) {
 	case 0:
--- a/internal/controller/simulation_checks_test.go
+++ b/internal/controller/simulation_checks_test.go
@@ -10,11 +10,12 @@
 	"juniperchute/internal/wire"
 )
 
-// maxWait is how long a job may wait while there are resources for it.
-const maxWait = 90 * time.Second
+// maxJobWait bounds the time for which an open job may have no task on a machine although it could
+// start, once all faults have ended.
+const maxJobWait = 90 * time.Second
 
-// checkCancellationWatermarks checks that each lease holder knows what it says it does:
-// every cancellation that was acknowledged to a user before the holder's watermark.
+// checkCancellationWatermarks checks that each lease holder knows every cancellation that was
+// acknowledged to a user before the lease holder's watermark.
 func (sim *simulation) checkCancellationWatermarks() {
 	for _, n := range sim.nodes {
 		if !n.alive {
@@ -28,71 +29,72 @@
 	}
 }
 
+// checkCancellationWatermark checks the watermark of one term.
 func (sim *simulation) checkCancellationWatermark(n *simulatedNode, t *term.Term) {
 	now := sim.clock.Now()
-	at := t.CancellationWatermark(now)
-	if at.After(now) {
-		sim.addViolation("%s: cancellation watermark %v ahead of its clock", n.name, at.Sub(now))
+	watermark := t.CancellationWatermark(now)
+	if watermark.After(now) {
+		sim.addViolation("%s: cancellation watermark %v ahead of its clock", n.name, watermark.Sub(now))
 	}
 	for _, j := range sim.cluster.Submitted {
-		if j.KnownState == wire.JobCancelled && j.CancelledAt.Before(at) && t.Scheduler().OpenJob(j.Spec.ID) != nil {
+		cancelled := j.KnownState == wire.JobCancelled && j.CancelledAt.Before(watermark)
+		if cancelled && t.Scheduler().OpenJob(j.Spec.ID) != nil {
 			sim.addViolation("%s does not know that %s was cancelled at %v, with its watermark at %v",
-				n.name, j.Spec.ID, j.CancelledAt.Sub(fakes.Epoch), at.Sub(fakes.Epoch))
+				n.name, j.Spec.ID, j.CancelledAt.Sub(fakes.Epoch), watermark.Sub(fakes.Epoch))
 		}
 	}
 }
 
-// checkWaitingJobs checks that once faults are over no job waits for long while there are
-// machines that fit with room for it and its team is under its limit.
+// checkWaitingJobs checks that no open job waits for longer than maxJobWait while it fits on the
+// reachable machines and within its team's limit. It checks nothing before all faults have ended.
 func (sim *simulation) checkWaitingJobs() {
-	if sim.checks.faultsOver.IsZero() {
+	if sim.checks.faultsEndedAt.IsZero() {
 		return
 	}
 	now := sim.clock.Now()
 	used, onMachines := sim.cluster.Usage()
 	usable := func(w *fakes.Worker) bool {
 		m := sim.machines[w.Host.ID]
-		return !m.partitioned && !m.inboundCut && !m.outboundCut
+		return !m.partitioned && !m.inboundBlocked && !m.outboundBlocked
 	}
 	for _, j := range sim.cluster.Submitted {
 		open := j.Accepted && !j.CancelRequested && !j.Faulty && j.KnownState != wire.JobDone
 		if !open || onMachines[j] > 0 || !sim.cluster.Fits(j, used[j.Spec.Team], usable) {
-			delete(sim.checks.idleSince, j)
+			delete(sim.checks.startableSince, j)
 			continue
 		}
-		if sim.checks.idleSince[j].IsZero() {
-			sim.checks.idleSince[j] = now
+		if sim.checks.startableSince[j].IsZero() {
+			sim.checks.startableSince[j] = now
 		}
-		if now.Sub(sim.checks.idleSince[j]) > maxWait {
-			sim.addViolation("%s has waited for %v while there was room for it", j.Spec.ID, maxWait)
+		if now.Sub(sim.checks.startableSince[j]) > maxJobWait {
+			sim.addViolation("%s has waited for more than %v although it could start", j.Spec.ID, maxJobWait)
 		}
 	}
 }
 
-// checkCommands checks the commands that a controller gives: none may start a task of a
-// job whose cancellation was acknowledged longer ago than a lease holder may be without
-// contact to the state service.
+// checkCommands checks that none of a controller's commands starts a task of a job whose cancellation
+// was acknowledged longer ago than a lease holder can be without contact to the state service.
 func (sim *simulation) checkCommands(n *simulatedNode, commands []wire.Command) {
-	const mostWithoutNews = tuning.MemberLease + tuning.WatchTimeout + tuning.StoreTimeout
-	for _, o := range commands {
-		id, _, _ := wire.ParseTask(o.Task)
+	const maxContactAge = tuning.MemberLease + tuning.WatchTimeout + tuning.StoreTimeout
+	for _, command := range commands {
+		id, _, _ := wire.ParseTask(command.Task)
 		j := sim.cluster.Jobs[id]
-		if o.Verb != wire.VerbRun || j == nil || j.KnownState != wire.JobCancelled {
+		if command.Verb != wire.VerbRun || j == nil || j.KnownState != wire.JobCancelled {
 			continue
 		}
-		if since := sim.clock.Now().Sub(j.CancelledAt); since > mostWithoutNews {
-			sim.addViolation("%s orders a start of %s, cancelled %v ago", n.name, o.Task, since)
+		if age := sim.clock.Now().Sub(j.CancelledAt); age > maxContactAge {
+			sim.addViolation("%s commands a start of %s, cancelled %v ago", n.name, command.Task, age)
 		}
 	}
 }
 
-// finish lets all faults pass, waits for every job's end and checks that none is
-// forgotten. Jobs that never end by themselves are cancelled.
-func (sim *simulation) finish() {
+// endFaultsAndAwaitJobs ends all faults, cancels the jobs that never end by themselves, and waits up
+// to ten minutes until every job has ended. It adds a violation if a job is forgotten or does not end.
+func (sim *simulation) endFaultsAndAwaitJobs() {
 	const rounds, round = 40, 15 * time.Second
 	sim.randomMessageFaults, sim.rates, sim.isolatedZone = false, faultRates{}, ""
-	sim.runFor(30 * time.Second) // the last faults pass
-	sim.checks.faultsOver = sim.clock.Now()
+	sim.runFor(30 * time.Second) // faults in progress end
+	sim.checks.faultsEndedAt = sim.clock.Now()
 	for _, j := range sim.cluster.Submitted {
 		if j.Faulty || j.Spec.Shape == wire.ShapeService {
 			sim.cancel(j)
@@ -108,11 +110,12 @@
 		}
 	}
 	for _, j := range sim.unfinishedJobs() {
-		sim.t.Logf("last reported as %q: %+v", j.KnownState, j.Spec)
+		sim.t.Logf("not ended, last known state %q: %+v", j.KnownState, j.Spec)
 	}
-	sim.addViolation("some accepted jobs never ended")
+	sim.addViolation("%d jobs have not ended", len(sim.unfinishedJobs()))
 }
 
+// unfinishedJobs returns the submitted jobs whose users have not been told of a final state.
 func (sim *simulation) unfinishedJobs() []*fakes.Job {
 	var out []*fakes.Job
 	for _, j := range sim.cluster.Submitted {
@@ -127,24 +130,25 @@
 // deprovisioned through the intent log.
 func (sim *simulation) requireIntentsCarriedOut() {
 	sim.t.Helper()
-	sim.t.Logf("carried out: %v, %d writes of the log", sim.intentChecker.Effects, sim.intentChecker.PageWrites)
-	for _, d := range []intentlog.Operation{intentlog.Provision, intentlog.Deprovision} {
-		if sim.intentChecker.Effects[d] == 0 {
-			sim.t.Errorf("nothing was carried out for %s: this tests nothing", d)
+	sim.t.Logf("executed intents: %v, intent log page writes: %d",
+		sim.intentChecker.Effects, sim.intentChecker.PageWrites)
+	for _, operation := range []intentlog.Operation{intentlog.Provision, intentlog.Deprovision} {
+		if sim.intentChecker.Effects[operation] == 0 {
+			sim.t.Errorf("no %s intent was executed, so the test proves nothing", operation)
 		}
 	}
 }
 
-// requireNoViolations fails the test if a rule was broken.
+// requireNoViolations fails the test with the first violation, if there is one.
 func (sim *simulation) requireNoViolations() {
 	sim.t.Helper()
-	if broken := sim.violations(); len(broken) > 0 {
-		sim.t.Fatal(broken[0])
+	if violations := sim.violations(); len(violations) > 0 {
+		sim.t.Fatal(violations[0])
 	}
 }
 
-// requireAllJobsEnd waits until every job has ended, with no fault left, and fails the test if one
-// has not, or if a rule was broken.
+// requireAllJobsEnd waits up to five minutes until every job has ended. It fails the test if a job has
+// not ended or was forgotten, or if there is any other violation. The caller must have ended all faults.
 func (sim *simulation) requireAllJobsEnd() {
 	sim.t.Helper()
 	for range 20 {
@@ -159,7 +163,7 @@
 		}
 	}
 	for _, j := range sim.unfinishedJobs() {
-		sim.addViolation("%s never ended", j.Spec.ID)
+		sim.addViolation("%s has not ended", j.Spec.ID)
 	}
 	sim.requireNoViolations()
 }
--- a/internal/controller/simulation_cloud_test.go
+++ b/internal/controller/simulation_cloud_test.go
@@ -7,21 +7,21 @@
 	"juniperchute/internal/tuning"
 )
 
-// CallCloud is part of Effects.
+// CallCloud implements Effects. It may lose, delay or repeat the call.
 func (e *simulatedEffects) CallCloud(c cloud.Call, then func(now time.Time, r cloud.Result)) {
-	at := cloudEffect
+	kind := cloudEffect
 	if c.Operation == cloud.DeleteMachines {
-		at = deleteEffect
+		kind = deleteEffect
 	}
-	if e.deferIfFrozen(at, func() { e.CallCloud(c, then) }) {
+	if e.deferIfFrozen(kind, func() { e.CallCloud(c, then) }) {
 		return
 	}
 	sim := e.node.sim
 	sim.recordCloudCall(e.node.name, c)
-	over := false
+	finished := false
 	finish := func(r cloud.Result) {
-		if !over && e.current() {
-			over = true
+		if !finished && e.current() {
+			finished = true
 			e.node.whenRunning(func() { then(sim.clock.Now(), r) })
 		}
 	}
@@ -30,22 +30,22 @@
 		return
 	}
 	if c.Operation == cloud.DeleteMachines {
-		e.checkLeaseValid("machines returned")
+		e.checkLeaseValid("deletes machines")
 	}
 	sim.clock.Schedule(tuning.CloudTimeout, func() { finish(cloud.Result{}) })
 	arrive := func() {
 		r := sim.cloud.Call(c)
-		sim.clock.Schedule(sim.lag(), func() { finish(r) })
+		sim.clock.Schedule(sim.networkDelay(), func() { finish(r) })
 	}
 	roll := sim.rng.IntN(100)
-	if e.node.cloudCut || sim.randomMessageFaults && roll < 2 { // lost, or executed late
+	if e.node.cloudPartitioned || sim.randomMessageFaults && roll < 2 { // lost or executed late
 		if sim.rng.IntN(2) == 0 {
 			sim.clock.Schedule(time.Duration(5+sim.rng.IntN(60))*time.Second, arrive)
 		}
 		return
 	}
 	sim.clock.Schedule(100*time.Millisecond, arrive)
-	if sim.randomMessageFaults && roll < 6 { // carried out, and repeated late
+	if sim.randomMessageFaults && roll < 6 { // executed, and repeated late
 		sim.clock.Schedule(time.Duration(1+sim.rng.IntN(60))*time.Second, func() { sim.cloud.Call(c) })
 	}
 }
--- a/internal/controller/simulation_commands_test.go
+++ b/internal/controller/simulation_commands_test.go
@@ -9,83 +9,85 @@
 	"juniperchute/internal/wire"
 )
 
-// SendCommands is part of Effects.
+// SendCommands implements Effects. It may lose, delay or repeat the commands or lose the answer.
 func (e *simulatedEffects) SendCommands(
-	address string, d wire.DirectCommands, by time.Time,
+	address string, commands wire.DirectCommands, deadline time.Time,
 	then func(now time.Time, heartbeat *wire.Heartbeat, err error),
 ) {
-	at := queryEffect
-	if len(d.Commands) > 0 {
-		at = commandEffect
+	kind := queryEffect
+	if len(commands.Commands) > 0 {
+		kind = commandEffect
 	}
-	if e.deferIfFrozen(at, func() { e.SendCommands(address, d, by, then) }) {
+	if e.deferIfFrozen(kind, func() { e.SendCommands(address, commands, deadline, then) }) {
 		return
 	}
 	sim := e.node.sim
-	sim.recordCommand(e.node.name, address, d, by)
-	over := false
+	sim.recordCommand(e.node.name, address, commands, deadline)
+	finished := false
 	finish := func(heartbeat *wire.Heartbeat, err error) {
-		if !over && e.current() {
-			over = true
+		if !finished && e.current() {
+			finished = true
 			e.node.whenRunning(func() { then(sim.clock.Now(), heartbeat, err) })
 		}
 	}
-	if !sim.clock.Now().Before(by) {
+	if !sim.clock.Now().Before(deadline) {
 		sim.clock.Schedule(0, func() { finish(nil, term.ErrDeadlinePassed) })
 		return
 	}
-	if len(d.Commands) > 0 {
-		e.checkLeaseValid("a command")
+	if len(commands.Commands) > 0 {
+		e.checkLeaseValid("sends commands")
 	}
 	sim.clock.Schedule(tuning.CommandTimeout, func() { finish(nil, term.ErrNoResponse) })
 	m := sim.machines[strings.TrimPrefix(address, machineAddressPrefix)]
-	if m == nil || m.inboundCut {
+	if m == nil || m.inboundBlocked {
 		return
 	}
-	there, back := sim.commandDelays()
-	sim.checkCommands(e.node, d.Commands)
-	sim.deliver(m, e.node, func() { e.executeCommands(m, d, there, back, finish) })
+	commandDelay, answerDelay := sim.commandDelays()
+	sim.checkCommands(e.node, commands.Commands)
+	sim.deliver(m, e.node, func() { e.executeCommands(m, commands, commandDelay, answerDelay, finish) })
 }
 
-// commandDelays are how long a direct command and its answer are held up.
-func (sim *simulation) commandDelays() (there, back time.Duration) {
+// commandDelays returns the random delays of a direct command and of its answer, which are 0 unless
+// the command is one of the share that faultRates.delayedCommands selects.
+func (sim *simulation) commandDelays() (commandDelay, answerDelay time.Duration) {
 	if sim.rng.Float64() >= sim.rates.delayedCommands {
 		return 0, 0
 	}
-	there = time.Duration(sim.rng.IntN(20000)) * time.Millisecond
-	back = time.Duration(sim.rng.IntN(5000)) * time.Millisecond
+	commandDelay = time.Duration(sim.rng.IntN(20000)) * time.Millisecond
+	answerDelay = time.Duration(sim.rng.IntN(5000)) * time.Millisecond
 	if sim.rng.IntN(4) == 0 {
-		there *= 4 // longer than a cancelled job's tasks have
+		commandDelay *= 4 // may exceed the time in which a cancelled job's tasks must stop
 	}
 	if sim.rates.commandDelay > 0 {
-		there = sim.rates.commandDelay
+		commandDelay = sim.rates.commandDelay
 	}
-	return there, back
+	return commandDelay, answerDelay
 }
 
-// executeCommands executes a direct command that has reached its machine.
+// executeCommands lets a machine execute direct commands after a delay, and delivers the answer.
 func (e *simulatedEffects) executeCommands(
-	m *machine, d wire.DirectCommands, there, back time.Duration, finish func(*wire.Heartbeat, error),
+	m *machine, commands wire.DirectCommands, commandDelay, answerDelay time.Duration,
+	finish func(*wire.Heartbeat, error),
 ) {
 	sim := e.node.sim
 	if m.Terminated {
 		return
 	}
-	if there > 0 {
-		sim.clock.Schedule(there, func() {
+	if commandDelay > 0 {
+		sim.clock.Schedule(commandDelay, func() {
 			if !m.Terminated {
-				_, heartbeat := m.HandleCommand(d)
-				sim.clock.Schedule(back, func() { finish(heartbeat, nil) })
+				_, heartbeat := m.HandleCommand(commands)
+				sim.clock.Schedule(answerDelay, func() { finish(heartbeat, nil) })
 			}
 		})
 		return
 	}
-	_, heartbeat := m.HandleCommand(d)
+	_, heartbeat := m.HandleCommand(commands)
 	sim.deliver(m, e.node, func() { finish(heartbeat, nil) })
-	if sim.randomMessageFaults && sim.rng.IntN(20) == 0 { // a repeat of a command that was carried out
+	if sim.randomMessageFaults && sim.rng.IntN(20) == 0 { // executed, and repeated late
 		sim.clock.Schedule(time.Duration(200+sim.rng.IntN(60000))*time.Millisecond, func() {
 			if !m.Terminated && !m.Hung {
-				m.HandleCommand(d)
+				m.HandleCommand(commands)
 			}
 		})
 	}
--- a/internal/controller/simulation_deployments_test.go
+++ b/internal/controller/simulation_deployments_test.go
@@ -24,11 +24,11 @@
 		{Name: "blue", GPUs: 6, GPUsMax: 12},
 		{Name: "free"},
 	}
-	tightTeams = []config.Team{
+	smallQuotaTeams = []config.Team{
 		{Name: "red", GPUs: 2, GPUsMax: 4},
 		{Name: "blue", GPUs: 2, GPUsMax: 4},
 	}
-	fleetTeams = []config.Team{
+	largeQuotaTeams = []config.Team{
 		{Name: "red", GPUs: 80, GPUsMax: 200},
 		{Name: "blue", GPUs: 120, GPUsMax: 240},
 		{Name: "free"},
@@ -76,7 +76,7 @@
 	mixedTypes   = []wire.MachineType{mediumType, cpuOnlyType}
 )
 
-// largeMachineType is a machine type with eight GPUs.
+// largeMachineType returns a machine type with eight GPUs and the given boot time in seconds.
 func largeMachineType(bootTimeS float64) wire.MachineType {
 	return wire.MachineType{
 		Name:        "g8",
@@ -91,18 +91,20 @@
 	}
 }
 
-// testConfig is the configuration of a small deployment.
+// testConfig returns a configuration with the given heartbeat interval and lease of the workers, both
+// in seconds.
 func testConfig(zones []string, teams []config.Team, heartbeatS, leaseS float64) *config.Config {
 	platform := fakes.DeploymentConfig(zones, teams, heartbeatS, leaseS)
 	return &config.Config{Member: "x", Area: zones[0], Platform: platform}
 }
 
-// steadySimulation is a deployment without random faults, with work under way.
+// steadySimulation returns a deployment in which jobs run and no random faults occur.
 func steadySimulation(t *testing.T, machines, jobs int) *simulation {
 	return steadySimulationWith(t, 11, machines, jobs)
 }
 
-// steadySimulationWith is a steady deployment on a seed, prepared before its jobs come.
+// steadySimulationWith returns a steady deployment for a seed. The functions in prepare run before
+// the jobs are submitted.
 func steadySimulationWith(
 	t *testing.T, seed uint64, machines, jobs int, prepare ...func(sim *simulation),
 ) *simulation {
@@ -112,24 +114,24 @@
 		f(sim)
 	}
 	for i := range jobs {
-		sim.add(steadyJob(i), 50*time.Second)
+		sim.submitJob(steadyJob(i), 50*time.Second)
 	}
 	sim.runFor(25 * time.Second)
 	for _, m := range sim.machines {
 		m.Faulty = false
 	}
 	if len(sim.machines) == 0 || sim.leaseHolder() == nil {
-		t.Fatal("nothing runs yet")
+		t.Fatal("no machine or no lease holder after 25s")
 	}
 	return sim
 }
 
-// steadyJob is one of the jobs that a steady deployment begins with.
+// steadyJob returns an array of four tasks, the kind of job that a steady deployment starts with.
 func steadyJob(number int) wire.JobSpec {
 	return sweepJob(fmt.Sprintf("job-%d", number), "normal", 4, 50)
 }
 
-// sweepJob is an array of independent tasks with a GPU each.
+// sweepJob returns an array of independent tasks with one GPU each.
 func sweepJob(id, priority string, tasks int, runTimeS float64) wire.JobSpec {
 	return wire.JobSpec{
 		ID:                id,
@@ -148,14 +150,14 @@
 	}
 }
 
-// trainingArray is an array of high priority, of the class of training jobs.
+// trainingArray returns a high-priority array of the class train.
 func trainingArray(id string, tasks int, runTimeS float64) wire.JobSpec {
 	spec := sweepJob(id, "high", tasks, runTimeS)
 	spec.Class = "train"
 	return spec
 }
 
-// trainingGang is a gang of high priority.
+// trainingGang returns a high-priority gang of the class train.
 func trainingGang(id string, tasks int, runTimeS float64) wire.JobSpec {
 	spec := trainingArray(id, tasks, runTimeS)
 	spec.Shape = wire.ShapeGang
--- a/internal/controller/simulation_effects_test.go
+++ b/internal/controller/simulation_effects_test.go
@@ -4,7 +4,7 @@
 	"juniperchute/internal/fakes"
 )
 
-// effect is a sort of effect just before which a process may freeze.
+// effect names a kind of I/O operation before which a process can freeze.
 type effect string
 
 const (
@@ -16,41 +16,43 @@
 	queryEffect   effect = "query"
 )
 
-// machineAddressPrefix stands before a machine's name in its address.
+// machineAddressPrefix precedes the name of a machine in its address.
 const machineAddressPrefix = "addr-"
 
-// simulatedEffects carries out the effects of one process.
+// simulatedEffects implements Effects for one process of a controller. It drops the results that
+// arrive after the process has ended.
 type simulatedEffects struct {
 	node          *simulatedNode
 	processNumber int
 }
 
-// current reports whether the process still runs: what an ended one waits for is void.
+// current reports whether the process still runs.
 func (e *simulatedEffects) current() bool {
 	return e.node.alive && e.node.processNumber == e.processNumber
 }
 
-// deferIfFrozen reports whether the process is frozen just before an effect; carryOut does it
-// afterwards.
-func (e *simulatedEffects) deferIfFrozen(at effect, carryOut func()) bool {
+// deferIfFrozen reports whether the process is frozen before an effect of the given kind. If so,
+// it schedules resume for the end of the freeze. It starts the freeze that the node has been set for.
+func (e *simulatedEffects) deferIfFrozen(kind effect, resume func()) bool {
 	n := e.node
 	now := n.sim.clock.Now()
-	if n.freezeFor > 0 && (n.freezeAt == anyEffect || n.freezeAt == at) {
+	if n.freezeFor > 0 && (n.freezeAt == anyEffect || n.freezeAt == kind) {
 		n.frozenUntil, n.freezeFor = now.Add(n.freezeFor), 0
 	}
 	if !now.Before(n.frozenUntil) {
 		return false
 	}
-	n.whenRunning(carryOut)
+	n.whenRunning(resume)
 	return true
 }
 
-// checkLeaseValid checks that whatever changes a machine's tasks is done with the lease.
-func (e *simulatedEffects) checkLeaseValid(what string) {
+// checkLeaseValid adds a violation if the controller performs an action on machines or tasks without
+// a valid lease of its membership.
+func (e *simulatedEffects) checkLeaseValid(action string) {
 	sim, member := e.node.sim, e.node.name
 	membership := e.node.controller.membership
 	if !membership.LeaseValid(sim.clock.Now()) {
 		deadline := membership.LeaseDeadline().Sub(fakes.Epoch)
-		sim.addViolation("%s: %s past its lease's end at %v", member, what, deadline)
+		sim.addViolation("%s %s after the expiry of its lease at %v", member, action, deadline)
 	}
 }
--- a/internal/controller/simulation_network_test.go
+++ b/internal/controller/simulation_network_test.go
@@ -8,54 +8,56 @@
 	"juniperchute/internal/wire"
 )
 
-// Nodes is part of fakes.Network.
+// Nodes implements fakes.Network.
 func (sim *simulation) Nodes() int { return len(sim.nodes) }
 
-// NodeIndex is part of fakes.Network.
+// NodeIndex implements fakes.Network.
 func (sim *simulation) NodeIndex(name string) int {
 	return slices.IndexFunc(sim.nodes, func(n *simulatedNode) bool { return n.name == name })
 }
 
-// deliver carries a message between a machine and a node, either way. A cut holds it
-// back or loses it.
+// deliver delivers a message between a machine and a node, in either direction, by calling f. It holds
+// or loses the message if there is a partition between them or the machine hangs.
 func (sim *simulation) deliver(m *machine, n *simulatedNode, f func()) {
 	reachesOtherOnly := m.onlyNode != nil && m.onlyNode != n
-	cut := m.partitioned || n.workersCut || reachesOtherOnly || sim.crossesZoneBoundary(m.Host.Zone, n.zone)
-	if cut || m.Hung {
+	unreachable := m.partitioned || n.workersPartitioned || reachesOtherOnly ||
+		sim.crossesZoneBoundary(m.Host.Zone, n.zone)
+	if unreachable || m.Hung {
 		if sim.rng.IntN(2) == 0 {
-			m.held = append(m.held, f)
+			m.heldMessages = append(m.heldMessages, f)
 		}
 		return
 	}
-	lag := sim.lag()
-	if sim.rates.slowLinks > 0 {
-		lag += time.Duration(sim.rng.Int64N(int64(sim.rates.slowLinks)))
+	delay := sim.networkDelay()
+	if sim.rates.maxLinkDelay > 0 {
+		delay += time.Duration(sim.rng.Int64N(int64(sim.rates.maxLinkDelay)))
 	}
-	sim.clock.Schedule(lag, func() {
+	sim.clock.Schedule(delay, func() {
 		if m.Hung {
-			m.held = append(m.held, f)
+			m.heldMessages = append(m.heldMessages, f)
 			return
 		}
 		f()
 	})
 }
 
-// release lets held messages go.
+// release delivers the held messages of a machine.
 func (sim *simulation) release(m *machine) {
-	held := m.held
-	m.held = nil
+	held := m.heldMessages
+	m.heldMessages = nil
 	for _, f := range held {
-		sim.clock.Schedule(sim.lag(), f)
+		sim.clock.Schedule(sim.networkDelay(), f)
 	}
 }
 
-// Send is part of fakes.Network.
+// Send implements fakes.Network. It passes a worker's heartbeat to a controller, and may keep copies
+// of it for later delivery.
 func (sim *simulation) Send(
 	w *fakes.Worker, node int, heartbeat *wire.Heartbeat, answer fakes.ReplyFunc,
 ) {
 	m, n := sim.machines[w.Host.ID], sim.nodes[node]
-	if m.outboundCut {
-		answer(0, wire.HeartbeatResponse{}, "") // no connection can be made
+	if m.outboundBlocked {
+		answer(0, wire.HeartbeatResponse{}, "") // the connection fails
 		return
 	}
 	reply := func(status int, body any) {
@@ -63,13 +65,13 @@
 		commands, _ := body.(wire.HeartbeatResponse)
 		redirect, _ := body.(wire.Redirect)
 		sim.checkCommands(n, commands.Commands)
-		if !m.inboundCut {
+		if !m.inboundBlocked {
 			sim.deliver(m, n, func() { answer(status, commands, redirect.Member) })
 		}
 	}
 	sim.deliver(m, n, func() {
 		if !n.alive {
-			if !m.inboundCut {
+			if !m.inboundBlocked {
 				answer(0, wire.HeartbeatResponse{}, "")
 			}
 			return
@@ -79,32 +81,32 @@
 	sim.copyHeartbeat(heartbeat)
 }
 
-// copyHeartbeat keeps copies of a heartbeat, to be delivered late or to the next lease holder.
+// copyHeartbeat may keep copies of a heartbeat, to be delivered late or when the next term starts.
 func (sim *simulation) copyHeartbeat(heartbeat *wire.Heartbeat) {
-	const mostHeld = 100
-	if sim.randomMessageFaults && sim.rng.IntN(50) == 0 || sim.rng.Float64() < sim.rates.lateHeartbeats {
+	const maxHeld = 100
+	if sim.randomMessageFaults && sim.rng.IntN(50) == 0 || sim.rng.Float64() < sim.rates.repeatedHeartbeats {
 		sim.deliverCopyLate(heartbeat)
 	}
-	if sim.rng.Float64() < sim.rates.heartbeatsToNextLeaseHolder && len(sim.heldHeartbeats) < mostHeld {
+	if sim.rng.Float64() < sim.rates.heartbeatsToNextLeaseHolder && len(sim.heldHeartbeats) < maxHeld {
 		sim.heldHeartbeats = append(sim.heldHeartbeats, cloneHeartbeat(heartbeat))
 	}
 }
 
-// cloneHeartbeat copies a heartbeat and its tasks.
+// cloneHeartbeat returns a copy of a heartbeat that shares no task with it.
 func cloneHeartbeat(heartbeat *wire.Heartbeat) *wire.Heartbeat {
 	copied := *heartbeat
 	copied.Tasks = slices.Clone(heartbeat.Tasks)
 	return &copied
 }
 
-// deliverCopyLate delivers a copy of a heartbeat to some node, seconds to well over a lease
-// later, wherever the machine is by then.
+// deliverCopyLate delivers a copy of a heartbeat to a random node after 0.5 s to 40.5 s, even if the
+// machine has been deleted by then.
 func (sim *simulation) deliverCopyLate(heartbeat *wire.Heartbeat) {
 	n, copied := sim.nodes[sim.rng.IntN(len(sim.nodes))], cloneHeartbeat(heartbeat)
 	sim.clock.Schedule(time.Duration(500+sim.rng.IntN(40000))*time.Millisecond, func() { sim.deliverCopy(n, copied) })
 }
 
-// deliverCopy delivers a heartbeat whose answer nobody gets.
+// deliverCopy delivers a heartbeat to a node and drops the answer.
 func (sim *simulation) deliverCopy(n *simulatedNode, heartbeat *wire.Heartbeat) {
 	if n.alive {
 		n.whenRunning(func() {
@@ -115,8 +117,8 @@
 	}
 }
 
-// releaseToNextLeaseHolder lets the copies of old heartbeats that were kept for the next
-// lease holder arrive everywhere as soon as there is one.
+// releaseToNextLeaseHolder delivers the held copies of heartbeats to every controller if a term with
+// a higher fencing token than before has started.
 func (sim *simulation) releaseToNextLeaseHolder() {
 	for _, n := range sim.nodes {
 		if !n.alive {
@@ -131,7 +133,7 @@
 	}
 }
 
-// releaseHeldHeartbeats delivers the held copies to every controller.
+// releaseHeldHeartbeats delivers the held copies of heartbeats to every controller within 300 ms.
 func (sim *simulation) releaseHeldHeartbeats() {
 	held := sim.heldHeartbeats
 	sim.heldHeartbeats = nil
--- a/internal/controller/simulation_node_test.go
+++ b/internal/controller/simulation_node_test.go
@@ -8,30 +8,31 @@
 	"juniperchute/internal/tuning"
 )
 
-// simulatedNode is one controller of the deployment, whose process ends and is restarted.
+// simulatedNode simulates the member of the deployment that runs one controller. Its process may
+// crash and restart, each time with a new controller.
 type simulatedNode struct {
 	sim           *simulation
 	name          string
 	zone          string
 	controller    *Controller
 	alive         bool
-	processNumber int  // which process runs; an ended one's effects and timers are void
-	upgraded      bool // it has the new version
+	processNumber int  // changes at each crash and start; results and timers of earlier numbers are dropped
+	upgraded      bool // runs the new version if the simulation starts on the old one
 
-	stateCut      bool     // no message passes between it and the state service
-	workersCut    bool     // none between it and the workers
-	peersCut      bool     // none between it and the other controllers
-	cloudCut      bool     // its calls of the cloud are lost, or executed late
-	stateRefused  bool     // the state service answers 503 to it alone
-	silentWatches string   // its watches of keys with this prefix get no answer
-	heldCalls     []func() // calls of the state service that the cut holds back
+	statePartitioned   bool     // calls of the state service are held or lost
+	workersPartitioned bool     // messages from and to workers are held or lost
+	peersPartitioned   bool     // calls from and to other controllers fail
+	cloudPartitioned   bool     // calls of the cloud are lost or executed late
+	stateRefused       bool     // the state service answers 503 to this node only
+	silentWatches      string   // prefix of the watches that get no answer; "" for none
+	heldStateCalls     []func() // calls of the state service to deliver after the partition
 
-	freezeFor   time.Duration // it freezes for so long in the middle of its next effect
-	freezeAt    effect        // of this sort
-	frozenUntil time.Time     // its clocks run on
+	freezeFor   time.Duration // duration of the next freeze; 0 if none is set
+	freezeAt    effect        // kind of effect before which the next freeze starts
+	frozenUntil time.Time     // end of the present freeze, during which the clock advances
 }
 
-// start starts a new process of the controller.
+// start starts a new process with a new controller, which runs its first tick within 100 ms.
 func (n *simulatedNode) start() {
 	n.processNumber++
 	n.alive = true
@@ -44,8 +45,8 @@
 			cfg.Peers = append(cfg.Peers, config.Peer{Member: o.name, Address: "127.0.0.1:1"})
 		}
 	}
-	if n.sim.startsOld && !n.upgraded {
-		cfg.Platform.State.Next = nil // it knows nothing of limits to come, and fills its pages
+	if n.sim.startsOnOldVersion && !n.upgraded {
+		cfg.Platform.State.Next = nil // the old version writes pages up to the present limits
 	}
 	rng := rand.New(rand.NewPCG(n.sim.rng.Uint64(), 1))
 	effects := &simulatedEffects{node: n, processNumber: processNumber}
@@ -64,21 +65,21 @@
 	n.sim.clock.Schedule(time.Duration(n.sim.rng.IntN(100))*time.Millisecond, tick)
 }
 
-// restartTerm has the controller start its term of the first shard once more: it is loading
+// restartTerm replaces the term of the first shard by a new one with the same token, which is loading
 // until the state service answers.
 func (n *simulatedNode) restartTerm() {
 	c := n.controller
 	c.terms[0] = c.startTerm(n.sim.clock.Now(), c.terms[0].Term)
 }
 
-// options are what the node's process is started with.
+// options returns the options of the node's next process.
 func (n *simulatedNode) options() Options {
 	options := Options{Shards: n.sim.shards}
-	options.Features.IntentLog = n.sim.intentLog && (n.upgraded || !n.sim.startsOld)
+	options.Features.IntentLog = n.sim.intentLog && (n.upgraded || !n.sim.startsOnOldVersion)
 	return options
 }
 
-// crash ends the process; a new one starts after a time.
+// crash ends the process and starts a new one after a delay. It has no effect on a node that is down.
 func (n *simulatedNode) crash(restartAfter time.Duration) {
 	if !n.alive {
 		return
@@ -89,7 +90,7 @@
 	n.sim.clock.Schedule(restartAfter, n.start)
 }
 
-// whenRunning carries on once the process does not stand still, if it is still there.
+// whenRunning calls f at once, or at the end of the present freeze if the process still runs then.
 func (n *simulatedNode) whenRunning(f func()) {
 	now := n.sim.clock.Now()
 	if !now.Before(n.frozenUntil) {
@@ -106,26 +107,26 @@
 	})
 }
 
-// reconnectState ends a cut from the state service: what was held back arrives.
+// reconnectState ends a partition from the state service and delivers the held calls.
 func (n *simulatedNode) reconnectState() {
-	n.stateCut = false
-	for _, f := range n.heldCalls {
-		n.sim.clock.Schedule(n.sim.lag(), f)
+	n.statePartitioned = false
+	for _, f := range n.heldStateCalls {
+		n.sim.clock.Schedule(n.sim.networkDelay(), f)
 	}
-	n.heldCalls = nil
+	n.heldStateCalls = nil
 }
 
-// stateUnreachable reports whether no message passes between a node and the state service.
+// stateUnreachable reports whether the node is partitioned from the state service.
 func (n *simulatedNode) stateUnreachable() bool {
-	return n.stateCut || n.sim.isolatedZone != "" && n.sim.isolatedZone == n.zone
+	return n.statePartitioned || n.sim.isolatedZone != "" && n.sim.isolatedZone == n.zone
 }
 
-// isolate cuts a controller off from the state service and its peers: it is left with its
-// workers and users.
-func (n *simulatedNode) isolate() { n.stateCut, n.peersCut = true, true }
+// isolate partitions the node from the state service and its peers. Workers, users and the cloud
+// remain reachable.
+func (n *simulatedNode) isolate() { n.statePartitioned, n.peersPartitioned = true, true }
 
-// reconnect ends an isolation.
+// reconnect ends an isolation and delivers the held calls of the state service.
 func (n *simulatedNode) reconnect() {
-	n.peersCut = false
+	n.peersPartitioned = false
 	n.reconnectState()
 }
--- a/internal/controller/simulation_peers_test.go
+++ b/internal/controller/simulation_peers_test.go
@@ -10,9 +10,10 @@
 	"juniperchute/internal/tuning"
 )
 
-var errUnreachable = errors.New("peer cannot be reached")
+// errUnreachable means that a peer is down, frozen or partitioned.
+var errUnreachable = errors.New("call peer: unreachable")
 
-// callPeer carries a call to another controller, or its failure.
+// callPeer calls another controller and passes its reply, or errUnreachable, to then.
 func callPeer[T any](
 	e *simulatedEffects, member string,
 	call func(o *simulatedNode) *T, then func(now time.Time, r *T, err error),
@@ -25,14 +26,14 @@
 	}
 	fail := func() { finish(nil, errUnreachable) }
 	i := slices.IndexFunc(sim.nodes, func(o *simulatedNode) bool { return o.name == member })
-	sim.clock.Schedule(sim.lag(), func() {
+	sim.clock.Schedule(sim.networkDelay(), func() {
 		if i < 0 {
 			sim.clock.Schedule(tuning.ProgressTimeout, fail)
 			return
 		}
 		o := sim.nodes[i]
-		cut := e.node.peersCut || o.peersCut || sim.crossesZoneBoundary(e.node.zone, o.zone)
-		if cut || !o.alive || sim.clock.Now().Before(o.frozenUntil) {
+		partitioned := e.node.peersPartitioned || o.peersPartitioned || sim.crossesZoneBoundary(e.node.zone, o.zone)
+		if partitioned || !o.alive || sim.clock.Now().Before(o.frozenUntil) {
 			sim.clock.Schedule(tuning.ProgressTimeout, fail)
 			return
 		}
@@ -40,7 +41,7 @@
 	})
 }
 
-// SendHeartbeat is part of Effects.
+// SendHeartbeat implements Effects.
 func (e *simulatedEffects) SendHeartbeat(
 	member string, m *peerpb.PeerHeartbeat,
 	then func(now time.Time, r *peerpb.PeerHeartbeat, err error),
@@ -53,7 +54,7 @@
 	}, then)
 }
 
-// QueryProgress is part of Effects.
+// QueryProgress implements Effects.
 func (e *simulatedEffects) QueryProgress(
 	member string, m *peerpb.ProgressRequest,
 	then func(now time.Time, r *peerpb.ProgressReply, err error),
@@ -66,7 +67,7 @@
 	}, then)
 }
 
-// ProbeWorkers is part of Effects.
+// ProbeWorkers implements Effects. The other controller counts the machines that it reaches.
 func (e *simulatedEffects) ProbeWorkers(
 	member string, m *peerpb.ProbeRequest,
 	then func(now time.Time, r *peerpb.ProbeReply, err error),
@@ -76,7 +77,7 @@
 		r := &peerpb.ProbeReply{}
 		for _, address := range m.Addresses {
 			target := e.node.sim.machines[strings.TrimPrefix(address, machineAddressPrefix)]
-			if target != nil && !target.partitioned && !target.Hung && !o.workersCut {
+			if target != nil && !target.partitioned && !target.Hung && !o.workersPartitioned {
 				r.Answered++
 			}
 		}
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -18,11 +18,11 @@
 	"juniperchute/internal/wire"
 )
 
-// simulatedNodes is how many controllers a simulation has.
-const simulatedNodes = 3
+// nodeCount is the number of controllers in a simulation.
+const nodeCount = 3
 
-// simulation is a whole deployment in simulated time: real controllers, and fakes of all
-// parties around them.
+// simulation runs a deployment in simulated time: real controllers, and fakes of the state service,
+// the cloud, the workers and the users. A seed determines all of its events.
 type simulation struct {
 	t        *testing.T // nil in benchmarks
 	clock    *fakes.Clock
@@ -34,67 +34,68 @@
 	cluster  *fakes.Cluster
 	nodes    []*simulatedNode
 	machines map[string]*machine
-	digest   *digest // of all effects; nil: none is asked for
+	digest   *digest // nil unless digests are enabled
 
-	intentLog     bool // the intent log is switched on
-	intentChecker *fakes.IntentChecker
-	startsOld     bool // its controllers start as the earlier version
-	scale         int  // how many times the usual size jobs and faults have; 0: once
-	checks        ruleChecks
+	intentLog          bool // enables the intent log
+	intentChecker      *fakes.IntentChecker
+	startsOnOldVersion bool // controllers imitate the old version until they are upgraded
+	scale              int  // multiplies the sizes of arrays and faults; 0 means 1
+	checks             ruleChecks
 
-	randomMessageFaults bool // random messages are lost, delayed or repeated
+	randomMessageFaults bool // loses, delays and repeats random messages
 	rates               faultRates
-	isolatedZone        string            // its machines and controllers reach each other only
-	heldHeartbeats      []*wire.Heartbeat // copies, delivered to the next lease holder
-	highestToken        uint64            // the highest token of a term so far
+	isolatedZone        string            // zone that is partitioned from the rest; "" for none
+	heldHeartbeats      []*wire.Heartbeat // copies to deliver when the next term starts
+	highestToken        uint64            // highest fencing token at the last check for a new term
 
-	invalidRequests int           // how many there were
-	longestEvent    time.Duration // real time of the longest event that a controller handled
+	invalidRequests int           // number of invalid requests sent
+	longestEvent    time.Duration // longest real time in which a controller handled one event
 }
 
-// ruleChecks are when rules were checked last, and what that needs to know.
+// ruleChecks holds the schedule and the state of the checks that run during a simulation.
 type ruleChecks struct {
-	interval            time.Duration // between two checks; 0: after each step
+	interval            time.Duration // minimum time between two checks; 0 checks after each event
 	rulesCheckedAt      time.Time
 	watermarksCheckedAt time.Time
-	faultsOver          time.Time                // since when there are no faults; zero: there are
-	idleSince           map[*fakes.Job]time.Time // of jobs that could start and have no task anywhere
+	faultsEndedAt       time.Time                // zero while faults may occur
+	startableSince      map[*fakes.Job]time.Time // jobs that could start and have no task on a machine
 }
 
-// faultRates are the shares of messages that suffer a fault, besides the simulation's
-// random message faults. A time is the most by which messages are delayed.
+// faultRates holds the shares of messages that suffer each kind of fault, from 0 to 1, and the bounds
+// of delays. These faults occur in addition to those of simulation.randomMessageFaults.
 type faultRates struct {
-	// Transactions.
-	lateWrites  float64 // get no answer and are carried out 2 to 12 s later
-	lostAnswers float64 // are carried out at once and get no answer
+	// Shares of the transactions with writes.
+	delayedWrites float64 // executed 2 s to 12 s late, without a reply
+	lostReplies   float64 // executed at once, without a reply
 
-	// Heartbeats.
-	lateHeartbeats              float64 // come again, from 2 s to well over a lease later
-	heartbeatsToNextLeaseHolder float64 // come again, to every controller, when a term starts
+	// Shares of the heartbeats.
+	repeatedHeartbeats          float64 // delivered again after 0.5 s to 40.5 s
+	heartbeatsToNextLeaseHolder float64 // delivered again to every controller when a term starts
 
-	// Direct commands, or their answers.
-	delayedCommands float64       // are held up for seconds
-	commandDelay    time.Duration // for which they are held up; 0: for random times
+	// Direct commands and their answers.
+	delayedCommands float64       // share of the commands that are delayed
+	commandDelay    time.Duration // delay of these commands; 0 draws a random delay
 
 	// Requests of users.
-	cancelAtEnd     float64 // jobs that are cancelled as they end
-	burstsOfQueries bool    // all nodes are queried within milliseconds of each change
+	cancelledAtCompletion float64 // share of the jobs that are cancelled as their last task ends
+	queryBursts           bool    // sends queries to all nodes within milliseconds of each change
 
-	slowState time.Duration // answers of the state service
-	slowLinks time.Duration // messages between machines and controllers
+	maxStateDelay time.Duration // bounds the delay of a call of the state service, and of its reply
+	maxLinkDelay  time.Duration // bounds the delay of a message between a machine and a controller
 }
 
-// machine is a worker and the faults of its network.
+// machine simulates a worker and the faults of its network connections.
 type machine struct {
 	*fakes.Worker
-	partitioned bool           // nothing passes either way
-	onlyNode    *simulatedNode // the one node it can reach; nil: all
-	inboundCut  bool           // its heartbeats arrive, but no answer or command reaches it
-	outboundCut bool           // it reaches no controller, while direct commands reach it
-	held        []func()       // messages held back by the partition or the hang
+	partitioned     bool           // messages in both directions are held or lost
+	onlyNode        *simulatedNode // the only node that the machine can reach; nil means all
+	inboundBlocked  bool           // loses answers and commands, but not heartbeats
+	outboundBlocked bool           // loses heartbeats, but not direct commands
+	heldMessages    []func()       // messages to deliver after the partition or hang
 }
 
-// newSimulation starts a deployment. t is nil in benchmarks.
+// newSimulation returns a deployment whose controllers have been started and that has no machines or
+// jobs. t is nil in benchmarks.
 func newSimulation(
 	t *testing.T, seed uint64, cfg *config.Config, shards int, machineTypes []wire.MachineType,
 ) *simulation {
@@ -107,15 +108,15 @@
 		shards:   shards,
 		machines: map[string]*machine{},
 		digest:   newDigest(t),
-		checks:   ruleChecks{idleSince: map[*fakes.Job]time.Time{}},
+		checks:   ruleChecks{startableSince: map[*fakes.Job]time.Time{}},
 	}
 	sim.state = fakes.NewStateService(clock)
 	sim.cloud = fakes.NewCloud(clock, rng, machineTypes)
-	sim.cloud.OnBooted = sim.booted
-	sim.cloud.OnRemoved = sim.ended
+	sim.cloud.OnBooted = sim.startWorker
+	sim.cloud.OnRemoved = sim.removeMachine
 	sim.cluster = fakes.NewCluster(clock, rng, cfg.Platform, sim)
 	sim.cluster.OnCompleted = sim.jobCompleted
-	for i := range simulatedNodes {
+	for i := range nodeCount {
 		zone := cfg.Platform.Zones[i%len(cfg.Platform.Zones)]
 		sim.nodes = append(sim.nodes, &simulatedNode{sim: sim, name: fmt.Sprintf("node-%d", i), zone: zone})
 	}
@@ -125,8 +126,8 @@
 	return sim
 }
 
-// enableIntentLog switches the intent log on, and has it checked against what the cloud
-// carries out.
+// enableIntentLog restarts all controllers with the intent log enabled, and lets a checker compare the
+// log with the operations that the cloud executes.
 func (sim *simulation) enableIntentLog() {
 	sim.intentLog = true
 	sim.intentChecker = fakes.NewIntentChecker(sim.cluster, sim.state, sim.cloud)
@@ -135,8 +136,8 @@
 	}
 }
 
-// booted starts a machine's worker; a few machines are faulty.
-func (sim *simulation) booted(h *fakes.CloudHost) {
+// startWorker starts the worker of a machine that has booted. A random 5 % of the machines are faulty.
+func (sim *simulation) startWorker(h *fakes.CloudHost) {
 	const faultyShare = 0.05
 	machineTypes := sim.cloud.MachineTypes
 	hasType := func(machineType wire.MachineType) bool { return machineType.Name == h.Type }
@@ -148,21 +149,22 @@
 	m.Faulty = sim.rng.Float64() < faultyShare
 }
 
-// ended removes a terminated machine.
-func (sim *simulation) ended(h *fakes.CloudHost) {
+// removeMachine removes a terminated machine and its tasks.
+func (sim *simulation) removeMachine(h *fakes.CloudHost) {
 	sim.cluster.Remove(h.ID)
 	delete(sim.machines, h.ID)
 }
 
-// machineNames lists the machines' names in order.
+// machineNames returns the machines' names in order.
 func (sim *simulation) machineNames() []string { return sim.cluster.MachineNames() }
 
-// logger logs in simulated time, to nowhere unless SIMULATION_LOG is set.
+// logger returns a member's logger, which logs simulated time. It writes to standard error if the
+// environment variable SIMULATION_LOG is set, and discards all records otherwise.
 func (sim *simulation) logger(name string) *slog.Logger {
 	out := io.Discard
 	level := slog.LevelDebug
 	if sim.t == nil {
-		level = slog.LevelInfo // a benchmark logs what a controller does
+		level = slog.LevelInfo // benchmarks include the logging that controllers do by default
 	}
 	if os.Getenv("SIMULATION_LOG") != "" {
 		out = os.Stderr
@@ -177,15 +179,16 @@
 	return slog.New(slog.NewTextHandler(out, options)).With("member", name)
 }
 
-// addViolation records that something a test expects did not hold.
+// addViolation records that an expectation of a test does not hold.
 func (sim *simulation) addViolation(format string, args ...any) {
 	sim.cluster.AddViolation(fakes.Expectation, format, args...)
 }
 
-// violations are the rules broken so far.
+// violations returns the violations so far.
 func (sim *simulation) violations() []fakes.Violation { return sim.cluster.Violations }
 
-// runFor plays a time, checking the rules after each step.
+// runFor advances simulated time by d and checks the rules after each event, or at the interval that
+// is set. It runs no further events after a violation.
 func (sim *simulation) runFor(d time.Duration) {
 	const watermarksInterval = 500 * time.Millisecond
 	end := sim.clock.Now().Add(d)
@@ -207,23 +210,24 @@
 	sim.clock.AdvanceTo(end)
 }
 
-// runUntil plays until something holds, and fails the test if it does not hold in time.
-func (sim *simulation) runUntil(what string, most time.Duration, holds func() bool) {
+// runUntil runs the simulation until a condition holds. It fails the test if the condition does not
+// hold within the timeout.
+func (sim *simulation) runUntil(condition string, timeout time.Duration, holds func() bool) {
 	sim.t.Helper()
-	for end := sim.clock.Now().Add(most); !holds(); sim.runFor(10 * time.Millisecond) {
+	for end := sim.clock.Now().Add(timeout); !holds(); sim.runFor(10 * time.Millisecond) {
 		if sim.clock.Now().After(end) {
-			sim.t.Fatalf("after %v still not: %s", most, what)
+			sim.t.Fatalf("condition does not hold within %v: %s", timeout, condition)
 		}
 		sim.requireNoViolations()
 	}
 }
 
-// lag is how long a message takes where nothing is wrong.
-func (sim *simulation) lag() time.Duration {
+// networkDelay returns the random delay of a message without faults, from 0.2 ms to 4.2 ms.
+func (sim *simulation) networkDelay() time.Duration {
 	return time.Duration(200+sim.rng.IntN(4000)) * time.Microsecond
 }
 
-// randomMachine is one at random, nil if there is none.
+// randomMachine returns a random machine, or nil if there is none.
 func (sim *simulation) randomMachine() *machine {
 	names := sim.machineNames()
 	if len(names) == 0 {
@@ -232,7 +236,7 @@
 	return sim.machines[names[sim.rng.IntN(len(names))]]
 }
 
-// randomMachines are those that one fault hits.
+// randomMachines returns the machines that one fault affects, up to scale of them and none twice.
 func (sim *simulation) randomMachines() []*machine {
 	n := 1
 	if sim.scale > 1 {
@@ -240,15 +244,15 @@
 	}
 	var out []*machine
 	for range n {
-		if h := sim.randomMachine(); h != nil && !slices.Contains(out, h) {
-			out = append(out, h)
+		if m := sim.randomMachine(); m != nil && !slices.Contains(out, m) {
+			out = append(out, m)
 		}
 	}
 	return out
 }
 
-// leaseHolder is the controller that holds the shard's lease and knows where all tasks
-// are, nil if there is none.
+// leaseHolder returns the controller that holds the first shard's lease and whose term is open, or nil
+// if there is none.
 func (sim *simulation) leaseHolder() *simulatedNode {
 	for _, n := range sim.nodes {
 		t := n.controller.terms[0]
@@ -259,7 +263,7 @@
 	return nil
 }
 
-// sortedKeys are a map's keys in order.
+// sortedKeys returns the keys of a map in ascending order.
 func sortedKeys[V any](m map[string]V) []string {
 	var out []string
 	for k := range m {
@@ -269,12 +273,12 @@
 	return out
 }
 
-// crossesZoneBoundary reports whether a zone is cut off and exactly one of two places is in it.
+// crossesZoneBoundary reports whether exactly one of two zones is the isolated zone.
 func (sim *simulation) crossesZoneBoundary(one, other string) bool {
 	return sim.isolatedZone != "" && (sim.isolatedZone == one) != (sim.isolatedZone == other)
 }
 
-// firstNodeExcept is the first controller that is not the given one.
+// firstNodeExcept returns the first controller other than n.
 func (sim *simulation) firstNodeExcept(n *simulatedNode) *simulatedNode {
 	if sim.nodes[0] != n {
 		return sim.nodes[0]
@@ -282,7 +286,7 @@
 	return sim.nodes[1]
 }
 
-// lastNodeExcept is the last controller that is not the given one.
+// lastNodeExcept returns the last controller other than n.
 func (sim *simulation) lastNodeExcept(n *simulatedNode) *simulatedNode {
 	if last := sim.nodes[len(sim.nodes)-1]; last != n {
 		return last
@@ -290,7 +294,8 @@
 	return sim.nodes[len(sim.nodes)-2]
 }
 
-// termInState is the first term of a live controller in a state, nil if there is none.
+// termInState returns the term of the first live controller whose term of the first shard is in a
+// state, or nil if there is none.
 func (sim *simulation) termInState(state term.State) *term.Term {
 	for _, n := range sim.nodes {
 		t := n.controller.terms[0]
--- a/internal/controller/simulation_upgrade_test.go
+++ b/internal/controller/simulation_upgrade_test.go
@@ -6,10 +6,10 @@
 	"juniperchute/internal/config"
 )
 
-// startOldVersion starts all controllers on the earlier version, with announced limits that
-// make its pages too large.
+// startOldVersion restarts all controllers as the old version. The limits that are announced for
+// after the upgrade are below the sizes of the pages that this version writes.
 func (sim *simulation) startOldVersion() {
-	sim.startsOld = true
+	sim.startsOnOldVersion = true
 	sim.cfg.Platform.State.ValueKB = 1
 	sim.cfg.Platform.State.Next = config.UpcomingLimits{"value_kb": 0.5, "txn_ops": int64(4), "write_rps": 12.0}
 	sim.state.Limits.MaxValueBytes, sim.state.Limits.MaxTxnOps = 1024, 8
@@ -18,8 +18,8 @@
 	}
 }
 
-// upgradeNext gives one more controller the new version; once all have it the state
-// service's limits fall, whatever is going on.
+// upgradeNext restarts one more controller with the new version. Once all of them have it, upgradeNext
+// lowers the limits of the state service, at random together with an outage or a crash.
 func (sim *simulation) upgradeNext() {
 	for _, n := range sim.nodes {
 		if !n.upgraded {
--- a/internal/controller/simulation_users_test.go
+++ b/internal/controller/simulation_users_test.go
@@ -9,50 +9,54 @@
 	"juniperchute/internal/wire"
 )
 
-// request is what a user asks of a node.
+// request sends a user's request to a node.
 type request func(n *simulatedNode, reply func(submission.Response))
 
+// query returns a request for the state of a job.
 func (sim *simulation) query(id string) request {
 	return func(n *simulatedNode, reply func(submission.Response)) {
 		n.controller.Query(sim.clock.Now(), id, reply)
 	}
 }
 
+// submission returns a request to submit a job.
 func (sim *simulation) submission(spec wire.JobSpec) request {
 	return func(n *simulatedNode, reply func(submission.Response)) {
 		n.controller.Submit(sim.clock.Now(), spec, reply)
 	}
 }
 
+// cancellation returns a request to cancel a job.
 func (sim *simulation) cancellation(id string) request {
 	return func(n *simulatedNode, reply func(submission.Response)) {
 		n.controller.Cancel(sim.clock.Now(), id, reply)
 	}
 }
 
-// send sends a user's request to some node; no answer comes from a dead one.
+// send sends a user's request to a random node. A node that is down never answers.
 func (sim *simulation) send(r request, then func(submission.Response)) {
 	sim.sendTo(sim.nodes[sim.rng.IntN(len(sim.nodes))], r, then)
 }
 
+// sendTo sends a user's request to a node. The node's answer is lost if its process ends first.
 func (sim *simulation) sendTo(n *simulatedNode, r request, then func(submission.Response)) {
-	sim.clock.Schedule(sim.lag(), func() {
+	sim.clock.Schedule(sim.networkDelay(), func() {
 		if !n.alive {
 			return
 		}
-		generation := n.processNumber
+		processNumber := n.processNumber
 		n.whenRunning(func() {
 			r(n, func(answer submission.Response) {
 				sim.recordUserAnswer(n.name, answer)
-				if n.alive && n.processNumber == generation {
-					sim.clock.Schedule(sim.lag(), func() { then(answer) })
+				if n.alive && n.processNumber == processNumber {
+					sim.clock.Schedule(sim.networkDelay(), func() { then(answer) })
 				}
 			})
 		})
 	})
 }
 
-// jobStateOf is the job's state in an answer, "" if there is none.
+// jobStateOf returns the job's state in an answer, or "" if there is none.
 func jobStateOf(r submission.Response) string {
 	switch b := r.Body.(type) {
 	case wire.JobState:
@@ -63,15 +67,17 @@
 	return ""
 }
 
-// recordAnswer records the state of a job that a user got as an answer.
-func (sim *simulation) recordAnswer(j *fakes.Job, stage, before string) {
-	if sim.cluster.RecordAnswer(j, stage, before) && sim.rates.burstsOfQueries {
-		sim.burstOfQueries(j)
+// recordAnswer records an answer with the state of a job. If queryBursts is set, it sends queries when
+// the user first learns that the job was accepted or has ended. before is the state that the user knew
+// when the request was sent.
+func (sim *simulation) recordAnswer(j *fakes.Job, state, before string) {
+	if sim.cluster.RecordAnswer(j, state, before) && sim.rates.queryBursts {
+		sim.sendQueryBurst(j)
 	}
 }
 
-// handleAnswer records an answer about a job. before is the state that the user knew when
-// the request was sent.
+// handleAnswer records an answer about a job with any status. before is the state that the user knew
+// when the request was sent.
 func (sim *simulation) handleAnswer(j *fakes.Job, before string, r submission.Response) {
 	if r.Status == 200 {
 		sim.recordAnswer(j, jobStateOf(r), before)
@@ -80,16 +86,18 @@
 	sim.cluster.RecordRefusal(j, before, r.Status)
 }
 
-// add makes a user submit a job and ask about it until the end of the test.
-func (sim *simulation) add(spec wire.JobSpec, run time.Duration) *fakes.Job {
-	j := fakes.NewJob(spec, run)
+// submitJob lets a user submit a job and query its state until the end of the test. Each of its tasks
+// runs for runTime.
+func (sim *simulation) submitJob(spec wire.JobSpec, runTime time.Duration) *fakes.Job {
+	j := fakes.NewJob(spec, runTime)
 	sim.cluster.AddJob(j)
-	sim.submit(j)
-	sim.clock.Schedule(time.Second, func() { sim.poll(j) })
+	sim.sendSubmission(j)
+	sim.clock.Schedule(time.Second, func() { sim.pollJob(j) })
 	return j
 }
 
-func (sim *simulation) submit(j *fakes.Job) {
+// sendSubmission submits a job and repeats that every 1 s to 3 s until the job is accepted.
+func (sim *simulation) sendSubmission(j *fakes.Job) {
 	if j.Accepted {
 		return
 	}
@@ -98,28 +106,32 @@
 		case 200, 201:
 			sim.recordAnswer(j, jobStateOf(r), "")
 		case 400, 422:
-			sim.cluster.AddViolation(fakes.JobForgotten, "%s answered %d %v", j.Spec.ID, r.Status, r.Body)
+			sim.cluster.AddViolation(fakes.JobForgotten, "submission of %s was answered with %d %v",
+				j.Spec.ID, r.Status, r.Body)
 		}
 	})
-	if sim.rates.burstsOfQueries { // questions that are on their way already when it is accepted
-		sim.burstOfQueries(j)
+	if sim.rates.queryBursts { // queries in transit when the job is accepted
+		sim.sendQueryBurst(j)
 	}
-	sim.clock.Schedule(time.Duration(1000+sim.rng.IntN(2000))*time.Millisecond, func() { sim.submit(j) })
+	sim.clock.Schedule(time.Duration(1000+sim.rng.IntN(2000))*time.Millisecond, func() { sim.sendSubmission(j) })
 }
 
-func (sim *simulation) poll(j *fakes.Job) {
+// pollJob queries the state of a job every 3 s to 6 s. It adds a violation if an accepted job is
+// unknown.
+func (sim *simulation) pollJob(j *fakes.Job) {
 	before, accepted := j.KnownState, j.Accepted
 	sim.send(sim.query(j.Spec.ID), func(r submission.Response) {
 		switch {
 		case r.Status == 404 && accepted:
-			sim.cluster.AddViolation(fakes.JobForgotten, "%s answered 404", j.Spec.ID)
+			sim.cluster.AddViolation(fakes.JobForgotten, "query of accepted job %s was answered with 404", j.Spec.ID)
 		case r.Status == 200:
 			sim.recordAnswer(j, jobStateOf(r), before)
 		}
 	})
-	sim.clock.Schedule(time.Duration(3000+sim.rng.IntN(3000))*time.Millisecond, func() { sim.poll(j) })
+	sim.clock.Schedule(time.Duration(3000+sim.rng.IntN(3000))*time.Millisecond, func() { sim.pollJob(j) })
 }
 
+// cancel cancels a job and repeats that every 2 s until the user knows a final state.
 func (sim *simulation) cancel(j *fakes.Job) {
 	j.CancelRequested = true
 	if j.Ended() {
@@ -134,9 +146,9 @@
 	sim.clock.Schedule(2*time.Second, func() { sim.cancel(j) })
 }
 
-// burstOfQueries asks all nodes about a job, again and again within milliseconds, repeats
-// its submission, and now and then its cancellation.
-func (sim *simulation) burstOfQueries(j *fakes.Job) {
+// sendQueryBurst sends three requests about a job to each node within 60 ms: queries, and repeated
+// submissions if the user knows a state. At random it also cancels the job.
+func (sim *simulation) sendQueryBurst(j *fakes.Job) {
 	soon := func() time.Duration { return time.Duration(sim.rng.IntN(60000)) * time.Microsecond }
 	for range 3 {
 		for _, n := range sim.nodes {
@@ -155,9 +167,10 @@
 	}
 }
 
-// jobCompleted may have a user cancel a job as its last task ends, and ask about it closely.
+// jobCompleted may let a user cancel a job as its last task ends, and query and resubmit it within
+// 1.5 s.
 func (sim *simulation) jobCompleted(j *fakes.Job) {
-	if sim.rng.Float64() >= sim.rates.cancelAtEnd {
+	if sim.rng.Float64() >= sim.rates.cancelledAtCompletion {
 		return
 	}
 	soon := func() time.Duration { return time.Duration(sim.rng.IntN(1500)) * time.Millisecond }
@@ -171,30 +184,31 @@
 	}
 }
 
-// invalidRequest makes a request that users should not make, and checks what it gets.
-func (sim *simulation) invalidRequest() {
+// sendInvalidRequest sends a random request that a controller must reject, or repeats a request. It
+// adds a violation if the answer has another status than expected, 429 or 503.
+func (sim *simulation) sendInvalidRequest() {
 	sim.invalidRequests++
-	expect := func(what string, allowed int) func(submission.Response) {
+	expect := func(request string, status int) func(submission.Response) {
 		return func(r submission.Response) {
-			if r.Status != 429 && r.Status != 503 && r.Status != allowed {
-				sim.addViolation("%s answered %d %v", what, r.Status, r.Body)
+			if r.Status != 429 && r.Status != 503 && r.Status != status {
+				sim.addViolation("%s was answered with %d %v, want %d", request, r.Status, r.Body, status)
 			}
 		}
 	}
 	unknown := fmt.Sprintf("job-9%06d", sim.invalidRequests)
 	switch sim.rng.IntN(4) {
 	case 0:
-		sim.send(sim.query(unknown), expect("a query of an unknown job", 404))
+		sim.send(sim.query(unknown), expect("query of an unknown job", 404))
 	case 1:
-		sim.send(sim.cancellation(unknown), expect("a cancellation of an unknown job", 404))
+		sim.send(sim.cancellation(unknown), expect("cancellation of an unknown job", 404))
 	case 2:
-		sim.send(sim.submission(sim.infeasibleJob(unknown)), expect("a job that can never run", 422))
+		sim.send(sim.submission(sim.infeasibleJob(unknown)), expect("submission of an infeasible job", 422))
 	case 3:
 		sim.repeatRequest()
 	}
 }
 
-// infeasibleJob is a job that can never run.
+// infeasibleJob returns the specification of a job that no machines can ever run.
 func (sim *simulation) infeasibleJob(id string) wire.JobSpec {
 	spec := wire.JobSpec{
 		ID:       id,
@@ -225,7 +239,7 @@
 	return spec
 }
 
-// repeatRequest repeats the submission of some job, and cancels it if it is done.
+// repeatRequest repeats the submission of a random job, and cancels the job if it is done.
 func (sim *simulation) repeatRequest() {
 	jobs := sim.cluster.Submitted
 	if len(jobs) == 0 {
--- a/internal/controller/steady_test.go
+++ b/internal/controller/steady_test.go
@@ -9,46 +9,45 @@
 	"juniperchute/internal/wire"
 )
 
-// leanSimulation is a deployment of the size of a lean one in simulated time, loaded and
-// steady.
-func leanSimulation(load fakes.Workload) *simulation {
+// newLoadedSimulation returns a deployment under a constant load, after 45 s of simulated time.
+func newLoadedSimulation(load fakes.Workload) *simulation {
 	cfg := &config.Config{Member: "x", Area: "a", Platform: load.Config()}
 	sim := newSimulation(nil, 5, cfg, 1, []wire.MachineType{fakes.LargeMachineType()})
 	sim.state.PageSize, sim.state.MaxHistory, sim.cloud.PageSize = 1000, 10000, 500
 	sim.cloud.Available[fakes.CapacityKey(fakes.LargeMachineType().Name, "a", false)] = load.Machines
 	jobs := 0
-	array := func() { sim.add(load.Array(jobs), load.RunTime); jobs++ }
-	gang := func() { sim.add(load.Gang(jobs), load.RunTime); jobs++ }
+	array := func() { sim.submitJob(load.Array(jobs), load.RunTime); jobs++ }
+	gang := func() { sim.submitJob(load.Gang(jobs), load.RunTime); jobs++ }
 	for range load.Machines / 4 {
 		gang()
 		array()
 	}
-	const every = 100 * time.Millisecond
-	owedArrays, owedGangs := 0.0, 0.0
-	var more func()
-	more = func() {
-		owedArrays += load.ArraysPerS * every.Seconds()
-		owedGangs += load.GangsPerS * every.Seconds()
-		for ; owedArrays >= 1; owedArrays-- {
+	const interval = 100 * time.Millisecond
+	dueArrays, dueGangs := 0.0, 0.0
+	var submitDue func()
+	submitDue = func() {
+		dueArrays += load.ArraysPerS * interval.Seconds()
+		dueGangs += load.GangsPerS * interval.Seconds()
+		for ; dueArrays >= 1; dueArrays-- {
 			array()
 		}
-		for ; owedGangs >= 1; owedGangs-- {
+		for ; dueGangs >= 1; dueGangs-- {
 			gang()
 		}
-		sim.clock.Schedule(every, more)
+		sim.clock.Schedule(interval, submitDue)
 	}
-	more()
+	submitDue()
 	sim.clock.RunUntil(fakes.Epoch.Add(45 * time.Second))
 	return sim
 }
 
-// BenchmarkSteady measures a second of a lean deployment's decisions, at all its
-// controllers, without what carries them out. The fakes' time is in it.
-func BenchmarkSteady(b *testing.B) {
+// BenchmarkSteadyState measures the real time that all controllers of a deployment take for a second
+// of simulated time under a constant load, without real I/O. It includes the time of the fakes.
+func BenchmarkSteadyState(b *testing.B) {
 	for _, load := range append(fakes.LeanWorkloads(), fakes.LargestWorkload()) {
 		b.Run(load.Name, func(b *testing.B) {
-			sim := leanSimulation(load)
-			first := sim.longestEvent
+			sim := newLoadedSimulation(load)
+			longestAtStart := sim.longestEvent
 			sim.longestEvent = 0
 			b.ReportAllocs()
 			b.ResetTimer()
@@ -58,9 +57,9 @@
 			b.StopTimer()
 			b.ReportMetric(float64(len(sim.machines)), "machines")
 			b.ReportMetric(float64(sim.longestEvent.Microseconds()), "us/longest-turn")
-			b.ReportMetric(float64(first.Microseconds()), "us/longest-turn-at-first")
+			b.ReportMetric(float64(longestAtStart.Microseconds()), "us/longest-turn-at-first")
 			if sim.leaseHolder() == nil {
-				b.Fatal("no holder")
+				b.Fatal("no lease holder at the end")
 			}
 		})
 	}
--- a/internal/controller/unreadable_test.go
+++ b/internal/controller/unreadable_test.go
@@ -13,39 +13,39 @@
 	"juniperchute/internal/wire"
 )
 
-// unreadableRecord is a stored value that this version cannot read.
+// unreadableRecord describes stored records that this version cannot decode.
 type unreadableRecord struct {
 	name   string
-	prefix string // of the keys that get the value
+	prefix string // prefix of the keys whose values are replaced
 	value  string
 }
 
-// truncatedValue is a value whose end is missing.
+// truncatedValue is a JSON value without its end.
 const truncatedValue = `{"Spec":{"Id":"job-`
 
 var unreadableRecords = []unreadableRecord{
-	{name: "a page of start markers", prefix: "b/0/", value: truncatedValue},
-	{name: "a page of used machines", prefix: "u/0/", value: `["i-000000"]`},
-	{name: "a provisioning request", prefix: "h/0/", value: truncatedValue},
-	{name: "a page of completion bitmaps", prefix: "t/0/", value: `null`},
+	{name: "start marker page", prefix: "b/0/", value: truncatedValue},
+	{name: "used machine page", prefix: "u/0/", value: `["i-000000"]`},
+	{name: "provisioning request", prefix: "h/0/", value: truncatedValue},
+	{name: "completion bitmap page", prefix: "t/0/", value: `null`},
 }
 
-// A stored record that this version cannot read is logged and left as it is. What it may
-// hold is neither started nor run twice: a machine that cannot be asked still has its tasks
-// when the next lease holder takes over.
+// Guards against a successor that overwrites records that it cannot decode, or that starts tasks
+// twice because it does not know what these records and unreachable machines hold.
 func TestUnreadableRecords(t *testing.T) {
 	for _, c := range unreadableRecords {
 		t.Run(c.name, c.run)
 	}
 }
 
+// run replaces the records before a failover with unreachable machines.
 func (c unreadableRecord) run(t *testing.T) {
 	sim := steadySimulation(t, 6, 8)
 	sim.runUntilBitmapsStored()
 	holder := sim.leaseHolder()
-	cut := sim.partitionEveryOtherMachine()
+	partitioned := sim.partitionEveryOtherMachine()
 	holder.crash(time.Hour)
-	versions := map[string]uint64{} // of the unreadable records
+	versions := map[string]uint64{} // versions of the unreadable records, by key
 	for _, key := range sortedKeys(sim.state.Keys) {
 		if strings.HasPrefix(key, c.prefix) {
 			sim.state.Put(key, json.RawMessage(c.value))
@@ -58,10 +58,10 @@
 	sim.runFor(40 * time.Second)
 	for key, version := range versions {
 		if sim.state.Keys[key].Version != version {
-			sim.addViolation("%s was written over", key)
+			sim.addViolation("%s was overwritten", key)
 		}
 	}
-	for _, name := range cut {
+	for _, name := range partitioned {
 		if m := sim.machines[name]; m != nil {
 			m.partitioned = false
 			sim.release(m)
@@ -70,7 +70,8 @@
 	sim.requireAllJobsEnd()
 }
 
-// runUntilBitmapsStored plays until a job has some tasks completed, others open.
+// runUntilBitmapsStored runs the simulation until completion bitmaps are stored, which is the case
+// when some but not all tasks of a job have completed.
 func (sim *simulation) runUntilBitmapsStored() {
 	for stored := false; !stored; {
 		sim.runFor(time.Second)
@@ -80,19 +81,20 @@
 	}
 }
 
-// partitionEveryOtherMachine cuts half of the machines off, and returns their names.
+// partitionEveryOtherMachine partitions every second machine in the order of the names, and returns
+// the names of the partitioned machines.
 func (sim *simulation) partitionEveryOtherMachine() []string {
-	var cut []string
+	var partitioned []string
 	for i, name := range sim.machineNames() {
 		if i%2 == 0 {
 			sim.machines[name].partitioned = true
-			cut = append(cut, name)
+			partitioned = append(partitioned, name)
 		}
 	}
-	return cut
+	return partitioned
 }
 
-// unreadableJob is the stored value of an open job, job-0, that this version cannot read.
+// unreadableJob describes a stored record of an open job, job-0, that this version cannot decode.
 type unreadableJob struct {
 	name  string
 	value string
@@ -104,29 +106,30 @@
 		value: `{"Spec":{"Id":"job-0","Pieces":4`,
 	},
 	{
-		name: "of an unknown shape",
+		name: "unknown job shape",
 		value: `{"Spec":{"Id":"job-0","Lane":"sweep","Crew":"red","Shape":"swarm","Rank":"normal","Pieces":4},` +
 			`"At":1,"Block":0}`,
 	},
 	{
-		name:  "of another form",
+		name:  "array instead of object",
 		value: `[2,"job-0"]`,
 	},
 }
 
-// An open job's entry that cannot be read: its user is told to come back, what runs of it
-// is left alone and starts nowhere else, and the entry stays as it is. Other jobs go on.
+// Guards against an undecodable open job that a successor overwrites, stops or starts again, that
+// blocks other jobs, or about which users get any other answer than to retry later.
 func TestUnreadableJob(t *testing.T) {
 	for _, c := range unreadableJobs {
 		t.Run(c.name, c.run)
 	}
 }
 
+// run replaces the record of a running job before a failover, and restores it afterwards.
 func (c unreadableJob) run(t *testing.T) {
 	sim := steadySimulation(t, 6, 8)
 	job := sim.jobWithMostRunningTasks()
 	if job == nil {
-		t.Fatal("nothing runs")
+		t.Fatal("no task runs")
 	}
 	before := sim.runningTasks()[job]
 	key := submission.OpenJobKey(job.Spec.ID)
@@ -135,20 +138,20 @@
 	sim.state.Put(key, json.RawMessage(strings.ReplaceAll(c.value, "job-0", job.Spec.ID)))
 	version := sim.state.Keys[key].Version
 	sim.runFor(12 * time.Second)
-	writtenOver := sim.state.Keys[key].Version != version
-	if now := sim.runningTasks()[job]; now != before || writtenOver {
-		t.Errorf("%d tasks run, %d before; entry written over: %t", now, before, writtenOver)
+	overwritten := sim.state.Keys[key].Version != version
+	if now := sim.runningTasks()[job]; now != before || overwritten {
+		t.Errorf("%d tasks of the job run, want %d; record overwritten: %t, want false", now, before, overwritten)
 	}
 	sim.requireRetryLater(job)
-	// a version that can read it writes it again, or it is mended
-	sim.state.Put(key, readable)
+	sim.state.Put(key, readable) // the record is repaired
 	sim.requireAllJobsEnd()
 	if job.KnownState != wire.JobDone {
-		t.Errorf("reported as %q", job.KnownState)
+		t.Errorf("the user knows the job as %q, want %q", job.KnownState, wire.JobDone)
 	}
 }
 
-// requireRetryLater checks that every request about a job is answered with 503.
+// requireRetryLater fails the test unless every live controller answers every kind of request about a
+// job with status 503 and a retry delay.
 func (sim *simulation) requireRetryLater(job *fakes.Job) {
 	for _, r := range []struct {
 		name    string
@@ -164,7 +167,8 @@
 			}
 			sim.sendTo(n, r.request, func(answer submission.Response) {
 				if answer.Status != 503 || answer.RetryAfter == 0 {
-					sim.addViolation("%s answered %d %v", r.name, answer.Status, answer.Body)
+					sim.addViolation("%s was answered with %d %v, retry after %v",
+						r.name, answer.Status, answer.Body, answer.RetryAfter)
 				}
 			})
 		}
@@ -173,7 +177,7 @@
 	sim.requireNoViolations()
 }
 
-// runningTasks counts the running tasks by job.
+// runningTasks returns the number of running tasks by job.
 func (sim *simulation) runningTasks() map[*fakes.Job]int {
 	running := map[*fakes.Job]int{}
 	for _, m := range sim.machines {
@@ -186,7 +190,8 @@
 	return running
 }
 
-// jobWithMostRunningTasks is the first by name of those with most, nil if none runs.
+// jobWithMostRunningTasks returns the job with the most running tasks, the first by name among equals,
+// or nil if no task runs.
 func (sim *simulation) jobWithMostRunningTasks() *fakes.Job {
 	running := sim.runningTasks()
 	var most *fakes.Job
@@ -198,31 +203,31 @@
 	return most
 }
 
-// A limit for a value that nobody announced: provisioning requests, used machines, start
-// markers and completion bitmaps are written in smaller records, and every job ends.
+// Guards against records that the state service rejects more than once because they exceed a value
+// size limit that was not announced: they must be split into smaller records.
 func TestUnannouncedStateLimit(t *testing.T) {
 	for _, valueBytes := range []int{1024, 600} {
 		sim := newSimulation(t, 11, testConfig(oneZone, steadyTeams, 1.5, 10), 1, oneZoneTypes)
 		sim.cloud.Available[fakes.CapacityKey(smallType.Name, "a", false)] = 80
 		sim.state.Limits.MaxValueBytes = valueBytes
-		refused := map[string]int{}
+		rejected := map[string]int{}
 		sim.state.OnCall = func(c store.Call, err error) {
 			for _, w := range c.Transaction.Writes {
 				if errors.Is(err, store.ErrInvalid) && w.Lease == 0 {
-					refused[w.Put+string(w.Value)]++
+					rejected[w.Put+string(w.Value)]++
 				}
 			}
 		}
 		for i := range 70 {
-			sim.add(steadyJob(i), 20*time.Second)
+			sim.submitJob(steadyJob(i), 20*time.Second)
 		}
 		sim.runFor(60 * time.Second)
-		if len(refused) == 0 {
-			t.Fatal("nothing was refused: this tests nothing")
+		if len(rejected) == 0 {
+			t.Fatal("the state service rejected no write, so the test proves nothing")
 		}
-		for value, n := range refused {
+		for value, n := range rejected {
 			if n > 1 {
-				t.Errorf("%d bytes limit: %.40s was refused %d times", valueBytes, value, n)
+				t.Errorf("limit of %d bytes: %.40s was rejected %d times, want 1", valueBytes, value, n)
 			}
 		}
 		sim.requireAllJobsEnd()
