--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -200,7 +200,7 @@
 			sim.cloud.Available[fakes.CapacityKey(machineType.Name, zone, false)] = 8 * c.scale
 		}
 	}
-	sim.cloud.BootFailureShare = 0.02
+	sim.cloud.BootFailureProbability = 0.02
 	sim.randomMessageFaults, sim.scale = true, c.scale
 	if c.upgrade {
 		sim.startOldVersion()
@@ -209,7 +209,7 @@
 		sim.enableIntentLog()
 	}
 	if c.intentLog && c.upgrade {
-		sim.intentChecker.Grace = maxCloudCallDelay
+		sim.intentChecker.GracePeriod = maxCloudCallDelay
 	}
 	return sim
 }
--- a/internal/controller/simulation_checks_test.go
+++ b/internal/controller/simulation_checks_test.go
@@ -102,8 +102,8 @@
 	}
 	for i := range rounds {
 		sim.runFor(round)
-		if time.Duration(i)*round >= fakes.JobForgottenAfter {
-			sim.cluster.CheckJobsForgotten()
+		if time.Duration(i)*round >= fakes.LostJobTimeout {
+			sim.cluster.CheckLostJobs()
 		}
 		if len(sim.unfinishedJobs()) == 0 || len(sim.violations()) > 0 {
 			return
@@ -131,9 +131,9 @@
 func (sim *simulation) requireIntentsCarriedOut() {
 	sim.t.Helper()
 	sim.t.Logf("executed intents: %v, intent log page writes: %d",
-		sim.intentChecker.Effects, sim.intentChecker.PageWrites)
+		sim.intentChecker.Executed, sim.intentChecker.PageWrites)
 	for _, operation := range []intentlog.Operation{intentlog.Provision, intentlog.Deprovision} {
-		if sim.intentChecker.Effects[operation] == 0 {
+		if sim.intentChecker.Executed[operation] == 0 {
 			sim.t.Errorf("no %s intent was executed, so the test proves nothing", operation)
 		}
 	}
@@ -154,8 +154,8 @@
 	for range 20 {
 		sim.runFor(15 * time.Second)
 		for _, j := range sim.cluster.Submitted {
-			if sim.clock.Now().Sub(j.AnsweredAt) > fakes.JobForgottenAfter {
-				sim.cluster.AddViolation(fakes.JobForgotten, "%s", j.Spec.ID)
+			if sim.clock.Now().Sub(j.LastResponseAt) > fakes.LostJobTimeout {
+				sim.cluster.AddViolation(fakes.JobLost, "%s", j.Spec.ID)
 			}
 		}
 		if len(sim.unfinishedJobs()) == 0 || len(sim.violations()) > 0 {
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -115,7 +115,7 @@
 	sim.cloud.OnBooted = sim.startWorker
 	sim.cloud.OnRemoved = sim.removeMachine
 	sim.cluster = fakes.NewCluster(clock, rng, cfg.Platform, sim)
-	sim.cluster.OnCompleted = sim.jobCompleted
+	sim.cluster.OnJobCompleted = sim.jobCompleted
 	for i := range nodeCount {
 		zone := cfg.Platform.Zones[i%len(cfg.Platform.Zones)]
 		sim.nodes = append(sim.nodes, &simulatedNode{sim: sim, name: fmt.Sprintf("node-%d", i), zone: zone})
@@ -196,7 +196,7 @@
 		sim.clock.Step()
 		if now := sim.clock.Now(); now.Sub(sim.checks.rulesCheckedAt) >= sim.checks.interval {
 			sim.checks.rulesCheckedAt = now
-			sim.cluster.Check()
+			sim.cluster.CheckInvariants()
 		}
 		if sim.clock.Now().Sub(sim.checks.watermarksCheckedAt) > max(watermarksInterval, sim.checks.interval) {
 			sim.checks.watermarksCheckedAt = sim.clock.Now()
--- a/internal/controller/simulation_users_test.go
+++ b/internal/controller/simulation_users_test.go
@@ -71,7 +71,7 @@
 // the user first learns that the job was accepted or has ended. before is the state that the user knew
 // when the request was sent.
 func (sim *simulation) recordAnswer(j *fakes.Job, state, before string) {
-	if sim.cluster.RecordAnswer(j, state, before) && sim.rates.queryBursts {
+	if sim.cluster.RecordResponse(j, state, before) && sim.rates.queryBursts {
 		sim.sendQueryBurst(j)
 	}
 }
@@ -83,7 +83,7 @@
 		sim.recordAnswer(j, jobStateOf(r), before)
 		return
 	}
-	sim.cluster.RecordRefusal(j, before, r.Status)
+	sim.cluster.RecordFailedRequest(j, before, r.Status)
 }
 
 // submitJob lets a user submit a job and query its state until the end of the test. Each of its tasks
@@ -106,7 +106,7 @@
 		case 200, 201:
 			sim.recordAnswer(j, jobStateOf(r), "")
 		case 400, 422:
-			sim.cluster.AddViolation(fakes.JobForgotten, "submission of %s was answered with %d %v",
+			sim.cluster.AddViolation(fakes.JobLost, "submission of %s was answered with %d %v",
 				j.Spec.ID, r.Status, r.Body)
 		}
 	})
@@ -123,7 +123,7 @@
 	sim.send(sim.query(j.Spec.ID), func(r submission.Response) {
 		switch {
 		case r.Status == 404 && accepted:
-			sim.cluster.AddViolation(fakes.JobForgotten, "query of accepted job %s was answered with 404", j.Spec.ID)
+			sim.cluster.AddViolation(fakes.JobLost, "query of accepted job %s was answered with 404", j.Spec.ID)
 		case r.Status == 200:
 			sim.recordAnswer(j, jobStateOf(r), before)
 		}
--- a/internal/controller/steady_test.go
+++ b/internal/controller/steady_test.go
@@ -44,7 +44,7 @@
 // BenchmarkSteadyState measures the real time that all controllers of a deployment take for a second
 // of simulated time under a constant load, without real I/O. It includes the time of the fakes.
 func BenchmarkSteadyState(b *testing.B) {
-	for _, load := range append(fakes.LeanWorkloads(), fakes.LargestWorkload()) {
+	for _, load := range append(fakes.SmallWorkloads(), fakes.LargestWorkload()) {
 		b.Run(load.Name, func(b *testing.B) {
 			sim := newLoadedSimulation(load)
 			longestAtStart := sim.longestEvent
