--- a/internal/controller/completions_test.go
+++ b/internal/controller/completions_test.go
@@ -24,7 +24,7 @@
 	sim.runFor(26 * time.Second)
 	sim.state.Limits.WritesPerS = 4 // two ends a second
 	completed, longest := map[*fakes.Job]time.Time{}, map[string]time.Duration{}
-	sim.cluster.OnCompleted = func(j *fakes.Job) { completed[j] = sim.clock.Now() }
+	sim.cluster.OnJobCompleted = func(j *fakes.Job) { completed[j] = sim.clock.Now() }
 	for range 120 {
 		sim.runFor(500 * time.Millisecond)
 		for _, n := range sim.nodes {
--- a/internal/controller/intents_failover_test.go
+++ b/internal/controller/intents_failover_test.go
@@ -111,7 +111,7 @@
 	if left := len(sim.loggedTargets()); left > 0 {
 		t.Errorf("%d intents are left after %v", left, elapsed)
 	}
-	if n := sim.intentChecker.Effects[intentlog.Deprovision]; n < largeFleet {
+	if n := sim.intentChecker.Executed[intentlog.Deprovision]; n < largeFleet {
 		t.Errorf("%d deletions", n)
 	}
 	t.Logf("%d intents completed and removed after %v; %d calls of the state service were refused",
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -201,7 +201,7 @@
 			sim.cloud.Available[fakes.CapacityKey(machineType.Name, zone, false)] = 8 * day.scale
 		}
 	}
-	sim.cloud.BootFailureShare = 0.02
+	sim.cloud.BootFailureProbability = 0.02
 	sim.randomMessageFaults, sim.scale = true, day.scale
 	if day.upgrade {
 		sim.startOldVersion()
@@ -210,7 +210,7 @@
 		sim.enableIntentLog()
 	}
 	if day.intentLog && day.upgrade {
-		sim.intentChecker.Grace = maxCloudCallDelay
+		sim.intentChecker.GracePeriod = maxCloudCallDelay
 	}
 	return sim
 }
--- a/internal/controller/simulation_checks_test.go
+++ b/internal/controller/simulation_checks_test.go
@@ -100,8 +100,8 @@
 	}
 	for i := range rounds {
 		sim.runFor(round)
-		if time.Duration(i)*round >= fakes.JobForgottenAfter {
-			sim.cluster.CheckJobsForgotten()
+		if time.Duration(i)*round >= fakes.LostJobTimeout {
+			sim.cluster.CheckLostJobs()
 		}
 		if len(sim.unfinishedJobs()) == 0 || len(sim.violations()) > 0 {
 			return
@@ -127,9 +127,9 @@
 // deprovisioned through the intent log.
 func (sim *simulation) requireIntentsCarriedOut() {
 	sim.t.Helper()
-	sim.t.Logf("carried out: %v, %d writes of the log", sim.intentChecker.Effects, sim.intentChecker.PageWrites)
+	sim.t.Logf("carried out: %v, %d writes of the log", sim.intentChecker.Executed, sim.intentChecker.PageWrites)
 	for _, d := range []intentlog.Operation{intentlog.Provision, intentlog.Deprovision} {
-		if sim.intentChecker.Effects[d] == 0 {
+		if sim.intentChecker.Executed[d] == 0 {
 			sim.t.Errorf("nothing was carried out for %s: this tests nothing", d)
 		}
 	}
@@ -150,8 +150,8 @@
 	for range 20 {
 		sim.runFor(15 * time.Second)
 		for _, j := range sim.cluster.Submitted {
-			if sim.clock.Now().Sub(j.AnsweredAt) > fakes.JobForgottenAfter {
-				sim.cluster.AddViolation(fakes.JobForgotten, "%s", j.Spec.ID)
+			if sim.clock.Now().Sub(j.LastResponseAt) > fakes.LostJobTimeout {
+				sim.cluster.AddViolation(fakes.JobLost, "%s", j.Spec.ID)
 			}
 		}
 		if len(sim.unfinishedJobs()) == 0 || len(sim.violations()) > 0 {
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -114,7 +114,7 @@
 	sim.cloud.OnBooted = sim.booted
 	sim.cloud.OnRemoved = sim.ended
 	sim.cluster = fakes.NewCluster(clock, rng, cfg.Platform, sim)
-	sim.cluster.OnCompleted = sim.jobCompleted
+	sim.cluster.OnJobCompleted = sim.jobCompleted
 	for i := range simulatedNodes {
 		zone := cfg.Platform.Zones[i%len(cfg.Platform.Zones)]
 		sim.nodes = append(sim.nodes, &simulatedNode{sim: sim, name: fmt.Sprintf("node-%d", i), zone: zone})
@@ -193,7 +193,7 @@
 		sim.clock.Step()
 		if now := sim.clock.Now(); now.Sub(sim.checks.rulesCheckedAt) >= sim.checks.interval {
 			sim.checks.rulesCheckedAt = now
-			sim.cluster.Check()
+			sim.cluster.CheckInvariants()
 		}
 		if sim.clock.Now().Sub(sim.checks.watermarksCheckedAt) > max(watermarksInterval, sim.checks.interval) {
 			sim.checks.watermarksCheckedAt = sim.clock.Now()
--- a/internal/controller/simulation_users_test.go
+++ b/internal/controller/simulation_users_test.go
@@ -65,7 +65,7 @@
 
 // recordAnswer records the state of a job that a user got as an answer.
 func (sim *simulation) recordAnswer(j *fakes.Job, stage, before string) {
-	if sim.cluster.RecordAnswer(j, stage, before) && sim.rates.burstsOfQueries {
+	if sim.cluster.RecordResponse(j, stage, before) && sim.rates.burstsOfQueries {
 		sim.burstOfQueries(j)
 	}
 }
@@ -77,7 +77,7 @@
 		sim.recordAnswer(j, jobStateOf(r), before)
 		return
 	}
-	sim.cluster.RecordRefusal(j, before, r.Status)
+	sim.cluster.RecordFailedRequest(j, before, r.Status)
 }
 
 // add makes a user submit a job and ask about it until the end of the test.
@@ -98,7 +98,7 @@
 		case 200, 201:
 			sim.recordAnswer(j, jobStateOf(r), "")
 		case 400, 422:
-			sim.cluster.AddViolation(fakes.JobForgotten, "%s answered %d %v", j.Spec.ID, r.Status, r.Body)
+			sim.cluster.AddViolation(fakes.JobLost, "%s answered %d %v", j.Spec.ID, r.Status, r.Body)
 		}
 	})
 	if sim.rates.burstsOfQueries { // questions that are on their way already when it is accepted
@@ -112,7 +112,7 @@
 	sim.send(sim.query(j.Spec.ID), func(r submission.Response) {
 		switch {
 		case r.Status == 404 && accepted:
-			sim.cluster.AddViolation(fakes.JobForgotten, "%s answered 404", j.Spec.ID)
+			sim.cluster.AddViolation(fakes.JobLost, "%s answered 404", j.Spec.ID)
 		case r.Status == 200:
 			sim.recordAnswer(j, jobStateOf(r), before)
 		}
--- a/internal/controller/steady_test.go
+++ b/internal/controller/steady_test.go
@@ -45,7 +45,7 @@
 // BenchmarkSteady measures a second of a lean deployment's decisions, at all its
 // controllers, without what carries them out. The fakes' time is in it.
 func BenchmarkSteady(b *testing.B) {
-	for _, load := range append(fakes.LeanWorkloads(), fakes.LargestWorkload()) {
+	for _, load := range append(fakes.SmallWorkloads(), fakes.LargestWorkload()) {
 		b.Run(load.Name, func(b *testing.B) {
 			sim := leanSimulation(load)
 			first := sim.longestEvent
--- a/internal/fakes/cloud.go
+++ b/internal/fakes/cloud.go
@@ -13,19 +13,19 @@
 // Cloud is the fake of the cloud: it provisions and deprovisions machines, and its lists lag. Tests
 // may change the exported fields at any time.
 type Cloud struct {
-	MachineTypes     []wire.MachineType
-	Available        map[string]int // machines left of each kind, by CapacityKey
-	Hosts            map[string]*CloudHost
-	Created          int     // machines created so far
-	Unavailable      bool    // every call fails with cloud.ErrUnavailable
-	FastBoot         bool    // machines are up within two seconds
-	BootFailureShare float64 // share of the boots that never end
-	PageSize         int     // machines that a list shows at most
-	Address          func(n int) string
-	OnBooted         func(h *CloudHost) // called once a machine runs; must be set
-	OnRemoved        func(h *CloudHost) // called after a machine has ended; must be set
-	OnCreate         func(name string)  // called when a provisioning request is carried out; may be nil
-	OnDelete         func(host string)  // called before a machine is deleted; may be nil
+	MachineTypes           []wire.MachineType
+	Available              map[string]int // machines left of each kind, by CapacityKey
+	Hosts                  map[string]*CloudHost
+	Created                int     // machines created so far
+	Unavailable            bool    // every call fails with cloud.ErrUnavailable
+	FastBoot               bool    // machines are up within two seconds
+	BootFailureProbability float64 // share of the boots that never end
+	PageSize               int     // machines that a list shows at most
+	Address                func(n int) string
+	OnBooted               func(h *CloudHost) // called once a machine runs; must be set
+	OnRemoved              func(h *CloudHost) // called after a machine has ended; must be set
+	OnCreate               func(name string)  // called when a provisioning request is carried out; may be nil
+	OnDelete               func(host string)  // called before a machine is deleted; may be nil
 
 	clock   *Clock
 	rng     *rand.Rand
@@ -157,7 +157,7 @@
 		},
 	}
 	c.Hosts[id] = host
-	if c.rng.Float64() < c.BootFailureShare {
+	if c.rng.Float64() < c.BootFailureProbability {
 		return id
 	}
 	c.clock.Schedule(c.randomBootTime(), func() {
--- a/internal/fakes/cluster.go
+++ b/internal/fakes/cluster.go
@@ -31,8 +31,8 @@
 	Jobs       map[string]*Job
 	Submitted  []*Job // in the order of their submission
 	Violations []Violation
-	// OnCompleted is called with each job whose last task has just completed; may be nil.
-	OnCompleted func(j *Job)
+	// OnJobCompleted is called with each job whose last task has just completed; may be nil.
+	OnJobCompleted func(j *Job)
 	// OnTaskStart is called with each task that has been accepted and starts; may be nil.
 	OnTaskStart func(w *Worker, t *Task)
 
@@ -102,9 +102,9 @@
 	return members
 }
 
-// notifyCompleted reports a job to OnCompleted if all its tasks have completed.
+// notifyCompleted reports a job to OnJobCompleted if all its tasks have completed.
 func (c *Cluster) notifyCompleted(job *Job) {
-	if c.OnCompleted != nil && job.Complete() {
-		c.OnCompleted(job)
+	if c.OnJobCompleted != nil && job.Complete() {
+		c.OnJobCompleted(job)
 	}
 }
--- a/internal/fakes/doc.go
+++ b/internal/fakes/doc.go
@@ -8,6 +8,6 @@
 // that depends only on the events, so that a seed repeats a test to the letter.
 //
 // The Cluster sees what no controller sees, the tasks that really run on the machines, and checks
-// the protocol's rules with it (Check, RecordAnswer, CheckJobsForgotten). An IntentChecker compares
+// the protocol's rules with it (Check, RecordResponse, CheckLostJobs). An IntentChecker compares
 // what the cloud carries out with the intent log. Both add to Cluster.Violations.
 package fakes
--- a/internal/fakes/fixture_test.go
+++ b/internal/fakes/fixture_test.go
@@ -51,7 +51,7 @@
 	}
 	job := NewJob(spec, 100*time.Second)
 	c.AddJob(job)
-	c.RecordAnswer(job, wire.JobPending, "")
+	c.RecordResponse(job, wire.JobPending, "")
 	return job
 }
 
--- a/internal/fakes/intent_checker.go
+++ b/internal/fakes/intent_checker.go
@@ -21,21 +21,21 @@
 	StaleIntent Rule = "stale_intent"
 	// BusyMachineDeleted: a machine was deleted with tasks on it that its intent did not allow for.
 	BusyMachineDeleted Rule = "busy_machine_deleted"
-	// WorkOnTerminatingMachine: a term started a task on a machine that an earlier term had
+	// TaskOnTerminatingMachine: a term started a task on a machine that an earlier term had
 	// recorded for deletion.
-	WorkOnTerminatingMachine Rule = "work_on_terminating_machine"
+	TaskOnTerminatingMachine Rule = "work_on_terminating_machine"
 )
 
 // IntentChecker compares what the cloud carries out with the intent log as the state service
 // stores it. It knows what no controller does: which calls were carried out late.
 type IntentChecker struct {
 	// Effects counts the intents that were carried out, by operation.
-	Effects map[intentlog.Operation]int
+	Executed map[intentlog.Operation]int
 	// PageWrites counts the successful writes of pages of the log.
 	PageWrites int
 	// Grace is how long after the log came into force the calls that were made before may still
 	// be carried out.
-	Grace time.Duration
+	GracePeriod time.Duration
 
 	cluster         *Cluster
 	store           *StateService
@@ -51,7 +51,7 @@
 // that is set, and replaces the hooks of the cloud and of the cluster.
 func NewIntentChecker(cluster *Cluster, stateService *StateService, cloud *Cloud) *IntentChecker {
 	checker := &IntentChecker{
-		Effects:         map[intentlog.Operation]int{},
+		Executed:        map[intentlog.Operation]int{},
 		cluster:         cluster,
 		store:           stateService,
 		recordedIntents: map[string]intentlog.Entry{},
@@ -113,9 +113,9 @@
 }
 
 // Completed is how many intents were carried out.
-func (c *IntentChecker) Completed() int {
+func (c *IntentChecker) TotalExecuted() int {
 	total := 0
-	for _, count := range c.Effects {
+	for _, count := range c.Executed {
 		total += count
 	}
 	return total
@@ -133,7 +133,7 @@
 
 // active reports whether all that is carried out has to be in the log.
 func (c *IntentChecker) active() bool {
-	return !c.inForceSince.IsZero() && c.cluster.Clock.Now().Sub(c.inForceSince) >= c.Grace
+	return !c.inForceSince.IsZero() && c.cluster.Clock.Now().Sub(c.inForceSince) >= c.GracePeriod
 }
 
 // requestRecorded reports whether the record of a provisioning request is stored now.
@@ -151,7 +151,7 @@
 	if !c.active() {
 		return
 	}
-	c.Effects[intentlog.Provision]++
+	c.Executed[intentlog.Provision]++
 	if _, ok := c.recordedIntents[name]; !ok {
 		c.cluster.AddViolation(NotRecorded, "provisioning request %s", name)
 	} else if !c.requestRecorded(name) {
@@ -169,7 +169,7 @@
 		c.cluster.AddViolation(NotRecorded, "deletion of %s", host)
 		return
 	}
-	c.Effects[entry.Operation]++
+	c.Executed[entry.Operation]++
 	if !c.isOpen(host) {
 		c.cluster.AddViolation(StaleIntent, "%s is deleted after its intent was completed", host)
 	}
@@ -190,7 +190,7 @@
 func (c *IntentChecker) checkStart(worker *Worker, task *Task) {
 	entry, ok := c.recordedIntents[worker.Host.ID]
 	if ok && c.active() && tokenOfTask(task) > entry.Token {
-		c.cluster.AddViolation(WorkOnTerminatingMachine, "%s gets attempt %d, recorded for %s under token %d",
+		c.cluster.AddViolation(TaskOnTerminatingMachine, "%s gets attempt %d, recorded for %s under token %d",
 			worker.Host.ID, task.Attempt, entry.Operation, entry.Token)
 	}
 }
--- a/internal/fakes/intent_checker_test.go
+++ b/internal/fakes/intent_checker_test.go
@@ -142,7 +142,7 @@
 	},
 	{
 		name: "work of a later term on a machine that was recorded",
-		rule: WorkOnTerminatingMachine,
+		rule: TaskOnTerminatingMachine,
 		play: func(f *intentFixture) {
 			f.addTestJob(nil)
 			f.write(logPage, reclaimIntent)
--- a/internal/fakes/job.go
+++ b/internal/fakes/job.go
@@ -21,7 +21,7 @@
 	KnownState      string // newest state in an answer; "": none yet
 	CancelRequested bool
 	CancelledAt     time.Time // when the first answer came that it is cancelled
-	AnsweredAt      time.Time // when a query about it was last answered
+	LastResponseAt  time.Time // when a query about it was last answered
 
 	workers []*Worker // that were given tasks of it, and may have some
 }
--- a/internal/fakes/rules.go
+++ b/internal/fakes/rules.go
@@ -15,13 +15,13 @@
 
 // The protocol's rules that the cluster checks, by the names that the users' bench gives them.
 const (
-	RanTwice          Rule = "ran_twice"
-	QuotaExceeded     Rule = "quota"
-	PlacementViolated Rule = "wrong_place"
-	RanCancelled      Rule = "ran_cancelled"
-	JobForgotten      Rule = "forgotten"
-	CompletedEarly    Rule = "not_done"
-	StateRegressed    Rule = "went_back"
+	DuplicateExecution Rule = "ran_twice"
+	QuotaExceeded      Rule = "quota"
+	PlacementViolated  Rule = "wrong_place"
+	CancelledTaskRan   Rule = "ran_cancelled"
+	JobLost            Rule = "forgotten"
+	CompletedEarly     Rule = "not_done"
+	StateRegressed     Rule = "went_back"
 	// Expectation is anything else that a test expects.
 	Expectation Rule = "expectation"
 )
@@ -38,8 +38,8 @@
 	return fmt.Sprintf("after %v: %s: %s", v.Elapsed, v.Rule, v.Detail)
 }
 
-// JobForgottenAfter is how long a job may go without an answered query once all faults are over.
-const JobForgottenAfter = 75 * time.Second
+// LostJobTimeout is how long a job may go without an answered query once all faults are over.
+const LostJobTimeout = 75 * time.Second
 
 // roundingSlack absorbs the rounding of sums of decimal amounts.
 const roundingSlack = 1e-6
@@ -68,13 +68,13 @@
 			}
 			zones[other.Host.Zone]++
 			if task.Index == index {
-				c.AddViolation(RanTwice, "%s starts on %s while on %s", name, worker.Host.ID, other.Host.ID)
+				c.AddViolation(DuplicateExecution, "%s starts on %s while on %s", name, worker.Host.ID, other.Host.ID)
 			}
 		}
 	}
 	c.checkPlacement(worker, job, name, zones)
 	if c.cancelOverdue(job) {
-		c.AddViolation(RanCancelled, "%s starts", name)
+		c.AddViolation(CancelledTaskRan, "%s starts", name)
 	}
 }
 
@@ -119,7 +119,7 @@
 
 // Check checks the rules that hold at every moment. It is called after each step of a simulation,
 // so it looks at each task once.
-func (c *Cluster) Check() {
+func (c *Cluster) CheckInvariants() {
 	used := make([]quota.Resources, len(c.Config.Teams))
 	for _, worker := range c.Workers {
 		for _, t := range worker.Tasks {
@@ -132,7 +132,7 @@
 				}
 			}
 			if c.cancelOverdue(t.Job) {
-				c.AddViolation(RanCancelled, "%s/%d still on %s", t.Job.Spec.ID, t.Index, worker.Host.ID)
+				c.AddViolation(CancelledTaskRan, "%s/%d still on %s", t.Job.Spec.ID, t.Index, worker.Host.ID)
 			}
 		}
 	}
@@ -146,19 +146,19 @@
 // exceeds reports whether a use is above a limit; 0 is no limit.
 func exceeds(used, limit float64) bool { return limit > 0 && used > limit+roundingSlack }
 
-// CheckJobsForgotten checks that a query about each accepted job was answered lately.
-func (c *Cluster) CheckJobsForgotten() {
+// CheckLostJobs checks that a query about each accepted job was answered lately.
+func (c *Cluster) CheckLostJobs() {
 	for _, job := range c.Submitted {
-		if unanswered := c.Clock.Now().Sub(job.AnsweredAt); job.Accepted && unanswered > JobForgottenAfter {
-			c.AddViolation(JobForgotten, "no query about %s was answered for %v", job.Spec.ID, unanswered)
+		if unanswered := c.Clock.Now().Sub(job.LastResponseAt); job.Accepted && unanswered > LostJobTimeout {
+			c.AddViolation(JobLost, "no query about %s was answered for %v", job.Spec.ID, unanswered)
 		}
 	}
 }
 
-// RecordAnswer records that a request about a job was answered with its state; before is the state
+// RecordResponse records that a request about a job was answered with its state; before is the state
 // that its user knew when the request was sent. changed reports whether this was the first answer
 // that the job is accepted, or that it has ended.
-func (c *Cluster) RecordAnswer(job *Job, state, before string) (changed bool) {
+func (c *Cluster) RecordResponse(job *Job, state, before string) (changed bool) {
 	switch {
 	case isFinal(before) && state != before:
 		c.AddViolation(StateRegressed, "%s was reported as %s, now as %s", job.Spec.ID, before, state)
@@ -170,7 +170,7 @@
 	if job.Infeasible {
 		c.AddViolation(Expectation, "%s was accepted, though it can never run", job.Spec.ID)
 	}
-	job.AnsweredAt = c.Clock.Now()
+	job.LastResponseAt = c.Clock.Now()
 	if job.Ended() {
 		return false
 	}
@@ -182,9 +182,9 @@
 	return changed
 }
 
-// RecordRefusal records that a request about a job was answered with another status than 200 and
+// RecordFailedRequest records that a request about a job was answered with another status than 200 and
 // 201, or not at all (0); before is the state that its user knew when the request was sent.
-func (c *Cluster) RecordRefusal(job *Job, before string, status int) {
+func (c *Cluster) RecordFailedRequest(job *Job, before string, status int) {
 	switch status {
 	case 429, 503, 0:
 		return
@@ -193,5 +193,5 @@
 			return // no user knows yet that it is accepted
 		}
 	}
-	c.AddViolation(JobForgotten, "%s, reported as %q before, answered %d", job.Spec.ID, before, status)
+	c.AddViolation(JobLost, "%s, reported as %q before, answered %d", job.Spec.ID, before, status)
 }
--- a/internal/fakes/rules_test.go
+++ b/internal/fakes/rules_test.go
@@ -26,7 +26,7 @@
 	},
 	{
 		name: "a task started while on another machine",
-		rule: RanTwice,
+		rule: DuplicateExecution,
 		play: func(c *Cluster) {
 			c.addTestJob(nil)
 			c.startTask("a1", "job-1/0", 1)
@@ -59,7 +59,7 @@
 			for i, host := range []string{"a1", "b1", "b2"} {
 				c.startTask(host, wire.TaskName("job-1", i), 1)
 			}
-			c.Check()
+			c.CheckInvariants()
 		},
 	},
 	{
@@ -68,7 +68,7 @@
 			c.addTestJob(func(spec *wire.JobSpec) { spec.Team, spec.Gpus = "red", 2 })
 			c.startTask("a1", "job-1/0", 1)
 			c.startTask("b1", "job-1/1", 1)
-			c.Check()
+			c.CheckInvariants()
 		},
 	},
 	{
@@ -125,23 +125,23 @@
 var cancellationRuleCases = []ruleCase{
 	{
 		name: "a cancelled job's task left on its machine for too long",
-		rule: RanCancelled,
+		rule: CancelledTaskRan,
 		play: func(c *Cluster) {
 			job := c.addTestJob(nil)
 			c.startTask("a1", "job-1/0", 1)
 			job.CancelRequested = true
-			c.RecordAnswer(job, wire.JobCancelled, wire.JobRunning)
+			c.RecordResponse(job, wire.JobCancelled, wire.JobRunning)
 			job.CancelledAt = c.Clock.Now().Add(-36 * time.Second)
-			c.Check()
+			c.CheckInvariants()
 		},
 	},
 	{
 		name: "a cancelled job's task started late",
-		rule: RanCancelled,
+		rule: CancelledTaskRan,
 		play: func(c *Cluster) {
 			job := c.addTestJob(nil)
 			job.CancelRequested = true
-			c.RecordAnswer(job, wire.JobCancelled, wire.JobPending)
+			c.RecordResponse(job, wire.JobCancelled, wire.JobPending)
 			c.advance(36 * time.Second)
 			c.startTask("a1", "job-1/0", 1)
 		},
@@ -152,11 +152,11 @@
 			job := c.addTestJob(nil)
 			c.startTask("a1", "job-1/0", 1)
 			job.CancelRequested = true
-			c.RecordAnswer(job, wire.JobCancelled, wire.JobRunning)
+			c.RecordResponse(job, wire.JobCancelled, wire.JobRunning)
 			c.advance(5 * time.Second)
 			c.command("a1", wire.Command{Verb: wire.VerbStop, Task: "job-1/0", Attempt: 1})
 			c.advance(36 * time.Second)
-			c.Check()
+			c.CheckInvariants()
 		},
 	},
 }
@@ -166,7 +166,7 @@
 	{
 		name: "done before all tasks are",
 		rule: CompletedEarly,
-		play: func(c *Cluster) { c.RecordAnswer(c.addTestJob(nil), wire.JobDone, wire.JobRunning) },
+		play: func(c *Cluster) { c.RecordResponse(c.addTestJob(nil), wire.JobDone, wire.JobRunning) },
 	},
 	{
 		name: "pending after it was reported as cancelled",
@@ -174,8 +174,8 @@
 		play: func(c *Cluster) {
 			job := c.addTestJob(nil)
 			job.CancelRequested = true
-			c.RecordAnswer(job, wire.JobCancelled, wire.JobPending)
-			c.RecordAnswer(job, wire.JobPending, wire.JobCancelled)
+			c.RecordResponse(job, wire.JobCancelled, wire.JobPending)
+			c.RecordResponse(job, wire.JobPending, wire.JobCancelled)
 		},
 	},
 	{
@@ -183,40 +183,40 @@
 		play: func(c *Cluster) {
 			job := c.addTestJob(nil)
 			job.CancelRequested = true
-			c.RecordAnswer(job, wire.JobCancelled, wire.JobPending)
-			c.RecordAnswer(job, wire.JobRunning, wire.JobPending)
+			c.RecordResponse(job, wire.JobCancelled, wire.JobPending)
+			c.RecordResponse(job, wire.JobRunning, wire.JobPending)
 		},
 	},
 	{
 		name: "cancelled by nobody",
 		rule: StateRegressed,
-		play: func(c *Cluster) { c.RecordAnswer(c.addTestJob(nil), wire.JobCancelled, wire.JobPending) },
+		play: func(c *Cluster) { c.RecordResponse(c.addTestJob(nil), wire.JobCancelled, wire.JobPending) },
 	},
 	{
 		name: "an accepted job not found",
-		rule: JobForgotten,
-		play: func(c *Cluster) { c.RecordRefusal(c.addTestJob(nil), wire.JobPending, 404) },
+		rule: JobLost,
+		play: func(c *Cluster) { c.RecordFailedRequest(c.addTestJob(nil), wire.JobPending, 404) },
 	},
 	{
 		name: "an accepted job refused as one that can never run",
-		rule: JobForgotten,
-		play: func(c *Cluster) { c.RecordRefusal(c.addTestJob(nil), wire.JobPending, 422) },
+		rule: JobLost,
+		play: func(c *Cluster) { c.RecordFailedRequest(c.addTestJob(nil), wire.JobPending, 422) },
 	},
 	{
 		name: "a controller that cannot answer",
-		play: func(c *Cluster) { c.RecordRefusal(c.addTestJob(nil), wire.JobPending, 503) },
+		play: func(c *Cluster) { c.RecordFailedRequest(c.addTestJob(nil), wire.JobPending, 503) },
 	},
 	{
 		name: "a query before the job was accepted",
-		play: func(c *Cluster) { c.RecordRefusal(c.addTestJob(nil), "", 404) },
+		play: func(c *Cluster) { c.RecordFailedRequest(c.addTestJob(nil), "", 404) },
 	},
 	{
 		name: "no query answered for long",
-		rule: JobForgotten,
+		rule: JobLost,
 		play: func(c *Cluster) {
 			c.addTestJob(nil)
 			c.advance(76 * time.Second)
-			c.CheckJobsForgotten()
+			c.CheckLostJobs()
 		},
 	},
 	{
@@ -225,7 +225,7 @@
 		play: func(c *Cluster) {
 			job := NewJob(wire.JobSpec{ID: "job-2", Tasks: 1}, 0)
 			job.Infeasible = true
-			c.RecordAnswer(job, wire.JobPending, "")
+			c.RecordResponse(job, wire.JobPending, "")
 		},
 	},
 }
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -81,7 +81,7 @@
 }
 
 // Find looks up an attempt of a task, or any attempt that has not ended if attempt is 0.
-func (w *Worker) Find(job *Job, index int, attempt uint64) *Task {
+func (w *Worker) FindTask(job *Job, index int, attempt uint64) *Task {
 	for _, task := range w.Tasks {
 		if task.Job == job && task.Index == index && (task.Attempt == attempt || attempt == 0 && task.OnMachine()) {
 			return task
--- a/internal/fakes/worker_commands.go
+++ b/internal/fakes/worker_commands.go
@@ -32,22 +32,22 @@
 		case wire.VerbRun:
 			w.run(job, index, command.Attempt)
 		case wire.VerbStop:
-			w.stop(w.Find(job, index, command.Attempt), command.GracePeriodS)
+			w.stop(w.FindTask(job, index, command.Attempt), command.GracePeriodS)
 		case wire.VerbReap:
-			w.reap(w.Find(job, index, command.Attempt))
+			w.reap(w.FindTask(job, index, command.Attempt))
 		}
 	}
 }
 
 // run starts an attempt of a task, or lists it as exited with the reason why it cannot start.
 func (w *Worker) run(job *Job, index int, attempt uint64) {
-	if w.Find(job, index, attempt) != nil {
+	if w.FindTask(job, index, attempt) != nil {
 		return
 	}
 	w.heartbeatRequested = true
 	task := &Task{Job: job, Index: index, Attempt: attempt, State: wire.TaskExited}
 	switch {
-	case w.Find(job, index, 0) != nil:
+	case w.FindTask(job, index, 0) != nil:
 		task.ExitReason = wire.ExitOtherAttemptPresent
 	case !w.Available().Fits(job.resources()):
 		task.ExitReason = wire.ExitInsufficientResources
--- a/internal/fakes/workload.go
+++ b/internal/fakes/workload.go
@@ -43,8 +43,8 @@
 	WritesPerS   float64
 }
 
-// LeanWorkloads are the sizes of the lean deployments.
-func LeanWorkloads() []Workload {
+// SmallWorkloads are the sizes of the lean deployments.
+func SmallWorkloads() []Workload {
 	return []Workload{
 		{
 			Name:          "exams",
--- a/internal/integration/deployment_benchmark_test.go
+++ b/internal/integration/deployment_benchmark_test.go
@@ -25,7 +25,7 @@
 //
 // writes the profiles of each controller.
 func BenchmarkDeployment(b *testing.B) {
-	for _, workload := range fakes.LeanWorkloads() {
+	for _, workload := range fakes.SmallWorkloads() {
 		b.Run(workload.Name, func(b *testing.B) {
 			for range b.N {
 				benchmarkDeployment(b, workload)
--- a/internal/integration/deployment_test.go
+++ b/internal/integration/deployment_test.go
@@ -173,7 +173,7 @@
 		d.withLock(func() {
 			if d.clock.Now().Sub(d.checkedAt) >= checkInterval {
 				d.checkedAt = d.clock.Now()
-				d.cluster.Check()
+				d.cluster.CheckInvariants()
 			}
 		})
 		time.Sleep(driveInterval)
--- a/internal/integration/request_benchmark_test.go
+++ b/internal/integration/request_benchmark_test.go
@@ -109,7 +109,7 @@
 
 // newRequestFixture starts a controller and submits a job.
 func newRequestFixture(b *testing.B) *requestFixture {
-	workload := fakes.LeanWorkloads()[1]
+	workload := fakes.SmallWorkloads()[1]
 	workload.Nodes = 1
 	deployment := newDeployment(b, workload.Config(), fakes.LargeMachineType(), workload.Machines)
 	settings := &deployment.controllers[0].config
--- a/internal/integration/stall_fixture_test.go
+++ b/internal/integration/stall_fixture_test.go
@@ -126,7 +126,7 @@
 
 // progress is the fencing token of the newest term and how many operations were carried out.
 func (s *stallTest) progress() (token uint64, carriedOut int) {
-	s.withLock(func() { token, carriedOut = s.currentToken(), s.checker.Completed() })
+	s.withLock(func() { token, carriedOut = s.currentToken(), s.checker.TotalExecuted() })
 	return token, carriedOut
 }
 
@@ -138,7 +138,7 @@
 	s.waitUntilAllJobsEnd()
 	s.waitUntil("every machine deprovisioned", func() bool { return len(s.cloud.Hosts) == 0 })
 	s.withLock(func() {
-		s.cluster.Check()
+		s.cluster.CheckInvariants()
 		s.reportViolations()
 		var sum time.Duration
 		for _, failover := range s.failoverTimes {
@@ -147,6 +147,6 @@
 		mean := sum.Seconds() / float64(max(1, len(s.failoverTimes))) / tuning.MemberLease.Seconds()
 		s.t.Logf("%d stalls; carried out: %v with %d writes of the log; "+
 			"first operation of the next term after %.2f member leases on average",
-			len(s.failoverTimes), s.checker.Effects, s.checker.PageWrites, mean)
+			len(s.failoverTimes), s.checker.Executed, s.checker.PageWrites, mean)
 	})
 }
--- a/internal/integration/stall_test.go
+++ b/internal/integration/stall_test.go
@@ -118,7 +118,7 @@
 		s.signal(oldHolder, syscall.SIGUSR1)
 	}
 	s.waitUntil("a next term's first operation", func() bool {
-		return s.checker.Completed() > carriedOut && s.currentToken() > token
+		return s.checker.TotalExecuted() > carriedOut && s.currentToken() > token
 	})
 	s.failoverTimes = append(s.failoverTimes, time.Since(from))
 	s.sleep(stallExtra)
--- a/internal/integration/upgrade_fixture_test.go
+++ b/internal/integration/upgrade_fixture_test.go
@@ -208,7 +208,7 @@
 	}
 	u.waitUntilAllJobsEnd()
 	u.withLock(func() {
-		u.cluster.Check()
+		u.cluster.CheckInvariants()
 		done := 0
 		for _, job := range u.cluster.Submitted {
 			if job.KnownState == wire.JobDone {
--- a/internal/integration/users_test.go
+++ b/internal/integration/users_test.go
@@ -42,10 +42,10 @@
 	_ = json.Unmarshal(body, &state)
 	d.withLock(func() {
 		if status == http.StatusOK || status == http.StatusCreated {
-			d.cluster.RecordAnswer(job, state.State, before)
+			d.cluster.RecordResponse(job, state.State, before)
 			return
 		}
-		d.cluster.RecordRefusal(job, before, status)
+		d.cluster.RecordFailedRequest(job, before, status)
 	})
 }
 
