--- a/internal/fakes/clock.go
+++ b/internal/fakes/clock.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Epoch is the time of day at which simulated time begins.
+// Epoch is the wall-clock time at which simulated time starts.
 var Epoch = time.Unix(1_700_000_000, 0)
 
-// Clock runs scheduled events one after the other, in order of their times. Events of
-// the same time run in the order in which they were scheduled.
+// Clock runs scheduled events one at a time, in order of time. Events with equal times run in
+// the order in which they were scheduled.
 type Clock struct {
 	now      time.Time
 	queue    eventQueue
@@ -35,10 +35,10 @@
 
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push is part of heap.Interface.
+// Push implements heap.Interface.
 func (q *eventQueue) Push(e any) { *q = append(*q, e.(event)) }
 
-// Pop is part of heap.Interface.
+// Pop implements heap.Interface.
 func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
@@ -46,34 +46,34 @@
 	return last
 }
 
-// NewClock makes a clock that shows the given time.
+// NewClock returns a clock that starts at now and has no events.
 func NewClock(now time.Time) *Clock { return &Clock{now: now} }
 
-// Now is the time that the clock shows.
+// Now returns the current simulated time.
 func (c *Clock) Now() time.Time { return c.now }
 
-// Schedule has a function run after a delay.
+// Schedule queues run to be called after delay.
 func (c *Clock) Schedule(delay time.Duration, run func()) {
 	c.sequence++
 	heap.Push(&c.queue, event{c.now.Add(delay), c.sequence, run})
 }
 
-// Due reports whether an event is scheduled for a time no later than end.
+// Due reports whether an event is scheduled at or before end.
 func (c *Clock) Due(end time.Time) bool {
 	return len(c.queue) > 0 && !c.queue[0].at.After(end)
 }
 
-// Step sets the clock to the next event's time and runs it.
+// Step advances the clock to the next event and runs it. At least one event must be scheduled.
 func (c *Clock) Step() {
 	next := heap.Pop(&c.queue).(event)
 	c.now = next.at
 	next.run()
 }
 
-// AdvanceTo moves the clock on to a time before which no event is due.
+// AdvanceTo sets the time without running events. No event may be due before now.
 func (c *Clock) AdvanceTo(now time.Time) { c.now = now }
 
-// RunUntil runs all events that are due by a time and sets the clock to it.
+// RunUntil runs all events that are due by end, then advances the clock to end.
 func (c *Clock) RunUntil(end time.Time) {
 	for c.Due(end) {
 		c.Step()
--- a/internal/fakes/cloud.go
+++ b/internal/fakes/cloud.go
@@ -10,52 +10,53 @@
 	"juniperchute/internal/wire"
 )
 
-// Cloud is the fake of the cloud: it provisions and deprovisions machines, and its lists lag. Tests
-// may change the exported fields at any time.
+// Cloud fakes the cloud provider: it creates and deletes machines, and its machine lists are
+// eventually consistent. Tests may change the exported fields at any time.
 type Cloud struct {
 	MachineTypes           []wire.MachineType
-	Available              map[string]int // machines left of each kind, by CapacityKey
+	Available              map[string]int // remaining capacity in machines, by CapacityKey
 	Hosts                  map[string]*CloudHost
-	Created                int     // machines created so far
-	Unavailable            bool    // every call fails with cloud.ErrUnavailable
-	FastBoot               bool    // machines are up within two seconds
-	BootFailureProbability float64 // share of the boots that never end
-	PageSize               int     // machines that a list shows at most
+	Created                int     // machines created so far; the next machine's number
+	Unavailable            bool    // fail every call with cloud.ErrUnavailable
+	FastBoot               bool    // machines boot within two seconds
+	BootFailureProbability float64 // probability that a machine never finishes booting
+	PageSize               int     // maximum number of machines in a page of a list
 	Address                func(n int) string
-	OnBooted               func(h *CloudHost) // called once a machine runs; must be set
-	OnRemoved              func(h *CloudHost) // called after a machine has ended; must be set
-	OnCreate               func(name string)  // called when a provisioning request is carried out; may be nil
+	OnBooted               func(h *CloudHost) // called when a machine has booted; must be set
+	OnRemoved              func(h *CloudHost) // called after a machine has terminated; must be set
+	OnCreate               func(name string)  // called when a provisioning request is first executed; may be nil
 	OnDelete               func(host string)  // called before a machine is deleted; may be nil
 
 	clock   *Clock
 	rng     *rand.Rand
-	granted map[string][]string // the machines of each provisioning request carried out, by name
-	history []snapshot          // the oldest first
+	granted map[string][]string // machines created by each provisioning request, by its name
+	history []snapshot          // oldest first
 }
 
-// CloudHost is a provisioned machine.
+// CloudHost is a machine that exists in the cloud, booting or running.
 type CloudHost struct {
 	wire.Machine
 	CreatedAt time.Time
 }
 
-// snapshot is all machines at a moment, in the order of their names.
+// snapshot holds the state of all machines at one time, sorted by name.
 type snapshot struct {
 	at    time.Time
 	hosts []wire.Machine
 }
 
 const (
-	// cloudPageSize is small, so that lists of several pages happen in short tests.
+	// cloudPageSize is small so that short tests exercise pagination.
 	cloudPageSize = 10
-	// snapshotInterval and maxSnapshots say how old a list may be.
+	// snapshotInterval and maxSnapshots bound the history from which stale lists are served.
 	snapshotInterval = 500 * time.Millisecond
 	maxSnapshots     = 40
-	// maxListLag is how many snapshots a list lags behind at most.
+	// maxListLag bounds the staleness of a list, in snapshots.
 	maxListLag = 8
 )
 
-// NewCloud makes a cloud that has no machines provisioned and, until Available is set, none left.
+// NewCloud returns a cloud without machines. Provisioning requests fail with cloud.ErrNoCapacity
+// until Available is set.
 func NewCloud(clock *Clock, rng *rand.Rand, machineTypes []wire.MachineType) *Cloud {
 	cloud := &Cloud{
 		MachineTypes: machineTypes,
@@ -71,7 +72,7 @@
 	return cloud
 }
 
-// takeSnapshot records the machines of now, again and again.
+// takeSnapshot records the current machines and schedules the next snapshot.
 func (c *Cloud) takeSnapshot() {
 	taken := snapshot{at: c.clock.Now()}
 	for _, host := range c.Hosts {
@@ -87,12 +88,12 @@
 	c.clock.Schedule(snapshotInterval, c.takeSnapshot)
 }
 
-// CapacityKey names a kind of machine, of which the cloud has so many left.
+// CapacityKey returns the key in Available of a machine type in a zone, as spot or on demand.
 func CapacityKey(machineType, zone string, spot bool) string {
 	return fmt.Sprint(machineType, zone, spot)
 }
 
-// Call carries out a call at once.
+// Call executes a call synchronously.
 func (c *Cloud) Call(call cloud.Call) cloud.Result {
 	if c.Unavailable {
 		return cloud.Failure(cloud.ErrUnavailable)
@@ -109,7 +110,7 @@
 	return c.list(call.After)
 }
 
-// deleteMachines ends the machines that are still there.
+// deleteMachines deletes the machines that still exist.
 func (c *Cloud) deleteMachines(ids []string) {
 	for _, id := range ids {
 		if c.OnDelete != nil && c.Hosts[id] != nil {
@@ -119,7 +120,8 @@
 	}
 }
 
-// createMachines provisions machines. A request that was granted before gets the same answer.
+// createMachines creates machines. Requests are idempotent by name: a repeated request returns the
+// machines of the first one.
 func (c *Cloud) createMachines(request wire.ProvisionRequest) cloud.Result {
 	if hosts, ok := c.granted[request.Name]; ok {
 		return cloud.Success(cloud.Response{Hosts: hosts})
@@ -141,7 +143,7 @@
 	return cloud.Success(cloud.Response{Hosts: names})
 }
 
-// startMachine starts the boot of one machine and returns its name.
+// startMachine creates one machine, starts its boot and returns its name.
 func (c *Cloud) startMachine(request wire.ProvisionRequest) string {
 	id, address := fmt.Sprintf("i-%06d", c.Created), c.Address(c.Created)
 	c.Created++
@@ -169,7 +171,7 @@
 	return id
 }
 
-// randomBootTime draws a time for one boot. It draws twice for a fast boot.
+// randomBootTime draws the boot time of one machine, with two draws if FastBoot is set.
 func (c *Cloud) randomBootTime() time.Duration {
 	boot := time.Duration(1+c.rng.IntN(8)) * time.Second
 	if c.FastBoot {
@@ -178,7 +180,7 @@
 	return boot
 }
 
-// list shows the machines as they were a while ago.
+// list returns a page of machines after a name, from a random recent snapshot.
 func (c *Cloud) list(after string) cloud.Result {
 	index := max(0, len(c.history)-1-c.rng.IntN(maxListLag))
 	var page wire.MachinePage
@@ -194,7 +196,8 @@
 	return cloud.Success(cloud.Response{Page: page})
 }
 
-// Remove ends a machine, on a deletion or on the cloud's own account. One that is not there is ignored.
+// Remove terminates a machine, for a deletion call or a preemption by the cloud. Unknown machines
+// are ignored.
 func (c *Cloud) Remove(id string) {
 	host := c.Hosts[id]
 	if host == nil {
--- a/internal/fakes/cluster.go
+++ b/internal/fakes/cluster.go
@@ -9,40 +9,40 @@
 	"juniperchute/internal/wire"
 )
 
-// ReplyFunc takes the reply to a heartbeat: the HTTP status and, with 200, the commands, with 421
-// the name of the controller to send heartbeats to. Status 0 means that no reply came.
+// ReplyFunc handles the reply to a heartbeat. Status is the HTTP status, or 0 without a reply. The
+// commands are set with 200, redirectTo is set with 421: the controller to send heartbeats to.
 type ReplyFunc func(status int, commands wire.HeartbeatResponse, redirectTo string)
 
 // Network carries workers' heartbeats to controllers.
 type Network interface {
-	// Nodes is how many controllers there are.
+	// Nodes returns the number of controllers.
 	Nodes() int
-	// NodeIndex finds a controller by name, -1 if there is none.
+	// NodeIndex returns the index of a controller by name, or -1 if there is none.
 	NodeIndex(name string) int
-	// Send delivers a heartbeat to a controller. reply may be called late or never.
+	// Send delivers a heartbeat to a controller. It may call reply late or never.
 	Send(w *Worker, node int, heartbeat *wire.Heartbeat, reply ReplyFunc)
 }
 
-// Cluster is the workers and the jobs, and the rules that were broken with them.
+// Cluster holds the workers, the jobs and the rule violations found so far.
 type Cluster struct {
 	Clock      *Clock
 	Config     config.Platform
 	Workers    map[string]*Worker // by machine name
 	Jobs       map[string]*Job
-	Submitted  []*Job // in the order of their submission
+	Submitted  []*Job // in submission order
 	Violations []Violation
-	// OnJobCompleted is called with each job whose last task has just completed; may be nil.
+	// OnJobCompleted is called when the last task of a job has completed; may be nil.
 	OnJobCompleted func(j *Job)
-	// OnTaskStart is called with each task that has been accepted and starts; may be nil.
+	// OnTaskStart is called when a worker has accepted a task and starts it; may be nil.
 	OnTaskStart func(w *Worker, t *Task)
 
 	rng          *rand.Rand
 	network      Network
 	startedAt    time.Time
-	machineNames []string // of the workers, in order; nil: to be sorted anew
+	machineNames []string // sorted cache of the keys of Workers; nil if stale
 }
 
-// NewCluster makes a cluster without machines.
+// NewCluster returns a cluster without workers and jobs.
 func NewCluster(clock *Clock, rng *rand.Rand, deployment config.Platform, network Network) *Cluster {
 	return &Cluster{
 		Clock:     clock,
@@ -55,13 +55,13 @@
 	}
 }
 
-// AddJob makes a job known to the workers.
+// AddJob registers a job, so that workers accept commands for its tasks.
 func (c *Cluster) AddJob(job *Job) {
 	c.Jobs[job.Spec.ID] = job
 	c.Submitted = append(c.Submitted, job)
 }
 
-// MachineNames lists the workers' machines in order.
+// MachineNames returns the names of the workers' machines, sorted. The caller must not modify them.
 func (c *Cluster) MachineNames() []string {
 	if c.machineNames == nil {
 		for name := range c.Workers {
@@ -72,7 +72,7 @@
 	return c.machineNames
 }
 
-// Remove ends a machine and all that is on it.
+// Remove terminates a machine with its worker and tasks. Unknown machines are ignored.
 func (c *Cluster) Remove(host string) {
 	worker := c.Workers[host]
 	if worker == nil {
@@ -83,13 +83,13 @@
 	c.machineNames = nil
 }
 
-// gangMember is a task of a gang's attempt and its worker.
+// gangMember is one task of a gang attempt and the worker that runs it.
 type gangMember struct {
 	worker *Worker
 	task   *Task
 }
 
-// gangMembers lists the tasks of a gang's attempt that are on machines.
+// gangMembers returns the tasks on machines that belong to the same gang attempt as task.
 func (c *Cluster) gangMembers(task *Task) []gangMember {
 	var members []gangMember
 	for _, worker := range task.Job.workersWithTasks() {
@@ -102,7 +102,7 @@
 	return members
 }
 
-// notifyCompleted reports a job to OnJobCompleted if all its tasks have completed.
+// notifyCompleted calls OnJobCompleted if all tasks of the job have completed.
 func (c *Cluster) notifyCompleted(job *Job) {
 	if c.OnJobCompleted != nil && job.Complete() {
 		c.OnJobCompleted(job)
--- a/internal/fakes/doc.go
+++ b/internal/fakes/doc.go
@@ -1,13 +1,13 @@
-// Package fakes has the fakes of the parties around the controllers, for tests only: the state
-// service, the cloud, the workers with their tasks, and what users know of their jobs. They are
-// written from the published protocol, not from the controllers' code.
+// Package fakes implements test doubles of the systems around the controllers: the state service,
+// the cloud, the workers with their tasks, and the users' view of their jobs. The fakes implement
+// the published protocol and share no logic with the controllers.
 //
-// A Clock drives all of them. Whoever owns it plays simulated time by running its events, or
-// follows the wall clock. Nothing here starts a goroutine or locks: all calls come from one
-// goroutine at a time. Random draws come from the generator that a fake is given, in an order
-// that depends only on the events, so that a seed repeats a test to the letter.
+// A Clock drives all fakes. Its owner advances simulated time by running events, or follows the
+// wall clock. The fakes start no goroutines and take no locks: the caller serializes all calls.
+// Random draws come from the generator passed to a fake, in an order that depends only on the
+// events, so a seed reproduces a test run exactly.
 //
-// The Cluster sees what no controller sees, the tasks that really run on the machines, and checks
-// the protocol's rules with it (Check, RecordResponse, CheckLostJobs). An IntentChecker compares
-// what the cloud carries out with the intent log. Both add to Cluster.Violations.
+// The Cluster knows which tasks actually run on the machines and checks the protocol's rules
+// against them (CheckInvariants, RecordResponse, CheckLostJobs). An IntentChecker compares the
+// operations that the cloud executes with the intent log. Both append to Cluster.Violations.
 package fakes
--- a/internal/fakes/fitting.go
+++ b/internal/fakes/fitting.go
@@ -6,8 +6,8 @@
 	"juniperchute/internal/wire"
 )
 
-// Fits reports whether a job, or one task of an array, could start now on machines that
-// usable approves of, while its team uses the given resources.
+// Fits reports whether a gang or service as a whole, or one task of an array, could start now on
+// machines for which usable returns true. used is the current usage of the job's team.
 func (c *Cluster) Fits(job *Job, used quota.Resources, usable func(worker *Worker) bool) bool {
 	spec := &job.Spec
 	needed := 1
@@ -19,7 +19,7 @@
 			return false
 		}
 	}
-	slots := map[string]int{} // tasks that fit, by zone
+	slots := map[string]int{} // number of tasks that fit, by zone
 	for _, worker := range c.Workers {
 		if worker.acceptsTasks() && allowedOn(spec, &worker.Host) && usable(worker) {
 			slots[worker.Host.Zone] += worker.Available().FitCount(job.resources(), spec.Tasks)
@@ -28,14 +28,13 @@
 	return slotsFor(spec, slots) >= needed
 }
 
-// exceedsQuota reports whether a team would be above its limits with some more tasks.
+// exceedsQuota reports whether a team would exceed its limits with that many more tasks of a job.
 func exceedsQuota(team *config.Team, used quota.Resources, spec *wire.JobSpec, tasks int) bool {
 	return exceeds(used.CPUs+float64(tasks)*spec.Vcpus, team.CPUsMax) ||
 		exceeds(used.GPUs+float64(tasks)*spec.Gpus, team.GPUsMax)
 }
 
-// slotsFor is how many tasks of a job fit in all zones together, by its constraints
-// on zones.
+// slotsFor returns the number of tasks of a job that fit under its zone constraints.
 func slotsFor(spec *wire.JobSpec, slots map[string]int) int {
 	total, largest := 0, 0
 	for _, n := range slots {
--- a/internal/fakes/fixture_test.go
+++ b/internal/fakes/fixture_test.go
@@ -10,14 +10,14 @@
 	"juniperchute/internal/wire"
 )
 
-// discardNetwork delivers nothing.
+// discardNetwork drops all heartbeats.
 type discardNetwork struct{}
 
 func (discardNetwork) Nodes() int                                    { return 1 }
 func (discardNetwork) NodeIndex(string) int                          { return -1 }
 func (discardNetwork) Send(*Worker, int, *wire.Heartbeat, ReplyFunc) {}
 
-// testCluster has two machines in each of two zones.
+// testCluster returns a cluster with two machines in each of two zones.
 func testCluster() *Cluster {
 	teams := []config.Team{{Name: "red", GPUsMax: 4}, {Name: "blue"}}
 	platform := DeploymentConfig([]string{"a", "b"}, teams, 1.5, 10)
@@ -33,7 +33,7 @@
 	return cluster
 }
 
-// addTestJob adds an accepted job of three tasks, job-1, changed as a test needs it.
+// addTestJob adds an accepted job-1 with three tasks. change, if set, modifies its spec.
 func (c *Cluster) addTestJob(change func(spec *wire.JobSpec)) *Job {
 	spec := wire.JobSpec{
 		ID:      "job-1",
@@ -55,12 +55,12 @@
 	return job
 }
 
-// startTask has a worker start a task.
+// startTask sends a worker the command to start a task.
 func (c *Cluster) startTask(host, task string, attempt uint64) {
 	c.command(host, wire.Command{Verb: wire.VerbRun, Task: task, Attempt: attempt})
 }
 
-// command has a worker execute a command of the first term.
+// command sends a worker a command of the first term.
 func (c *Cluster) command(host string, command wire.Command) {
 	worker := c.Workers[host]
 	worker.HandleCommand(wire.DirectCommands{
@@ -70,10 +70,10 @@
 	})
 }
 
-// advance plays a time.
+// advance runs the clock for a duration.
 func (c *Cluster) advance(d time.Duration) { c.Clock.RunUntil(c.Clock.Now().Add(d)) }
 
-// expectViolation checks that a rule is the first that was broken, or that none was if it is "".
+// expectViolation checks that the first violation is of a rule, or that there is none if rule is empty.
 func (c *Cluster) expectViolation(t *testing.T, rule Rule) {
 	t.Helper()
 	switch {
--- a/internal/fakes/intent_checker.go
+++ b/internal/fakes/intent_checker.go
@@ -13,42 +13,43 @@
 	"juniperchute/internal/tuning"
 )
 
-// The rules of the intent log that IntentChecker checks.
+// Rules of the intent log that IntentChecker checks.
 const (
-	// NotRecorded: the cloud carried out an operation for which no intent was ever recorded.
+	// NotRecorded means that the cloud executed an operation without a recorded intent.
 	NotRecorded Rule = "not_recorded"
-	// StaleIntent: the cloud carried out an operation whose intent had been completed.
+	// StaleIntent means that the cloud executed an operation whose intent was already completed.
 	StaleIntent Rule = "stale_intent"
-	// BusyMachineDeleted: a machine was deleted with tasks on it that its intent did not allow for.
+	// BusyMachineDeleted means that a machine was deleted while it ran tasks that its intent did
+	// not cover.
 	BusyMachineDeleted Rule = "busy_machine_deleted"
-	// TaskOnTerminatingMachine: a term started a task on a machine that an earlier term had
-	// recorded for deletion.
+	// TaskOnTerminatingMachine means that a term started a task on a machine that an earlier term
+	// had recorded for deletion.
 	TaskOnTerminatingMachine Rule = "work_on_terminating_machine"
 )
 
-// IntentChecker compares what the cloud carries out with the intent log as the state service
-// stores it. It knows what no controller does: which calls were carried out late.
+// IntentChecker compares the operations that the cloud executes with the intent log in the state
+// service. It also detects calls that the cloud executes late, which no controller can observe.
 type IntentChecker struct {
-	// Effects counts the intents that were carried out, by operation.
+	// Executed counts the checked operations that the cloud has executed, by kind.
 	Executed map[intentlog.Operation]int
-	// PageWrites counts the successful writes of pages of the log.
+	// PageWrites counts successful writes of intent log pages.
 	PageWrites int
-	// Grace is how long after the log came into force the calls that were made before may still
-	// be carried out.
+	// GracePeriod is the time after the intent log is enabled in which earlier calls may still be
+	// executed. No operation is checked before its end.
 	GracePeriod time.Duration
 
 	cluster         *Cluster
 	store           *StateService
-	recordedIntents map[string]intentlog.Entry // whatever was ever recorded, by target
-	pages           map[string]map[string]bool // the targets in each page of the log as stored now
-	inForceSince    time.Time                  // since when the log is in force; zero: it is not
+	recordedIntents map[string]intentlog.Entry // latest intent ever recorded, by target
+	pages           map[string]map[string]bool // targets in each page as currently stored, by key
+	inForceSince    time.Time                  // time at which the intent log was enabled; zero before
 }
 
-// featureGatesKey is the record that tells which features are in force.
+// featureGatesKey is the key of the record that lists the enabled features.
 const featureGatesKey = "c/switches"
 
-// NewIntentChecker makes a checker and has it called by the fakes. It keeps a StateService.OnCall
-// that is set, and replaces the hooks of the cloud and of the cluster.
+// NewIntentChecker returns a checker and installs its hooks in the fakes. It chains to an existing
+// StateService.OnCall and replaces Cloud.OnCreate, Cloud.OnDelete and Cluster.OnTaskStart.
 func NewIntentChecker(cluster *Cluster, stateService *StateService, cloud *Cloud) *IntentChecker {
 	checker := &IntentChecker{
 		Executed:        map[intentlog.Operation]int{},
@@ -65,11 +66,11 @@
 		checker.observeWrite(call, err)
 	}
 	cloud.OnCreate, cloud.OnDelete = checker.checkCreation, checker.checkDeletion
-	cluster.OnTaskStart = checker.checkStart
+	cluster.OnTaskStart = checker.checkTaskStart
 	return checker
 }
 
-// observeWrite takes note of intents that have just become durable.
+// observeWrite tracks the intents written or deleted by a successful transaction.
 func (c *IntentChecker) observeWrite(call store.Call, err error) {
 	if err != nil {
 		return
@@ -90,7 +91,7 @@
 	}
 }
 
-// observeFeatureGates takes note of the moment from which the intent log is in force.
+// observeFeatureGates records when the intent log is first enabled.
 func (c *IntentChecker) observeFeatureGates(value json.RawMessage) {
 	inForce := strings.Contains(string(value), strconv.Quote(featuregate.IntentLogFeature))
 	if inForce && c.inForceSince.IsZero() {
@@ -98,11 +99,11 @@
 	}
 }
 
-// observePage takes note of the intents in a page of the log.
+// observePage tracks the intents in a page of the intent log.
 func (c *IntentChecker) observePage(key string, value json.RawMessage) {
 	entries, err := intentlog.ReadPage(value)
 	if err != nil {
-		c.cluster.AddViolation(Expectation, "a page of the intent log cannot be read: %v", err)
+		c.cluster.AddViolation(Expectation, "failed to decode page of the intent log: %v", err)
 		return
 	}
 	c.pages[key] = map[string]bool{}
@@ -112,7 +113,7 @@
 	}
 }
 
-// Completed is how many intents were carried out.
+// TotalExecuted returns the number of checked operations that the cloud has executed.
 func (c *IntentChecker) TotalExecuted() int {
 	total := 0
 	for _, count := range c.Executed {
@@ -121,8 +122,8 @@
 	return total
 }
 
-// isOpen reports whether an intent for a machine is in the log as it is stored now.
-func (c *IntentChecker) isOpen(target string) bool {
+// isPending reports whether the intent log currently holds an intent for a machine.
+func (c *IntentChecker) isPending(target string) bool {
 	for _, targets := range c.pages {
 		if targets[target] {
 			return true
@@ -131,12 +132,12 @@
 	return false
 }
 
-// active reports whether all that is carried out has to be in the log.
-func (c *IntentChecker) active() bool {
+// enforcing reports whether every executed operation must have an intent by now.
+func (c *IntentChecker) enforcing() bool {
 	return !c.inForceSince.IsZero() && c.cluster.Clock.Now().Sub(c.inForceSince) >= c.GracePeriod
 }
 
-// requestRecorded reports whether the record of a provisioning request is stored now.
+// requestRecorded reports whether the record of a provisioning request is currently stored.
 func (c *IntentChecker) requestRecorded(name string) bool {
 	for key := range c.store.Keys {
 		if strings.HasPrefix(key, fleet.ProvisioningPrefix) && strings.HasSuffix(key, "/"+name) {
@@ -146,22 +147,22 @@
 	return false
 }
 
-// checkCreation checks a provisioning request that the cloud carries out for the first time.
+// checkCreation checks a provisioning request that the cloud executes for the first time.
 func (c *IntentChecker) checkCreation(name string) {
-	if !c.active() {
+	if !c.enforcing() {
 		return
 	}
 	c.Executed[intentlog.Provision]++
 	if _, ok := c.recordedIntents[name]; !ok {
 		c.cluster.AddViolation(NotRecorded, "provisioning request %s", name)
 	} else if !c.requestRecorded(name) {
-		c.cluster.AddViolation(StaleIntent, "provisioning request %s is carried out after it was completed", name)
+		c.cluster.AddViolation(StaleIntent, "provisioning request %s executed after it was completed", name)
 	}
 }
 
-// checkDeletion checks the deletion of a machine that the cloud is about to carry out.
+// checkDeletion checks the deletion of a machine that the cloud is about to execute.
 func (c *IntentChecker) checkDeletion(host string) {
-	if !c.active() {
+	if !c.enforcing() {
 		return
 	}
 	entry, ok := c.recordedIntents[host]
@@ -170,30 +171,30 @@
 		return
 	}
 	c.Executed[entry.Operation]++
-	if !c.isOpen(host) {
-		c.cluster.AddViolation(StaleIntent, "%s is deleted after its intent was completed", host)
+	if !c.isPending(host) {
+		c.cluster.AddViolation(StaleIntent, "%s deleted after its intent was completed", host)
 	}
 	worker := c.cluster.Workers[host]
 	if worker == nil {
-		return // it is still booting
+		return // the machine is still booting
 	}
 	for _, task := range worker.Tasks {
 		if task.OnMachine() && (entry.Operation == intentlog.Deprovision || tokenOfTask(task) > entry.Token) {
 			c.cluster.AddViolation(BusyMachineDeleted,
-				"%s is deleted with attempt %d of %s on it, recorded for %s under token %d",
+				"%s deleted with attempt %d of %s on it; intent %s has token %d",
 				host, task.Attempt, task.Job.Spec.ID, entry.Operation, entry.Token)
 		}
 	}
 }
 
-// checkStart checks a task that a machine starts.
-func (c *IntentChecker) checkStart(worker *Worker, task *Task) {
+// checkTaskStart checks that a task starts on a machine that no earlier term is terminating.
+func (c *IntentChecker) checkTaskStart(worker *Worker, task *Task) {
 	entry, ok := c.recordedIntents[worker.Host.ID]
-	if ok && c.active() && tokenOfTask(task) > entry.Token {
-		c.cluster.AddViolation(TaskOnTerminatingMachine, "%s gets attempt %d, recorded for %s under token %d",
+	if ok && c.enforcing() && tokenOfTask(task) > entry.Token {
+		c.cluster.AddViolation(TaskOnTerminatingMachine, "%s starts attempt %d; intent %s has token %d",
 			worker.Host.ID, task.Attempt, entry.Operation, entry.Token)
 	}
 }
 
-// tokenOfTask is the fencing token of the term that started an attempt.
+// tokenOfTask returns the fencing token of the term that started the attempt.
 func tokenOfTask(t *Task) uint64 { return t.Attempt >> tuning.AttemptBits }
--- a/internal/fakes/intent_checker_test.go
+++ b/internal/fakes/intent_checker_test.go
@@ -11,7 +11,7 @@
 	"juniperchute/internal/wire"
 )
 
-// Records as controllers store them, and attempts of the first two terms.
+// Stored records, and attempt numbers of the first two terms.
 const (
 	logPage             = "d/0/0"
 	deprovisionIntent   = `{"a1":{"Duty":"return","Token":1,"At":5}}`
@@ -22,7 +22,7 @@
 	attemptOfTerm2      = 2<<tuning.AttemptBits | 7
 )
 
-// intentFixture is fakes with two machines and a checker of the intent log.
+// intentFixture provides the fakes with two machines and an intent checker.
 type intentFixture struct {
 	*Cluster
 	t       *testing.T
@@ -50,7 +50,7 @@
 	return f
 }
 
-// write stores a value under a key, or deletes the key if the value is "".
+// write stores a value under a key, or deletes the key if value is empty.
 func (f *intentFixture) write(key, value string) {
 	f.t.Helper()
 	write := wire.Write{Put: key, Value: json.RawMessage(value)}
@@ -65,7 +65,7 @@
 	})
 }
 
-func (f *intentFixture) delete(hosts ...string) {
+func (f *intentFixture) deleteMachines(hosts ...string) {
 	f.cloud.Call(cloud.Call{Operation: cloud.DeleteMachines, Hosts: hosts})
 }
 
@@ -74,117 +74,117 @@
 	f.cloud.Call(cloud.Call{Operation: cloud.CreateMachines, Request: request})
 }
 
-// intentCase is what is stored and what the cloud carries out, and the rule that it breaks.
+// intentCase is a sequence of stored intents and cloud calls with the rule that it violates.
 type intentCase struct {
 	name string
 	rule Rule // "" for none
-	play func(f *intentFixture)
+	run  func(f *intentFixture)
 }
 
-// deletionCases are about machines that are deleted.
+// deletionCases delete machines or start tasks on machines recorded for deletion.
 var deletionCases = []intentCase{
 	{
-		name: "deprovisioned after it was recorded",
-		play: func(f *intentFixture) {
+		name: "deprovisioning after its intent was recorded is allowed",
+		run: func(f *intentFixture) {
 			f.write(logPage, deprovisionIntent)
-			f.delete("a1")
+			f.deleteMachines("a1")
 		},
 	},
 	{
-		name: "deleted twice: the second call does nothing",
-		play: func(f *intentFixture) {
+		name: "a second deletion of a machine has no effect",
+		run: func(f *intentFixture) {
 			f.write(logPage, deprovisionIntent)
-			f.delete("a1")
+			f.deleteMachines("a1")
 			f.write(logPage, "")
-			f.delete("a1")
+			f.deleteMachines("a1")
 		},
 	},
 	{
-		name: "deprovisioned and never recorded",
+		name: "deprovisioning without an intent is found",
 		rule: NotRecorded,
-		play: func(f *intentFixture) { f.delete("a1") },
+		run:  func(f *intentFixture) { f.deleteMachines("a1") },
 	},
 	{
-		name: "another one deprovisioned than was recorded",
+		name: "deprovisioning of a second machine without an intent is found",
 		rule: NotRecorded,
-		play: func(f *intentFixture) {
+		run: func(f *intentFixture) {
 			f.write(logPage, deprovisionIntent)
-			f.delete("a1", "a2")
+			f.deleteMachines("a1", "a2")
 		},
 	},
 	{
-		name: "deprovisioned after the intent was completed",
+		name: "deprovisioning after its intent was completed is stale",
 		rule: StaleIntent,
-		play: func(f *intentFixture) {
+		run: func(f *intentFixture) {
 			f.write(logPage, deprovisionIntent)
 			f.write(logPage, "")
-			f.delete("a1")
+			f.deleteMachines("a1")
 		},
 	},
 	{
-		name: "deprovisioned with work on it",
+		name: "deprovisioning of a machine with tasks is found",
 		rule: BusyMachineDeleted,
-		play: func(f *intentFixture) {
+		run: func(f *intentFixture) {
 			f.addTestJob(nil)
 			f.startTask("a1", "job-1/0", attemptOfTerm1)
 			f.write(logPage, deprovisionIntent)
-			f.delete("a1")
+			f.deleteMachines("a1")
 		},
 	},
 	{
-		name: "reclaimed with work that its own term had started",
-		play: func(f *intentFixture) {
+		name: "reclaiming a machine with tasks of its own term is allowed",
+		run: func(f *intentFixture) {
 			f.addTestJob(nil)
 			f.startTask("a1", "job-1/0", attemptOfTerm1)
 			f.write(logPage, reclaimIntent)
-			f.delete("a1")
+			f.deleteMachines("a1")
 		},
 	},
 	{
-		name: "work of a later term on a machine that was recorded",
+		name: "a task of a later term on a terminating machine is found",
 		rule: TaskOnTerminatingMachine,
-		play: func(f *intentFixture) {
+		run: func(f *intentFixture) {
 			f.addTestJob(nil)
 			f.write(logPage, reclaimIntent)
 			f.startTask("a1", "job-1/0", attemptOfTerm2)
 		},
 	},
 	{
-		name: "reclaimed with work of a later term",
+		name: "reclaiming a machine with tasks of a later term is found",
 		rule: BusyMachineDeleted,
-		play: func(f *intentFixture) {
+		run: func(f *intentFixture) {
 			f.addTestJob(nil)
 			f.startTask("a1", "job-1/0", attemptOfTerm2)
 			f.write(logPage, reclaimIntent)
-			f.delete("a1")
+			f.deleteMachines("a1")
 		},
 	},
 	{
-		name: "a page that cannot be read",
+		name: "a page that fails to decode is found",
 		rule: Expectation,
-		play: func(f *intentFixture) { f.write(logPage, `"x"`) },
+		run:  func(f *intentFixture) { f.write(logPage, `"x"`) },
 	},
 }
 
-// provisioningCases are about machines that are provisioned.
+// provisioningCases create machines.
 var provisioningCases = []intentCase{
 	{
-		name: "provisioned after it was recorded, and requested again",
-		play: func(f *intentFixture) {
+		name: "a repeated request after its intent was recorded is allowed",
+		run: func(f *intentFixture) {
 			f.write(provisioningKey, provisioningRequest)
 			f.createMachine("b0-1-1")
 			f.createMachine("b0-1-1")
 		},
 	},
 	{
-		name: "provisioned and never recorded",
+		name: "provisioning without an intent is found",
 		rule: NotRecorded,
-		play: func(f *intentFixture) { f.createMachine("b0-1-1") },
+		run:  func(f *intentFixture) { f.createMachine("b0-1-1") },
 	},
 	{
-		name: "provisioned after it was completed",
+		name: "provisioning after its intent was completed is stale",
 		rule: StaleIntent,
-		play: func(f *intentFixture) {
+		run: func(f *intentFixture) {
 			f.write(provisioningKey, provisioningRequest)
 			f.write(provisioningKey, "")
 			f.createMachine("b0-1-1")
@@ -192,14 +192,14 @@
 	},
 }
 
-// TestIntentChecker checks that the checker of the intent log finds a planted violation of each
-// rule, and none where there is none.
+// TestIntentChecker guards against a checker that misses a violation of an intent log rule or
+// reports one for a valid sequence.
 func TestIntentChecker(t *testing.T) {
 	for _, cases := range [][]intentCase{deletionCases, provisioningCases} {
 		for _, test := range cases {
 			t.Run(test.name, func(t *testing.T) {
 				f := newIntentFixture(t)
-				test.play(f)
+				test.run(f)
 				f.expectViolation(t, test.rule)
 			})
 		}
--- a/internal/fakes/job.go
+++ b/internal/fakes/job.go
@@ -8,26 +8,26 @@
 	"juniperchute/internal/wire"
 )
 
-// Job is a job and what its user knows of it.
+// Job is a job together with its user's view of it.
 type Job struct {
 	Spec       wire.JobSpec
-	RunTime    time.Duration // how long each task runs
+	RunTime    time.Duration // of each task
 	Faulty     bool          // its tasks fail on every machine
-	Infeasible bool          // it can never run, so it must not be accepted
-	Done       []bool        // which tasks have completed, by index
+	Infeasible bool          // it can never run, so controllers must not accept it
+	Done       []bool        // completed tasks, by index
 
-	// What its user knows and has done.
+	// The user's view and actions.
 	Accepted        bool
-	KnownState      string // newest state in an answer; "": none yet
+	KnownState      string // state in the latest response; "" before the first
 	CancelRequested bool
-	CancelledAt     time.Time // when the first answer came that it is cancelled
-	LastResponseAt  time.Time // when a query about it was last answered
+	CancelledAt     time.Time // when a response first reported the job as cancelled
+	LastResponseAt  time.Time // when a request about the job last succeeded
 
-	workers []*Worker // that were given tasks of it, and may have some
+	workers []*Worker // workers that received tasks of the job and may still list some
 }
 
-// workersWithTasks lists the workers that have tasks of the job, in the order in which
-// they were first given one.
+// workersWithTasks returns the workers that list tasks of the job, in the order in which they
+// first received one.
 func (j *Job) workersWithTasks() []*Worker {
 	j.workers = slices.DeleteFunc(j.workers, func(w *Worker) bool {
 		return !slices.ContainsFunc(w.Tasks, func(t *Task) bool { return t.Job == j })
@@ -35,19 +35,19 @@
 	return j.workers
 }
 
-// NewJob makes a job that nobody has submitted yet.
+// NewJob returns a job that has not been submitted; runTime is the run time of each task.
 func NewJob(spec wire.JobSpec, runTime time.Duration) *Job {
 	return &Job{Spec: spec, RunTime: runTime, Done: make([]bool, spec.Tasks)}
 }
 
-// Complete reports whether all tasks have completed.
+// Complete reports whether all tasks have completed on the workers.
 func (j *Job) Complete() bool { return !slices.Contains(j.Done, false) }
 
-// Ended reports whether the user has got a final state as an answer.
-func (j *Job) Ended() bool { return isFinal(j.KnownState) }
+// Ended reports whether a response has shown the user a terminal state.
+func (j *Job) Ended() bool { return isTerminal(j.KnownState) }
 
-// isFinal reports whether a job stays in a state for good.
-func isFinal(state string) bool { return state == wire.JobDone || state == wire.JobCancelled }
+// isTerminal reports whether a job state is final.
+func isTerminal(state string) bool { return state == wire.JobDone || state == wire.JobCancelled }
 
 func (j *Job) resources() quota.Resources {
 	return quota.Resources{CPUs: j.Spec.Vcpus, GPUs: j.Spec.Gpus, MemGB: j.Spec.MemGb}
--- a/internal/fakes/rules.go
+++ b/internal/fakes/rules.go
@@ -10,10 +10,10 @@
 	"juniperchute/internal/wire"
 )
 
-// Rule names one of the protocol's rules, or another expectation of a test.
+// Rule identifies a rule of the protocol or an expectation of a test.
 type Rule string
 
-// The protocol's rules that the cluster checks, by the names that the users' bench gives them.
+// Rules of the protocol that the cluster checks. The values are the names in the users' benchmark.
 const (
 	DuplicateExecution Rule = "ran_twice"
 	QuotaExceeded      Rule = "quota"
@@ -22,43 +22,46 @@
 	JobLost            Rule = "forgotten"
 	CompletedEarly     Rule = "not_done"
 	StateRegressed     Rule = "went_back"
-	// Expectation is anything else that a test expects.
+	// Expectation covers all other expectations of a test.
 	Expectation Rule = "expectation"
 )
 
-// Violation is a broken rule.
+// Violation describes one violation of a rule.
 type Violation struct {
 	Rule    Rule
-	Elapsed time.Duration // since the cluster was made
+	Elapsed time.Duration // since the creation of the cluster
 	Detail  string
 }
 
-// String is the violation in one line.
+// String formats the violation in one line.
 func (v Violation) String() string {
 	return fmt.Sprintf("after %v: %s: %s", v.Elapsed, v.Rule, v.Detail)
 }
 
-// LostJobTimeout is how long a job may go without an answered query once all faults are over.
+// LostJobTimeout bounds the time without a successful response about an accepted job once all
+// faults have ended. A job beyond it counts as lost.
 const LostJobTimeout = 75 * time.Second
 
-// roundingSlack absorbs the rounding of sums of decimal amounts.
-const roundingSlack = 1e-6
+// roundingTolerance absorbs rounding errors in sums of resource amounts.
+const roundingTolerance = 1e-6
 
-// AddViolation records a broken rule.
+// AddViolation records a violation of a rule at the current time.
 func (c *Cluster) AddViolation(rule Rule, format string, args ...any) {
 	c.Violations = append(c.Violations, Violation{rule, c.Clock.Now().Sub(c.startedAt), fmt.Sprintf(format, args...)})
 }
 
-func (c *Cluster) cancelTimeout() time.Duration { return config.Seconds(c.Config.Workers.CancelS) }
+func (c *Cluster) cancellationTimeout() time.Duration {
+	return config.Seconds(c.Config.Workers.CancelS)
+}
 
-// cancelOverdue reports whether a job was cancelled so long ago that none of its tasks may be
-// left.
-func (c *Cluster) cancelOverdue(job *Job) bool {
-	return job.KnownState == wire.JobCancelled && c.Clock.Now().Sub(job.CancelledAt) > c.cancelTimeout()
+// cancellationOverdue reports whether a job was cancelled so long ago that none of its tasks may
+// remain on a machine.
+func (c *Cluster) cancellationOverdue(job *Job) bool {
+	return job.KnownState == wire.JobCancelled && c.Clock.Now().Sub(job.CancelledAt) > c.cancellationTimeout()
 }
 
-// checkStart checks the rules that the start of a task may break.
-func (c *Cluster) checkStart(worker *Worker, job *Job, index int) {
+// checkTaskStart checks for duplicate, misplaced and cancelled tasks before a task starts.
+func (c *Cluster) checkTaskStart(worker *Worker, job *Job, index int) {
 	name := wire.TaskName(job.Spec.ID, index)
 	zones := map[string]int{}
 	for _, other := range job.workersWithTasks() {
@@ -73,29 +76,29 @@
 		}
 	}
 	c.checkPlacement(worker, job, name, zones)
-	if c.cancelOverdue(job) {
+	if c.cancellationOverdue(job) {
 		c.AddViolation(CancelledTaskRan, "%s starts", name)
 	}
 }
 
-// checkPlacement checks a start against the job's constraints; zones counts the job's other tasks
-// on machines by zone.
+// checkPlacement checks a start against the job's placement constraints. zones counts the job's
+// other tasks on machines by zone.
 func (c *Cluster) checkPlacement(worker *Worker, job *Job, name string, zones map[string]int) {
 	spec := &job.Spec
 	if !allowedOn(spec, &worker.Host) {
-		c.AddViolation(PlacementViolated, "%s on %s", name, worker.Host.ID)
+		c.AddViolation(PlacementViolated, "%s starts on %s, which is not eligible", name, worker.Host.ID)
 	}
 	for zone, count := range zones {
 		if spec.SameZone && count > 0 && zone != worker.Host.Zone {
-			c.AddViolation(PlacementViolated, "%s is in another zone than its siblings", name)
+			c.AddViolation(PlacementViolated, "%s starts outside the zone of its siblings", name)
 		}
 	}
 	if spec.SpreadAcrossZones && zones[worker.Host.Zone]+1 > (spec.Tasks+1)/2 {
-		c.AddViolation(PlacementViolated, "%s is one too many in its zone", name)
+		c.AddViolation(PlacementViolated, "%s exceeds half of the tasks in its zone", name)
 	}
 }
 
-// Usage is what each team's tasks use, with the tasks on machines by job.
+// Usage returns the resources used by each team and the number of tasks on machines by job.
 func (c *Cluster) Usage() (teams map[string]quota.Resources, jobs map[*Job]int) {
 	teams, jobs = map[string]quota.Resources{}, map[*Job]int{}
 	for _, worker := range c.Workers {
@@ -110,15 +113,15 @@
 	return teams, jobs
 }
 
-// allowedOn reports whether a job's tasks may run on a machine of that type and zone.
+// allowedOn reports whether a job's tasks may run on a machine, by its type, zone and spot flag.
 func allowedOn(spec *wire.JobSpec, host *wire.Machine) bool {
 	typeAllowed := spec.AnyType || slices.Contains(spec.Types, host.Type)
 	zoneAllowed := spec.Zone == "" || spec.Zone == host.Zone
 	return typeAllowed && zoneAllowed && (spec.Spot || !host.Spot)
 }
 
-// Check checks the rules that hold at every moment. It is called after each step of a simulation,
-// so it looks at each task once.
+// CheckInvariants checks the rules that hold at all times: quotas, and that no task of a cancelled
+// job remains. Simulations call it after each step, so it visits each task only once.
 func (c *Cluster) CheckInvariants() {
 	used := make([]quota.Resources, len(c.Config.Teams))
 	for _, worker := range c.Workers {
@@ -131,8 +134,8 @@
 					used[i] = used[i].Add(t.Job.resources())
 				}
 			}
-			if c.cancelOverdue(t.Job) {
-				c.AddViolation(CancelledTaskRan, "%s/%d still on %s", t.Job.Spec.ID, t.Index, worker.Host.ID)
+			if c.cancellationOverdue(t.Job) {
+				c.AddViolation(CancelledTaskRan, "%s/%d is still on %s", t.Job.Spec.ID, t.Index, worker.Host.ID)
 			}
 		}
 	}
@@ -143,38 +146,38 @@
 	}
 }
 
-// exceeds reports whether a use is above a limit; 0 is no limit.
-func exceeds(used, limit float64) bool { return limit > 0 && used > limit+roundingSlack }
+// exceeds reports whether a usage is above a limit. A limit of 0 means no limit.
+func exceeds(used, limit float64) bool { return limit > 0 && used > limit+roundingTolerance }
 
-// CheckLostJobs checks that a query about each accepted job was answered lately.
+// CheckLostJobs checks that each accepted job got a successful response within LostJobTimeout.
 func (c *Cluster) CheckLostJobs() {
 	for _, job := range c.Submitted {
-		if unanswered := c.Clock.Now().Sub(job.LastResponseAt); job.Accepted && unanswered > LostJobTimeout {
-			c.AddViolation(JobLost, "no query about %s was answered for %v", job.Spec.ID, unanswered)
+		if silence := c.Clock.Now().Sub(job.LastResponseAt); job.Accepted && silence > LostJobTimeout {
+			c.AddViolation(JobLost, "no response about %s for %v", job.Spec.ID, silence)
 		}
 	}
 }
 
-// RecordResponse records that a request about a job was answered with its state; before is the state
-// that its user knew when the request was sent. changed reports whether this was the first answer
-// that the job is accepted, or that it has ended.
+// RecordResponse records a response with a job's state. before is the state that the user knew when
+// the request was sent. changed reports whether this response was the first to show that the job
+// is accepted, or that it has reached a terminal state.
 func (c *Cluster) RecordResponse(job *Job, state, before string) (changed bool) {
 	switch {
-	case isFinal(before) && state != before:
-		c.AddViolation(StateRegressed, "%s was reported as %s, now as %s", job.Spec.ID, before, state)
+	case isTerminal(before) && state != before:
+		c.AddViolation(StateRegressed, "%s reported as %s after %s", job.Spec.ID, state, before)
 	case state == wire.JobDone && !job.Complete():
-		c.AddViolation(CompletedEarly, "%s", job.Spec.ID)
+		c.AddViolation(CompletedEarly, "%s reported as done before all tasks are done", job.Spec.ID)
 	case state == wire.JobCancelled && !job.CancelRequested:
-		c.AddViolation(StateRegressed, "%s was never cancelled", job.Spec.ID)
+		c.AddViolation(StateRegressed, "%s reported as cancelled without a request", job.Spec.ID)
 	}
 	if job.Infeasible {
-		c.AddViolation(Expectation, "%s was accepted, though it can never run", job.Spec.ID)
+		c.AddViolation(Expectation, "%s accepted although it can never run", job.Spec.ID)
 	}
 	job.LastResponseAt = c.Clock.Now()
 	if job.Ended() {
 		return false
 	}
-	changed = !job.Accepted || isFinal(state)
+	changed = !job.Accepted || isTerminal(state)
 	if state == wire.JobCancelled {
 		job.CancelledAt = c.Clock.Now()
 	}
@@ -182,16 +185,16 @@
 	return changed
 }
 
-// RecordFailedRequest records that a request about a job was answered with another status than 200 and
-// 201, or not at all (0); before is the state that its user knew when the request was sent.
+// RecordFailedRequest records a request about a job that got a status other than 200 and 201, or no
+// response (status 0). before is the state that the user knew when the request was sent.
 func (c *Cluster) RecordFailedRequest(job *Job, before string, status int) {
 	switch status {
 	case 429, 503, 0:
 		return
 	case 404:
 		if before == "" {
-			return // no user knows yet that it is accepted
+			return // no response has reported the job as accepted yet
 		}
 	}
-	c.AddViolation(JobLost, "%s, reported as %q before, answered %d", job.Spec.ID, before, status)
+	c.AddViolation(JobLost, "%s reported as %q, then status %d", job.Spec.ID, before, status)
 }
--- a/internal/fakes/rules_test.go
+++ b/internal/fakes/rules_test.go
@@ -7,35 +7,35 @@
 	"juniperchute/internal/wire"
 )
 
-// ruleCase is what happens in a cluster, and the rule that it breaks.
+// ruleCase is a sequence of events in a cluster with the rule that it violates.
 type ruleCase struct {
 	name string
 	rule Rule // "" for none
-	play func(c *Cluster)
+	run  func(c *Cluster)
 }
 
-// taskRuleCases are about where and when tasks run.
+// taskRuleCases start tasks on machines.
 var taskRuleCases = []ruleCase{
 	{
-		name: "tasks on machines that are allowed break nothing",
-		play: func(c *Cluster) {
+		name: "tasks on eligible machines are allowed",
+		run: func(c *Cluster) {
 			c.addTestJob(nil)
 			c.startTask("a1", "job-1/0", 1)
 			c.startTask("b1", "job-1/1", 1)
 		},
 	},
 	{
-		name: "a task started while on another machine",
+		name: "a task started on a second machine is a duplicate",
 		rule: DuplicateExecution,
-		play: func(c *Cluster) {
+		run: func(c *Cluster) {
 			c.addTestJob(nil)
 			c.startTask("a1", "job-1/0", 1)
 			c.startTask("b1", "job-1/0", 2)
 		},
 	},
 	{
-		name: "a task started after its machine was removed",
-		play: func(c *Cluster) {
+		name: "a task restarted after its machine was removed is allowed",
+		run: func(c *Cluster) {
 			c.addTestJob(nil)
 			c.startTask("a1", "job-1/0", 1)
 			c.Remove("a1")
@@ -43,8 +43,8 @@
 		},
 	},
 	{
-		name: "a task started after its worker's lease has expired",
-		play: func(c *Cluster) {
+		name: "a task restarted after its worker's lease expiry is allowed",
+		run: func(c *Cluster) {
 			c.addTestJob(nil)
 			c.startTask("a1", "job-1/0", 1)
 			c.advance(11 * time.Second)
@@ -52,9 +52,9 @@
 		},
 	},
 	{
-		name: "a team above its limit",
+		name: "a team above its limit exceeds its quota",
 		rule: QuotaExceeded,
-		play: func(c *Cluster) {
+		run: func(c *Cluster) {
 			c.addTestJob(func(spec *wire.JobSpec) { spec.Team, spec.Gpus = "red", 2 })
 			for i, host := range []string{"a1", "b1", "b2"} {
 				c.startTask(host, wire.TaskName("job-1", i), 1)
@@ -63,8 +63,8 @@
 		},
 	},
 	{
-		name: "a team at its limit",
-		play: func(c *Cluster) {
+		name: "a team at its limit is allowed",
+		run: func(c *Cluster) {
 			c.addTestJob(func(spec *wire.JobSpec) { spec.Team, spec.Gpus = "red", 2 })
 			c.startTask("a1", "job-1/0", 1)
 			c.startTask("b1", "job-1/1", 1)
@@ -72,42 +72,42 @@
 		},
 	},
 	{
-		name: "a type that is not allowed",
+		name: "a task on an ineligible machine type is misplaced",
 		rule: PlacementViolated,
-		play: func(c *Cluster) {
+		run: func(c *Cluster) {
 			c.addTestJob(func(spec *wire.JobSpec) { spec.AnyType, spec.Types = false, []string{"g"} })
 			c.startTask("b2", "job-1/0", 1)
 		},
 	},
 	{
-		name: "a zone that is not allowed",
+		name: "a task in an ineligible zone is misplaced",
 		rule: PlacementViolated,
-		play: func(c *Cluster) {
+		run: func(c *Cluster) {
 			c.addTestJob(func(spec *wire.JobSpec) { spec.Zone = "a" })
 			c.startTask("b1", "job-1/0", 1)
 		},
 	},
 	{
-		name: "spot where it is not allowed",
+		name: "a task of an on-demand job on a spot machine is misplaced",
 		rule: PlacementViolated,
-		play: func(c *Cluster) {
+		run: func(c *Cluster) {
 			c.addTestJob(nil)
 			c.startTask("a2", "job-1/0", 1)
 		},
 	},
 	{
-		name: "siblings in two zones that must share one",
+		name: "tasks of a same-zone job in two zones are misplaced",
 		rule: PlacementViolated,
-		play: func(c *Cluster) {
+		run: func(c *Cluster) {
 			c.addTestJob(func(spec *wire.JobSpec) { spec.SameZone = true })
 			c.startTask("a1", "job-1/0", 1)
 			c.startTask("b1", "job-1/1", 1)
 		},
 	},
 	{
-		name: "more than half of the siblings in one zone",
+		name: "more than half of a spread job in one zone is misplaced",
 		rule: PlacementViolated,
-		play: func(c *Cluster) {
+		run: func(c *Cluster) {
 			c.addTestJob(func(spec *wire.JobSpec) { spec.SpreadAcrossZones = true })
 			for i := range 3 {
 				c.startTask("a1", wire.TaskName("job-1", i), 1)
@@ -115,18 +115,18 @@
 		},
 	},
 	{
-		name: "a command for a job that nobody submitted",
+		name: "a command for an unknown job is found",
 		rule: Expectation,
-		play: func(c *Cluster) { c.startTask("a1", "job-9/0", 1) },
+		run:  func(c *Cluster) { c.startTask("a1", "job-9/0", 1) },
 	},
 }
 
-// cancellationRuleCases are about the tasks of cancelled jobs.
+// cancellationRuleCases run tasks of cancelled jobs.
 var cancellationRuleCases = []ruleCase{
 	{
-		name: "a cancelled job's task left on its machine for too long",
+		name: "a cancelled task on its machine past the timeout is found",
 		rule: CancelledTaskRan,
-		play: func(c *Cluster) {
+		run: func(c *Cluster) {
 			job := c.addTestJob(nil)
 			c.startTask("a1", "job-1/0", 1)
 			job.CancelRequested = true
@@ -136,9 +136,9 @@
 		},
 	},
 	{
-		name: "a cancelled job's task started late",
+		name: "a cancelled task started past the timeout is found",
 		rule: CancelledTaskRan,
-		play: func(c *Cluster) {
+		run: func(c *Cluster) {
 			job := c.addTestJob(nil)
 			job.CancelRequested = true
 			c.RecordResponse(job, wire.JobCancelled, wire.JobPending)
@@ -147,8 +147,8 @@
 		},
 	},
 	{
-		name: "a cancelled job's task stopped in time",
-		play: func(c *Cluster) {
+		name: "a cancelled task stopped before the timeout is allowed",
+		run: func(c *Cluster) {
 			job := c.addTestJob(nil)
 			c.startTask("a1", "job-1/0", 1)
 			job.CancelRequested = true
@@ -161,17 +161,17 @@
 	},
 }
 
-// answerRuleCases are about the answers that users get.
-var answerRuleCases = []ruleCase{
+// responseRuleCases record responses that users get.
+var responseRuleCases = []ruleCase{
 	{
-		name: "done before all tasks are",
+		name: "done before all tasks are done is too early",
 		rule: CompletedEarly,
-		play: func(c *Cluster) { c.RecordResponse(c.addTestJob(nil), wire.JobDone, wire.JobRunning) },
+		run:  func(c *Cluster) { c.RecordResponse(c.addTestJob(nil), wire.JobDone, wire.JobRunning) },
 	},
 	{
-		name: "pending after it was reported as cancelled",
+		name: "pending after cancelled is a regression",
 		rule: StateRegressed,
-		play: func(c *Cluster) {
+		run: func(c *Cluster) {
 			job := c.addTestJob(nil)
 			job.CancelRequested = true
 			c.RecordResponse(job, wire.JobCancelled, wire.JobPending)
@@ -179,8 +179,8 @@
 		},
 	},
 	{
-		name: "an answer that was under way when another reported the end",
-		play: func(c *Cluster) {
+		name: "a response in flight when another reported the end is allowed",
+		run: func(c *Cluster) {
 			job := c.addTestJob(nil)
 			job.CancelRequested = true
 			c.RecordResponse(job, wire.JobCancelled, wire.JobPending)
@@ -188,41 +188,41 @@
 		},
 	},
 	{
-		name: "cancelled by nobody",
+		name: "cancelled without a request is a regression",
 		rule: StateRegressed,
-		play: func(c *Cluster) { c.RecordResponse(c.addTestJob(nil), wire.JobCancelled, wire.JobPending) },
+		run:  func(c *Cluster) { c.RecordResponse(c.addTestJob(nil), wire.JobCancelled, wire.JobPending) },
 	},
 	{
-		name: "an accepted job not found",
+		name: "an accepted job answered with 404 is lost",
 		rule: JobLost,
-		play: func(c *Cluster) { c.RecordFailedRequest(c.addTestJob(nil), wire.JobPending, 404) },
+		run:  func(c *Cluster) { c.RecordFailedRequest(c.addTestJob(nil), wire.JobPending, 404) },
 	},
 	{
-		name: "an accepted job refused as one that can never run",
+		name: "an accepted job answered with 422 is lost",
 		rule: JobLost,
-		play: func(c *Cluster) { c.RecordFailedRequest(c.addTestJob(nil), wire.JobPending, 422) },
+		run:  func(c *Cluster) { c.RecordFailedRequest(c.addTestJob(nil), wire.JobPending, 422) },
 	},
 	{
-		name: "a controller that cannot answer",
-		play: func(c *Cluster) { c.RecordFailedRequest(c.addTestJob(nil), wire.JobPending, 503) },
+		name: "an accepted job answered with 503 is allowed",
+		run:  func(c *Cluster) { c.RecordFailedRequest(c.addTestJob(nil), wire.JobPending, 503) },
 	},
 	{
-		name: "a query before the job was accepted",
-		play: func(c *Cluster) { c.RecordFailedRequest(c.addTestJob(nil), "", 404) },
+		name: "a job answered with 404 before it was accepted is allowed",
+		run:  func(c *Cluster) { c.RecordFailedRequest(c.addTestJob(nil), "", 404) },
 	},
 	{
-		name: "no query answered for long",
+		name: "an accepted job without a response past the timeout is lost",
 		rule: JobLost,
-		play: func(c *Cluster) {
+		run: func(c *Cluster) {
 			c.addTestJob(nil)
 			c.advance(76 * time.Second)
 			c.CheckLostJobs()
 		},
 	},
 	{
-		name: "a job accepted that can never run",
+		name: "an accepted job that can never run is found",
 		rule: Expectation,
-		play: func(c *Cluster) {
+		run: func(c *Cluster) {
 			job := NewJob(wire.JobSpec{ID: "job-2", Tasks: 1}, 0)
 			job.Infeasible = true
 			c.RecordResponse(job, wire.JobPending, "")
@@ -230,14 +230,14 @@
 	},
 }
 
-// TestChecker checks that the checker finds a planted violation of each rule, and none where there
-// is none.
-func TestChecker(t *testing.T) {
-	for _, cases := range [][]ruleCase{taskRuleCases, cancellationRuleCases, answerRuleCases} {
+// TestRuleViolations guards against checks that miss a violation of a rule or report one for a valid
+// sequence.
+func TestRuleViolations(t *testing.T) {
+	for _, cases := range [][]ruleCase{taskRuleCases, cancellationRuleCases, responseRuleCases} {
 		for _, test := range cases {
 			t.Run(test.name, func(t *testing.T) {
 				cluster := testCluster()
-				test.play(cluster)
+				test.run(cluster)
 				cluster.expectViolation(t, test.rule)
 			})
 		}
--- a/internal/fakes/state.go
+++ b/internal/fakes/state.go
@@ -10,29 +10,29 @@
 	"juniperchute/internal/wire"
 )
 
-// Sizes with which lists of several pages and forgotten changes happen in short tests.
+// Sizes small enough that short tests exercise pagination and the compaction of history.
 const (
 	defaultPageSize = 25
 	defaultHistory  = 400
 )
 
-// StateLimits are the limits that the state service enforces; 0 means none.
+// StateLimits are the limits that the state service enforces. A limit of 0 is not enforced.
 type StateLimits struct {
 	MaxValueBytes int     // of one value
 	MaxTxnOps     int     // puts and deletes in one transaction
-	WritesPerS    float64 // puts and deletes a second
-	RequestsPerS  float64 // requests a second
+	WritesPerS    float64 // puts and deletes per second
+	RequestsPerS  float64 // requests per second
 }
 
-// StateService is the fake of the state service: a key-value store with revisions, leases, watches
-// and transactions. Every change has a revision; a transaction is one change.
+// StateService fakes the state service: a key-value store with leases, watches and compare-and-swap
+// transactions. Each transaction, and each key deleted by a lease expiry, gets its own revision.
 type StateService struct {
 	Keys       map[string]wire.KeyValue
-	Revision   uint64 // of the newest change
+	Revision   uint64 // of the latest change
 	Limits     StateLimits
-	PageSize   int // keys that a list shows at most
-	MaxHistory int // changes that are remembered
-	// OnCall is called with each call that has been decided, before its reply; may be nil.
+	PageSize   int // maximum number of keys in a page of a list
+	MaxHistory int // changes kept for watches before compaction
+	// OnCall is called with the outcome of each call, before its reply; may be nil.
 	OnCall func(c store.Call, err error)
 
 	clock         *Clock
@@ -44,11 +44,11 @@
 	lastLease uint64
 
 	watches           []*watch
-	history           []wire.Event // the oldest first
-	compactedRevision uint64       // changes up to here have been forgotten
+	history           []wire.Event // oldest first
+	compactedRevision uint64       // changes up to this revision are compacted
 }
 
-// NewStateService makes an empty state service.
+// NewStateService returns an empty state service without limits.
 func NewStateService(clock *Clock) *StateService {
 	service := &StateService{
 		Keys:       map[string]wire.KeyValue{},
@@ -61,7 +61,8 @@
 	return service
 }
 
-// SetUnavailable begins or ends an outage. After one every lease has its full time again.
+// SetUnavailable starts or ends an outage. No lease expires during an outage, and all leases are
+// renewed at its end.
 func (s *StateService) SetUnavailable(unavailable bool) {
 	if s.unavailable && !unavailable {
 		s.renewAllLeases()
@@ -70,15 +71,15 @@
 	s.notifyWatches()
 }
 
-// Put sets a key, as a test's own change.
+// Put sets a key on behalf of the test, regardless of limits and outages.
 func (s *StateService) Put(key string, value json.RawMessage) {
 	s.Revision++
 	s.apply(wire.Write{Put: key, Value: value})
 	s.notifyWatches()
 }
 
-// Call carries out a call at once; the reply comes later for a watch, and never for one that ends
-// while the service is unavailable.
+// Call executes a call and passes its result to reply, synchronously except for watches. A watch
+// that times out during an outage gets no reply.
 func (s *StateService) Call(call store.Call, reply func(store.Result)) {
 	if s.OnCall != nil {
 		next := reply
@@ -119,7 +120,7 @@
 	return store.Result{KeyValue: item}
 }
 
-// list replies with the keys under a prefix, a page at a time.
+// list returns a page of the keys with a prefix, after a key.
 func (s *StateService) list(call store.Call) store.Result {
 	var keys []string
 	for key := range s.Keys {
@@ -139,7 +140,7 @@
 	return result
 }
 
-// transact carries out a transaction if all its compares hold.
+// transact applies the writes of a transaction if all its compares hold.
 func (s *StateService) transact(transaction wire.Transaction) store.Result {
 	if !s.allowed(transaction) {
 		return store.Result{Err: store.ErrInvalid}
@@ -160,8 +161,8 @@
 	return store.Result{Revision: s.Revision}
 }
 
-// allowed reports whether a transaction is within the limits of size and names no lease
-// that has expired.
+// allowed reports whether a transaction is within the size limits and references no expired
+// lease.
 func (s *StateService) allowed(transaction wire.Transaction) bool {
 	if s.Limits.MaxTxnOps > 0 && len(transaction.Writes) > s.Limits.MaxTxnOps {
 		return false
@@ -172,7 +173,7 @@
 	})
 }
 
-// failedCompares lists the keys that do not have the version compared with.
+// failedCompares returns the keys whose version differs from the compared one.
 func (s *StateService) failedCompares(compares []wire.Compare) []string {
 	var failed []string
 	for _, compare := range compares {
@@ -183,7 +184,7 @@
 	return failed
 }
 
-// apply makes a change at the present revision and remembers it for watches.
+// apply executes one write at the current revision and appends it to the history.
 func (s *StateService) apply(write wire.Write) {
 	if write.Delete != "" {
 		if _, ok := s.Keys[write.Delete]; ok {
@@ -197,7 +198,7 @@
 	s.compactHistory()
 }
 
-// compactHistory forgets the older half of the changes once there are too many.
+// compactHistory drops the older half of the history once it exceeds MaxHistory.
 func (s *StateService) compactHistory() {
 	if len(s.history) <= s.MaxHistory {
 		return
--- a/internal/fakes/state_leases.go
+++ b/internal/fakes/state_leases.go
@@ -8,8 +8,8 @@
 	"juniperchute/internal/wire"
 )
 
-// leaseExpiryInterval is how often leases are checked, so how late one may expire; the protocol
-// allows 100 ms.
+// leaseExpiryInterval is the interval of the expiry check. It bounds the delay of an expiry, for
+// which the protocol allows 100 ms.
 const leaseExpiryInterval = 50 * time.Millisecond
 
 // lease is a lease that has been granted and has not expired.
@@ -18,8 +18,8 @@
 	expiresAt time.Time
 }
 
-// expireLeases ends the leases that were not renewed in time, again and again. While the service is
-// unavailable none expires.
+// expireLeases expires the leases that were not renewed in time and schedules the next check. No
+// lease expires during an outage.
 func (s *StateService) expireLeases() {
 	if !s.unavailable {
 		for _, id := range s.expiredLeases() {
@@ -29,7 +29,7 @@
 	s.clock.Schedule(leaseExpiryInterval, s.expireLeases)
 }
 
-// expiredLeases lists the leases that have run out, in order.
+// expiredLeases returns the IDs of the leases past their expiry time, sorted.
 func (s *StateService) expiredLeases() []uint64 {
 	var expired []uint64
 	for id, lease := range s.leases {
@@ -41,7 +41,7 @@
 	return expired
 }
 
-// expireLease ends a lease and deletes its keys, each in a revision of its own.
+// expireLease revokes a lease and deletes its keys, each in its own revision.
 func (s *StateService) expireLease(id uint64) {
 	delete(s.leases, id)
 	var keys []string
@@ -58,14 +58,14 @@
 	s.notifyWatches()
 }
 
-// grantLease grants a lease for a time.
+// grantLease creates a lease that expires after ttl unless it is renewed.
 func (s *StateService) grantLease(ttl time.Duration) store.Result {
 	s.lastLease++
 	s.leases[s.lastLease] = &lease{ttl: ttl, expiresAt: s.clock.Now().Add(ttl)}
 	return store.Result{Lease: s.lastLease}
 }
 
-// renewLease gives a lease its full time again, unless it has expired.
+// renewLease restarts the TTL of a lease. It returns store.ErrNotFound if the lease has expired.
 func (s *StateService) renewLease(id uint64) store.Result {
 	renewed := s.leases[id]
 	if renewed == nil {
@@ -75,7 +75,7 @@
 	return store.Result{Lease: id}
 }
 
-// renewAllLeases gives every lease its full time again.
+// renewAllLeases restarts the TTL of every lease.
 func (s *StateService) renewAllLeases() {
 	for _, lease := range s.leases {
 		lease.expiresAt = s.clock.Now().Add(lease.ttl)
--- a/internal/fakes/state_watches.go
+++ b/internal/fakes/state_watches.go
@@ -8,14 +8,15 @@
 	"juniperchute/internal/store"
 )
 
-// watch is a call that waits for a change.
+// watch is a pending watch call.
 type watch struct {
 	prefix string
-	since  uint64 // the newest revision that the caller knows
+	since  uint64 // the latest revision known to the caller
 	reply  func(store.Result)
 }
 
-// watch replies once a key with the prefix has changed, or when the time has run out.
+// watch replies once a key with the prefix has changed after SinceRevision, or when WatchWaitMs has
+// passed.
 func (s *StateService) watch(call store.Call, reply func(store.Result)) {
 	result, changed := s.eventsSince(call.Prefix, call.SinceRevision)
 	if (changed || call.WatchWaitMs == 0) && !s.unavailable {
@@ -27,8 +28,7 @@
 	s.clock.Schedule(time.Duration(call.WatchWaitMs)*time.Millisecond, func() { s.endWatch(pending) })
 }
 
-// endWatch ends a watch whose time has run out, if nothing has changed. No reply comes while the
-// service is unavailable.
+// endWatch times out a watch that is still pending. The watch gets no reply during an outage.
 func (s *StateService) endWatch(pending *watch) {
 	i := slices.Index(s.watches, pending)
 	if i < 0 {
@@ -40,24 +40,24 @@
 	}
 }
 
-// notifyWatches replies to the watches for which something has changed.
+// notifyWatches replies to the watches with new changes, except during an outage.
 func (s *StateService) notifyWatches() {
 	if s.unavailable {
 		return
 	}
-	var waiting []*watch
+	var pending []*watch
 	for _, w := range s.watches {
 		if result, changed := s.eventsSince(w.prefix, w.since); changed {
 			w.reply(result)
 		} else {
-			waiting = append(waiting, w)
+			pending = append(pending, w)
 		}
 	}
-	s.watches = waiting
+	s.watches = pending
 }
 
-// eventsSince is the changes of keys with a prefix after a revision; changed is false if there are
-// none. Changes that have been forgotten are an error, store.ErrCompacted.
+// eventsSince returns the changes of keys with a prefix after a revision, and whether there are any.
+// The result is store.ErrCompacted if the history no longer covers the revision.
 func (s *StateService) eventsSince(prefix string, since uint64) (result store.Result, changed bool) {
 	if since < s.compactedRevision {
 		return store.Result{Err: store.ErrCompacted}, true
--- a/internal/fakes/task.go
+++ b/internal/fakes/task.go
@@ -8,7 +8,7 @@
 	"juniperchute/internal/wire"
 )
 
-// Task is one attempt of a task on a worker.
+// Task is one attempt of a job's task on a worker.
 type Task struct {
 	Job             *Job
 	Index           int
@@ -16,15 +16,15 @@
 	State           string
 	ExitReason      string
 	CheckpointSaved bool
-	StateEndsAt     time.Time // when the pull, the gang wait, the run or the checkpoint ends
+	StateEndsAt     time.Time // end of the image pull, gang wait, run or checkpoint
 
-	peerLostAt time.Time // when a gang's task found another one missing; zero: none is
+	peerLostAt time.Time // when a missing task of the gang was first noticed; zero if none is
 }
 
-// OnMachine reports whether the task takes resources on its machine.
+// OnMachine reports whether the task still occupies resources of its machine.
 func (t *Task) OnMachine() bool { return t.State != wire.TaskExited }
 
-// advance moves a task to its next state if the present one has ended.
+// advance moves a task to its next state if the current one has ended.
 func (w *Worker) advance(task *Task) {
 	switch task.State {
 	case wire.TaskFetching:
@@ -36,7 +36,7 @@
 	}
 }
 
-// advanceFetching starts a task whose image has been pulled, or has it wait for its gang.
+// advanceFetching starts a task whose image has been pulled. A gang task waits for its siblings.
 func (w *Worker) advanceFetching(task *Task) {
 	now := w.cluster.Clock.Now()
 	if now.Before(task.StateEndsAt) {
@@ -57,7 +57,8 @@
 	}
 }
 
-// advanceWaiting starts a gang once its last task has its image.
+// advanceWaiting starts a gang once all its tasks are waiting. A task whose siblings are missing at
+// the gang wait timeout exits.
 func (w *Worker) advanceWaiting(task *Task) {
 	now := w.cluster.Clock.Now()
 	members := w.cluster.gangMembers(task)
@@ -76,8 +77,8 @@
 	}
 }
 
-// advanceRunning ends a task that has run to its end, has saved its checkpoint, or has lost a member
-// of its gang.
+// advanceRunning ends a task that has completed, has saved its checkpoint, or has lost a sibling of
+// its gang. Services run until they are stopped.
 func (w *Worker) advanceRunning(task *Task) {
 	now := w.cluster.Clock.Now()
 	gang := task.Job.Spec.Shape == wire.ShapeGang
@@ -107,7 +108,7 @@
 	}
 }
 
-// completeGang completes all tasks of a gang together.
+// completeGang completes all tasks of a gang at once, unless one is not running.
 func (w *Worker) completeGang(task *Task) {
 	members := w.cluster.gangMembers(task)
 	if slices.ContainsFunc(members, func(peer gangMember) bool { return peer.task.State != wire.TaskRunning }) {
@@ -120,7 +121,7 @@
 	w.cluster.notifyCompleted(task.Job)
 }
 
-// exit ends a task. It stays listed until it is reaped.
+// exit ends a task. The worker lists the task until it is reaped.
 func (w *Worker) exit(task *Task, reason string, checkpointSaved bool) {
 	task.State, task.ExitReason, task.CheckpointSaved = wire.TaskExited, reason, checkpointSaved
 	w.heartbeatRequested = true
--- a/internal/fakes/token_bucket.go
+++ b/internal/fakes/token_bucket.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// tokenBucket limits a rate; it holds one second's worth of it.
+// tokenBucket is a rate limiter with a burst of one second.
 type tokenBucket struct {
 	spent     float64
 	updatedAt time.Time
 }
 
-// take spends n of a rate per second, or tells that it is exceeded. A rate of 0 has no limit.
+// take takes n tokens and reports whether the rate, in tokens per second, allows them. A rate of 0
+// means no limit.
 func (b *tokenBucket) take(now time.Time, rate, n float64) bool {
 	if rate <= 0 {
 		return true
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -8,60 +8,60 @@
 	"juniperchute/internal/wire"
 )
 
-// Times of the protocol that the platform configuration does not give.
+// Durations of the protocol that the platform configuration does not contain.
 const (
-	// replyTimeout is how long a worker waits for the reply to a heartbeat.
+	// replyTimeout bounds the wait for the reply to a heartbeat.
 	replyTimeout = 4 * time.Second
-	// nextControllerPause is the pause before a worker turns to the next controller.
-	nextControllerPause = time.Second
-	// redirectPause is the pause before a worker follows a redirect.
-	redirectPause = 100 * time.Millisecond
-	// minHeartbeatInterval is the least time between two heartbeats.
+	// nextControllerBackoff is the delay before a worker fails over to the next controller.
+	nextControllerBackoff = time.Second
+	// redirectDelay is the delay before a worker follows a redirect.
+	redirectDelay = 100 * time.Millisecond
+	// minHeartbeatInterval is the minimum time between two heartbeats.
 	minHeartbeatInterval = 500 * time.Millisecond
-	// workerTickInterval is how often a worker looks for what is due.
+	// workerTickInterval is the interval at which a worker checks its lease, tasks and heartbeat.
 	workerTickInterval = 100 * time.Millisecond
-	// peerLossTimeout is how long the rest of a gang takes to notice a lost task.
+	// peerLossTimeout is the time after which the tasks of a gang exit because a sibling is lost.
 	peerLossTimeout = 2 * time.Second
-	// DefaultImagePullTime is how long a worker takes to pull an image.
+	// DefaultImagePullTime is the initial Worker.ImagePullTime.
 	DefaultImagePullTime = 2 * time.Second
 )
 
-// Numbers of the heartbeat in flight that are none: there is none, or the worker is about to turn to
+// Special values of Worker.inFlight: no heartbeat is in flight, or the worker is about to switch to
 // another controller.
 const (
 	noHeartbeat        = 0
 	betweenControllers = -1
 )
 
-// Worker is the fake of a machine's worker. Tests may change Hung, Faulty, ImagePullTime and
+// Worker fakes the worker process of a machine. Tests may change Hung, Faulty, ImagePullTime and
 // PreemptionTime at any time.
 type Worker struct {
 	Host           wire.Machine
 	Capacity       quota.Resources
 	ImagePullTime  time.Duration
-	Terminated     bool      // the machine has ended
-	Hung           bool      // it executes nothing, and may go on later
-	Faulty         bool      // every task fails on it
-	PreemptionTime time.Time // when the cloud takes the machine away; zero: no notice
+	Terminated     bool      // the machine has terminated
+	Hung           bool      // the process is frozen and may resume later
+	Faulty         bool      // every task fails on the worker
+	PreemptionTime time.Time // when the cloud preempts the machine; zero without a notice
 
-	Incarnation uint64 // grows whenever its lease expires
-	Sequence    uint64 // of the newest heartbeat or reply
-	Token       uint64 // the highest that it has received
+	Incarnation uint64 // incremented when the worker's lease expires
+	Sequence    uint64 // of the latest heartbeat or reply
+	Token       uint64 // highest fencing token received
 	Tasks       []*Task
-	Images      map[string]bool // the images that it has pulled
-	Controller  int             // the controller that it sends heartbeats to
+	Images      map[string]bool // pulled images
+	Controller  int             // index of the controller that gets the heartbeats
 
 	cluster        *Cluster
-	leaseRenewedAt time.Time // when the last answered heartbeat was sent, or the incarnation began
+	leaseRenewedAt time.Time // send time of the last acknowledged heartbeat, or start of the incarnation
 
-	inFlight           int // number of the heartbeat in flight
+	inFlight           int // number of the heartbeat in flight, noHeartbeat or betweenControllers
 	heartbeats         int // heartbeats sent so far
 	heartbeatRequested bool
 	lastHeartbeat      time.Time
 }
 
-// AddWorker starts the worker of a machine that has booted. It sends heartbeats from the next event
-// of the clock on, first to a random controller.
+// AddWorker starts the worker of a booted machine. The worker sends its first heartbeat to a random
+// controller, in an event of the clock.
 func (c *Cluster) AddWorker(host wire.Machine, capacity quota.Resources) *Worker {
 	w := &Worker{
 		Host:               host,
@@ -80,7 +80,8 @@
 	return w
 }
 
-// Find looks up an attempt of a task, or any attempt that has not ended if attempt is 0.
+// FindTask returns an attempt of a task, or nil. If attempt is 0, it returns any attempt that has
+// not exited.
 func (w *Worker) FindTask(job *Job, index int, attempt uint64) *Task {
 	for _, task := range w.Tasks {
 		if task.Job == job && task.Index == index && (task.Attempt == attempt || attempt == 0 && task.OnMachine()) {
@@ -90,12 +91,12 @@
 	return nil
 }
 
-// acceptsTasks reports whether a task that is started on the worker now may complete.
+// acceptsTasks reports whether a task started on the worker now can complete.
 func (w *Worker) acceptsTasks() bool {
 	return !w.Hung && !w.Faulty && !w.Terminated && w.PreemptionTime.IsZero()
 }
 
-// Available is the resources that no task takes.
+// Available returns the resources that no task occupies.
 func (w *Worker) Available() quota.Resources {
 	free := w.Capacity
 	for _, task := range w.Tasks {
@@ -106,10 +107,11 @@
 	return free
 }
 
-// RequestHeartbeat makes the worker send a heartbeat as soon as it may.
+// RequestHeartbeat schedules a heartbeat as soon as minHeartbeatInterval allows.
 func (w *Worker) RequestHeartbeat() { w.heartbeatRequested = true }
 
-// tick does what is due on the worker, again and again: its lease, its tasks, its heartbeat.
+// tick checks the worker's lease, advances its tasks, sends a heartbeat that is due, and schedules
+// the next tick.
 func (w *Worker) tick() {
 	if w.Terminated {
 		return
@@ -117,7 +119,7 @@
 	clock := w.cluster.Clock
 	clock.Schedule(workerTickInterval, w.tick)
 	now := clock.Now()
-	// Also while hung: a machine that goes on later does so within its lease or without its tasks.
+	// Applies to hung workers too: a worker that resumes after its lease expiry has no tasks.
 	if now.Sub(w.leaseRenewedAt) > config.Seconds(w.cluster.Config.Workers.LeaseS) {
 		w.startIncarnation(now)
 	}
@@ -135,7 +137,7 @@
 	}
 }
 
-// startIncarnation kills and forgets all tasks, because the lease has expired.
+// startIncarnation kills all tasks and starts a new incarnation after a lease expiry.
 func (w *Worker) startIncarnation(now time.Time) {
 	w.Tasks = nil
 	w.Incarnation++
--- a/internal/fakes/worker_commands.go
+++ b/internal/fakes/worker_commands.go
@@ -8,8 +8,8 @@
 	"juniperchute/internal/wire"
 )
 
-// HandleCommand executes direct commands, unless they are of an earlier term (a lower fencing token)
-// or for another incarnation. It returns the HTTP status and the heartbeat of the reply.
+// HandleCommand executes direct commands. It rejects commands with a stale fencing token or for
+// another incarnation. It returns the HTTP status and the heartbeat of the reply.
 func (w *Worker) HandleCommand(command wire.DirectCommands) (status int, heartbeat *wire.Heartbeat) {
 	if command.Token < w.Token || command.Incarnation != w.Incarnation {
 		return http.StatusConflict, w.Heartbeat()
@@ -19,13 +19,13 @@
 	return http.StatusOK, w.Heartbeat()
 }
 
-// execute executes commands in their order.
+// execute executes commands in order and stops at the first one for an unknown task.
 func (w *Worker) execute(commands []wire.Command) {
 	for _, command := range commands {
 		jobID, index, ok := wire.ParseTask(command.Task)
 		job := w.cluster.Jobs[jobID]
 		if !ok || job == nil {
-			w.cluster.AddViolation(Expectation, "a command for a task that nobody submitted: %v", command)
+			w.cluster.AddViolation(Expectation, "command for an unknown task: %v", command)
 			return
 		}
 		switch command.Verb {
@@ -39,7 +39,8 @@
 	}
 }
 
-// run starts an attempt of a task, or lists it as exited with the reason why it cannot start.
+// run starts an attempt of a task. An attempt that cannot start is listed as exited with the reason.
+// A repeated command has no effect.
 func (w *Worker) run(job *Job, index int, attempt uint64) {
 	if w.FindTask(job, index, attempt) != nil {
 		return
@@ -52,7 +53,7 @@
 	case !w.Available().Fits(job.resources()):
 		task.ExitReason = wire.ExitInsufficientResources
 	default:
-		w.cluster.checkStart(w, job, index)
+		w.cluster.checkTaskStart(w, job, index)
 		task.State = wire.TaskFetching
 		task.StateEndsAt = w.cluster.Clock.Now()
 		if !w.Images[job.Spec.Image] {
@@ -62,14 +63,15 @@
 			w.cluster.OnTaskStart(w, task)
 		}
 	}
-	// Refused starts are listed too, until they are reaped.
+	// Rejected attempts are also listed until they are reaped.
 	w.Tasks = append(w.Tasks, task)
 	if !slices.Contains(job.workers, w) {
 		job.workers = append(job.workers, w)
 	}
 }
 
-// stop ends a task, after a checkpoint if the grace period (in seconds) suffices for one.
+// stop ends a task. A running task saves a checkpoint first if the grace period, in seconds, is long
+// enough.
 func (w *Worker) stop(task *Task, gracePeriodS *float64) {
 	if task == nil || !task.OnMachine() {
 		return
@@ -90,7 +92,7 @@
 	}
 }
 
-// reap forgets a task that has exited.
+// reap removes an exited task from the worker's list.
 func (w *Worker) reap(task *Task) {
 	if task == nil || task.OnMachine() {
 		return
--- a/internal/fakes/worker_heartbeat.go
+++ b/internal/fakes/worker_heartbeat.go
@@ -7,7 +7,7 @@
 	"juniperchute/internal/wire"
 )
 
-// Heartbeat is the worker's state, as it sends it; each has the next sequence number.
+// Heartbeat returns a heartbeat with the worker's status and increments the sequence number.
 func (w *Worker) Heartbeat() *wire.Heartbeat {
 	w.Sequence++
 	heartbeat := &wire.Heartbeat{
@@ -36,7 +36,7 @@
 	return heartbeat
 }
 
-// sendHeartbeat sends a heartbeat to one controller; one is in flight at a time.
+// sendHeartbeat sends a heartbeat to the current controller. No heartbeat may be in flight.
 func (w *Worker) sendHeartbeat() {
 	now := w.cluster.Clock.Now()
 	w.heartbeats++
@@ -45,7 +45,7 @@
 	heartbeat := w.Heartbeat()
 	w.cluster.Clock.Schedule(replyTimeout, func() {
 		if w.inFlight == number && w.Incarnation == incarnation {
-			w.nextController(number)
+			w.tryNextController(number)
 		}
 	})
 	reply := func(status int, commands wire.HeartbeatResponse, redirectTo string) {
@@ -57,7 +57,8 @@
 	w.cluster.network.Send(w, w.Controller, heartbeat, reply)
 }
 
-// handleReply takes the reply to the heartbeat in flight, which was sent at a time.
+// handleReply handles the reply to the heartbeat in flight. A successful reply renews the worker's
+// lease from the time at which the heartbeat was sent.
 func (w *Worker) handleReply(
 	number int, sent time.Time, status int, commands wire.HeartbeatResponse, redirectTo string,
 ) {
@@ -73,27 +74,28 @@
 	case http.StatusMisdirectedRequest:
 		controller := w.cluster.network.NodeIndex(redirectTo)
 		if controller < 0 || controller == w.Controller {
-			w.nextController(number)
+			w.tryNextController(number)
 			return
 		}
-		w.switchController(number, redirectPause, controller)
+		w.switchController(number, redirectDelay, controller)
 	default:
-		w.nextController(number)
+		w.tryNextController(number)
 	}
 }
 
-// nextController makes the worker turn to the next controller.
-func (w *Worker) nextController(number int) {
-	w.switchController(number, nextControllerPause, (w.Controller+1)%w.cluster.network.Nodes())
+// tryNextController switches to the next controller after a backoff.
+func (w *Worker) tryNextController(number int) {
+	w.switchController(number, nextControllerBackoff, (w.Controller+1)%w.cluster.network.Nodes())
 }
 
-// switchController makes the worker send its heartbeats to another controller after a pause.
-func (w *Worker) switchController(number int, pause time.Duration, controller int) {
+// switchController switches to another controller after a delay, unless the heartbeat with that
+// number is no longer in flight.
+func (w *Worker) switchController(number int, delay time.Duration, controller int) {
 	if w.inFlight != number {
 		return
 	}
 	w.inFlight = betweenControllers
-	w.cluster.Clock.Schedule(pause, func() {
+	w.cluster.Clock.Schedule(delay, func() {
 		if w.inFlight == betweenControllers && !w.Terminated {
 			w.inFlight, w.Controller = noHeartbeat, controller
 			w.heartbeatRequested = true
@@ -101,7 +103,7 @@
 	})
 }
 
-// observeToken takes note of a fencing token; a higher one is acknowledged in a heartbeat.
+// observeToken raises the worker's fencing token and acknowledges a higher one in a heartbeat.
 func (w *Worker) observeToken(token uint64) {
 	if token > w.Token {
 		w.Token, w.heartbeatRequested = token, true
--- a/internal/fakes/workload.go
+++ b/internal/fakes/workload.go
@@ -8,8 +8,8 @@
 	"juniperchute/internal/wire"
 )
 
-// DeploymentConfig is the platform configuration of a small deployment with the given zones and
-// teams, and with its workers' heartbeat interval and lease in seconds.
+// DeploymentConfig returns the platform configuration of a small deployment with the given zones,
+// teams, and heartbeat interval and lease of the workers in seconds.
 func DeploymentConfig(zones []string, teams []config.Team, heartbeatS, leaseS float64) config.Platform {
 	return config.Platform{
 		Nodes:         3,
@@ -24,26 +24,26 @@
 	}
 }
 
-// Workload is the size of a deployment that benchmarks play, and what its users submit.
+// Workload describes the size of a benchmark's deployment and the jobs that its users submit.
 type Workload struct {
 	Name       string
-	Nodes      int // controllers
+	Nodes      int // number of controllers
 	Machines   int
 	Limits     config.MachineLimits // of a controller's process
-	HeartbeatS float64              // heartbeat interval of the workers
-	LeaseS     float64              // lease of the workers
+	HeartbeatS float64              // heartbeat interval of the workers in seconds
+	LeaseS     float64              // lease of the workers in seconds
 
 	ArraysPerS    float64
 	GangsPerS     float64
 	TasksPerArray int
 	RunTime       time.Duration // of each task
 
-	// What the state service takes.
+	// Rate limits of the state service.
 	RequestsPerS float64
 	WritesPerS   float64
 }
 
-// SmallWorkloads are the sizes of the lean deployments.
+// SmallWorkloads returns the workloads of 180 and 600 machines.
 func SmallWorkloads() []Workload {
 	return []Workload{
 		{
@@ -77,7 +77,7 @@
 	}
 }
 
-// LargestWorkload is one of 4,000 machines, the most that one lease holder was measured with.
+// LargestWorkload returns a workload of 4,000 machines, the largest for a single lease holder.
 func LargestWorkload() Workload {
 	return Workload{
 		Name:          "4,000 machines",
@@ -95,7 +95,7 @@
 	}
 }
 
-// LargeMachineType is the machine type that workloads run on.
+// LargeMachineType returns the type of the machines that run workloads.
 func LargeMachineType() wire.MachineType {
 	return wire.MachineType{
 		Name:        "g8",
@@ -110,7 +110,7 @@
 	}
 }
 
-// Config is the platform configuration of the workload's deployment.
+// Config returns the platform configuration of the workload's deployment.
 func (w Workload) Config() config.Platform {
 	platform := DeploymentConfig([]string{"a"}, []config.Team{{Name: "red"}}, w.HeartbeatS, w.LeaseS)
 	platform.Nodes, platform.MachineLimits = w.Nodes, w.Limits
@@ -122,7 +122,7 @@
 	return platform
 }
 
-// Array is one of the workload's job arrays; the number makes its name.
+// Array returns the job array with the given number. The number determines the job ID and image.
 func (w Workload) Array(number int) wire.JobSpec {
 	return wire.JobSpec{
 		ID:                  fmt.Sprintf("job-%06d", number),
@@ -143,7 +143,7 @@
 	}
 }
 
-// Gang is one of the workload's gangs; the number makes its name.
+// Gang returns the gang with the given number. The number determines the job ID and image.
 func (w Workload) Gang(number int) wire.JobSpec {
 	spec := w.Array(number)
 	spec.Class, spec.Shape, spec.Priority = "model", wire.ShapeGang, "normal"
@@ -151,8 +151,8 @@
 	return spec
 }
 
-// SubmissionBody is the protocol's JSON of a submission, written out here so that tests do not
-// take the controllers' own encoding for right.
+// SubmissionBody returns the JSON body of a submission. It does not use the controllers' encoder, so
+// tests detect an encoder that deviates from the protocol.
 func SubmissionBody(spec wire.JobSpec) map[string]any {
 	body := map[string]any{
 		"Id":        spec.ID,
