--- a/internal/integration/addresses_test.go
+++ b/internal/integration/addresses_test.go
@@ -8,25 +8,24 @@
 	"testing"
 )
 
-// A controller that is away has to find its ports free when it is back, and before its
-// first start as well. The kernel gives a port that nobody listens on to whoever asks for
-// one next: a deployment that ran beside this one got it now and then, and each took the
-// other's controller for its own. So each deployment has a loopback host for itself.
+// A controller must find its ports free at its first start and after each restart. The kernel may
+// assign a port without a listener to another process, such as a controller of a deployment that
+// runs in parallel. Each deployment therefore reserves its own loopback address.
 const (
-	// controllerHosts numbers the hosts; the first that is not in use is taken.
+	// controllerHosts is the format of the loopback addresses; the first free one is reserved.
 	controllerHosts    = "127.2.0.%d"
 	controllerHostsMax = 250
-	// reservationPort is listened on for as long as a deployment has the host. It and the
-	// ports above it lie below those that the kernel gives out.
+	// reservationPort has a listener while a deployment uses the address. This port and the
+	// controllers' ports above it are below the kernel's ephemeral port range.
 	reservationPort = 20000
 )
 
-// controllerAddresses are where one controller listens.
+// controllerAddresses are the listen addresses of one controller.
 type controllerAddresses struct {
 	peer, api string
 }
 
-// reserveAddresses finds addresses for controllers and reserves them until the test's end.
+// reserveAddresses reserves addresses for controllers until the end of the test.
 func reserveAddresses(tb testing.TB, controllers int) []controllerAddresses {
 	tb.Helper()
 	for n := range controllerHostsMax {
@@ -37,17 +36,17 @@
 		}
 		addresses := addressesOn(host, controllers)
 		if slices.ContainsFunc(addresses, controllerAddresses.inUse) {
-			reservation.Close() // a controller has outlived a test that was killed
+			reservation.Close() // a controller has survived a killed test
 			continue
 		}
 		tb.Cleanup(func() { reservation.Close() })
 		return addresses
 	}
-	tb.Fatal("no loopback host is free for the controllers")
+	tb.Fatal("no loopback address is free for the controllers")
 	return nil
 }
 
-// addressesOn numbers the ports of controllers on a host.
+// addressesOn returns the addresses of controllers on a host, with consecutive ports.
 func addressesOn(host string, controllers int) []controllerAddresses {
 	var addresses []controllerAddresses
 	for i := range controllers {
@@ -57,10 +56,10 @@
 	return addresses
 }
 
-// hostPort is an address with a port.
+// hostPort joins a host and a port to an address.
 func hostPort(host string, port int) string { return net.JoinHostPort(host, strconv.Itoa(port)) }
 
-// inUse reports whether somebody listens at one of the addresses.
+// inUse reports whether a process listens on one of the addresses.
 func (a controllerAddresses) inUse() bool {
 	for _, address := range []string{a.peer, a.api} {
 		listener, err := net.Listen("tcp", address)
@@ -72,8 +71,8 @@
 	return false
 }
 
-// TestReserveAddresses checks that deployments at the same time have no address in common, also when
-// no controller listens, and that a host that a controller still listens on is left out.
+// TestReserveAddresses guards against concurrent deployments that share an address, and against a
+// reserved host on which a leaked controller still listens.
 func TestReserveAddresses(t *testing.T) {
 	const deployments, controllers = 20, 3
 	taken := map[string]bool{}
@@ -81,23 +80,23 @@
 		for _, a := range reserveAddresses(t, controllers) {
 			for _, address := range []string{a.peer, a.api} {
 				if taken[address] {
-					t.Errorf("%s is given out twice", address)
+					t.Errorf("%s is reserved twice", address)
 				}
 				taken[address] = true
 			}
 		}
 	}
-	var left net.Listener
-	t.Run("a test that leaves a controller", func(t *testing.T) {
+	var leaked net.Listener
+	t.Run("test leaks a controller", func(t *testing.T) {
 		var err error
-		if left, err = net.Listen("tcp", reserveAddresses(t, controllers)[0].api); err != nil {
+		if leaked, err = net.Listen("tcp", reserveAddresses(t, controllers)[0].api); err != nil {
 			t.Fatal(err)
 		}
 	})
-	defer left.Close()
+	defer leaked.Close()
 	for _, a := range reserveAddresses(t, controllers) {
-		if a.api == left.Addr().String() {
-			t.Errorf("%s is given out although a controller listens there", a.api)
+		if a.api == leaked.Addr().String() {
+			t.Errorf("%s is reserved although a controller listens on it", a.api)
 		}
 	}
 }
--- a/internal/integration/call_gate_test.go
+++ b/internal/integration/call_gate_test.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// callPhase is when a gate holds a call.
+// callPhase is the phase of a call in which a gate blocks it.
 type callPhase int
 
 const (
-	beforeCall callPhase = iota // it has been sent and not carried out
-	afterCall                   // it has been carried out, and its answer is on the way back
+	beforeCall callPhase = iota // the call was received and not executed
+	afterCall                   // the call was executed, and its reply is not sent
 )
 
-// callGate holds one call that a test waits for. The zero gate lets everything pass.
+// callGate blocks one matching call until a test releases it. The zero value blocks no call.
 type callGate struct {
 	mutex sync.Mutex
-	want  func(call any) bool // nil: nothing is waited for
-	phase callPhase           // at which the call is held
+	want  func(call any) bool // nil if no call is to be blocked
+	phase callPhase           // in which the call is blocked
 	call  *heldCall
 }
 
-// heldCall is a call that is held at a gate.
+// heldCall is a call that a gate blocks.
 type heldCall struct {
-	reached  chan struct{} // closed when it is there
-	released chan struct{} // closed to let it go on
+	reached  chan struct{} // closed when the call arrives at the gate
+	released chan struct{} // closed to unblock the call
 }
 
-// hold has the next call that is wanted held.
+// hold blocks the next matching call. It replaces an earlier hold that has not matched.
 func (g *callGate) hold(phase callPhase, want func(call any) bool) *heldCall {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -36,7 +36,7 @@
 	return g.call
 }
 
-// pass holds a call if it is the one waited for.
+// pass blocks until the call is released if it matches, and returns at once otherwise.
 func (g *callGate) pass(phase callPhase, call any) {
 	g.mutex.Lock()
 	if g.want == nil || g.phase != phase || !g.want(call) {
@@ -50,7 +50,7 @@
 	<-held.released
 }
 
-// wait waits until the call is there, and reports whether it came in time.
+// wait blocks until the call arrives at the gate, and reports whether it arrived before the timeout.
 func (h *heldCall) wait(timeout time.Duration) bool {
 	select {
 	case <-h.reached:
@@ -60,5 +60,5 @@
 	}
 }
 
-// release lets the call go on.
+// release unblocks the call. It must be called at most once.
 func (h *heldCall) release() { close(h.released) }
--- a/internal/integration/deployment_benchmark_test.go
+++ b/internal/integration/deployment_benchmark_test.go
@@ -10,20 +10,20 @@
 	"juniperchute/internal/fakes"
 )
 
-// Times of a measured deployment.
+// Durations of the phases of BenchmarkDeployment.
 const (
-	settleTime     = 15 * time.Second // from a full fleet to the measurement
-	steadyTime     = 15 * time.Second // of the measurement of a steady load
-	afterFailover  = 2 * time.Second  // from a failover to the end of its measurement
-	submitInterval = 100 * time.Millisecond
+	settleTime       = 15 * time.Second // from the full fleet to the first measurement
+	steadyTime       = 15 * time.Second // length of the measurement under steady load
+	postFailoverTime = 2 * time.Second  // from the failover to the end of its measurement
+	submitInterval   = 100 * time.Millisecond
 )
 
-// BenchmarkDeployment measures what a deployment's controllers cost, at the sizes of the
-// lean deployments: of a start, of a steady load, and of a crash of the lease holder.
+// BenchmarkDeployment measures the CPU time and memory of the controllers of the small workloads: at
+// startup, under steady load, and during a failover after a crash of the lease holder.
 //
 //	INTEGRATION_PROFILE=PREFIX go test ./internal/integration -run XXX -bench Deployment
 //
-// writes the profiles of each controller.
+// also writes CPU and allocation profiles of each controller.
 func BenchmarkDeployment(b *testing.B) {
 	for _, workload := range fakes.SmallWorkloads() {
 		b.Run(workload.Name, func(b *testing.B) {
@@ -54,11 +54,11 @@
 	d.waitUntil("the fleet", func() bool { return len(d.cluster.Workers) >= workload.Machines*9/10 })
 	time.Sleep(settleTime)
 	d.withLock(func() { holder = d.leaseHolder() })
-	measureSteady(b, d, holder)
+	measureSteadyLoad(b, d, holder)
 	measureFailover(b, d, holder)
 }
 
-// submitWorkload has users submit a workload's jobs: some at once, the rest at its rates.
+// submitWorkload submits an initial batch of a workload's jobs, then further jobs at its rates.
 func (d *deployment) submitWorkload(workload fakes.Workload) {
 	jobs := 0
 	submitArray := func() {
@@ -91,7 +91,7 @@
 	}()
 }
 
-// cpuTimes is the processor time that each controller has taken so far.
+// cpuTimes returns the CPU time that each controller has used.
 func (d *deployment) cpuTimes() map[*controllerProcess]time.Duration {
 	times := map[*controllerProcess]time.Duration{}
 	for _, controller := range d.controllers {
@@ -100,8 +100,8 @@
 	return times
 }
 
-// measureSteady measures a time of steady load.
-func measureSteady(b *testing.B, d *deployment, holder *controllerProcess) {
+// measureSteadyLoad reports CPU time, memory and heartbeat latency under steady load.
+func measureSteadyLoad(b *testing.B, d *deployment, holder *controllerProcess) {
 	before := d.cpuTimes()
 	var heartbeats heartbeatStats
 	d.withLock(func() { heartbeats = d.heartbeats })
@@ -127,17 +127,17 @@
 	})
 }
 
-// millisecondsPerSecond is the share of the steady time that a processor time is.
+// millisecondsPerSecond returns a CPU time per second of steadyTime.
 func millisecondsPerSecond(cpuTime time.Duration) float64 {
 	return float64(cpuTime.Microseconds()) / 1000 / steadyTime.Seconds()
 }
 
-// measureFailover measures what a crash of the lease holder costs its successor.
+// measureFailover reports the CPU time of the new lease holder after a crash of the old one.
 func measureFailover(b *testing.B, d *deployment, holder *controllerProcess) {
 	before := d.cpuTimes()
 	crash := syscall.SIGKILL
 	if os.Getenv(profileEnv) != "" {
-		crash = syscall.SIGTERM // so that the profile is written
+		crash = syscall.SIGTERM // a clean exit writes the profile
 	}
 	from := time.Now()
 	holder.stop(crash)
@@ -147,7 +147,7 @@
 		return next != nil && next != holder
 	})
 	elapsed := time.Since(from)
-	time.Sleep(afterFailover)
+	time.Sleep(postFailoverTime)
 	b.ReportMetric(float64((next.cpuTime() - before[next]).Milliseconds()), "ms/takeover+2s")
 	b.Logf("failover %v after the crash", elapsed)
 }
--- a/internal/integration/deployment_test.go
+++ b/internal/integration/deployment_test.go
@@ -20,26 +20,26 @@
 	"juniperchute/internal/wire"
 )
 
-// Times of a deployment.
+// Intervals and timeouts of a deployment.
 const (
-	// driveInterval is how often the fakes' clock catches up with the wall clock.
-	driveInterval = 5 * time.Millisecond
-	// checkInterval is how often the rules that hold at every moment are checked.
+	// clockInterval is the interval at which the fakes' clock catches up with the wall clock.
+	clockInterval = 5 * time.Millisecond
+	// checkInterval is the interval between checks of the cluster's invariants.
 	checkInterval = 50 * time.Millisecond
-	// replyTimeout is how long a worker or a user waits for a reply.
+	// replyTimeout bounds the wait of a worker or a user for a reply.
 	replyTimeout = 4 * time.Second
-	// waitTimeout is how long a test waits for something to hold.
+	// waitTimeout bounds the wait of a test for a condition.
 	waitTimeout = 90 * time.Second
 )
 
-// machinesPerSubnet is how many loopback addresses one byte numbers.
+// machinesPerSubnet is the number of machines with the same third byte of their loopback address.
 const machinesPerSubnet = 200
 
-// userConnections is how many connections the users have to one controller at most.
+// userConnections bounds the users' connections to one controller.
 const userConnections = 40
 
-// deployment is controllers as processes of their own, and fakes of all parties around them, driven
-// by the wall clock.
+// deployment runs controllers as separate processes against the fakes, whose clock follows the wall
+// clock.
 type deployment struct {
 	tb          testing.TB
 	config      config.Platform
@@ -50,25 +50,25 @@
 	workerPort  int
 	gate        callGate
 
-	mutex      sync.Mutex // guards all that follows, and the fakes; see withLock
+	mutex      sync.Mutex // guards the fields below and the fakes; see withLock
 	clock      *fakes.Clock
 	store      *fakes.StateService
 	cloud      *fakes.Cloud
 	cluster    *fakes.Cluster
 	byAddress  map[string]*fakes.Worker
-	clients    map[string]*http.Client // of the workers, by machine
+	clients    map[string]*http.Client // HTTP clients of the workers, by machine
 	checkedAt  time.Time
 	heartbeats heartbeatStats
 }
 
-// heartbeatStats count the workers' heartbeats and their replies.
+// heartbeatStats holds statistics of the workers' heartbeats.
 type heartbeatStats struct {
 	sent      int
-	totalWait time.Duration // from heartbeats to their replies, summed
-	slow      int           // heartbeats that waited for more than a second, were refused or got no reply
+	totalWait time.Duration // sum of the times from heartbeats to their replies
+	slow      int           // heartbeats with a late reply, a 503 or no reply
 }
 
-// newDeployment starts the fakes; the test starts the controllers.
+// newDeployment starts the fakes and configures the controllers. The caller starts the controllers.
 func newDeployment(tb testing.TB, settings config.Platform, machineType wire.MachineType, machines int) *deployment {
 	tb.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -110,13 +110,13 @@
 	return d
 }
 
-// newUserClient is the HTTP client of all users.
+// newUserClient returns the HTTP client that all users share.
 func newUserClient() *http.Client {
 	transport := &http.Transport{MaxIdleConnsPerHost: userConnections, MaxConnsPerHost: userConnections}
 	return &http.Client{Timeout: replyTimeout, Transport: transport}
 }
 
-// addControllers makes the controllers, which know each other, without starting them.
+// addControllers configures the controllers as peers of each other, without starting them.
 func (d *deployment) addControllers(external config.External) {
 	dir := d.tb.TempDir()
 	addresses := reserveAddresses(d.tb, d.config.Nodes)
@@ -141,7 +141,7 @@
 	}
 }
 
-// serve serves an address until the test's end, and returns it with its port.
+// serve starts an HTTP server until the end of the test and returns its address.
 func (d *deployment) serve(address string, handler http.HandlerFunc) string {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -153,12 +153,12 @@
 	return listener.Addr().String()
 }
 
-// runDueEvents runs what is due on the fakes' clock; the lock is held. Events run at
-// their scheduled times, so that a lease's end that is executed late still comes before
-// a command that has just arrived.
+// runDueEvents runs the events that are due on the fakes' clock; the lock must be held. Events run
+// at their scheduled times: a lease expiry that is processed late still precedes a command that
+// has just arrived.
 func (d *deployment) runDueEvents() { d.clock.RunUntil(time.Now()) }
 
-// withLock does something with the fakes, at the present time.
+// withLock runs due events and calls f, with the lock held.
 func (d *deployment) withLock(f func()) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -166,7 +166,7 @@
 	f()
 }
 
-// runClock has the fakes' clock follow the wall clock, and the rules checked, until the test's end.
+// runClock advances the fakes' clock and checks the invariants until the end of the test.
 func (d *deployment) runClock() {
 	defer d.goroutines.Done()
 	for d.ctx.Err() == nil {
@@ -176,11 +176,11 @@
 				d.cluster.CheckInvariants()
 			}
 		})
-		time.Sleep(driveInterval)
+		time.Sleep(clockInterval)
 	}
 }
 
-// startWorker starts the worker of a machine.
+// startWorker starts the worker of a booted machine.
 func (d *deployment) startWorker(host *fakes.CloudHost) {
 	machineType := d.cloud.MachineTypes[0]
 	capacity := quota.Resources{CPUs: machineType.Vcpus, GPUs: machineType.Gpus, MemGB: machineType.MemGb}
@@ -188,14 +188,14 @@
 	d.byAddress[host.Address] = d.cluster.AddWorker(host.Machine, capacity)
 }
 
-// removeWorker removes the worker of a machine that has ended.
+// removeWorker removes the worker of a terminated machine.
 func (d *deployment) removeWorker(host *fakes.CloudHost) {
 	d.cluster.Remove(host.ID)
 	delete(d.byAddress, host.Address)
 	delete(d.clients, host.ID)
 }
 
-// waitUntil waits for something to hold, and fails the test if it does not in time. holds is called
+// waitUntil blocks until holds returns true, and fails the test after waitTimeout. It calls holds
 // with the lock held.
 func (d *deployment) waitUntil(what string, holds func() bool) {
 	d.tb.Helper()
@@ -206,20 +206,20 @@
 			return
 		}
 		if time.Now().After(end) {
-			d.tb.Fatalf("after %v still not: %s", waitTimeout, what)
+			d.tb.Fatalf("timed out after %v waiting for: %s", waitTimeout, what)
 		}
 	}
 }
 
-// waitUntilAllJobsEnd waits until the users know of every job that it has ended.
+// waitUntilAllJobsEnd blocks until responses have shown every job in a terminal state.
 func (d *deployment) waitUntilAllJobsEnd() {
 	d.tb.Helper()
-	d.waitUntil("every job's end", func() bool {
+	d.waitUntil("a terminal state of every job", func() bool {
 		return !slices.ContainsFunc(d.cluster.Submitted, func(job *fakes.Job) bool { return !job.Ended() })
 	})
 }
 
-// reportViolations fails the test for each rule that was broken; the lock is held.
+// reportViolations fails the test for each rule violation; the lock must be held.
 func (d *deployment) reportViolations() {
 	d.tb.Helper()
 	for _, violation := range d.cluster.Violations {
@@ -227,7 +227,7 @@
 	}
 }
 
-// sleep waits unless the deployment ends.
+// sleep blocks for a duration or until the deployment stops.
 func (d *deployment) sleep(t time.Duration) {
 	select {
 	case <-time.After(t):
--- a/internal/integration/failover_test.go
+++ b/internal/integration/failover_test.go
@@ -2,13 +2,13 @@
 
 import "syscall"
 
-// failoverAttempts is how often waitForLeaseHolder has the lease change hands: a controller that
-// gets too little processor time may lose its lease in the midst of an attempt.
+// failoverAttempts bounds the attempts of forceLeaseHolder to transfer the lease. An attempt fails
+// if a controller short of CPU time loses its lease in between.
 const failoverAttempts = 6
 
-// waitForLeaseHolder waits until a given controller holds the shard's lease, restarting others, in
-// their versions, that hold it instead.
-func (u *upgradeTest) waitForLeaseHolder(wanted int) {
+// forceLeaseHolder transfers the shard's lease until the wanted controller holds it. Controllers
+// that it restarts keep their versions.
+func (u *upgradeTest) forceLeaseHolder(wanted int) {
 	u.t.Helper()
 	for range failoverAttempts {
 		holder := -1
@@ -19,45 +19,45 @@
 		if holder == wanted {
 			return
 		}
-		u.handOver(wanted)
+		u.transferLease(wanted)
 	}
-	u.t.Fatalf("controller %d never holds the shard's lease", wanted)
+	u.t.Fatalf("controller %d does not hold the shard's lease after %d attempts", wanted, failoverAttempts)
 }
 
-// handOver ends the lease holder while the wanted controller is the one that gets the lease.
-// A leader prefers others to itself, and any other to the one that had the lease. So the
-// wanted controller must not lead: it is restarted once somebody else does. If that is
-// the holder, its end would leave open who leads next, and with that who gets the lease:
-// then the wanted controller has to be the only one left.
-func (u *upgradeTest) handOver(wanted int) {
+// transferLease restarts the lease holder so that the wanted controller gets the lease. A leader
+// prefers other members to itself, and any member to the previous holder, so the wanted
+// controller must not lead: it is restarted once another controller leads. If the lease holder
+// leads too, its restart leaves the next leader open. In that case all other controllers are
+// stopped until the wanted controller has taken over.
+func (u *upgradeTest) transferLease(wanted int) {
 	u.t.Helper()
 	name := u.controllers[wanted].config.Member
 	u.controllers[wanted].stop(syscall.SIGKILL)
 	holder, leader := -1, -1
-	var token, ended uint64
+	var token, oldIncarnation uint64
 	u.waitUntil("another lease holder and another leader", func() bool {
 		holder, leader = u.leaseHolderIndex(), u.leaderIndex()
-		token, ended = u.currentToken(), u.incarnation(name)
+		token, oldIncarnation = u.currentToken(), u.incarnation(name)
 		return holder >= 0 && holder != wanted && leader >= 0 && leader != wanted
 	})
-	u.t.Logf("controller %d holds the lease, %d leads, %d is to hold it", holder, leader, wanted)
+	u.t.Logf("lease holder %d, leader %d, wanted lease holder %d", holder, leader, wanted)
 	u.start(wanted)
-	u.waitUntil("the wanted controller among the members", func() bool {
-		now := u.incarnation(name)
-		return now != 0 && now != ended
+	u.waitUntil("the wanted controller as a member", func() bool {
+		incarnation := u.incarnation(name)
+		return incarnation != 0 && incarnation != oldIncarnation
 	})
 	failedOver := func() bool { return u.currentToken() > token }
 	if leader != holder {
 		u.restart(holder, u.versions[holder])
 		u.waitUntil("a failover", failedOver)
 	} else {
-		u.whileAlone(wanted, func() { u.waitUntil("a failover by the only one left", failedOver) })
+		u.runWithOnly(wanted, func() { u.waitUntil("a failover to the only controller", failedOver) })
 	}
 	u.sleep(stepInterval)
 }
 
-// whileAlone ends all controllers but one, does something, and starts them again.
-func (u *upgradeTest) whileAlone(alone int, do func()) {
+// runWithOnly stops all controllers but one, calls do, and restarts them.
+func (u *upgradeTest) runWithOnly(alone int, do func()) {
 	u.t.Helper()
 	for i, controller := range u.controllers {
 		if i != alone {
--- a/internal/integration/fake_servers_test.go
+++ b/internal/integration/fake_servers_test.go
@@ -15,7 +15,7 @@
 	"juniperchute/internal/wire"
 )
 
-// writeReply writes a reply with a JSON body.
+// writeReply sends a reply with a status and a JSON body.
 func writeReply(w http.ResponseWriter, status int, body any) {
 	raw, _ := json.Marshal(body)
 	w.Header().Set("Content-Type", "application/json")
@@ -23,7 +23,7 @@
 	_, _ = w.Write(raw)
 }
 
-// parseStoreCall reads a request to the state service.
+// parseStoreCall decodes an HTTP request to the state service.
 func parseStoreCall(request *http.Request) store.Call {
 	raw, _ := io.ReadAll(request.Body)
 	query := request.URL.Query()
@@ -55,7 +55,7 @@
 	return call
 }
 
-// stateStatuses are the HTTP statuses of the state service's errors.
+// stateStatuses maps errors of the state service to HTTP statuses.
 var stateStatuses = map[error]int{
 	store.ErrInvalid:     http.StatusBadRequest,
 	store.ErrNotFound:    http.StatusNotFound,
@@ -64,7 +64,7 @@
 	store.ErrUnavailable: http.StatusServiceUnavailable,
 }
 
-// stateStatus is the HTTP status of a call's result, and the failed keys of a conflict.
+// stateStatus returns the HTTP status of a call's error, and the failed keys of a conflict.
 func stateStatus(err error) (status int, failedKeys []string) {
 	if err == nil {
 		return http.StatusOK, nil
@@ -76,7 +76,7 @@
 	return stateStatuses[err], nil
 }
 
-// serveStore is the state service.
+// serveStore handles HTTP requests to the state service.
 func (d *deployment) serveStore(w http.ResponseWriter, request *http.Request) {
 	call := parseStoreCall(request)
 	results := make(chan store.Result, 1)
@@ -90,7 +90,7 @@
 	}
 }
 
-// writeStoreResult writes the state service's reply to a call.
+// writeStoreResult encodes the state service's reply to a call.
 func writeStoreResult(w http.ResponseWriter, call store.Call, result store.Result) {
 	status, failedKeys := stateStatus(result.Err)
 	if call.Op == store.OpGet && status == http.StatusOK {
@@ -107,7 +107,7 @@
 	})
 }
 
-// parseCloudCall reads a request to the cloud.
+// parseCloudCall decodes an HTTP request to the cloud.
 func parseCloudCall(request *http.Request) cloud.Call {
 	raw, _ := io.ReadAll(request.Body)
 	call := cloud.Call{Operation: cloud.ListMachines, After: request.URL.Query().Get("After")}
@@ -125,7 +125,7 @@
 	return call
 }
 
-// serveCloud is the cloud.
+// serveCloud handles HTTP requests to the cloud.
 func (d *deployment) serveCloud(w http.ResponseWriter, request *http.Request) {
 	call := parseCloudCall(request)
 	var result cloud.Result
@@ -147,7 +147,7 @@
 	}
 }
 
-// serveWorker is all machines' workers, which direct commands reach at their own addresses.
+// serveWorker handles HTTP requests to all workers and selects the worker by the local address.
 func (d *deployment) serveWorker(w http.ResponseWriter, request *http.Request) {
 	address := request.Context().Value(http.LocalAddrContextKey).(net.Addr).String()
 	var commands wire.DirectCommands
--- a/internal/integration/main_test.go
+++ b/internal/integration/main_test.go
@@ -21,21 +21,21 @@
 	"juniperchute/internal/featuregate"
 )
 
-// Variables of the environment with which the test binary runs as a controller.
+// Environment variables that make the test binary run as a controller.
 const (
-	controllerEnv = "INTEGRATION_CONTROLLER" // its settings file: this process is a controller
-	gatesEnv      = "INTEGRATION_SWITCHES"   // its file of feature gates
-	profileEnv    = "INTEGRATION_PROFILE"    // a prefix of the names of profiles
+	controllerEnv = "INTEGRATION_CONTROLLER" // settings file; set if the process is a controller
+	gatesEnv      = "INTEGRATION_SWITCHES"   // file of feature gates
+	profileEnv    = "INTEGRATION_PROFILE"    // path prefix of the profiles to write
 )
 
 const (
-	// profileRate is how many samples a second a processor profile takes.
-	profileRate = 1000
-	// clockJump is by how much a signal moves the clock of a controller forward: past its lease.
+	// cpuProfileHz is the sampling rate of CPU profiles.
+	cpuProfileHz = 1000
+	// clockJump is the clock adjustment per signal, longer than a controller's lease.
 	clockJump = 10 * time.Second
 )
 
-// TestMain runs the tests, or a controller for one of them, and removes what was built.
+// TestMain runs the tests, or a controller for one of them, and removes the built binaries.
 func TestMain(m *testing.M) {
 	if file := os.Getenv(controllerEnv); file != "" {
 		if err := runController(file); err != nil {
@@ -51,7 +51,7 @@
 	os.Exit(status)
 }
 
-// controllerCommand starts the test binary as a controller with a settings file.
+// controllerCommand returns a command that runs the test binary as a controller.
 func controllerCommand(settingsFile string, environment ...string) *exec.Cmd {
 	command := exec.Command(os.Args[0])
 	command.Env = append(os.Environ(), controllerEnv+"="+settingsFile)
@@ -59,7 +59,8 @@
 	return command
 }
 
-// runController is a controller's process. It may write profiles, and its clock can be moved.
+// runController runs a controller until SIGTERM. It writes profiles on request, and SIGUSR1 moves
+// its clock forward.
 func runController(file string) error {
 	settings, err := config.Load(file)
 	if err != nil {
@@ -91,12 +92,13 @@
 	return controller.NewRuntime(settings, options, newJumpingClock(), log, rng).Run(ctx)
 }
 
-// newJumpingClock is a clock that SIGUSR1 moves forward, as if the machine had slept.
+// newJumpingClock returns a clock that jumps forward on SIGUSR1, like the clock of a suspended
+// machine.
 func newJumpingClock() *clock.Clock {
 	var jumps atomic.Int64
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGUSR1)
-	go func() { // runs until the process ends
+	go func() { // runs until the process exits
 		for range signals {
 			jumps.Add(1)
 		}
@@ -104,15 +106,15 @@
 	return clock.New(func() (time.Duration, error) { return time.Duration(jumps.Load()) * clockJump, nil })
 }
 
-// startProfile begins a processor profile; stop ends it and writes the allocations too.
+// startProfile starts a CPU profile. stop ends the profile and also writes an allocation profile.
 func startProfile(prefix string) (stop func(), err error) {
 	file, err := os.Create(prefix + ".cpu")
 	if err != nil {
-		return nil, fmt.Errorf("create profile: %w", err)
+		return nil, fmt.Errorf("create CPU profile: %w", err)
 	}
-	runtime.SetCPUProfileRate(profileRate)
+	runtime.SetCPUProfileRate(cpuProfileHz)
 	if err := pprof.StartCPUProfile(file); err != nil {
-		return nil, fmt.Errorf("start profile: %w", err)
+		return nil, fmt.Errorf("start CPU profile: %w", err)
 	}
 	return func() {
 		pprof.StopCPUProfile()
--- a/internal/integration/network_test.go
+++ b/internal/integration/network_test.go
@@ -12,19 +12,19 @@
 	"juniperchute/internal/wire"
 )
 
-// slowReply is from when on a reply to a heartbeat counts as slow.
-const slowReply = time.Second
+// slowReplyThreshold is the time after which the reply to a heartbeat counts as slow.
+const slowReplyThreshold = time.Second
 
-// Nodes is part of fakes.Network.
+// Nodes implements fakes.Network.
 func (d *deployment) Nodes() int { return len(d.controllers) }
 
-// NodeIndex is part of fakes.Network.
+// NodeIndex implements fakes.Network.
 func (d *deployment) NodeIndex(name string) int {
 	return slices.IndexFunc(d.controllers, func(p *controllerProcess) bool { return p.config.Member == name })
 }
 
-// Send is part of fakes.Network: it posts a heartbeat. The lock is held, and is taken
-// again for the reply.
+// Send implements fakes.Network: it posts a heartbeat in a goroutine. The lock must be held. The
+// goroutine acquires the lock to handle the reply.
 func (d *deployment) Send(sender *fakes.Worker, node int, heartbeat *wire.Heartbeat, reply fakes.ReplyFunc) {
 	raw, _ := json.Marshal(heartbeat)
 	client, url := d.clients[sender.Host.ID], "http://"+d.controllers[node].config.APIAddr+"/checkin"
@@ -41,7 +41,7 @@
 			elapsed := time.Since(start)
 			d.heartbeats.sent++
 			d.heartbeats.totalWait += elapsed
-			if elapsed > slowReply || status == 0 || status == http.StatusServiceUnavailable {
+			if elapsed > slowReplyThreshold || status == 0 || status == http.StatusServiceUnavailable {
 				d.heartbeats.slow++
 			}
 			if status != http.StatusOK {
@@ -52,17 +52,17 @@
 	}()
 }
 
-// httpPost sends a request with a JSON body; status 0 means that no answer came.
+// httpPost sends a POST request with a JSON body. Status 0 means that there was no complete reply.
 func httpPost(client *http.Client, url string, raw []byte) (status int, body []byte) {
 	return readReply(client.Post(url, "application/json", bytes.NewReader(raw)))
 }
 
-// httpGet sends a query; status 0 means that no answer came.
+// httpGet sends a GET request. Status 0 means that there was no complete reply.
 func httpGet(client *http.Client, url string) (status int, body []byte) {
 	return readReply(client.Get(url))
 }
 
-// readReply reads a reply to its end; status 0 means that none came whole.
+// readReply reads a reply and its whole body. Status 0 means that there was no complete reply.
 func readReply(response *http.Response, err error) (status int, body []byte) {
 	if err != nil {
 		return 0, nil
--- a/internal/integration/process_test.go
+++ b/internal/integration/process_test.go
@@ -13,15 +13,15 @@
 	"juniperchute/internal/config"
 )
 
-// controllerProcess is one controller of a deployment, whose process ends and is started again.
+// controllerProcess is one controller of a deployment, whose process tests stop and restart.
 type controllerProcess struct {
 	tb           testing.TB
 	config       config.Config
-	settingsFile string    // has its config
-	command      *exec.Cmd // nil while it has no process
+	settingsFile string    // holds config
+	command      *exec.Cmd // nil while no process runs
 }
 
-// start starts the controller; command is the call of its program with a settings file.
+// start writes the settings file and starts the process that command returns for it.
 func (p *controllerProcess) start(command func(settingsFile string) *exec.Cmd) {
 	p.tb.Helper()
 	raw, err := toml.Marshal(p.config)
@@ -41,9 +41,8 @@
 	}
 }
 
-// stop ends the process, if there is one. A status that tells of a failure is an error: a
-// process that ended by itself was missing in whatever the test saw since, and 66 is the
-// race detector's for a data race.
+// stop signals the process, if one runs, and waits for its exit. A positive exit status fails the
+// test: the process has failed, or the race detector has found a data race (status 66).
 func (p *controllerProcess) stop(sig os.Signal) {
 	if p.command == nil {
 		return
@@ -51,12 +50,12 @@
 	_ = p.command.Process.Signal(sig)
 	_ = p.command.Wait()
 	if status := p.command.ProcessState.ExitCode(); status > 0 {
-		p.tb.Errorf("%s ended with status %d (INTEGRATION_LOG keeps its log)", p.config.Member, status)
+		p.tb.Errorf("%s exited with status %d (set INTEGRATION_LOG to keep its log)", p.config.Member, status)
 	}
 	p.command = nil
 }
 
-// cpuTime is the processor time that the process has taken.
+// cpuTime returns the CPU time that the process has used. It skips the test if the kernel reports none.
 func (p *controllerProcess) cpuTime() time.Duration {
 	p.tb.Helper()
 	var total time.Duration
@@ -68,18 +67,18 @@
 	for _, thread := range threads {
 		raw, err := os.ReadFile(dir + "/" + thread.Name() + "/schedstat")
 		if err != nil {
-			continue // the thread has ended
+			continue // the thread has exited
 		}
 		var ns int64
 		if _, err := fmt.Sscan(string(raw), &ns); err != nil {
-			p.tb.Skip("this kernel does not report processor time")
+			p.tb.Skip("the kernel does not report CPU time")
 		}
 		total += time.Duration(ns)
 	}
 	return total
 }
 
-// residentMB is the process's memory in MB, now and at most.
+// residentMB returns the process's current and peak resident memory in MB.
 func (p *controllerProcess) residentMB() (now, peak float64) {
 	const kbPerMB = 1024
 	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.command.Process.Pid))
@@ -94,7 +93,8 @@
 	return now, peak
 }
 
-// logFile is where a controller logs, if INTEGRATION_LOG names a prefix; nil: nowhere.
+// logFile opens a controller's log file under the path prefix INTEGRATION_LOG. It returns nil if the
+// variable is unset or the file cannot be opened.
 func logFile(member string) *os.File {
 	prefix := os.Getenv("INTEGRATION_LOG")
 	if prefix == "" {
--- a/internal/integration/request_benchmark_test.go
+++ b/internal/integration/request_benchmark_test.go
@@ -23,10 +23,10 @@
 	"juniperchute/internal/wire"
 )
 
-// queriedJobs is how many jobs a peer queries at once.
+// queriedJobs is the number of jobs in a peer's progress query.
 const queriedJobs = 100
 
-// requestBenchmarks are the requests that are measured.
+// requestBenchmarks are the requests that BenchmarkRequest measures.
 var requestBenchmarks = []struct {
 	name string
 	send func(f *requestFixture, b *testing.B)
@@ -83,8 +83,8 @@
 	},
 }
 
-// BenchmarkRequest measures what a request costs a controller that holds the shard's lease: reading,
-// checking, deciding and answering it. The client's time and the fakes' are in it.
+// BenchmarkRequest measures the time and allocations of a request to the shard's lease holder, from
+// decoding to the reply. The results include the client and the fakes.
 func BenchmarkRequest(b *testing.B) {
 	fixture := newRequestFixture(b)
 	for _, benchmark := range requestBenchmarks {
@@ -97,17 +97,17 @@
 	}
 }
 
-// requestFixture is a controller in this process, with a connection each of a client and of a peer.
+// requestFixture runs a controller in the test process with a client's and a peer's connection.
 type requestFixture struct {
 	connection net.Conn
 	replies    *bufio.Reader
 	peer       peerpb.PeerClient
 
-	heartbeat wire.Heartbeat // of a machine that runs tasks of the submitted job
-	jobIDs    []string       // that a peer queries
+	heartbeat wire.Heartbeat // heartbeat of a machine that runs tasks of the submitted job
+	jobIDs    []string       // jobs in a peer's query
 }
 
-// newRequestFixture starts a controller and submits a job.
+// newRequestFixture starts a controller, waits until it is healthy and submits a job.
 func newRequestFixture(b *testing.B) *requestFixture {
 	workload := fakes.SmallWorkloads()[1]
 	workload.Nodes = 1
@@ -139,7 +139,7 @@
 	return fixture
 }
 
-// runInProcess runs a controller until the benchmark's end.
+// runInProcess runs a controller in the test process until the end of the benchmark.
 func runInProcess(b *testing.B, settings *config.Config) {
 	options := controller.Options{Shards: tuning.Shards}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -154,7 +154,7 @@
 	})
 }
 
-// http sends a request on the client's connection and expects a status.
+// http sends a request on the client's connection and fails the benchmark on another status.
 func (f *requestFixture) http(b *testing.B, method, path string, body []byte, status int) {
 	const header = "%s %s HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n"
 	raw := fmt.Appendf(nil, header, method, path, len(body))
@@ -166,11 +166,11 @@
 		b.Fatal(err)
 	}
 	if _, err := io.Copy(io.Discard, response.Body); err != nil || response.StatusCode != status {
-		b.Fatalf("%s %s answered %d, %v", method, path, response.StatusCode, err)
+		b.Fatalf("%s %s: status %d, want %d, %v", method, path, response.StatusCode, status, err)
 	}
 }
 
-// gangSubmission is the submission of a gang of 16 tasks.
+// gangSubmission returns the submission of a gang of 16 tasks.
 func gangSubmission(number int) []byte {
 	return fmt.Appendf(nil, `{"Id":"job-%06d","Lane":"train","Crew":"red","Shape":"gang","Rank":"high",`+
 		`"Pieces":16,"Vcpus":8.0,"Gpus":1.0,"MemGb":64.0,"Bundle":"img-07","ImageGb":6.2,"Builds":["g8"],"Yard":null,`+
@@ -178,7 +178,7 @@
 		`"DueS":900.0}`, number)
 }
 
-// busyHeartbeat is the heartbeat of a machine that runs eight tasks of a submitted gang.
+// busyHeartbeat returns the heartbeat of a machine that runs eight tasks of the submitted gang.
 func busyHeartbeat() wire.Heartbeat {
 	heartbeat := wire.Heartbeat{
 		Host:        "i-999999",
--- a/internal/integration/stall_fixture_test.go
+++ b/internal/integration/stall_fixture_test.go
@@ -15,31 +15,32 @@
 	"juniperchute/internal/wire"
 )
 
-// Sizes of the deployment whose lease holders stall.
+// Load of the deployment in the stall tests.
 const (
 	stallMachines = 12
 	burstJobs     = 5
 	burstInterval = 9 * time.Second
 	shortRunTime  = 1500 * time.Millisecond
-	// longRunTime is longer than a worker's lease: such tasks run whenever a lease holder stalls.
+	// longRunTime is longer than a worker's lease, so that some tasks run whenever a lease holder
+	// stalls.
 	longRunTime = 9 * time.Second
-	// stallExtra is how long past the successor's first operation the old holder stays frozen.
-	stallExtra = 1 * time.Second
+	// extraStallTime is the time for which a stall continues after the successor's first operation.
+	extraStallTime = 1 * time.Second
 )
 
-// stallTest is a deployment whose lease holder is stopped, or whose clock jumps, at chosen steps of
-// an operation of the cloud.
+// stallTest is a deployment whose lease holder freezes, or whose clock jumps, at chosen steps of a
+// cloud operation.
 type stallTest struct {
 	*deployment
 	t             *testing.T
 	checker       *fakes.IntentChecker
-	jobs          int // submitted so far
+	jobs          int // number of submitted jobs
 	stopLoad      chan struct{}
-	traces        []string        // the controllers' files
-	failoverTimes []time.Duration // from each stall to the next term's first operation
+	traces        []string        // trace files of the controllers
+	failoverTimes []time.Duration // from each stall to the first operation of the next term
 }
 
-// newStallTest starts a deployment with the intent log and with users.
+// newStallTest starts a deployment under load and waits until the intent log is enabled.
 func newStallTest(t *testing.T) *stallTest {
 	teams := []config.Team{{Name: "red", GPUs: 8, GPUsMax: 20}, {Name: "blue"}}
 	platform := fakes.DeploymentConfig([]string{"a"}, teams, 1, 6)
@@ -61,7 +62,7 @@
 	return s
 }
 
-// startTraced starts a controller with the intent log and a trace in a directory.
+// startTraced starts a controller with the intent log enabled and its trace in a directory.
 func (s *stallTest) startTraced(controller *controllerProcess, dir string) {
 	name := filepath.Join(dir, controller.config.Member)
 	gatesFile, trace := name+".toml", name+".json"
@@ -75,7 +76,7 @@
 	})
 }
 
-// submitLoop is the users: bursts of short jobs, between which machines are idle and deprovisioned.
+// submitLoop submits bursts of short jobs, with gaps in which idle machines are deprovisioned.
 func (s *stallTest) submitLoop() {
 	defer s.goroutines.Done()
 	for {
@@ -96,7 +97,7 @@
 	}
 }
 
-// burstSpec is the next job of a burst.
+// burstSpec returns the next job of a burst.
 func (s *stallTest) burstSpec(team string) wire.JobSpec {
 	spec := wire.JobSpec{
 		ID:                fmt.Sprintf("job-%06d", s.jobs),
@@ -124,14 +125,14 @@
 	}
 }
 
-// progress is the fencing token of the newest term and how many operations were carried out.
-func (s *stallTest) progress() (token uint64, carriedOut int) {
-	s.withLock(func() { token, carriedOut = s.currentToken(), s.checker.TotalExecuted() })
-	return token, carriedOut
+// progress returns the latest fencing token and the number of executed operations.
+func (s *stallTest) progress() (token uint64, executed int) {
+	s.withLock(func() { token, executed = s.currentToken(), s.checker.TotalExecuted() })
+	return token, executed
 }
 
-// finish ends the load, waits until every job has ended and every machine is deprovisioned, and
-// checks what the fakes saw.
+// finish stops the load, waits until all jobs have ended and all machines are deprovisioned, and
+// reports rule violations.
 func (s *stallTest) finish() {
 	s.t.Helper()
 	close(s.stopLoad)
@@ -145,7 +146,7 @@
 			sum += failover
 		}
 		mean := sum.Seconds() / float64(max(1, len(s.failoverTimes))) / tuning.MemberLease.Seconds()
-		s.t.Logf("%d stalls; carried out: %v with %d writes of the log; "+
+		s.t.Logf("%d stalls; executed operations: %v with %d writes of the log; "+
 			"first operation of the next term after %.2f member leases on average",
 			len(s.failoverTimes), s.checker.Executed, s.checker.PageWrites, mean)
 	})
--- a/internal/integration/stall_test.go
+++ b/internal/integration/stall_test.go
@@ -17,10 +17,10 @@
 	"juniperchute/internal/wire"
 )
 
-// callMatcher reports whether a call of the state service or of the cloud is the one wanted.
+// callMatcher reports whether a call to the state service or the cloud is the wanted one.
 type callMatcher func(call any) bool
 
-// recordsIntent matches calls of the state service that record an intent for an operation.
+// recordsIntent matches calls to the state service that record an intent for an operation.
 func recordsIntent(operation intentlog.Operation) callMatcher {
 	return func(call any) bool {
 		stored, ok := call.(store.Call)
@@ -35,7 +35,7 @@
 	}
 }
 
-// callsCloud matches calls of the cloud that carry out an operation.
+// callsCloud matches calls to the cloud that execute an operation.
 func callsCloud(operation intentlog.Operation) callMatcher {
 	wanted := map[intentlog.Operation]cloud.Operation{
 		intentlog.Provision:   cloud.CreateMachines,
@@ -47,7 +47,7 @@
 	}
 }
 
-// stallStep is a step of an operation at which the lease holder stalls.
+// stallStep is the step of an operation at which the lease holder stalls.
 type stallStep struct {
 	name    string
 	phase   callPhase
@@ -61,83 +61,83 @@
 		matcher: recordsIntent,
 	},
 	{
-		name:    "between record and call",
+		name:    "after the record and before the call",
 		phase:   afterCall,
 		matcher: recordsIntent,
 	},
 	{
-		name:    "with the call held up",
+		name:    "while the call is delayed",
 		phase:   beforeCall,
 		matcher: callsCloud,
 	},
 	{
-		name:    "between call and completion",
+		name:    "after the call and before the completion",
 		phase:   afterCall,
 		matcher: callsCloud,
 	},
 }
 
-// stallKind is what happens to a lease holder.
+// stallKind is the fault that stalls a lease holder.
 type stallKind struct {
 	name       string
-	frozen     bool // its process is stopped for longer than its lease
-	clockMoved bool // its clock is moved forward
+	frozen     bool // the process is stopped for longer than its lease
+	clockJumps bool // the clock jumps forward past the lease
 }
 
 var stallKinds = []stallKind{
 	{
-		name:   "frozen",
+		name:   "process frozen",
 		frozen: true,
 	},
 	{
-		name:       "clock moved",
-		clockMoved: true,
+		name:       "clock jump",
+		clockJumps: true,
 	},
 	{
-		name:       "frozen, and its clock moved as it wakes",
+		name:       "process frozen with a clock jump on resume",
 		frozen:     true,
-		clockMoved: true,
+		clockJumps: true,
 	},
 }
 
-// stall holds the lease holder's next call of a step and stalls the holder. Once the next term
-// has acted, the call and the holder go on.
+// stall blocks the lease holder's next call of a step and stalls the holder. It releases both after
+// the first operation of the next term.
 func (s *stallTest) stall(step stallStep, operation intentlog.Operation, kind stallKind) {
 	s.t.Helper()
 	held := s.gate.hold(step.phase, step.matcher(operation))
 	if !held.wait(waitTimeout) {
-		s.t.Fatalf("no call %s of %s came", step.name, operation)
+		s.t.Fatalf("no call for step %q of %s", step.name, operation)
 	}
 	oldHolder := s.requireLeaseHolder()
-	token, carriedOut := s.progress()
+	token, executed := s.progress()
 	from := time.Now()
 	if kind.frozen {
 		s.signal(oldHolder, syscall.SIGSTOP)
 	}
-	if kind.clockMoved {
+	if kind.clockJumps {
 		s.signal(oldHolder, syscall.SIGUSR1)
 	}
-	s.waitUntil("a next term's first operation", func() bool {
-		return s.checker.TotalExecuted() > carriedOut && s.currentToken() > token
+	s.waitUntil("the first operation of the next term", func() bool {
+		return s.checker.TotalExecuted() > executed && s.currentToken() > token
 	})
 	s.failoverTimes = append(s.failoverTimes, time.Since(from))
-	s.sleep(stallExtra)
+	s.sleep(extraStallTime)
 	held.release()
 	s.signal(oldHolder, syscall.SIGCONT)
 }
 
-// requireLeaseHolder is the index of the controller that the record names as the lease holder.
+// requireLeaseHolder returns the index of the recorded lease holder, or fails the test.
 func (s *stallTest) requireLeaseHolder() int {
 	s.t.Helper()
 	holder := -1
 	s.withLock(func() { holder = s.NodeIndex(s.leaseHolderName()) })
 	if holder < 0 {
-		s.t.Fatal("nobody holds the shard's lease")
+		s.t.Fatal("no controller holds the shard's lease")
 	}
 	return holder
 }
 
-// stallRounds is how often each step is hit: once in CI, more often when asked for.
+// stallRounds returns the number of stalls per test: INTEGRATION_STALLS, or one by default.
 func stallRounds() int {
 	if n, err := strconv.Atoi(os.Getenv("INTEGRATION_STALLS")); err == nil {
 		return n
@@ -145,10 +145,8 @@
 	return 1
 }
 
-// TestStalledLeaseHolder freezes the lease holder, or moves its clock forward, at each step of
-// provisioning and of deprovisioning, and lets it go on once its successor has acted. What the fake
-// cloud carried out is compared with the intent log: nothing is carried out twice, late with an
-// effect, or on a machine that has work.
+// TestStalledLeaseHolder guards against a lease holder that resumes after its failover and executes a
+// cloud operation twice, after its completion, or on a machine with tasks.
 func TestStalledLeaseHolder(t *testing.T) {
 	for _, operation := range []intentlog.Operation{intentlog.Provision, intentlog.Deprovision} {
 		for _, step := range stallSteps {
--- a/internal/integration/trace_test.go
+++ b/internal/integration/trace_test.go
@@ -5,8 +5,8 @@
 	"juniperchute/internal/tracing"
 )
 
-// checkTraces checks that the traces show some deprovisioning's whole way through a failover: one
-// controller decided and recorded it, another took it over and completed it.
+// checkTraces checks that the traces cover at least one deprovisioning across a failover: one
+// controller recorded it, and another one recovered and completed it.
 func (s *stallTest) checkTraces() {
 	s.t.Helper()
 	spans, err := tracing.Read(s.traces...)
@@ -24,5 +24,5 @@
 		}
 		return
 	}
-	s.t.Error("no trace shows a deprovisioning through a failover")
+	s.t.Error("the traces show no deprovisioning that was completed after a failover")
 }
--- a/internal/integration/upgrade_fixture_test.go
+++ b/internal/integration/upgrade_fixture_test.go
@@ -16,45 +16,45 @@
 	"juniperchute/internal/wire"
 )
 
-// Limits of the state service, now and to come: small ones, so that an old version's records
-// outgrow the limits to come within seconds.
+// Current and upcoming limits of the state service. The limits are small, so that records of an old
+// version exceed the upcoming limits within seconds.
 const (
-	presentValueKB  = 1.0
+	currentValueKB  = 1.0
 	nextValueKB     = 0.5
-	presentOps      = 8
+	currentOps      = 8
 	nextOps         = 4
-	presentWrites   = 20.0
+	currentWrites   = 20.0
 	nextWrites      = 15.0
-	presentRequests = 200.0
+	currentRequests = 200.0
 	nextRequests    = 150.0
 )
 
 const (
 	upgradeMachines = 34
-	restartDelay    = 800 * time.Millisecond // how long a process is away
-	stepInterval    = 4 * time.Second        // between two steps of a roll
+	restartDelay    = 800 * time.Millisecond // downtime of a restarted process
+	stepInterval    = 4 * time.Second        // time between two restarts of a rollout
 )
 
-// upgradeTest is a deployment whose controllers are given another version.
+// upgradeTest is a deployment whose controllers are upgraded while users submit jobs.
 type upgradeTest struct {
 	*deployment
 	t *testing.T
 
-	from     oldVersion
-	old, new string   // programs
-	versions []string // the programs that the controllers run, or ran last
+	from                   oldVersion
+	oldProgram, newProgram string   // paths of the programs
+	versions               []string // program of each controller, running or stopped
 
-	gatesFile     string // switches the intent log on
-	limitsLowered bool   // the state service's limits have fallen; the lock guards it
+	gatesFile     string // feature gates that enable the intent log
+	limitsLowered bool   // the upcoming limits apply; guarded by the lock
 
-	// The users.
-	rng       *rand.Rand // the lock guards it
-	jobs      int        // jobs with random properties so far
+	// State of the users.
+	rng       *rand.Rand // guarded by the lock
+	jobs      int        // number of submitted random jobs
 	longArray *fakes.Job
 	stopLoad  chan struct{}
 }
 
-// upgradeMachineType is small, so that the names of the machines in use fill pages.
+// upgradeMachineType returns a small type, so that the many machine names fill several pages.
 func upgradeMachineType() wire.MachineType {
 	return wire.MachineType{
 		Name:        "g2",
@@ -69,16 +69,16 @@
 	}
 }
 
-// upgradeConfig is a deployment that knows its limits to come.
+// upgradeConfig returns the configuration of a deployment with upcoming limits.
 func upgradeConfig() config.Platform {
 	teams := []config.Team{{Name: "red", GPUs: 8, GPUsMax: 16}, {Name: "blue"}}
 	platform := fakes.DeploymentConfig([]string{"a"}, teams, 1, 6)
 	platform.Workers.CancelS, platform.Workers.GangWaitS, platform.Workers.GangPeerS = 20, 10, 3
 	platform.State = config.StateLimits{
-		RPS:      presentRequests,
-		WriteRPS: presentWrites,
-		ValueKB:  presentValueKB,
-		TxnOps:   presentOps,
+		RPS:      currentRequests,
+		WriteRPS: currentWrites,
+		ValueKB:  currentValueKB,
+		TxnOps:   currentOps,
 		Next: config.UpcomingLimits{
 			"rps":       nextRequests,
 			"write_rps": nextWrites,
@@ -89,16 +89,16 @@
 	return platform
 }
 
-// newUpgradeTest starts a deployment in its old version and waits until it works under load.
+// newUpgradeTest starts a deployment in the old version and waits until tasks complete.
 func newUpgradeTest(t *testing.T, from oldVersion) *upgradeTest {
 	u := &upgradeTest{
-		t:         t,
-		from:      from,
-		old:       buildVersion(t, from.commit),
-		new:       buildVersion(t, ""),
-		gatesFile: filepath.Join(t.TempDir(), "switches.toml"),
-		rng:       rand.New(rand.NewPCG(9, 9)),
-		stopLoad:  make(chan struct{}),
+		t:          t,
+		from:       from,
+		oldProgram: buildVersion(t, from.commit),
+		newProgram: buildVersion(t, ""),
+		gatesFile:  filepath.Join(t.TempDir(), "switches.toml"),
+		rng:        rand.New(rand.NewPCG(9, 9)),
+		stopLoad:   make(chan struct{}),
 	}
 	u.deployment = newDeployment(t, upgradeConfig(), upgradeMachineType(), upgradeMachines)
 	if err := os.WriteFile(u.gatesFile, []byte("duties = true\n"), 0o600); err != nil {
@@ -106,30 +106,30 @@
 	}
 	u.cloud.FastBoot = true
 	u.store.Limits = fakes.StateLimits{
-		MaxValueBytes: presentValueKB * 1024,
-		MaxTxnOps:     presentOps,
-		WritesPerS:    presentWrites,
-		RequestsPerS:  presentRequests,
+		MaxValueBytes: currentValueKB * 1024,
+		MaxTxnOps:     currentOps,
+		WritesPerS:    currentWrites,
+		RequestsPerS:  currentRequests,
 	}
 	u.store.OnCall = u.checkWrites
 	for i := range u.controllers {
-		u.versions = append(u.versions, u.old)
+		u.versions = append(u.versions, u.oldProgram)
 		u.start(i)
 	}
 	u.waitUntil("a lease holder", func() bool { return u.leaseHolderIndex() >= 0 })
 	u.goroutines.Add(1)
 	go u.submitLoop()
-	u.waitUntil("work on the machines", func() bool {
+	u.waitUntil("a completed task", func() bool {
 		return u.longArray != nil && slices.Contains(u.longArray.Done, true)
 	})
 	return u
 }
 
-// start starts a controller in its version.
+// start starts a controller in its assigned version.
 func (u *upgradeTest) start(i int) {
 	program := u.versions[i]
 	hasIntentLog := u.from.oldHasIntentLog
-	if program == u.new {
+	if program == u.newProgram {
 		hasIntentLog = u.from.newHasIntentLog
 	}
 	u.controllers[i].start(func(settingsFile string) *exec.Cmd {
@@ -140,7 +140,7 @@
 	})
 }
 
-// restart kills a controller and starts it in a version.
+// restart kills a controller and restarts it after restartDelay with the given program.
 func (u *upgradeTest) restart(i int, program string) {
 	u.controllers[i].stop(syscall.SIGKILL)
 	u.sleep(restartDelay)
@@ -148,21 +148,21 @@
 	u.start(i)
 }
 
-// step restarts a controller in a version and lets the deployment work for a while.
-func (u *upgradeTest) step(i int, program string) {
+// restartAndWait restarts a controller with the given program and sleeps for stepInterval.
+func (u *upgradeTest) restartAndWait(i int, program string) {
 	u.restart(i, program)
 	u.sleep(stepInterval)
 }
 
-// roll gives all controllers a version, one after the other.
-func (u *upgradeTest) roll(program string) {
+// rollOut restarts all controllers with the given program, one at a time.
+func (u *upgradeTest) rollOut(program string) {
 	for i := range u.controllers {
-		u.step(i, program)
+		u.restartAndWait(i, program)
 	}
 }
 
-// lowerLimits has the state service lower its limits, in the midst of whatever is going on.
-// A version that does not know the limits to come has left values that are larger.
+// lowerLimits applies the upcoming limits of the state service. It fails the test if an old version
+// that ignores them has left no larger value.
 func (u *upgradeTest) lowerLimits() {
 	large := 0
 	u.withLock(func() {
@@ -179,14 +179,14 @@
 		}
 		u.limitsLowered = true
 	})
-	u.t.Logf("%d values are larger than the limits allow from now on", large)
+	u.t.Logf("%d stored values exceed the lowered limit", large)
 	if u.from.writesLargeValues && large == 0 {
-		u.t.Error("the old version left no value that is too large now: this tests nothing")
+		u.t.Error("no stored value of the old version exceeds the lowered limit, so the test has no effect")
 	}
 }
 
-// checkWrites checks that nothing is written beyond the limits once they have fallen.
-// From then on all writers are the new version.
+// checkWrites checks that no write exceeds the lowered limits. All writers run the new version by
+// then.
 func (u *upgradeTest) checkWrites(call store.Call, _ error) {
 	if !u.limitsLowered {
 		return
@@ -194,13 +194,14 @@
 	writes := call.Transaction.Writes
 	for _, write := range writes {
 		if len(write.Value) > nextValueKB*1024 || len(writes) > nextOps {
-			u.cluster.AddViolation(fakes.Expectation, "%s is written with %d bytes, %d changes at once",
+			u.cluster.AddViolation(fakes.Expectation,
+				"write of %s exceeds the limits: %d bytes, %d writes in the transaction",
 				write.Put, len(write.Value), len(writes))
 		}
 	}
 }
 
-// finish ends the load, waits until every job has ended, and checks what the fakes saw.
+// finish stops the load, waits until all jobs have ended, and reports rule violations.
 func (u *upgradeTest) finish() {
 	close(u.stopLoad)
 	if u.from.newHasIntentLog {
@@ -218,7 +219,7 @@
 		u.t.Logf("%d jobs, %d done, %d slow heartbeats of %d",
 			len(u.cluster.Submitted), done, u.heartbeats.slow, u.heartbeats.sent)
 		if done == 0 {
-			u.t.Error("no job was done")
+			u.t.Error("no job is done")
 		}
 		u.reportViolations()
 	})
--- a/internal/integration/upgrade_test.go
+++ b/internal/integration/upgrade_test.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// oldVersion is a version that is upgraded to the present one.
+// oldVersion is an earlier version that is upgraded to the current one.
 type oldVersion struct {
 	name   string
 	commit string
 
-	// writesLargeValues: it fills values up to the present limit, also beyond the limit to come.
+	// writesLargeValues is set if the version ignores the upcoming limits and writes larger values.
 	writesLargeValues bool
 
-	// Which of the two versions have the intent log switched on.
+	// Whether the intent log is enabled in the old and in the new version.
 	oldHasIntentLog bool
 	newHasIntentLog bool
 }
 
-// oldVersions are the versions that every scenario is played from.
+// oldVersions returns the versions from which every scenario starts.
 func oldVersions(t *testing.T) []oldVersion {
 	return []oldVersion{
 		{
@@ -33,104 +33,104 @@
 			commit: predecessorCommit,
 		},
 		{
-			name:            "before the renaming",
-			commit:          unrenamedCommit,
+			name:            "before the rename",
+			commit:          preRenameCommit,
 			oldHasIntentLog: true,
 			newHasIntentLog: true,
 		},
 	}
 }
 
-// upgradeScenario is a way from the old version to the new one.
+// upgradeScenario is a sequence of steps from the old version to the new one.
 type upgradeScenario struct {
 	name string
-	play func(u *upgradeTest)
+	run  func(u *upgradeTest)
 }
 
 var upgradeScenarios = []upgradeScenario{
 	{
-		name: "one after the other",
-		play: func(u *upgradeTest) { u.roll(u.new) },
+		name: "rolling upgrade",
+		run:  func(u *upgradeTest) { u.rollOut(u.newProgram) },
 	},
 	{
-		name: "a rollback half-way, and a second roll",
-		play: func(u *upgradeTest) {
-			u.step(0, u.new)
-			u.step(1, u.new)
-			u.step(1, u.old)
-			u.step(0, u.old)
-			u.roll(u.new)
+		name: "rollback halfway, then a second rolling upgrade",
+		run: func(u *upgradeTest) {
+			u.restartAndWait(0, u.newProgram)
+			u.restartAndWait(1, u.newProgram)
+			u.restartAndWait(1, u.oldProgram)
+			u.restartAndWait(0, u.oldProgram)
+			u.rollOut(u.newProgram)
 		},
 	},
 	{
-		name: "an old process takes over from a new one, and a new one from an old one",
-		play: func(u *upgradeTest) {
-			u.restart(0, u.new)
-			u.waitForLeaseHolder(0)
+		name: "failover from new to old and from old to new",
+		run: func(u *upgradeTest) {
+			u.restart(0, u.newProgram)
+			u.forceLeaseHolder(0)
 			u.sleep(stepInterval)
 			u.controllers[0].stop(syscall.SIGKILL)
 			u.waitUntil("an old lease holder", func() bool { return u.leaseHolderIndex() > 0 })
 			u.sleep(stepInterval)
 			u.start(0)
 			u.sleep(stepInterval)
-			u.waitForLeaseHolder(0)
-			u.roll(u.new)
+			u.forceLeaseHolder(0)
+			u.rollOut(u.newProgram)
 		},
 	},
 	{
-		name: "an old process comes back old among new ones",
-		play: func(u *upgradeTest) {
-			u.restart(0, u.new)
-			u.step(1, u.new)
-			u.step(2, u.old)
-			u.step(2, u.new)
+		name: "restart in the old version among upgraded controllers",
+		run: func(u *upgradeTest) {
+			u.restart(0, u.newProgram)
+			u.restartAndWait(1, u.newProgram)
+			u.restartAndWait(2, u.oldProgram)
+			u.restartAndWait(2, u.newProgram)
 		},
 	},
 	{
-		name: "the state service is away during the roll",
-		play: func(u *upgradeTest) {
-			u.restart(0, u.new)
+		name: "state service outage during a rolling upgrade",
+		run: func(u *upgradeTest) {
+			u.restart(0, u.newProgram)
 			u.sleep(time.Second)
 			u.withLock(func() { u.store.SetUnavailable(true) })
-			u.restart(1, u.new)
+			u.restart(1, u.newProgram)
 			u.sleep(5 * time.Second)
 			u.withLock(func() { u.store.SetUnavailable(false) })
 			u.sleep(stepInterval)
-			u.step(2, u.new)
+			u.restartAndWait(2, u.newProgram)
 		},
 	},
 	{
-		name: "the limits fall right after the last process is new",
-		play: func(u *upgradeTest) {
-			u.roll(u.new)
+		name: "lowered limits right after the rolling upgrade",
+		run: func(u *upgradeTest) {
+			u.rollOut(u.newProgram)
 			u.lowerLimits()
 		},
 	},
 	{
-		name: "the limits fall in the failover that the last process's end brings",
-		play: func(u *upgradeTest) {
-			u.waitForLeaseHolder(2)
-			u.restart(0, u.new)
-			u.step(1, u.new)
-			u.waitForLeaseHolder(2)
+		name: "lowered limits during the failover from the last old lease holder",
+		run: func(u *upgradeTest) {
+			u.forceLeaseHolder(2)
+			u.restart(0, u.newProgram)
+			u.restartAndWait(1, u.newProgram)
+			u.forceLeaseHolder(2)
 			u.controllers[2].stop(syscall.SIGKILL)
 			u.lowerLimits()
-			u.versions[2] = u.new
+			u.versions[2] = u.newProgram
 			u.start(2)
 		},
 	},
 }
 
-// TestUpgrade gives three controllers of real earlier versions the present one, under load, and
-// checks the protocol's rules by what the fakes saw.
+// TestUpgrade guards against violations of the protocol while three controllers of an earlier version
+// are upgraded to the current one under load.
 func TestUpgrade(t *testing.T) {
 	for _, from := range oldVersions(t) {
 		for _, scenario := range upgradeScenarios {
 			t.Run(from.name+"/"+scenario.name, func(t *testing.T) {
 				t.Parallel()
 				u := newUpgradeTest(t, from)
-				scenario.play(u)
-				u.useServices()
+				scenario.run(u)
+				u.exerciseServices()
 				u.finish()
 			})
 		}
--- a/internal/integration/upgrade_users_test.go
+++ b/internal/integration/upgrade_users_test.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	longArrayTasks     = 4500 // so many that the bitmaps of completed tasks fill pages
+	longArrayTasks     = 4500 // enough that the completion bitmaps fill several pages
 	longArrayRunTime   = 4 * time.Second
 	serviceReplicas    = 3
 	submissionInterval = 700 * time.Millisecond
 )
 
-// submitLoop is the users: arrays, gangs, and cancellations, until the load is ended.
+// submitLoop submits arrays and gangs and cancels some, until the load is stopped.
 func (u *upgradeTest) submitLoop() {
 	defer u.goroutines.Done()
 	long := u.submit(longArraySpec("job-900000", longArrayTasks), longArrayRunTime)
@@ -33,7 +33,7 @@
 	}
 }
 
-// longArraySpec is an array that lasts for the whole test.
+// longArraySpec returns an array that runs for the whole test.
 func longArraySpec(id string, tasks int) wire.JobSpec {
 	return wire.JobSpec{
 		ID:                id,
@@ -52,26 +52,26 @@
 	}
 }
 
-// submitRandom has a user submit an array or a gang, and perhaps cancel it soon.
+// submitRandom submits a random array or gang, and cancels some of them.
 func (u *upgradeTest) submitRandom() {
 	var spec wire.JobSpec
-	var runTime, cancelAfter time.Duration
+	var runTime, cancelDelay time.Duration
 	u.withLock(func() {
 		spec = u.randomSpec()
 		runTime = time.Duration(2000+u.rng.IntN(8000)) * time.Millisecond
 		if u.rng.IntN(5) == 0 {
-			cancelAfter = time.Duration(500+u.rng.IntN(8000)) * time.Millisecond
+			cancelDelay = time.Duration(500+u.rng.IntN(8000)) * time.Millisecond
 		}
 		u.jobs++
 	})
 	job := u.submit(spec, runTime)
-	if cancelAfter > 0 {
-		u.sleep(cancelAfter % submissionInterval)
+	if cancelDelay > 0 {
+		u.sleep(cancelDelay % submissionInterval)
 		u.cancel(job)
 	}
 }
 
-// randomSpec is a small array or gang; the lock is held.
+// randomSpec returns a random small array or gang; the lock must be held.
 func (u *upgradeTest) randomSpec() wire.JobSpec {
 	spec := wire.JobSpec{
 		ID:                fmt.Sprintf("job-%06d", u.jobs),
@@ -95,9 +95,9 @@
 	return spec
 }
 
-// useServices plays services, which may be submitted once all have the new version: a
-// service runs, a machine of it is lost, the replica comes back, and it is cancelled.
-func (u *upgradeTest) useServices() {
+// exerciseServices runs a service, terminates the machine of a replica, waits for its replacement
+// and cancels the service. Services require that all controllers run the new version.
+func (u *upgradeTest) exerciseServices() {
 	service := u.submit(wire.JobSpec{
 		ID:       "job-800000",
 		Team:     "red",
@@ -112,17 +112,17 @@
 		ImageGb:  1,
 		AnyType:  true,
 	}, 0)
-	allRun := func() bool { return len(u.runningOn(service)) == serviceReplicas }
-	u.waitUntil("a service's replicas", allRun)
+	allRunning := func() bool { return len(u.runningOn(service)) == serviceReplicas }
+	u.waitUntil("all replicas of the service", allRunning)
 	u.withLock(func() { u.cloud.Remove(u.runningOn(service)[0]) })
-	u.waitUntil("a lost replica elsewhere", allRun)
+	u.waitUntil("the replacement of the lost replica", allRunning)
 	u.cancel(service)
-	u.waitUntil("a cancelled service's end", func() bool {
+	u.waitUntil("the end of the cancelled service", func() bool {
 		return len(u.runningOn(service)) == 0 && service.KnownState == wire.JobCancelled
 	})
 }
 
-// runningOn lists the machines of a job's running tasks; the lock is held.
+// runningOn returns the machines of a job's running tasks; the lock must be held.
 func (u *upgradeTest) runningOn(job *fakes.Job) (hosts []string) {
 	for name, worker := range u.cluster.Workers {
 		for _, task := range worker.Tasks {
--- a/internal/integration/users_test.go
+++ b/internal/integration/users_test.go
@@ -10,29 +10,29 @@
 	"juniperchute/internal/wire"
 )
 
-// userInterval is the pause between a user's requests.
+// userInterval is the time between two requests of a user.
 const userInterval = time.Second
 
-// sendFunc sends one request of a user to a controller with a base URL.
+// sendFunc sends one user request to the controller with a base URL.
 type sendFunc func(base string) (status int, body []byte)
 
-// submission is a user's submission of a job.
+// submission returns the request that submits a job.
 func (d *deployment) submission(spec wire.JobSpec) sendFunc {
 	raw, _ := json.Marshal(fakes.SubmissionBody(spec))
 	return func(base string) (int, []byte) { return httpPost(d.users, base+"/submissions", raw) }
 }
 
-// query is a user's query about a job.
+// query returns the request for the state of a job.
 func (d *deployment) query(id string) sendFunc {
 	return func(base string) (int, []byte) { return httpGet(d.users, base+"/submissions/"+id) }
 }
 
-// cancellation is a user's cancellation of a job.
+// cancellation returns the request that cancels a job.
 func (d *deployment) cancellation(id string) sendFunc {
 	return func(base string) (int, []byte) { return httpPost(d.users, base+"/submissions/"+id+"/cancel", nil) }
 }
 
-// sendRequest sends a request about a job to a random controller and records the answer.
+// sendRequest sends a request about a job to a random controller and records the response.
 func (d *deployment) sendRequest(job *fakes.Job, send sendFunc) {
 	before := ""
 	d.withLock(func() { before = job.KnownState })
@@ -49,7 +49,8 @@
 	})
 }
 
-// submit has a user submit a job whose tasks run for a time, and query it until it has ended.
+// submit adds a job whose tasks run for runTime, and starts a goroutine that submits the job and
+// queries its state until it has ended.
 func (d *deployment) submit(spec wire.JobSpec, runTime time.Duration) *fakes.Job {
 	job := fakes.NewJob(spec, runTime)
 	d.withLock(func() { d.cluster.AddJob(job) })
@@ -61,7 +62,7 @@
 	return job
 }
 
-// followJob is the user of a job: it submits the job until it is accepted, then queries it.
+// followJob submits a job until it is accepted, then queries its state until it has ended.
 func (d *deployment) followJob(job *fakes.Job) {
 	submission, query := d.submission(job.Spec), d.query(job.Spec.ID)
 	for d.ctx.Err() == nil {
@@ -79,7 +80,7 @@
 	}
 }
 
-// cancel has the job's user cancel it, again and again until it has ended.
+// cancel starts a goroutine that repeats the cancellation of a job until the job has ended.
 func (d *deployment) cancel(job *fakes.Job) {
 	d.withLock(func() { job.CancelRequested = true })
 	d.goroutines.Add(1)
--- a/internal/integration/versions_test.go
+++ b/internal/integration/versions_test.go
@@ -13,38 +13,38 @@
 	"testing"
 )
 
-// Commits that upgrades start from, beside the one that production names.
+// Commits from which upgrades start, in addition to the production commit.
 const (
-	// predecessorCommit is the head of main before the upgrade tests were written.
+	// predecessorCommit is the head of main before the upgrade tests were added.
 	predecessorCommit = "288c544d9a91dd8711b6831b3f3e5cbb209030c9"
-	// unrenamedCommit is the head of main before the whole tree got the names and the shape that it
-	// has now: the two do the same, so they have to serve side by side.
-	unrenamedCommit = "6c35e8cd2597650473c98eb971fc2ee6d4102756"
+	// preRenameCommit is the head of main before the identifiers were renamed. Its behavior equals
+	// the current one, so both versions must interoperate.
+	preRenameCommit = "6c35e8cd2597650473c98eb971fc2ee6d4102756"
 )
 
-// buildCommand is how deploy/service.toml builds the program.
+// buildCommand matches the build command in deploy/service.toml.
 var buildCommand = []string{"go", "build", "-ldflags=-linkmode=external"}
 
 var errNoHistory = errors.New(
-	"the upgrade tests need the repository's history: check it out whole (git fetch --unshallow)")
+	"repository history is incomplete: fetch it for the upgrade tests (git fetch --unshallow)")
 
-// builtBinaries are the programs built so far, by commit; "" is the working tree.
+// builtBinaries caches the built programs by commit. The key "" is the working tree.
 var builtBinaries = struct {
 	sync.Mutex
 	dir  string
 	path map[string]string
 }{path: map[string]string{}}
 
-// repositoryRoot is the directory of the repository that the test runs in.
+// repositoryRoot returns the root directory of the repository that contains the test.
 func repositoryRoot() (string, error) {
 	out, err := exec.Command("git", "rev-parse", "--show-toplevel").Output()
 	if err != nil {
-		return "", fmt.Errorf("%w: %w", errNoHistory, err)
+		return "", fmt.Errorf("find repository root: %w: %w", errNoHistory, err)
 	}
 	return strings.TrimSpace(string(out)), nil
 }
 
-// buildVersion is the program of a commit, or of the working tree.
+// buildVersion returns the path of the program built from a commit, or from the working tree.
 func buildVersion(t *testing.T, commit string) string {
 	t.Helper()
 	builtBinaries.Lock()
@@ -60,7 +60,7 @@
 	return path
 }
 
-// buildBinary builds the program of a commit, or of the working tree; builtBinaries is locked.
+// buildBinary builds the program of a commit, or of the working tree; builtBinaries must be locked.
 func buildBinary(commit string) (string, error) {
 	root, err := repositoryRoot()
 	if err != nil {
@@ -68,7 +68,7 @@
 	}
 	if builtBinaries.dir == "" {
 		if builtBinaries.dir, err = os.MkdirTemp("", "juniperchute-versions"); err != nil {
-			return "", err
+			return "", fmt.Errorf("create build directory: %w", err)
 		}
 	}
 	sources, path := root, filepath.Join(builtBinaries.dir, "present")
@@ -82,18 +82,18 @@
 	build := exec.Command(buildCommand[0], args...)
 	build.Dir = sources
 	if out, err := build.CombinedOutput(); err != nil {
-		return "", fmt.Errorf("building %q: %w\n%s", commit, err, out)
+		return "", fmt.Errorf("build commit %q: %w\n%s", commit, err, out)
 	}
 	return path, nil
 }
 
-// checkOut writes a commit's files to a directory.
+// checkOut writes the files of a commit to a directory. It returns errNoHistory for a missing commit.
 func checkOut(root, commit, dir string) error {
 	if err := exec.Command("git", "-C", root, "cat-file", "-e", commit+"^{commit}").Run(); err != nil {
-		return fmt.Errorf("commit %s: %w", commit, errNoHistory)
+		return fmt.Errorf("check out commit %s: %w", commit, errNoHistory)
 	}
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return err
+		return fmt.Errorf("create source directory: %w", err)
 	}
 	index := "GIT_INDEX_FILE=" + dir + ".index"
 	for _, args := range [][]string{
@@ -103,13 +103,13 @@
 		command := exec.Command("git", args...)
 		command.Env = append(os.Environ(), index)
 		if out, err := command.CombinedOutput(); err != nil {
-			return fmt.Errorf("checking out %s: %w\n%s", commit, err, out)
+			return fmt.Errorf("check out commit %s: %w\n%s", commit, err, out)
 		}
 	}
 	return nil
 }
 
-// productionCommit is the commit that deploy/service.toml names.
+// productionCommit returns the commit in production, as listed in deploy/service.toml.
 func productionCommit(t *testing.T) string {
 	t.Helper()
 	root, err := repositoryRoot()
@@ -122,24 +122,24 @@
 	}
 	match := regexp.MustCompile(`(?m)^production = "([0-9a-f]{40})"$`).FindSubmatch(raw)
 	if match == nil {
-		t.Fatal("deploy/service.toml names no production version")
+		t.Fatal("deploy/service.toml contains no production commit")
 	}
 	return string(match[1])
 }
 
-// TestProductionVersion checks that the versions that upgrades start from are ancestors of the
-// present one, or no upgrade would be tested, and that a missing commit has its own error.
+// TestProductionVersion guards against upgrade tests that start from commits which are not ancestors
+// of the current version, and against an unspecific error for a missing commit.
 func TestProductionVersion(t *testing.T) {
 	root, err := repositoryRoot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, commit := range []string{productionCommit(t), predecessorCommit, unrenamedCommit} {
+	for _, commit := range []string{productionCommit(t), predecessorCommit, preRenameCommit} {
 		if err := exec.Command("git", "-C", root, "merge-base", "--is-ancestor", commit, "HEAD").Run(); err != nil {
-			t.Errorf("%s is no ancestor of this version: %v", commit, err)
+			t.Errorf("commit %s is not an ancestor of the current version: %v", commit, err)
 		}
 	}
 	if err := checkOut(root, strings.Repeat("0", 40), t.TempDir()); !errors.Is(err, errNoHistory) {
-		t.Errorf("a missing commit: %v", err)
+		t.Errorf("missing commit: got error %v, want %v", err, errNoHistory)
 	}
 }
