--- a/internal/tools/knownfailures/events.go
+++ b/internal/tools/knownfailures/events.go
@@ -30,8 +30,9 @@
 
 // testRun is what one "go test" reported.
 type testRun struct {
-	packages map[string]*packageResult
-	failed   bool // the command itself
+	module   string                    // path of the main module
+	packages map[string]*packageResult // by import path
+	failed   bool                      // the command itself
 }
 
 // packageResult is what was reported about one package.
@@ -48,6 +49,10 @@
 
 // runTests runs "go test" and prints to out what it would print without the flag -json.
 func runTests(arguments []string, out io.Writer) (*testRun, error) {
+	module, err := exec.Command("go", "list", "-m").Output()
+	if err != nil {
+		return nil, fmt.Errorf("look up path of main module: %w", err)
+	}
 	command := exec.Command("go", append([]string{"test", "-json"}, arguments...)...)
 	command.Stderr = os.Stderr
 	events, err := command.StdoutPipe()
@@ -57,7 +62,7 @@
 	if err := command.Start(); err != nil {
 		return nil, fmt.Errorf("running go test: %w", err)
 	}
-	tests := &testRun{packages: map[string]*packageResult{}}
+	tests := &testRun{module: strings.TrimSpace(string(module)), packages: map[string]*packageResult{}}
 	if err := tests.readEvents(events, out); err != nil {
 		return nil, errors.Join(err, command.Process.Kill(), command.Wait())
 	}
