--- a/internal/tools/funlen/main.go
+++ b/internal/tools/funlen/main.go
@@ -1,9 +1,9 @@
 // Command funlen reports functions of more than 60 lines, those of tests included.
 //
-// The analyzer's own command cannot switch off its limit on statements, and revive's rule
-// function-length leaves out every file with an empty function (seen in revive 1.17.0).
-// Lines count between the one with the word func and the one with the closing brace:
-// parameters on lines of their own, comments and blank lines count.
+// It exists because the command of the analyzer cannot disable the limit on statements, and the
+// rule function-length of revive 1.17.0 skips every file that has an empty function. All lines
+// between the one with the keyword func and the closing brace count, also comments, blank lines
+// and parameters on lines of their own.
 package main
 
 import (
@@ -14,11 +14,11 @@
 )
 
 const (
-	// maxLines is a screen: a function that does one thing can be read without scrolling.
+	// maxLines lets a function fit on one screen.
 	maxLines = 60
-	// maxStatements limits nothing: lines alone do, and zero would mean the analyzer's default.
+	// maxStatements disables the limit on statements. Zero would select the analyzer's default.
 	maxStatements = math.MaxInt
-	// ignoreComments is off: a function that needs many comments is better split as well.
+	// ignoreComments is false, so comments count as lines of the function.
 	ignoreComments = false
 )
 
--- a/internal/tools/knownfailures/judge.go
+++ b/internal/tools/knownfailures/evaluate.go
@@ -8,12 +8,12 @@
 	"strings"
 )
 
-// raceReport is what the race detector adds to a test's output.
+// raceReport is the message of the testing package for a test in which a data race was detected.
 const raceReport = "race detected during execution of test"
 
-// judge returns the reasons to fail the check: failures that are not listed, and listed tests
+// evaluate returns the reasons to fail the check: failures that are not listed, and listed tests
 // whose outcome is not the one listed. It returns none if only listed tests failed.
-func (r *testRun) judge(known []knownFailure) []string {
+func (r *testRun) evaluate(known []knownFailure) []string {
 	listed := map[string]map[string]bool{} // tests by import path
 	var problems []string
 	for _, failure := range known {
@@ -33,32 +33,32 @@
 			continue
 		}
 		packageFailed = true
-		for _, problem := range p.unlisted(listed[name]) {
+		for _, problem := range p.unlistedFailures(listed[name]) {
 			problems = append(problems, name+": "+problem)
 		}
 	}
 	if r.failed && !packageFailed {
-		problems = append(problems, "go test failed, but no package did")
+		problems = append(problems, "go test exited with an error, but no package failed")
 	}
 	return problems
 }
 
 // unexpectedOutcome says how the outcome of a listed test differs from the one listed. It
-// returns "" for an expected outcome. A test that was skipped or did not end is never expected.
+// returns "" for an expected outcome. No entry expects a test to be skipped or unfinished.
 func (r *testRun) unexpectedOutcome(failure knownFailure) string {
 	outcome := r.outcome(failure)
 	switch {
 	case outcome == "":
-		return failure.name() + " is listed, but no such test ran"
+		return failure.name() + " is listed, but did not run"
 	case outcome == actionFail, outcome == actionPass && failure.frequency == intermittent:
 		return ""
 	case outcome == actionPass:
-		return failure.name() + " is listed as failing always, but passed: take it off the list"
+		return failure.name() + " is listed with frequency always, but passed: remove its entry"
 	}
-	return fmt.Sprintf("%s is listed, but its outcome is %q", failure.name(), outcome)
+	return fmt.Sprintf("%s is listed, but its last action was %q", failure.name(), outcome)
 }
 
-// outcome returns the last action of a listed test, "" if no such test ran.
+// outcome returns the last action of a listed test, or "" if the test did not run.
 func (r *testRun) outcome(failure knownFailure) string {
 	p := r.packages[r.importPath(failure)]
 	if p == nil || p.tests[failure.test] == nil {
@@ -72,29 +72,29 @@
 	return path.Join(r.module, failure.folder)
 }
 
-// unlisted finds all that made a package fail besides the listed tests.
-func (p *packageResult) unlisted(listed map[string]bool) []string {
+// unlistedFailures returns the reasons other than listed tests for which a package failed.
+func (p *packageResult) unlistedFailures(listed map[string]bool) []string {
 	var problems []string
 	for _, name := range p.unfinished() {
-		problems = append(problems, name+" did not end")
+		problems = append(problems, name+" did not finish")
 	}
 	for _, name := range slices.Sorted(maps.Keys(p.tests)) {
 		t := p.tests[name]
 		switch {
 		case t.outcome != actionFail:
-		case t.raced():
-			problems = append(problems, name+" has a data race, which no list passes over")
+		case t.hasDataRace():
+			problems = append(problems, name+" has a data race, which the list cannot exempt")
 		case !listed[name] && !p.failedBySubtests(name):
 			problems = append(problems, name+" failed")
 		}
 	}
-	if !p.ranToEnd() {
-		problems = append(problems, "the package failed apart from its tests")
+	if !p.completed() {
+		problems = append(problems, "the package failed outside its tests")
 	}
 	return problems
 }
 
-// unfinished is the tests that started and never ended, as a crash or a timeout leaves them.
+// unfinished returns the tests that started but did not finish because of a panic, an exit or a timeout.
 func (p *packageResult) unfinished() []string {
 	var names []string
 	for _, name := range slices.Sorted(maps.Keys(p.tests)) {
@@ -105,9 +105,8 @@
 	return names
 }
 
-// failedBySubtests reports whether a failed test failed through its subtests alone, which are
-// judged for themselves. A test that prints anything of its own may have failed by that:
-// the events do not tell an error from a note.
+// failedBySubtests reports whether a failed test failed only because subtests failed. A test with
+// output of its own counts as failed by itself, as events do not tell errors from log output.
 func (p *packageResult) failedBySubtests(name string) bool {
 	for _, line := range p.tests[name].output {
 		if !isProgress(line) && !strings.HasPrefix(strings.TrimSpace(line), "--- FAIL: "+name+" ") {
@@ -122,22 +121,22 @@
 	return false
 }
 
-// ranToEnd reports whether the tests of a failed package all ran and nothing but tests failed.
-// Only then does the test program itself print FAIL, and nothing more than that.
-func (p *packageResult) ranToEnd() bool {
-	finished := false
+// completed reports whether all tests of a failed package ran and nothing else failed. Only then
+// does the test binary print FAIL, and nothing else outside the tests.
+func (p *packageResult) completed() bool {
+	printedFail := false
 	for _, line := range p.output {
 		switch {
 		case line == "FAIL\n":
-			finished = true
+			printedFail = true
 		case !strings.HasPrefix(line, "FAIL\t"):
 			return false
 		}
 	}
-	return finished
+	return printedFail
 }
 
-// raced reports whether the race detector found a data race in a test.
-func (r *result) raced() bool {
+// hasDataRace reports whether the race detector found a data race in a test.
+func (r *result) hasDataRace() bool {
 	return slices.ContainsFunc(r.output, func(line string) bool { return strings.Contains(line, raceReport) })
 }
--- a/internal/tools/knownfailures/judge_test.go
+++ b/internal/tools/knownfailures/evaluate_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// judgeCase is one run of the sample module.
-type judgeCase struct {
+// evaluateCase is a run of "go test" in the sample module.
+type evaluateCase struct {
 	name      string
 	listed    []knownFailure
 	arguments []string
@@ -21,230 +21,232 @@
 
 func runOnly(pattern string) []string { return []string{"-run", pattern, "./sample"} }
 
-var judgeCases = []judgeCase{
+// alwaysCases have no listed tests, or those with frequency always.
+var alwaysCases = []evaluateCase{
 	{
-		name:      "all pass and nothing is listed",
+		name:      "accepts a run without failures",
 		arguments: runOnly("TestPass|TestSkip"),
 	},
 	{
-		name:      "a failing test that is not listed",
+		name:      "rejects an unlisted failure",
 		arguments: runOnly("TestPass|TestFail"),
 		problems:  []string{"sample/sample: TestFail failed"},
 	},
 	{
-		name:      "a failing test that is listed",
+		name:      "accepts a listed failure",
 		listed:    listed("TestFail", always),
 		arguments: runOnly("TestPass|TestFail"),
 	},
 	{
-		name:      "a second failing test beside a listed one",
+		name:      "rejects an unlisted failure beside a listed one",
 		listed:    listed("TestFail", always),
 		arguments: runOnly("TestFail|TestParent"),
 		problems:  []string{"sample/sample: TestParent/bad_one failed"},
 	},
 	{
-		name:      "a listed subtest",
+		name:      "accepts a listed failure of a subtest and its parent",
 		listed:    listed("TestParent/bad_one", always),
 		arguments: runOnly("TestParent"),
 	},
 	{
-		name:      "a listed test does not cover its subtests",
+		name:      "rejects a failing subtest of a listed test",
 		listed:    listed("TestParent", always),
 		arguments: runOnly("TestParent"),
 		problems:  []string{"sample/sample: TestParent/bad_one failed"},
 	},
 	{
-		name:      "a parent that fails by itself as well",
+		name:      "rejects a parent that also fails by itself",
 		listed:    listed("TestNoisyParent/bad", always),
 		arguments: runOnly("TestNoisyParent"),
 		problems:  []string{"sample/sample: TestNoisyParent failed"},
 	},
 	{
-		name:      "a listed subtest beside one that is not listed",
+		name:      "rejects an unlisted subtest beside a listed one",
 		listed:    listed("TestTwoSubtests/bad", always),
 		arguments: runOnly("TestTwoSubtests"),
 		problems:  []string{"sample/sample: TestTwoSubtests/worse failed"},
 	},
 	{
-		name:      "a listed subtest of a subtest",
+		name:      "accepts a listed failure of a nested subtest and its parents",
 		listed:    listed("TestGrandparent/parent/bad", always),
 		arguments: runOnly("TestGrandparent"),
 	},
 	{
-		name:      "a listed test that passes",
+		name:      "rejects a listed test that passes",
 		listed:    listed("TestPass", always),
 		arguments: runOnly("TestPass"),
-		problems:  []string{"sample TestPass is listed as failing always, but passed: take it off the list"},
+		problems:  []string{"sample TestPass is listed with frequency always, but passed: remove its entry"},
 	},
 	{
-		name:      "a listed test that is skipped",
+		name:      "rejects a listed test that is skipped",
 		listed:    listed("TestSkip", always),
 		arguments: runOnly("TestSkip"),
-		problems:  []string{`sample TestSkip is listed, but its outcome is "skip"`},
+		problems:  []string{`sample TestSkip is listed, but its last action was "skip"`},
 	},
 	{
-		name:      "a listed test that does not exist",
+		name:      "rejects a listed test that does not exist",
 		listed:    listed("TestGone", always),
 		arguments: runOnly("TestPass"),
-		problems:  []string{"sample TestGone is listed, but no such test ran"},
+		problems:  []string{"sample TestGone is listed, but did not run"},
 	},
 	{
-		name:      "a listed name that fails in another package",
+		name:      "rejects a listed name that fails in another package",
 		listed:    listed("TestOther", always),
 		arguments: []string{"-run", "TestOther", "./sample", "./other"},
 		problems: []string{
-			"sample TestOther is listed as failing always, but passed: take it off the list",
+			"sample TestOther is listed with frequency always, but passed: remove its entry",
 			"sample/other: TestOther failed",
 		},
 	},
 	{
-		name:      "a listed name that passes in another package",
+		name:      "accepts a listed name that passes in another package",
 		listed:    []knownFailure{{folder: "other", test: "TestOther", frequency: always}},
 		arguments: []string{"-run", "TestOther", "./sample", "./other"},
 	},
 	{
-		name:      "a listed test that crashes the rest",
+		name:      "rejects a listed test that panics",
 		listed:    listed("TestPanic", always),
 		arguments: runOnly("TestPanic"),
-		problems:  []string{"sample/sample: the package failed apart from its tests"},
+		problems:  []string{"sample/sample: the package failed outside its tests"},
 	},
 	{
-		name:      "a listed test that ends the process",
+		name:      "rejects a listed test that exits",
 		listed:    listed("TestExit", always),
 		arguments: runOnly("TestExit"),
 		problems: []string{
-			`sample TestExit is listed, but its outcome is "run"`,
-			"sample/sample: TestExit did not end",
-			"sample/sample: the package failed apart from its tests",
+			`sample TestExit is listed, but its last action was "run"`,
+			"sample/sample: TestExit did not finish",
+			"sample/sample: the package failed outside its tests",
 		},
 	},
 	{
-		name:      "a listed test with a data race",
+		name:      "rejects a listed test with a data race",
 		listed:    listed("TestRace", always),
 		arguments: append([]string{"-race"}, runOnly("TestRace")...),
-		problems:  []string{"sample/sample: TestRace has a data race, which no list passes over"},
+		problems:  []string{"sample/sample: TestRace has a data race, which the list cannot exempt"},
 	},
 	{
-		name:      "a listed test that times out",
+		name:      "rejects a listed test that times out",
 		listed:    listed("TestHang", always),
 		arguments: append([]string{"-timeout", "1s"}, runOnly("TestHang")...),
 		problems: []string{
-			`sample TestHang is listed, but its outcome is "run"`,
-			"sample/sample: TestHang did not end",
-			"sample/sample: the package failed apart from its tests",
+			`sample TestHang is listed, but its last action was "run"`,
+			"sample/sample: TestHang did not finish",
+			"sample/sample: the package failed outside its tests",
 		},
 	},
 	{
-		name:      "a package that does not compile",
+		name:      "rejects a package that does not compile",
 		arguments: []string{"./uncompiled"},
-		problems:  []string{"sample/uncompiled: the package failed apart from its tests"},
+		problems:  []string{"sample/uncompiled: the package failed outside its tests"},
 	},
 	{
-		name:      "arguments that go test refuses",
+		name:      "rejects an error of go test itself",
 		arguments: []string{"-count=many", "./sample"},
-		problems:  []string{"go test failed, but no package did"},
+		problems:  []string{"go test exited with an error, but no package failed"},
 	},
 }
 
-// intermittentCases are those whose listed tests may pass as well.
-var intermittentCases = []judgeCase{
+// intermittentCases have listed tests with frequency intermittent.
+var intermittentCases = []evaluateCase{
 	{
-		name:      "an intermittent test that fails",
+		name:      "accepts an intermittent test that fails",
 		listed:    listed("TestFail", intermittent),
 		arguments: runOnly("TestPass|TestFail"),
 	},
 	{
-		name:      "an intermittent test that passes",
+		name:      "accepts an intermittent test that passes",
 		listed:    listed("TestPass", intermittent),
 		arguments: runOnly("TestPass|TestSkip"),
 	},
 	{
-		name:      "an intermittent subtest that fails",
+		name:      "accepts an intermittent subtest that fails",
 		listed:    listed("TestParent/bad_one", intermittent),
 		arguments: runOnly("TestParent"),
 	},
 	{
-		name:      "an intermittent subtest that passes",
+		name:      "rejects an unlisted subtest beside an intermittent one that passes",
 		listed:    listed("TestParent/good_one", intermittent),
 		arguments: runOnly("TestParent"),
 		problems:  []string{"sample/sample: TestParent/bad_one failed"},
 	},
 	{
-		name:      "an intermittent subtest beside one that is not listed",
+		name:      "rejects an unlisted subtest beside an intermittent one that fails",
 		listed:    listed("TestTwoSubtests/bad", intermittent),
 		arguments: runOnly("TestTwoSubtests"),
 		problems:  []string{"sample/sample: TestTwoSubtests/worse failed"},
 	},
 	{
-		name:      "a failing test that is not listed beside an intermittent one that fails",
+		name:      "rejects an unlisted failure beside an intermittent test that fails",
 		listed:    listed("TestFail", intermittent),
 		arguments: runOnly("TestFail|TestParent"),
 		problems:  []string{"sample/sample: TestParent/bad_one failed"},
 	},
 	{
-		name:      "a failing test that is not listed beside an intermittent one that passes",
+		name:      "rejects an unlisted failure beside an intermittent test that passes",
 		listed:    listed("TestPass", intermittent),
 		arguments: runOnly("TestPass|TestFail"),
 		problems:  []string{"sample/sample: TestFail failed"},
 	},
 	{
-		name:      "an intermittent test that is skipped",
+		name:      "rejects an intermittent test that is skipped",
 		listed:    listed("TestSkip", intermittent),
 		arguments: runOnly("TestSkip"),
-		problems:  []string{`sample TestSkip is listed, but its outcome is "skip"`},
+		problems:  []string{`sample TestSkip is listed, but its last action was "skip"`},
 	},
 	{
-		name:      "an intermittent test that does not exist",
+		name:      "rejects an intermittent test that does not exist",
 		listed:    listed("TestGone", intermittent),
 		arguments: runOnly("TestPass"),
-		problems:  []string{"sample TestGone is listed, but no such test ran"},
+		problems:  []string{"sample TestGone is listed, but did not run"},
 	},
 	{
-		name:      "an intermittent test whose package does not run",
+		name:      "rejects an intermittent test whose package does not run",
 		listed:    []knownFailure{{folder: "other", test: "TestOther", frequency: intermittent}},
 		arguments: runOnly("TestPass"),
-		problems:  []string{"other TestOther is listed, but no such test ran"},
+		problems:  []string{"other TestOther is listed, but did not run"},
 	},
 	{
-		name:      "an intermittent test that crashes the rest",
+		name:      "rejects an intermittent test that panics",
 		listed:    listed("TestPanic", intermittent),
 		arguments: runOnly("TestPanic"),
-		problems:  []string{"sample/sample: the package failed apart from its tests"},
+		problems:  []string{"sample/sample: the package failed outside its tests"},
 	},
 	{
-		name:      "an intermittent test that times out",
+		name:      "rejects an intermittent test that times out",
 		listed:    listed("TestHang", intermittent),
 		arguments: append([]string{"-timeout", "1s"}, runOnly("TestHang")...),
 		problems: []string{
-			`sample TestHang is listed, but its outcome is "run"`,
-			"sample/sample: TestHang did not end",
-			"sample/sample: the package failed apart from its tests",
+			`sample TestHang is listed, but its last action was "run"`,
+			"sample/sample: TestHang did not finish",
+			"sample/sample: the package failed outside its tests",
 		},
 	},
 	{
-		name:      "an intermittent test with a data race",
+		name:      "rejects an intermittent test with a data race",
 		listed:    listed("TestRace", intermittent),
 		arguments: append([]string{"-race"}, runOnly("TestRace")...),
-		problems:  []string{"sample/sample: TestRace has a data race, which no list passes over"},
+		problems:  []string{"sample/sample: TestRace has a data race, which the list cannot exempt"},
 	},
 	{
-		name:      "a package that does not compile beside an intermittent test",
+		name:      "rejects a package that does not compile beside an intermittent test",
 		listed:    listed("TestPass", intermittent),
 		arguments: []string{"-run", "TestPass", "./sample", "./uncompiled"},
-		problems:  []string{"sample/uncompiled: the package failed apart from its tests"},
+		problems:  []string{"sample/uncompiled: the package failed outside its tests"},
 	},
 }
 
-func TestJudge(t *testing.T) {
-	sampleModule(t)
-	for _, c := range slices.Concat(judgeCases, intermittentCases) {
+// A run is accepted only if its failures are those that the list allows.
+func TestEvaluate(t *testing.T) {
+	writeSampleModule(t)
+	for _, c := range slices.Concat(alwaysCases, intermittentCases) {
 		t.Run(c.name, func(t *testing.T) {
 			var printed strings.Builder
 			tests, err := runTests(c.arguments, &printed)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := tests.judge(c.listed); !slices.Equal(got, c.problems) {
+			if got := tests.evaluate(c.listed); !slices.Equal(got, c.problems) {
 				t.Errorf("got problems %q, want %q; go test printed:\n%s", got, c.problems, printed.String())
 			}
 		})
--- a/internal/tools/knownfailures/events.go
+++ b/internal/tools/knownfailures/events.go
@@ -10,15 +10,15 @@
 	"strings"
 )
 
-// event is a line of "go test -json"; "go doc test2json" describes it.
+// event is one line of the output of "go test -json". "go doc test2json" documents the format.
 type event struct {
 	Action  string
-	Package string // empty for the output of a build
-	Test    string // empty for the package itself
+	Package string // empty for build output
+	Test    string // empty for events of the package itself
 	Output  string
 }
 
-// Actions of an event. Others (start, pause, cont, bench, attr, build-fail) change nothing here.
+// Actions that are processed. Others (start, pause, cont, bench, attr, build-fail) are ignored.
 const (
 	actionRun         = "run"
 	actionOutput      = "output"
@@ -28,26 +28,27 @@
 	actionSkip        = "skip"
 )
 
-// testRun is what one "go test" reported.
+// testRun holds the results of one run of "go test".
 type testRun struct {
 	module   string                    // path of the main module
 	packages map[string]*packageResult // by import path
-	failed   bool                      // the command itself
+	failed   bool                      // go test exited with an error
 }
 
-// packageResult is what was reported about one package.
+// packageResult holds the results of a package and its tests.
 type packageResult struct {
 	result
 	tests map[string]*result
 }
 
-// result is what was reported about one test, or about a package apart from its tests.
+// result is the outcome and output of a test, or of a package without those of its tests.
 type result struct {
-	outcome string   // the last action: pass, fail or skip; run while it has not ended
+	outcome string   // last action: pass, fail or skip; run if unfinished; "" if the package did not finish
 	output  []string // lines
 }
 
-// runTests runs "go test" and prints to out what it would print without the flag -json.
+// runTests runs "go test" with the arguments and writes to out what it would print without -json.
+// Failing tests are not an error: see testRun.failed.
 func runTests(arguments []string, out io.Writer) (*testRun, error) {
 	module, err := exec.Command("go", "list", "-m").Output()
 	if err != nil {
@@ -57,10 +58,10 @@
 	command.Stderr = os.Stderr
 	events, err := command.StdoutPipe()
 	if err != nil {
-		return nil, fmt.Errorf("running go test: %w", err)
+		return nil, fmt.Errorf("open output of go test: %w", err)
 	}
 	if err := command.Start(); err != nil {
-		return nil, fmt.Errorf("running go test: %w", err)
+		return nil, fmt.Errorf("start go test: %w", err)
 	}
 	tests := &testRun{module: strings.TrimSpace(string(module)), packages: map[string]*packageResult{}}
 	if err := tests.readEvents(events, out); err != nil {
@@ -70,7 +71,7 @@
 	return tests, nil
 }
 
-// readEvents takes in all events and prints their output.
+// readEvents decodes events until the end of the stream and writes their output to out.
 func (r *testRun) readEvents(events io.Reader, out io.Writer) error {
 	decoder := json.NewDecoder(events)
 	for {
@@ -80,20 +81,21 @@
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("reading the events of go test: %w", err)
+			return fmt.Errorf("decode event of go test: %w", err)
 		}
 		if e.Action == actionBuildOutput {
 			fmt.Fprint(out, e.Output)
 			continue
 		}
 		if e.Package != "" {
-			r.take(e, out)
+			r.record(e, out)
 		}
 	}
 }
 
-// take takes in one event of a package, and prints what is then complete.
-func (r *testRun) take(e event, out io.Writer) {
+// record updates the results with one event. It writes the output of a failing test when the
+// test ends, and that of a package when the package ends.
+func (r *testRun) record(e event, out io.Writer) {
 	p := r.packages[e.Package]
 	if p == nil {
 		p = &packageResult{tests: map[string]*result{}}
@@ -115,7 +117,7 @@
 	}
 }
 
-// resultOf is the result of a test, or of the package if the name is empty.
+// resultOf returns the result of a test, or of the package itself if the name is empty.
 func (p *packageResult) resultOf(test string) *result {
 	if test == "" {
 		return &p.result
@@ -126,8 +128,8 @@
 	return p.tests[test]
 }
 
-// print prints the closing lines of a package. Of one that failed, that is all its own
-// output, and that of the tests that never ended.
+// print writes the summary line of a package that passed. For one that failed, it writes the
+// output of its unfinished tests and all output of the package itself.
 func (p *packageResult) print(out io.Writer) {
 	if p.outcome == actionFail {
 		for _, name := range p.unfinished() {
@@ -141,7 +143,7 @@
 	}
 }
 
-// print prints a result's output without the lines that only follow the test's progress.
+// print writes the output of a result except progress lines.
 func (r *result) print(out io.Writer) {
 	for _, line := range r.output {
 		if !isProgress(line) {
@@ -150,7 +152,7 @@
 	}
 }
 
-// isProgress reports whether a line says only that a test starts, waits or goes on.
+// isProgress reports whether a line only marks that a test starts, pauses or continues.
 func isProgress(line string) bool {
 	for _, prefix := range []string{"=== RUN ", "=== PAUSE ", "=== CONT ", "=== NAME "} {
 		if strings.HasPrefix(line, prefix) {
--- a/internal/tools/knownfailures/events_test.go
+++ b/internal/tools/knownfailures/events_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// What go test prints without -json is still printed, its closing lines above all.
+// The output is that of "go test" without -json, summary lines included.
 func TestPrintedOutput(t *testing.T) {
-	sampleModule(t)
+	writeSampleModule(t)
 	cases := []struct {
 		name      string
 		arguments []string
@@ -15,24 +15,24 @@
 		hasNot    []string
 	}{
 		{
-			name:      "a package that passes",
+			name:      "passing package: summary line only",
 			arguments: runOnly("TestPass"),
 			has:       []string{"ok  \tsample/sample\t"},
 			hasNot:    []string{"a note", "=== RUN", "PASS"},
 		},
 		{
-			name:      "a package that fails",
+			name:      "failing package: output of failed tests",
 			arguments: runOnly("TestPass|TestParent"),
 			has:       []string{"--- FAIL: TestParent/bad_one", "a fault", "\nFAIL\nFAIL\tsample/sample\t"},
 			hasNot:    []string{"a note", "=== ", "good_one"},
 		},
 		{
-			name:      "a package that ends early",
+			name:      "package ended by a panic: panic message",
 			arguments: runOnly("TestPanic"),
 			has:       []string{"panic: a crash", "FAIL\tsample/sample\t"},
 		},
 		{
-			name:      "a package that does not compile",
+			name:      "package that does not compile: build errors",
 			arguments: []string{"./uncompiled"},
 			has:       []string{"cannot use \"text\"", "FAIL\tsample/uncompiled [build failed]"},
 		},
@@ -45,12 +45,12 @@
 			}
 			for _, text := range c.has {
 				if !strings.Contains(printed.String(), text) {
-					t.Errorf("no %q in:\n%s", text, printed.String())
+					t.Errorf("output lacks %q:\n%s", text, printed.String())
 				}
 			}
 			for _, text := range c.hasNot {
 				if strings.Contains(printed.String(), text) {
-					t.Errorf("%q in:\n%s", text, printed.String())
+					t.Errorf("output contains %q:\n%s", text, printed.String())
 				}
 			}
 		})
--- a/internal/tools/knownfailures/list.go
+++ b/internal/tools/knownfailures/list.go
@@ -49,7 +49,7 @@
 	errListedTwice      = errors.New("the test is listed twice")
 )
 
-// knownFailure is an entry of the list: a test that is allowed to fail.
+// knownFailure is a validated entry of the list: a test that is allowed to fail.
 type knownFailure struct {
 	folder    string // of the package, relative to the module root
 	test      string // name with those of its parents, as "go test -v" prints it
@@ -104,14 +104,14 @@
 	return known, nil
 }
 
-// entry is the lines of one entry before their values are checked.
+// entry holds the values of one entry by key before they are validated.
 type entry struct {
 	line   int // number of its first line
 	values map[string]string
-	lines  map[string]int // numbers by key
+	lines  map[string]int // line numbers
 }
 
-// splitEntries divides a list at its empty lines and drops comments.
+// splitEntries splits a list at its empty lines and skips comments.
 func splitEntries(content string) ([]entry, error) {
 	var entries []entry
 	inEntry := false
@@ -137,7 +137,7 @@
 	return entries, nil
 }
 
-// add adds the key and the value of a line to an entry.
+// add parses a line and stores its key and value.
 func (e entry) add(line string, number int) error {
 	fields := linePattern.FindStringSubmatch(line)
 	if fields == nil {
@@ -155,7 +155,7 @@
 	return nil
 }
 
-// parse checks the values of an entry.
+// parse validates the values of an entry and returns it as a knownFailure.
 func (e entry) parse() (knownFailure, error) {
 	for _, key := range requiredKeys {
 		if e.values[key] == "" {
@@ -179,7 +179,7 @@
 	}, nil
 }
 
-// errorAt adds the line of a key to an error.
+// errorAt wraps an error with the line, name and value of a key.
 func (e entry) errorAt(key string, err error) error {
 	return fmt.Errorf("%d: %s: %q: %w", e.lines[key], key, e.values[key], err)
 }
--- a/internal/tools/knownfailures/main.go
+++ b/internal/tools/knownfailures/main.go
@@ -1,4 +1,4 @@
-// Command knownfailures runs "go test" and passes over the failing tests that a list names.
+// Command knownfailures runs "go test" and tolerates the failures of listed tests.
 //
 // Its arguments are those of "go test". The list is KNOWN-RED.txt in the working directory,
 // which is the module root. Without the file, or if it has no entries, every failing test counts.
@@ -13,13 +13,13 @@
 //	issue: 12
 //
 // Only the key seed may be missing. The name of a test is that which "go test -v" prints, with
-// underscores for spaces. Only the tests listed are passed over: the subtests of a listed test
-// need entries of their own. A parent that fails only through listed subtests is passed over too.
+// underscores for spaces. An entry does not cover the subtests of its test, which need entries of
+// their own. A parent that fails only because of listed subtests needs no entry.
 //
 // A test with "frequency: always" must fail. One with "frequency: intermittent" may pass as well.
-// The command fails if a listed test is skipped, does not end or does not exist. It also fails on
-// a data race, on a build failure, and on a package that a panic or a timeout ends, whatever the
-// list says.
+// The command fails if a listed test is skipped, does not finish or does not exist. Whatever is
+// listed, it also fails on a data race, on a build failure, and if a panic or a timeout ends a
+// package.
 package main
 
 import (
@@ -28,7 +28,7 @@
 	"os"
 )
 
-// listFile is the list's path, seen from the repository's root.
+// listFile is the path of the list, relative to the module root.
 const listFile = "KNOWN-RED.txt"
 
 func main() {
@@ -38,7 +38,8 @@
 	}
 }
 
-// run reads the list, runs the tests, and reports whether the list covers what failed.
+// run runs "go test" and writes its output and the outcome of each listed test to out. It returns
+// an error if the list is malformed or does not match the failures.
 func run(testArguments []string, out io.Writer) error {
 	known, err := readList(listFile)
 	if err != nil {
@@ -48,18 +49,18 @@
 	if err != nil {
 		return err
 	}
-	problems := tests.judge(known)
+	problems := tests.evaluate(known)
 	for _, problem := range problems {
-		fmt.Fprintln(out, "not passed over:", problem)
+		fmt.Fprintln(out, "error:", problem)
 	}
 	if len(problems) > 0 {
-		return fmt.Errorf("%d problems with the tests or with %s", len(problems), listFile)
+		return fmt.Errorf("%d test failures or outcomes not covered by %s", len(problems), listFile)
 	}
 	for _, failure := range known {
 		if tests.outcome(failure) == actionPass {
-			fmt.Fprintln(out, "passed, see "+listFile+":", failure)
+			fmt.Fprintln(out, "listed test passed, see "+listFile+":", failure)
 		} else {
-			fmt.Fprintln(out, "failed and passed over, see "+listFile+":", failure)
+			fmt.Fprintln(out, "known failure, see "+listFile+":", failure)
 		}
 	}
 	return nil
--- a/internal/tools/knownfailures/main_test.go
+++ b/internal/tools/knownfailures/main_test.go
@@ -8,49 +8,47 @@
 
 // The command fails if the list does not cover what fails. Otherwise it prints the outcome of each listed test.
 func TestRun(t *testing.T) {
-	sampleModule(t)
+	writeSampleModule(t)
 	const (
-		seenFailing = "failed and passed over, see KNOWN-RED.txt: "
-		seenPassing = "passed, see KNOWN-RED.txt: "
+		printedFailing = "known failure, see KNOWN-RED.txt: "
+		printedPassing = "listed test passed, see KNOWN-RED.txt: "
 	)
+	failing := listEntry("sample TestFail", always)
+	passing := listEntry("sample TestPass", always)
+	intermittentFailing := listEntry("sample TestFail", intermittent)
+	intermittentPassing := listEntry("sample TestPass", intermittent)
 	cases := []struct {
 		name, list, pattern string
 		fails               bool
-		printed             string // the end of what is printed, if a test is listed
+		printed             string // end of the output, if a test is listed
 	}{
-		{name: "no list", pattern: "TestPass"},
-		{name: "no list, and a failure", pattern: "TestFail", fails: true},
+		{name: "accepts a pass without a list", pattern: "TestPass"},
+		{name: "rejects a failure without a list", pattern: "TestFail", fails: true},
 		{
-			name: "a known failure", list: listEntry("sample TestFail", always), pattern: "TestFail",
-			printed: seenFailing + "sample TestFail (always): a fault: issue #1\n",
+			name: "accepts a known failure", list: failing, pattern: "TestFail",
+			printed: printedFailing + "sample TestFail (always): a fault: issue #1\n",
 		},
+		{name: "rejects an unlisted failure", list: failing, pattern: "TestFail|TestParent", fails: true},
+		{name: "rejects a known failure that passes", list: passing, pattern: "TestPass", fails: true},
 		{
-			name: "a failure too many", list: listEntry("sample TestFail", always), pattern: "TestFail|TestParent",
-			fails: true,
+			name: "accepts an intermittent test that fails", list: intermittentFailing, pattern: "TestFail",
+			printed: printedFailing + "sample TestFail (intermittent): a fault: issue #1\n",
 		},
 		{
-			name: "a known failure that passes", list: listEntry("sample TestPass", always), pattern: "TestPass",
-			fails: true,
+			name: "accepts an intermittent test that passes", list: intermittentPassing, pattern: "TestPass",
+			printed: printedPassing + "sample TestPass (intermittent): a fault: issue #1\n",
 		},
 		{
-			name: "an intermittent failure", list: listEntry("sample TestFail", intermittent), pattern: "TestFail",
-			printed: seenFailing + "sample TestFail (intermittent): a fault: issue #1\n",
+			name: "rejects an intermittent test that does not exist", pattern: "TestPass", fails: true,
+			list: listEntry("sample TestGone", intermittent),
 		},
 		{
-			name: "an intermittent failure that passes", list: listEntry("sample TestPass", intermittent),
-			pattern: "TestPass", printed: seenPassing + "sample TestPass (intermittent): a fault: issue #1\n",
+			name: "prints the outcome of each entry", list: intermittentPassing + "\n" + failing,
+			pattern: "TestFail|TestPass",
+			printed: printedPassing + "sample TestPass (intermittent): a fault: issue #1\n" +
+				printedFailing + "sample TestFail (always): a fault: issue #1\n",
 		},
-		{
-			name: "an intermittent failure that does not exist", list: listEntry("sample TestGone", intermittent),
-			pattern: "TestPass", fails: true,
-		},
-		{
-			name: "several entries", pattern: "TestFail|TestPass",
-			list: listEntry("sample TestPass", intermittent) + "\n" + listEntry("sample TestFail", always),
-			printed: seenPassing + "sample TestPass (intermittent): a fault: issue #1\n" +
-				seenFailing + "sample TestFail (always): a fault: issue #1\n",
-		},
-		{name: "a malformed list", list: "sample TestFail\n", pattern: "TestFail", fails: true},
+		{name: "rejects a malformed list", list: "sample TestFail\n", pattern: "TestFail", fails: true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -63,7 +61,7 @@
 			}
 			got := printed.String()
 			if !strings.HasSuffix(got, c.printed) || c.printed == "" && strings.Contains(got, "see "+listFile) {
-				t.Errorf("printed %q, want an end of %q", got, c.printed)
+				t.Errorf("printed %q, want suffix %q", got, c.printed)
 			}
 		})
 	}
--- a/internal/tools/knownfailures/sample_test.go
+++ b/internal/tools/knownfailures/sample_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// sampleTests are tests of a module that the real "go test" runs.
+// sampleTests is the test file of package sample in a module that "go test" runs.
 const sampleTests = `package sample
 
 import (
@@ -28,7 +28,7 @@
 
 func TestNoisyParent(t *testing.T) {
 	t.Run("bad", func(t *testing.T) { t.Error("a fault") })
-	t.Error("a fault of the parent's own")
+	t.Error("a fault of the parent itself")
 }
 
 func TestTwoSubtests(t *testing.T) {
@@ -53,7 +53,7 @@
 }
 `
 
-// otherTests are those of a second package, in which a name comes back.
+// otherTests is the test file of package other, with the name of a test of package sample.
 const otherTests = `package other
 
 import "testing"
@@ -61,13 +61,14 @@
 func TestOther(t *testing.T) { t.Error("a fault") }
 `
 
+// uncompiledTests is the test file of a package that does not compile.
 const uncompiledTests = `package uncompiled
 
 var broken int = "text"
 `
 
-// sampleModule writes the module and makes it the working directory.
-func sampleModule(t *testing.T) {
+// writeSampleModule writes the module to a temporary folder and makes that the working directory.
+func writeSampleModule(t *testing.T) {
 	t.Helper()
 	t.Chdir(t.TempDir())
 	for name, content := range map[string]string{
