--- a/internal/fleet/provisioner_records.go
+++ b/internal/fleet/provisioner_records.go
@@ -16,7 +16,7 @@
 	name := strings.TrimPrefix(item.Key, ShardProvisioningPrefix(p.shard))
 	var record ProvisioningRecord
 	if err := json.Unmarshal(item.Value, &record); err != nil {
-		p.log.Error("cannot decode provisioning record", "key", item.Key, "error", err)
+		p.log.Error("failed to decode provisioning record", "key", item.Key, "error", err)
 		p.unreadableRecords++
 		return
 	}
--- a/internal/intentlog/recovery.go
+++ b/internal/intentlog/recovery.go
@@ -16,7 +16,7 @@
 func (l *Log) loadEntry(target string, value json.RawMessage) {
 	record, err := decodeEntry(value)
 	if err != nil {
-		l.options.Log.Error("cannot decode intent log entry", "target", target, "error", err)
+		l.options.Log.Error("failed to decode intent log entry", "target", target, "error", err)
 		return
 	}
 	l.recoverIntent(record.Operation, target, record.Token, record.decidedAt())
--- a/internal/placement/reconciler.go
+++ b/internal/placement/reconciler.go
@@ -102,7 +102,7 @@
 		r.failures.record(now, machine, task)
 		r.tasks.releaseTask(now, task, tuning.TaskBackoffInitial, reported.ExitReason)
 	case wire.ExitInsufficientResources, wire.ExitOtherAttemptPresent, wire.ExitUnknownTask:
-		r.log.Info("task start refused", "task", reported.Name, "attempt", reported.Attempt,
+		r.log.Info("worker rejected task start", "task", reported.Name, "attempt", reported.Attempt,
 			"worker", machine.Host, "reason", reported.ExitReason)
 		r.tasks.releaseTask(now, task, tuning.RejectedStartBackoff, reported.ExitReason)
 	default:
@@ -138,7 +138,7 @@
 func (r *reconciler) recordEarlierCompletion(now time.Time, job *Job, index int) {
 	task := job.tasks[index]
 	if task != nil && task.phase.onMachine() {
-		// The second copy counts as obsolete from now on.
+		// Once the task is completed, its second copy is obsolete.
 		r.tasks.stop(now, task, 0, "completed elsewhere")
 		r.tasks.markCompleted(now, job, index)
 		return
