--- a/internal/fleet/deprovisioner.go
+++ b/internal/fleet/deprovisioner.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// deleteMachines sends a deletion of the machines that are ready for it. At most one call is in
+// deleteMachines deletes the machines whose intents are ready, in one call. At most one call is in
 // flight.
 func (d *deprovisioner) deleteMachines(now time.Time) {
 	if d.inFlight || now.Before(d.retryAt) {
--- a/internal/fleet/inventory.go
+++ b/internal/fleet/inventory.go
@@ -55,7 +55,7 @@
 	return h.unknown[host] >= tuning.AdoptionLists
 }
 
-// countMissed updates the counts of the expected machines by a list. Machines that have left the
+// countMissed updates the counts of the expected machines from a list. Machines that have left the
 // registry are no longer expected.
 func (h *listHistory) countMissed(shown map[string]bool, registry *worker.Registry) {
 	for host := range h.expected {
@@ -106,7 +106,7 @@
 	return max(tuning.ListInterval, config.Seconds(float64(pages)/(i.cloudLimits.RPS*tuning.ListRateShare)))
 }
 
-// reconcile updates the registry by a complete list.
+// reconcile reconciles the registry with a complete list.
 func (i *inventory) reconcile(now time.Time, hosts []wire.Machine) {
 	registry := i.machines.registry
 	shown := map[string]bool{}
--- a/internal/fleet/provisioner.go
+++ b/internal/fleet/provisioner.go
@@ -74,7 +74,7 @@
 }
 
 // request provisions machines of the record's kind. It retries a refused request for the kind and at
-// most maxMachines machines if there is one, and otherwise creates a request by the record. It
+// most maxMachines machines if there is one, and otherwise creates a request from the record. It
 // returns the number of machines requested.
 func (p *provisioner) request(now time.Time, record ProvisioningRecord, maxMachines int) int {
 	request := p.retryRefused(now, record.kind(), maxMachines)
@@ -111,7 +111,7 @@
 }
 
 func (p *provisioner) handleResult(now time.Time, request *provisioningRequest, result cloud.Result) {
-	request.inFlight, request.answeredAt = false, now
+	request.inFlight, request.finishedAt = false, now
 	response, err := result.Response()
 	p.intents.FinishCall(request.intent, outcomeOf(err))
 	noCapacityUntil := now.Add(tuning.NoCapacityBackoff)
@@ -173,7 +173,7 @@
 
 // closeRefused closes a refused request once no delayed copy of its call can be executed any more.
 func (p *provisioner) closeRefused(now time.Time, request *provisioningRequest) {
-	if request.state == requestRefused && now.Sub(request.answeredAt) > tuning.LateCallWindow {
+	if request.state == requestRefused && now.Sub(request.finishedAt) > tuning.LateCallWindow {
 		p.close(now, request, "no capacity")
 	}
 }
--- a/internal/fleet/request.go
+++ b/internal/fleet/request.go
@@ -38,7 +38,7 @@
 	intent     *intentlog.Intent
 	inFlight   bool
 	retryAt    time.Time
-	answeredAt time.Time // when the last call finished
+	finishedAt time.Time // when the last call returned or timed out
 }
 
 // pendingRemoval is a deleted machine and the first version of the record that does not name it.
@@ -55,7 +55,7 @@
 // retryable reports whether a refused request can be retried in place of a new one.
 func (r *provisioningRequest) retryable(now time.Time, kind machineKind, maxMachines int, backoff time.Duration) bool {
 	return r.state == requestRefused && r.record.kind() == kind && r.record.Number <= maxMachines &&
-		now.Sub(r.answeredAt) >= backoff
+		now.Sub(r.finishedAt) >= backoff
 }
 
 func (r *provisioningRequest) setState(log *slog.Logger, state requestState, reason string) {
--- a/internal/intentlog/history_specification_test.go
+++ b/internal/intentlog/history_specification_test.go
@@ -23,7 +23,7 @@
 	machineID string
 }
 
-// operationResult is what the holder knows about the outcome of an operation.
+// operationResult is the holder's knowledge of the outcome of an operation.
 type operationResult struct {
 	known      bool // the operation is known to have been executed
 	entryFound bool // a failoverOperation found an entry
--- a/internal/intentlog/intent.go
+++ b/internal/intentlog/intent.go
@@ -48,7 +48,7 @@
 	Recording State = iota
 	// Recorded means that the entry is durable and no call is in flight.
 	Recorded
-	// InFlight means that a call was sent and has not been answered.
+	// InFlight means that a call was sent and its result is pending.
 	InFlight
 	// Completed means that the effect is known to be in place, or is no longer wanted.
 	Completed
--- a/internal/intentlog/model_checks_test.go
+++ b/internal/intentlog/model_checks_test.go
@@ -9,7 +9,7 @@
 	"juniperchute/internal/intentlog"
 )
 
-// observations are what an observer outside the model knows about a run.
+// observations holds what a run has shown so far: durable entries, violations and the history.
 type observations struct {
 	recordedToken map[string]uint64 // by machine: the token of its last durable entry
 	violations    []string
--- a/internal/intentlog/model_delivery_test.go
+++ b/internal/intentlog/model_delivery_test.go
@@ -48,9 +48,9 @@
 type stateCallOutcome int
 
 const (
-	stateCallRefused stateCallOutcome = iota
+	stateCallRejected stateCallOutcome = iota
 	stateCallLost
-	stateAnswerLost
+	stateReplyLost
 	stateCallDelayed // executed after the caller has timed out
 	stateCallDelivered
 )
@@ -59,9 +59,9 @@
 type deletionOutcome int
 
 const (
-	deletionRefused deletionOutcome = iota
+	deletionRejected deletionOutcome = iota
 	deletionLost
-	deletionAnswerLost
+	deletionReplyLost
 	deletionDelayed
 	deletionDuplicated // executed at once, and again later
 	deletionDelivered
@@ -70,17 +70,17 @@
 func (m *model) deliverStateCall(i int, outcome stateCallOutcome) {
 	c := m.inFlight.stateCalls[i]
 	m.inFlight.stateCalls = slices.Delete(m.inFlight.stateCalls, i, i+1)
-	noAnswer := store.Result{Err: store.ErrNoResponse}
+	noResponse := store.Result{Err: store.ErrNoResponse}
 	switch outcome {
-	case stateCallRefused:
+	case stateCallRejected:
 		c.answer(m.now(), store.Result{Err: store.ErrThrottled})
 	case stateCallLost:
-		c.answer(m.now(), noAnswer)
-	case stateAnswerLost:
+		c.answer(m.now(), noResponse)
+	case stateReplyLost:
 		m.executeStateCall(c.call, func(store.Result) {})
-		c.answer(m.now(), noAnswer)
+		c.answer(m.now(), noResponse)
 	case stateCallDelayed:
-		c.answer(m.now(), noAnswer)
+		c.answer(m.now(), noResponse)
 		m.inFlight.stateCalls = append(m.inFlight.stateCalls, &stateCall{call: c.call})
 	default:
 		m.executeStateCall(c.call, func(result store.Result) { c.answer(m.now(), result) })
@@ -97,11 +97,11 @@
 	m.inFlight.deletions = slices.Delete(m.inFlight.deletions, i, i+1)
 	late := &deletion{machineID: d.machineID}
 	switch outcome {
-	case deletionRefused:
+	case deletionRejected:
 		d.answer(intentlog.NotExecuted)
 	case deletionLost:
 		d.answer(intentlog.Unknown)
-	case deletionAnswerLost:
+	case deletionReplyLost:
 		m.executeDeletion(d.machineID)
 		d.answer(intentlog.Unknown)
 	case deletionDelayed:
--- a/internal/intentlog/model_holder_test.go
+++ b/internal/intentlog/model_holder_test.go
@@ -86,8 +86,8 @@
 	list := store.Call{Op: store.OpList, Prefix: intentlog.ShardPrefix(0)}
 	m.state.Call(list, func(result store.Result) { pages = result.KeyValues })
 	h.loaded = true
-	// A superseded holder may read entries of a later term. It may not act on them, so its read is
-	// no part of the history.
+	// A superseded holder may read entries of a later term. It may not act on them, so its read does
+	// not belong to the history.
 	if h == m.currentHolder() {
 		h.addLoadToHistory()
 	}
--- a/internal/intentlog/transitions.go
+++ b/internal/intentlog/transitions.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Outcome is what the caller knows about the execution of a call.
+// Outcome is the caller's knowledge of whether a call was executed.
 type Outcome int
 
 // The outcomes of a call.
--- a/internal/placement/array.go
+++ b/internal/placement/array.go
@@ -117,8 +117,8 @@
 	return true
 }
 
-// placeTask queues both copies of one task and reports whether a machine could
-// take its primary.
+// placeTask queues the copies of one task and reports whether it did. It returns
+// false if no machine can take the primary or no pending task may start yet.
 func (p *arrayPlacement) placeTask(now time.Time) bool {
 	s, job := p.scheduler, p.job
 	chosen := s.pickLowestRank(p.candidates)
--- a/internal/placement/array_candidates.go
+++ b/internal/placement/array_candidates.go
@@ -33,12 +33,12 @@
 
 // rankFor returns the rank of a machine for a task of the job. It prefers spot
 // machines for jobs that may use them, then machines that cache the image or
-// will pull it, then fuller machines, so that the others drain and can be
+// will pull it, then fuller machines, so that the others become idle and can be
 // terminated.
 func (info *machineInfo) rankFor(job *Job) int {
 	const (
-		noImage  = 2 * tuning.FreeShareLevels // outweighs any fill level
-		onDemand = 4 * tuning.FreeShareLevels // outweighs the image and any fill level
+		noImage  = 2 * tuning.FreeShareLevels // outweighs any free level
+		onDemand = 4 * tuning.FreeShareLevels // outweighs a missing image and any free level
 	)
 	rank := freeLevel(info.machine)
 	if job.Spec.Spot && !info.machine.Spot {
--- a/internal/placement/backup_preemption.go
+++ b/internal/placement/backup_preemption.go
@@ -8,8 +8,8 @@
 	"juniperchute/internal/worker"
 )
 
-// preemptBackups stops backups on a machine until their resources cover missing.
-// Backups that are already stopping count towards it.
+// preemptBackups preempts backups on a machine until the resources that they will
+// release cover missing. Backups that are already stopping count as preempted.
 func (l *taskLifecycle) preemptBackups(now time.Time, machine *worker.Machine, missing quota.Resources) {
 	for _, task := range slices.Clone(l.capacity.info(machine).assigned) {
 		if missing.CPUs <= 0 && missing.GPUs <= 0 && missing.MemGB <= 0 {
--- a/internal/placement/capacity_index.go
+++ b/internal/placement/capacity_index.go
@@ -10,8 +10,8 @@
 
 // capacityIndex keeps the cost of a scheduling pass proportional to the machines
 // that changed, and not to the product of machines and jobs:
-//   - it assigns a revision to each gain of capacity, so that a job that fitted
-//     nowhere tries only machines that have gained capacity since;
+//   - it assigns a revision to each gain of capacity, so that a job that fits
+//     nowhere tries only machines that have gained capacity since its last search;
 //   - it lists the machines that fit the smallest task of any open array, so
 //     that a pass skips the arrays if there are none;
 //   - it counts the slots for each equivalence class of gangs.
--- a/internal/placement/consolidation.go
+++ b/internal/placement/consolidation.go
@@ -22,8 +22,8 @@
 
 // consolidate cordons machines whose tasks all fit on other machines and
 // preempts those tasks. It runs only while no startable task of an array or a
-// service is pending, and cordons a bounded share of the machines per run. Sources are
-// on-demand machines first, then those with the lowest allocation; targets are
+// service is pending, and cordons a bounded share of the machines per run. It tries
+// on-demand machines first, then those with the lowest allocation, and moves tasks to
 // the machines with the highest allocation.
 func (c *consolidator) consolidate(now time.Time) {
 	if !c.reconciled || now.Before(c.nextRun) || c.queue.startableTasksPending(now) {
--- a/internal/placement/demand.go
+++ b/internal/placement/demand.go
@@ -8,7 +8,8 @@
 	"juniperchute/internal/tuning"
 )
 
-// Offer describes a machine type in a zone, spot or on demand, that can be provisioned now.
+// Offer describes a machine type in a zone, spot or on demand, and the number of such machines that
+// may be requested now.
 type Offer struct {
 	Type, Zone  string
 	Spot        bool
@@ -91,9 +92,9 @@
 	admitted    map[string]quota.Resources // resources packed so far, by team
 }
 
-// admit reports whether a team's limit admits the resources in addition to those
-// packed so far, and adds them if so. Work over the limit cannot start and must
-// not cause machines to be provisioned.
+// admit reports whether the limit of the job's team admits the resources in addition
+// to those packed so far, and adds them if so. Work over the limit cannot start and
+// must not cause machines to be provisioned.
 func (p *demandPlan) admit(job *Job, resources quota.Resources) bool {
 	total := p.admitted[job.Spec.Team].Add(resources)
 	if !p.ledger.AdmitsReservation(job.Spec.Team, total) {
--- a/internal/placement/demand_bins.go
+++ b/internal/placement/demand_bins.go
@@ -35,14 +35,14 @@
 // inUse reports whether the bin is an existing machine with assigned tasks.
 func (b *bin) inUse() bool { return b.machine != nil && b.machine.ActiveCopies > 0 }
 
-// suits reports whether the job's constraints allow the machine and the job has not
-// failed on it in a way that excludes it.
+// suits reports whether the job's constraints allow the machine and the job does not
+// avoid it because of past failures.
 func (b *bin) suits(job *Job) bool {
 	return job.allows(b.kind) && (b.machine == nil || !job.avoids(b.machine))
 }
 
-// addMachineBins adds a bin for each existing machine that accepts work, and resets
-// the needed mark of every machine to whether it has tasks.
+// addMachineBins adds a bin for each existing machine that accepts work. It marks
+// every machine with tasks as needed and clears the mark of all others.
 func (p *demandPlan) addMachineBins() {
 	lease := config.Seconds(p.platform.Workers.LeaseS)
 	for _, machine := range p.registry.All() {
--- a/internal/placement/dispatch.go
+++ b/internal/placement/dispatch.go
@@ -88,8 +88,8 @@
 }
 
 // backupMayStart reports whether a task's primary has been queued for at least
-// stuckAfter and will not start with the next heartbeat of its machine. Such a
-// start would preempt the backup at once.
+// stuckAfter and will not start with the next heartbeat of its machine. A primary
+// that starts preempts the backup.
 func backupMayStart(now time.Time, task *Task, stuckAfter time.Duration) bool {
 	if task.phase != Unassigned || task.primary == nil || now.Sub(task.primaryQueuedAt) < stuckAfter {
 		return false
--- a/internal/placement/fair_share.go
+++ b/internal/placement/fair_share.go
@@ -13,8 +13,8 @@
 type queuePosition struct {
 	effectivePriority int     // priority plus starvation boost
 	fairSharePosition float64 // order within the effective priority; adjusted wall clock time in seconds
-	// outsideLocalityWindow reports whether the position is too late to overtake
-	// earlier arrays for the sake of a cached image.
+	// outsideLocalityWindow reports whether the position is too far behind the first
+	// pending array for tasks of the job to overtake earlier arrays by a cached image.
 	outsideLocalityWindow bool
 	// imageUnderReplicated reports whether fewer machines cache the image than the
 	// pending tasks can fill, so that tasks may go to machines without it.
@@ -23,9 +23,9 @@
 }
 
 // fairShareOrder returns jobs of one effective priority in scheduling order, by
-// age with two adjustments: gangs and services get a head start, and arrays get
-// a penalty that grows with their pending work. Under overload, small jobs then
-// meet their objectives. Both adjustments are bounded, so that arrays do not starve.
+// age with two adjustments: gangs and services get a bonus, and arrays get a
+// penalty that grows with their pending work. The penalty lets small jobs meet their
+// objectives under overload. Both adjustments are bounded, so that arrays do not starve.
 func (q *jobQueue) fairShareOrder(jobs []*Job) []*Job {
 	ordered := slices.Clone(jobs)
 	pendingWork := map[*Job]float64{} // machine-seconds
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -33,7 +33,7 @@
 	if len(gang.tasks) > 0 || gang.IsComplete() || !g.canPlace(now, gang, scope) {
 		return
 	}
-	// The marker comes before the search: thousands of gangs may wait for theirs.
+	// The marker is checked before the costly search, since thousands of gangs may wait for theirs.
 	if !g.markers.ensure(now, gang) {
 		return
 	}
@@ -107,8 +107,8 @@
 }
 
 // mustPreemptImmediately reports whether the gang meets a start objective of its
-// class only if the victims stop without saving a checkpoint. Victims lose their
-// progress since the last checkpoint, which costs about as much as saving one.
+// class only if the victims stop without saving a checkpoint. The victims then lose
+// their progress since the last checkpoint.
 func (g *gangScheduler) mustPreemptImmediately(now time.Time, gang *Job, slots []gangSlot) bool {
 	fetch, save := 0.0, 0.0
 	for _, slot := range slots {
@@ -130,8 +130,8 @@
 }
 
 // recordPlacementFailure sets the gang's pending reason. A gang that has waited
-// longer than tuning.GangBlockingDelay becomes the blocking gang: other gangs are not
-// placed before it, because small gangs would otherwise take every machine that
+// longer than tuning.GangBlockingDelay becomes the blocking gang: no other gang is
+// placed for the rest of the pass. Otherwise small gangs would take every machine that
 // becomes free and starve a large one. A gang that exceeds the capacity of all
 // machines never blocks others.
 func (g *gangScheduler) recordPlacementFailure(now time.Time, gang *Job) {
@@ -162,9 +162,9 @@
 	gang.attempt = g.attempts.next(gang)
 	for index := range gang.Spec.Tasks {
 		task := gang.tasks[index]
-		copied := assignment{machine: task.primary, attempt: gang.attempt}
+		target := assignment{machine: task.primary, attempt: gang.attempt}
 		g.queues.withdrawCopies(task)
-		g.tasks.dispatch(now, task, copied, "gang starts")
+		g.tasks.dispatch(now, task, target, "gang starts")
 	}
 }
 
--- a/internal/placement/gang_placement.go
+++ b/internal/placement/gang_placement.go
@@ -89,8 +89,8 @@
 }
 
 // evaluateCandidates selects the victims on the candidates and returns those that fit
-// a task, in ascending order of exact cost. It stops once the cheapest ones hold the
-// whole gang, except for a gang that is spread across zones, which may need any.
+// a task, in ascending order of exact cost. It stops once the cheapest ones have slots
+// for the whole gang, unless the gang is spread across zones and may need any candidate.
 func (g *gangScheduler) evaluateCandidates(
 	now time.Time, gang *Job, class equivalenceClass, candidates []*gangCandidate,
 ) []*gangCandidate {
@@ -123,8 +123,8 @@
 	return index
 }
 
-// haveEnoughSlots reports whether the candidates that cost at most the given cost hold
-// the whole gang. The candidates are sorted by cost.
+// haveEnoughSlots reports whether the candidates that cost at most the given cost have
+// slots for the whole gang. The candidates must be sorted by cost.
 func haveEnoughSlots(gang *Job, candidates []*gangCandidate, cost float64) bool {
 	slots := 0
 	for _, c := range candidates {
--- a/internal/placement/gang_slots.go
+++ b/internal/placement/gang_slots.go
@@ -15,7 +15,8 @@
 const maxTasksPerMachine = wire.MaxTasksPerJob
 
 // preemptionScope selects whether a placement has to stay within the team's quota
-// guarantee. Only such a placement may preempt other teams' work for being over theirs.
+// guarantee. Only a placement within the guarantee may preempt work of teams over their
+// guarantees regardless of its priority.
 type preemptionScope bool
 
 const (
@@ -102,8 +103,9 @@
 	return false
 }
 
-// feasibleSlots returns the number of tasks of a class that fit on a machine if all
-// preemptible work there is preempted. It never underestimates.
+// feasibleSlots returns the number of tasks of a class that fit into a machine's free
+// resources or, if none fits, that fit once all preemptible work there is preempted. It
+// is an upper bound on the slots that a placement finds on the machine.
 func (c *capacityIndex) feasibleSlots(now time.Time, class equivalenceClass, machine *worker.Machine) int {
 	if !machine.Schedulable() || !class.allows(machine) {
 		return 0
--- a/internal/placement/job_tasks.go
+++ b/internal/placement/job_tasks.go
@@ -17,7 +17,7 @@
 	nextIndex        int           // lowest index that was never scheduled
 	returnedTasks    []returnedTask
 	completed        bitset
-	durablyCompleted bitset // completed tasks whose outcome is in the key-value store
+	durablyCompleted bitset // completed tasks whose outcome is in the state service
 }
 
 // returnedTask is a pending task that was scheduled before.
@@ -65,7 +65,7 @@
 	}
 }
 
-// MarkDurable records that the outcome of a completed task is in the key-value store.
+// MarkDurable records that the outcome of a completed task is in the state service.
 func (j *jobTasks) MarkDurable(index int) { j.durablyCompleted.add(index) }
 
 // UnsavedCompletions returns the completed tasks in the index range [from, to)
--- a/internal/placement/pass_state.go
+++ b/internal/placement/pass_state.go
@@ -13,7 +13,7 @@
 	gangsWithoutRoom int
 	gangsPlaced      int
 	arrayTasksQueued int
-	blockingGang     *Job // no later gang is placed in this pass
+	blockingGang     *Job // no other gang is placed for the rest of the pass
 }
 
 // reset clears the state at the start of a pass.
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -12,8 +12,8 @@
 type preemptionRules struct{ *sharedState }
 
 // allow reports whether a task may be preempted for work of a class. Work of higher
-// priority preempts lower, and work within its team's guarantee preempts work of
-// teams over theirs. Starving work is not preempted for its priority.
+// priority preempts work of lower priority, unless that is starving. Work within its
+// team's guarantee preempts work of teams over their guarantees, whatever the priorities.
 func (r preemptionRules) allow(now time.Time, task *Task, class equivalenceClass) bool {
 	victim := task.Job
 	if task.isBackup || victim.closed {
--- a/internal/placement/preemption_test.go
+++ b/internal/placement/preemption_test.go
@@ -38,7 +38,7 @@
 	},
 }
 
-// A gang preempts exactly the work that the protocol's rules allow, by priority and
+// A gang preempts exactly the work that preemptionRules allows, by priority and
 // guarantee.
 func TestPreemption(t *testing.T) {
 	for _, c := range preemptionCases {
--- a/internal/placement/reconciliation.go
+++ b/internal/placement/reconciliation.go
@@ -17,15 +17,15 @@
 type assignedState int
 
 const (
-	// assignedInFlight: not reported, but the run command may still be executed.
+	// assignedInFlight means that the task is not reported, but its run command may still be executed.
 	assignedInFlight assignedState = iota
-	// assignedPresent: reported, and has not exited.
+	// assignedPresent means that the task is reported and has not exited.
 	assignedPresent
-	// assignedExited: reported as exited.
+	// assignedExited means that the task is reported as exited.
 	assignedExited
-	// assignedLost: reported before, and no longer.
+	// assignedLost means that the task was reported before and is no longer.
 	assignedLost
-	// assignedNeverStarted: stopping, and its run command can no longer be executed.
+	// assignedNeverStarted means that the task is stopping and its run command can no longer be executed.
 	assignedNeverStarted
 )
 
@@ -67,18 +67,18 @@
 type reportedState int
 
 const (
-	// reportedExpected: the attempt assigned to the machine.
+	// reportedExpected means that the attempt is the one assigned to the machine.
 	reportedExpected reportedState = iota
-	// reportedFinished: exited, and requires no action.
+	// reportedFinished means that the task has exited and requires no action.
 	reportedFinished
-	// reportedCompleted: completed, which is not recorded yet.
+	// reportedCompleted means that the task has completed, which is not recorded yet.
 	reportedCompleted
-	// reportedAdoptable: runs, started by an earlier term, and no copy is dispatched.
+	// reportedAdoptable means that the task runs, an earlier term started it, and no copy is dispatched.
 	reportedAdoptable
-	// reportedObsolete: runs although its job is closed, the task has completed, or
+	// reportedObsolete means that the task runs although its job is closed, it has completed, or
 	// another copy is assigned.
 	reportedObsolete
-	// reportedUnknownJob: runs, but its job is unknown.
+	// reportedUnknownJob means that the task runs, but its job is unknown.
 	reportedUnknownJob
 )
 
--- a/internal/placement/replica_rank.go
+++ b/internal/placement/replica_rank.go
@@ -11,7 +11,7 @@
 //   - few replicas of the same service, which limits the effect of losing a machine;
 //   - on demand rather than spot;
 //   - the image is cached;
-//   - other services are there, so that few machines are pinned by services;
+//   - replicas of other services are there, so that consolidation can empty more machines;
 //   - high allocation.
 func (info *machineInfo) replicaRank(service *Job) int {
 	const (
--- a/internal/placement/rescheduling.go
+++ b/internal/placement/rescheduling.go
@@ -10,7 +10,8 @@
 	"juniperchute/internal/worker"
 )
 
-// rescheduler moves copies off machines that are going away or where they are stuck.
+// rescheduler moves copies off machines with a preemption notice, and out of queues in
+// which they cannot start.
 type rescheduler struct {
 	*sharedState
 	capacity *capacityIndex
@@ -33,9 +34,8 @@
 	}
 }
 
-// evacuate migrates the replicas on a machine with a preemption notice. Tasks
-// that save checkpoints are preempted at the last moment that leaves them enough
-// time to do so.
+// evacuate migrates the replicas on a machine with a preemption notice. It preempts
+// tasks that save checkpoints as late as the time to save one allows.
 func (r *rescheduler) evacuate(now time.Time, info *machineInfo) {
 	heartbeats := config.Seconds(r.platform.Workers.HeartbeatS * tuning.PreemptionHeartbeats)
 	latest := info.machine.PreemptionTime.Add(-heartbeats - tuning.CheckpointGrace)
--- a/internal/placement/scheduling_pass.go
+++ b/internal/placement/scheduling_pass.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// scheduleJob schedules a job's pending tasks. Most jobs have none, so that is
-// checked first.
+// scheduleJob schedules a job's pending tasks. The cheap checks come first, since
+// most jobs have none.
 func (s *Scheduler) scheduleJob(now time.Time, job *Job, filter passFilter) {
 	switch {
 	case !job.isArray() && filter.requirement == cachedImage:
--- a/internal/placement/service_restart_test.go
+++ b/internal/placement/service_restart_test.go
@@ -131,15 +131,15 @@
 
 func unresponsiveReplicaWaits(t *testing.T, h *testHarness) {
 	service := h.startService(1)
-	hanging := service.tasks[0].machine
-	h.registry.SetState(h.now, hanging, worker.Unresponsive, "test")
+	unresponsive := service.tasks[0].machine
+	h.registry.SetState(h.now, unresponsive, worker.Unresponsive, "test")
 	for range 50 {
 		if sent := h.deliverDirectCommands(); strings.Contains(sent, "run ") {
 			t.Fatal("second copy started before the lease expired")
 		}
 	}
-	h.expireLease(hanging)
-	if h.deliverDirectCommands(); service.AssignedTasks() != 1 || h.hosts(hanging, service) {
+	h.expireLease(unresponsive)
+	if h.deliverDirectCommands(); service.AssignedTasks() != 1 || h.hosts(unresponsive, service) {
 		t.Error("replica not restarted elsewhere after lease expiry")
 	}
 }
--- a/internal/placement/shared_state.go
+++ b/internal/placement/shared_state.go
@@ -9,7 +9,7 @@
 	"juniperchute/internal/worker"
 )
 
-// sharedState holds the configuration, counters and collaborators that all
+// sharedState holds the configuration, counters and dependencies that all
 // components of a scheduler share.
 type sharedState struct {
 	Settings   Settings
@@ -22,7 +22,7 @@
 	reconciled bool // every machine that may belong to the shard is reconciled or deleted
 }
 
-// Settings holds the runtime settings of operators that affect placement.
+// Settings holds the operators' runtime settings that affect placement.
 type Settings struct {
 	DropThreshold int // preemptions after which a task's backup is withdrawn
 }
--- a/internal/placement/starvation_test.go
+++ b/internal/placement/starvation_test.go
@@ -22,7 +22,7 @@
 
 var starvationCases = []struct {
 	name  string
-	burst jobProfile // one job of it arrives every two seconds
+	burst jobProfile // one such job arrives every two seconds
 	large jobProfile // must start despite the burst
 }{
 	{
--- a/internal/placement/urgent.go
+++ b/internal/placement/urgent.go
@@ -36,7 +36,7 @@
 	return ready
 }
 
-// urgency tells whether and when commands for a machine must be sent directly.
+// urgency classifies whether and when commands for a machine must be sent directly.
 type urgency int
 
 const (
@@ -45,9 +45,9 @@
 	urgentNow
 )
 
-// urgency returns the highest urgency of the commands for the machine. Urgent
-// are the start of a gang's task or a replica, up to tuning.MaxDirectStarts, and
-// the stop of a task of an open job whose run command has been sent.
+// urgency returns the highest urgency of the commands for the machine. The start of
+// a gang's task or a replica is urgent, up to tuning.MaxDirectStarts, and so is the
+// stop of a task of an open job whose run command has been sent.
 func (info *machineInfo) urgency() urgency {
 	highest := notUrgent
 	for _, task := range info.assigned {
--- a/internal/submission/service.go
+++ b/internal/submission/service.go
@@ -18,7 +18,7 @@
 
 // Progress holds the task counts of an open job, as reported by its shard's lease holder.
 type Progress struct {
-	Known         bool // false if the lease holder has not answered or does not know the job
+	Known         bool // false if the lease holder has not replied or does not know the job
 	Done, Running int  // numbers of tasks
 }
 
--- a/internal/worker/heartbeat.go
+++ b/internal/worker/heartbeat.go
@@ -29,7 +29,7 @@
 	// HeartbeatStale means that the status is older or a duplicate and was ignored.
 	HeartbeatStale
 	// HeartbeatNewIncarnation means that the status was applied and that the worker's lease has expired
-	// since the status before.
+	// since the previous status.
 	HeartbeatNewIncarnation
 )
 
@@ -83,8 +83,8 @@
 	return m.State == LeaseExpired && status.Incarnation <= m.SeenIncarnation
 }
 
-// updateReplyConfirmed must run before updateLiveness, since it compares the status with the last one
-// applied.
+// updateReplyConfirmed updates ReplyConfirmed and UnconfirmedSince. It must run before updateLiveness, since
+// it compares the status with the last one applied.
 func (m *Machine) updateReplyConfirmed(now time.Time, status *wire.Heartbeat, source StatusSource) {
 	switch {
 	case m.confirmsReply(now, status, source):
--- a/internal/worker/machine.go
+++ b/internal/worker/machine.go
@@ -21,7 +21,7 @@
 	Unreconciled
 	// Up means that heartbeats of the worker arrive.
 	Up
-	// Unresponsive means that heartbeats have stopped, but the worker's lease may not have expired.
+	// Unresponsive means that heartbeats have stopped, but the worker's lease may still be valid.
 	Unresponsive
 	// LeaseExpired means that the worker's lease has expired even with the maximum clock drift. Nothing
 	// runs on the machine.
@@ -112,8 +112,8 @@
 	// ReplyConfirmed is set while the statuses of the worker show that replies or commands reach it. A
 	// worker that receives none holds no lease and executes nothing, even if its heartbeats arrive.
 	ReplyConfirmed bool
-	// UnconfirmedSince is the time of the first of the latest statuses that show no receipt, zero if the
-	// last one applied shows it.
+	// UnconfirmedSince is the arrival time of the first status after the last one that confirmed a reply or
+	// command, zero if there is none.
 	UnconfirmedSince time.Time
 	// CommandInFlight is set while the result of a direct command is pending.
 	CommandInFlight bool
@@ -121,7 +121,7 @@
 	UnansweredCommands int
 }
 
-// Durability holds which stored records name a machine. The next term recovers machines from them.
+// Durability records which stored records name a machine. The next term recovers machines from them.
 type Durability struct {
 	// Recorded is set if a provisioning record names the machine.
 	Recorded bool
