--- a/internal/controller/cancellation_loading_test.go
+++ b/internal/controller/cancellation_loading_test.go
@@ -56,7 +56,8 @@
 		sim.clock.Step()
 	}
 	if cancelled.KnownState != wire.JobCancelled {
-		t.Fatalf("the user knows the cancelled job as %q, want %q", cancelled.KnownState, wire.JobCancelled)
+		t.Fatalf("the user's last known state of the cancelled job is %q, want %q",
+			cancelled.KnownState, wire.JobCancelled)
 	}
 	sim.state.SetUnavailable(true)
 	ofCancelled, ofOthers := sim.renewalsWhileLoading(cancelled)
@@ -168,7 +169,7 @@
 }
 
 // Guards against a worker lease that is renewed without a stop command for the cancelled tasks: the
-// answer to a machine's first heartbeat in a term must do both.
+// response to a machine's first heartbeat in a term must do both.
 func TestStopSentAtFirstReconciliation(t *testing.T) {
 	sim := steadySimulation(t, 6, 2)
 	cancelled := sim.submitJob(trainingArray("job-100", 2, 300), 400*time.Second)
@@ -185,7 +186,7 @@
 		}
 	}
 	if successor == nil || cancelled.KnownState != wire.JobCancelled {
-		t.Fatalf("no term is fencing, or the user knows the cancelled job as %q", cancelled.KnownState)
+		t.Fatalf("no term is fencing, or the user's last known state of the cancelled job is %q", cancelled.KnownState)
 	}
 	stopped := false
 	successor.HandleHeartbeat(sim.clock.Now(), unreachable.Heartbeat(), func(status int, body any) {
@@ -195,7 +196,7 @@
 		}
 	})
 	if !stopped {
-		t.Errorf("the answer to %s has no stop command for %s", unreachable.Host.ID, cancelled.Spec.ID)
+		t.Errorf("the response to %s has no stop command for %s", unreachable.Host.ID, cancelled.Spec.ID)
 	}
 	unreachable.partitioned = false
 	sim.release(unreachable)
@@ -217,7 +218,7 @@
 }
 
 // passCancellation delivers a heartbeat with a cancellation from another controller to n and
-// returns the answer of n.
+// returns the reply of n.
 func (sim *simulation) passCancellation(n *simulatedNode, job string) *peerpb.PeerHeartbeat {
 	other := sim.firstNodeExcept(n)
 	m := other.controller.newPeerHeartbeat(sim.clock.Now(), n.name)
--- a/internal/controller/cancellation_outage_test.go
+++ b/internal/controller/cancellation_outage_test.go
@@ -14,8 +14,8 @@
 type cancellationOutage struct {
 	name        string
 	before      func(s *outageScenario) // runs when the state service begins to refuse the lease holder
-	during      func(s *outageScenario) // runs in the outage
-	keepsLeases bool                    // whether every worker must keep its lease
+	during      func(s *outageScenario) // runs during the outage
+	keepsLeases bool                    // every worker must keep its lease
 }
 
 var cancellationOutages = []cancellationOutage{
@@ -179,7 +179,7 @@
 	s.runFor(300 * time.Millisecond)
 	for _, j := range cancelled {
 		if j.KnownState != wire.JobCancelled {
-			s.t.Fatalf("the user knows %s as %q, want %q", j.Spec.ID, j.KnownState, wire.JobCancelled)
+			s.t.Fatalf("the user's last known state of %s is %q, want %q", j.Spec.ID, j.KnownState, wire.JobCancelled)
 		}
 	}
 	s.state.SetUnavailable(true)
@@ -205,7 +205,7 @@
 	now := s.clock.Now()
 	record := func(r submission.Response) {
 		if accepted, ok := r.Body.(wire.JobAccepted); r.Status == 200 && ok {
-			s.recordAnswer(j, accepted.State, "")
+			s.recordResponse(j, accepted.State, "")
 		}
 	}
 	if withResubmission {
@@ -217,7 +217,7 @@
 }
 
 // checkLeasesKept adds a violation for each machine whose incarnation has changed since the outage
-// began: a worker takes a new incarnation when its lease expires.
+// began: a worker starts a new incarnation when its lease expires.
 func (s *outageScenario) checkLeasesKept() {
 	for id, incarnation := range s.incarnations {
 		if m := s.machines[id]; m != nil && m.Incarnation != incarnation {
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -7,7 +7,7 @@
 )
 
 // Guards against a start command that is delayed beyond the time in which a cancelled job's tasks
-// must have stopped: only a new incarnation of the machine makes it invalid, as no stop overtakes it.
+// must have stopped: only a new incarnation of the worker invalidates it, as no stop overtakes it.
 func TestCancelledStartInTransit(t *testing.T) {
 	sim := steadySimulation(t, 2, 1)
 	sim.runFor(40 * time.Second)
@@ -37,7 +37,7 @@
 }
 
 // commandsInTransit returns the number of workers to which the lease holder has sent a direct
-// command that is not answered yet.
+// command whose response has not arrived yet.
 func (sim *simulation) commandsInTransit() int {
 	count := 0
 	shardTerm := sim.leaseHolder().controller.terms[0]
--- a/internal/controller/cancellation_watermark_test.go
+++ b/internal/controller/cancellation_watermark_test.go
@@ -13,7 +13,7 @@
 type acknowledgementCase struct {
 	name     string
 	change   func(holder *simulatedNode, m *peerpb.PeerHeartbeat) // changes a peer's heartbeat
-	advances bool                                                 // whether the watermark must advance
+	advances bool                                                 // the watermark must advance
 }
 
 var acknowledgementCases = []acknowledgementCase{
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -44,7 +44,7 @@
 
 	membership    *leader.Membership
 	submissions   *submission.Service
-	terms         map[int]*term.Term // by shard; an ended term stays until the control records drop it
+	terms         map[int]*term.Term // by shard; an ended term stays while the control records assign it
 	settings      admin.Settings
 	machineTypes  machineTypes
 	storedIntents storedIntents // as of the last complete read for an operator
@@ -186,7 +186,7 @@
 	}
 	var record fleet.MachineTypeRecord
 	if err := json.Unmarshal(kv.Value, &record); err != nil {
-		c.environment.Log.Error("machine type record cannot be decoded", "key", kv.Key, "error", err)
+		c.environment.Log.Error("failed to decode machine type record", "key", kv.Key, "error", err)
 		return
 	}
 	c.machineTypes.byName[name] = record.MachineType
@@ -233,7 +233,7 @@
 }
 
 // Healthy reports whether this controller can take requests. It returns false if only this
-// controller has lost the state service, or if neither the state service nor a peer responds:
+// controller cannot reach the state service, or if neither the state service nor a peer responds:
 // users then turn to the other controllers. In an outage of the state service all controllers
 // stay healthy, because an unhealthy controller gets requests again only after a delay.
 func (c *Controller) Healthy(now time.Time) bool {
@@ -256,8 +256,8 @@
 	return !isolated
 }
 
-// HandleHeartbeat answers a worker's heartbeat. If this process does not hold the shard's lease,
-// HandleHeartbeat redirects the worker to the lease holder.
+// HandleHeartbeat handles a worker's heartbeat and replies to it. If this process does not hold the
+// shard's lease, HandleHeartbeat redirects the worker to the lease holder.
 func (c *Controller) HandleHeartbeat(now time.Time, heartbeat *wire.Heartbeat, reply func(status int, body any)) {
 	shard := c.shardOf(heartbeat.Host)
 	if t := c.liveTerm(shard); t != nil {
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -54,7 +54,7 @@
 		want:   "n2",
 	},
 	{
-		name:   "shard resigned and unassigned: redirect names no member",
+		name:   "shard released and unassigned: redirect names no member",
 		claims: []*peerpb.LeaseClaim{{Token: 4, Holder: "n1"}, {Token: 5}},
 	},
 	{
@@ -101,7 +101,7 @@
 }
 
 // Queries that arrive while a call is in flight must go out together in the next call, and each
-// must get the answer for its own job.
+// must get the reply for its own job.
 func TestProgressQueriesAreBatched(t *testing.T) {
 	now := time.Unix(1000, 0)
 	cfg := testConfig(oneZone, steadyTeams, 1.5, 10)
@@ -129,7 +129,7 @@
 		effects.replies[i](now, r, nil)
 	}
 	if len(effects.requests) != 2 || len(got) != queries {
-		t.Fatalf("got %d calls and %d answers, want 2 calls and %d answers", len(effects.requests), len(got), queries)
+		t.Fatalf("got %d calls and %d replies, want 2 calls and %d replies", len(effects.requests), len(got), queries)
 	}
 	for i, p := range got {
 		if p.Known != (i > 0) || i > 0 && p.Done != i {
--- a/internal/controller/digest_test.go
+++ b/internal/controller/digest_test.go
@@ -65,7 +65,8 @@
 	return out.Close()
 }
 
-// add hashes one effect of a node: protobuf parts in their wire form, others as JSON.
+// add hashes one effect of a node: protobuf parts in their wire form, others as JSON. The names of the
+// kinds are hashed too, so a changed name changes the digest.
 func (d *digest) add(at time.Time, node, kind string, parts ...any) {
 	d.effects++
 	fmt.Fprintln(d.hash, sinceEpoch(at), node, kind)
@@ -92,7 +93,7 @@
 	return int64(at.Sub(fakes.Epoch))
 }
 
-// recordStateCall adds a call of the state service to the digest.
+// recordStateCall adds a call to the state service to the digest.
 func (sim *simulation) recordStateCall(node string, c store.Call) {
 	if d := sim.digest; d != nil {
 		d.add(sim.clock.Now(), node, "state",
@@ -101,7 +102,7 @@
 	}
 }
 
-// recordCloudCall adds a call of the cloud to the digest.
+// recordCloudCall adds a call to the cloud to the digest.
 func (sim *simulation) recordCloudCall(node string, c cloud.Call) {
 	if d := sim.digest; d != nil {
 		d.add(sim.clock.Now(), node, "cloud", c.Operation, c.Request, c.Hosts, c.After, sinceEpoch(c.Deadline))
@@ -109,9 +110,9 @@
 }
 
 // recordCommand adds a direct command to a worker to the digest.
-func (sim *simulation) recordCommand(node, address string, do wire.DirectCommands, by time.Time) {
+func (sim *simulation) recordCommand(node, address string, commands wire.DirectCommands, deadline time.Time) {
 	if d := sim.digest; d != nil {
-		d.add(sim.clock.Now(), node, "command", address, do, sinceEpoch(by))
+		d.add(sim.clock.Now(), node, "command", address, commands, sinceEpoch(deadline))
 	}
 }
 
@@ -122,22 +123,22 @@
 	}
 }
 
-// recordPeerAnswer adds a controller's answer to a peer to the digest.
-func (sim *simulation) recordPeerAnswer(node, method string, message proto.Message) {
+// recordPeerReply adds a controller's reply to a peer to the digest.
+func (sim *simulation) recordPeerReply(node, method string, message proto.Message) {
 	if d := sim.digest; d != nil {
 		d.add(sim.clock.Now(), node, "peer answer", method, message)
 	}
 }
 
-// recordWorkerAnswer adds a controller's answer to a worker's heartbeat to the digest.
-func (sim *simulation) recordWorkerAnswer(node, host string, status int, body any) {
+// recordWorkerResponse adds a controller's response to a worker's heartbeat to the digest.
+func (sim *simulation) recordWorkerResponse(node, host string, status int, body any) {
 	if d := sim.digest; d != nil {
 		d.add(sim.clock.Now(), node, "worker answer", host, status, body)
 	}
 }
 
-// recordUserAnswer adds a controller's answer to a user's request to the digest.
-func (sim *simulation) recordUserAnswer(node string, r submission.Response) {
+// recordUserResponse adds a controller's response to a user's request to the digest.
+func (sim *simulation) recordUserResponse(node string, r submission.Response) {
 	if d := sim.digest; d != nil {
 		d.add(sim.clock.Now(), node, "user answer", r.Status, r.Body, r.RetryAfter)
 	}
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -86,7 +86,7 @@
 	sim.storeDirectly(submission.OpenJobKey(spec.ID), record)
 }
 
-// storeDirectly stores a value under a key without a call of the state service. Watches do not report
+// storeDirectly stores a value under a key without a call to the state service. Watches do not report
 // the change.
 func (sim *simulation) storeDirectly(key string, value any) {
 	raw, _ := json.Marshal(value)
--- a/internal/controller/fault_combinations_controllers_test.go
+++ b/internal/controller/fault_combinations_controllers_test.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// simulateFrequentFailovers crashes the lease holder ten times in about two minutes, two of these
-// times in an outage of the state service.
+// simulateFrequentFailovers crashes the lease holder ten times in about two minutes, twice during
+// an outage of the state service.
 func simulateFrequentFailovers(s *faultScenario) {
 	for i := range 10 {
 		s.submitRandomJobs(1, 5*time.Second, 40*time.Second)
--- a/internal/controller/faults_test.go
+++ b/internal/controller/faults_test.go
@@ -2,13 +2,13 @@
 
 import "testing"
 
-// fault describes a single fault. Its function also checks what is expected beyond the rules.
+// fault describes a single fault. simulate injects it and checks expectations beyond the rules.
 type fault struct {
 	name     string
 	simulate func(sim *simulation)
 }
 
-// faults holds faults that random fault injection need not produce.
+// faults holds faults that random fault injection may not produce.
 var faults = []fault{
 	{
 		name:     "machine that receives no answer is deleted and its tasks run elsewhere",
--- a/internal/controller/faults_workers_test.go
+++ b/internal/controller/faults_workers_test.go
@@ -7,13 +7,13 @@
 	"juniperchute/internal/worker"
 )
 
-// simulateInboundPartition blocks all answers and commands to a machine, which must then be deleted.
+// simulateInboundPartition blocks all responses and commands to a machine, which must then be deleted.
 func simulateInboundPartition(sim *simulation) {
 	m := sim.randomMachine()
 	m.inboundBlocked = true
 	sim.runFor(60 * time.Second)
 	if sim.machines[m.Host.ID] != nil {
-		sim.addViolation("%s receives no answer and has not been deleted", m.Host.ID)
+		sim.addViolation("%s receives no response and has not been deleted", m.Host.ID)
 	}
 }
 
--- a/internal/controller/http_test.go
+++ b/internal/controller/http_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// serve starts an HTTP server with the API of a controller, which is closed at the end of the test.
+// serve starts an HTTP server with the API of a controller. The server is closed at the end of the test.
 func serve(t *testing.T, r *Runtime) *httptest.Server {
 	srv := httptest.NewServer(r.api.Handler())
 	t.Cleanup(srv.Close)
@@ -204,6 +204,7 @@
 	},
 }
 
+// Guards against changed statuses or headers of the HTTP API, on which workers and users rely.
 func TestHTTPResponses(t *testing.T) {
 	ready := newUnreachableRuntime(t)
 	go handleEvents(t, ready)
--- a/internal/controller/intents.go
+++ b/internal/controller/intents.go
@@ -18,7 +18,7 @@
 // records. The text is returned to the operator.
 var errControlRecordsNotLoaded = errors.New("the control records have not been read yet")
 
-// Intents reports the lease holder and the uncompleted cloud operations of each shard. It reads
+// Intents reports the lease holder and the incomplete cloud operations of each shard. It reads
 // the intent logs from the state service. If that fails, the reply holds the result of the last
 // complete read and its age.
 func (c *Controller) Intents(now time.Time, reply func(*peerpb.IntentsReply, error)) {
@@ -56,7 +56,7 @@
 	return reply
 }
 
-// shardIntents returns the lease holder and the uncompleted operations of one shard. The
+// shardIntents returns the lease holder and the incomplete operations of one shard. The
 // operations come from the shard's term if this process runs it, and from the stored records
 // otherwise.
 func (c *Controller) shardIntents(shard int) *peerpb.ShardIntents {
--- a/internal/controller/intents_failover_test.go
+++ b/internal/controller/intents_failover_test.go
@@ -58,7 +58,7 @@
 	return id
 }
 
-// putState stores a value under a new key through a call of the state service.
+// putState stores a value under a new key through a call to the state service.
 func (sim *simulation) putState(key string, value any) {
 	transaction := wire.Transaction{Writes: []wire.Write{store.Put(key, value, 0)}}
 	sim.state.Call(store.Call{Op: store.OpTransaction, Transaction: transaction}, func(store.Result) {})
@@ -90,12 +90,12 @@
 func TestManyIntentsAfterFailover(t *testing.T) {
 	const timeout = 90 * time.Second
 	sim := newIntentBacklogSimulation(t)
-	refused := 0
+	throttled := 0
 	check := sim.state.OnCall
 	sim.state.OnCall = func(c store.Call, err error) {
 		check(c, err)
 		if errors.Is(err, store.ErrThrottled) {
-			refused++
+			throttled++
 		}
 	}
 	j := sim.submitJob(steadyJob(1), 5*time.Second)
@@ -115,6 +115,6 @@
 		t.Errorf("%d machines were deprovisioned, want at least %d", n, largeFleet)
 	}
 	t.Logf("%d intents completed and removed after %v; the state service throttled %d calls",
-		largeFleet, elapsed, refused)
+		largeFleet, elapsed, throttled)
 	sim.requireAllJobsEnd()
 }
--- a/internal/controller/intents_test.go
+++ b/internal/controller/intents_test.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// Guards against a term that opens too early: a machine that is being deleted and answers under an
-// older fencing token is not reconciled, as the tasks on it are unknown.
+// Guards against a term that opens too early: a machine that is being deleted and sends a heartbeat
+// under an older fencing token is not reconciled, as the tasks on it are unknown.
 func TestDeletingMachineNotReconciledUnderOlderToken(t *testing.T) {
 	sim := steadySimulation(t, 6, 8)
 	sim.cloud.Unavailable = true // prevents the deletion from completing
--- a/internal/controller/peer_heartbeat.go
+++ b/internal/controller/peer_heartbeat.go
@@ -55,8 +55,8 @@
 	return names
 }
 
-// stateUnreachableFor returns the time since the state service last answered this controller,
-// or one hour if it has never answered.
+// stateUnreachableFor returns the time since the state service last responded to this
+// controller, or one hour if it has never responded.
 func (c *Controller) stateUnreachableFor(now time.Time) time.Duration {
 	if c.membership.LastContact().IsZero() {
 		return time.Hour
@@ -84,8 +84,8 @@
 	return out
 }
 
-// newPeerHeartbeat returns a heartbeat for another controller. The heartbeat takes over the
-// acknowledgements that are due to that controller.
+// newPeerHeartbeat returns a heartbeat for another controller. It moves the acknowledgements that
+// are due to that controller into the heartbeat.
 func (c *Controller) newPeerHeartbeat(now time.Time, to string) *peerpb.PeerHeartbeat {
 	heartbeat := &peerpb.PeerHeartbeat{
 		Member:            c.config.Member,
@@ -116,19 +116,19 @@
 	}
 }
 
-// exchange sends a heartbeat to another controller and applies the answer. It calls then even if
+// exchange sends a heartbeat to another controller and applies the reply. It calls then even if
 // the call fails.
 func (c *Controller) exchange(now time.Time, member string, then func(now time.Time)) {
 	c.environment.Effects.SendHeartbeat(member, c.newPeerHeartbeat(now, member),
-		func(now time.Time, answer *peerpb.PeerHeartbeat, err error) {
+		func(now time.Time, reply *peerpb.PeerHeartbeat, err error) {
 			if err == nil {
-				c.applyPeerHeartbeat(now, member, answer)
+				c.applyPeerHeartbeat(now, member, reply)
 			}
 			then(now)
 		})
 }
 
-// HandlePeerHeartbeat applies a heartbeat of another controller and returns the answer.
+// HandlePeerHeartbeat applies a heartbeat of another controller and returns the reply.
 func (c *Controller) HandlePeerHeartbeat(now time.Time, heartbeat *peerpb.PeerHeartbeat) *peerpb.PeerHeartbeat {
 	c.applyPeerHeartbeat(now, heartbeat.Member, heartbeat)
 	return c.newPeerHeartbeat(now, heartbeat.Member)
@@ -184,9 +184,9 @@
 
 // acknowledgeCancellations tells a term that it knows every cancellation that the peer confirmed
 // before it made the heartbeat. This holds only if the heartbeat names the term's fencing token:
-// a peer that knows another lease holder forwards the cancellations which that one lacks. The
-// heartbeat must echo the clock of this process, which proves that it was made after the echoed
-// time; any other heartbeat may have been delayed in the network.
+// a peer that knows another lease holder forwards the cancellations unknown to that lease holder.
+// The heartbeat must echo the clock of this process, which proves that it was made after the
+// echoed time; any other heartbeat may have been delayed in the network.
 func (c *Controller) acknowledgeCancellations(now time.Time, t *term.Term, member string,
 	heartbeat *peerpb.PeerHeartbeat) {
 	echoed := heartbeat.EchoProcess == c.process.id
--- a/internal/controller/process_effects.go
+++ b/internal/controller/process_effects.go
@@ -185,12 +185,12 @@
 // SendHeartbeat implements Effects. Heartbeats are not limited: they are few, and must not wait
 // for other calls to peers.
 func (e *processEffects) SendHeartbeat(member string, heartbeat *peerpb.PeerHeartbeat,
-	then func(now time.Time, answer *peerpb.PeerHeartbeat, err error)) {
+	then func(now time.Time, reply *peerpb.PeerHeartbeat, err error)) {
 	go func() {
 		ctx, cancel := context.WithTimeout(e.ctx, tuning.PeerHeartbeatTimeout)
 		defer cancel()
-		answer, err := e.peers.Peer(member).Pulse(ctx, heartbeat)
-		e.post(func(now time.Time) { then(now, answer, err) })
+		reply, err := e.peers.Peer(member).Pulse(ctx, heartbeat)
+		e.post(func(now time.Time) { then(now, reply, err) })
 	}()
 }
 
@@ -218,9 +218,9 @@
 	}()
 }
 
-// probe queries workers concurrently and returns the number of those that answer within
+// probe queries workers concurrently and returns the number of those that respond within
 // tuning.ProbeTimeout.
-func (e *processEffects) probe(ctx context.Context, addresses []string) (answered int) {
+func (e *processEffects) probe(ctx context.Context, addresses []string) (responded int) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.ProbeTimeout)
 	defer cancel()
 	results := make(chan bool, len(addresses))
@@ -232,8 +232,8 @@
 	}
 	for range addresses {
 		if <-results {
-			answered++
+			responded++
 		}
 	}
-	return answered
+	return responded
 }
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -59,14 +59,14 @@
 	queue.inFlight = true
 	c.environment.Effects.QueryProgress(holder, request, func(now time.Time, reply *peerpb.ProgressReply, err error) {
 		queue.inFlight = false
-		answerQueries(now, batch, reply, err)
+		replyToQueries(now, batch, reply, err)
 		c.sendProgressQueries(shard, queue)
 	})
 }
 
-// answerQueries answers a batch of queries from the lease holder's reply. After an error or an
-// incomplete reply the progress of all jobs in the batch is unknown.
-func answerQueries(now time.Time, batch []progressQuery, reply *peerpb.ProgressReply, err error) {
+// replyToQueries replies to each query of a batch with its part of the lease holder's reply. After an
+// error or an incomplete reply the progress of all jobs in the batch is unknown.
+func replyToQueries(now time.Time, batch []progressQuery, reply *peerpb.ProgressReply, err error) {
 	for i, query := range batch {
 		progress := submission.Progress{}
 		if err == nil && len(reply.Jobs) == len(batch) {
@@ -77,7 +77,7 @@
 	}
 }
 
-// HandleProgress answers another controller's progress queries. The reply is empty if this
+// HandleProgress replies to another controller's progress queries. The reply is empty if this
 // process does not hold the shard's lease.
 func (c *Controller) HandleProgress(request *peerpb.ProgressRequest) *peerpb.ProgressReply {
 	reply := &peerpb.ProgressReply{}
--- a/internal/controller/random_faults_test.go
+++ b/internal/controller/random_faults_test.go
@@ -183,7 +183,7 @@
 	sim := c.newSimulation(t, seed)
 	simulateRandomFaults(sim, c.zones, c.machineTypes)
 	if c.intentLog && !c.upgrade {
-		sim.requireIntentsCarriedOut()
+		sim.requireIntentsExecuted()
 	}
 	if len(sim.violations()) > 0 {
 		t.Fatalf("seed %d: %s", seed, sim.violations()[0])
--- a/internal/controller/routing.go
+++ b/internal/controller/routing.go
@@ -49,12 +49,12 @@
 	if recorded, ok := c.shardOfMachine[machine]; ok {
 		return recorded != shard
 	}
-	unanswered := false // another shard has a request that names no machines yet
+	pending := false // another shard has a request that names no machines yet
 	c.provisionRequests.Each(func(kv wire.KeyValue) {
 		requester, machines := fleet.RecordedHosts(kv)
-		unanswered = unanswered || requester != shard && len(machines) == 0
+		pending = pending || requester != shard && len(machines) == 0
 	})
-	return unanswered
+	return pending
 }
 
 // leaseHolder returns a shard's lease holder and fencing token, from the control records or from
@@ -69,7 +69,7 @@
 	return member, token, live
 }
 
-// Redirect answers a worker with the name of the shard's lease holder. The name is empty if there
+// Redirect replies to a worker with the name of the shard's lease holder. The name is empty if there
 // is no live lease holder other than this controller.
 func (c *Controller) Redirect(shard int, reply func(status int, body any)) {
 	holder, _, live := c.leaseHolder(shard)
--- a/internal/controller/rpc_handlers_test.go
+++ b/internal/controller/rpc_handlers_test.go
@@ -15,22 +15,22 @@
 	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
 	r := newTestRuntime(t, unreachableAddress)
-	requests := map[string]func() (answered bool, err error){
+	requests := map[string]func() (hasValue bool, err error){
 		"heartbeat": func() (bool, error) {
-			answer, err := r.HandleHeartbeat(canceled, &peerpb.PeerHeartbeat{})
-			return answer != nil, err
+			reply, err := r.HandleHeartbeat(canceled, &peerpb.PeerHeartbeat{})
+			return reply != nil, err
 		},
 		"progress": func() (bool, error) {
-			answer, err := r.HandleProgress(canceled, &peerpb.ProgressRequest{})
-			return answer != nil, err
+			reply, err := r.HandleProgress(canceled, &peerpb.ProgressRequest{})
+			return reply != nil, err
 		},
 		"status": func() (bool, error) {
-			answer, err := r.HandleStatus(canceled)
-			return answer != nil, err
+			reply, err := r.HandleStatus(canceled)
+			return reply != nil, err
 		},
 		"settings": func() (bool, error) {
-			answer, err := r.HandleSettings(canceled)
-			return answer != nil, err
+			reply, err := r.HandleSettings(canceled)
+			return reply != nil, err
 		},
 	}
 	for name, request := range requests {
@@ -38,8 +38,8 @@
 			returned := make(chan struct{})
 			go func() {
 				defer close(returned)
-				if answered, err := request(); answered || !errors.Is(err, context.Canceled) {
-					t.Errorf("got answer %v, error %v; want no answer, context.Canceled", answered, err)
+				if hasValue, err := request(); hasValue || !errors.Is(err, context.Canceled) {
+					t.Errorf("got value %v, error %v; want no value, context.Canceled", hasValue, err)
 				}
 			}()
 			event := <-r.events
--- a/internal/controller/runtime.go
+++ b/internal/controller/runtime.go
@@ -45,13 +45,13 @@
 type Runtime struct {
 	config     *config.Config
 	log        *slog.Logger
-	clock      *clock.Clock // clock for lease deadlines, which may count suspensions
+	clock      *clock.Clock // clock of lease deadlines, which includes suspensions
 	controller *Controller
 	effects    *processEffects
 	api        *httpapi.Server
 	latencies  *latencyRecorder
 
-	// Queues of the event loop. Results of effects and calls of peers (events) go before workers'
+	// Queues of the event loop. Results of effects and calls from peers (events) are handled before workers'
 	// heartbeats and users' requests, which have the same priority.
 	events     eventQueue
 	heartbeats eventQueue
--- a/internal/controller/simulation_checks_test.go
+++ b/internal/controller/simulation_checks_test.go
@@ -89,7 +89,7 @@
 }
 
 // endFaultsAndAwaitJobs ends all faults, cancels the jobs that never end by themselves, and waits up
-// to ten minutes until every job has ended. It adds a violation if a job is forgotten or does not end.
+// to ten minutes until every job has ended. It adds a violation if a job is lost or does not end.
 func (sim *simulation) endFaultsAndAwaitJobs() {
 	const rounds, round = 40, 15 * time.Second
 	sim.randomMessageFaults, sim.rates, sim.isolatedZone = false, faultRates{}, ""
@@ -126,9 +126,9 @@
 	return out
 }
 
-// requireIntentsCarriedOut fails the test if no machine was provisioned or none
-// deprovisioned through the intent log.
-func (sim *simulation) requireIntentsCarriedOut() {
+// requireIntentsExecuted fails the test if no machine was provisioned or none deprovisioned
+// through the intent log.
+func (sim *simulation) requireIntentsExecuted() {
 	sim.t.Helper()
 	sim.t.Logf("executed intents: %v, intent log page writes: %d",
 		sim.intentChecker.Executed, sim.intentChecker.PageWrites)
@@ -148,7 +148,7 @@
 }
 
 // requireAllJobsEnd waits up to five minutes until every job has ended. It fails the test if a job has
-// not ended or was forgotten, or if there is any other violation. The caller must have ended all faults.
+// not ended or was lost, or if there is any other violation. The caller must have ended all faults.
 func (sim *simulation) requireAllJobsEnd() {
 	sim.t.Helper()
 	for range 20 {
--- a/internal/controller/simulation_commands_test.go
+++ b/internal/controller/simulation_commands_test.go
@@ -9,7 +9,7 @@
 	"juniperchute/internal/wire"
 )
 
-// SendCommands implements Effects. It may lose, delay or repeat the commands or lose the answer.
+// SendCommands implements Effects. It may lose, delay or repeat the commands or lose the response.
 func (e *simulatedEffects) SendCommands(
 	address string, commands wire.DirectCommands, deadline time.Time,
 	then func(now time.Time, heartbeat *wire.Heartbeat, err error),
@@ -42,31 +42,31 @@
 	if m == nil || m.inboundBlocked {
 		return
 	}
-	commandDelay, answerDelay := sim.commandDelays()
+	commandDelay, responseDelay := sim.commandDelays()
 	sim.checkCommands(e.node, commands.Commands)
-	sim.deliver(m, e.node, func() { e.executeCommands(m, commands, commandDelay, answerDelay, finish) })
+	sim.deliver(m, e.node, func() { e.executeCommands(m, commands, commandDelay, responseDelay, finish) })
 }
 
-// commandDelays returns the random delays of a direct command and of its answer, which are 0 unless
+// commandDelays returns the random delays of a direct command and of its response, which are 0 unless
 // the command is one of the share that faultRates.delayedCommands selects.
-func (sim *simulation) commandDelays() (commandDelay, answerDelay time.Duration) {
+func (sim *simulation) commandDelays() (commandDelay, responseDelay time.Duration) {
 	if sim.rng.Float64() >= sim.rates.delayedCommands {
 		return 0, 0
 	}
 	commandDelay = time.Duration(sim.rng.IntN(20000)) * time.Millisecond
-	answerDelay = time.Duration(sim.rng.IntN(5000)) * time.Millisecond
+	responseDelay = time.Duration(sim.rng.IntN(5000)) * time.Millisecond
 	if sim.rng.IntN(4) == 0 {
 		commandDelay *= 4 // may exceed the time in which a cancelled job's tasks must stop
 	}
 	if sim.rates.commandDelay > 0 {
 		commandDelay = sim.rates.commandDelay
 	}
-	return commandDelay, answerDelay
+	return commandDelay, responseDelay
 }
 
-// executeCommands lets a machine execute direct commands after a delay, and delivers the answer.
+// executeCommands lets a machine execute direct commands after a delay, and delivers the response.
 func (e *simulatedEffects) executeCommands(
-	m *machine, commands wire.DirectCommands, commandDelay, answerDelay time.Duration,
+	m *machine, commands wire.DirectCommands, commandDelay, responseDelay time.Duration,
 	finish func(*wire.Heartbeat, error),
 ) {
 	sim := e.node.sim
@@ -77,7 +77,7 @@
 		sim.clock.Schedule(commandDelay, func() {
 			if !m.Terminated {
 				_, heartbeat := m.HandleCommand(commands)
-				sim.clock.Schedule(answerDelay, func() { finish(heartbeat, nil) })
+				sim.clock.Schedule(responseDelay, func() { finish(heartbeat, nil) })
 			}
 		})
 		return
--- a/internal/controller/simulation_effects_test.go
+++ b/internal/controller/simulation_effects_test.go
@@ -32,7 +32,7 @@
 }
 
 // deferIfFrozen reports whether the process is frozen before an effect of the given kind. If so,
-// it schedules resume for the end of the freeze. It starts the freeze that the node has been set for.
+// it schedules resume for the end of the freeze. It starts the freeze that freezeFor and freezeAt request.
 func (e *simulatedEffects) deferIfFrozen(kind effect, resume func()) bool {
 	n := e.node
 	now := n.sim.clock.Now()
--- a/internal/controller/simulation_network_test.go
+++ b/internal/controller/simulation_network_test.go
@@ -53,30 +53,30 @@
 // Send implements fakes.Network. It passes a worker's heartbeat to a controller, and may keep copies
 // of it for later delivery.
 func (sim *simulation) Send(
-	w *fakes.Worker, node int, heartbeat *wire.Heartbeat, answer fakes.ReplyFunc,
+	w *fakes.Worker, node int, heartbeat *wire.Heartbeat, reply fakes.ReplyFunc,
 ) {
 	m, n := sim.machines[w.Host.ID], sim.nodes[node]
 	if m.outboundBlocked {
-		answer(0, wire.HeartbeatResponse{}, "") // the connection fails
+		reply(0, wire.HeartbeatResponse{}, "") // the connection fails
 		return
 	}
-	reply := func(status int, body any) {
-		sim.recordWorkerAnswer(n.name, w.Host.ID, status, body)
+	respond := func(status int, body any) {
+		sim.recordWorkerResponse(n.name, w.Host.ID, status, body)
 		commands, _ := body.(wire.HeartbeatResponse)
 		redirect, _ := body.(wire.Redirect)
 		sim.checkCommands(n, commands.Commands)
 		if !m.inboundBlocked {
-			sim.deliver(m, n, func() { answer(status, commands, redirect.Member) })
+			sim.deliver(m, n, func() { reply(status, commands, redirect.Member) })
 		}
 	}
 	sim.deliver(m, n, func() {
 		if !n.alive {
 			if !m.inboundBlocked {
-				answer(0, wire.HeartbeatResponse{}, "")
+				reply(0, wire.HeartbeatResponse{}, "")
 			}
 			return
 		}
-		n.whenRunning(func() { n.controller.HandleHeartbeat(sim.clock.Now(), heartbeat, reply) })
+		n.whenRunning(func() { n.controller.HandleHeartbeat(sim.clock.Now(), heartbeat, respond) })
 	})
 	sim.copyHeartbeat(heartbeat)
 }
@@ -106,12 +106,12 @@
 	sim.clock.Schedule(time.Duration(500+sim.rng.IntN(40000))*time.Millisecond, func() { sim.deliverCopy(n, copied) })
 }
 
-// deliverCopy delivers a heartbeat to a node and drops the answer.
+// deliverCopy delivers a heartbeat to a node and drops the response.
 func (sim *simulation) deliverCopy(n *simulatedNode, heartbeat *wire.Heartbeat) {
 	if n.alive {
 		n.whenRunning(func() {
 			n.controller.HandleHeartbeat(sim.clock.Now(), heartbeat, func(status int, body any) {
-				sim.recordWorkerAnswer(n.name, heartbeat.Host, status, body)
+				sim.recordWorkerResponse(n.name, heartbeat.Host, status, body)
 			})
 		})
 	}
--- a/internal/controller/simulation_node_test.go
+++ b/internal/controller/simulation_node_test.go
@@ -19,17 +19,17 @@
 	processNumber int  // changes at each crash and start; results and timers of earlier numbers are dropped
 	upgraded      bool // runs the new version if the simulation starts on the old one
 
-	statePartitioned   bool     // calls of the state service are held or lost
+	statePartitioned   bool     // calls to the state service are held or lost
 	workersPartitioned bool     // messages from and to workers are held or lost
 	peersPartitioned   bool     // calls from and to other controllers fail
-	cloudPartitioned   bool     // calls of the cloud are lost or executed late
-	stateRefused       bool     // the state service answers 503 to this node only
-	silentWatches      string   // prefix of the watches that get no answer; "" for none
-	heldStateCalls     []func() // calls of the state service to deliver after the partition
+	cloudPartitioned   bool     // calls to the cloud are lost or executed late
+	stateRefused       bool     // the state service returns 503 to this node only
+	silentWatches      string   // prefix of the watches that get no response; "" for none
+	heldStateCalls     []func() // calls to the state service to deliver after the partition
 
 	freezeFor   time.Duration // duration of the next freeze; 0 if none is set
 	freezeAt    effect        // kind of effect before which the next freeze starts
-	frozenUntil time.Time     // end of the present freeze, during which the clock advances
+	frozenUntil time.Time     // end of the current freeze, during which the clock advances
 }
 
 // start starts a new process with a new controller, which runs its first tick within 100 ms.
@@ -46,7 +46,7 @@
 		}
 	}
 	if n.sim.startsOnOldVersion && !n.upgraded {
-		cfg.Platform.State.Next = nil // the old version writes pages up to the present limits
+		cfg.Platform.State.Next = nil // the old version writes pages up to the current limits
 	}
 	rng := rand.New(rand.NewPCG(n.sim.rng.Uint64(), 1))
 	effects := &simulatedEffects{node: n, processNumber: processNumber}
@@ -66,7 +66,7 @@
 }
 
 // restartTerm replaces the term of the first shard by a new one with the same token, which is loading
-// until the state service answers.
+// until the state service responds.
 func (n *simulatedNode) restartTerm() {
 	c := n.controller
 	c.terms[0] = c.startTerm(n.sim.clock.Now(), c.terms[0].Term)
@@ -90,7 +90,7 @@
 	n.sim.clock.Schedule(restartAfter, n.start)
 }
 
-// whenRunning calls f at once, or at the end of the present freeze if the process still runs then.
+// whenRunning calls f at once, or at the end of the current freeze if the process still runs then.
 func (n *simulatedNode) whenRunning(f func()) {
 	now := n.sim.clock.Now()
 	if !now.Before(n.frozenUntil) {
@@ -125,7 +125,7 @@
 // remain reachable.
 func (n *simulatedNode) isolate() { n.statePartitioned, n.peersPartitioned = true, true }
 
-// reconnect ends an isolation and delivers the held calls of the state service.
+// reconnect ends an isolation and delivers the held calls to the state service.
 func (n *simulatedNode) reconnect() {
 	n.peersPartitioned = false
 	n.reconnectState()
--- a/internal/controller/simulation_peers_test.go
+++ b/internal/controller/simulation_peers_test.go
@@ -48,9 +48,9 @@
 ) {
 	e.node.sim.recordPeerCall(e.node.name, member, "pulse", m)
 	callPeer(e, member, func(o *simulatedNode) *peerpb.PeerHeartbeat {
-		answer := o.controller.HandlePeerHeartbeat(e.node.sim.clock.Now(), m)
-		e.node.sim.recordPeerAnswer(o.name, "pulse", answer)
-		return answer
+		reply := o.controller.HandlePeerHeartbeat(e.node.sim.clock.Now(), m)
+		e.node.sim.recordPeerReply(o.name, "pulse", reply)
+		return reply
 	}, then)
 }
 
@@ -61,9 +61,9 @@
 ) {
 	e.node.sim.recordPeerCall(e.node.name, member, "progress", m)
 	callPeer(e, member, func(o *simulatedNode) *peerpb.ProgressReply {
-		answer := o.controller.HandleProgress(m)
-		e.node.sim.recordPeerAnswer(o.name, "progress", answer)
-		return answer
+		reply := o.controller.HandleProgress(m)
+		e.node.sim.recordPeerReply(o.name, "progress", reply)
+		return reply
 	}, then)
 }
 
--- a/internal/controller/simulation_state_test.go
+++ b/internal/controller/simulation_state_test.go
@@ -6,7 +6,7 @@
 	"juniperchute/internal/store"
 )
 
-// CallState implements Effects. It may lose, delay or repeat the call or lose the answer.
+// CallState implements Effects. It may lose, delay or repeat the call or lose the response.
 func (e *simulatedEffects) CallState(c store.Call, then func(now time.Time, r store.Result)) {
 	if e.deferIfFrozen(stateEffect, func() { e.CallState(c, then) }) {
 		return
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -72,7 +72,7 @@
 	repeatedHeartbeats          float64 // delivered again after 0.5 s to 40.5 s
 	heartbeatsToNextLeaseHolder float64 // delivered again to every controller when a term starts
 
-	// Direct commands and their answers.
+	// Direct commands and their responses.
 	delayedCommands float64       // share of the commands that are delayed
 	commandDelay    time.Duration // delay of these commands; 0 draws a random delay
 
@@ -80,7 +80,7 @@
 	cancelledAtCompletion float64 // share of the jobs that are cancelled as their last task ends
 	queryBursts           bool    // sends queries to all nodes within milliseconds of each change
 
-	maxStateDelay time.Duration // bounds the delay of a call of the state service, and of its reply
+	maxStateDelay time.Duration // bounds the delay of a call to the state service, and of its reply
 	maxLinkDelay  time.Duration // bounds the delay of a message between a machine and a controller
 }
 
@@ -89,7 +89,7 @@
 	*fakes.Worker
 	partitioned     bool           // messages in both directions are held or lost
 	onlyNode        *simulatedNode // the only node that the machine can reach; nil means all
-	inboundBlocked  bool           // loses answers and commands, but not heartbeats
+	inboundBlocked  bool           // loses responses and commands, but not heartbeats
 	outboundBlocked bool           // loses heartbeats, but not direct commands
 	heldMessages    []func()       // messages to deliver after the partition or hang
 }
--- a/internal/controller/simulation_upgrade_test.go
+++ b/internal/controller/simulation_upgrade_test.go
@@ -6,8 +6,8 @@
 	"juniperchute/internal/config"
 )
 
-// startOldVersion restarts all controllers as the old version. The limits that are announced for
-// after the upgrade are below the sizes of the pages that this version writes.
+// startOldVersion restarts all controllers as the old version. The announced limits, which apply after
+// the upgrade, are below the sizes of the pages that this version writes.
 func (sim *simulation) startOldVersion() {
 	sim.startsOnOldVersion = true
 	sim.cfg.Platform.State.ValueKB = 1
--- a/internal/controller/simulation_users_test.go
+++ b/internal/controller/simulation_users_test.go
@@ -33,12 +33,12 @@
 	}
 }
 
-// send sends a user's request to a random node. A node that is down never answers.
+// send sends a user's request to a random node. A node that is down never responds.
 func (sim *simulation) send(r request, then func(submission.Response)) {
 	sim.sendTo(sim.nodes[sim.rng.IntN(len(sim.nodes))], r, then)
 }
 
-// sendTo sends a user's request to a node. The node's answer is lost if its process ends first.
+// sendTo sends a user's request to a node. The response is lost if the node's process ends first.
 func (sim *simulation) sendTo(n *simulatedNode, r request, then func(submission.Response)) {
 	sim.clock.Schedule(sim.networkDelay(), func() {
 		if !n.alive {
@@ -46,17 +46,17 @@
 		}
 		processNumber := n.processNumber
 		n.whenRunning(func() {
-			r(n, func(answer submission.Response) {
-				sim.recordUserAnswer(n.name, answer)
+			r(n, func(response submission.Response) {
+				sim.recordUserResponse(n.name, response)
 				if n.alive && n.processNumber == processNumber {
-					sim.clock.Schedule(sim.networkDelay(), func() { then(answer) })
+					sim.clock.Schedule(sim.networkDelay(), func() { then(response) })
 				}
 			})
 		})
 	})
 }
 
-// jobStateOf returns the job's state in an answer, or "" if there is none.
+// jobStateOf returns the job's state in a response, or "" if there is none.
 func jobStateOf(r submission.Response) string {
 	switch b := r.Body.(type) {
 	case wire.JobState:
@@ -67,20 +67,20 @@
 	return ""
 }
 
-// recordAnswer records an answer with the state of a job. If queryBursts is set, it sends queries when
+// recordResponse records a response with the state of a job. If queryBursts is set, it sends queries when
 // the user first learns that the job was accepted or has ended. before is the state that the user knew
 // when the request was sent.
-func (sim *simulation) recordAnswer(j *fakes.Job, state, before string) {
+func (sim *simulation) recordResponse(j *fakes.Job, state, before string) {
 	if sim.cluster.RecordResponse(j, state, before) && sim.rates.queryBursts {
 		sim.sendQueryBurst(j)
 	}
 }
 
-// handleAnswer records an answer about a job with any status. before is the state that the user knew
+// handleResponse records a response about a job with any status. before is the state that the user knew
 // when the request was sent.
-func (sim *simulation) handleAnswer(j *fakes.Job, before string, r submission.Response) {
+func (sim *simulation) handleResponse(j *fakes.Job, before string, r submission.Response) {
 	if r.Status == 200 {
-		sim.recordAnswer(j, jobStateOf(r), before)
+		sim.recordResponse(j, jobStateOf(r), before)
 		return
 	}
 	sim.cluster.RecordFailedRequest(j, before, r.Status)
@@ -104,7 +104,7 @@
 	sim.send(sim.submission(j.Spec), func(r submission.Response) {
 		switch r.Status {
 		case 200, 201:
-			sim.recordAnswer(j, jobStateOf(r), "")
+			sim.recordResponse(j, jobStateOf(r), "")
 		case 400, 422:
 			sim.cluster.AddViolation(fakes.JobLost, "submission of %s was answered with %d %v",
 				j.Spec.ID, r.Status, r.Body)
@@ -125,7 +125,7 @@
 		case r.Status == 404 && accepted:
 			sim.cluster.AddViolation(fakes.JobLost, "query of accepted job %s was answered with 404", j.Spec.ID)
 		case r.Status == 200:
-			sim.recordAnswer(j, jobStateOf(r), before)
+			sim.recordResponse(j, jobStateOf(r), before)
 		}
 	})
 	sim.clock.Schedule(time.Duration(3000+sim.rng.IntN(3000))*time.Millisecond, func() { sim.pollJob(j) })
@@ -140,7 +140,7 @@
 	before := j.KnownState
 	sim.send(sim.cancellation(j.Spec.ID), func(r submission.Response) {
 		if r.Status == 200 {
-			sim.recordAnswer(j, jobStateOf(r), before)
+			sim.recordResponse(j, jobStateOf(r), before)
 		}
 	})
 	sim.clock.Schedule(2*time.Second, func() { sim.cancel(j) })
@@ -158,7 +158,7 @@
 				if sim.rng.IntN(3) == 2 && before != "" {
 					r = sim.submission(j.Spec)
 				}
-				sim.sendTo(n, r, func(a submission.Response) { sim.handleAnswer(j, before, a) })
+				sim.sendTo(n, r, func(a submission.Response) { sim.handleResponse(j, before, a) })
 			})
 		}
 	}
@@ -178,14 +178,14 @@
 	for range 4 {
 		sim.clock.Schedule(soon(), func() {
 			before := j.KnownState
-			sim.send(sim.query(j.Spec.ID), func(r submission.Response) { sim.handleAnswer(j, before, r) })
-			sim.send(sim.submission(j.Spec), func(r submission.Response) { sim.handleAnswer(j, before, r) })
+			sim.send(sim.query(j.Spec.ID), func(r submission.Response) { sim.handleResponse(j, before, r) })
+			sim.send(sim.submission(j.Spec), func(r submission.Response) { sim.handleResponse(j, before, r) })
 		})
 	}
 }
 
 // sendInvalidRequest sends a random request that a controller must reject, or repeats a request. It
-// adds a violation if the answer has another status than expected, 429 or 503.
+// adds a violation if the response has another status than expected, 429 or 503.
 func (sim *simulation) sendInvalidRequest() {
 	sim.invalidRequests++
 	expect := func(request string, status int) func(submission.Response) {
@@ -250,8 +250,8 @@
 		return
 	}
 	before := j.KnownState
-	sim.send(sim.submission(j.Spec), func(r submission.Response) { sim.handleAnswer(j, before, r) })
+	sim.send(sim.submission(j.Spec), func(r submission.Response) { sim.handleResponse(j, before, r) })
 	if before == wire.JobDone {
-		sim.send(sim.cancellation(j.Spec.ID), func(r submission.Response) { sim.handleAnswer(j, before, r) })
+		sim.send(sim.cancellation(j.Spec.ID), func(r submission.Response) { sim.handleResponse(j, before, r) })
 	}
 }
--- a/internal/controller/terms.go
+++ b/internal/controller/terms.go
@@ -8,7 +8,7 @@
 	"juniperchute/internal/term"
 )
 
-// liveTerm returns this process's term of a shard, or nil if this process does not lead the shard.
+// liveTerm returns this process's live term of a shard, or nil if there is none.
 func (c *Controller) liveTerm(shard int) *term.Term {
 	if t := c.terms[shard]; t != nil && t.Live() {
 		return t
@@ -31,7 +31,7 @@
 	}
 }
 
-// reconcileTerm ends a superseded term and removes an ended one. It resigns the shard if the
+// reconcileTerm ends a superseded term and removes an ended one. It releases the shard if the
 // control records still assign the ended term to this process.
 func (c *Controller) reconcileTerm(now time.Time, t *term.Term, assigned []leader.Term) {
 	if t.Live() {
@@ -44,7 +44,7 @@
 		return a.Shard == t.Shard && a.Token == t.Token
 	})
 	if stillAssigned {
-		// Without resignation the shard would never get another lease holder.
+		// Without the release the shard would never get another lease holder.
 		c.membership.ReleaseShard(now, t.Term, t.WorkersUnreachable())
 		return
 	}
--- a/internal/controller/unreadable_test.go
+++ b/internal/controller/unreadable_test.go
@@ -117,7 +117,7 @@
 }
 
 // Guards against an undecodable open job that a successor overwrites, stops or starts again, that
-// blocks other jobs, or about which users get any other answer than to retry later.
+// blocks other jobs, or about which users get any other response than to retry later.
 func TestUnreadableJob(t *testing.T) {
 	for _, c := range unreadableJobs {
 		t.Run(c.name, c.run)
@@ -146,11 +146,11 @@
 	sim.state.Put(key, readable) // the record is repaired
 	sim.requireAllJobsEnd()
 	if job.KnownState != wire.JobDone {
-		t.Errorf("the user knows the job as %q, want %q", job.KnownState, wire.JobDone)
+		t.Errorf("the user's last known state of the job is %q, want %q", job.KnownState, wire.JobDone)
 	}
 }
 
-// requireRetryLater fails the test unless every live controller answers every kind of request about a
+// requireRetryLater fails the test unless every live controller responds to every kind of request about a
 // job with status 503 and a retry delay.
 func (sim *simulation) requireRetryLater(job *fakes.Job) {
 	for _, r := range []struct {
@@ -165,10 +165,10 @@
 			if !n.alive {
 				continue
 			}
-			sim.sendTo(n, r.request, func(answer submission.Response) {
-				if answer.Status != 503 || answer.RetryAfter == 0 {
+			sim.sendTo(n, r.request, func(response submission.Response) {
+				if response.Status != 503 || response.RetryAfter == 0 {
 					sim.addViolation("%s was answered with %d %v, retry after %v",
-						r.name, answer.Status, answer.Body, answer.RetryAfter)
+						r.name, response.Status, response.Body, response.RetryAfter)
 				}
 			})
 		}
--- a/internal/controller/worker_client.go
+++ b/internal/controller/worker_client.go
@@ -16,7 +16,7 @@
 // workerClient is an HTTP client for the workers' API.
 type workerClient struct{ http *http.Client }
 
-// probe reports whether a worker answers a request for its state.
+// probe reports whether a worker responds to a request for its state.
 func (c workerClient) probe(ctx context.Context, address string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/show", nil)
 	if err != nil {
@@ -34,7 +34,7 @@
 // send sends commands to a worker and returns the worker's state after them. The worker rejects
 // all commands if their fencing token is stale or they are meant for another incarnation, and
 // executes all of them otherwise; the returned state shows which. If no response arrives, the error
-// wraps term.ErrNoReply. After any error the commands may still have been executed.
+// wraps term.ErrNoResponse. After any error the commands may still have been executed.
 func (c workerClient) send(ctx context.Context, address string, commands wire.DirectCommands) (*wire.Heartbeat, error) {
 	raw, err := json.Marshal(commands)
 	if err != nil {
--- a/internal/leader/election.go
+++ b/internal/leader/election.go
@@ -77,9 +77,9 @@
 }
 
 // predecessorEnded reports whether the lease holder of a shard's latest term can no longer act: the
-// shard had none, the lease holder released the shard, or a restarted process now owns its member
-// record. An absent member record proves nothing: the process may still run, partitioned from the
-// key-value store.
+// shard had none, the lease holder released the shard, or a restarted process has replaced its
+// member record. An absent member record proves nothing: the process may still run, partitioned from
+// the state service.
 func (m *Membership) predecessorEnded(last versioned[ShardRecord]) bool {
 	_, restarted := m.records.members[last.value.Holder]
 	return last.version == 0 || last.value.Holder == "" || restarted
--- a/internal/leader/election_test.go
+++ b/internal/leader/election_test.go
@@ -10,7 +10,7 @@
 	"juniperchute/internal/wire"
 )
 
-// Records in the key-value store when n0, incarnation 7, joins.
+// Records in the state service when n0, incarnation 7, joins.
 var (
 	memberN1            = keyValue("c/m/n1", MemberRecord{Member: "n1", Incarnation: 5}, 20)
 	leaderN0            = keyValue("c/leader", LeaderRecord{"n0", 7}, 30)
--- a/internal/leader/lease.go
+++ b/internal/leader/lease.go
@@ -9,7 +9,7 @@
 	"juniperchute/internal/wire"
 )
 
-// processLease is the lease in the key-value store that identifies this process.
+// processLease is the lease in the state service that identifies this process.
 type processLease struct {
 	id               uint64    // the process's incarnation; 0 without a lease
 	deadline         time.Time // the process must not act under the lease from then on
--- a/internal/leader/membership.go
+++ b/internal/leader/membership.go
@@ -1,7 +1,7 @@
-// Package leader implements cluster membership, leader election and shard leases on top of a
-// consensus-backed key-value store (package store).
+// Package leader implements cluster membership, leader election and shard leases on top of the
+// state service (package store).
 //
-// A member is one process, identified by its incarnation: the ID of its lease in the key-value store.
+// A member is one process, identified by its incarnation: the ID of its lease in the state service.
 // A restarted process is a new incarnation and does not inherit the shards of the previous one.
 //
 // Times are read from the process's monotonic clock (package clock) unless a name or a comment says
@@ -20,7 +20,8 @@
 	"juniperchute/internal/wire"
 )
 
-// Term identifies a period in which one process owns a shard under one fencing token. Invariants:
+// Term identifies a period in which one process holds the lease of a shard under one fencing token.
+// Invariants:
 //
 //   - Only the leader starts a term, in a compare-and-swap that also increments the token record.
 //     A token therefore belongs to one term, and a later term of any shard has a higher token.
@@ -71,8 +72,8 @@
 	records controlRecords
 	state   memberState
 	lease   processLease
-	retryAt time.Time // earliest time of the next grant, join or election transaction
-	// transacting reports whether an election or assignment transaction is in flight.
+	retryAt time.Time // earliest time of the next grant, join or transaction of sendTransaction
+	// transacting reports whether a transaction of sendTransaction is in flight.
 	transacting bool
 }
 
@@ -93,8 +94,8 @@
 	}
 }
 
-// Tick sends the requests that are due: grant or renewal of the lease, the write of the member record,
-// an election or a shard assignment. The controller calls it after every event and periodically.
+// Tick sends the requests that are due: a grant or renewal of the lease, the write of the member record,
+// or a transaction of campaign. The controller calls it periodically.
 func (m *Membership) Tick(now time.Time) {
 	m.cache.Tick(now)
 	switch m.state {
@@ -115,13 +116,13 @@
 	}
 }
 
-// mayTransact reports whether an election or assignment transaction may be sent.
+// mayTransact reports whether sendTransaction may be called.
 func (m *Membership) mayTransact(now time.Time) bool {
 	return !m.transacting && !now.Before(m.retryAt) && m.LeaseValid(now)
 }
 
-// sendTransaction sends an election or assignment transaction. mayTransact returns false until
-// tuning.ElectionCooldown after the response.
+// sendTransaction sends a transaction that elects a leader, assigns or releases a shard, or records
+// feature gates. mayTransact returns false until tuning.ElectionCooldown after the response.
 func (m *Membership) sendTransaction(transaction wire.Transaction) {
 	m.transacting = true
 	call := store.Call{Op: store.OpTransaction, Transaction: transaction}
@@ -140,7 +141,7 @@
 }
 
 // ReleaseShard releases a shard whose term has ended on this process while its record still names this
-// process as lease holder. The leader then assigns the shard again. unreachable states that the workers
+// process as lease holder. The leader then assigns the shard again. unreachable means that the workers
 // cannot reach this member, which makes it the least preferred candidate for the shard. ReleaseShard
 // sends nothing while another transaction is in flight or the lease is not valid; the caller must retry.
 func (m *Membership) ReleaseShard(now time.Time, term Term, unreachable bool) {
@@ -174,7 +175,7 @@
 // Version returns the version of a control record, or 0 if it does not exist.
 func (m *Membership) Version(key string) uint64 { return m.cache.Version(key) }
 
-// LastContact returns the time of the latest response of the key-value store to a watch of the control
+// LastContact returns the time of the latest response of the state service to a watch of the control
 // records or to a lease renewal. It is zero if there was none.
 func (m *Membership) LastContact() time.Time {
 	if m.lease.lastRenewal.After(m.cache.LastContact()) {
--- a/internal/leader/membership_test.go
+++ b/internal/leader/membership_test.go
@@ -12,7 +12,7 @@
 	"juniperchute/internal/wire"
 )
 
-// harness drives a Membership and captures its calls to the key-value store.
+// harness drives a Membership and captures its calls to the state service.
 type harness struct {
 	membership *Membership
 	now        time.Time
@@ -56,7 +56,7 @@
 	return wire.KeyValue{Key: key, Value: raw, Version: version}
 }
 
-// join makes n0 a member, with incarnation 7, while the key-value store already holds items.
+// join makes n0 a member, with incarnation 7, while the state service already holds items.
 func (h *harness) join(t *testing.T, items ...wire.KeyValue) {
 	t.Helper()
 	h.membership.Tick(h.now)
@@ -70,7 +70,7 @@
 	h.membership.Tick(h.now)
 }
 
-// Guards against acting under a lease that may have expired or that the key-value store has reported
+// Guards against acting under a lease that may have expired or that the state service has reported
 // as missing.
 func TestLeaseValid(t *testing.T) {
 	h := newHarness()
--- a/internal/leader/watermark.go
+++ b/internal/leader/watermark.go
@@ -7,11 +7,11 @@
 // worker leases are limited to a bounded time past the watermark, so that tasks of an unknown
 // cancellation still stop within the cancellation deadline.
 //
-// The watermark advances in two ways. Either the lease holder has read every write to the key-value
-// store up to some time. Or, without such reads, every peer has acknowledged that it confirmed no
-// cancellation unknown to the lease holder up to some time. An outage of the key-value store does not
-// advance the watermark by itself: a controller may have confirmed a cancellation just before it. The
-// watermark never moves backwards.
+// The watermark advances to a time once the lease holder has read every write to the state service up to
+// that time, or once every peer has acknowledged that it confirmed no cancellation unknown to the lease
+// holder up to that time. An outage of the state service does not advance the watermark by itself: a
+// controller may have confirmed a cancellation just before the outage. The watermark never moves
+// backwards.
 type CancellationWatermark struct {
 	known time.Time // zero before the first read
 	peers map[string]acknowledgement
@@ -36,7 +36,7 @@
 }
 
 // AdvanceTo advances the watermark to at, unless it is later already. The caller must have read and
-// applied every write to the key-value store up to at.
+// applied every write to the state service up to at.
 func (w *CancellationWatermark) AdvanceTo(at time.Time) {
 	if at.After(w.known) {
 		w.known = at
--- a/internal/term/cancellations.go
+++ b/internal/term/cancellations.go
@@ -16,7 +16,7 @@
 	// known maps the IDs of jobs with a confirmed cancellation to the time at which this term learned
 	// of it. An open-job record that is read for one of them is stale.
 	known     map[string]time.Time
-	retention time.Duration // all tasks of a cancelled job have stopped after it
+	retention time.Duration // time after which all tasks of a cancelled job have stopped
 }
 
 func newCancellations(peers []string, workers config.Workers) *cancellations {
@@ -54,7 +54,7 @@
 
 // CancellationWatermark returns the time up to which this lease holder is guaranteed to know every
 // cancellation that any controller has confirmed. Reads of the open jobs advance it only as far as the
-// control records have been read: without the latter, the shard may belong to another process already.
+// control records have been read: without the latter, another process may already hold the shard's lease.
 func (t *Term) CancellationWatermark(now time.Time) time.Time {
 	read := t.options.OpenJobs.CurrentAsOf()
 	if control := t.options.Membership.CurrentAsOf(); control.Before(read) {
@@ -73,9 +73,9 @@
 	}
 }
 
-// CancelJob applies a cancellation that a controller has confirmed to a user. It takes effect before the
-// key-value store shows it, which may take long. Stale reads of the job that arrive later do not
-// reopen it.
+// CancelJob applies a cancellation that a controller has confirmed to a user, without waiting until the
+// cancellation is read from the state service. Stale reads of the job that arrive later do not reopen
+// the job.
 func (t *Term) CancelJob(now time.Time, id string) {
 	if !t.Live() || !t.cancellations.add(now, id) {
 		return
--- a/internal/term/completion_bitmaps.go
+++ b/internal/term/completion_bitmaps.go
@@ -15,13 +15,13 @@
 )
 
 // completionBitmaps stores bitmaps of the completed tasks of open jobs. Each entry covers a range of one
-// job's tasks, and a page of the key-value store holds many entries.
+// job's tasks, and a page of the state service holds many entries.
 //
 // The keys are compatible with earlier versions. JOB/N is the Nth chunk of a size that follows from the
 // current value size limit. A chunk that exceeds the limit for an entry is stored as several parts,
 // JOB/@FIRST, where FIRST is the number of the first task and independent of any limit. Earlier versions
-// discard parts and run the completed tasks of such jobs again after a rollback; each of these ends once
-// its image is pulled, as its results are kept.
+// discard parts and run the completed tasks of such jobs again after a rollback. Such a task exits once
+// its image is pulled, because its results already exist.
 type completionBitmaps struct {
 	pages      *store.Pages
 	chunkTasks int                          // tasks per chunk
@@ -131,8 +131,8 @@
 	}
 }
 
-// splitLargeEntries splits entries that exceed the current page size, which shrinks when the key-value
-// store rejects a page as too large.
+// splitLargeEntries splits entries that exceed the current page size, which shrinks when the state
+// service rejects a page as too large.
 func (b *completionBitmaps) splitLargeEntries() {
 	b.entryTasks = tasksPerEntry(b.pages.MaxEntryBytes())
 	var large []bitmapKey
--- a/internal/term/completion_bitmaps_limits_test.go
+++ b/internal/term/completion_bitmaps_limits_test.go
@@ -76,7 +76,7 @@
 	if len(s.keys) != 0 {
 		t.Errorf("%d pages are left of a deleted job", len(s.keys))
 	}
-	for value := range s.refused {
+	for value := range s.rejected {
 		t.Errorf("%.30s exceeds the limit of %v KB", value, loweredLimitKB)
 	}
 }
--- a/internal/term/completion_bitmaps_test.go
+++ b/internal/term/completion_bitmaps_test.go
@@ -23,23 +23,23 @@
 	loweredLimitKB = 2.0
 )
 
-// bitmapStore is a fake key-value store for pages of completion bitmaps. It rejects values above a limit.
+// bitmapStore is a fake state service for pages of completion bitmaps. It rejects values above a limit.
 type bitmapStore struct {
 	t        *testing.T
 	now      time.Time
 	limit    int // for a value, in bytes
 	keys     map[string]wire.KeyValue
 	revision uint64
-	refused  map[string]int // rejected writes by key and value
+	rejected map[string]int // rejected writes by key and value
 }
 
 func newBitmapStore(t *testing.T, limit int) *bitmapStore {
 	return &bitmapStore{
-		t:       t,
-		now:     time.Unix(100, 0),
-		limit:   limit,
-		keys:    map[string]wire.KeyValue{},
-		refused: map[string]int{},
+		t:        t,
+		now:      time.Unix(100, 0),
+		limit:    limit,
+		keys:     map[string]wire.KeyValue{},
+		rejected: map[string]int{},
 	}
 }
 
@@ -47,7 +47,7 @@
 func (s *bitmapStore) call(c store.Call, done func(time.Time, store.Result)) {
 	for _, w := range c.Transaction.Writes {
 		if len(w.Value) > s.limit {
-			s.refused[w.Put+string(w.Value)]++
+			s.rejected[w.Put+string(w.Value)]++
 			done(s.now, store.Result{Err: store.ErrInvalid})
 			return
 		}
@@ -152,7 +152,7 @@
 type bitmapCase struct {
 	name    string
 	tasks   int
-	limit   int // value size limit of the key-value store, in bytes
+	limit   int // value size limit of the state service, in bytes
 	entries []string
 }
 
@@ -190,7 +190,7 @@
 }
 
 // Guards against entries that earlier versions cannot read although they would fit, which would repeat
-// work after a rollback, and against entries that the key-value store rejects as too large.
+// work after a rollback, and against entries that the state service rejects as too large.
 func TestWrittenBitmapEntries(t *testing.T) {
 	for _, c := range bitmapCases {
 		t.Run(c.name, c.run)
@@ -210,7 +210,7 @@
 	if got := s.storedEntries(); !slices.Equal(got, c.entries) {
 		t.Errorf("stored as %v, want %v", got, c.entries)
 	}
-	for value, n := range s.refused {
+	for value, n := range s.rejected {
 		if n > 1 {
 			t.Errorf("%.30s rejected %d times", value, n)
 		}
--- a/internal/term/completions.go
+++ b/internal/term/completions.go
@@ -125,7 +125,7 @@
 	return out
 }
 
-// writeJobEnd writes the end record of a completed job. The write conflicts if a user has cancelled it.
+// writeJobEnd writes the end record of a completed job. The write conflicts if a user has cancelled the job.
 func (c *jobCompletions) writeJobEnd(job *placement.Job) {
 	id := job.Spec.ID
 	c.jobEndsInFlight[id] = true
--- a/internal/term/fencing.go
+++ b/internal/term/fencing.go
@@ -19,8 +19,9 @@
 	return fencing{queryAt: map[string]time.Time{}, incarnations: map[string]uint64{}}
 }
 
-// unreconciledLeaseEnd returns the time by which the lease of a worker that this term has not reconciled
-// is guaranteed to have expired. It includes renewals by the previous lease holder, which may still run.
+// unreconciledLeaseExpiry returns the time by which the lease of a worker that this term has not reconciled
+// is guaranteed to have expired. The time allows for renewals by the previous lease holder if that may
+// still run.
 func (t *Term) unreconciledLeaseExpiry() time.Time {
 	end := t.startedAt.Add(t.workers.LeaseExpiry())
 	if !t.PredecessorEnded {
--- a/internal/term/options.go
+++ b/internal/term/options.go
@@ -18,7 +18,7 @@
 // Effects performs the I/O of a term. No method blocks. Each one calls done later, on the goroutine that
 // owns the controller.
 type Effects interface {
-	// CallState sends a call to the key-value store.
+	// CallState sends a call to the state service.
 	CallState(call store.Call, done func(now time.Time, result store.Result))
 	// CallCloud sends a call to the cloud API.
 	CallCloud(call cloud.Call, done func(now time.Time, result cloud.Result))
--- a/internal/term/recovery.go
+++ b/internal/term/recovery.go
@@ -148,7 +148,7 @@
 	record, err := submission.ParseOpenJob(kv)
 	t.scheduler.SetJobUnreadable(id, err != nil && !cancelled)
 	if err != nil {
-		t.log.Error("failed to parse open job record", "key", kv.Key, "error", err)
+		t.log.Error("failed to decode open job record", "key", kv.Key, "error", err)
 		return
 	}
 	if cancelled || record.Shard != t.Shard {
--- a/internal/term/term.go
+++ b/internal/term/term.go
@@ -1,6 +1,6 @@
-// Package term implements a term of a shard: the period in which this process owns the shard's machines
-// and jobs under one fencing token. A term first recovers the records of earlier terms, then fences their
-// workers, and only then schedules without restrictions.
+// Package term implements a term of a shard: the period in which this process holds the shard's lease
+// under one fencing token, and manages the shard's machines and jobs. A term first recovers the records of
+// earlier terms, then fences their workers, and only then schedules without restrictions.
 //
 // A Term is not safe for concurrent use: only the goroutine that owns its controller may call it. Every
 // write of a term is conditional on the version of the shard record, so writes of a superseded term fail.
@@ -30,7 +30,7 @@
 
 const (
 	// Loading means that the records of earlier terms are being read. No task is started, and
-	// heartbeats with tasks of unknown jobs are refused.
+	// heartbeats with tasks of unknown jobs are rejected.
 	Loading State = iota
 	// Fencing means that workers of earlier terms are being reconciled. Tasks that may still run on
 	// an unreconciled worker are not started.
@@ -46,7 +46,7 @@
 	return [...]string{"loading", "fencing", "open", "over"}[s]
 }
 
-// Term owns the machines and jobs of a shard for one term. See leader.Term for its invariants.
+// Term manages the machines and jobs of a shard during one term. See leader.Term for its invariants.
 type Term struct {
 	leader.Term
 	options   Options
@@ -59,7 +59,7 @@
 	scheduler  *placement.Scheduler
 	autoscaler *fleet.Autoscaler
 	intents    *intentlog.Log
-	// guardedStateCall sends calls to the key-value store; the intent log guards removals of records.
+	// guardedStateCall sends calls to the state service; the intent log guards removals of records.
 	guardedStateCall store.Caller
 
 	completions    *jobCompletions
@@ -181,7 +181,7 @@
 	return store.VersionEquals(leader.ShardKey(t.Shard), t.Version)
 }
 
-// callState sends a call to the key-value store. It discards the result if the term has ended meanwhile.
+// callState sends a call to the state service. It discards the result if the term has ended meanwhile.
 func (t *Term) callState(call store.Call, done func(time.Time, store.Result)) {
 	t.options.Effects.CallState(call, func(now time.Time, result store.Result) {
 		if t.Live() {
