--- a/internal/fakes/cluster.go
+++ b/internal/fakes/cluster.go
@@ -9,8 +9,9 @@
 	"juniperchute/internal/wire"
 )
 
-// ReplyFunc handles the reply to a heartbeat. Status is the HTTP status, or 0 without a reply. The
-// commands are set with 200, redirectTo is set with 421: the controller to send heartbeats to.
+// ReplyFunc handles the reply to a heartbeat. status is the HTTP status, or 0 without a reply.
+// commands is set if the status is 200. redirectTo is set if the status is 421 and names the
+// controller to which the worker must send its heartbeats.
 type ReplyFunc func(status int, commands wire.HeartbeatResponse, redirectTo string)
 
 // Network carries workers' heartbeats to controllers.
--- a/internal/fakes/state.go
+++ b/internal/fakes/state.go
@@ -24,8 +24,8 @@
 	RequestsPerS  float64 // requests per second
 }
 
-// StateService fakes the state service: a key-value store with leases, watches and compare-and-swap
-// transactions. Each transaction, and each key deleted by a lease expiry, gets its own revision.
+// StateService fakes the state service with its leases, watches and compare-and-swap transactions.
+// Each transaction, and each key deleted by a lease expiry, gets its own revision.
 type StateService struct {
 	Keys       map[string]wire.KeyValue
 	Revision   uint64 // of the latest change
--- a/internal/httpapi/handlers.go
+++ b/internal/httpapi/handlers.go
@@ -10,8 +10,8 @@
 	"juniperchute/internal/wire"
 )
 
-// requireMethod wraps a handler and answers requests with another method with status 405. A handler
-// for GET also accepts HEAD.
+// requireMethod wraps a handler and rejects requests that use another method with status 405. A
+// handler for GET also accepts HEAD.
 func requireMethod(method string, handle http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		if req.Method != method && !(method == http.MethodGet && req.Method == http.MethodHead) {
@@ -23,7 +23,7 @@
 	}
 }
 
-// handleHealth answers without the event loop. A controller whose event loop is busy is not
+// handleHealth responds without the event loop. A controller whose event loop is busy is not
 // unhealthy, and a load balancer that has ejected it is slow to restore it.
 func (s *Server) handleHealth(w http.ResponseWriter, _ *http.Request) {
 	if s.options.Healthy() {
@@ -77,18 +77,18 @@
 }
 
 // callController runs call on the event loop and writes the response that call passes to reply. If
-// the queue is full, it answers with status 503 immediately.
+// the queue is full, it responds with status 503 immediately.
 func (s *Server) callController(w http.ResponseWriter, req *http.Request,
 	call func(now time.Time, reply func(submission.Response))) {
 	start := time.Now()
-	answered := make(chan submission.Response, 1)
-	reply := func(response submission.Response) { answered <- response }
+	responses := make(chan submission.Response, 1)
+	reply := func(response submission.Response) { responses <- response }
 	if !tryEnqueue(s.options.Requests, func(now time.Time) { call(now, reply) }) {
 		writeResponse(w, submission.BusyResponse())
 		return
 	}
 	select {
-	case response := <-answered:
+	case response := <-responses:
 		s.options.ObserveLatency(time.Since(start))
 		writeResponse(w, response)
 	case <-req.Context().Done():
@@ -121,25 +121,25 @@
 	if markWorkerConnection(req) {
 		w.Header().Set("Connection", "close")
 	}
-	answered := make(chan submission.Response, 1)
+	responses := make(chan submission.Response, 1)
 	received := s.options.Now()
 	event := func(now time.Time) {
 		s.options.Controller.ObserveQueueDelay(now.Sub(received))
 		s.options.Controller.HandleHeartbeat(now, &heartbeat, func(status int, body any) {
-			answered <- submission.Response{Status: status, Body: body}
+			responses <- submission.Response{Status: status, Body: body}
 		})
 	}
 	if !tryEnqueue(s.options.Heartbeats, event) && !s.enqueueWithTimeout(w, req, event) {
 		return
 	}
 	select {
-	case response := <-answered:
+	case response := <-responses:
 		writeResponse(w, response)
 	case <-req.Context().Done():
 	}
 }
 
-// enqueueWithTimeout waits until a full queue accepts a heartbeat. If the wait times out, it answers
+// enqueueWithTimeout waits until a full queue accepts a heartbeat. If the wait times out, it responds
 // with status 503 and returns false. Rejecting heartbeats immediately would amplify the overload:
 // workers would retry at other controllers and be redirected back. A worker has at most one
 // heartbeat in flight, which bounds the number of waiting requests.
--- a/internal/httpapi/listener_test.go
+++ b/internal/httpapi/listener_test.go
@@ -180,7 +180,7 @@
 	}
 }
 
-// With more workers than connections, every heartbeat must be answered and most of the permitted
+// With more workers than connections, every heartbeat must get a response and most of the permitted
 // connections must stay open.
 func TestWorkersShareConnections(t *testing.T) {
 	const (
--- a/internal/integration/duties_command_test.go
+++ b/internal/integration/duties_command_test.go
@@ -10,8 +10,8 @@
 	"juniperchute/internal/intentlog"
 )
 
-// TestDutiesCommand guards against wrong output of the command that shows the intent log, asked of
-// the lease holder, of its peer during a failover, and of the frozen lease holder.
+// TestDutiesCommand guards against wrong output of the command that shows the intent log. It queries
+// the lease holder, its peer during a failover, and the frozen lease holder.
 func TestDutiesCommand(t *testing.T) {
 	t.Parallel()
 	command := dutiesCommand{t: t, program: buildVersion(t, ""), test: newStallTest(t)}
--- a/internal/integration/failover_test.go
+++ b/internal/integration/failover_test.go
@@ -3,7 +3,7 @@
 import "syscall"
 
 // failoverAttempts bounds the attempts of forceLeaseHolder to transfer the lease. An attempt fails
-// if a controller short of CPU time loses its lease in between.
+// if a controller short of CPU time loses its member lease meanwhile.
 const failoverAttempts = 6
 
 // forceLeaseHolder transfers the shard's lease until the wanted controller holds it. Controllers
@@ -27,8 +27,8 @@
 // transferLease restarts the lease holder so that the wanted controller gets the lease. A leader
 // prefers other members to itself, and any member to the previous holder, so the wanted
 // controller must not lead: it is restarted once another controller leads. If the lease holder
-// leads too, its restart leaves the next leader open. In that case all other controllers are
-// stopped until the wanted controller has taken over.
+// leads too, any controller may lead after its restart. In that case all other controllers are
+// stopped until the failover to the wanted controller has ended.
 func (u *upgradeTest) transferLease(wanted int) {
 	u.t.Helper()
 	name := u.controllers[wanted].config.Member
--- a/internal/integration/trace_test.go
+++ b/internal/integration/trace_test.go
@@ -15,8 +15,8 @@
 	}
 	for _, history := range intentlog.Histories(spans) {
 		first, last := history.Steps[0], history.Steps[len(history.Steps)-1]
-		changedHands := history.FailedOver && first.Member != last.Member && first.Token != last.Token
-		if history.Operation != string(intentlog.Deprovision) || !history.Completed || !changedHands {
+		changedHolder := history.FailedOver && first.Member != last.Member && first.Token != last.Token
+		if history.Operation != string(intentlog.Deprovision) || !history.Completed || !changedHolder {
 			continue
 		}
 		for _, step := range history.Steps {
--- a/internal/integration/versions_test.go
+++ b/internal/integration/versions_test.go
@@ -17,8 +17,8 @@
 const (
 	// predecessorCommit is the head of main before the upgrade tests were added.
 	predecessorCommit = "288c544d9a91dd8711b6831b3f3e5cbb209030c9"
-	// preRenameCommit is the head of main before the identifiers were renamed. Its behavior equals
-	// the current one, so both versions must interoperate.
+	// preRenameCommit is the head of main before the identifiers were renamed. Its behavior
+	// is that of the current version, so both versions must interoperate.
 	preRenameCommit = "6c35e8cd2597650473c98eb971fc2ee6d4102756"
 )
 
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -27,7 +27,8 @@
 	HandleSetSetting(ctx context.Context, name, value string) (*peerpb.Settings, error)
 }
 
-// NewServer returns the gRPC server of a controller, which serves the peer and the admin API.
+// NewServer returns the gRPC server of a controller, which serves the calls of peers and the
+// administration API.
 func NewServer(handler Handler) *grpc.Server {
 	server := grpc.NewServer(
 		grpc.ReadBufferSize(connectionBufferBytes),
--- a/internal/store/desired_value.go
+++ b/internal/store/desired_value.go
@@ -21,8 +21,8 @@
 	// OnTermLost is called when a write fails because the term has ended.
 	OnTermLost func(now time.Time)
 	// OnTooLarge is called when the service rejects the desired value for its size. It
-	// reports whether its implementation will call Set with a smaller value. If it is nil or
-	// returns false, the write is retried with exponential backoff.
+	// returns true if a call of Set with a smaller value will follow. If it is nil or returns
+	// false, the write is retried with exponential backoff.
 	OnTooLarge func(now time.Time) bool
 }
 
--- a/internal/store/page.go
+++ b/internal/store/page.go
@@ -45,7 +45,7 @@
 	p.changed = true
 }
 
-// add sets an entry that moves to the page.
+// add sets an entry that the page does not hold yet.
 func (p *page) add(key string, value json.RawMessage) {
 	p.load(key, value)
 	p.changed = true
--- a/internal/store/pending_calls_test.go
+++ b/internal/store/pending_calls_test.go
@@ -11,18 +11,18 @@
 	done  []func(time.Time, Result)
 }
 
-func (h *pendingCalls) call(call Call, done func(time.Time, Result)) {
-	h.calls, h.done = append(h.calls, call), append(h.done, done)
+func (p *pendingCalls) call(call Call, done func(time.Time, Result)) {
+	p.calls, p.done = append(p.calls, call), append(p.done, done)
 }
 
 // reply completes the oldest call with a result and returns the call.
-func (h *pendingCalls) reply(t *testing.T, result Result) Call {
+func (p *pendingCalls) reply(t *testing.T, result Result) Call {
 	t.Helper()
-	if len(h.done) == 0 {
+	if len(p.done) == 0 {
 		t.Fatal("no call is pending")
 	}
-	call, done := h.calls[0], h.done[0]
-	h.calls, h.done = h.calls[1:], h.done[1:]
+	call, done := p.calls[0], p.done[0]
+	p.calls, p.done = p.calls[1:], p.done[1:]
 	done(time.Unix(0, 0), result)
 	return call
 }
--- a/internal/store/rate_buckets.go
+++ b/internal/store/rate_buckets.go
@@ -8,8 +8,8 @@
 	"juniperchute/internal/tuning"
 )
 
-// rateBuckets holds the token buckets for calls and for writes. The burst of each bucket is
-// the rate of one second.
+// rateBuckets holds the token buckets for calls and for writes. The capacity of each bucket is
+// the number of tokens that it receives in one second.
 type rateBuckets struct {
 	calls  *rate.Limiter
 	writes *rate.Limiter
--- a/internal/store/rate_limiter_test.go
+++ b/internal/store/rate_limiter_test.go
@@ -14,7 +14,7 @@
 	return Call{Op: OpTransaction, Priority: priority, Transaction: wire.Transaction{Writes: []wire.Write{Delete("a")}}}
 }
 
-// decreasingLimits returns limits of 20 writes per second at present and 10 in the future.
+// decreasingLimits returns limits with 20 writes per second and an upcoming limit of 10.
 func decreasingLimits(callsPerSecond float64) config.StateLimits {
 	return config.StateLimits{RPS: callsPerSecond, WriteRPS: 20, Next: config.UpcomingLimits{"write_rps": 10.0}}
 }
@@ -60,7 +60,7 @@
 	err      error
 	interval time.Duration
 	count    int
-	want     bool
+	want     bool // whether the limits must be lowered
 }
 
 var lowerLimitsCases = []lowerLimitsCase{
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -30,7 +30,7 @@
 	OpWatch
 )
 
-// Priority orders calls when the rate limit is reached. A lower value is sent first.
+// Priority orders calls when the rate limit is reached. Calls with lower values are sent first.
 type Priority int
 
 // Priorities of calls, from the most to the least urgent.
@@ -83,7 +83,7 @@
 	// the error of an unexpected HTTP status.
 	Err error
 	// SentAt is the time at which the call was sent. The response reflects all writes that
-	// were committed before.
+	// were committed before that time.
 	SentAt    time.Time
 	KeyValue  wire.KeyValue   // OpGet
 	KeyValues []wire.KeyValue // OpList
--- a/internal/store/watch_cache_catch_up.go
+++ b/internal/store/watch_cache_catch_up.go
@@ -16,8 +16,8 @@
 
 // WaitCurrent applies all changes that are committed at the time of the call, and then calls
 // done. ok is false if that failed or the cache is not synced. Calls that arrive while a
-// catch-up is in flight share the next one, because the response to the one in flight may not
-// include changes that preceded them. Catch-ups start at least minInterval apart.
+// catch-up is in flight share the next one, because the response to the one in flight may lack
+// changes that were committed before these calls. Catch-ups start at least minInterval apart.
 func (c *WatchCache) WaitCurrent(now time.Time, minInterval time.Duration, done func(now time.Time, ok bool)) {
 	c.catchUp.nextWaiters = append(c.catchUp.nextWaiters, done)
 	c.startCatchUp(now, minInterval)
--- a/internal/tools/knownfailures/evaluate.go
+++ b/internal/tools/knownfailures/evaluate.go
@@ -43,7 +43,7 @@
 	return problems
 }
 
-// unexpectedOutcome says how the outcome of a listed test differs from the one listed. It
+// unexpectedOutcome describes how the outcome of a listed test differs from the one listed. It
 // returns "" for an expected outcome. No entry expects a test to be skipped or unfinished.
 func (r *testRun) unexpectedOutcome(failure knownFailure) string {
 	outcome := r.outcome(failure)
@@ -106,7 +106,7 @@
 }
 
 // failedBySubtests reports whether a failed test failed only because subtests failed. A test with
-// output of its own counts as failed by itself, as events do not tell errors from log output.
+// output of its own counts as failed by itself, as events do not distinguish errors from logs.
 func (p *packageResult) failedBySubtests(name string) bool {
 	for _, line := range p.tests[name].output {
 		if !isProgress(line) && !strings.HasPrefix(strings.TrimSpace(line), "--- FAIL: "+name+" ") {
--- a/internal/tracing/read.go
+++ b/internal/tracing/read.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// maxLineBytes bounds the length of a line. A span takes some hundred bytes.
+// maxLineBytes bounds the length of a line. A span takes a few hundred bytes.
 const maxLineBytes = 1 << 20
 
 // Span is a span that was read from a trace file.
--- a/internal/tuning/fleet.go
+++ b/internal/tuning/fleet.go
@@ -15,7 +15,7 @@
 	CloudRateShare = 0.9
 	// CloudBackoffInitial is the backoff after a failed call. It grows with consecutive failures.
 	CloudBackoffInitial = 1 * time.Second
-	// CloudBackoffMax bounds the backoff, so that the end of an outage is noticed soon.
+	// CloudBackoffMax bounds the backoff, so that the end of an outage is detected soon.
 	CloudBackoffMax = 3 * time.Second
 	// CloudCallsInFlight bounds concurrent calls.
 	CloudCallsInFlight = 4
@@ -30,14 +30,14 @@
 	ListInterval = 5 * time.Second
 	// ListRateShare bounds the share of the cloud's rate limit that lists use.
 	ListRateShare = 0.3
-	// MissedListsLimit is the number of consecutive lists without a machine that was listed before
-	// after which the machine counts as deleted. A list may be older than its predecessor.
+	// MissedListsLimit is the number of consecutive lists that must omit a previously listed machine
+	// before the machine counts as deleted. A list may be older than its predecessor.
 	MissedListsLimit = 3
 	// UnreconciledMissedListsLimit replaces MissedListsLimit for a machine that the lease holder
 	// has not reconciled yet, as such a machine blocks other work. It exceeds 1, as a machine that
 	// has just booted may not be listed yet.
 	UnreconciledMissedListsLimit = 2
-	// AdoptionLists is the number of lists with a machine that has no record after which the
+	// AdoptionLists is the number of lists that must include a machine without a record before the
 	// machine is adopted. Deleted machines stay listed for a while.
 	AdoptionLists = 4
 )
@@ -61,8 +61,8 @@
 	ProvisioningRecordBytes = 160
 	// HostNameBytes is an upper bound of the size of a machine name in that record.
 	HostNameBytes = 16
-	// BootTimeoutFactor times the usual boot time of its type is the time after which a machine
-	// without a heartbeat is deleted.
+	// BootTimeoutFactor is the time after which a machine without a heartbeat is deleted, as a
+	// multiple of the usual boot time of its type.
 	BootTimeoutFactor = 3.0
 )
 
@@ -79,11 +79,11 @@
 	// PreemptionGrace is added to the time in a preemption notice before the machine counts as
 	// deleted.
 	PreemptionGrace = 2 * time.Second
-	// FewUnreconciledTimeout is the time after a failover after which unreconciled machines are
-	// deleted if they are at most one in FewUnreconciledDivisor. Running jobs are blocked until
-	// every machine has been reconciled or deleted.
+	// FewUnreconciledTimeout is the time from a failover to the deletion of unreconciled machines,
+	// if they are at most one in FewUnreconciledDivisor. Running jobs are blocked until every
+	// machine has been reconciled or deleted.
 	FewUnreconciledTimeout = 4 * time.Second
-	// FewUnreconciledDivisor is the ratio of all machines to unreconciled ones from which on
+	// FewUnreconciledDivisor is the minimum ratio of all machines to unreconciled ones for which
 	// FewUnreconciledTimeout applies.
 	FewUnreconciledDivisor = 100
 )
@@ -91,11 +91,11 @@
 // Intent log, used by packages intentlog and fleet.
 const (
 	// IntentWriteInterval is the minimum time between two writes of a page of the intent log.
-	// Intents are batched in between.
+	// Intents that arrive in this time are batched.
 	IntentWriteInterval = 250 * time.Millisecond
 	// MaxOpenIntents bounds the intents that are recorded and not completed. Further ones wait.
 	MaxOpenIntents = 16000
 	// LateCallWindow is the time within which the cloud may still execute a call that got no
-	// response. A refused provisioning request is retried under its own name until then.
+	// response. A rejected provisioning request is retried under its own name until then.
 	LateCallWindow = 3 * time.Minute
 )
--- a/internal/tuning/placement.go
+++ b/internal/tuning/placement.go
@@ -46,7 +46,7 @@
 	// ServiceHealthyAfter is the run time after which a replica counts as healthy.
 	ServiceHealthyAfter = 10 * time.Second
 	// ReserveMachines is the number of on-demand machines that can each take one more replica of
-	// the largest service, with lower-priority work preempted. Two tolerate the loss of one.
+	// the largest service, with lower-priority work preempted. Two machines tolerate the loss of one.
 	ReserveMachines = 2
 )
 
@@ -64,7 +64,7 @@
 	// RunTimeAverageWeight is the weight of the newest run time in a class's exponential moving
 	// average.
 	RunTimeAverageWeight = 0.1
-	// WarmPoolBootFactor is the ratio of boot time to start objective from which on a machine is
+	// WarmPoolBootFactor is the minimum ratio of boot time to start objective for which a machine is
 	// kept warm for a class that has had no job yet.
 	WarmPoolBootFactor = 5.0
 )
--- a/internal/tuning/scheduling.go
+++ b/internal/tuning/scheduling.go
@@ -20,8 +20,8 @@
 	// StartMarkersAhead is the number of arrays at the head of the queue whose start markers are
 	// written before resources are free, so that the write does not delay their start.
 	StartMarkersAhead = 8
-	// MaxGangStartMarkers is the number of pending start markers from which on no gang requests
-	// another.
+	// MaxGangStartMarkers is the number of pending start markers at which gangs request no further
+	// ones.
 	MaxGangStartMarkers = 64
 )
 
@@ -38,8 +38,8 @@
 	// GangPositionBonus is subtracted from the position of a gang or service. The bound keeps
 	// arrays from starving in a burst of gangs.
 	GangPositionBonus = 120 * time.Second
-	// GangBlockingDelay is the waiting time after which a gang blocks the placement of later gangs
-	// of its priority.
+	// GangBlockingDelay is the waiting time after which a gang without a placement blocks all later
+	// gangs of the scheduling pass.
 	GangBlockingDelay = 60 * time.Second
 	// FirstStartDeadline is the time after which a job without a completed task is starving and has
 	// FirstStartTasks of its tasks scheduled first.
@@ -65,13 +65,14 @@
 	TaskBackoffDoublings = 5
 	// RejectedStartBackoff is the backoff after a worker rejected a start command.
 	RejectedStartBackoff = 1 * time.Second
-	// QuarantineFailedJobs is the number of jobs with failures on a machine that quarantines it.
+	// QuarantineFailedJobs is the number of jobs with failures on a machine at which the machine is
+	// quarantined.
 	QuarantineFailedJobs = 2
-	// QuarantineFailedTasks is the number of failures of one job on a machine that quarantines the
-	// machine, if the job succeeds elsewhere.
+	// QuarantineFailedTasks is the number of failures of one job on a machine at which the machine
+	// is quarantined, if the job succeeds elsewhere.
 	QuarantineFailedTasks = 2
-	// FailingJobMachines is the number of machines with failures and without a success from which
-	// on the failures are attributed to the job.
+	// FailingJobMachines is the number of machines on which a job without any success must have
+	// failed before the failures are attributed to the job.
 	FailingJobMachines = 3
 )
 
@@ -79,8 +80,9 @@
 const (
 	// CheckpointGrace is added to the checkpoint save time of a task that is stopped.
 	CheckpointGrace = 1 * time.Second
-	// PreemptionHeartbeats is the lead, in heartbeat intervals, with which the tasks of a spot
-	// machine are told to save before its preemption. A command may wait for the next heartbeat.
+	// PreemptionHeartbeats is the time, in heartbeat intervals, by which the stop commands to tasks
+	// of a spot machine precede the latest start of their checkpoints. A command may wait for the
+	// next heartbeat.
 	PreemptionHeartbeats = 1.3
 	// ConsolidationInterval is the minimum time between two consolidations. The effect of one on
 	// the placement must show before the next.
--- a/internal/tuning/store.go
+++ b/internal/tuning/store.go
@@ -29,13 +29,13 @@
 	// uses. The sum over all members may exceed 1, as they rarely peak together.
 	StoreRateShare = 0.6
 	// RateShareStep is added to the share after each RateShareInterval in which writes waited for
-	// rate and none was rejected.
+	// tokens of the rate limiter and none was rejected.
 	RateShareStep = 0.05
 	// RateShareInterval is the time between two updates of the share.
 	RateShareInterval = 500 * time.Millisecond
 	// RateShareCooldown is the time after a rejection in which the share does not grow.
 	RateShareCooldown = 5 * time.Second
-	// RateLimitBackoff is the backoff of a call that waits in the client's queue for rate.
+	// RateLimitBackoff is the backoff of a queued call for which the rate limiter lacks tokens.
 	RateLimitBackoff = 50 * time.Millisecond
 	// RateLowerRejections is the number of rate rejections within RateLowerWindow that show that
 	// the service enforces its upcoming limits. A rejection for a value's size counts as that many.
@@ -43,17 +43,17 @@
 	RateLowerRejections = 12
 	// RateLowerWindow is the window in which rate rejections are counted.
 	RateLowerWindow = 10 * time.Second
-	// RateRaiseInitial is the time for which lowered limits apply before the previous ones are
-	// tried again. It doubles each time.
+	// RateRaiseInitial is the time for which lowered limits apply before the current limits of the
+	// settings are tried again. It doubles each time.
 	RateRaiseInitial = 2 * time.Minute
 	// RateRaiseMax bounds the doubling of RateRaiseInitial.
 	RateRaiseMax = 30 * time.Minute
-	// RateTrialRejections is the number of rejections that ends a trial of the previous limits.
+	// RateTrialRejections is the number of rejections that ends a trial of the current limits.
 	RateTrialRejections = 4
 )
 
 // WriteReserveShares lists, for each store.Priority, the share of the write bucket that calls of
-// this priority leave to calls of higher priorities.
+// this priority leave to more urgent calls.
 var WriteReserveShares = [...]float64{0, 0.1, 0.1, 0.2, 0.4}
 
 // Pages and desired values, used by package store and by the packages that write records.
@@ -81,7 +81,7 @@
 	// StoreReadsInFlight bounds concurrent reads.
 	StoreReadsInFlight = 8
 	// StoreWritesInFlight bounds concurrent writes of each priority. The bounds are separate, so
-	// that a write that waits for rate does not block another priority.
+	// that writes that wait for tokens of the rate limiter do not block another priority.
 	StoreWritesInFlight = 8
 	// StoreExtraInFlight is the number of further connections, for renewals and watches.
 	StoreExtraInFlight = 6
--- a/internal/tuning/submission.go
+++ b/internal/tuning/submission.go
@@ -22,9 +22,9 @@
 
 // Log of the cancellations confirmed to users, used by packages submission, controller and term.
 const (
-	// CancellationRetentionFactor times the limit within which the tasks of a cancelled job must
-	// have ended is the retention time of a cancellation. After the first such period, no task of
-	// the job runs under any lease holder.
+	// CancellationRetentionFactor is the retention time of a cancellation, as a multiple of the time
+	// within which the tasks of a cancelled job must have ended. After one such time, no task of the
+	// job runs under any lease holder.
 	CancellationRetentionFactor = 2
 	// MinCancellationsKept is the minimum capacity of the log. The capacity is larger if more
 	// cancellations can be written within their retention time.
--- a/internal/tuning/term.go
+++ b/internal/tuning/term.go
@@ -25,19 +25,19 @@
 
 // Lease holders without contact to the state service, used by package term.
 const (
-	// CancellationRenewMargin is kept in reserve from the limit within which a cancelled job's tasks
-	// must have ended, when a lease holder renews worker leases past its cancellation watermark.
+	// CancellationRenewMargin is added to the duration of a worker lease when a lease holder checks
+	// that a renewal does not let the tasks of a cancelled job outlive their time limit.
 	CancellationRenewMargin = 5 * time.Second
 	// MinRenewBeyondWatermark is the lower bound of the time past its cancellation watermark in which
-	// a lease holder answers heartbeats. It exceeds WatchTimeout, as a watch without events advances
-	// the watermark only when it ends.
+	// a lease holder responds to heartbeats. It exceeds WatchTimeout, as a watch without events
+	// advances the watermark only when it ends.
 	MinRenewBeyondWatermark = 6 * time.Second
 )
 
 // Lease holders that may be isolated from their workers, used by package term.
 const (
-	// IsolationMinMachines is the number of recently heard machines below which their silence does
-	// not indicate isolation.
+	// IsolationMinMachines is the number of machines with unexpired worker leases below which the
+	// lack of heartbeats does not indicate isolation.
 	IsolationMinMachines = 3
 	// IsolationHeartbeats is the time, in heartbeat intervals, without any heartbeat after which a
 	// lease holder suspects its own isolation. It exceeds the jitter of heartbeats.
--- a/internal/tuning/worker.go
+++ b/internal/tuning/worker.go
@@ -14,8 +14,8 @@
 	// WorkerReplyTimeout is the minimum time after which a worker without a response fails over to
 	// another controller: the protocol's 4 s less the network delay of its previous heartbeat.
 	WorkerReplyTimeout = 3500 * time.Millisecond
-	// UnreachableLeases is the number of worker leases for which a machine may send heartbeats
-	// without a sign that it receives responses before it is deleted. A failover takes less than one.
+	// UnreachableLeases is the time, in worker leases, after which a machine is deleted if it sends
+	// heartbeats but gives no sign that it receives responses. A failover takes less than one lease.
 	UnreachableLeases = 2
 	// DeletedMachinesKept is the number of deleted machines whose names are remembered.
 	DeletedMachinesKept = 20000
@@ -23,7 +23,7 @@
 
 // Direct commands to workers, used by package controller.
 const (
-	// CommandTimeout bounds a direct command. It is generous, as a timeout counts against the
+	// CommandTimeout bounds a direct command. It is long, as a timeout counts against the
 	// machine even if the lease holder lacks the CPU time to read the response.
 	CommandTimeout = 8 * time.Second
 	// WorkerDialTimeout bounds the dial of a connection to a worker. A failed dial shows that the
--- a/internal/wire/job_parse.go
+++ b/internal/wire/job_parse.go
@@ -92,7 +92,7 @@
 }
 
 // fieldReader decodes the fields of a JSON object and records the first error. Unlike a struct decoded
-// by encoding/json, it matches names case-sensitively and tells missing fields from zero values.
+// by encoding/json, it matches names case-sensitively and distinguishes missing fields from zero values.
 type fieldReader struct {
 	raw map[string]json.RawMessage
 	err error
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -62,7 +62,7 @@
 
 // Machine states in the cloud's list.
 const (
-	MachineBooting = "booting" // charged; may never come up
+	MachineBooting = "booting" // charged; may never finish booting
 	MachineRunning = "running"
 	MachineFailed  = "failed" // not charged; listed until deletion
 )
