--- a/cmd/juniperchute/intents_summary.go
+++ b/cmd/juniperchute/intents_summary.go
@@ -10,10 +10,10 @@
 
 // operationNouns maps the names of operations in the administration API to descriptions.
 var operationNouns = map[string]string{
-	string(intentlog.Provision):   "provisioning machines",
-	string(intentlog.Deprovision): "deprovisioning machines",
-	string(intentlog.Reclaim):     "reclaiming machines",
-	string(intentlog.Cleanup):     "deleting records",
+	string(intentlog.Provision):     "provisioning machines",
+	string(intentlog.Deprovision):   "deprovisioning machines",
+	string(intentlog.Reclaim):       "reclaiming machines",
+	string(intentlog.DeleteRecords): "deleting records",
 }
 
 // intentStates maps the states of an intent in the administration API to descriptions.
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -55,7 +55,7 @@
 	shardOfMachine    map[string]int // from the provisioning requests that name machines
 
 	peers           peerGroup
-	progressQueries map[int]*progressQueue // by shard
+	progressQueues  map[int]*progressQueue // by shard
 	cancellationLog *submission.CancellationLog
 }
 
@@ -82,13 +82,13 @@
 func NewController(cfg *config.Config, options Options, environment Environment) *Controller {
 	c := &Controller{
 		config: cfg, options: options, environment: environment,
-		process:         processIdentity{id: environment.Rand.Uint64() | 1},
-		terms:           map[int]*term.Term{},
-		settings:        admin.Defaults(),
-		machineTypes:    machineTypes{byName: map[string]wire.MachineType{}, records: map[string]string{}},
-		shardOfMachine:  map[string]int{},
-		peers:           newPeerGroup(cfg.Peers),
-		progressQueries: map[int]*progressQueue{},
+		process:        processIdentity{id: environment.Rand.Uint64() | 1},
+		terms:          map[int]*term.Term{},
+		settings:       admin.Defaults(),
+		machineTypes:   machineTypes{byName: map[string]wire.MachineType{}, records: map[string]string{}},
+		shardOfMachine: map[string]int{},
+		peers:          newPeerGroup(cfg.Peers),
+		progressQueues: map[int]*progressQueue{},
 	}
 	c.cancellationLog = submission.NewCancellationLog(options.Shards,
 		config.Seconds(cfg.Platform.Workers.CancelS), cfg.Platform.State.WriteRPS)
@@ -134,7 +134,7 @@
 }
 
 // Schedule runs a function on the event loop after a delay, rounded up to the next tick.
-func (c *Controller) Schedule(now time.Time, delay time.Duration, run func(now time.Time)) {
+func (c *Controller) RunAfter(now time.Time, delay time.Duration, run func(now time.Time)) {
 	c.timers = append(c.timers, timer{now.Add(delay), run})
 }
 
@@ -226,9 +226,9 @@
 			t.Tick(now)
 		}
 	}
-	if !now.Before(c.peers.heartbeatAt) {
-		c.peers.heartbeatAt = now.Add(tuning.PeerHeartbeatInterval)
-		c.sendHeartbeats(now)
+	if !now.Before(c.peers.nextHeartbeatAt) {
+		c.peers.nextHeartbeatAt = now.Add(tuning.PeerHeartbeatInterval)
+		c.sendPeerHeartbeats(now)
 	}
 }
 
@@ -240,7 +240,7 @@
 	if !c.membership.Synced() || !c.openJobs.Synced() || len(c.allMachineTypes()) == 0 {
 		return false
 	}
-	if c.stateUnreachableFor(now) < tuning.StoreIsolationTimeout+tuning.WatchTimeout {
+	if c.sinceStateContact(now) < tuning.StoreIsolationTimeout+tuning.WatchTimeout {
 		return true
 	}
 	isolated := len(c.peers.byName) > 0
@@ -249,15 +249,15 @@
 			continue
 		}
 		isolated = false
-		if peer.stateUnreachableFor < tuning.StoreIsolationTimeout {
+		if peer.sinceStateContact < tuning.StoreIsolationTimeout {
 			return false
 		}
 	}
 	return !isolated
 }
 
-// HandleHeartbeat handles a worker's heartbeat and replies to it. If this process does not hold the
-// shard's lease, HandleHeartbeat redirects the worker to the lease holder.
+// HandlePeerHeartbeat handles a worker's heartbeat and replies to it. If this process does not hold the
+// shard's lease, HandlePeerHeartbeat redirects the worker to the lease holder.
 func (c *Controller) HandleHeartbeat(now time.Time, heartbeat *wire.Heartbeat, reply func(status int, body any)) {
 	shard := c.shardOf(heartbeat.Host)
 	if t := c.liveTerm(shard); t != nil {
--- a/internal/controller/effects.go
+++ b/internal/controller/effects.go
@@ -11,8 +11,8 @@
 // result by calling then on the controller's event loop.
 type Effects interface {
 	term.Effects
-	// SendHeartbeat sends a heartbeat to another controller, which replies with its own.
-	SendHeartbeat(member string, heartbeat *peerpb.PeerHeartbeat,
+	// SendPeerHeartbeat sends a heartbeat to another controller, which replies with its own.
+	SendPeerHeartbeat(member string, heartbeat *peerpb.PeerHeartbeat,
 		then func(now time.Time, reply *peerpb.PeerHeartbeat, err error))
 	// QueryProgress asks another controller for the progress of jobs.
 	QueryProgress(member string, request *peerpb.ProgressRequest,
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -42,7 +42,7 @@
 		name:       "released shard",
 		encoded:    `{"Holder":"","Inc":0,"Baton":4,"Ended":false,"Deaf":"n1"}`,
 		decodeInto: &leader.ShardRecord{},
-		want:       &leader.ShardRecord{Token: 4, Unreachable: "n1"},
+		want:       &leader.ShardRecord{Token: 4, UnreachableMember: "n1"},
 	},
 	{
 		name: "open job",
--- a/internal/controller/intents.go
+++ b/internal/controller/intents.go
@@ -120,8 +120,8 @@
 	out := &peerpb.OperationStatus{
 		Operation:        string(status.Operation),
 		Pending:          int32(len(status.Intents)),
-		RemovalsInFlight: int32(status.RemovalsInFlight),
-		RemovalsDone:     int64(status.RemovalsDone),
+		RemovalsInFlight: int32(status.DeletionsInFlight),
+		RemovalsDone:     int64(status.DeletionsDone),
 	}
 	slices.SortStableFunc(status.Intents, func(a, b intentlog.IntentStatus) int {
 		return cmp.Or(a.DecidedAt.Compare(b.DecidedAt), cmp.Compare(a.Target, b.Target))
--- a/internal/controller/peer_heartbeat.go
+++ b/internal/controller/peer_heartbeat.go
@@ -12,10 +12,10 @@
 
 // peerGroup holds the state of the other controllers and the lease claims that they report.
 type peerGroup struct {
-	byName       map[string]*peerStatus
-	heartbeatAt  time.Time                  // time of the next heartbeats
-	claims       map[int]*peerpb.LeaseClaim // by shard, the claim with the highest fencing token
-	forwardingTo map[string]bool            // members to which a forwarded cancellation is in flight
+	byName          map[string]*peerStatus
+	nextHeartbeatAt time.Time                  // time of the next heartbeats
+	claims          map[int]*peerpb.LeaseClaim // by shard, the claim with the highest fencing token
+	forwardingTo    map[string]bool            // members to which a forwarded cancellation is in flight
 }
 
 func newPeerGroup(peers []config.Peer) peerGroup {
@@ -32,14 +32,14 @@
 
 // peerStatus holds the state of one peer as of its last heartbeats.
 type peerStatus struct {
-	lastHeartbeat       time.Time     // time of arrival
-	stateUnreachableFor time.Duration // as reported by the peer
-	processID           uint64        // of the peer's newest heartbeat
-	clockNs             int64         // the peer's uptime in its newest heartbeat
-	version             string
+	lastHeartbeat     time.Time     // time of arrival
+	sinceStateContact time.Duration // as reported by the peer
+	processID         uint64        // of the peer's newest heartbeat
+	uptimeNs          int64         // the peer's uptime in its newest heartbeat
+	version           string
 	// unacknowledged lists the cancellations that the peer has forwarded and that the next
 	// heartbeat to the peer acknowledges.
-	unacknowledged []string
+	toAcknowledge []string
 }
 
 // live reports whether a heartbeat of the peer has arrived within the last three intervals.
@@ -55,9 +55,9 @@
 	return names
 }
 
-// stateUnreachableFor returns the time since the state service last responded to this
+// sinceStateContact returns the time since the state service last responded to this
 // controller, or one hour if it has never responded.
-func (c *Controller) stateUnreachableFor(now time.Time) time.Duration {
+func (c *Controller) sinceStateContact(now time.Time) time.Duration {
 	if c.membership.LastContact().IsZero() {
 		return time.Hour
 	}
@@ -89,7 +89,7 @@
 func (c *Controller) newPeerHeartbeat(now time.Time, to string) *peerpb.PeerHeartbeat {
 	heartbeat := &peerpb.PeerHeartbeat{
 		Member:            c.config.Member,
-		StateContactAgeMs: c.stateUnreachableFor(now).Milliseconds(),
+		StateContactAgeMs: c.sinceStateContact(now).Milliseconds(),
 		Process:           c.process.id,
 		Version:           admin.Version(),
 		Claims:            c.claims(),
@@ -100,14 +100,14 @@
 	}
 	heartbeat.Cancelled, heartbeat.CancellationsComplete = c.cancellationLog.Pending(now, c.fencingTokens())
 	if peer := c.peers.byName[to]; peer != nil {
-		heartbeat.EchoProcess, heartbeat.EchoNs = peer.processID, peer.clockNs
-		heartbeat.AcknowledgedCancelled = peer.unacknowledged
-		peer.unacknowledged = nil
+		heartbeat.EchoProcess, heartbeat.EchoNs = peer.processID, peer.uptimeNs
+		heartbeat.AcknowledgedCancelled = peer.toAcknowledge
+		peer.toAcknowledge = nil
 	}
 	return heartbeat
 }
 
-func (c *Controller) sendHeartbeats(now time.Time) {
+func (c *Controller) sendPeerHeartbeats(now time.Time) {
 	for _, peer := range c.config.Peers {
 		if peer.Member < c.config.Member {
 			continue // the peer initiates the exchange, which updates both sides
@@ -119,7 +119,7 @@
 // exchange sends a heartbeat to another controller and applies the reply. It calls then even if
 // the call fails.
 func (c *Controller) exchange(now time.Time, member string, then func(now time.Time)) {
-	c.environment.Effects.SendHeartbeat(member, c.newPeerHeartbeat(now, member),
+	c.environment.Effects.SendPeerHeartbeat(member, c.newPeerHeartbeat(now, member),
 		func(now time.Time, reply *peerpb.PeerHeartbeat, err error) {
 			if err == nil {
 				c.applyPeerHeartbeat(now, member, reply)
@@ -152,13 +152,13 @@
 // in it.
 func (p *peerStatus) apply(now time.Time, heartbeat *peerpb.PeerHeartbeat) {
 	p.lastHeartbeat = now
-	p.stateUnreachableFor = time.Duration(heartbeat.StateContactAgeMs) * time.Millisecond
+	p.sinceStateContact = time.Duration(heartbeat.StateContactAgeMs) * time.Millisecond
 	p.version = heartbeat.Version
-	if p.processID != heartbeat.Process || heartbeat.ClockNs > p.clockNs {
-		p.processID, p.clockNs = heartbeat.Process, heartbeat.ClockNs
+	if p.processID != heartbeat.Process || heartbeat.ClockNs > p.uptimeNs {
+		p.processID, p.uptimeNs = heartbeat.Process, heartbeat.ClockNs
 	}
-	p.unacknowledged = append(p.unacknowledged, heartbeat.Cancelled...)
-	p.unacknowledged = p.unacknowledged[max(0, len(p.unacknowledged)-tuning.MaxCancellationsPerMessage):]
+	p.toAcknowledge = append(p.toAcknowledge, heartbeat.Cancelled...)
+	p.toAcknowledge = p.toAcknowledge[max(0, len(p.toAcknowledge)-tuning.MaxCancellationsPerMessage):]
 }
 
 // applyLeaseClaim records a lease claim from a peer's heartbeat. A claim with a higher fencing
--- a/internal/controller/process_effects.go
+++ b/internal/controller/process_effects.go
@@ -51,12 +51,12 @@
 	rateLimiterLock sync.Mutex
 	rateLimiter     *store.RateLimiter
 
-	readSemaphore             semaphore
-	writeSemaphores           [store.NumPriorities]semaphore
-	cloudSemaphore            semaphore
-	commandSemaphore          semaphore
-	heartbeatRequestSemaphore semaphore
-	peerSemaphore             semaphore
+	readSemaphore        semaphore
+	writeSemaphores      [store.NumPriorities]semaphore
+	cloudSemaphore       semaphore
+	commandSemaphore     semaphore
+	workerQuerySemaphore semaphore
+	peerSemaphore        semaphore
 }
 
 func newProcessEffects(cfg *config.Config, connections connectionLimits, options effectOptions) *processEffects {
@@ -67,16 +67,16 @@
 		effectOptions: options,
 		ctx:           context.Background(),
 
-		state:                     store.NewClient(cfg.External.State, toState, options.clock.Now),
-		cloud:                     cloud.NewClient(cfg.External.Cloud, toCloud),
-		workers:                   workerClient{&http.Client{Transport: toWorkers}},
-		peers:                     peer.NewClients(cfg.Peers),
-		rateLimiter:               store.NewRateLimiter(cfg.Platform.State, len(cfg.Peers)+1),
-		readSemaphore:             make(semaphore, tuning.StoreReadsInFlight),
-		cloudSemaphore:            make(semaphore, tuning.CloudCallsInFlight),
-		commandSemaphore:          make(semaphore, connections.commands),
-		heartbeatRequestSemaphore: make(semaphore, connections.commands),
-		peerSemaphore:             make(semaphore, tuning.PeerCallsInFlight),
+		state:                store.NewClient(cfg.External.State, toState, options.clock.Now),
+		cloud:                cloud.NewClient(cfg.External.Cloud, toCloud),
+		workers:              workerClient{&http.Client{Transport: toWorkers}},
+		peers:                peer.NewClients(cfg.Peers),
+		rateLimiter:          store.NewRateLimiter(cfg.Platform.State, len(cfg.Peers)+1),
+		readSemaphore:        make(semaphore, tuning.StoreReadsInFlight),
+		cloudSemaphore:       make(semaphore, tuning.CloudCallsInFlight),
+		commandSemaphore:     make(semaphore, connections.commands),
+		workerQuerySemaphore: make(semaphore, connections.commands),
+		peerSemaphore:        make(semaphore, tuning.PeerCallsInFlight),
 	}
 	for i := range e.writeSemaphores {
 		e.writeSemaphores[i] = make(semaphore, tuning.StoreWritesInFlight)
@@ -168,7 +168,7 @@
 		// go to all workers, and many may hang: commands must not wait for them.
 		limit := e.commandSemaphore
 		if len(commands.Commands) == 0 {
-			limit = e.heartbeatRequestSemaphore
+			limit = e.workerQuerySemaphore
 		}
 		defer limit.acquire()()
 		if !e.clock.Advance().Before(deadline) {
@@ -182,9 +182,9 @@
 	}()
 }
 
-// SendHeartbeat implements Effects. Heartbeats are not limited: they are few, and must not wait
+// SendPeerHeartbeat implements Effects. Heartbeats are not limited: they are few, and must not wait
 // for other calls to peers.
-func (e *processEffects) SendHeartbeat(member string, heartbeat *peerpb.PeerHeartbeat,
+func (e *processEffects) SendPeerHeartbeat(member string, heartbeat *peerpb.PeerHeartbeat,
 	then func(now time.Time, reply *peerpb.PeerHeartbeat, err error)) {
 	go func() {
 		ctx, cancel := context.WithTimeout(e.ctx, tuning.PeerHeartbeatTimeout)
@@ -226,7 +226,7 @@
 	results := make(chan bool, len(addresses))
 	for _, address := range addresses {
 		go func() {
-			defer e.heartbeatRequestSemaphore.acquire()()
+			defer e.workerQuerySemaphore.acquire()()
 			results <- e.workers.probe(ctx, address)
 		}()
 	}
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -35,10 +35,10 @@
 		reply(now, submission.Progress{})
 		return
 	}
-	if c.progressQueries[shard] == nil {
-		c.progressQueries[shard] = &progressQueue{}
+	if c.progressQueues[shard] == nil {
+		c.progressQueues[shard] = &progressQueue{}
 	}
-	queue := c.progressQueries[shard]
+	queue := c.progressQueues[shard]
 	queue.queries = append(queue.queries, progressQuery{job, reply})
 	c.sendProgressQueries(shard, queue)
 }
--- a/internal/controller/rpc_handlers.go
+++ b/internal/controller/rpc_handlers.go
@@ -9,8 +9,8 @@
 	"juniperchute/internal/tuning"
 )
 
-// HandleHeartbeat implements peer.Handler.
-func (r *Runtime) HandleHeartbeat(ctx context.Context,
+// HandlePeerHeartbeat implements peer.Handler.
+func (r *Runtime) HandlePeerHeartbeat(ctx context.Context,
 	heartbeat *peerpb.PeerHeartbeat) (*peerpb.PeerHeartbeat, error) {
 	return callLoop(ctx, r, func(now time.Time) *peerpb.PeerHeartbeat {
 		return r.controller.HandlePeerHeartbeat(now, heartbeat)
--- a/internal/controller/rpc_handlers_test.go
+++ b/internal/controller/rpc_handlers_test.go
@@ -17,7 +17,7 @@
 	r := newTestRuntime(t, unreachableAddress)
 	requests := map[string]func() (hasValue bool, err error){
 		"heartbeat": func() (bool, error) {
-			reply, err := r.HandleHeartbeat(canceled, &peerpb.PeerHeartbeat{})
+			reply, err := r.HandlePeerHeartbeat(canceled, &peerpb.PeerHeartbeat{})
 			return reply != nil, err
 		},
 		"progress": func() (bool, error) {
--- a/internal/controller/simulation_node_test.go
+++ b/internal/controller/simulation_node_test.go
@@ -69,7 +69,7 @@
 // until the state service responds.
 func (n *simulatedNode) restartTerm() {
 	c := n.controller
-	c.terms[0] = c.startTerm(n.sim.clock.Now(), c.terms[0].Term)
+	c.terms[0] = c.startTerm(n.sim.clock.Now(), c.terms[0].Assignment)
 }
 
 // options returns the options of the node's next process.
--- a/internal/controller/simulation_peers_test.go
+++ b/internal/controller/simulation_peers_test.go
@@ -41,8 +41,8 @@
 	})
 }
 
-// SendHeartbeat implements Effects.
-func (e *simulatedEffects) SendHeartbeat(
+// SendPeerHeartbeat implements Effects.
+func (e *simulatedEffects) SendPeerHeartbeat(
 	member string, m *peerpb.PeerHeartbeat,
 	then func(now time.Time, r *peerpb.PeerHeartbeat, err error),
 ) {
--- a/internal/controller/terms.go
+++ b/internal/controller/terms.go
@@ -18,7 +18,7 @@
 
 // ReconcileTerms starts and ends terms to match the shard assignments in the control records.
 func (c *Controller) ReconcileTerms(now time.Time) {
-	assigned := c.membership.Terms()
+	assigned := c.membership.Assignments()
 	for shard := range c.options.Shards {
 		if t := c.terms[shard]; t != nil {
 			c.reconcileTerm(now, t, assigned)
@@ -33,19 +33,19 @@
 
 // reconcileTerm ends a superseded term and removes an ended one. It releases the shard if the
 // control records still assign the ended term to this process.
-func (c *Controller) reconcileTerm(now time.Time, t *term.Term, assigned []leader.Term) {
+func (c *Controller) reconcileTerm(now time.Time, t *term.Term, assigned []leader.Assignment) {
 	if t.Live() {
 		c.endSupersededTerm(now, t)
 	}
 	if t.Live() {
 		return
 	}
-	stillAssigned := slices.ContainsFunc(assigned, func(a leader.Term) bool {
+	stillAssigned := slices.ContainsFunc(assigned, func(a leader.Assignment) bool {
 		return a.Shard == t.Shard && a.Token == t.Token
 	})
 	if stillAssigned {
 		// Without the release the shard would never get another lease holder.
-		c.membership.ReleaseShard(now, t.Term, t.WorkersUnreachable())
+		c.membership.ReleaseShard(now, t.Assignment, t.WorkersUnreachable())
 		return
 	}
 	delete(c.terms, t.Shard)
@@ -63,16 +63,16 @@
 	}
 }
 
-func (c *Controller) startTerm(now time.Time, assignment leader.Term) *term.Term {
+func (c *Controller) startTerm(now time.Time, assignment leader.Assignment) *term.Term {
 	t := term.New(now, term.Options{
-		Term:              assignment,
+		Assignment:        assignment,
 		Incarnation:       c.membership.Incarnation(),
 		Shards:            c.options.Shards,
 		Platform:          c.config.Platform,
 		Peers:             c.peerNames(),
 		Effects:           c.environment.Effects,
 		Membership:        c.membership,
-		Host:              c,
+		Controller:        c,
 		OpenJobs:          c.openJobs,
 		ProvisionRequests: c.provisionRequests,
 		IntentLog:         c.options.Features.IntentLog,
--- a/internal/fleet/autoscaler.go
+++ b/internal/fleet/autoscaler.go
@@ -44,9 +44,9 @@
 	// OnDeleted is called when the cloud confirms a machine's deletion, before the machine leaves
 	// the registry.
 	OnDeleted func(now time.Time, machine *worker.Machine)
-	// OwnedByOtherShard reports whether a machine that existed at existedAt belongs, or may belong,
+	// MayBelongToOtherShard reports whether a machine that existed at existedAt belongs, or may belong,
 	// to another shard.
-	OwnedByOtherShard func(host string, existedAt time.Time) bool
+	MayBelongToOtherShard func(host string, existedAt time.Time) bool
 }
 
 // Autoscaler scales the machines of one shard during one term. It is not safe for concurrent use:
@@ -60,10 +60,10 @@
 	registry      *worker.Registry
 	intents       *intentlog.Log
 	types         *machineTypes
-	machines      *machines
+	machines      *machineAdder
 	registrations *registrations
 	provisioner   *provisioner
-	demand        *demandPlanner
+	demand        *scaleOutPlanner
 	lists         *listHistory
 	deprovisioner *deprovisioner
 	inventory     *inventory
@@ -80,11 +80,11 @@
 	limited := newRateLimitedCloud(options.Cloud, options.Config.Cloud.RPS)
 	records := &termStore{termCompare: options.TermCompare, call: options.Store, onTermLost: options.OnTermLost}
 	a.types = &machineTypes{cloud: limited, store: records, registry: options.Registry, scheduler: options.Scheduler,
-		recorder: options.Shard == 0, byName: map[string]wire.MachineType{}, recorded: map[string]string{}}
-	a.machines = &machines{registry: options.Registry, types: a.types, intents: options.Intents}
+		recordsTypes: options.Shard == 0, byName: map[string]wire.MachineType{}, recorded: map[string]string{}}
+	a.machines = &machineAdder{registry: options.Registry, types: a.types, intents: options.Intents}
 	a.provisioner = a.newProvisioner(options, limited, records)
 	a.registrations = a.newRegistrations(options)
-	a.demand = &demandPlanner{cloudLimits: options.Config.Cloud, stateLimits: options.Config.State,
+	a.demand = &scaleOutPlanner{cloudLimits: options.Config.Cloud, stateLimits: options.Config.State,
 		registry: options.Registry, scheduler: options.Scheduler, types: a.types, provisioner: a.provisioner,
 		termStartedAt: now}
 	a.deprovisioner = &deprovisioner{token: options.Token, workerLease: config.Seconds(options.Config.Workers.LeaseS),
@@ -93,7 +93,7 @@
 		onDeleted: options.OnDeleted, forget: a.forgetMachine, termStartedAt: now}
 	a.inventory = &inventory{cloudLimits: options.Config.Cloud, cloud: limited, machines: a.machines,
 		provisioner: a.provisioner, deprovisioner: a.deprovisioner, lists: a.lists,
-		adopter: options.Shard == 0, ownedByOtherShard: options.OwnedByOtherShard}
+		adoptsOrphans: options.Shard == 0, mayBelongToOtherShard: options.MayBelongToOtherShard}
 	return a
 }
 
@@ -101,7 +101,7 @@
 	return &provisioner{
 		shard: options.Shard, token: options.Token, log: options.Log,
 		cloud: limited, store: records, intents: options.Intents, machines: a.machines,
-		ownedByOtherShard:     options.OwnedByOtherShard,
+		mayBelongToOtherShard: options.MayBelongToOtherShard,
 		onRecordDurable:       a.registerContacted,
 		requests:              map[string]*provisioningRequest{},
 		byHost:                map[string]*provisioningRequest{},
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -11,9 +11,9 @@
 	"juniperchute/internal/worker"
 )
 
-// demandPlanner compares the pending workload with the available machines and scales out by the
+// scaleOutPlanner compares the pending workload with the available machines and scales out by the
 // shortfall.
-type demandPlanner struct {
+type scaleOutPlanner struct {
 	cloudLimits config.CloudLimits
 	stateLimits config.StateLimits
 	registry    *worker.Registry
@@ -27,7 +27,7 @@
 
 // scaleOutIfDue scales out at most once per interval. It waits after a failover, since planning
 // without the machines that are not reconciled yet would provision the whole fleet anew.
-func (d *demandPlanner) scaleOutIfDue(now time.Time, settings Settings) {
+func (d *scaleOutPlanner) scaleOutIfDue(now time.Time, settings Settings) {
 	if len(d.types.byName) == 0 || now.Before(d.nextPlanAt) {
 		return
 	}
@@ -38,7 +38,7 @@
 	d.scaleOut(now, settings)
 }
 
-func (d *demandPlanner) scaleOut(now time.Time, settings Settings) {
+func (d *scaleOutPlanner) scaleOut(now time.Time, settings Settings) {
 	requestSize := d.maxRequestSize()
 	allowed := d.machinesAllowed(settings.MaxMachines)
 	available := 0
@@ -63,21 +63,21 @@
 
 // maxRequestSize returns the number of machines that one request may ask for. The request's record
 // names them all and must fit the state service's present and announced limits.
-func (d *demandPlanner) maxRequestSize() int {
+func (d *scaleOutPlanner) maxRequestSize() int {
 	maxBytes := int(d.stateLimits.StoredLimits().ValueKB * 1024 * tuning.PageFillShare)
 	forHosts := maxBytes - tuning.ProvisioningRecordBytes
 	return max(1, min(d.provisioner.maxMachinesPerRequest, forHosts/tuning.HostNameBytes))
 }
 
 // maxRequests returns the number of requests that the cloud's rate limit allows per interval.
-func (d *demandPlanner) maxRequests() int {
+func (d *scaleOutPlanner) maxRequests() int {
 	rate := d.cloudLimits.RPS * tuning.CloudRateShare * tuning.ProvisioningRateShare
 	return max(1, int(rate*tuning.ScaleOutInterval.Seconds()))
 }
 
 // machinesAllowed returns the number of machines that may be added under the operators' bound, where
 // 0 means no bound. Machines requested and not yet granted count towards the bound.
-func (d *demandPlanner) machinesAllowed(maxMachines int) int {
+func (d *scaleOutPlanner) machinesAllowed(maxMachines int) int {
 	if maxMachines <= 0 {
 		return math.MaxInt
 	}
@@ -97,7 +97,7 @@
 
 // offers returns an offer for each kind of machine. Each has the given number available, or zero
 // after the cloud has reported no capacity for the kind.
-func (d *demandPlanner) offers(now time.Time, available int) []placement.Offer {
+func (d *scaleOutPlanner) offers(now time.Time, available int) []placement.Offer {
 	var offers []placement.Offer
 	for _, name := range d.types.names() {
 		machineType := d.types.byName[name]
@@ -128,7 +128,7 @@
 }
 
 // pending returns the number of machines requested and not yet granted for each offer.
-func (d *demandPlanner) pending(offers []placement.Offer) []int {
+func (d *scaleOutPlanner) pending(offers []placement.Offer) []int {
 	numbers := map[machineKind]int{}
 	for _, request := range d.provisioner.requests {
 		if request.pending() {
--- a/internal/fleet/fixture_test.go
+++ b/internal/fleet/fixture_test.go
@@ -51,9 +51,9 @@
 	f.autoscaler = New(f.now, Options{Token: token, TermCompare: termCompare, Config: platform,
 		Cloud: f.callCloud, Store: f.callStore, Log: discardLogger,
 		Registry: f.registry, Scheduler: f.scheduler, Intents: f.intents,
-		OnTermLost:        func(time.Time) {},
-		OnDeleted:         func(time.Time, *worker.Machine) {},
-		OwnedByOtherShard: func(string, time.Time) bool { return false }})
+		OnTermLost:            func(time.Time) {},
+		OnDeleted:             func(time.Time, *worker.Machine) {},
+		MayBelongToOtherShard: func(string, time.Time) bool { return false }})
 	f.autoscaler.ApplyMachineType(wire.MachineType{Name: "g2", Vcpus: 12, Gpus: 2, MemGb: 96,
 		Price: 5, SpotPrice: 2, BootTimeS: 25, Zones: []string{"a"}}, "")
 	return f
--- a/internal/fleet/inventory.go
+++ b/internal/fleet/inventory.go
@@ -15,13 +15,13 @@
 type inventory struct {
 	cloudLimits   config.CloudLimits
 	cloud         *rateLimitedCloud
-	machines      *machines
+	machines      *machineAdder
 	provisioner   *provisioner
 	deprovisioner *deprovisioner
 	lists         *listHistory
 	// adopter is set on the one shard that adopts listed machines without a record.
-	adopter           bool
-	ownedByOtherShard func(host string, existedAt time.Time) bool // see Options
+	adoptsOrphans         bool
+	mayBelongToOtherShard func(host string, existedAt time.Time) bool // see Options
 
 	cursor listCursor
 }
@@ -31,7 +31,7 @@
 	nextAt   time.Time      // when the next page or list is due
 	inFlight bool           // a page has been requested
 	after    string         // last machine of the pages read so far, empty for a new list
-	hosts    []wire.Machine // of the pages read so far
+	machines []wire.Machine // of the pages read so far
 	pages    int            // number of pages read so far
 }
 
@@ -89,13 +89,13 @@
 	}
 	page := response.Page
 	i.cursor.pages++
-	i.cursor.hosts = append(i.cursor.hosts, page.Machines...)
+	i.cursor.machines = append(i.cursor.machines, page.Machines...)
 	if n := len(page.Machines); page.More && n > 0 {
 		i.cursor.after = page.Machines[n-1].ID
 		i.readNextPage(now)
 		return
 	}
-	hosts := i.cursor.hosts
+	hosts := i.cursor.machines
 	i.cursor = listCursor{nextAt: now.Add(i.interval(i.cursor.pages))}
 	i.reconcile(now, hosts)
 }
@@ -137,7 +137,7 @@
 // result of a create call that executed late.
 func (i *inventory) addOrphan(now time.Time, host wire.Machine) *worker.Machine {
 	createdAt := now.Add(-config.Seconds(host.AgeS))
-	if !i.adopter || i.provisioner.hasPending() || i.ownedByOtherShard(host.ID, createdAt) {
+	if !i.adoptsOrphans || i.provisioner.hasPending() || i.mayBelongToOtherShard(host.ID, createdAt) {
 		return nil
 	}
 	if !i.lists.observeUnknown(host.ID) {
--- a/internal/fleet/machine_types.go
+++ b/internal/fleet/machine_types.go
@@ -24,7 +24,7 @@
 	registry  *worker.Registry
 	scheduler *placement.Scheduler
 	// recorder is set on the one shard that records the types.
-	recorder bool
+	recordsTypes bool
 
 	byName    map[string]wire.MachineType
 	recorded  map[string]string     // stored value by type name
@@ -94,7 +94,7 @@
 	t.refreshAt = now.Add(tuning.MachineTypesInterval)
 	for _, machineType := range response.MachineTypes {
 		t.byName[machineType.Name] = machineType
-		if t.recorder {
+		if t.recordsTypes {
 			t.record(now, machineType, len(response.MachineTypes))
 		}
 	}
--- a/internal/fleet/machines.go
+++ b/internal/fleet/machines.go
@@ -9,14 +9,14 @@
 
 // machines adds machines to the registry. A machine with a termination intent of an earlier term
 // enters the state Deleting as soon as it is added.
-type machines struct {
+type machineAdder struct {
 	registry *worker.Registry
 	types    *machineTypes
 	intents  *intentlog.Log
 }
 
 // add adds a machine in the state Booting, or updates the kind of one that the registry has.
-func (m *machines) add(now time.Time, host string, kind machineKind) *worker.Machine {
+func (m *machineAdder) add(now time.Time, host string, kind machineKind) *worker.Machine {
 	machine := m.registry.Get(host)
 	if machine == nil {
 		machine = m.registry.Add(now, host, worker.Booting)
@@ -30,7 +30,7 @@
 
 // addUnrecorded adds a machine whose provisioning record may be unreadable. The type is unknown, so
 // the machine gets the maximum capacity of all types.
-func (m *machines) addUnrecorded(now time.Time, host string) *worker.Machine {
+func (m *machineAdder) addUnrecorded(now time.Time, host string) *worker.Machine {
 	machine := m.add(now, host, machineKind{})
 	for _, machineType := range m.types.byName {
 		machine.Capacity = machine.Capacity.Max(capacityOf(machineType))
@@ -40,7 +40,7 @@
 
 // resumeTerminations resumes the terminations that earlier terms recorded. Their machines get no
 // tasks and are deleted, again if an earlier call was executed.
-func (m *machines) resumeTerminations(now time.Time) {
+func (m *machineAdder) resumeTerminations(now time.Time) {
 	for _, intent := range m.intents.Recovered(intentlog.Deprovision, intentlog.Reclaim) {
 		if machine := m.registry.Get(intent.Target); machine != nil {
 			m.resumeTermination(now, machine)
@@ -48,7 +48,7 @@
 	}
 }
 
-func (m *machines) resumeTermination(now time.Time, machine *worker.Machine) {
+func (m *machineAdder) resumeTermination(now time.Time, machine *worker.Machine) {
 	if machine.State == worker.Deleting {
 		return
 	}
--- a/internal/fleet/provisioner.go
+++ b/internal/fleet/provisioner.go
@@ -25,9 +25,9 @@
 	cloud    *rateLimitedCloud
 	store    *termStore
 	intents  *intentlog.Log
-	machines *machines
-	// ownedByOtherShard is Options.OwnedByOtherShard.
-	ownedByOtherShard func(host string, existedAt time.Time) bool
+	machines *machineAdder
+	// mayBelongToOtherShard is Options.MayBelongToOtherShard.
+	mayBelongToOtherShard func(host string, existedAt time.Time) bool
 	// onRecordDurable is called with the hosts that a durable record names.
 	onRecordDurable func(now time.Time, hosts []string)
 
@@ -192,7 +192,7 @@
 
 // adopt creates a record for an orphaned machine, the result of a create call that executed late.
 func (p *provisioner) adopt(now time.Time, machine *worker.Machine) {
-	if p.hasPending() || p.ownedByOtherShard(machine.Host, machine.CreatedAt) {
+	if p.hasPending() || p.mayBelongToOtherShard(machine.Host, machine.CreatedAt) {
 		return // the machine may belong to a pending request or to another shard
 	}
 	kind := machineKind{machineType: machine.Type, zone: machine.Zone, spot: machine.Spot}
--- a/internal/fleet/registrations.go
+++ b/internal/fleet/registrations.go
@@ -13,7 +13,7 @@
 // registrations maintains the pages that name the machines that may have been assigned tasks. The
 // pages may name a machine without tasks, but never omit one with tasks.
 type registrations struct {
-	machines    *machines
+	machines    *machineAdder
 	provisioner *provisioner
 	scheduler   *placement.Scheduler
 
--- a/internal/intentlog/intent.go
+++ b/internal/intentlog/intent.go
@@ -29,11 +29,11 @@
 	// Reclaim deletes failed machines: unresponsive, stuck in boot, preempted or failed in the cloud.
 	Reclaim Operation = "reclaim"
 	// Cleanup deletes obsolete records from the state service.
-	Cleanup Operation = "clean-up"
+	DeleteRecords Operation = "clean-up"
 )
 
 // Operations returns all operations in the order in which Status reports them.
-func Operations() []Operation { return []Operation{Provision, Deprovision, Reclaim, Cleanup} }
+func Operations() []Operation { return []Operation{Provision, Deprovision, Reclaim, DeleteRecords} }
 
 // supported reports whether this version implements the operation. Entries written by other versions
 // may name others.
--- a/internal/intentlog/log.go
+++ b/internal/intentlog/log.go
@@ -31,12 +31,12 @@
 
 // Log holds the intents of one shard during one term. It is not safe for concurrent use.
 type Log struct {
-	options  Options
-	durable  bool // entries are made durable before calls are sent
-	pages    *store.Pages
-	intents  map[Operation]map[string]*Intent // by target
-	pending  int                              // number of intents that are not completed
-	removals removalStats
+	options   Options
+	durable   bool // entries are made durable before calls are sent
+	pages     *store.Pages
+	intents   map[Operation]map[string]*Intent // by target
+	pending   int                              // number of intents that are not completed
+	deletions deletionStats
 }
 
 // NewLog returns an empty log. Until EnableDurability is called, new intents count as recorded at
--- a/internal/intentlog/removals_test.go
+++ b/internal/intentlog/removals_test.go
@@ -9,7 +9,7 @@
 	"juniperchute/internal/wire"
 )
 
-type removalCase struct {
+type deletionCase struct {
 	name     string
 	compares []wire.Compare
 	key      string
@@ -17,7 +17,7 @@
 	counted  int
 }
 
-var removalCases = []removalCase{
+var deletionCases = []deletionCase{
 	{
 		name:     "conditioned on the term",
 		compares: []wire.Compare{termCompare, store.VersionEquals("h/0/x", 4)},
@@ -43,11 +43,11 @@
 
 // Deletions under the guarded prefixes pass only if conditioned on the term, and are counted.
 func TestGuardRemovals(t *testing.T) {
-	for _, c := range removalCases {
+	for _, c := range deletionCases {
 		t.Run(c.name, func(t *testing.T) {
 			log := newDurableTestLog()
 			var got store.Result
-			guarded := log.GuardRemovals(log.holdCall, "h/0/", "u/0/")
+			guarded := log.GuardDeletions(log.holdCall, "h/0/", "u/0/")
 			guarded(deleteCall(c.key, c.compares), func(_ time.Time, result store.Result) { got = result })
 			if passes := len(log.calls) == 1; passes != c.passes {
 				t.Fatalf("passes: %v", passes)
@@ -58,23 +58,23 @@
 				}
 				return
 			}
-			status := cleanupStatus(t, log)
-			if status.RemovalsInFlight != c.counted || status.OldestRemovalSentAt.IsZero() != (c.counted == 0) {
+			status := deletionStatus(t, log)
+			if status.DeletionsInFlight != c.counted || status.OldestDeletionSentAt.IsZero() != (c.counted == 0) {
 				t.Errorf("in flight: %+v", status)
 			}
 			log.answerAll(store.Result{})
-			status = cleanupStatus(t, log)
-			if status.RemovalsInFlight != 0 || status.RemovalsDone != c.counted {
+			status = deletionStatus(t, log)
+			if status.DeletionsInFlight != 0 || status.DeletionsDone != c.counted {
 				t.Errorf("answered: %+v", status)
 			}
 		})
 	}
 }
 
-func cleanupStatus(t *testing.T, log *testLog) OperationStatus {
+func deletionStatus(t *testing.T, log *testLog) OperationStatus {
 	t.Helper()
 	status := log.Status()[len(Operations())-1]
-	if status.Operation != Cleanup {
+	if status.Operation != DeleteRecords {
 		t.Errorf("the last status is of %q", status.Operation)
 	}
 	return status
--- a/internal/intentlog/status.go
+++ b/internal/intentlog/status.go
@@ -18,10 +18,10 @@
 	Operation Operation
 	// Intents are the intents that are not completed, ordered by target.
 	Intents []IntentStatus
-	// RemovalsInFlight and RemovalsDone count the deletions of records in this term, for Cleanup only.
-	RemovalsInFlight, RemovalsDone int
-	// OldestRemovalSentAt is the wall-clock time since which removals are in flight, zero without any.
-	OldestRemovalSentAt time.Time
+	// DeletionsInFlight and DeletionsDone count the deletions of records in this term, for Cleanup only.
+	DeletionsInFlight, DeletionsDone int
+	// OldestDeletionSentAt is the wall-clock time since which removals are in flight, zero without any.
+	OldestDeletionSentAt time.Time
 }
 
 // Status returns a snapshot of each operation, in the order of Operations.
@@ -39,10 +39,10 @@
 	for _, intent := range l.filter([]Operation{operation}, pending) {
 		status.Intents = append(status.Intents, intent.status())
 	}
-	if operation == Cleanup {
-		status.RemovalsInFlight, status.RemovalsDone = l.removals.inFlight, l.removals.done
-		if status.RemovalsInFlight > 0 {
-			status.OldestRemovalSentAt = l.removals.oldestSentAt
+	if operation == DeleteRecords {
+		status.DeletionsInFlight, status.DeletionsDone = l.deletions.inFlight, l.deletions.done
+		if status.DeletionsInFlight > 0 {
+			status.OldestDeletionSentAt = l.deletions.oldestSentAt
 		}
 	}
 	return status
--- a/internal/leader/election.go
+++ b/internal/leader/election.go
@@ -49,7 +49,7 @@
 // assignShard leases a shard to the preferred member under a new fencing token. last is the record of
 // the shard's latest term.
 func (m *Membership) assignShard(shard int, last versioned[ShardRecord]) {
-	chosen, ok := m.chooseHolder(last.value.Holder, last.value.Unreachable)
+	chosen, ok := m.chooseHolder(last.value.Holder, last.value.UnreachableMember)
 	if !ok {
 		return
 	}
--- a/internal/leader/election_test.go
+++ b/internal/leader/election_test.go
@@ -18,7 +18,7 @@
 	heldByN1            = keyValue("c/b/0", ShardRecord{Holder: "n1", Incarnation: 5, Token: 3}, 32)
 	heldByReplacedN1    = keyValue("c/b/0", ShardRecord{Holder: "n1", Incarnation: 4, Token: 3}, 32)
 	released            = keyValue("c/b/0", ShardRecord{Token: 3}, 32)
-	releasedUnreachable = keyValue("c/b/0", ShardRecord{Token: 3, Unreachable: "n1"}, 32)
+	releasedUnreachable = keyValue("c/b/0", ShardRecord{Token: 3, UnreachableMember: "n1"}, 32)
 )
 
 type campaignCase struct {
@@ -131,7 +131,7 @@
 	}
 	var previous ShardRecord
 	if last := c.items[len(c.items)-1]; json.Unmarshal(last.Value, &previous) == nil &&
-		previous.Unreachable != "" && assigned.Holder == previous.Unreachable {
+		previous.UnreachableMember != "" && assigned.Holder == previous.UnreachableMember {
 		t.Errorf("assigned to %s, which the workers cannot reach", assigned.Holder)
 	}
 	if len(sent.Compares) != 4 {
--- a/internal/leader/lease.go
+++ b/internal/leader/lease.go
@@ -46,7 +46,7 @@
 
 func (m *Membership) handleGrant(now time.Time, r store.Result) {
 	if !r.OK() || r.Lease == 0 {
-		m.setState(memberOut, "lease refused")
+		m.setState(memberWithoutLease, "lease refused")
 		m.retryAt = now.Add(tuning.MemberBackoff)
 		return
 	}
@@ -125,6 +125,6 @@
 
 // dropLease discards an expired lease. Tick then requests a new one.
 func (m *Membership) dropLease(reason string) {
-	m.setState(memberOut, reason)
+	m.setState(memberWithoutLease, reason)
 	m.lease.id, m.lease.deadline = 0, time.Time{}
 }
--- a/internal/leader/membership.go
+++ b/internal/leader/membership.go
@@ -32,7 +32,7 @@
 //     leader can observe the expiry of its member record and start another term.
 //   - A term ends when its lease holder releases the shard (ReleaseShard) or when the leader assigns
 //     the shard again, which requires that the holder's incarnation is no longer a member.
-type Term struct {
+type Assignment struct {
 	Shard            int
 	Token            uint64
 	Version          uint64 // version of the shard record
@@ -55,10 +55,10 @@
 type memberState int
 
 const (
-	memberOut      memberState = iota // no lease
-	memberGranting                    // lease requested
-	memberJoining                     // lease granted, member record not yet written
-	memberJoined                      // member record written
+	memberWithoutLease memberState = iota // no lease
+	memberGranting                        // lease requested
+	memberJoining                         // lease granted, member record not yet written
+	memberJoined                          // member record written
 )
 
 func (s memberState) String() string {
@@ -99,7 +99,7 @@
 func (m *Membership) Tick(now time.Time) {
 	m.cache.Tick(now)
 	switch m.state {
-	case memberOut:
+	case memberWithoutLease:
 		if !now.Before(m.retryAt) {
 			m.requestLease()
 		}
@@ -144,14 +144,14 @@
 // process as lease holder. The leader then assigns the shard again. unreachable means that the workers
 // cannot reach this member, which makes it the least preferred candidate for the shard. ReleaseShard
 // sends nothing while another transaction is in flight or the lease is not valid; the caller must retry.
-func (m *Membership) ReleaseShard(now time.Time, term Term, unreachable bool) {
+func (m *Membership) ReleaseShard(now time.Time, term Assignment, unreachable bool) {
 	if !m.mayTransact(now) {
 		return
 	}
 	m.options.Log.Info("releasing shard lease", "shard", term.Shard, "term", term.Token, "unreachable", unreachable)
 	record := ShardRecord{Token: term.Token}
 	if unreachable {
-		record.Unreachable = m.options.Member
+		record.UnreachableMember = m.options.Member
 	}
 	key := ShardKey(term.Shard)
 	m.sendTransaction(wire.Transaction{
@@ -211,17 +211,17 @@
 }
 
 // Terms returns the terms that the shard records assign to this process, ordered by shard.
-func (m *Membership) Terms() []Term {
+func (m *Membership) Assignments() []Assignment {
 	if m.lease.id == 0 {
 		return nil
 	}
-	var terms []Term
+	var terms []Assignment
 	for shard := range m.options.Shards {
 		record, ok := m.records.shards[shard]
 		if !ok || record.value.Holder != m.options.Member || record.value.Incarnation != m.lease.id {
 			continue
 		}
-		terms = append(terms, Term{
+		terms = append(terms, Assignment{
 			Shard:            shard,
 			Token:            record.value.Token,
 			Version:          record.version,
--- a/internal/leader/membership_test.go
+++ b/internal/leader/membership_test.go
@@ -98,7 +98,7 @@
 	h.now = start.Add(4 * tuning.MemberRenewInterval)
 	h.membership.Tick(h.now)
 	h.respond(t, store.OpRenewLease, store.Result{Err: store.ErrNotFound})
-	if h.membership.LeaseValid(h.now) || h.membership.Incarnation() != 0 || len(h.membership.Terms()) != 0 {
+	if h.membership.LeaseValid(h.now) || h.membership.Incarnation() != 0 || len(h.membership.Assignments()) != 0 {
 		t.Error("a missing lease is still in use")
 	}
 }
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -47,7 +47,7 @@
 	PredecessorEnded bool `json:"Ended"`
 	// Unreachable names the member that released the shard because the workers could reach other
 	// members but not this one; "" if there is none.
-	Unreachable string `json:"Deaf,omitempty"`
+	UnreachableMember string `json:"Deaf,omitempty"`
 	// AssignedAtMs is the time of the assignment, in ms since the Unix epoch by the leader's wall
 	// clock; 0 if the leader ran a version that does not record it.
 	AssignedAtMs int64 `json:"Since,omitempty"`
--- a/internal/leader/watermark.go
+++ b/internal/leader/watermark.go
@@ -13,8 +13,8 @@
 // controller may have confirmed a cancellation just before the outage. The watermark never moves
 // backwards.
 type CancellationWatermark struct {
-	known time.Time // zero before the first read
-	peers map[string]acknowledgement
+	watermark time.Time // zero before the first read
+	peers     map[string]acknowledgement
 }
 
 // acknowledgement is the latest acknowledgement of a peer. It covers the confirmations of one process
@@ -38,8 +38,8 @@
 // AdvanceTo advances the watermark to at, unless it is later already. The caller must have read and
 // applied every write to the state service up to at.
 func (w *CancellationWatermark) AdvanceTo(at time.Time) {
-	if at.After(w.known) {
-		w.known = at
+	if at.After(w.watermark) {
+		w.watermark = at
 	}
 }
 
@@ -56,21 +56,21 @@
 
 // At advances the watermark to the earliest acknowledgement of the peers and returns it. Without peers
 // it advances to now. It is zero before the first read.
-func (w *CancellationWatermark) At(now time.Time) time.Time {
-	if w.known.IsZero() {
-		return w.known
+func (w *CancellationWatermark) Advance(now time.Time) time.Time {
+	if w.watermark.IsZero() {
+		return w.watermark
 	}
 	acknowledged := now // without peers, only this process confirms cancellations
 	for _, peer := range w.peers {
 		// The acknowledgement of a process that started after the watermark does not cover the
 		// process that it replaced, which may have confirmed a cancellation since the watermark.
-		if peer.process == 0 || peer.startedAt.After(w.known) {
-			return w.known
+		if peer.process == 0 || peer.startedAt.After(w.watermark) {
+			return w.watermark
 		}
 		if peer.until.Before(acknowledged) {
 			acknowledged = peer.until
 		}
 	}
 	w.AdvanceTo(acknowledged)
-	return w.known
+	return w.watermark
 }
--- a/internal/leader/watermark_test.go
+++ b/internal/leader/watermark_test.go
@@ -144,7 +144,7 @@
 			for _, ack := range c.acks {
 				w.Acknowledge(ack.peer, ack.process, at(ack.startedAt), at(ack.until))
 			}
-			if got := w.At(at(100)); !got.Equal(at(c.want)) {
+			if got := w.Advance(at(100)); !got.Equal(at(c.want)) {
 				t.Errorf("watermark %v, want %v", got.Sub(base), at(c.want).Sub(base))
 			}
 		})
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -18,7 +18,7 @@
 // Handler handles the calls of peers and operators. The server invokes its methods concurrently. An
 // error without a gRPC status is returned to the caller with the status Unavailable.
 type Handler interface {
-	HandleHeartbeat(context.Context, *peerpb.PeerHeartbeat) (*peerpb.PeerHeartbeat, error)
+	HandlePeerHeartbeat(context.Context, *peerpb.PeerHeartbeat) (*peerpb.PeerHeartbeat, error)
 	HandleProgress(context.Context, *peerpb.ProgressRequest) (*peerpb.ProgressReply, error)
 	HandleProbe(context.Context, *peerpb.ProbeRequest) (*peerpb.ProbeReply, error)
 	HandleStatus(context.Context) (*peerpb.StatusReply, error)
@@ -59,7 +59,7 @@
 }
 
 func (s *service) Pulse(ctx context.Context, request *peerpb.PeerHeartbeat) (*peerpb.PeerHeartbeat, error) {
-	return withDefaultStatus(s.handler.HandleHeartbeat(ctx, request))
+	return withDefaultStatus(s.handler.HandlePeerHeartbeat(ctx, request))
 }
 
 func (s *service) Progress(ctx context.Context, request *peerpb.ProgressRequest) (*peerpb.ProgressReply, error) {
--- a/internal/term/cancellations.go
+++ b/internal/term/cancellations.go
@@ -61,7 +61,7 @@
 		read = control
 	}
 	t.cancellations.watermark.AdvanceTo(read)
-	return t.cancellations.watermark.At(now)
+	return t.cancellations.watermark.Advance(now)
 }
 
 // AcknowledgeCancellations records that a peer's process, started no later than startedAt, confirmed no
@@ -86,7 +86,7 @@
 // closeJob removes a completed or cancelled job from the scheduler and from the records of the term.
 func (t *Term) closeJob(now time.Time, id string) {
 	// The cancellation was unknown until now, so it was not confirmed before the watermark.
-	stoppedBy := t.cancellations.watermark.At(now).Add(config.Seconds(t.options.Platform.Workers.CancelS))
+	stoppedBy := t.cancellations.watermark.Advance(now).Add(config.Seconds(t.options.Platform.Workers.CancelS))
 	t.scheduler.CloseJob(now, id, stoppedBy)
 	t.completions.deleteJob(id)
 	t.startMarkers.Delete(id)
--- a/internal/term/completions.go
+++ b/internal/term/completions.go
@@ -32,7 +32,7 @@
 type jobCompletions struct {
 	completionOptions
 	flushAt         time.Time                 // earliest time of the next batch
-	unwrittenJobs   map[string]*placement.Job // jobs with unwritten completions
+	jobsToWrite     map[string]*placement.Job // jobs with unwritten completions
 	completedAt     map[string]time.Time      // completion time of a job's last task
 	jobEndsInFlight map[string]bool           // jobs with an end record being written
 	retryAt         map[string]time.Time      // earliest time of the next write after a failure
@@ -55,7 +55,7 @@
 func newJobCompletions(options completionOptions) *jobCompletions {
 	return &jobCompletions{
 		completionOptions: options,
-		unwrittenJobs:     map[string]*placement.Job{},
+		jobsToWrite:       map[string]*placement.Job{},
 		completedAt:       map[string]time.Time{},
 		jobEndsInFlight:   map[string]bool{},
 		retryAt:           map[string]time.Time{},
@@ -68,7 +68,7 @@
 // recordCompletion queues the completion of a task of a job for the next write.
 func (c *jobCompletions) recordCompletion(now time.Time, job *placement.Job) {
 	id := job.Spec.ID
-	c.unwrittenJobs[id] = job
+	c.jobsToWrite[id] = job
 	if job.IsComplete() && c.completedAt[id].IsZero() {
 		c.completedAt[id] = now
 	}
@@ -100,10 +100,10 @@
 
 // writeBitmaps writes the new completions of jobs that still have incomplete tasks.
 func (c *jobCompletions) writeBitmaps() {
-	for _, id := range slices.Sorted(maps.Keys(c.unwrittenJobs)) {
-		if job := c.unwrittenJobs[id]; !job.IsComplete() {
+	for _, id := range slices.Sorted(maps.Keys(c.jobsToWrite)) {
+		if job := c.jobsToWrite[id]; !job.IsComplete() {
 			c.bitmaps.save(job, c.openJob)
-			delete(c.unwrittenJobs, id)
+			delete(c.jobsToWrite, id)
 		}
 	}
 }
@@ -112,7 +112,7 @@
 // time. Under a limited write rate, jobs of high priority do not wait behind others.
 func (c *jobCompletions) dueJobEnds(now time.Time) (out []*placement.Job) {
 	for id := range c.completedAt {
-		if job := c.unwrittenJobs[id]; job != nil && !c.jobEndsInFlight[id] && !now.Before(c.retryAt[id]) {
+		if job := c.jobsToWrite[id]; job != nil && !c.jobEndsInFlight[id] && !now.Before(c.retryAt[id]) {
 			out = append(out, job)
 		}
 	}
@@ -178,7 +178,7 @@
 // deleteJob deletes the completions of a closed job.
 func (c *jobCompletions) deleteJob(id string) {
 	c.bitmaps.deleteJob(id)
-	delete(c.unwrittenJobs, id)
+	delete(c.jobsToWrite, id)
 	delete(c.completedAt, id)
 	delete(c.retryAt, id)
 }
--- a/internal/term/heartbeats.go
+++ b/internal/term/heartbeats.go
@@ -24,7 +24,7 @@
 		if machine := t.workers.Get(heartbeat.Host); machine != nil && machine.Registered {
 			t.End(now, "a heartbeat shows a higher token")
 		}
-		t.options.Host.Redirect(t.Shard, reply)
+		t.options.Controller.Redirect(t.Shard, reply)
 		return
 	}
 	commands, err := t.answerHeartbeat(now, heartbeat)
--- a/internal/term/isolation.go
+++ b/internal/term/isolation.go
@@ -79,6 +79,6 @@
 func (t *Term) handleProbe(now time.Time, reply *peerpb.ProbeReply, err error) {
 	if err == nil && reply.Answered > 0 && t.isolation.unreachable && t.Live() {
 		t.End(now, "only this process does not reach the workers")
-		t.options.Host.ReconcileTerms(now)
+		t.options.Controller.ReconcileTerms(now)
 	}
 }
--- a/internal/term/options.go
+++ b/internal/term/options.go
@@ -55,9 +55,9 @@
 }
 
 // Host is the controller that runs a term.
-type Host interface {
+type Controller interface {
 	// Schedule runs a function after a delay, on the goroutine that owns the controller.
-	Schedule(now time.Time, delay time.Duration, run func(now time.Time))
+	RunAfter(now time.Time, delay time.Duration, run func(now time.Time))
 	// ReconcileTerms starts and ends terms to match the control records. A term calls it after any
 	// event that may have ended the term.
 	ReconcileTerms(now time.Time)
@@ -70,7 +70,7 @@
 
 // Options configures a term.
 type Options struct {
-	Term        leader.Term
+	Assignment  leader.Assignment
 	Incarnation uint64 // incarnation of this process
 	Shards      int    // number of shards of the deployment
 	Platform    config.Platform
@@ -78,7 +78,7 @@
 
 	Effects    Effects
 	Membership Membership
-	Host       Host
+	Controller Controller
 	// OpenJobs and ProvisionRequests cache the records of all shards.
 	OpenJobs, ProvisionRequests *store.WatchCache
 
--- a/internal/term/recovery.go
+++ b/internal/term/recovery.go
@@ -48,7 +48,7 @@
 		case ok:
 			t.handleReadDone(now)
 		default:
-			t.options.Host.Schedule(now, tuning.WatchCacheBackoff, retry)
+			t.options.Controller.RunAfter(now, tuning.WatchCacheBackoff, retry)
 		}
 	})
 }
@@ -74,7 +74,7 @@
 
 func (r *rangeRead) handle(now time.Time, result store.Result) {
 	if !result.OK() {
-		r.term.options.Host.Schedule(now, tuning.WatchCacheBackoff, r.retry)
+		r.term.options.Controller.RunAfter(now, tuning.WatchCacheBackoff, r.retry)
 		return
 	}
 	*r.results = append(*r.results, result.KeyValues...)
--- a/internal/term/term.go
+++ b/internal/term/term.go
@@ -48,7 +48,7 @@
 
 // Term manages the machines and jobs of a shard during one term. See leader.Term for its invariants.
 type Term struct {
-	leader.Term
+	leader.Assignment
 	options   Options
 	state     State
 	startedAt time.Time
@@ -74,8 +74,8 @@
 // New returns a term in state Loading. It is inactive before Start.
 func New(now time.Time, options Options) *Term {
 	t := &Term{
-		Term: options.Term, options: options, startedAt: now,
-		log:           options.Log.With("shard", options.Term.Shard, "term", options.Term.Token),
+		Assignment: options.Assignment, options: options, startedAt: now,
+		log:           options.Log.With("shard", options.Assignment.Shard, "term", options.Assignment.Token),
 		fencing:       newFencing(),
 		cancellations: newCancellations(options.Peers, options.Platform.Workers),
 	}
@@ -95,7 +95,7 @@
 		},
 	})
 	t.intents = t.newIntentLog()
-	t.guardedStateCall = t.intents.GuardRemovals(t.callState,
+	t.guardedStateCall = t.intents.GuardDeletions(t.callState,
 		fleet.ShardProvisioningPrefix(t.Shard), fleet.RegistrationPrefix(t.Shard),
 		startMarkerPrefix(t.Shard), completionPrefix(t.Shard))
 	t.autoscaler = t.newAutoscaler(now)
@@ -132,8 +132,8 @@
 		Intents:     t.intents,
 		OnTermLost:  t.onTermLost,
 		OnDeleted:   t.scheduler.RemoveMachine,
-		OwnedByOtherShard: func(machine string, existedAt time.Time) bool {
-			return t.options.Host.MayBelongToOtherShard(t.Shard, machine, existedAt)
+		MayBelongToOtherShard: func(machine string, existedAt time.Time) bool {
+			return t.options.Controller.MayBelongToOtherShard(t.Shard, machine, existedAt)
 		},
 	})
 }
@@ -186,7 +186,7 @@
 	t.options.Effects.CallState(call, func(now time.Time, result store.Result) {
 		if t.Live() {
 			done(now, result)
-			t.options.Host.ReconcileTerms(now)
+			t.options.Controller.ReconcileTerms(now)
 		}
 	})
 }
