--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -126,14 +126,14 @@
 }
 
 // callState calls the state service and reconciles the terms after the result has been handled.
-func (c *Controller) callState(call store.Call, then func(time.Time, store.Result)) {
+func (c *Controller) callState(call store.Call, done func(time.Time, store.Result)) {
 	c.environment.Effects.CallState(call, func(now time.Time, result store.Result) {
-		then(now, result)
+		done(now, result)
 		c.ReconcileTerms(now)
 	})
 }
 
-// Schedule runs a function on the event loop after a delay, rounded up to the next tick.
+// RunAfter runs a function on the event loop after a delay, rounded up to the next tick.
 func (c *Controller) RunAfter(now time.Time, delay time.Duration, run func(now time.Time)) {
 	c.timers = append(c.timers, timer{now.Add(delay), run})
 }
@@ -233,9 +233,9 @@
 }
 
 // Healthy reports whether this controller can take requests. It returns false if only this
-// controller cannot reach the state service, or if neither the state service nor a peer responds:
-// users then turn to the other controllers. In an outage of the state service all controllers
-// stay healthy, because an unhealthy controller gets requests again only after a delay.
+// controller cannot reach the state service, or if neither the state service nor a peer responds.
+// A load balancer then sends requests to the other controllers. In an outage of the state service
+// all controllers stay healthy, because a load balancer is slow to restore one that it has ejected.
 func (c *Controller) Healthy(now time.Time) bool {
 	if !c.membership.Synced() || !c.openJobs.Synced() || len(c.allMachineTypes()) == 0 {
 		return false
@@ -256,8 +256,8 @@
 	return !isolated
 }
 
-// HandlePeerHeartbeat handles a worker's heartbeat and replies to it. If this process does not hold the
-// shard's lease, HandlePeerHeartbeat redirects the worker to the lease holder.
+// HandleHeartbeat handles a worker's heartbeat and replies to it. If this process does not hold the
+// shard's lease, HandleHeartbeat redirects the worker to the lease holder.
 func (c *Controller) HandleHeartbeat(now time.Time, heartbeat *wire.Heartbeat, reply func(status int, body any)) {
 	shard := c.shardOf(heartbeat.Host)
 	if t := c.liveTerm(shard); t != nil {
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -95,9 +95,9 @@
 }
 
 func (e *capturedProgressQueries) QueryProgress(
-	_ string, m *peerpb.ProgressRequest, then func(now time.Time, r *peerpb.ProgressReply, err error),
+	_ string, m *peerpb.ProgressRequest, done func(now time.Time, r *peerpb.ProgressReply, err error),
 ) {
-	e.requests, e.replies = append(e.requests, m), append(e.replies, then)
+	e.requests, e.replies = append(e.requests, m), append(e.replies, done)
 }
 
 // Queries that arrive while a call is in flight must go out together in the next call, and each
--- a/internal/controller/effects.go
+++ b/internal/controller/effects.go
@@ -8,13 +8,13 @@
 )
 
 // Effects performs the I/O of a controller. Each method returns immediately and delivers its
-// result by calling then on the controller's event loop.
+// result by calling done on the controller's event loop.
 type Effects interface {
 	term.Effects
 	// SendPeerHeartbeat sends a heartbeat to another controller, which replies with its own.
 	SendPeerHeartbeat(member string, heartbeat *peerpb.PeerHeartbeat,
-		then func(now time.Time, reply *peerpb.PeerHeartbeat, err error))
+		done func(now time.Time, reply *peerpb.PeerHeartbeat, err error))
 	// QueryProgress asks another controller for the progress of jobs.
 	QueryProgress(member string, request *peerpb.ProgressRequest,
-		then func(now time.Time, reply *peerpb.ProgressReply, err error))
+		done func(now time.Time, reply *peerpb.ProgressReply, err error))
 }
--- a/internal/controller/peer_heartbeat.go
+++ b/internal/controller/peer_heartbeat.go
@@ -33,11 +33,11 @@
 // peerStatus holds the state of one peer as of its last heartbeats.
 type peerStatus struct {
 	lastHeartbeat     time.Time     // time of arrival
-	sinceStateContact time.Duration // as reported by the peer
+	sinceStateContact time.Duration // time since the peer's last contact to the state service
 	processID         uint64        // of the peer's newest heartbeat
 	uptimeNs          int64         // the peer's uptime in its newest heartbeat
 	version           string
-	// unacknowledged lists the cancellations that the peer has forwarded and that the next
+	// toAcknowledge lists the cancellations received from the peer that this member's next
 	// heartbeat to the peer acknowledges.
 	toAcknowledge []string
 }
@@ -56,7 +56,8 @@
 }
 
 // sinceStateContact returns the time since the state service last responded to this
-// controller, or one hour if it has never responded.
+// controller. If it has never responded, the result is one hour, which exceeds all isolation
+// timeouts.
 func (c *Controller) sinceStateContact(now time.Time) time.Duration {
 	if c.membership.LastContact().IsZero() {
 		return time.Hour
@@ -116,15 +117,15 @@
 	}
 }
 
-// exchange sends a heartbeat to another controller and applies the reply. It calls then even if
+// exchange sends a heartbeat to another controller and applies the reply. It calls done even if
 // the call fails.
-func (c *Controller) exchange(now time.Time, member string, then func(now time.Time)) {
+func (c *Controller) exchange(now time.Time, member string, done func(now time.Time)) {
 	c.environment.Effects.SendPeerHeartbeat(member, c.newPeerHeartbeat(now, member),
 		func(now time.Time, reply *peerpb.PeerHeartbeat, err error) {
 			if err == nil {
 				c.applyPeerHeartbeat(now, member, reply)
 			}
-			then(now)
+			done(now)
 		})
 }
 
--- a/internal/controller/process_effects.go
+++ b/internal/controller/process_effects.go
@@ -55,7 +55,7 @@
 	writeSemaphores      [store.NumPriorities]semaphore
 	cloudSemaphore       semaphore
 	commandSemaphore     semaphore
-	workerQuerySemaphore semaphore
+	workerQuerySemaphore semaphore // of heartbeat requests to workers and probes
 	peerSemaphore        semaphore
 }
 
@@ -98,7 +98,7 @@
 func (e *processEffects) close() { e.peers.Close() }
 
 // CallState implements Effects.
-func (e *processEffects) CallState(call store.Call, then func(now time.Time, result store.Result)) {
+func (e *processEffects) CallState(call store.Call, done func(now time.Time, result store.Result)) {
 	go func() {
 		switch {
 		case call.Priority == store.PriorityLease: // leases and watches are not limited
@@ -114,7 +114,7 @@
 		if call.Op != store.OpWatch {
 			e.latencies.record(latencyState, time.Since(start))
 		}
-		e.post(func(now time.Time) { then(now, result) })
+		e.post(func(now time.Time) { done(now, result) })
 	}()
 }
 
@@ -141,28 +141,29 @@
 	lowered := e.rateLimiter.Observe(e.clock.Now(), call, result.Err)
 	e.rateLimiterLock.Unlock()
 	if lowered {
-		e.log.Warn("state service enforces its next limits; switching to them", "error", result.Err)
+		e.log.Warn("state service appears to have lowered its limits; switching to the lower limits",
+			"error", result.Err)
 	}
 }
 
 // CallCloud implements Effects.
-func (e *processEffects) CallCloud(call cloud.Call, then func(now time.Time, result cloud.Result)) {
+func (e *processEffects) CallCloud(call cloud.Call, done func(now time.Time, result cloud.Result)) {
 	go func() {
 		defer e.cloudSemaphore.acquire()()
 		start := time.Now()
 		if !call.Deadline.IsZero() && !e.clock.Advance().Before(call.Deadline) {
-			e.post(func(now time.Time) { then(now, cloud.Result{}) })
+			e.post(func(now time.Time) { done(now, cloud.Result{}) })
 			return
 		}
 		result := e.cloud.Do(e.ctx, call)
 		e.latencies.record(latencyCloud, time.Since(start))
-		e.post(func(now time.Time) { then(now, result) })
+		e.post(func(now time.Time) { done(now, result) })
 	}()
 }
 
 // SendCommands implements Effects.
 func (e *processEffects) SendCommands(address string, commands wire.DirectCommands, deadline time.Time,
-	then func(now time.Time, heartbeat *wire.Heartbeat, err error)) {
+	done func(now time.Time, heartbeat *wire.Heartbeat, err error)) {
 	go func() {
 		// A message without commands only requests a heartbeat. After a failover these requests
 		// go to all workers, and many may hang: commands must not wait for them.
@@ -172,49 +173,49 @@
 		}
 		defer limit.acquire()()
 		if !e.clock.Advance().Before(deadline) {
-			e.post(func(now time.Time) { then(now, nil, term.ErrDeadlinePassed) })
+			e.post(func(now time.Time) { done(now, nil, term.ErrDeadlinePassed) })
 			return
 		}
 		ctx, cancel := context.WithTimeout(e.ctx, tuning.CommandTimeout)
 		defer cancel()
 		heartbeat, err := e.workers.send(ctx, address, commands)
-		e.post(func(now time.Time) { then(now, heartbeat, err) })
+		e.post(func(now time.Time) { done(now, heartbeat, err) })
 	}()
 }
 
 // SendPeerHeartbeat implements Effects. Heartbeats are not limited: they are few, and must not wait
 // for other calls to peers.
 func (e *processEffects) SendPeerHeartbeat(member string, heartbeat *peerpb.PeerHeartbeat,
-	then func(now time.Time, reply *peerpb.PeerHeartbeat, err error)) {
+	done func(now time.Time, reply *peerpb.PeerHeartbeat, err error)) {
 	go func() {
 		ctx, cancel := context.WithTimeout(e.ctx, tuning.PeerHeartbeatTimeout)
 		defer cancel()
 		reply, err := e.peers.Peer(member).Pulse(ctx, heartbeat)
-		e.post(func(now time.Time) { then(now, reply, err) })
+		e.post(func(now time.Time) { done(now, reply, err) })
 	}()
 }
 
 // QueryProgress implements Effects.
 func (e *processEffects) QueryProgress(member string, request *peerpb.ProgressRequest,
-	then func(now time.Time, reply *peerpb.ProgressReply, err error)) {
+	done func(now time.Time, reply *peerpb.ProgressReply, err error)) {
 	go func() {
 		defer e.peerSemaphore.acquire()()
 		ctx, cancel := context.WithTimeout(e.ctx, tuning.ProgressTimeout)
 		defer cancel()
 		reply, err := e.peers.Peer(member).Progress(ctx, request)
-		e.post(func(now time.Time) { then(now, reply, err) })
+		e.post(func(now time.Time) { done(now, reply, err) })
 	}()
 }
 
 // ProbeWorkers implements Effects.
 func (e *processEffects) ProbeWorkers(member string, request *peerpb.ProbeRequest,
-	then func(now time.Time, reply *peerpb.ProbeReply, err error)) {
+	done func(now time.Time, reply *peerpb.ProbeReply, err error)) {
 	go func() {
 		defer e.peerSemaphore.acquire()()
 		ctx, cancel := context.WithTimeout(e.ctx, tuning.ProbeTimeout+tuning.ProgressTimeout)
 		defer cancel()
 		reply, err := e.peers.Peer(member).Probe(ctx, request)
-		e.post(func(now time.Time) { then(now, reply, err) })
+		e.post(func(now time.Time) { done(now, reply, err) })
 	}()
 }
 
--- a/internal/controller/runtime.go
+++ b/internal/controller/runtime.go
@@ -27,7 +27,7 @@
 	debug.SetMemoryLimit(int64(limits.MemoryMB * bytesPerMB * tuning.HeapMemoryShare))
 }
 
-// eventQueue is a bounded queue of events for the event loop.
+// eventQueue is a bounded queue of functions that the event loop runs. Each handles one event.
 type eventQueue chan func(now time.Time)
 
 // tryPost adds an event without blocking. It returns false if the queue is full.
@@ -51,8 +51,8 @@
 	api        *httpapi.Server
 	latencies  *latencyRecorder
 
-	// Queues of the event loop. Results of effects and calls from peers (events) are handled before workers'
-	// heartbeats and users' requests, which have the same priority.
+	// Queues of the event loop. The queue events holds the results of effects and the calls from peers. It
+	// precedes the queues of workers' heartbeats and users' requests, which have the same priority.
 	events     eventQueue
 	heartbeats eventQueue
 	requests   eventQueue
@@ -121,7 +121,7 @@
 }
 
 // runEventLoop runs the event loop, to which all state of the controller is confined. Ticks go
-// first, because they renew the member's lease, then events, then heartbeats and requests: a
+// first, because they renew the member's lease, then the queue events, then heartbeats and requests: a
 // renewal must not wait for a backlog of heartbeats or of results.
 func (r *Runtime) runEventLoop(ctx context.Context, failed <-chan error) error {
 	ticker := time.NewTicker(tuning.TickInterval)
--- a/internal/controller/runtime_test.go
+++ b/internal/controller/runtime_test.go
@@ -225,6 +225,6 @@
 	reply func(now time.Time, r store.Result)
 }
 
-func (e *capturedStateCall) CallState(_ store.Call, then func(now time.Time, r store.Result)) {
-	e.reply = then
+func (e *capturedStateCall) CallState(_ store.Call, done func(now time.Time, r store.Result)) {
+	e.reply = done
 }
--- a/internal/controller/simulation_cloud_test.go
+++ b/internal/controller/simulation_cloud_test.go
@@ -8,12 +8,12 @@
 )
 
 // CallCloud implements Effects. It may lose, delay or repeat the call.
-func (e *simulatedEffects) CallCloud(c cloud.Call, then func(now time.Time, r cloud.Result)) {
+func (e *simulatedEffects) CallCloud(c cloud.Call, done func(now time.Time, r cloud.Result)) {
 	kind := cloudEffect
 	if c.Operation == cloud.DeleteMachines {
 		kind = deleteEffect
 	}
-	if e.deferIfFrozen(kind, func() { e.CallCloud(c, then) }) {
+	if e.deferIfFrozen(kind, func() { e.CallCloud(c, done) }) {
 		return
 	}
 	sim := e.node.sim
@@ -22,7 +22,7 @@
 	finish := func(r cloud.Result) {
 		if !finished && e.current() {
 			finished = true
-			e.node.whenRunning(func() { then(sim.clock.Now(), r) })
+			e.node.whenRunning(func() { done(sim.clock.Now(), r) })
 		}
 	}
 	if !sim.clock.Now().Before(c.Deadline) {
--- a/internal/controller/simulation_commands_test.go
+++ b/internal/controller/simulation_commands_test.go
@@ -12,13 +12,13 @@
 // SendCommands implements Effects. It may lose, delay or repeat the commands or lose the response.
 func (e *simulatedEffects) SendCommands(
 	address string, commands wire.DirectCommands, deadline time.Time,
-	then func(now time.Time, heartbeat *wire.Heartbeat, err error),
+	done func(now time.Time, heartbeat *wire.Heartbeat, err error),
 ) {
 	kind := queryEffect
 	if len(commands.Commands) > 0 {
 		kind = commandEffect
 	}
-	if e.deferIfFrozen(kind, func() { e.SendCommands(address, commands, deadline, then) }) {
+	if e.deferIfFrozen(kind, func() { e.SendCommands(address, commands, deadline, done) }) {
 		return
 	}
 	sim := e.node.sim
@@ -27,7 +27,7 @@
 	finish := func(heartbeat *wire.Heartbeat, err error) {
 		if !finished && e.current() {
 			finished = true
-			e.node.whenRunning(func() { then(sim.clock.Now(), heartbeat, err) })
+			e.node.whenRunning(func() { done(sim.clock.Now(), heartbeat, err) })
 		}
 	}
 	if !sim.clock.Now().Before(deadline) {
--- a/internal/controller/simulation_peers_test.go
+++ b/internal/controller/simulation_peers_test.go
@@ -13,15 +13,15 @@
 // errUnreachable means that a peer is down, frozen or partitioned.
 var errUnreachable = errors.New("call peer: unreachable")
 
-// callPeer calls another controller and passes its reply, or errUnreachable, to then.
+// callPeer calls another controller and passes its reply, or errUnreachable, to done.
 func callPeer[T any](
 	e *simulatedEffects, member string,
-	call func(o *simulatedNode) *T, then func(now time.Time, r *T, err error),
+	call func(o *simulatedNode) *T, done func(now time.Time, r *T, err error),
 ) {
 	sim := e.node.sim
 	finish := func(r *T, err error) {
 		if e.current() {
-			e.node.whenRunning(func() { then(sim.clock.Now(), r, err) })
+			e.node.whenRunning(func() { done(sim.clock.Now(), r, err) })
 		}
 	}
 	fail := func() { finish(nil, errUnreachable) }
@@ -44,33 +44,33 @@
 // SendPeerHeartbeat implements Effects.
 func (e *simulatedEffects) SendPeerHeartbeat(
 	member string, m *peerpb.PeerHeartbeat,
-	then func(now time.Time, r *peerpb.PeerHeartbeat, err error),
+	done func(now time.Time, r *peerpb.PeerHeartbeat, err error),
 ) {
 	e.node.sim.recordPeerCall(e.node.name, member, "pulse", m)
 	callPeer(e, member, func(o *simulatedNode) *peerpb.PeerHeartbeat {
 		reply := o.controller.HandlePeerHeartbeat(e.node.sim.clock.Now(), m)
 		e.node.sim.recordPeerReply(o.name, "pulse", reply)
 		return reply
-	}, then)
+	}, done)
 }
 
 // QueryProgress implements Effects.
 func (e *simulatedEffects) QueryProgress(
 	member string, m *peerpb.ProgressRequest,
-	then func(now time.Time, r *peerpb.ProgressReply, err error),
+	done func(now time.Time, r *peerpb.ProgressReply, err error),
 ) {
 	e.node.sim.recordPeerCall(e.node.name, member, "progress", m)
 	callPeer(e, member, func(o *simulatedNode) *peerpb.ProgressReply {
 		reply := o.controller.HandleProgress(m)
 		e.node.sim.recordPeerReply(o.name, "progress", reply)
 		return reply
-	}, then)
+	}, done)
 }
 
 // ProbeWorkers implements Effects. The other controller counts the machines that it reaches.
 func (e *simulatedEffects) ProbeWorkers(
 	member string, m *peerpb.ProbeRequest,
-	then func(now time.Time, r *peerpb.ProbeReply, err error),
+	done func(now time.Time, r *peerpb.ProbeReply, err error),
 ) {
 	e.node.sim.recordPeerCall(e.node.name, member, "probe", m)
 	callPeer(e, member, func(o *simulatedNode) *peerpb.ProbeReply {
@@ -82,5 +82,5 @@
 			}
 		}
 		return r
-	}, then)
+	}, done)
 }
--- a/internal/controller/simulation_state_test.go
+++ b/internal/controller/simulation_state_test.go
@@ -7,8 +7,8 @@
 )
 
 // CallState implements Effects. It may lose, delay or repeat the call or lose the response.
-func (e *simulatedEffects) CallState(c store.Call, then func(now time.Time, r store.Result)) {
-	if e.deferIfFrozen(stateEffect, func() { e.CallState(c, then) }) {
+func (e *simulatedEffects) CallState(c store.Call, done func(now time.Time, r store.Result)) {
+	if e.deferIfFrozen(stateEffect, func() { e.CallState(c, done) }) {
 		return
 	}
 	sim := e.node.sim
@@ -22,7 +22,7 @@
 		}
 		finished = true
 		r.SentAt = sent
-		e.node.whenRunning(func() { then(sim.clock.Now(), r) })
+		e.node.whenRunning(func() { done(sim.clock.Now(), r) })
 	}
 	sim.clock.Schedule(c.Timeout(), func() { finish(store.Result{Err: store.ErrNoResponse}) })
 	arrive := func() { e.executeStateCall(c, finish) }
--- a/internal/controller/simulation_users_test.go
+++ b/internal/controller/simulation_users_test.go
@@ -34,12 +34,12 @@
 }
 
 // send sends a user's request to a random node. A node that is down never responds.
-func (sim *simulation) send(r request, then func(submission.Response)) {
-	sim.sendTo(sim.nodes[sim.rng.IntN(len(sim.nodes))], r, then)
+func (sim *simulation) send(r request, done func(submission.Response)) {
+	sim.sendTo(sim.nodes[sim.rng.IntN(len(sim.nodes))], r, done)
 }
 
 // sendTo sends a user's request to a node. The response is lost if the node's process ends first.
-func (sim *simulation) sendTo(n *simulatedNode, r request, then func(submission.Response)) {
+func (sim *simulation) sendTo(n *simulatedNode, r request, done func(submission.Response)) {
 	sim.clock.Schedule(sim.networkDelay(), func() {
 		if !n.alive {
 			return
@@ -49,7 +49,7 @@
 			r(n, func(response submission.Response) {
 				sim.recordUserResponse(n.name, response)
 				if n.alive && n.processNumber == processNumber {
-					sim.clock.Schedule(sim.networkDelay(), func() { then(response) })
+					sim.clock.Schedule(sim.networkDelay(), func() { done(response) })
 				}
 			})
 		})
--- a/internal/controller/stored_intents.go
+++ b/internal/controller/stored_intents.go
@@ -37,9 +37,9 @@
 	s.entries[shard] = append(s.entries[shard], entries...)
 }
 
-// readIntentLogs reads the pages of all shards' intent logs whose keys follow after. It calls then
+// readIntentLogs reads the pages of all shards' intent logs whose keys follow after. It calls done
 // with ok set if all pages have been read.
-func (c *Controller) readIntentLogs(into storedIntents, after string, then func(now time.Time, ok bool)) {
+func (c *Controller) readIntentLogs(into storedIntents, after string, done func(now time.Time, ok bool)) {
 	call := store.Call{
 		Op:       store.OpList,
 		Priority: store.PriorityUser,
@@ -49,16 +49,16 @@
 	}
 	c.callState(call, func(now time.Time, result store.Result) {
 		if !result.OK() {
-			then(now, false)
+			done(now, false)
 			return
 		}
 		for _, page := range result.KeyValues {
 			into.addPage(page)
 		}
 		if n := len(result.KeyValues); result.More && n > 0 {
-			c.readIntentLogs(into, result.KeyValues[n-1].Key, then)
+			c.readIntentLogs(into, result.KeyValues[n-1].Key, done)
 			return
 		}
-		then(now, true)
+		done(now, true)
 	})
 }
--- a/internal/fleet/deprovisioner.go
+++ b/internal/fleet/deprovisioner.go
@@ -134,11 +134,14 @@
 	return ready
 }
 
-// confirmRecovered reports whether the machine of a recovered intent may be deleted. An intermediate
-// term of an old version, which reads no log, may have assigned tasks to the machine. Consecutive
-// tokens rule that out. Otherwise the machine must have been in contact with this term, its lease must
-// have expired, or it must be unregistered. The intent is abandoned if the machine has tasks of a
-// later term.
+// confirmRecovered reports whether the machine of a recovered intent may be deleted. It completes and
+// forgets the intent of a machine that was deleted already, and of one that has tasks of a later term,
+// which it returns to the state Up.
+//
+// A term between the one that recorded the intent and this one may have run a version without the
+// intent log and assigned tasks to the machine. If the tokens of the two terms are consecutive, there
+// was no such term. Otherwise one of the following is required: the machine has been in contact with
+// this term, its lease has expired, or it has no registration.
 func (d *deprovisioner) confirmRecovered(now time.Time, intent *intentlog.Intent) bool {
 	machine := d.registry.Get(intent.Target)
 	if machine == nil && !d.provisioner.hasPending() && d.provisioner.unreadableRecords == 0 {
--- a/internal/fleet/deprovisioner_test.go
+++ b/internal/fleet/deprovisioner_test.go
@@ -185,8 +185,8 @@
 	}
 	f.intents.Record(f.now, intentlog.Deprovision, "i-2", "idle")
 	f.autoscaler.forgetMachine(f.now, "i-2")
-	for _, callback := range older {
-		callback(f.now, store.Result{Revision: 20})
+	for _, done := range older {
+		done(f.now, store.Result{Revision: 20})
 	}
 	request := f.autoscaler.provisioner.byHost["i-3"]
 	if len(request.pendingRemovals) != 1 || request.pendingRemovals[0].host != "i-2" {
--- a/internal/fleet/fixture_test.go
+++ b/internal/fleet/fixture_test.go
@@ -68,20 +68,20 @@
 	return f
 }
 
-func (f *fixture) callStore(call store.Call, callback func(time.Time, store.Result)) {
-	f.storeCalls, f.storeReplies = append(f.storeCalls, call), append(f.storeReplies, callback)
+func (f *fixture) callStore(call store.Call, done func(time.Time, store.Result)) {
+	f.storeCalls, f.storeReplies = append(f.storeCalls, call), append(f.storeReplies, done)
 }
 
-func (f *fixture) callCloud(call cloud.Call, callback func(time.Time, cloud.Result)) {
-	f.cloudCalls, f.cloudReplies = append(f.cloudCalls, call), append(f.cloudReplies, callback)
+func (f *fixture) callCloud(call cloud.Call, done func(time.Time, cloud.Result)) {
+	f.cloudCalls, f.cloudReplies = append(f.cloudCalls, call), append(f.cloudReplies, done)
 }
 
 // commitWrites makes the state service commit all captured writes, including those sent meanwhile.
 func (f *fixture) commitWrites() {
 	for len(f.storeReplies) > 0 {
-		callback := f.storeReplies[0]
+		done := f.storeReplies[0]
 		f.storeCalls, f.storeReplies = f.storeCalls[1:], f.storeReplies[1:]
-		callback(f.now, store.Result{Revision: 9})
+		done(f.now, store.Result{Revision: 9})
 	}
 }
 
@@ -91,10 +91,10 @@
 	f.t.Helper()
 	for i, call := range f.cloudCalls {
 		if call.Operation == operation {
-			callback := f.cloudReplies[i]
+			done := f.cloudReplies[i]
 			f.cloudCalls = append(f.cloudCalls[:i:i], f.cloudCalls[i+1:]...)
 			f.cloudReplies = append(f.cloudReplies[:i:i], f.cloudReplies[i+1:]...)
-			callback(f.now, result)
+			done(f.now, result)
 			return call
 		}
 	}
--- a/internal/fleet/inventory.go
+++ b/internal/fleet/inventory.go
@@ -19,7 +19,7 @@
 	provisioner   *provisioner
 	deprovisioner *deprovisioner
 	lists         *listHistory
-	// adopter is set on the one shard that adopts listed machines without a record.
+	// adoptsOrphans is set on the one shard that adopts listed machines without a record.
 	adoptsOrphans         bool
 	mayBelongToOtherShard func(host string, existedAt time.Time) bool // see Options
 
@@ -95,9 +95,9 @@
 		i.readNextPage(now)
 		return
 	}
-	hosts := i.cursor.machines
+	listed := i.cursor.machines
 	i.cursor = listCursor{nextAt: now.Add(i.interval(i.cursor.pages))}
-	i.reconcile(now, hosts)
+	i.reconcile(now, listed)
 }
 
 // interval returns the time from a list with a number of pages to the next list. It grows with the
@@ -107,19 +107,19 @@
 }
 
 // reconcile reconciles the registry with a complete list.
-func (i *inventory) reconcile(now time.Time, hosts []wire.Machine) {
+func (i *inventory) reconcile(now time.Time, listed []wire.Machine) {
 	registry := i.machines.registry
 	shown := map[string]bool{}
-	for _, host := range hosts {
-		shown[host.ID], i.lists.expected[host.ID] = true, true
-		machine := registry.Get(host.ID)
+	for _, entry := range listed {
+		shown[entry.ID], i.lists.expected[entry.ID] = true, true
+		machine := registry.Get(entry.ID)
 		if machine == nil {
-			if machine = i.addOrphan(now, host); machine == nil {
+			if machine = i.addOrphan(now, entry); machine == nil {
 				continue
 			}
 		}
-		machine.Address = host.Address
-		if host.State == wire.MachineFailed {
+		machine.Address = entry.Address
+		if entry.State == wire.MachineFailed {
 			i.deprovisioner.terminateFailed(now, machine)
 		}
 	}
@@ -135,15 +135,15 @@
 // addOrphan adopts a listed machine that belongs to no shard. It returns nil if the machine may be
 // explained otherwise: by a pending request, by another shard or by a stale list. An orphan is the
 // result of a create call that executed late.
-func (i *inventory) addOrphan(now time.Time, host wire.Machine) *worker.Machine {
-	createdAt := now.Add(-config.Seconds(host.AgeS))
-	if !i.adoptsOrphans || i.provisioner.hasPending() || i.mayBelongToOtherShard(host.ID, createdAt) {
+func (i *inventory) addOrphan(now time.Time, entry wire.Machine) *worker.Machine {
+	createdAt := now.Add(-config.Seconds(entry.AgeS))
+	if !i.adoptsOrphans || i.provisioner.hasPending() || i.mayBelongToOtherShard(entry.ID, createdAt) {
 		return nil
 	}
-	if !i.lists.observeUnknown(host.ID) {
+	if !i.lists.observeUnknown(entry.ID) {
 		return nil
 	}
-	machine := i.machines.add(now, host.ID, machineKind{machineType: host.Type, zone: host.Zone, spot: host.Spot})
+	machine := i.machines.add(now, entry.ID, machineKind{machineType: entry.Type, zone: entry.Zone, spot: entry.Spot})
 	machine.CreatedAt = createdAt
 	i.provisioner.adopt(now, machine)
 	return machine
--- a/internal/fleet/machine_types.go
+++ b/internal/fleet/machine_types.go
@@ -23,7 +23,7 @@
 	store     *termStore
 	registry  *worker.Registry
 	scheduler *placement.Scheduler
-	// recorder is set on the one shard that records the types.
+	// recordsTypes is set on the one shard that records the types.
 	recordsTypes bool
 
 	byName    map[string]wire.MachineType
--- a/internal/fleet/machines.go
+++ b/internal/fleet/machines.go
@@ -7,7 +7,7 @@
 	"juniperchute/internal/worker"
 )
 
-// machines adds machines to the registry. A machine with a termination intent of an earlier term
+// machineAdder adds machines to the registry. A machine with a termination intent of an earlier term
 // enters the state Deleting as soon as it is added.
 type machineAdder struct {
 	registry *worker.Registry
--- a/internal/fleet/provisioner_records.go
+++ b/internal/fleet/provisioner_records.go
@@ -108,8 +108,8 @@
 }
 
 // removeHost removes a deleted machine from its record. The deletion intent is kept until the new
-// record is durable. Otherwise a successor could load a record that names the machine and no intent,
-// and would wait for contact with a machine that does not exist.
+// record is durable. Otherwise a successor could load a record that names the machine but find no
+// intent for it, and would wait for contact with a machine that does not exist.
 func (p *provisioner) removeHost(now time.Time, host string) {
 	request := p.byHost[host]
 	if request == nil {
--- a/internal/fleet/rate_limited_cloud.go
+++ b/internal/fleet/rate_limited_cloud.go
@@ -36,12 +36,12 @@
 
 // call sends a call for which allow has returned true. A success or a lack of capacity resets the
 // backoff.
-func (c *rateLimitedCloud) call(call cloud.Call, callback func(now time.Time, result cloud.Result)) {
+func (c *rateLimitedCloud) call(call cloud.Call, done func(now time.Time, result cloud.Result)) {
 	c.caller(call, func(now time.Time, result cloud.Result) {
 		if err := result.Err(); err == nil || errors.Is(err, cloud.ErrNoCapacity) {
 			c.backoff.Reset()
 		}
-		callback(now, result)
+		done(now, result)
 	})
 }
 
--- a/internal/fleet/registrations.go
+++ b/internal/fleet/registrations.go
@@ -10,8 +10,9 @@
 	"juniperchute/internal/worker"
 )
 
-// registrations maintains the pages that name the machines that may have been assigned tasks. The
-// pages may name a machine without tasks, but never omit one with tasks.
+// registrations maintains the registration pages, which name the machines that may have been assigned
+// tasks. A machine is registered once a durable page names it. The pages may name a machine without
+// tasks, but never omit one with tasks.
 type registrations struct {
 	machines    *machineAdder
 	provisioner *provisioner
@@ -58,7 +59,7 @@
 	}
 }
 
-// register adds a machine to the pages if its provisioning record is durable. A successor treats a
+// register writes a machine to the pages if its provisioning record is durable. A successor treats a
 // registered machine without a record as deleted.
 func (r *registrations) register(now time.Time, machine *worker.Machine) {
 	if machine.Registered || machine.State == worker.Deleting || r.submitted[machine.Host] {
--- a/internal/intentlog/removals.go
+++ b/internal/intentlog/deletions.go
@@ -18,7 +18,7 @@
 // GuardDeletions wraps a caller of the state service so that only the shard's lease holder deletes
 // records under the given prefixes. The wrapper rejects a deletion that is not conditioned on the
 // term with a ConflictError; the state service rejects one of a superseded lease holder. Which
-// records are obsolete follows from the stored state, so a successor needs no intents for them.
+// records are to be deleted follows from the stored state, so a successor needs no intents for them.
 func (l *Log) GuardDeletions(call store.Caller, prefixes ...string) store.Caller {
 	return func(c store.Call, done func(now time.Time, result store.Result)) {
 		count := countDeletions(c.Transaction, prefixes)
--- a/internal/intentlog/intent.go
+++ b/internal/intentlog/intent.go
@@ -28,7 +28,7 @@
 	Deprovision Operation = "return"
 	// Reclaim deletes failed machines: unresponsive, stuck in boot, preempted or failed in the cloud.
 	Reclaim Operation = "reclaim"
-	// Cleanup deletes obsolete records from the state service.
+	// DeleteRecords deletes obsolete records from the state service.
 	DeleteRecords Operation = "clean-up"
 )
 
--- a/internal/intentlog/status.go
+++ b/internal/intentlog/status.go
@@ -18,9 +18,10 @@
 	Operation Operation
 	// Intents are the intents that are not completed, ordered by target.
 	Intents []IntentStatus
-	// DeletionsInFlight and DeletionsDone count the deletions of records in this term, for Cleanup only.
+	// DeletionsInFlight and DeletionsDone count the deletions of records in this term, for
+	// DeleteRecords only.
 	DeletionsInFlight, DeletionsDone int
-	// OldestDeletionSentAt is the wall-clock time since which removals are in flight, zero without any.
+	// OldestDeletionSentAt is the wall-clock time since which deletions are in flight, zero without any.
 	OldestDeletionSentAt time.Time
 }
 
--- a/internal/leader/election.go
+++ b/internal/leader/election.go
@@ -78,15 +78,16 @@
 
 // predecessorEnded reports whether the lease holder of a shard's latest term can no longer act: the
 // shard had none, the lease holder released the shard, or a restarted process has replaced its
-// member record. An absent member record proves nothing: the process may still run, partitioned from
-// the state service.
+// member record. The caller must have checked that the lease holder's incarnation is not live, so
+// that a member record of its name belongs to another incarnation. An absent member record proves
+// nothing: the process may still run, partitioned from the state service.
 func (m *Membership) predecessorEnded(last versioned[ShardRecord]) bool {
-	_, restarted := m.records.members[last.value.Holder]
-	return last.version == 0 || last.value.Holder == "" || restarted
+	_, replaced := m.records.members[last.value.Holder]
+	return last.version == 0 || last.value.Holder == "" || replaced
 }
 
 // recordFeatures stores the feature gates in force, which are those that every member announces. A
-// member of a version that announces none takes all of them out of force.
+// member of a version that announces none disables all of them.
 func (m *Membership) recordFeatures() {
 	inForce := m.commonFeatures()
 	recorded := m.records.features
--- a/internal/leader/membership.go
+++ b/internal/leader/membership.go
@@ -20,8 +20,8 @@
 	"juniperchute/internal/wire"
 )
 
-// Term identifies a period in which one process holds the lease of a shard under one fencing token.
-// Invariants:
+// Assignment assigns a shard to a process for one term, the period in which the process holds the
+// shard's lease under one fencing token. Invariants:
 //
 //   - Only the leader starts a term, in a compare-and-swap that also increments the token record.
 //     A token therefore belongs to one term, and a later term of any shard has a higher token.
@@ -144,18 +144,19 @@
 // process as lease holder. The leader then assigns the shard again. unreachable means that the workers
 // cannot reach this member, which makes it the least preferred candidate for the shard. ReleaseShard
 // sends nothing while another transaction is in flight or the lease is not valid; the caller must retry.
-func (m *Membership) ReleaseShard(now time.Time, term Assignment, unreachable bool) {
+func (m *Membership) ReleaseShard(now time.Time, assignment Assignment, unreachable bool) {
 	if !m.mayTransact(now) {
 		return
 	}
-	m.options.Log.Info("releasing shard lease", "shard", term.Shard, "term", term.Token, "unreachable", unreachable)
-	record := ShardRecord{Token: term.Token}
+	m.options.Log.Info("releasing shard lease", "shard", assignment.Shard,
+		"term", assignment.Token, "unreachable", unreachable)
+	record := ShardRecord{Token: assignment.Token}
 	if unreachable {
 		record.UnreachableMember = m.options.Member
 	}
-	key := ShardKey(term.Shard)
+	key := ShardKey(assignment.Shard)
 	m.sendTransaction(wire.Transaction{
-		Compares: []wire.Compare{store.VersionEquals(key, term.Version)},
+		Compares: []wire.Compare{store.VersionEquals(key, assignment.Version)},
 		Writes:   []wire.Write{store.Put(key, record, 0)},
 	})
 }
@@ -206,29 +207,29 @@
 	if !ok {
 		return "", 0, false
 	}
-	term := record.value
-	return term.Holder, term.Token, m.records.isLive(term.Holder, term.Incarnation)
+	current := record.value
+	return current.Holder, current.Token, m.records.isLive(current.Holder, current.Incarnation)
 }
 
-// Terms returns the terms that the shard records assign to this process, ordered by shard.
+// Assignments returns the shards that the shard records assign to this process, ordered by shard.
 func (m *Membership) Assignments() []Assignment {
 	if m.lease.id == 0 {
 		return nil
 	}
-	var terms []Assignment
+	var assignments []Assignment
 	for shard := range m.options.Shards {
 		record, ok := m.records.shards[shard]
 		if !ok || record.value.Holder != m.options.Member || record.value.Incarnation != m.lease.id {
 			continue
 		}
-		terms = append(terms, Assignment{
+		assignments = append(assignments, Assignment{
 			Shard:            shard,
 			Token:            record.value.Token,
 			Version:          record.version,
 			PredecessorEnded: record.value.PredecessorEnded,
 		})
 	}
-	return terms
+	return assignments
 }
 
 // IsLeader reports whether the leader record names this incarnation, as last read.
--- a/internal/leader/records.go
+++ b/internal/leader/records.go
@@ -45,7 +45,7 @@
 	// PredecessorEnded states that the previous lease holder could no longer renew any worker's lease
 	// when this term was assigned.
 	PredecessorEnded bool `json:"Ended"`
-	// Unreachable names the member that released the shard because the workers could reach other
+	// UnreachableMember names the member that released the shard because the workers could reach other
 	// members but not this one; "" if there is none.
 	UnreachableMember string `json:"Deaf,omitempty"`
 	// AssignedAtMs is the time of the assignment, in ms since the Unix epoch by the leader's wall
--- a/internal/leader/watermark.go
+++ b/internal/leader/watermark.go
@@ -35,11 +35,11 @@
 	return w
 }
 
-// AdvanceTo advances the watermark to at, unless it is later already. The caller must have read and
-// applied every write to the state service up to at.
-func (w *CancellationWatermark) AdvanceTo(at time.Time) {
-	if at.After(w.watermark) {
-		w.watermark = at
+// AdvanceTo advances the watermark to a time, and does nothing if the watermark is later. The caller
+// must have read and applied every write to the state service up to that time.
+func (w *CancellationWatermark) AdvanceTo(until time.Time) {
+	if until.After(w.watermark) {
+		w.watermark = until
 	}
 }
 
@@ -54,8 +54,8 @@
 	}
 }
 
-// At advances the watermark to the earliest acknowledgement of the peers and returns it. Without peers
-// it advances to now. It is zero before the first read.
+// Advance advances the watermark to the earliest acknowledgement of the peers and returns it. Without
+// peers it advances to now. The watermark is zero before the first read.
 func (w *CancellationWatermark) Advance(now time.Time) time.Time {
 	if w.watermark.IsZero() {
 		return w.watermark
--- a/internal/term/completions.go
+++ b/internal/term/completions.go
@@ -32,7 +32,7 @@
 type jobCompletions struct {
 	completionOptions
 	flushAt         time.Time                 // earliest time of the next batch
-	jobsToWrite     map[string]*placement.Job // jobs with unwritten completions
+	jobsToWrite     map[string]*placement.Job // jobs with completions to be written
 	completedAt     map[string]time.Time      // completion time of a job's last task
 	jobEndsInFlight map[string]bool           // jobs with an end record being written
 	retryAt         map[string]time.Time      // earliest time of the next write after a failure
--- a/internal/term/fencing.go
+++ b/internal/term/fencing.go
@@ -39,7 +39,7 @@
 			t.sendCommands(machine, []wire.Command{})
 		}
 	}
-	if t.reserveUnknownUsage() == 0 && t.state == Fencing {
+	if unreconciled := t.reserveUnknownUsage(); unreconciled == 0 && t.state == Fencing {
 		t.setState(now, Open, "every machine reconciled or terminated")
 		t.scheduler.MarkReconciled()
 	}
--- a/internal/term/heartbeats.go
+++ b/internal/term/heartbeats.go
@@ -79,7 +79,8 @@
 	return commands, nil
 }
 
-// findOrAddMachine returns the machine that sent a heartbeat. It registers an unknown machine as booting.
+// findOrAddMachine returns the machine that sent a heartbeat. It adds an unknown machine to
+// the registry as booting.
 func (t *Term) findOrAddMachine(now time.Time, heartbeat *wire.Heartbeat) *worker.Machine {
 	if machine := t.workers.Get(heartbeat.Host); machine != nil {
 		return machine
--- a/internal/term/options.go
+++ b/internal/term/options.go
@@ -54,9 +54,9 @@
 	CurrentAsOf() time.Time
 }
 
-// Host is the controller that runs a term.
+// Controller is the controller that runs a term.
 type Controller interface {
-	// Schedule runs a function after a delay, on the goroutine that owns the controller.
+	// RunAfter runs a function after a delay, on the goroutine that owns the controller.
 	RunAfter(now time.Time, delay time.Duration, run func(now time.Time))
 	// ReconcileTerms starts and ends terms to match the control records. A term calls it after any
 	// event that may have ended the term.
--- a/internal/term/recovery.go
+++ b/internal/term/recovery.go
@@ -156,8 +156,8 @@
 	}
 	// The previous lease holder started nothing after its lease expired, which was before this
 	// term's shard record was written. Jobs written later cannot have tasks on machines.
-	mayHaveStarted := kv.Version < t.Version
+	fromEarlierTerm := kv.Version < t.Version
 	acceptedAt := time.UnixMilli(record.AcceptedAt)
-	job := t.scheduler.AddJob(now, record.Spec, acceptedAt, kv.Version, mayHaveStarted)
+	job := t.scheduler.AddJob(now, record.Spec, acceptedAt, kv.Version, fromEarlierTerm)
 	job.KnownSince = now.Add(-max(0, t.options.WallClock().Sub(acceptedAt)))
 }
--- a/internal/term/term.go
+++ b/internal/term/term.go
@@ -46,7 +46,7 @@
 	return [...]string{"loading", "fencing", "open", "over"}[s]
 }
 
-// Term manages the machines and jobs of a shard during one term. See leader.Term for its invariants.
+// Term manages the machines and jobs of a shard during one term. See leader.Assignment for its invariants.
 type Term struct {
 	leader.Assignment
 	options   Options
@@ -59,7 +59,7 @@
 	scheduler  *placement.Scheduler
 	autoscaler *fleet.Autoscaler
 	intents    *intentlog.Log
-	// guardedStateCall sends calls to the state service; the intent log guards removals of records.
+	// guardedStateCall sends calls to the state service; the intent log guards deletions of records.
 	guardedStateCall store.Caller
 
 	completions    *jobCompletions
