--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -55,7 +55,7 @@
 	shardOfMachine    map[string]int // from the provisioning requests that name machines
 
 	peers           peerGroup
-	progressQueries map[int]*progressQueue // by shard
+	progressQueues  map[int]*progressQueue // by shard
 	cancellationLog *submission.CancellationLog
 }
 
@@ -82,13 +82,13 @@
 func NewController(cfg *config.Config, options Options, environment Environment) *Controller {
 	c := &Controller{
 		config: cfg, options: options, environment: environment,
-		process:         processIdentity{id: environment.Rand.Uint64() | 1},
-		terms:           map[int]*term.Term{},
-		settings:        admin.Defaults(),
-		machineTypes:    machineTypes{byName: map[string]wire.MachineType{}, records: map[string]string{}},
-		shardOfMachine:  map[string]int{},
-		peers:           newPeerGroup(cfg.Peers),
-		progressQueries: map[int]*progressQueue{},
+		process:        processIdentity{id: environment.Rand.Uint64() | 1},
+		terms:          map[int]*term.Term{},
+		settings:       admin.Defaults(),
+		machineTypes:   machineTypes{byName: map[string]wire.MachineType{}, records: map[string]string{}},
+		shardOfMachine: map[string]int{},
+		peers:          newPeerGroup(cfg.Peers),
+		progressQueues: map[int]*progressQueue{},
 	}
 	c.cancellationLog = submission.NewCancellationLog(options.Shards,
 		config.Seconds(cfg.Platform.Workers.CancelS), cfg.Platform.State.WriteRPS)
@@ -126,15 +126,15 @@
 }
 
 // callState calls the state service and reconciles the terms after the result has been handled.
-func (c *Controller) callState(call store.Call, then func(time.Time, store.Result)) {
+func (c *Controller) callState(call store.Call, done func(time.Time, store.Result)) {
 	c.environment.Effects.CallState(call, func(now time.Time, result store.Result) {
-		then(now, result)
+		done(now, result)
 		c.ReconcileTerms(now)
 	})
 }
 
-// Schedule runs a function on the event loop after a delay, rounded up to the next tick.
-func (c *Controller) Schedule(now time.Time, delay time.Duration, run func(now time.Time)) {
+// RunAfter runs a function on the event loop after a delay, rounded up to the next tick.
+func (c *Controller) RunAfter(now time.Time, delay time.Duration, run func(now time.Time)) {
 	c.timers = append(c.timers, timer{now.Add(delay), run})
 }
 
@@ -226,21 +226,21 @@
 			t.Tick(now)
 		}
 	}
-	if !now.Before(c.peers.heartbeatAt) {
-		c.peers.heartbeatAt = now.Add(tuning.PeerHeartbeatInterval)
-		c.sendHeartbeats(now)
+	if !now.Before(c.peers.nextHeartbeatAt) {
+		c.peers.nextHeartbeatAt = now.Add(tuning.PeerHeartbeatInterval)
+		c.sendPeerHeartbeats(now)
 	}
 }
 
 // Healthy reports whether this controller can take requests. It returns false if only this
-// controller cannot reach the state service, or if neither the state service nor a peer responds:
-// users then turn to the other controllers. In an outage of the state service all controllers
-// stay healthy, because an unhealthy controller gets requests again only after a delay.
+// controller cannot reach the state service, or if neither the state service nor a peer responds.
+// A load balancer then sends requests to the other controllers. In an outage of the state service
+// all controllers stay healthy, because a load balancer is slow to restore one that it has ejected.
 func (c *Controller) Healthy(now time.Time) bool {
 	if !c.membership.Synced() || !c.openJobs.Synced() || len(c.allMachineTypes()) == 0 {
 		return false
 	}
-	if c.stateUnreachableFor(now) < tuning.StoreIsolationTimeout+tuning.WatchTimeout {
+	if c.sinceStateContact(now) < tuning.StoreIsolationTimeout+tuning.WatchTimeout {
 		return true
 	}
 	isolated := len(c.peers.byName) > 0
@@ -249,7 +249,7 @@
 			continue
 		}
 		isolated = false
-		if peer.stateUnreachableFor < tuning.StoreIsolationTimeout {
+		if peer.sinceStateContact < tuning.StoreIsolationTimeout {
 			return false
 		}
 	}
--- a/internal/controller/process_effects.go
+++ b/internal/controller/process_effects.go
@@ -51,12 +51,12 @@
 	rateLimiterLock sync.Mutex
 	rateLimiter     *store.RateLimiter
 
-	readSemaphore             semaphore
-	writeSemaphores           [store.NumPriorities]semaphore
-	cloudSemaphore            semaphore
-	commandSemaphore          semaphore
-	heartbeatRequestSemaphore semaphore
-	peerSemaphore             semaphore
+	readSemaphore        semaphore
+	writeSemaphores      [store.NumPriorities]semaphore
+	cloudSemaphore       semaphore
+	commandSemaphore     semaphore
+	workerQuerySemaphore semaphore // of heartbeat requests to workers and probes
+	peerSemaphore        semaphore
 }
 
 func newProcessEffects(cfg *config.Config, connections connectionLimits, options effectOptions) *processEffects {
@@ -67,16 +67,16 @@
 		effectOptions: options,
 		ctx:           context.Background(),
 
-		state:                     store.NewClient(cfg.External.State, toState, options.clock.Now),
-		cloud:                     cloud.NewClient(cfg.External.Cloud, toCloud),
-		workers:                   workerClient{&http.Client{Transport: toWorkers}},
-		peers:                     peer.NewClients(cfg.Peers),
-		rateLimiter:               store.NewRateLimiter(cfg.Platform.State, len(cfg.Peers)+1),
-		readSemaphore:             make(semaphore, tuning.StoreReadsInFlight),
-		cloudSemaphore:            make(semaphore, tuning.CloudCallsInFlight),
-		commandSemaphore:          make(semaphore, connections.commands),
-		heartbeatRequestSemaphore: make(semaphore, connections.commands),
-		peerSemaphore:             make(semaphore, tuning.PeerCallsInFlight),
+		state:                store.NewClient(cfg.External.State, toState, options.clock.Now),
+		cloud:                cloud.NewClient(cfg.External.Cloud, toCloud),
+		workers:              workerClient{&http.Client{Transport: toWorkers}},
+		peers:                peer.NewClients(cfg.Peers),
+		rateLimiter:          store.NewRateLimiter(cfg.Platform.State, len(cfg.Peers)+1),
+		readSemaphore:        make(semaphore, tuning.StoreReadsInFlight),
+		cloudSemaphore:       make(semaphore, tuning.CloudCallsInFlight),
+		commandSemaphore:     make(semaphore, connections.commands),
+		workerQuerySemaphore: make(semaphore, connections.commands),
+		peerSemaphore:        make(semaphore, tuning.PeerCallsInFlight),
 	}
 	for i := range e.writeSemaphores {
 		e.writeSemaphores[i] = make(semaphore, tuning.StoreWritesInFlight)
@@ -98,7 +98,7 @@
 func (e *processEffects) close() { e.peers.Close() }
 
 // CallState implements Effects.
-func (e *processEffects) CallState(call store.Call, then func(now time.Time, result store.Result)) {
+func (e *processEffects) CallState(call store.Call, done func(now time.Time, result store.Result)) {
 	go func() {
 		switch {
 		case call.Priority == store.PriorityLease: // leases and watches are not limited
@@ -114,7 +114,7 @@
 		if call.Op != store.OpWatch {
 			e.latencies.record(latencyState, time.Since(start))
 		}
-		e.post(func(now time.Time) { then(now, result) })
+		e.post(func(now time.Time) { done(now, result) })
 	}()
 }
 
@@ -141,80 +141,81 @@
 	lowered := e.rateLimiter.Observe(e.clock.Now(), call, result.Err)
 	e.rateLimiterLock.Unlock()
 	if lowered {
-		e.log.Warn("state service enforces its next limits; switching to them", "error", result.Err)
+		e.log.Warn("state service appears to have lowered its limits; switching to the lower limits",
+			"error", result.Err)
 	}
 }
 
 // CallCloud implements Effects.
-func (e *processEffects) CallCloud(call cloud.Call, then func(now time.Time, result cloud.Result)) {
+func (e *processEffects) CallCloud(call cloud.Call, done func(now time.Time, result cloud.Result)) {
 	go func() {
 		defer e.cloudSemaphore.acquire()()
 		start := time.Now()
 		if !call.Deadline.IsZero() && !e.clock.Advance().Before(call.Deadline) {
-			e.post(func(now time.Time) { then(now, cloud.Result{}) })
+			e.post(func(now time.Time) { done(now, cloud.Result{}) })
 			return
 		}
 		result := e.cloud.Do(e.ctx, call)
 		e.latencies.record(latencyCloud, time.Since(start))
-		e.post(func(now time.Time) { then(now, result) })
+		e.post(func(now time.Time) { done(now, result) })
 	}()
 }
 
 // SendCommands implements Effects.
 func (e *processEffects) SendCommands(address string, commands wire.DirectCommands, deadline time.Time,
-	then func(now time.Time, heartbeat *wire.Heartbeat, err error)) {
+	done func(now time.Time, heartbeat *wire.Heartbeat, err error)) {
 	go func() {
 		// A message without commands only requests a heartbeat. After a failover these requests
 		// go to all workers, and many may hang: commands must not wait for them.
 		limit := e.commandSemaphore
 		if len(commands.Commands) == 0 {
-			limit = e.heartbeatRequestSemaphore
+			limit = e.workerQuerySemaphore
 		}
 		defer limit.acquire()()
 		if !e.clock.Advance().Before(deadline) {
-			e.post(func(now time.Time) { then(now, nil, term.ErrDeadlinePassed) })
+			e.post(func(now time.Time) { done(now, nil, term.ErrDeadlinePassed) })
 			return
 		}
 		ctx, cancel := context.WithTimeout(e.ctx, tuning.CommandTimeout)
 		defer cancel()
 		heartbeat, err := e.workers.send(ctx, address, commands)
-		e.post(func(now time.Time) { then(now, heartbeat, err) })
+		e.post(func(now time.Time) { done(now, heartbeat, err) })
 	}()
 }
 
-// SendHeartbeat implements Effects. Heartbeats are not limited: they are few, and must not wait
+// SendPeerHeartbeat implements Effects. Heartbeats are not limited: they are few, and must not wait
 // for other calls to peers.
-func (e *processEffects) SendHeartbeat(member string, heartbeat *peerpb.PeerHeartbeat,
-	then func(now time.Time, reply *peerpb.PeerHeartbeat, err error)) {
+func (e *processEffects) SendPeerHeartbeat(member string, heartbeat *peerpb.PeerHeartbeat,
+	done func(now time.Time, reply *peerpb.PeerHeartbeat, err error)) {
 	go func() {
 		ctx, cancel := context.WithTimeout(e.ctx, tuning.PeerHeartbeatTimeout)
 		defer cancel()
 		reply, err := e.peers.Peer(member).Pulse(ctx, heartbeat)
-		e.post(func(now time.Time) { then(now, reply, err) })
+		e.post(func(now time.Time) { done(now, reply, err) })
 	}()
 }
 
 // QueryProgress implements Effects.
 func (e *processEffects) QueryProgress(member string, request *peerpb.ProgressRequest,
-	then func(now time.Time, reply *peerpb.ProgressReply, err error)) {
+	done func(now time.Time, reply *peerpb.ProgressReply, err error)) {
 	go func() {
 		defer e.peerSemaphore.acquire()()
 		ctx, cancel := context.WithTimeout(e.ctx, tuning.ProgressTimeout)
 		defer cancel()
 		reply, err := e.peers.Peer(member).Progress(ctx, request)
-		e.post(func(now time.Time) { then(now, reply, err) })
+		e.post(func(now time.Time) { done(now, reply, err) })
 	}()
 }
 
 // ProbeWorkers implements Effects.
 func (e *processEffects) ProbeWorkers(member string, request *peerpb.ProbeRequest,
-	then func(now time.Time, reply *peerpb.ProbeReply, err error)) {
+	done func(now time.Time, reply *peerpb.ProbeReply, err error)) {
 	go func() {
 		defer e.peerSemaphore.acquire()()
 		ctx, cancel := context.WithTimeout(e.ctx, tuning.ProbeTimeout+tuning.ProgressTimeout)
 		defer cancel()
 		reply, err := e.peers.Peer(member).Probe(ctx, request)
-		e.post(func(now time.Time) { then(now, reply, err) })
+		e.post(func(now time.Time) { done(now, reply, err) })
 	}()
 }
 
@@ -226,7 +227,7 @@
 	results := make(chan bool, len(addresses))
 	for _, address := range addresses {
 		go func() {
-			defer e.heartbeatRequestSemaphore.acquire()()
+			defer e.workerQuerySemaphore.acquire()()
 			results <- e.workers.probe(ctx, address)
 		}()
 	}
--- a/internal/term/recovery.go
+++ b/internal/term/recovery.go
@@ -48,7 +48,7 @@
 		case ok:
 			t.handleReadDone(now)
 		default:
-			t.options.Host.Schedule(now, tuning.WatchCacheBackoff, retry)
+			t.options.Controller.RunAfter(now, tuning.WatchCacheBackoff, retry)
 		}
 	})
 }
@@ -74,7 +74,7 @@
 
 func (r *rangeRead) handle(now time.Time, result store.Result) {
 	if !result.OK() {
-		r.term.options.Host.Schedule(now, tuning.WatchCacheBackoff, r.retry)
+		r.term.options.Controller.RunAfter(now, tuning.WatchCacheBackoff, r.retry)
 		return
 	}
 	*r.results = append(*r.results, result.KeyValues...)
@@ -156,8 +156,8 @@
 	}
 	// The previous lease holder started nothing after its lease expired, which was before this
 	// term's shard record was written. Jobs written later cannot have tasks on machines.
-	mayHaveStarted := kv.Version < t.Version
+	fromEarlierTerm := kv.Version < t.Version
 	acceptedAt := time.UnixMilli(record.AcceptedAt)
-	job := t.scheduler.AddJob(now, record.Spec, acceptedAt, kv.Version, mayHaveStarted)
+	job := t.scheduler.AddJob(now, record.Spec, acceptedAt, kv.Version, fromEarlierTerm)
 	job.KnownSince = now.Add(-max(0, t.options.WallClock().Sub(acceptedAt)))
 }
