--- a/internal/controller/faults_controllers_test.go
+++ b/internal/controller/faults_controllers_test.go
@@ -115,7 +115,7 @@
 			continue
 		}
 		for _, j := range t.Scheduler().OpenJobs() {
-			if j.FromEarlierTerm && j.AssignedTasks() > 0 && !strings.Contains(startMarkers, `"`+j.Spec.ID+`"`) {
+			if j.AcceptedBeforeTerm && j.AssignedTasks() > 0 && !strings.Contains(startMarkers, `"`+j.Spec.ID+`"`) {
 				started++
 			}
 		}
--- a/internal/controller/faults_workers_test.go
+++ b/internal/controller/faults_workers_test.go
@@ -82,7 +82,7 @@
 	m.partitioned, m.Hung = true, true
 	sim.runFor(workers.LeaseExpiry() + 3*time.Second)
 	w := workers.Get(m.Host.ID)
-	if w == nil || w.State != worker.LeaseExpired || w.ActiveCopies != 0 {
+	if w == nil || w.State != worker.LeaseExpired || w.AssignedCopies != 0 {
 		sim.addViolation("the worker's lease has not expired: %+v", w)
 		return
 	}
@@ -93,8 +93,8 @@
 			sim.addViolation("a heartbeat of an expired incarnation was accepted")
 		}
 	})
-	if w.State != worker.LeaseExpired || w.ActiveCopies != 0 || w.LeaseRenewedAt != renewedAt {
-		sim.addViolation("a late heartbeat changed the worker: %v, %d tasks", w.State, w.ActiveCopies)
+	if w.State != worker.LeaseExpired || w.AssignedCopies != 0 || w.LeaseRenewedAt != renewedAt {
+		sim.addViolation("a late heartbeat changed the worker: %v, %d tasks", w.State, w.AssignedCopies)
 	}
 	m.partitioned, m.Hung = false, false
 }
--- a/internal/fleet/termination.go
+++ b/internal/fleet/termination.go
@@ -72,7 +72,7 @@
 }
 
 func (r terminationRules) decideUp(candidate terminationCandidate) termination {
-	if candidate.Unreachable(r.now, tuning.UnreachableLeases*r.workerLease) && candidate.ActiveCopies == 0 {
+	if candidate.Unreachable(r.now, tuning.UnreachableLeases*r.workerLease) && candidate.AssignedCopies == 0 {
 		return reclaim("unreachable")
 	}
 	if candidate.UnansweredCommands > 0 && candidate.onlyUnconfirmedStops {
@@ -81,7 +81,7 @@
 		return reclaim("command not answered")
 	}
 	switch {
-	case candidate.ActiveCopies > 0 || len(candidate.Tasks) > 0 && candidate.HasUnknownTasks:
+	case candidate.AssignedCopies > 0 || len(candidate.Tasks) > 0 && candidate.HasUnknownTasks:
 		return noTermination()
 	case candidate.Quarantined:
 		return deprovision("quarantined")
--- a/internal/fleet/termination_test.go
+++ b/internal/fleet/termination_test.go
@@ -31,13 +31,13 @@
 	},
 	{
 		name: "running a task", state: worker.Up,
-		set:  func(machine *worker.Machine) { machine.ActiveCopies = 1 },
+		set:  func(machine *worker.Machine) { machine.AssignedCopies = 1 },
 		wait: time.Hour,
 		want: false,
 	},
 	{
 		name: "running a task and quarantined", state: worker.Up,
-		set:  func(machine *worker.Machine) { machine.ActiveCopies, machine.Quarantined = 1, true },
+		set:  func(machine *worker.Machine) { machine.AssignedCopies, machine.Quarantined = 1, true },
 		wait: time.Hour,
 		want: false,
 	},
@@ -164,7 +164,7 @@
 			f := newFixture(t)
 			for i := range test.machines {
 				machine := f.addMachine(fmt.Sprintf("i-%03d", i), worker.Up)
-				machine.ActiveCopies = 1
+				machine.AssignedCopies = 1
 				if i < test.unreconciled {
 					f.registry.SetState(f.now, machine, worker.Unreconciled, "test")
 				}
--- a/internal/placement/array.go
+++ b/internal/placement/array.go
@@ -10,17 +10,17 @@
 // arrayScheduler queues the tasks of job arrays at machines.
 type arrayScheduler struct {
 	*sharedState
-	pass     *passState
-	capacity *capacityIndex
-	queues   *copyQueues
-	markers  *startMarkers
+	pass       *passState
+	capacity   *capacityIndex
+	copyQueues *copyQueues
+	markers    *startMarkers
 }
 
 // schedule queues an array's pending tasks. Each has two copies, as in section
 // III of the paper: the primary is queued at a random machine among those of the
 // lowest rank with sufficient free resources, the backup at another random machine.
 func (a *arrayScheduler) schedule(now time.Time, job *Job, filter passFilter) {
-	if filter.scope == guaranteedWork && !a.ledger.WithinGuarantee(job.Spec.Team, job.need) {
+	if filter.scope == withinGuarantee && !a.ledger.WithinGuarantee(job.Spec.Team, job.need) {
 		return
 	}
 	if filter.requirement == cachedImage && job.outsideLocalityWindow {
@@ -42,7 +42,7 @@
 type arrayPlacement struct {
 	scheduler       *arrayScheduler
 	job             *Job
-	scope           preemptionScope
+	scope           quotaScope
 	requirement     imageRequirement
 	tasksByZone     map[string]int // scheduled tasks of the job; nil if it has no zone constraints
 	candidates      []candidate
@@ -70,7 +70,7 @@
 func (p *arrayPlacement) findCandidates(now time.Time) {
 	noRoomRevision := uint64(0)
 	if p.tasksByZone == nil {
-		noRoomRevision = *p.job.noRoomRevisions.forRequirement(p.requirement)
+		noRoomRevision = *p.job.minGainRevisions.forRequirement(p.requirement)
 	}
 	for _, info := range p.scheduler.capacity.freeMachines {
 		machine := info.machine
@@ -92,7 +92,7 @@
 	if !machine.AvailableToPrimary().Fits(p.job.need) {
 		return false
 	}
-	if p.tasksByZone != nil && !p.job.zoneAllowed(machine.Zone, p.tasksByZone) {
+	if p.tasksByZone != nil && !p.job.mayAddTaskIn(machine.Zone, p.tasksByZone) {
 		return false
 	}
 	return p.requirement == anyMachine || info.hasImage(p.job.Spec.Image)
@@ -108,7 +108,7 @@
 		return false
 	case job.boostedAboveAll() && placed == tuning.FirstStartTasks:
 		return false // the boost covers the first tasks only
-	case p.scope == guaranteedWork && !s.ledger.WithinGuarantee(job.Spec.Team, job.need):
+	case p.scope == withinGuarantee && !s.ledger.WithinGuarantee(job.Spec.Team, job.need):
 		return false
 	case !s.ledger.AdmitsReservation(job.Spec.Team, job.need):
 		s.setPendingReason(job, "team's limit")
@@ -125,7 +125,7 @@
 	if chosen < 0 {
 		s.setPendingReason(job, "no room")
 		if !p.reservedForGang {
-			*job.noRoomRevisions.forRequirement(p.requirement) = s.capacity.revision + 1
+			*job.minGainRevisions.forRequirement(p.requirement) = s.capacity.revision + 1
 		}
 		return false
 	}
@@ -136,7 +136,7 @@
 	}
 	job.pendingReason = ""
 	task := job.addTask(index)
-	s.queues.queuePrimary(now, task, p.candidates[chosen].info.machine)
+	s.copyQueues.queuePrimary(now, task, p.candidates[chosen].info.machine)
 	s.pass.arrayTasksQueued++
 	p.updateCandidates(chosen)
 	s.placeBackup(task)
@@ -155,7 +155,7 @@
 			continue
 		}
 		if len(a.capacity.info(machine).backupQueue) < tuning.MaxBackupsPerWorker {
-			a.queues.queueBackup(task, machine)
+			a.copyQueues.queueBackup(task, machine)
 			return
 		}
 	}
--- a/internal/placement/backup_copies_test.go
+++ b/internal/placement/backup_copies_test.go
@@ -26,8 +26,8 @@
 	f := &runningBackupFixture{testHarness: h, primary: h.registry.All()[0], backup: h.registry.All()[1]}
 	f.task = h.addJob("blue", wire.ShapeBatch, "low", 1, 1).addTask(0)
 	f.task.backupPreemptions = preemptions
-	h.scheduler.queues.queuePrimary(h.now, f.task, f.primary)
-	h.scheduler.queues.queueBackup(f.task, f.backup)
+	h.scheduler.copyQueues.queuePrimary(h.now, f.task, f.primary)
+	h.scheduler.copyQueues.queueBackup(f.task, f.backup)
 	f.primary.Allocated = f.primary.Capacity // the primary is stuck
 	if got := describe(h.heartbeat(f.backup)); got != "" {
 		t.Fatalf("backup started right after its primary was queued: %s", got)
@@ -110,7 +110,7 @@
 
 func otherPrimaryNeedsResources(t *testing.T, f *runningBackupFixture) {
 	other := f.addJob("red", wire.ShapeBatch, "high", 1, 2).addTask(0)
-	f.scheduler.queues.queuePrimary(f.now, other, f.backup)
+	f.scheduler.copyQueues.queuePrimary(f.now, other, f.backup)
 	f.heartbeat(f.backup)
 	if f.task.phase != Stopping || f.task.backupPreemptions != 1 {
 		t.Error("the backup was not preempted")
@@ -132,7 +132,7 @@
 	stuck, machine := h.registry.All()[0], h.registry.All()[1]
 	task := h.addJob("blue", wire.ShapeBatch, "low", 1, 1).addTask(0)
 	primary := h.addJob("red", wire.ShapeBatch, "low", 1, 1).addTask(0)
-	queues, dispatcher := h.scheduler.queues, h.scheduler.dispatcher
+	queues, dispatcher := h.scheduler.copyQueues, h.scheduler.dispatcher
 	queues.queuePrimary(h.now, task, stuck)
 	queues.queueBackup(task, machine)
 	queues.queuePrimary(h.now, primary, machine)
--- a/internal/placement/backup_preemption.go
+++ b/internal/placement/backup_preemption.go
@@ -20,7 +20,7 @@
 		}
 		if task.phase != Stopping {
 			l.preemptBackup(now, task, "backup gives way to a primary")
-			if task.backupPreemptions >= l.Settings.DropThreshold {
+			if task.backupPreemptions >= l.Settings.BackupWithdrawThreshold {
 				l.Counters.BackupsWithdrawn++
 			}
 		}
@@ -28,7 +28,7 @@
 	}
 }
 
-// preemptBackup stops a backup and counts the preemption towards Settings.DropThreshold.
+// preemptBackup stops a backup and counts the preemption towards Settings.BackupWithdrawThreshold.
 func (l *taskLifecycle) preemptBackup(now time.Time, task *Task, reason string) {
 	task.backupPreemptions++
 	l.Counters.BackupsPreempted++
--- a/internal/placement/capacity_index.go
+++ b/internal/placement/capacity_index.go
@@ -43,16 +43,16 @@
 	return !earlier.schedulable || !earlier.free.Fits(s.free) || s.images > earlier.images || s.tasks > earlier.tasks
 }
 
-// noRoomRevisions holds, for each image requirement, the first revision of the
+// minGainRevisions holds, for each image requirement, the first revision of the
 // index that may have capacity for a job's tasks. A machine whose last gain is
 // older cannot take them.
-type noRoomRevisions struct {
+type minGainRevisions struct {
 	anyMachine  uint64
 	cachedImage uint64 // for machines that cache the job's image
 }
 
 // forRequirement returns the revision for an image requirement.
-func (r *noRoomRevisions) forRequirement(requirement imageRequirement) *uint64 {
+func (r *minGainRevisions) forRequirement(requirement imageRequirement) *uint64 {
 	if requirement == cachedImage {
 		return &r.cachedImage
 	}
--- a/internal/placement/commands_test.go
+++ b/internal/placement/commands_test.go
@@ -55,7 +55,7 @@
 			}
 			h.scheduler.CloseJob(h.now, job.Spec.ID, h.now.Add(time.Minute))
 			h.applyHeartbeat(machine, h.newHeartbeat(machine), c.source)
-			if got := machine.ActiveCopies == 0; got != c.ended {
+			if got := machine.AssignedCopies == 0; got != c.ended {
 				t.Errorf("ended: %t, want %t", got, c.ended)
 			}
 			// Only a new incarnation of the worker resolves the remaining stops.
--- a/internal/placement/consolidation.go
+++ b/internal/placement/consolidation.go
@@ -15,7 +15,7 @@
 type consolidator struct {
 	*sharedState
 	capacity *capacityIndex
-	queue    *jobQueue
+	jobQueue *jobQueue
 	tasks    *taskLifecycle
 	nextRun  time.Time // the earliest time of the next consolidation
 }
@@ -26,7 +26,7 @@
 // on-demand machines first, then those with the lowest allocation, and moves tasks to
 // the machines with the highest allocation.
 func (c *consolidator) consolidate(now time.Time) {
-	if !c.reconciled || now.Before(c.nextRun) || c.queue.startableTasksPending(now) {
+	if !c.reconciled || now.Before(c.nextRun) || c.jobQueue.startableTasksPending(now) {
 		return
 	}
 	c.nextRun = now.Add(tuning.ConsolidationInterval)
@@ -36,7 +36,7 @@
 		if cordoned == plan.limit || i == tuning.ConsolidationCandidates*plan.limit {
 			break
 		}
-		if _, isTarget := plan.planned[machine]; isTarget || !plan.planMoves(c.capacity.info(machine)) {
+		if _, isTarget := plan.planned[machine]; isTarget || !plan.planRelocations(c.capacity.info(machine)) {
 			continue
 		}
 		cordoned++
@@ -46,7 +46,7 @@
 
 // cordon makes a machine unschedulable and preempts its tasks.
 func (c *consolidator) cordon(now time.Time, machine *worker.Machine) {
-	c.log.Info("worker cordoned for consolidation", "worker", machine.Host, "count", machine.ActiveCopies)
+	c.log.Info("worker cordoned for consolidation", "worker", machine.Host, "count", machine.AssignedCopies)
 	machine.Cordoned = true
 	for _, task := range slices.Clone(c.capacity.info(machine).assigned) {
 		c.Counters.Relocated++
@@ -77,7 +77,7 @@
 	p := &consolidationPlan{planned: map[*worker.Machine]quota.Resources{}}
 	inUse := 0
 	for _, machine := range c.registry.All() {
-		if machine.ActiveCopies == 0 || !machine.Schedulable() {
+		if machine.AssignedCopies == 0 || !machine.Schedulable() {
 			continue
 		}
 		inUse++
@@ -128,10 +128,10 @@
 	return !job.closed && job.isArray() && job.savesCheckpoints()
 }
 
-// planMoves reports whether every task of a machine fits on a target in addition
+// planRelocations reports whether every task of a machine fits on a target in addition
 // to the moves planned so far. If so, it adds these moves to the plan; otherwise
 // the plan is unchanged.
-func (p *consolidationPlan) planMoves(source *machineInfo) bool {
+func (p *consolidationPlan) planRelocations(source *machineInfo) bool {
 	moved := map[*worker.Machine]quota.Resources{}
 	for _, task := range source.assigned {
 		i := slices.IndexFunc(p.targets, func(target *worker.Machine) bool {
--- a/internal/placement/constraints.go
+++ b/internal/placement/constraints.go
@@ -18,7 +18,7 @@
 }
 
 // allows reports whether machines of a kind satisfy the job's constraints.
-func (j *Job) allows(kind machineKind) bool {
+func (j *Job) allowsKind(kind machineKind) bool {
 	spec := &j.Spec
 	if kind.spot && !spec.Spot {
 		return false
@@ -32,7 +32,7 @@
 // suits reports whether a machine satisfies the job's constraints and is not
 // avoided because of past failures.
 func (j *Job) suits(machine *worker.Machine) bool {
-	return j.allows(kindOf(machine)) && !j.avoids(machine)
+	return j.allowsKind(kindOf(machine)) && !j.avoidsAfterFailures(machine)
 }
 
 // eligible reports whether a task of the job may be scheduled on a machine,
@@ -63,9 +63,9 @@
 	return tasksByZone
 }
 
-// zoneAllowed reports whether the job's zone constraints allow one more task in
+// mayAddTaskIn reports whether the job's zone constraints allow one more task in
 // a zone, given the number of its tasks in each zone.
-func (j *Job) zoneAllowed(zone string, tasksByZone map[string]int) bool {
+func (j *Job) mayAddTaskIn(zone string, tasksByZone map[string]int) bool {
 	if j.Spec.SameZone {
 		for otherZone, count := range tasksByZone {
 			if count > 0 && otherZone != zone {
@@ -78,7 +78,7 @@
 
 // mayStartIn reports whether the job's zone constraints allow one more task to
 // start in a zone, given its tasks on machines.
-func (j *Job) mayStartIn(zone string) bool { return j.zoneAllowed(zone, j.tasksByZone(assignedTasks)) }
+func (j *Job) mayStartIn(zone string) bool { return j.mayAddTaskIn(zone, j.tasksByZone(assignedTasks)) }
 
 // zoneConstrained reports whether the job's tasks must share a zone or be spread over zones.
 func (j *Job) zoneConstrained() bool { return j.Spec.SameZone || j.Spec.SpreadAcrossZones }
--- a/internal/placement/demand.go
+++ b/internal/placement/demand.go
@@ -48,7 +48,7 @@
 // machines for the rest. It marks the existing machines that the packing uses as
 // needed. It also runs or reverts consolidation.
 func (s *Scheduler) ProvisioningDemand(now time.Time, offers []Offer, provisioning []int) []int {
-	if s.queue.startableTasksPending(now) {
+	if s.jobQueue.startableTasksPending(now) {
 		s.consolidator.uncordonAll()
 	} else {
 		s.consolidator.consolidate(now)
@@ -67,7 +67,7 @@
 	*sharedState
 	capacity *capacityIndex
 	jobs     *jobTable
-	queue    *jobQueue
+	jobQueue *jobQueue
 	runTimes *runTimeEstimator
 }
 
@@ -111,7 +111,7 @@
 	best := -1
 	for i := range p.offers {
 		offer := &p.offers[i]
-		if offer.Available-p.toProvision[i] <= 0 || zone != "" && offer.Zone != zone || !job.accepts(offer) {
+		if offer.Available-p.toProvision[i] <= 0 || zone != "" && offer.Zone != zone || !job.acceptsOffer(offer) {
 			continue
 		}
 		if best < 0 || job.prefers(offer, &p.offers[best]) {
@@ -129,7 +129,7 @@
 func (p *demandPlan) hasOfferInZone(job *Job, zone string) bool {
 	for i := range p.offers {
 		offer := &p.offers[i]
-		if offer.Zone == zone && offer.Available > 0 && job.accepts(offer) {
+		if offer.Zone == zone && offer.Available > 0 && job.acceptsOffer(offer) {
 			return true
 		}
 	}
@@ -138,8 +138,8 @@
 
 // accepts reports whether the job's constraints allow an offer and one task of the
 // job fits its capacity.
-func (j *Job) accepts(offer *Offer) bool {
-	return j.allows(offer.kind()) && offer.Capacity.Fits(j.need)
+func (j *Job) acceptsOffer(offer *Offer) bool {
+	return j.allowsKind(offer.kind()) && offer.Capacity.Fits(j.need)
 }
 
 // prefers reports whether the job ranks offer before other: services rank
--- a/internal/placement/demand_arrays.go
+++ b/internal/placement/demand_arrays.go
@@ -47,7 +47,7 @@
 
 // arrayBacklogs returns the backlogs of all arrays in descending order of priority.
 func (p *demandPlan) arrayBacklogs() (backlogs []*arrayBacklog) {
-	for _, job := range p.queue.open {
+	for _, job := range p.jobQueue.open {
 		if !job.isArray() || p.now.Before(job.backoffUntil) {
 			continue
 		}
--- a/internal/placement/demand_bins.go
+++ b/internal/placement/demand_bins.go
@@ -33,12 +33,12 @@
 }
 
 // inUse reports whether the bin is an existing machine with assigned tasks.
-func (b *bin) inUse() bool { return b.machine != nil && b.machine.ActiveCopies > 0 }
+func (b *bin) inUse() bool { return b.machine != nil && b.machine.AssignedCopies > 0 }
 
 // suits reports whether the job's constraints allow the machine and the job does not
 // avoid it because of past failures.
 func (b *bin) suits(job *Job) bool {
-	return job.allows(b.kind) && (b.machine == nil || !job.avoids(b.machine))
+	return job.allowsKind(b.kind) && (b.machine == nil || !job.avoidsAfterFailures(b.machine))
 }
 
 // addMachineBins adds a bin for each existing machine that accepts work. It marks
@@ -46,7 +46,7 @@
 func (p *demandPlan) addMachineBins() {
 	lease := config.Seconds(p.platform.Workers.LeaseS)
 	for _, machine := range p.registry.All() {
-		machine.Needed = machine.ActiveCopies > 0
+		machine.Needed = machine.AssignedCopies > 0
 		if !acceptsWork(p.now, machine, lease) {
 			continue
 		}
--- a/internal/placement/demand_gangs.go
+++ b/internal/placement/demand_gangs.go
@@ -11,13 +11,13 @@
 // gangs.
 func (p *demandPlan) packGangsAndServices() {
 	smallestNeed := quota.UnlimitedResources()
-	for _, job := range p.queue.open {
+	for _, job := range p.jobQueue.open {
 		if !job.isArray() {
 			smallestNeed = smallestNeed.Min(job.need)
 		}
 	}
 	remaining := slices.Clone(p.bins)
-	for _, job := range p.queue.open {
+	for _, job := range p.jobQueue.open {
 		n := p.tasksToPlace(job)
 		if n == 0 {
 			continue
@@ -78,7 +78,7 @@
 		if p.job.Spec.Zone != "" && p.job.Spec.Zone != candidate {
 			continue
 		}
-		if !p.job.zoneAllowed(candidate, p.job.remainingTasksByZone()) {
+		if !p.job.mayAddTaskIn(candidate, p.job.remainingTasksByZone()) {
 			continue
 		}
 		unplaced := p.pack(candidate, dryRun)
@@ -133,7 +133,7 @@
 		if !b.free.Fits(job.need) || !freeIn(b, freeByBin).Fits(job.need) {
 			continue
 		}
-		if zone != "" && b.kind.zone != zone || !job.zoneAllowed(b.kind.zone, inZone) || !b.suits(job) {
+		if zone != "" && b.kind.zone != zone || !job.mayAddTaskIn(b.kind.zone, inZone) || !b.suits(job) {
 			continue
 		}
 		if best == nil || job.prefersBin(b, best) {
@@ -149,7 +149,7 @@
 func (p *jobPacking) provisionBin(zone string, inZone map[string]int) *bin {
 	if zone == "" && p.job.zoneConstrained() {
 		for _, candidate := range p.plan.platform.Zones {
-			if zone == "" && p.job.zoneAllowed(candidate, inZone) {
+			if zone == "" && p.job.mayAddTaskIn(candidate, inZone) {
 				zone = candidate
 			}
 		}
--- a/internal/placement/demand_test.go
+++ b/internal/placement/demand_test.go
@@ -114,7 +114,7 @@
 				machine.Spot = c.spot
 			}
 			h.addJob("red", wire.ShapeBatch, "low", 1, 1).closed = true // marks its class as seen
-			h.scheduler.queue.open = nil
+			h.scheduler.jobQueue.open = nil
 			if c.startObjective != "" {
 				h.scheduler.platform.Objectives = append(h.scheduler.platform.Objectives,
 					config.Objective{Kind: objectiveWait, Class: c.startObjective, WithinS: 4, Share: 0.8})
--- a/internal/placement/dispatch.go
+++ b/internal/placement/dispatch.go
@@ -13,10 +13,10 @@
 // dispatcher dispatches copies from the heads of the machines' queues.
 type dispatcher struct {
 	*sharedState
-	capacity *capacityIndex
-	queues   *copyQueues
-	tasks    *taskLifecycle
-	attempts *attemptNumbers
+	capacity   *capacityIndex
+	copyQueues *copyQueues
+	tasks      *taskLifecycle
+	attempts   *attemptNumbers
 }
 
 // dispatchQueueHeads dispatches queued copies that fit a machine. As in section
@@ -62,7 +62,7 @@
 	case !d.ledger.AdmitsStart(job.Spec.Team, job.need) || !job.mayStartIn(machine.Zone):
 	case free.Fits(job.need):
 		d.Counters.PrimariesStarted++
-		d.queues.withdrawCopies(task)
+		d.copyQueues.withdrawCopies(task)
 		d.tasks.dispatch(now, task, assignment{machine: machine, attempt: d.attempts.next(job)}, "primary starts")
 	default:
 		d.tasks.preemptBackups(now, machine, job.need.Sub(free))
@@ -94,5 +94,5 @@
 	if task.phase != Unassigned || task.primary == nil || now.Sub(task.primaryQueuedAt) < stuckAfter {
 		return false
 	}
-	return !startsWithNextHeartbeat(task.Job, task.primary)
+	return !fitsUnallocated(task.Job, task.primary)
 }
--- a/internal/placement/failures.go
+++ b/internal/placement/failures.go
@@ -25,7 +25,7 @@
 // avoids reports whether the job must not run on a machine because it failed
 // there. An array or gang that has failed on several machines avoids none of
 // them; neither does such a service, unless a replica of it has been healthy.
-func (j *Job) avoids(machine *worker.Machine) bool {
+func (j *Job) avoidsAfterFailures(machine *worker.Machine) bool {
 	if len(j.failedOn) == 0 || j.failedOn[machine.Host] == 0 {
 		return false
 	}
@@ -46,7 +46,7 @@
 	f.Counters.Failed++
 	job.failures++
 	job.failedOn[machine.Host]++
-	job.noRoomRevisions = noRoomRevisions{}
+	job.minGainRevisions = minGainRevisions{}
 	machine.FailuresByJob[job.Spec.ID]++
 	jobs := f.jobs.failingJobCount(machine)
 	succeededElsewhere := false
--- a/internal/placement/fair_share_test.go
+++ b/internal/placement/fair_share_test.go
@@ -14,7 +14,7 @@
 	h.now = h.now.Add(time.Minute)
 	small := h.addJob("blue", wire.ShapeBatch, "low", 1, 1)
 	gang := h.addJob("blue", wire.ShapeGang, "low", 1, 1)
-	queue := h.scheduler.queue
+	queue := h.scheduler.jobQueue
 	if got := queue.fairShareOrder(queue.open); got[0] != gang || got[1] != small || got[2] != large {
 		t.Error("order is not gang, small array, large array")
 	}
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -14,18 +14,18 @@
 // dispatched, all together or not at all.
 type gangScheduler struct {
 	*sharedState
-	pass     *passState
-	capacity *capacityIndex
-	rules    preemptionRules
-	queues   *copyQueues
-	markers  *startMarkers
-	tasks    *taskLifecycle
-	attempts *attemptNumbers
+	pass       *passState
+	capacity   *capacityIndex
+	rules      preemptionRules
+	copyQueues *copyQueues
+	markers    *startMarkers
+	tasks      *taskLifecycle
+	attempts   *attemptNumbers
 }
 
 // schedule places all tasks of a pending gang, or none. It aborts an attempt of a
 // gang that is only partly on machines.
-func (g *gangScheduler) schedule(now time.Time, gang *Job, scope preemptionScope) {
+func (g *gangScheduler) schedule(now time.Time, gang *Job, scope quotaScope) {
 	if gang.assigned > 0 || gang.aborting {
 		g.abortIfIncomplete(now, gang)
 		return
@@ -59,9 +59,9 @@
 
 // canPlace reports whether this pass searches for a placement of the gang. It checks
 // quota, gangs that block others, the limits per pass, and the capacity index.
-func (g *gangScheduler) canPlace(now time.Time, gang *Job, scope preemptionScope) bool {
+func (g *gangScheduler) canPlace(now time.Time, gang *Job, scope quotaScope) bool {
 	switch {
-	case scope == guaranteedWork && !g.ledger.WithinGuarantee(gang.Spec.Team, gang.totalNeed()):
+	case scope == withinGuarantee && !g.ledger.WithinGuarantee(gang.Spec.Team, gang.totalNeed()):
 		return false
 	case !g.ledger.AdmitsReservation(gang.Spec.Team, gang.totalNeed()):
 		g.setPendingReason(gang, "team's limit")
@@ -90,7 +90,7 @@
 	gang.pendingReason = ""
 	immediately := g.mustPreemptImmediately(now, gang, slots)
 	for index, slot := range slots {
-		g.queues.queuePrimary(now, gang.addTask(index), slot.machine)
+		g.copyQueues.queuePrimary(now, gang.addTask(index), slot.machine)
 		for _, victim := range slot.victims {
 			if !victim.phase.stoppable() {
 				continue // stopped together with its gang
@@ -139,7 +139,7 @@
 	if g.pass.blockingGang != nil || now.Sub(gang.KnownSince) <= tuning.GangBlockingDelay {
 		return
 	}
-	class, slots := gang.equivalenceClass(anyWork), 0
+	class, slots := gang.equivalenceClass(withinLimit), 0
 	for _, machine := range g.registry.All() {
 		if machine.Schedulable() && class.allows(machine) {
 			slots += machine.Capacity.FitCount(gang.need, maxTasksPerMachine)
@@ -163,7 +163,7 @@
 	for index := range gang.Spec.Tasks {
 		task := gang.tasks[index]
 		target := assignment{machine: task.primary, attempt: gang.attempt}
-		g.queues.withdrawCopies(task)
+		g.copyQueues.withdrawCopies(task)
 		g.tasks.dispatch(now, task, target, "gang starts")
 	}
 }
--- a/internal/placement/gang_placement.go
+++ b/internal/placement/gang_placement.go
@@ -33,7 +33,7 @@
 
 // cheapestPlacement returns a slot for each task of a gang, or nil if there is no
 // placement. For gangs that must share a zone it picks the zone of the lowest cost.
-func (g *gangScheduler) cheapestPlacement(now time.Time, gang *Job, scope preemptionScope) []gangSlot {
+func (g *gangScheduler) cheapestPlacement(now time.Time, gang *Job, scope quotaScope) []gangSlot {
 	zones := []string{""}
 	if gang.Spec.SameZone {
 		zones = g.platform.Zones
@@ -55,7 +55,7 @@
 
 // findPlacement returns a slot for each task of a gang on the cheapest machines, or
 // nil if there is no placement. A zone other than "" restricts the machines.
-func (g *gangScheduler) findPlacement(now time.Time, gang *Job, zone string, scope preemptionScope) []gangSlot {
+func (g *gangScheduler) findPlacement(now time.Time, gang *Job, zone string, scope quotaScope) []gangSlot {
 	class := gang.equivalenceClass(scope)
 	candidates := g.listCandidates(gang, zone, g.capacity.slotsByClass[class].byMachine)
 	return fillGangSlots(gang, g.evaluateCandidates(now, gang, class, candidates))
@@ -142,7 +142,7 @@
 	var slots []gangSlot
 	inZone := map[string]int{}
 	for _, c := range candidates {
-		for len(slots) < gang.Spec.Tasks && c.free.Fits(gang.need) && gang.zoneAllowed(c.machine.Zone, inZone) {
+		for len(slots) < gang.Spec.Tasks && c.free.Fits(gang.need) && gang.mayAddTaskIn(c.machine.Zone, inZone) {
 			c.free = c.free.Sub(gang.need)
 			inZone[c.machine.Zone]++
 			slots = append(slots, c.gangSlot)
--- a/internal/placement/gang_slots.go
+++ b/internal/placement/gang_slots.go
@@ -14,14 +14,14 @@
 // maxTasksPerMachine bounds the slots counted for tasks that need no resources.
 const maxTasksPerMachine = wire.MaxTasksPerJob
 
-// preemptionScope selects whether a placement has to stay within the team's quota
+// quotaScope selects whether a placement has to stay within the team's quota
 // guarantee. Only a placement within the guarantee may preempt work of teams over their
 // guarantees regardless of its priority.
-type preemptionScope bool
+type quotaScope bool
 
 const (
-	anyWork        preemptionScope = false
-	guaranteedWork preemptionScope = true // within the team's guarantee
+	withinLimit     quotaScope = false
+	withinGuarantee quotaScope = true // within the team's guarantee
 )
 
 // equivalenceClass holds everything that determines the feasible machines of a task,
@@ -33,13 +33,13 @@
 	spot         bool
 	priority     int
 	team         string
-	scope        preemptionScope
+	scope        quotaScope
 }
 
 // anyMachineType is the value of machineTypes that allows every type.
 const anyMachineType = "*"
 
-func (j *Job) equivalenceClass(scope preemptionScope) equivalenceClass {
+func (j *Job) equivalenceClass(scope quotaScope) equivalenceClass {
 	class := equivalenceClass{
 		need:         j.need,
 		machineTypes: anyMachineType,
@@ -124,7 +124,7 @@
 // gangMayFit reports whether the feasible slots suffice for a gang. It counts the slots
 // of an equivalence class on first use. The check is optimistic, because it ignores
 // past failures.
-func (c *capacityIndex) gangMayFit(now time.Time, gang *Job, scope preemptionScope) bool {
+func (c *capacityIndex) gangMayFit(now time.Time, gang *Job, scope quotaScope) bool {
 	class := gang.equivalenceClass(scope)
 	slots := c.slotsByClass[class]
 	if slots == nil {
--- a/internal/placement/job.go
+++ b/internal/placement/job.go
@@ -14,11 +14,11 @@
 	AcceptedAt time.Time // wall clock
 	KnownSince time.Time // time at which this term learned of the job, monotonic clock
 	Version    uint64    // version of the stored record
-	// FromEarlierTerm reports whether the job was accepted before this term. Its
+	// AcceptedBeforeTerm reports whether the job was accepted before this term. Its
 	// tasks may then be on machines that are not reconciled yet.
-	FromEarlierTerm bool
-	// StartedInEarlierTerm reports whether an earlier term wrote the job's start marker.
-	StartedInEarlierTerm bool
+	AcceptedBeforeTerm bool
+	// StartedBeforeTerm reports whether an earlier term wrote the job's start marker.
+	StartedBeforeTerm bool
 
 	priority            int
 	need                quota.Resources // of each task
--- a/internal/placement/job_tasks.go
+++ b/internal/placement/job_tasks.go
@@ -46,7 +46,7 @@
 func (j *jobTasks) RunningTasks() int {
 	n := 0
 	for _, task := range j.tasks {
-		if task.phase == Active && task.reportedState != wire.TaskFetching || task.phase == Stopping {
+		if task.phase == Active && task.lastReportedState != wire.TaskFetching || task.phase == Stopping {
 			n++
 		}
 	}
--- a/internal/placement/machine_info.go
+++ b/internal/placement/machine_info.go
@@ -56,7 +56,7 @@
 	if task.isBackup {
 		machine.BackupAllocated = machine.BackupAllocated.Add(need)
 	}
-	machine.ActiveCopies++
+	machine.AssignedCopies++
 	info.assigned = append(info.assigned, task)
 }
 
@@ -67,8 +67,8 @@
 	if task.isBackup {
 		machine.BackupAllocated = machine.BackupAllocated.Sub(need)
 	}
-	machine.ActiveCopies--
-	if machine.ActiveCopies == 0 {
+	machine.AssignedCopies--
+	if machine.AssignedCopies == 0 {
 		// Reset the sums, so that floating-point errors do not accumulate.
 		machine.Allocated, machine.BackupAllocated = quota.Resources{}, quota.Resources{}
 	}
--- a/internal/placement/machines.go
+++ b/internal/placement/machines.go
@@ -25,7 +25,7 @@
 // tasks assigned to the machine and clears its queues.
 func (s *Scheduler) RemoveMachine(now time.Time, machine *worker.Machine) {
 	s.tasks.releaseMachine(now, machine, "machine deleted")
-	s.queues.clearQueues(now, machine)
+	s.copyQueues.clearQueues(now, machine)
 	s.capacity.removeMachine(s.capacity.info(machine))
 }
 
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -21,13 +21,13 @@
 	}
 	if victim.Spec.Team != class.team {
 		overGuarantee := r.ledger.OverGuarantee(victim.Spec.Team)
-		if class.scope == guaranteedWork && overGuarantee {
+		if class.scope == withinGuarantee && overGuarantee {
 			return true
 		}
 		// Work outside its team's guarantee never preempts a team within its
 		// own, whatever the priorities: otherwise the two would preempt each
 		// other in a cycle, one by priority and the other by guarantee.
-		if class.scope != guaranteedWork && !overGuarantee {
+		if class.scope != withinGuarantee && !overGuarantee {
 			return false
 		}
 	}
--- a/internal/placement/reconciler.go
+++ b/internal/placement/reconciler.go
@@ -12,11 +12,11 @@
 // reconciler reconciles the scheduler's state with the tasks that machines report.
 type reconciler struct {
 	*sharedState
-	capacity *capacityIndex
-	queues   *copyQueues
-	jobs     *jobTable
-	tasks    *taskLifecycle
-	failures *failureTracker
+	capacity   *capacityIndex
+	copyQueues *copyQueues
+	jobs       *jobTable
+	tasks      *taskLifecycle
+	failures   *failureTracker
 }
 
 // releasePreviousIncarnation releases the tasks of the previous incarnation of a
@@ -72,11 +72,11 @@
 	if reported.State == wire.TaskRunning && task.runningSince.IsZero() {
 		task.runningSince = now
 	}
-	if task.reportedState != reported.State {
+	if task.lastReportedState != reported.State {
 		r.log.Debug("task state changed", "task", reported.Name, "attempt", reported.Attempt,
 			"worker", machine.Host, "to", reported.State)
 	}
-	task.reportedState = reported.State
+	task.lastReportedState = reported.State
 	task.Job.recordHealthyRun(now, task)
 	if task.phase == Dispatched {
 		r.tasks.setPhase(now, task, Active, reported.State)
@@ -159,7 +159,7 @@
 	if task == nil {
 		task = job.addTask(index)
 	}
-	r.queues.withdrawCopies(task)
+	r.copyQueues.withdrawCopies(task)
 	r.tasks.dispatch(now, task, assignment{machine: machine, attempt: reported.Attempt}, "adopted")
 	task.commandSent, task.reported = true, true
 	r.recordReportedState(now, task, reported)
--- a/internal/placement/reconciliation.go
+++ b/internal/placement/reconciliation.go
@@ -12,13 +12,13 @@
 	source  worker.StatusSource
 }
 
-// assignedState classifies a task that is assigned to a machine, by the machine's
+// assignedTaskClass classifies a task that is assigned to a machine, by the machine's
 // newest status.
-type assignedState int
+type assignedTaskClass int
 
 const (
 	// assignedInFlight means that the task is not reported, but its run command may still be executed.
-	assignedInFlight assignedState = iota
+	assignedInFlight assignedTaskClass = iota
 	// assignedPresent means that the task is reported and has not exited.
 	assignedPresent
 	// assignedExited means that the task is reported as exited.
@@ -31,7 +31,7 @@
 
 // reconcileAssigned compares an assigned task with the status that its machine reports
 // under the task's name, nil if there is none.
-func reconcileAssigned(known *Task, reported *wire.TaskStatus, update statusUpdate) assignedState {
+func reconcileAssigned(known *Task, reported *wire.TaskStatus, update statusUpdate) assignedTaskClass {
 	if reported != nil && reported.Attempt == known.attempt {
 		if reported.State == wire.TaskExited {
 			return assignedExited
@@ -63,12 +63,12 @@
 	return !ruledOut
 }
 
-// reportedState classifies a task that a machine reports, by the scheduler's state.
-type reportedState int
+// reportedTaskClass classifies a task that a machine reports, by the scheduler's state.
+type reportedTaskClass int
 
 const (
 	// reportedExpected means that the attempt is the one assigned to the machine.
-	reportedExpected reportedState = iota
+	reportedExpected reportedTaskClass = iota
 	// reportedFinished means that the task has exited and requires no action.
 	reportedFinished
 	// reportedCompleted means that the task has completed, which is not recorded yet.
@@ -84,7 +84,7 @@
 
 // reconcileReported compares a reported task with the scheduler's state of its job, nil
 // if the job is unknown, and of the task with that index.
-func reconcileReported(job *Job, index int, machine *worker.Machine, reported *wire.TaskStatus) reportedState {
+func reconcileReported(job *Job, index int, machine *worker.Machine, reported *wire.TaskStatus) reportedTaskClass {
 	exited := reported.State == wire.TaskExited
 	if job == nil {
 		if exited {
--- a/internal/placement/reconciliation_test.go
+++ b/internal/placement/reconciliation_test.go
@@ -19,7 +19,7 @@
 	delivery commandDelivery
 	reported *wire.TaskStatus // nil: the machine does not report the task
 	source   worker.StatusSource
-	want     assignedState
+	want     assignedTaskClass
 }
 
 var assignedCases = []assignedCase{
@@ -132,7 +132,7 @@
 	elsewhere  bool  // the assigned copy is on another machine
 	state      string
 	exitReason string
-	want       reportedState
+	want       reportedTaskClass
 }
 
 var reportedCases = []reportedCase{
--- a/internal/placement/rescheduling.go
+++ b/internal/placement/rescheduling.go
@@ -14,10 +14,10 @@
 // which they cannot start.
 type rescheduler struct {
 	*sharedState
-	capacity *capacityIndex
-	queues   *copyQueues
-	tasks    *taskLifecycle
-	services *serviceScheduler
+	capacity   *capacityIndex
+	copyQueues *copyQueues
+	tasks      *taskLifecycle
+	services   *serviceScheduler
 }
 
 // handlePreemptionNotices evacuates machines with a preemption notice of the
@@ -26,7 +26,7 @@
 	for _, machine := range r.registry.All() {
 		info := r.capacity.info(machine)
 		if len(info.primaryQueue)+len(info.backupQueue) > 0 && !machine.Schedulable() {
-			r.queues.clearQueues(now, machine)
+			r.copyQueues.clearQueues(now, machine)
 		}
 		if !machine.PreemptionTime.IsZero() {
 			r.evacuate(now, info)
@@ -46,7 +46,7 @@
 		case task.phase != Active:
 		case job.IsService():
 			r.services.migrateReplica(now, task, now.After(latest))
-		case job.savesCheckpoints() && task.reportedState != wire.TaskFetching && now.Add(saveTime).After(latest):
+		case job.savesCheckpoints() && task.lastReportedState != wire.TaskFetching && now.Add(saveTime).After(latest):
 			r.tasks.preempt(now, task, "machine has a preemption notice")
 		}
 	}
@@ -64,7 +64,7 @@
 		for _, task := range slices.Clone(info.primaryQueue) {
 			if r.stuck(now, task, machine, stuckAfter) && r.startsElsewhere(task.Job, machine) {
 				r.Counters.Rescheduled++
-				r.queues.requeue(now, task)
+				r.copyQueues.requeue(now, task)
 			}
 		}
 	}
@@ -77,12 +77,12 @@
 	if job.IsGang() || task.phase != Unassigned || now.Sub(task.primaryQueuedAt) < stuckAfter {
 		return false
 	}
-	return !startsWithNextHeartbeat(job, machine)
+	return !fitsUnallocated(job, machine)
 }
 
-// startsWithNextHeartbeat reports whether a machine has sufficient unallocated
+// fitsUnallocated reports whether a machine has sufficient unallocated
 // resources for a queued primary of the job.
-func startsWithNextHeartbeat(job *Job, machine *worker.Machine) bool {
+func fitsUnallocated(job *Job, machine *worker.Machine) bool {
 	return machine.Schedulable() && machine.Available().Fits(job.need)
 }
 
--- a/internal/placement/scheduler.go
+++ b/internal/placement/scheduler.go
@@ -37,17 +37,17 @@
 type Scheduler struct {
 	*sharedState
 	*attemptNumbers
-	pass     *passState
-	capacity *capacityIndex
-	rules    preemptionRules
-	queues   *copyQueues
-	jobs     *jobTable
-	queue    *jobQueue
-	markers  *startMarkers
-	urgent   *urgentMachines
-	runTimes *runTimeEstimator
-	tasks    *taskLifecycle
-	failures *failureTracker
+	pass       *passState
+	capacity   *capacityIndex
+	rules      preemptionRules
+	copyQueues *copyQueues
+	jobs       *jobTable
+	jobQueue   *jobQueue
+	markers    *startMarkers
+	urgent     *urgentMachines
+	runTimes   *runTimeEstimator
+	tasks      *taskLifecycle
+	failures   *failureTracker
 
 	arrays      *arrayScheduler
 	gangs       *gangScheduler
@@ -68,7 +68,7 @@
 // the registry in options.
 func NewScheduler(options Options) *Scheduler {
 	shared := &sharedState{
-		Settings: Settings{DropThreshold: tuning.BackupWithdrawThreshold},
+		Settings: Settings{BackupWithdrawThreshold: tuning.BackupWithdrawThreshold},
 		platform: options.Platform,
 		ledger:   options.Ledger,
 		registry: options.Registry,
@@ -85,14 +85,14 @@
 		urgent:         &urgentMachines{},
 		runTimes:       &runTimeEstimator{ratioByClass: map[string]float64{}},
 	}
-	s.queues = &copyQueues{sharedState: shared, capacity: s.capacity}
-	s.queue = &jobQueue{sharedState: shared, runTimes: s.runTimes, pass: s.pass}
+	s.copyQueues = &copyQueues{sharedState: shared, capacity: s.capacity}
+	s.jobQueue = &jobQueue{sharedState: shared, runTimes: s.runTimes, pass: s.pass}
 	s.markers = &startMarkers{sharedState: shared, pass: s.pass, request: options.RequestStartMarker}
 	s.failures = &failureTracker{sharedState: shared, jobs: s.jobs}
 	s.tasks = &taskLifecycle{
 		sharedState:     shared,
 		capacity:        s.capacity,
-		queues:          s.queues,
+		copyQueues:      s.copyQueues,
 		jobs:            s.jobs,
 		urgent:          s.urgent,
 		runTimes:        s.runTimes,
@@ -110,7 +110,7 @@
 		sharedState: s.sharedState,
 		pass:        s.pass,
 		capacity:    s.capacity,
-		queues:      s.queues,
+		copyQueues:  s.copyQueues,
 		markers:     s.markers,
 	}
 	s.gangs = &gangScheduler{
@@ -118,7 +118,7 @@
 		pass:        s.pass,
 		capacity:    s.capacity,
 		rules:       s.rules,
-		queues:      s.queues,
+		copyQueues:  s.copyQueues,
 		markers:     s.markers,
 		tasks:       s.tasks,
 		attempts:    s.attemptNumbers,
@@ -127,7 +127,7 @@
 		sharedState: s.sharedState,
 		capacity:    s.capacity,
 		rules:       s.rules,
-		queues:      s.queues,
+		copyQueues:  s.copyQueues,
 		markers:     s.markers,
 		tasks:       s.tasks,
 		attempts:    s.attemptNumbers,
@@ -135,7 +135,7 @@
 	s.rescheduler = &rescheduler{
 		sharedState: s.sharedState,
 		capacity:    s.capacity,
-		queues:      s.queues,
+		copyQueues:  s.copyQueues,
 		tasks:       s.tasks,
 		services:    s.services,
 	}
@@ -146,7 +146,7 @@
 	s.dispatcher = &dispatcher{
 		sharedState: s.sharedState,
 		capacity:    s.capacity,
-		queues:      s.queues,
+		copyQueues:  s.copyQueues,
 		tasks:       s.tasks,
 		attempts:    s.attemptNumbers,
 	}
@@ -154,7 +154,7 @@
 	s.reconciler = &reconciler{
 		sharedState: s.sharedState,
 		capacity:    s.capacity,
-		queues:      s.queues,
+		copyQueues:  s.copyQueues,
 		jobs:        s.jobs,
 		tasks:       s.tasks,
 		failures:    s.failures,
@@ -166,14 +166,14 @@
 	s.consolidator = &consolidator{
 		sharedState: s.sharedState,
 		capacity:    s.capacity,
-		queue:       s.queue,
+		jobQueue:    s.jobQueue,
 		tasks:       s.tasks,
 	}
 	s.planner = &demandPlanner{
 		sharedState: s.sharedState,
 		capacity:    s.capacity,
 		jobs:        s.jobs,
-		queue:       s.queue,
+		jobQueue:    s.jobQueue,
 		runTimes:    s.runTimes,
 	}
 }
@@ -183,7 +183,7 @@
 
 // OpenJobs returns the open jobs by descending priority, then age. The caller
 // must not modify the slice.
-func (s *Scheduler) OpenJobs() []*Job { return s.queue.open }
+func (s *Scheduler) OpenJobs() []*Job { return s.jobQueue.open }
 
 // SetJobUnreadable records whether this version of the software fails to read a
 // job's record. Tasks of an unreadable job are neither started nor stopped.
@@ -205,9 +205,9 @@
 		return job
 	}
 	job := newJob(now, spec, acceptedAt, version)
-	job.FromEarlierTerm = fromEarlierTerm
+	job.AcceptedBeforeTerm = fromEarlierTerm
 	s.jobs.add(job)
-	s.queue.add(job)
+	s.jobQueue.add(job)
 	s.log.Debug("job added", "job", spec.ID, "class", spec.Class, "team", spec.Team,
 		"shape", spec.Shape, "count", spec.Tasks)
 	return job
@@ -222,9 +222,9 @@
 		return
 	}
 	job.closed, job.terminationDeadline = true, terminationDeadline
-	s.queue.remove(job)
+	s.jobQueue.remove(job)
 	for _, task := range job.tasksByIndex() {
-		s.queues.withdrawCopies(task)
+		s.copyQueues.withdrawCopies(task)
 		switch {
 		case task.phase == Unassigned:
 			delete(job.tasks, task.Index)
--- a/internal/placement/scheduling_pass.go
+++ b/internal/placement/scheduling_pass.go
@@ -8,7 +8,7 @@
 
 // passFilter restricts one round of a scheduling pass over the jobs of a tier.
 type passFilter struct {
-	scope       preemptionScope  // work within the guarantees of its team, or all work
+	scope       quotaScope       // work within the guarantees of its team, or all work
 	requirement imageRequirement // for arrays only
 }
 
@@ -35,10 +35,10 @@
 	}
 	s.pass.reset()
 	s.refreshOrder(now)
-	for _, tier := range s.queue.tiers {
+	for _, tier := range s.jobQueue.tiers {
 		s.scheduleTier(now, tier)
 	}
-	for _, job := range s.queue.open {
+	for _, job := range s.jobQueue.open {
 		if job.IsGang() {
 			s.gangs.dispatch(now, job)
 		}
@@ -48,12 +48,12 @@
 // refreshOrder sorts the open jobs if that is due, and updates the state that
 // depends on the order.
 func (s *Scheduler) refreshOrder(now time.Time) {
-	if !s.queue.sortIfDue(now) {
+	if !s.jobQueue.sortIfDue(now) {
 		return
 	}
-	s.capacity.setSmallestNeed(s.queue.smallestArrayNeed())
+	s.capacity.setSmallestNeed(s.jobQueue.smallestArrayNeed())
 	machinesByImage := s.capacity.machinesByImage()
-	for _, tier := range s.queue.tiers {
+	for _, tier := range s.jobQueue.tiers {
 		s.arrays.prepare(now, tier.jobs, machinesByImage)
 	}
 }
@@ -63,8 +63,8 @@
 // only machines that cache their image, so that a task may overtake one of a
 // slightly earlier position that would have to pull its image.
 func (s *Scheduler) scheduleTier(now time.Time, tier priorityTier) {
-	for _, scope := range []preemptionScope{guaranteedWork, anyWork} {
-		if scope == guaranteedWork && !s.ledger.HasGuarantees() {
+	for _, scope := range []quotaScope{withinGuarantee, withinLimit} {
+		if scope == withinGuarantee && !s.ledger.HasGuarantees() {
 			continue
 		}
 		for _, requirement := range []imageRequirement{cachedImage, anyMachine} {
--- a/internal/placement/service.go
+++ b/internal/placement/service.go
@@ -10,23 +10,23 @@
 // serviceScheduler places and migrates the replicas of services.
 type serviceScheduler struct {
 	*sharedState
-	capacity *capacityIndex
-	rules    preemptionRules
-	queues   *copyQueues
-	markers  *startMarkers
-	tasks    *taskLifecycle
-	attempts *attemptNumbers
+	capacity   *capacityIndex
+	rules      preemptionRules
+	copyQueues *copyQueues
+	markers    *startMarkers
+	tasks      *taskLifecycle
+	attempts   *attemptNumbers
 }
 
 // schedule places a service's pending replicas. A replica has no backup copy and does
 // not queue behind other tasks: a direct command dispatches it as soon as it fits on a
 // machine. If it fits nowhere, it preempts other tasks as preemptionRules allows.
-func (s *serviceScheduler) schedule(now time.Time, service *Job, scope preemptionScope) {
+func (s *serviceScheduler) schedule(now time.Time, service *Job, scope quotaScope) {
 	if !s.markers.ensure(now, service) {
 		return
 	}
 	for service.pendingTasks() > 0 {
-		if scope == guaranteedWork && !s.ledger.WithinGuarantee(service.Spec.Team, service.need) {
+		if scope == withinGuarantee && !s.ledger.WithinGuarantee(service.Spec.Team, service.need) {
 			return
 		}
 		if !s.ledger.AdmitsReservation(service.Spec.Team, service.need) && !s.preemptForQuota(now, service) {
@@ -42,7 +42,7 @@
 // placeReplica places one pending replica of a service and reports whether it found a
 // machine. It dispatches the replica if it fits at once; otherwise it queues the
 // replica and preempts the victims.
-func (s *serviceScheduler) placeReplica(now time.Time, service *Job, scope preemptionScope) bool {
+func (s *serviceScheduler) placeReplica(now time.Time, service *Job, scope quotaScope) bool {
 	machine := s.findFreeMachine(service, nil, anyMachine)
 	var victims []*Task
 	if machine == nil {
@@ -64,7 +64,7 @@
 		s.tasks.dispatch(now, task, assignment{machine: machine, attempt: s.attempts.next(service)}, "replica starts")
 		return true
 	}
-	s.queues.queuePrimary(now, task, machine)
+	s.copyQueues.queuePrimary(now, task, machine)
 	for _, victim := range victims {
 		s.Counters.Preempted++
 		s.tasks.preempt(now, victim, "preempted for "+service.Spec.ID)
@@ -128,7 +128,7 @@
 		if !machine.AvailableToPrimary().Fits(service.need) || !service.eligible(machine) {
 			continue
 		}
-		if tasksByZone != nil && !service.zoneAllowed(machine.Zone, tasksByZone) {
+		if tasksByZone != nil && !service.mayAddTaskIn(machine.Zone, tasksByZone) {
 			continue
 		}
 		if requirement == cachedImage && !s.capacity.info(machine).hasImage(service.Spec.Image) {
@@ -150,7 +150,7 @@
 // findPreemption returns the machine on which a replica fits at the lowest preemption
 // cost, and the victims there. It returns a nil machine if there is none.
 func (s *serviceScheduler) findPreemption(
-	now time.Time, service *Job, scope preemptionScope,
+	now time.Time, service *Job, scope quotaScope,
 ) (*worker.Machine, []*Task) {
 	tasksByZone := service.constrainedTasksByZone(nil)
 	class := service.equivalenceClass(scope)
@@ -158,10 +158,10 @@
 	var tasks []*Task
 	lowestCost := 0.0
 	for _, machine := range s.registry.All() {
-		if s.capacity.feasibleSlots(now, class, machine) == 0 || service.avoids(machine) {
+		if s.capacity.feasibleSlots(now, class, machine) == 0 || service.avoidsAfterFailures(machine) {
 			continue
 		}
-		if tasksByZone != nil && !service.zoneAllowed(machine.Zone, tasksByZone) {
+		if tasksByZone != nil && !service.mayAddTaskIn(machine.Zone, tasksByZone) {
 			continue
 		}
 		selected := s.rules.selectVictims(now, class, s.capacity.info(machine), machine.AvailableToPrimary())
--- a/internal/placement/service_quota.go
+++ b/internal/placement/service_quota.go
@@ -13,8 +13,8 @@
 	scheduler *serviceScheduler
 	service   *Job
 	// releasing is the quota that stopping tasks of the team will release.
-	releasing quota.Resources
-	running   []*Task // tasks that may be preempted
+	releasing  quota.Resources
+	candidates []*Task // tasks that may be preempted
 }
 
 // preemptForQuota frees quota for a replica of a team at its limit. It requeues queued
@@ -25,12 +25,12 @@
 	for _, machine := range s.registry.All() {
 		info := s.capacity.info(machine)
 		p.requeuePrimaries(now, info)
-		p.collectRunning(now, info)
+		p.collectCandidates(now, info)
 	}
 	if p.releasing == (quota.Resources{}) && p.admits() {
 		return true
 	}
-	p.preemptRunning(now)
+	p.preemptCandidates(now)
 	return false // the stopping tasks still hold their quota
 }
 
@@ -52,30 +52,30 @@
 	for _, task := range slices.Clone(info.primaryQueue) {
 		// Requeuing a task of a gang also removes the gang's other tasks from the queue.
 		if !p.admits() && p.preemptible(task) && task.primary == info.machine {
-			p.scheduler.queues.requeue(now, task)
+			p.scheduler.copyQueues.requeue(now, task)
 		}
 	}
 }
 
-// collectRunning adds up the quota of the team's stopping tasks on a machine, and
+// collectCandidates adds up the quota of the team's stopping tasks on a machine, and
 // collects the tasks there that may be preempted.
-func (p *quotaPreemption) collectRunning(now time.Time, info *machineInfo) {
+func (p *quotaPreemption) collectCandidates(now time.Time, info *machineInfo) {
 	for _, task := range info.assigned {
 		switch {
 		case task.phase == Stopping && task.Job.Spec.Team == p.service.Spec.Team:
 			p.releasing = p.releasing.Add(task.Job.need)
 		case p.preemptible(task) && !task.Job.starving(now):
-			p.running = append(p.running, task)
+			p.candidates = append(p.candidates, task)
 		}
 	}
 }
 
-// preemptRunning preempts running tasks until the limit admits the replica. If
+// preemptCandidates preempts running tasks until the limit admits the replica. If
 // preempting all of them does not suffice, it preempts none.
-func (p *quotaPreemption) preemptRunning(now time.Time) {
-	sortByPreemptionCost(now, p.running)
+func (p *quotaPreemption) preemptCandidates(now time.Time) {
+	sortByPreemptionCost(now, p.candidates)
 	var victims []*Task
-	for _, task := range p.running {
+	for _, task := range p.candidates {
 		if p.admits() {
 			break
 		}
--- a/internal/placement/service_reserve.go
+++ b/internal/placement/service_reserve.go
@@ -43,10 +43,10 @@
 // largestService returns the open service with the largest total need, as a dominant
 // share of the typical capacity. It returns nil if no service is open.
 func (p *demandPlan) largestService() *Job {
-	typical := p.typicalCapacity()
+	typical := p.referenceCapacity()
 	size := func(service *Job) float64 { return service.totalNeed().DominantShare(typical) }
 	var largest *Job
-	for _, job := range p.queue.open {
+	for _, job := range p.jobQueue.open {
 		if job.IsService() && (largest == nil || size(job) > size(largest)) {
 			largest = job
 		}
@@ -54,9 +54,9 @@
 	return largest
 }
 
-// typicalCapacity returns the capacity of the first offer, the reference for comparing
+// referenceCapacity returns the capacity of the first offer, the reference for comparing
 // needs. It returns zero resources if there are no offers.
-func (p *demandPlan) typicalCapacity() quota.Resources {
+func (p *demandPlan) referenceCapacity() quota.Resources {
 	if len(p.offers) == 0 {
 		return quota.Resources{}
 	}
--- a/internal/placement/shared_state.go
+++ b/internal/placement/shared_state.go
@@ -24,7 +24,7 @@
 
 // Settings holds the operators' runtime settings that affect placement.
 type Settings struct {
-	DropThreshold int // preemptions after which a task's backup is withdrawn
+	BackupWithdrawThreshold int // preemptions after which a task's backup is withdrawn
 }
 
 // Counters counts scheduling events since the start of the term.
@@ -33,7 +33,7 @@
 	BackupsStarted   int
 	BackupsCompleted int
 	BackupsPreempted int
-	BackupsWithdrawn int // backups that reached Settings.DropThreshold
+	BackupsWithdrawn int // backups that reached Settings.BackupWithdrawThreshold
 	Rescheduled      int // stuck primaries that were queued again
 	Preempted        int // tasks preempted for gangs and services
 	Failed           int
--- a/internal/placement/start_marker.go
+++ b/internal/placement/start_marker.go
@@ -67,8 +67,8 @@
 // safeToStart reports whether no pending task of the job can be running on a machine:
 // either all machines are reconciled, or no earlier term can have started the job.
 func (m *startMarkers) safeToStart(job *Job) bool {
-	if m.reconciled || !job.FromEarlierTerm {
+	if m.reconciled || !job.AcceptedBeforeTerm {
 		return true
 	}
-	return m.request != nil && !job.StartedInEarlierTerm
+	return m.request != nil && !job.StartedBeforeTerm
 }
--- a/internal/placement/task.go
+++ b/internal/placement/task.go
@@ -46,12 +46,12 @@
 
 // assignment describes the dispatched copy of a task and its last known state on the machine.
 type assignment struct {
-	machine       *worker.Machine // nil while no copy is on a machine
-	attempt       uint64
-	isBackup      bool
-	dispatchedAt  time.Time
-	runningSince  time.Time // time of the first report that the copy runs; zero before that
-	reportedState string    // state in the last report
+	machine           *worker.Machine // nil while no copy is on a machine
+	attempt           uint64
+	isBackup          bool
+	dispatchedAt      time.Time
+	runningSince      time.Time // time of the first report that the copy runs; zero before that
+	lastReportedState string    // state in the last report
 	commandDelivery
 	gracePeriodS float64 // seconds that the stop leaves for saving a checkpoint
 	stopPending  bool    // a stop command has to be sent
--- a/internal/placement/task_lifecycle.go
+++ b/internal/placement/task_lifecycle.go
@@ -12,7 +12,7 @@
 type taskLifecycle struct {
 	*sharedState
 	capacity        *capacityIndex
-	queues          *copyQueues
+	copyQueues      *copyQueues
 	jobs            *jobTable
 	urgent          *urgentMachines
 	runTimes        *runTimeEstimator
@@ -35,10 +35,10 @@
 		l.capacity.info(machine).addAssigned(task)
 		l.ledger.AddUsed(job.Spec.Team, job.need)
 		job.assigned++
-		task.dispatchedAt, task.runningSince, task.reportedState = now, time.Time{}, ""
+		task.dispatchedAt, task.runningSince, task.lastReportedState = now, time.Time{}, ""
 	case previous.onMachine() && !phase.onMachine():
 		l.capacity.info(machine).removeAssigned(task)
-		if machine.ActiveCopies == 0 {
+		if machine.AssignedCopies == 0 {
 			machine.IdleSince = now
 		}
 		l.ledger.RemoveUsed(job.Spec.Team, job.need)
@@ -96,20 +96,20 @@
 	task.attempt = 0
 	switch {
 	case job.closed:
-		l.queues.unschedule(task)
+		l.copyQueues.unschedule(task)
 	case job.IsGang():
-		l.queues.returnToPending(task, now.Add(backoff))
+		l.copyQueues.returnToPending(task, now.Add(backoff))
 		if !job.IsComplete() {
 			l.abortGangAttempt(now, job, reason)
 		}
 	case preemptedBackup:
 		// The primary is still queued, and so is the backup until it reaches the
 		// drop threshold (section V of the paper).
-		if task.backupPreemptions >= l.Settings.DropThreshold {
-			l.queues.withdrawBackup(task)
+		if task.backupPreemptions >= l.Settings.BackupWithdrawThreshold {
+			l.copyQueues.withdrawBackup(task)
 		}
 	default:
-		l.queues.returnToPending(task, now.Add(backoff))
+		l.copyQueues.returnToPending(task, now.Add(backoff))
 	}
 	l.jobs.removeIfUnassigned(job)
 }
@@ -121,7 +121,7 @@
 	for _, member := range job.tasksByIndex() {
 		switch member.phase {
 		case Unassigned:
-			l.queues.returnToPending(member, now)
+			l.copyQueues.returnToPending(member, now)
 		case Dispatched, Active:
 			job.aborting = true
 			l.stop(now, member, 0, "gang attempt aborted: "+reason)
@@ -144,7 +144,7 @@
 	} else {
 		task.phase = Completed
 	}
-	l.queues.unschedule(task)
+	l.copyQueues.unschedule(task)
 	l.markCompleted(now, job, task.Index)
 	l.jobs.removeIfUnassigned(job)
 }
@@ -163,7 +163,7 @@
 func (l *taskLifecycle) completeGang(now time.Time, job *Job) {
 	for _, task := range job.tasksByIndex() {
 		if task.phase == Unassigned {
-			l.queues.unschedule(task)
+			l.copyQueues.unschedule(task)
 		}
 	}
 	for n := range job.Spec.Tasks {
--- a/internal/placement/urgent.go
+++ b/internal/placement/urgent.go
@@ -40,8 +40,8 @@
 type urgency int
 
 const (
-	notUrgent      urgency = iota
-	urgentOnceSent         // a stop, urgent once the run command of its task has been sent
+	notUrgent             urgency = iota
+	urgentAfterRunCommand         // a stop, urgent once the run command of its task has been sent
 	urgentNow
 )
 
@@ -56,7 +56,7 @@
 			len(info.directAttempts) < tuning.MaxDirectStarts:
 			highest = urgentNow
 		case task.phase == Stopping && task.stopPending && !task.Job.closed:
-			highest = max(highest, urgentOnceSent)
+			highest = max(highest, urgentAfterRunCommand)
 			if task.commandSent {
 				highest = urgentNow
 			}
--- a/internal/term/start_markers.go
+++ b/internal/term/start_markers.go
@@ -32,13 +32,13 @@
 			t.startMarkers.Delete(id)
 			return
 		}
-		job.StartedInEarlierTerm = true
+		job.StartedBeforeTerm = true
 		t.scheduler.StartMarkerWritten(job)
 	})
 	if t.startMarkers.Unreadable() == 0 {
 		return
 	}
 	for _, job := range t.scheduler.OpenJobs() {
-		job.StartedInEarlierTerm = true
+		job.StartedBeforeTerm = true
 	}
 }
--- a/internal/term/status.go
+++ b/internal/term/status.go
@@ -32,7 +32,7 @@
 	for _, machine := range t.workers.All() {
 		out.Machines = append(out.Machines, &peerpb.Machine{
 			Host: machine.Host, Type: machine.Type, Zone: machine.Zone, Spot: machine.Spot,
-			State: machine.State.ListingName(), Tasks: int32(machine.ActiveCopies),
+			State: machine.State.ListingName(), Tasks: int32(machine.AssignedCopies),
 			Quarantined: machine.Quarantined, PreemptionNotice: !machine.PreemptionTime.IsZero(),
 		})
 	}
--- a/internal/term/term.go
+++ b/internal/term/term.go
@@ -214,7 +214,7 @@
 
 // ApplySettings applies the operators' settings to the scheduler and the autoscaler.
 func (t *Term) ApplySettings(s admin.Settings) {
-	t.scheduler.Settings = placement.Settings{DropThreshold: s.BackupWithdrawThreshold}
+	t.scheduler.Settings = placement.Settings{BackupWithdrawThreshold: s.BackupWithdrawThreshold}
 	t.autoscaler.Settings = fleet.Settings{
 		MaxMachines: s.MaxMachines,
 		Paused:      s.ScaleOutPaused,
--- a/internal/worker/machine.go
+++ b/internal/worker/machine.go
@@ -147,8 +147,8 @@
 	BackupAllocated quota.Resources
 	// Reserved is the need of the primary copies in the machine's queue.
 	Reserved quota.Resources
-	// ActiveCopies counts the copies dispatched to the machine and not known to have ended.
-	ActiveCopies int
+	// AssignedCopies counts the copies dispatched to the machine and not known to have ended.
+	AssignedCopies int
 }
 
 // ImageCache holds the container images on a machine and its download rate for others.
--- a/internal/worker/registry.go
+++ b/internal/worker/registry.go
@@ -121,7 +121,7 @@
 			} else if now.After(unreconciledLeaseExpiry) {
 				machine.ExpiredWhileDeleting = true
 			}
-			if machine.ActiveCopies > 0 {
+			if machine.AssignedCopies > 0 {
 				expired = append(expired, machine)
 			}
 		case Unreconciled:
