--- a/internal/placement/array.go
+++ b/internal/placement/array.go
@@ -16,9 +16,9 @@
 	markers    *startMarkers
 }
 
-// schedule queues an array's pending tasks. Each has two copies, as in section
-// III of the paper: the primary is queued at a random machine among those of the
-// lowest rank with sufficient free resources, the backup at another random machine.
+// schedule queues an array's pending tasks. Each has two copies: the primary is queued at
+// a random machine among those of the lowest rank with sufficient free resources, the
+// backup at another random machine. See the package comment.
 func (a *arrayScheduler) schedule(now time.Time, job *Job, filter passFilter) {
 	if filter.scope == withinGuarantee && !a.ledger.WithinGuarantee(job.Spec.Team, job.need) {
 		return
@@ -68,13 +68,13 @@
 // zone constraints it skips machines that have gained no capacity since the last
 // search that found none.
 func (p *arrayPlacement) findCandidates(now time.Time) {
-	noRoomRevision := uint64(0)
+	minGainRevision := uint64(0)
 	if p.tasksByZone == nil {
-		noRoomRevision = *p.job.minGainRevisions.forRequirement(p.requirement)
+		minGainRevision = *p.job.minGainRevisions.forRequirement(p.requirement)
 	}
 	for _, info := range p.scheduler.capacity.freeMachines {
 		machine := info.machine
-		if info.gainRevision < noRoomRevision || !p.fits(info) || !p.job.eligible(machine) {
+		if info.gainRevision < minGainRevision || !p.fits(info) || !p.job.eligible(machine) {
 			continue
 		}
 		if p.scheduler.pass.reservedForGang(now, p.job, machine) {
--- a/internal/placement/backup_copies_test.go
+++ b/internal/placement/backup_copies_test.go
@@ -66,8 +66,8 @@
 	{name: "backup's machine lost: task kept once", run: backupMachineLost},
 }
 
-// Guards the rules for the two copies of a task (section III of the paper):
-// never two running copies, and no copy left behind when the other completes.
+// Guards the rules for the two copies of a task: never two running copies, and no copy
+// left behind when the other completes.
 func TestPrimaryAndBackupCopy(t *testing.T) {
 	for _, c := range backupCopyCases {
 		t.Run(c.name, func(t *testing.T) { c.run(t, startBackup(t, c.preemptions)) })
@@ -125,8 +125,8 @@
 	}
 }
 
-// Guards against a backup that starts while a primary is queued at its machine
-// (section III of the paper), even if the primary may not start yet.
+// Guards against a backup that starts while a primary is queued at its machine, even if
+// the primary may not start yet.
 func TestBackupWaitsForQueuedPrimary(t *testing.T) {
 	h := newHarness(t, 2)
 	stuck, machine := h.registry.All()[0], h.registry.All()[1]
--- a/internal/placement/capacity_index.go
+++ b/internal/placement/capacity_index.go
@@ -43,15 +43,15 @@
 	return !earlier.schedulable || !earlier.free.Fits(s.free) || s.images > earlier.images || s.tasks > earlier.tasks
 }
 
-// minGainRevisions holds, for each image requirement, the first revision of the
-// index that may have capacity for a job's tasks. A machine whose last gain is
-// older cannot take them.
+// minGainRevisions holds, for each image requirement, the lowest gain revision at which a
+// machine may have capacity for a job's tasks. The last search found no capacity on
+// machines whose gain revision is lower.
 type minGainRevisions struct {
 	anyMachine  uint64
 	cachedImage uint64 // for machines that cache the job's image
 }
 
-// forRequirement returns the revision for an image requirement.
+// forRequirement returns the lowest gain revision for an image requirement.
 func (r *minGainRevisions) forRequirement(requirement imageRequirement) *uint64 {
 	if requirement == cachedImage {
 		return &r.cachedImage
@@ -68,7 +68,8 @@
 	}
 }
 
-// info returns the scheduler's state of a machine. It creates the state on first use.
+// info returns the scheduler's state of a machine. If the index does not hold the machine,
+// info adds it with an empty state and marks it dirty.
 func (c *capacityIndex) info(machine *worker.Machine) *machineInfo {
 	info := c.machines[machine]
 	if info == nil {
--- a/internal/placement/consolidation.go
+++ b/internal/placement/consolidation.go
@@ -10,8 +10,9 @@
 	"juniperchute/internal/worker"
 )
 
-// consolidator moves tasks off machines with low allocation if they fit elsewhere,
-// so that the emptied machines can be terminated.
+// consolidator relocates tasks from machines with low allocation if they fit elsewhere,
+// so that the emptied machines can be terminated. To relocate a task is to preempt it
+// and to schedule it again; its new machine may differ from the planned target.
 type consolidator struct {
 	*sharedState
 	capacity *capacityIndex
@@ -23,8 +24,8 @@
 // consolidate cordons machines whose tasks all fit on other machines and
 // preempts those tasks. It runs only while no startable task of an array or a
 // service is pending, and cordons a bounded share of the machines per run. It tries
-// on-demand machines first, then those with the lowest allocation, and moves tasks to
-// the machines with the highest allocation.
+// on-demand machines first, then those with the lowest allocation, and prefers the
+// targets with the highest allocation.
 func (c *consolidator) consolidate(now time.Time) {
 	if !c.reconciled || now.Before(c.nextRun) || c.jobQueue.startableTasksPending(now) {
 		return
@@ -67,11 +68,11 @@
 // consolidationPlan lists the machines to drain and the targets of their tasks.
 type consolidationPlan struct {
 	sources, targets []*worker.Machine
-	planned          map[*worker.Machine]quota.Resources // resources of the moves planned so far, by target
+	planned          map[*worker.Machine]quota.Resources // resources of the planned relocations, by target
 	limit            int                                 // machines to cordon per run
 }
 
-// plan returns a plan without moves. Its sources and targets are in the order of
+// plan returns a plan without relocations. Its sources and targets are in the order of
 // preference.
 func (c *consolidator) plan() *consolidationPlan {
 	p := &consolidationPlan{planned: map[*worker.Machine]quota.Resources{}}
@@ -109,7 +110,7 @@
 	return machine.Allocated.DominantShare(machine.Capacity)
 }
 
-// canRelocate reports whether every task of the machine can move without losing
+// canRelocate reports whether every task of the machine can be relocated without losing
 // progress, and no primary is queued there.
 func (info *machineInfo) canRelocate() bool {
 	if len(info.primaryQueue) > 0 {
@@ -129,35 +130,35 @@
 }
 
 // planRelocations reports whether every task of a machine fits on a target in addition
-// to the moves planned so far. If so, it adds these moves to the plan; otherwise
-// the plan is unchanged.
+// to the relocations planned so far. If so, it adds the relocations of these tasks to
+// the plan; otherwise the plan is unchanged.
 func (p *consolidationPlan) planRelocations(source *machineInfo) bool {
-	moved := map[*worker.Machine]quota.Resources{}
+	relocated := map[*worker.Machine]quota.Resources{}
 	for _, task := range source.assigned {
 		i := slices.IndexFunc(p.targets, func(target *worker.Machine) bool {
-			return target != source.machine && p.targetFits(target, task.Job, moved[target])
+			return target != source.machine && p.targetFits(target, task.Job, relocated[target])
 		})
 		if i < 0 {
 			return false
 		}
-		moved[p.targets[i]] = moved[p.targets[i]].Add(task.Job.need)
+		relocated[p.targets[i]] = relocated[p.targets[i]].Add(task.Job.need)
 	}
-	for target, resources := range moved {
+	for target, resources := range relocated {
 		p.planned[target] = p.planned[target].Add(resources)
 	}
 	return true
 }
 
 // targetFits reports whether a target can start a task of a job at once, in
-// addition to the planned moves and the resources in moved. It requires the job's
+// addition to the planned relocations and the resources in relocated. It requires the job's
 // image on the target.
-func (p *consolidationPlan) targetFits(target *worker.Machine, job *Job, moved quota.Resources) bool {
+func (p *consolidationPlan) targetFits(target *worker.Machine, job *Job, relocated quota.Resources) bool {
 	available := target.AvailableToPrimary()
 	// The cheap check comes first: most targets have no free resources at all.
 	if !available.Fits(job.need) || target.Cordoned {
 		return false
 	}
-	if !available.Sub(p.planned[target]).Sub(moved).Fits(job.need) || !job.suits(target) {
+	if !available.Sub(p.planned[target]).Sub(relocated).Fits(job.need) || !job.suits(target) {
 		return false
 	}
 	_, hasImage := target.Images[job.Spec.Image]
--- a/internal/placement/constraints.go
+++ b/internal/placement/constraints.go
@@ -17,7 +17,8 @@
 	return machineKind{machineType: machine.Type, zone: machine.Zone, spot: machine.Spot}
 }
 
-// allows reports whether machines of a kind satisfy the job's constraints.
+// allowsKind reports whether machines of a kind satisfy the job's constraints on machine
+// type, zone and spot machines. It checks neither resources nor the zones of other tasks.
 func (j *Job) allowsKind(kind machineKind) bool {
 	spec := &j.Spec
 	if kind.spot && !spec.Spot {
@@ -29,14 +30,14 @@
 	return spec.AnyType || slices.Contains(spec.Types, kind.machineType)
 }
 
-// suits reports whether a machine satisfies the job's constraints and is not
-// avoided because of past failures.
+// suits reports whether allowsKind holds for a machine and the job does not avoid the
+// machine because of past failures. The machine may be unschedulable or full.
 func (j *Job) suits(machine *worker.Machine) bool {
 	return j.allowsKind(kindOf(machine)) && !j.avoidsAfterFailures(machine)
 }
 
-// eligible reports whether a task of the job may be scheduled on a machine,
-// apart from resources and zone constraints between tasks.
+// eligible reports whether a machine is schedulable and suits the job. It checks neither
+// resources, nor the zone constraints between tasks, nor the team's limit.
 func (j *Job) eligible(machine *worker.Machine) bool {
 	return machine.Schedulable() && j.suits(machine)
 }
@@ -63,8 +64,9 @@
 	return tasksByZone
 }
 
-// mayAddTaskIn reports whether the job's zone constraints allow one more task in
-// a zone, given the number of its tasks in each zone.
+// mayAddTaskIn reports whether SameZone and SpreadAcrossZones allow one more task of the
+// job in a zone, given the number of its tasks in each zone. It does not check the zone
+// that the job names; see allowsKind.
 func (j *Job) mayAddTaskIn(zone string, tasksByZone map[string]int) bool {
 	if j.Spec.SameZone {
 		for otherZone, count := range tasksByZone {
@@ -76,8 +78,8 @@
 	return !j.Spec.SpreadAcrossZones || tasksByZone[zone]+1 <= (j.Spec.Tasks+1)/2
 }
 
-// mayStartIn reports whether the job's zone constraints allow one more task to
-// start in a zone, given its tasks on machines.
+// mayStartIn reports whether SameZone and SpreadAcrossZones allow one more task of the job
+// to start in a zone, given its tasks on machines. Queued tasks do not count.
 func (j *Job) mayStartIn(zone string) bool { return j.mayAddTaskIn(zone, j.tasksByZone(assignedTasks)) }
 
 // zoneConstrained reports whether the job's tasks must share a zone or be spread over zones.
--- a/internal/placement/demand.go
+++ b/internal/placement/demand.go
@@ -136,8 +136,8 @@
 	return false
 }
 
-// accepts reports whether the job's constraints allow an offer and one task of the
-// job fits its capacity.
+// acceptsOffer reports whether allowsKind holds for the machines of an offer and one task
+// of the job fits their capacity. It does not check how many are available.
 func (j *Job) acceptsOffer(offer *Offer) bool {
 	return j.allowsKind(offer.kind()) && offer.Capacity.Fits(j.need)
 }
--- a/internal/placement/demand_bins.go
+++ b/internal/placement/demand_bins.go
@@ -35,8 +35,8 @@
 // inUse reports whether the bin is an existing machine with assigned tasks.
 func (b *bin) inUse() bool { return b.machine != nil && b.machine.AssignedCopies > 0 }
 
-// suits reports whether the job's constraints allow the machine and the job does not
-// avoid it because of past failures.
+// suits reports whether Job.allowsKind holds for the machine and, if the machine exists,
+// the job does not avoid it because of past failures. It does not check resources.
 func (b *bin) suits(job *Job) bool {
 	return job.allowsKind(b.kind) && (b.machine == nil || !job.avoidsAfterFailures(b.machine))
 }
--- a/internal/placement/dispatch.go
+++ b/internal/placement/dispatch.go
@@ -19,9 +19,8 @@
 	attempts   *attemptNumbers
 }
 
-// dispatchQueueHeads dispatches queued copies that fit a machine. As in section
-// III of the paper, it starts primaries first, and backups only while no primary
-// is queued.
+// dispatchQueueHeads dispatches queued copies that fit a machine. It starts primaries
+// first, and backups only while no primary is queued. See the package comment.
 func (d *dispatcher) dispatchQueueHeads(now time.Time, machine *worker.Machine) {
 	info := d.capacity.info(machine)
 	if len(info.primaryQueue)+len(info.backupQueue) == 0 || !machine.Schedulable() {
@@ -48,8 +47,9 @@
 	return free
 }
 
-// dispatchPrimary dispatches a primary at the head of its queue if it fits free.
-// Otherwise it preempts backups on the machine, or the task's own running backup.
+// dispatchPrimary dispatches a queued primary if it fits free, and otherwise preempts
+// backups on the machine. If the task's own backup is on a machine, it preempts that
+// backup instead, whether or not the primary fits.
 func (d *dispatcher) dispatchPrimary(now time.Time, task *Task, free quota.Resources) {
 	job, machine := task.Job, task.primary
 	switch {
@@ -88,8 +88,8 @@
 }
 
 // backupMayStart reports whether a task's primary has been queued for at least
-// stuckAfter and will not start with the next heartbeat of its machine. A primary
-// that starts preempts the backup.
+// stuckAfter and fitsUnallocated does not hold for its machine. Once that machine
+// dispatches its queue, dispatchPrimary preempts the backup.
 func backupMayStart(now time.Time, task *Task, stuckAfter time.Duration) bool {
 	if task.phase != Unassigned || task.primary == nil || now.Sub(task.primaryQueuedAt) < stuckAfter {
 		return false
--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -7,7 +7,8 @@
 // machine, and as a backup copy in the low-priority queue of another. A machine
 // starts backups only while no primaries are queued there, and a primary
 // preempts running backups. A preempted backup is queued again; after a limit
-// of preemptions it is withdrawn, as in sections V and VI of the paper.
+// of preemptions, the withdraw threshold, it is withdrawn, as in sections V and VI of
+// the paper.
 //
 // The paper does not cover gangs and services. Their tasks have no backups and
 // are placed directly, preempting lower-priority work if necessary.
--- a/internal/placement/failures.go
+++ b/internal/placement/failures.go
@@ -22,9 +22,10 @@
 	return len(f.failedOn) >= tuning.FailingJobMachines && len(f.succeededOn) == 0
 }
 
-// avoids reports whether the job must not run on a machine because it failed
-// there. An array or gang that has failed on several machines avoids none of
-// them; neither does such a service, unless a replica of it has been healthy.
+// avoidsAfterFailures reports whether the job must not run on a machine because its tasks
+// failed there. An array or gang that has failed on at least tuning.FailingJobMachines
+// machines avoids none of them; neither does such a service, unless a replica of it has
+// been healthy. Failures of other jobs do not count here, only for the quarantine.
 func (j *Job) avoidsAfterFailures(machine *worker.Machine) bool {
 	if len(j.failedOn) == 0 || j.failedOn[machine.Host] == 0 {
 		return false
--- a/internal/placement/gang_slots.go
+++ b/internal/placement/gang_slots.go
@@ -14,14 +14,14 @@
 // maxTasksPerMachine bounds the slots counted for tasks that need no resources.
 const maxTasksPerMachine = wire.MaxTasksPerJob
 
-// quotaScope selects whether a placement has to stay within the team's quota
-// guarantee. Only a placement within the guarantee may preempt work of teams over their
-// guarantees regardless of its priority.
+// quotaScope selects the part of a team's quota that a placement may use. Only a
+// placement within the team's guarantee may preempt work of teams over their guarantees
+// regardless of priority. The team's limit applies in both scopes.
 type quotaScope bool
 
 const (
 	withinLimit     quotaScope = false
-	withinGuarantee quotaScope = true // within the team's guarantee
+	withinGuarantee quotaScope = true
 )
 
 // equivalenceClass holds everything that determines the feasible machines of a task,
@@ -55,7 +55,9 @@
 	return class
 }
 
-// allows reports whether a machine satisfies the constraints of the class.
+// allows reports whether a machine satisfies the constraints of the class on machine
+// type, zone and spot machines, as Job.allowsKind does. It ignores past failures,
+// resources and the state of the machine.
 func (c *equivalenceClass) allows(machine *worker.Machine) bool {
 	if machine.Spot && !c.spot || c.zone != "" && c.zone != machine.Zone {
 		return false
--- a/internal/placement/job.go
+++ b/internal/placement/job.go
@@ -12,12 +12,13 @@
 type Job struct {
 	Spec       wire.JobSpec
 	AcceptedAt time.Time // wall clock
-	KnownSince time.Time // time at which this term learned of the job, monotonic clock
+	KnownSince time.Time // acceptance on the monotonic clock; newJob sets the present time, which the term corrects
 	Version    uint64    // version of the stored record
-	// AcceptedBeforeTerm reports whether the job was accepted before this term. Its
-	// tasks may then be on machines that are not reconciled yet.
+	// AcceptedBeforeTerm is set if the job was accepted before this term. Its tasks may
+	// then be on machines that are not reconciled yet.
 	AcceptedBeforeTerm bool
-	// StartedBeforeTerm reports whether an earlier term wrote the job's start marker.
+	// StartedBeforeTerm is set if an earlier term wrote the job's start marker, and so may
+	// have started tasks of the job.
 	StartedBeforeTerm bool
 
 	priority            int
--- a/internal/placement/machine_info.go
+++ b/internal/placement/machine_info.go
@@ -11,7 +11,7 @@
 // assigned to it and its capacity index entry.
 type machineInfo struct {
 	machine *worker.Machine
-	// The high-priority and low-priority queues of the paper (section III).
+	// The high-priority and the low-priority queue; see the package comment.
 	primaryQueue, backupQueue []*Task
 	assigned                  []*Task // tasks that may be on the machine
 	directCommandState
@@ -33,7 +33,7 @@
 	urgent         bool // the machine is in urgentMachines
 }
 
-// recordDirectStart records that a direct command starts an attempt.
+// recordDirectStart records that a direct command carries the run command of an attempt.
 func (d *directCommandState) recordDirectStart(key attemptKey) {
 	if d.directAttempts == nil {
 		d.directAttempts = map[attemptKey]bool{}
--- a/internal/placement/machines.go
+++ b/internal/placement/machines.go
@@ -29,7 +29,7 @@
 	s.capacity.removeMachine(s.capacity.info(machine))
 }
 
-// UrgentMachines returns the machines to which commands should be sent directly
+// UrgentMachines returns the machines whose commands should be sent as direct commands
 // instead of in the reply to their next heartbeat.
 func (s *Scheduler) UrgentMachines() []*worker.Machine { return s.urgent.ready() }
 
--- a/internal/placement/pass_state.go
+++ b/internal/placement/pass_state.go
@@ -23,9 +23,10 @@
 // has gained capacity.
 func (p *passState) requestFullPass() { p.fullPassNeeded = true }
 
-// reservedForGang reports whether a machine is reserved for the blocking gang and
-// must not take tasks of an array. Only a starving gang reserves machines, and
-// only from arrays that are not starving and not of a lower priority.
+// reservedForGang reports whether an array must leave a machine to the blocking gang. Only
+// a starving gang reserves machines. A starving array may still use them, as its first
+// completion is overdue too, and so may an array of lower priority, as the gang can preempt
+// its tasks within preemptionRules.
 func (p *passState) reservedForGang(now time.Time, array *Job, machine *worker.Machine) bool {
 	gang := p.blockingGang
 	if gang == nil || !gang.starving(now) || array.starving(now) || array.priority < gang.priority {
--- a/internal/placement/reconciliation.go
+++ b/internal/placement/reconciliation.go
@@ -48,7 +48,7 @@
 }
 
 // runCommandInFlight reports whether the run command of a copy that was never reported
-// may still be executed. The command is in flight in an unanswered direct request, or
+// may still be executed. The run command is in flight in an unanswered direct command, or
 // in the reply to a heartbeat until a later heartbeat shows that the worker did not
 // execute it.
 func (d *commandDelivery) runCommandInFlight(update statusUpdate) bool {
@@ -63,7 +63,8 @@
 	return !ruledOut
 }
 
-// reportedTaskClass classifies a task that a machine reports, by the scheduler's state.
+// reportedTaskClass classifies a task that a machine reports, by the scheduler's state
+// of its job and of the task with that index.
 type reportedTaskClass int
 
 const (
--- a/internal/placement/rescheduling.go
+++ b/internal/placement/rescheduling.go
@@ -10,8 +10,8 @@
 	"juniperchute/internal/worker"
 )
 
-// rescheduler moves copies off machines with a preemption notice, and out of queues in
-// which they cannot start.
+// rescheduler migrates replicas off machines with a preemption notice, preempts the tasks
+// there that save checkpoints, and requeues primaries that cannot start where they are queued.
 type rescheduler struct {
 	*sharedState
 	capacity   *capacityIndex
@@ -71,7 +71,7 @@
 }
 
 // stuck reports whether a primary that is not part of a gang has been queued at a
-// machine for at least stuckAfter and will not start with its next heartbeat.
+// machine for at least stuckAfter and fitsUnallocated does not hold there.
 func (r *rescheduler) stuck(now time.Time, task *Task, machine *worker.Machine, stuckAfter time.Duration) bool {
 	job := task.Job
 	if job.IsGang() || task.phase != Unassigned || now.Sub(task.primaryQueuedAt) < stuckAfter {
@@ -80,8 +80,9 @@
 	return !fitsUnallocated(job, machine)
 }
 
-// fitsUnallocated reports whether a machine has sufficient unallocated
-// resources for a queued primary of the job.
+// fitsUnallocated reports whether a machine is schedulable and a task of the job fits its
+// unallocated resources. It ignores reservations of queued primaries, the team's limit
+// and zone constraints, so a queued primary may still have to wait.
 func fitsUnallocated(job *Job, machine *worker.Machine) bool {
 	return machine.Schedulable() && machine.Available().Fits(job.need)
 }
--- a/internal/placement/scheduler.go
+++ b/internal/placement/scheduler.go
@@ -195,17 +195,18 @@
 	delete(s.jobs.unreadable, id)
 }
 
-// AddJob adds an open job and returns it. acceptedAt is a wall clock time. If
-// the job is already known, AddJob only updates the version of its record.
+// AddJob adds an open job and returns it. acceptedAt is a wall clock time, and
+// acceptedBeforeTerm sets Job.AcceptedBeforeTerm. If the job is already known, AddJob
+// only updates the version of its record.
 func (s *Scheduler) AddJob(
-	now time.Time, spec wire.JobSpec, acceptedAt time.Time, version uint64, fromEarlierTerm bool,
+	now time.Time, spec wire.JobSpec, acceptedAt time.Time, version uint64, acceptedBeforeTerm bool,
 ) *Job {
 	if job := s.jobs.byID[spec.ID]; job != nil {
 		job.Version = version
 		return job
 	}
 	job := newJob(now, spec, acceptedAt, version)
-	job.AcceptedBeforeTerm = fromEarlierTerm
+	job.AcceptedBeforeTerm = acceptedBeforeTerm
 	s.jobs.add(job)
 	s.jobQueue.add(job)
 	s.log.Debug("job added", "job", spec.ID, "class", spec.Class, "team", spec.Team,
@@ -243,7 +244,7 @@
 func (s *Scheduler) Reconciled() bool { return s.reconciled }
 
 // MarkReconciled records that every machine that may belong to the shard is
-// reconciled or deleted. From then on pending tasks of jobs from earlier terms
+// reconciled or deleted. From then on pending tasks of jobs accepted before this term
 // may start.
 func (s *Scheduler) MarkReconciled() {
 	s.reconciled = true
--- a/internal/placement/scheduling_pass.go
+++ b/internal/placement/scheduling_pass.go
@@ -8,7 +8,7 @@
 
 // passFilter restricts one round of a scheduling pass over the jobs of a tier.
 type passFilter struct {
-	scope       quotaScope       // work within the guarantees of its team, or all work
+	scope       quotaScope       // part of the team's quota that placements may use
 	requirement imageRequirement // for arrays only
 }
 
--- a/internal/placement/service.go
+++ b/internal/placement/service.go
@@ -72,10 +72,10 @@
 	return true
 }
 
-// migrateReplica stops a replica on a machine with a preemption notice if another
-// machine with its image can run it at once, or unconditionally if force is set. Two
-// copies must not run at the same time, so the replica is unavailable from this stop
-// to the next start.
+// migrateReplica stops a replica on a machine with a preemption notice, so that a later
+// scheduling pass restarts it on another machine. It does so if another machine with its
+// image can run the replica at once, or unconditionally if force is set. Two copies must
+// not run at the same time, so the replica is unavailable from this stop to the next start.
 func (s *serviceScheduler) migrateReplica(now time.Time, task *Task, force bool) {
 	if force || s.findFreeMachine(task.Job, task, cachedImage) != nil {
 		s.Counters.Relocated++
--- a/internal/placement/service_quota.go
+++ b/internal/placement/service_quota.go
@@ -14,11 +14,11 @@
 	service   *Job
 	// releasing is the quota that stopping tasks of the team will release.
 	releasing  quota.Resources
-	candidates []*Task // tasks that may be preempted
+	candidates []*Task // assigned tasks that may be preempted
 }
 
 // preemptForQuota frees quota for a replica of a team at its limit. It requeues queued
-// primaries of lower priority first, then preempts running tasks in ascending order of
+// primaries of lower priority first, then preempts assigned tasks in ascending order of
 // preemption cost. It reports whether the limit admits the replica now.
 func (s *serviceScheduler) preemptForQuota(now time.Time, service *Job) bool {
 	p := &quotaPreemption{scheduler: s, service: service}
@@ -58,7 +58,7 @@
 }
 
 // collectCandidates adds up the quota of the team's stopping tasks on a machine, and
-// collects the tasks there that may be preempted.
+// collects the other assigned tasks there that may be preempted.
 func (p *quotaPreemption) collectCandidates(now time.Time, info *machineInfo) {
 	for _, task := range info.assigned {
 		switch {
@@ -70,7 +70,7 @@
 	}
 }
 
-// preemptCandidates preempts running tasks until the limit admits the replica. If
+// preemptCandidates preempts candidates until the limit admits the replica. If
 // preempting all of them does not suffice, it preempts none.
 func (p *quotaPreemption) preemptCandidates(now time.Time) {
 	sortByPreemptionCost(now, p.candidates)
--- a/internal/placement/service_reserve.go
+++ b/internal/placement/service_reserve.go
@@ -41,10 +41,10 @@
 }
 
 // largestService returns the open service with the largest total need, as a dominant
-// share of the typical capacity. It returns nil if no service is open.
+// share of the reference capacity. It returns nil if no service is open.
 func (p *demandPlan) largestService() *Job {
-	typical := p.referenceCapacity()
-	size := func(service *Job) float64 { return service.totalNeed().DominantShare(typical) }
+	reference := p.referenceCapacity()
+	size := func(service *Job) float64 { return service.totalNeed().DominantShare(reference) }
 	var largest *Job
 	for _, job := range p.jobQueue.open {
 		if job.IsService() && (largest == nil || size(job) > size(largest)) {
@@ -54,8 +54,8 @@
 	return largest
 }
 
-// referenceCapacity returns the capacity of the first offer, the reference for comparing
-// needs. It returns zero resources if there are no offers.
+// referenceCapacity returns the capacity of the first offer, by which the needs of
+// services are compared. It returns zero resources if there are no offers.
 func (p *demandPlan) referenceCapacity() quota.Resources {
 	if len(p.offers) == 0 {
 		return quota.Resources{}
--- a/internal/placement/shared_state.go
+++ b/internal/placement/shared_state.go
@@ -24,7 +24,7 @@
 
 // Settings holds the operators' runtime settings that affect placement.
 type Settings struct {
-	BackupWithdrawThreshold int // preemptions after which a task's backup is withdrawn
+	BackupWithdrawThreshold int // preemptions after which a task's backup copy is withdrawn
 }
 
 // Counters counts scheduling events since the start of the term.
@@ -33,12 +33,12 @@
 	BackupsStarted   int
 	BackupsCompleted int
 	BackupsPreempted int
-	BackupsWithdrawn int // backups that reached Settings.BackupWithdrawThreshold
+	BackupsWithdrawn int // backups that reached Settings.BackupWithdrawThreshold by preemption for another primary
 	Rescheduled      int // stuck primaries that were queued again
 	Preempted        int // tasks preempted for gangs and services
 	Failed           int
 	GangsPlaced      int
-	Relocated        int // tasks preempted to empty their machine
+	Relocated        int // tasks that consolidation relocated, and replicas that a preemption notice migrated
 }
 
 // setPendingReason records why a job's tasks do not start. The reason is shown to users.
--- a/internal/placement/starvation.go
+++ b/internal/placement/starvation.go
@@ -8,9 +8,9 @@
 )
 
 // starving reports whether no task of the job has completed within
-// tuning.FirstStartDeadline of the time at which this term learned of the job. Work
-// of higher priority does not preempt the tasks of a starving job. Services never
-// starve, as their tasks do not complete.
+// tuning.FirstStartDeadline of the job's acceptance. Work of higher priority does not
+// preempt the tasks of a starving job. Services never starve, as their tasks do not
+// complete.
 func (j *Job) starving(now time.Time) bool {
 	return !j.IsService() && j.completed.count == 0 && now.Sub(j.KnownSince) > tuning.FirstStartDeadline
 }
--- a/internal/placement/task_lifecycle.go
+++ b/internal/placement/task_lifecycle.go
@@ -20,7 +20,7 @@
 }
 
 // setPhase changes the phase of a task and updates the accounting of its
-// machine, job and team. No other function may move a task to or from a machine.
+// machine, job and team. No other function may assign a task to a machine or release it.
 func (l *taskLifecycle) setPhase(now time.Time, task *Task, phase Phase, reason string) {
 	previous := task.phase
 	if previous == phase {
@@ -51,7 +51,7 @@
 }
 
 // dispatch assigns a copy of a task to a machine. The next message to the
-// machine carries the command to run the copy.
+// machine carries the run command of the copy.
 func (l *taskLifecycle) dispatch(now time.Time, task *Task, target assignment, reason string) {
 	task.assignment = target
 	l.setPhase(now, task, Dispatched, reason)
@@ -104,7 +104,7 @@
 		}
 	case preemptedBackup:
 		// The primary is still queued, and so is the backup until it reaches the
-		// drop threshold (section V of the paper).
+		// withdraw threshold.
 		if task.backupPreemptions >= l.Settings.BackupWithdrawThreshold {
 			l.copyQueues.withdrawBackup(task)
 		}
--- a/internal/placement/urgent.go
+++ b/internal/placement/urgent.go
@@ -12,7 +12,7 @@
 	machines []*machineInfo
 }
 
-// mark adds a machine that may need commands before its next heartbeat.
+// mark adds a machine that may need a direct command before its next heartbeat.
 func (u *urgentMachines) mark(info *machineInfo) {
 	if !info.urgent {
 		info.urgent = true
@@ -36,12 +36,14 @@
 	return ready
 }
 
-// urgency classifies whether and when commands for a machine must be sent directly.
+// urgency classifies whether and when commands for a machine must be sent as direct commands.
 type urgency int
 
 const (
-	notUrgent             urgency = iota
-	urgentAfterRunCommand         // a stop, urgent once the run command of its task has been sent
+	notUrgent urgency = iota
+	// runCommandUnsent means that a stopping task's run command was never sent. No stop is
+	// sent either: the next status of the machine releases the task.
+	runCommandUnsent
 	urgentNow
 )
 
@@ -56,7 +58,7 @@
 			len(info.directAttempts) < tuning.MaxDirectStarts:
 			highest = urgentNow
 		case task.phase == Stopping && task.stopPending && !task.Job.closed:
-			highest = max(highest, urgentAfterRunCommand)
+			highest = max(highest, runCommandUnsent)
 			if task.commandSent {
 				highest = urgentNow
 			}
