--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -5,9 +5,9 @@
 	Name        string
 	Vcpus       float64
 	Gpus        float64
-	MemGb       float64
-	LocalGb     float64 // local disk, the image cache
-	FetchGbPerS float64 // throughput of image pulls
+	MemGb       float64 `json:"MemGb"`
+	LocalGb     float64 `json:"LocalGb"`     // local disk, the image cache
+	FetchGbPerS float64 `json:"FetchGbPerS"` // throughput of image pulls
 	Price       float64
 	SpotPrice   float64  `json:"LowPrice"`
 	BootTimeS   float64  `json:"BootS"`
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -23,9 +23,9 @@
 	Tasks             int     `json:"Pieces"`
 	Vcpus             float64 // per task, as are Gpus and MemGb
 	Gpus              float64
-	MemGb             float64
-	Image             string `json:"Bundle"`
-	ImageGb           float64
+	MemGb             float64  `json:"MemGb"`
+	Image             string   `json:"Bundle"`
+	ImageGb           float64  `json:"ImageGb"`
 	Types             []string `json:"Builds,omitempty"` // allowed machine types, unless AnyType
 	AnyType           bool     `json:"AnyBuild,omitempty"`
 	Zone              string   `json:"Yard,omitempty"`     // the only allowed zone, "" for any
