--- a/internal/placement/demand.go
+++ b/internal/placement/demand.go
@@ -139,7 +139,7 @@
 // acceptsOffer reports whether allowsKind holds for the machines of an offer and one task
 // of the job fits their capacity. It does not check how many are available.
 func (j *Job) acceptsOffer(offer *Offer) bool {
-	return j.allowsKind(offer.kind()) && offer.Capacity.Fits(j.need)
+	return j.allowsKind(offer.kind()) && offer.Capacity.Covers(j.need)
 }
 
 // prefers reports whether the job ranks offer before other: services rank
--- a/internal/placement/pass_state.go
+++ b/internal/placement/pass_state.go
@@ -32,5 +32,5 @@
 	if gang == nil || !gang.starving(now) || array.starving(now) || array.priority < gang.priority {
 		return false
 	}
-	return gang.allowsKind(kindOf(machine)) && machine.Capacity.Fits(gang.need)
+	return gang.allowsKind(kindOf(machine)) && machine.Capacity.Covers(gang.need)
 }
--- a/internal/placement/rescheduling.go
+++ b/internal/placement/rescheduling.go
@@ -84,13 +84,13 @@
 // unallocated resources. It ignores reservations of queued primaries, the team's limit
 // and zone constraints, so a queued primary may still have to wait.
 func fitsUnallocated(job *Job, machine *worker.Machine) bool {
-	return machine.Schedulable() && machine.Available().Fits(job.need)
+	return machine.Schedulable() && machine.Available().Covers(job.need)
 }
 
 // startsElsewhere reports whether a machine other than the given one could start
 // a task of the job at once.
 func (r *rescheduler) startsElsewhere(job *Job, machine *worker.Machine) bool {
 	return slices.ContainsFunc(r.registry.All(), func(other *worker.Machine) bool {
-		return other != machine && job.eligible(other) && other.Available().Sub(other.Reserved).Fits(job.need)
+		return other != machine && job.eligible(other) && other.Available().Sub(other.Reserved).Covers(job.need)
 	})
 }
