--- a/cmd/juniperchute/admin_client.go
+++ b/cmd/juniperchute/admin_client.go
@@ -24,7 +24,7 @@
 	print func(out io.Writer, reply Reply),
 ) func(command *cobra.Command, args []string) error {
 	return func(command *cobra.Command, args []string) error {
-		connection, err := peer.Dial(*address)
+		connection, err := peer.NewConnection(*address)
 		if err != nil {
 			return err
 		}
--- a/cmd/juniperchute/serve.go
+++ b/cmd/juniperchute/serve.go
@@ -89,7 +89,7 @@
 // the machine, so that a resumed lease holder with an expired lease stops acting.
 func newClock(gates featuregate.Gates) *clock.Clock {
 	if gates.IntentLog {
-		return clock.New(clock.TimeSuspended)
+		return clock.New(clock.SuspendedSinceBoot)
 	}
 	return clock.New(nil)
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -15,13 +15,13 @@
 
 // Clock is a suspend-aware monotonic clock. It is safe for concurrent use.
 type Clock struct {
-	// timeSuspended returns the total time in suspension since boot. It is nil if unsupported.
-	timeSuspended func() (time.Duration, error)
-	atStart       time.Duration // result of timeSuspended in New
-	suspendedFor  atomic.Int64  // nanoseconds in suspension since New, as of the last Advance
+	// suspendedSinceBoot returns the total time in suspension since boot. It is nil if unsupported.
+	suspendedSinceBoot func() (time.Duration, error)
+	suspendedAtNew     time.Duration // result of suspendedSinceBoot in New
+	suspendedSinceNew  atomic.Int64  // nanoseconds in suspension since New, as of the last Advance
 }
 
-// New returns a clock. timeSuspended, such as the function TimeSuspended, returns the total time in
+// New returns a clock. suspendedSinceBoot, such as the function SuspendedSinceBoot, returns the total time in
 // suspension since boot. If it is nil or its first call fails, the clock ignores suspensions.
 func New(timeSuspended func() (time.Duration, error)) *Clock {
 	if timeSuspended == nil {
@@ -31,21 +31,21 @@
 	if err != nil {
 		return &Clock{}
 	}
-	return &Clock{timeSuspended: timeSuspended, atStart: atStart}
+	return &Clock{suspendedSinceBoot: timeSuspended, suspendedAtNew: atStart}
 }
 
 // Now returns the current time, without any suspension since the last Advance.
-func (c *Clock) Now() time.Time { return time.Now().Add(c.SuspendedFor()) }
+func (c *Clock) Now() time.Time { return time.Now().Add(c.SuspendedSinceNew()) }
 
-// SuspendedFor returns the time in suspension since the clock was created, as of the last Advance.
-func (c *Clock) SuspendedFor() time.Duration { return time.Duration(c.suspendedFor.Load()) }
+// SuspendedSinceNew returns the time in suspension since the clock was created, as of the last Advance.
+func (c *Clock) SuspendedSinceNew() time.Duration { return time.Duration(c.suspendedSinceNew.Load()) }
 
 // Advance adds any suspension up to now and returns the current time. Callers call it before an action
 // that requires an unexpired lease.
 func (c *Clock) Advance() time.Time {
-	if c.timeSuspended != nil {
-		if total, err := c.timeSuspended(); err == nil {
-			c.advanceTo(total - c.atStart)
+	if c.suspendedSinceBoot != nil {
+		if total, err := c.suspendedSinceBoot(); err == nil {
+			c.advanceTo(total - c.suspendedAtNew)
 		}
 	}
 	return c.Now()
@@ -55,18 +55,18 @@
 // which result from the two system clocks not being read at the same instant.
 func (c *Clock) advanceTo(suspended time.Duration) {
 	for {
-		current := c.suspendedFor.Load()
+		current := c.suspendedSinceNew.Load()
 		if suspended-time.Duration(current) < tuning.MinSuspension {
 			return
 		}
-		if c.suspendedFor.CompareAndSwap(current, int64(suspended)) {
+		if c.suspendedSinceNew.CompareAndSwap(current, int64(suspended)) {
 			return
 		}
 	}
 }
 
-// TimeSuspended returns the total time for which this machine has been suspended since boot.
-func TimeSuspended() (time.Duration, error) {
+// SuspendedSinceBoot returns the total time for which this machine has been suspended since boot.
+func SuspendedSinceBoot() (time.Duration, error) {
 	var monotonic, boot unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic); err != nil {
 		return 0, fmt.Errorf("read monotonic clock: %w", err)
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -77,11 +77,11 @@
 
 // Guards against clocks of the system that drift apart without a suspension.
 func TestTimeSuspended(t *testing.T) {
-	first, err := TimeSuspended()
+	first, err := SuspendedSinceBoot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	second, err := TimeSuspended()
+	second, err := SuspendedSinceBoot()
 	if err != nil || second-first > time.Second || first-second > time.Second {
 		t.Errorf("got %v, then %v, error %v", first, second, err)
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -309,7 +309,7 @@
 		if got := limits.Upcoming(); !reflect.DeepEqual(got, c.wantUpcoming) {
 			t.Errorf("%s: upcoming %+v, want %+v", c.name, got, c.wantUpcoming)
 		}
-		if got := limits.StoredLimits(); !reflect.DeepEqual(got, c.wantStored) {
+		if got := limits.RecordLimits(); !reflect.DeepEqual(got, c.wantStored) {
 			t.Errorf("%s: stored %+v, want %+v", c.name, got, c.wantStored)
 		}
 	}
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -38,9 +38,9 @@
 	}
 }
 
-// StoredLimits returns the limits for stored records. Records have to fit the service both before and
+// RecordLimits returns the limits for stored records. Records have to fit the service both before and
 // after the upcoming change, as its date is unknown.
-func (l StateLimits) StoredLimits() StateLimits {
+func (l StateLimits) RecordLimits() StateLimits {
 	limits := l.Upcoming()
 	limits.ValueKB = min(limits.ValueKB, l.ValueKB)
 	limits.TxnOps = min(limits.TxnOps, l.TxnOps)
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -28,7 +28,7 @@
 	return cmp.Or(
 		c.validateNames(),
 		c.validateAddresses(),
-		c.Platform.validateTeams(),
+		c.Platform.validateZonesAndTeams(),
 		c.Platform.validateObjectives(),
 		c.Platform.validatePositive(),
 		c.Platform.State.validate(),
@@ -78,7 +78,7 @@
 	return nil
 }
 
-func (p *Platform) validateTeams() error {
+func (p *Platform) validateZonesAndTeams() error {
 	if len(p.Zones) == 0 {
 		return missing("facts.zones")
 	}
@@ -146,7 +146,7 @@
 	if err := l.Next.validate(); err != nil {
 		return err
 	}
-	if l.StoredLimits().TxnOps < tuning.MinTxnOps {
+	if l.RecordLimits().TxnOps < tuning.MinTxnOps {
 		return invalid("facts.state.txn_ops, or next.txn_ops",
 			"below %d, the changes that go together", tuning.MinTxnOps)
 	}
--- a/internal/controller/completions_test.go
+++ b/internal/controller/completions_test.go
@@ -15,7 +15,7 @@
 	sim.cloud.Available[fakes.CapacityKey(smallType.Name, "a", false)] = 40
 	for i := range 150 {
 		spec := steadyJob(i)
-		spec.Tasks, spec.Gpus, spec.Vcpus, spec.MemGb, spec.Priority = 1, 0, 1, 1, "low"
+		spec.Tasks, spec.Gpus, spec.Vcpus, spec.MemGB, spec.Priority = 1, 0, 1, 1, "low"
 		if i%15 == 0 {
 			spec.Priority = "high"
 		}
--- a/internal/controller/connection_limits.go
+++ b/internal/controller/connection_limits.go
@@ -17,8 +17,8 @@
 // controller's own calls do not need, but at least tuning.MinClientConnections. A fleet with more
 // workers than that shares the connections.
 func newConnectionLimits(machine config.MachineLimits, peers int) connectionLimits {
-	commands := max(tuning.CommandsInFlight, int(float64(machine.Sockets)*tuning.CommandSocketShare))
-	internal := 2*commands + stateConnections() + tuning.CloudCallsInFlight + 2*peers + tuning.ReservedSockets
+	commands := max(tuning.MinCommandsInFlight, int(float64(machine.Sockets)*tuning.CommandSocketShare))
+	internal := 2*commands + stateConnections() + tuning.MaxCloudCallsInFlight + 2*peers + tuning.ReservedSockets
 	return connectionLimits{
 		commands: commands,
 		clients:  max(tuning.MinClientConnections, machine.Sockets-internal),
@@ -27,5 +27,5 @@
 
 // stateConnections returns the maximum number of connections to the state service.
 func stateConnections() int {
-	return tuning.StoreReadsInFlight + store.NumPriorities*tuning.StoreWritesInFlight + tuning.StoreExtraInFlight
+	return tuning.MaxStoreReadsInFlight + store.NumPriorities*tuning.MaxStoreWritesInFlight + tuning.StoreExtraInFlight
 }
--- a/internal/controller/connection_limits_test.go
+++ b/internal/controller/connection_limits_test.go
@@ -45,7 +45,7 @@
 				t.Errorf("client connections: got %d, want at least %d for workers and %d for users",
 					limits.clients, c.machines, c.users)
 			}
-			internal := 2*limits.commands + stateConnections() + tuning.CloudCallsInFlight + 2*c.peers
+			internal := 2*limits.commands + stateConnections() + tuning.MaxCloudCallsInFlight + 2*c.peers
 			if limits.clients+internal > c.sockets {
 				t.Errorf("%d client and %d internal connections exceed the limit of %d sockets",
 					limits.clients, internal, c.sockets)
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -132,7 +132,7 @@
 		t.Fatalf("got %d calls and %d replies, want 2 calls and %d replies", len(effects.requests), len(got), queries)
 	}
 	for i, p := range got {
-		if p.Known != (i > 0) || i > 0 && p.Done != i {
+		if p.Known != (i > 0) || i > 0 && p.CompletedTasks != i {
 			t.Errorf("query %d: got progress %+v", i, p)
 		}
 	}
--- a/internal/controller/failover_test.go
+++ b/internal/controller/failover_test.go
@@ -75,11 +75,11 @@
 // storeOpenJob stores the record of an accepted job: a gang if number is even, else an array.
 func (sim *simulation) storeOpenJob(number int) {
 	spec := sweepJob(fmt.Sprintf("job-%06d", number), "low", 60, 30)
-	spec.Vcpus, spec.Gpus, spec.MemGb = 6, 1, 36
+	spec.Vcpus, spec.Gpus, spec.MemGB = 6, 1, 36
 	spec.Image = fmt.Sprintf("img-%d", number%12)
 	if number%2 == 0 {
 		spec.Shape, spec.Priority, spec.Tasks = wire.ShapeGang, "normal", 4
-		spec.Vcpus, spec.Gpus, spec.MemGb = 57, 8, 310
+		spec.Vcpus, spec.Gpus, spec.MemGB = 57, 8, 310
 	}
 	sim.cluster.AddJob(fakes.NewJob(spec, time.Minute))
 	record := submission.OpenJobRecord{Spec: spec, AcceptedAt: sim.clock.Now().UnixMilli()}
--- a/internal/controller/faults_workers_test.go
+++ b/internal/controller/faults_workers_test.go
@@ -80,7 +80,7 @@
 	m := sim.randomMachine()
 	heartbeat := m.Heartbeat()
 	m.partitioned, m.Hung = true, true
-	sim.runFor(workers.LeaseExpiry() + 3*time.Second)
+	sim.runFor(workers.LeaseTimeout() + 3*time.Second)
 	w := workers.Get(m.Host.ID)
 	if w == nil || w.State != worker.LeaseExpired || w.ActiveCopies != 0 {
 		sim.addViolation("the worker's lease has not expired: %+v", w)
--- a/internal/controller/fleet_limits_test.go
+++ b/internal/controller/fleet_limits_test.go
@@ -36,7 +36,7 @@
 	for i := range arrays {
 		spec := sweepJob(fmt.Sprintf("job-%06d", i), "normal", arrayTasks, 90)
 		spec.Team = teams[i%2].Name
-		spec.Vcpus, spec.Gpus, spec.MemGb = 16, 2, 90
+		spec.Vcpus, spec.Gpus, spec.MemGB = 16, 2, 90
 		spec.Image = fmt.Sprintf("img-%d", i%12)
 		sim.submitJob(spec, 80*time.Second)
 	}
--- a/internal/controller/process_effects.go
+++ b/internal/controller/process_effects.go
@@ -61,7 +61,7 @@
 
 func newProcessEffects(cfg *config.Config, connections connectionLimits, options effectOptions) *processEffects {
 	toState := transport(stateConnections(), tuning.DialTimeout)
-	toCloud := transport(tuning.CloudCallsInFlight, tuning.DialTimeout)
+	toCloud := transport(tuning.MaxCloudCallsInFlight, tuning.DialTimeout)
 	toWorkers := transport(tuning.CommandIdleConnections, tuning.WorkerDialTimeout)
 	e := &processEffects{
 		effectOptions: options,
@@ -72,14 +72,14 @@
 		workers:                   workerClient{&http.Client{Transport: toWorkers}},
 		peers:                     peer.NewClients(cfg.Peers),
 		rateLimiter:               store.NewRateLimiter(cfg.Platform.State, len(cfg.Peers)+1),
-		readSemaphore:             make(semaphore, tuning.StoreReadsInFlight),
-		cloudSemaphore:            make(semaphore, tuning.CloudCallsInFlight),
+		readSemaphore:             make(semaphore, tuning.MaxStoreReadsInFlight),
+		cloudSemaphore:            make(semaphore, tuning.MaxCloudCallsInFlight),
 		commandSemaphore:          make(semaphore, connections.commands),
 		heartbeatRequestSemaphore: make(semaphore, connections.commands),
-		peerSemaphore:             make(semaphore, tuning.PeerCallsInFlight),
+		peerSemaphore:             make(semaphore, tuning.MaxPeerCallsInFlight),
 	}
 	for i := range e.writeSemaphores {
-		e.writeSemaphores[i] = make(semaphore, tuning.StoreWritesInFlight)
+		e.writeSemaphores[i] = make(semaphore, tuning.MaxStoreWritesInFlight)
 	}
 	return e
 }
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -71,7 +71,7 @@
 		progress := submission.Progress{}
 		if err == nil && len(reply.Jobs) == len(batch) {
 			job := reply.Jobs[i]
-			progress = submission.Progress{Known: job.Known, Done: int(job.Done), Running: int(job.Running)}
+			progress = submission.Progress{Known: job.Known, CompletedTasks: int(job.Done), Running: int(job.Running)}
 		}
 		query.reply(now, progress)
 	}
@@ -88,7 +88,7 @@
 	for _, id := range request.Jobs {
 		progress := t.JobProgress(id)
 		reply.Jobs = append(reply.Jobs, &peerpb.JobProgress{
-			Known: progress.Known, Done: int64(progress.Done), Running: int64(progress.Running),
+			Known: progress.Known, Done: int64(progress.CompletedTasks), Running: int64(progress.Running),
 		})
 	}
 	return reply
--- a/internal/controller/runtime.go
+++ b/internal/controller/runtime.go
@@ -177,7 +177,7 @@
 // warns of a slow event, which delays lease renewals and heartbeats.
 func (r *Runtime) runEvent(kind string, event func(now time.Time)) {
 	start := r.clock.Now()
-	if suspended := r.clock.SuspendedFor(); suspended != r.suspendedFor {
+	if suspended := r.clock.SuspendedSinceNew(); suspended != r.suspendedFor {
 		r.log.Warn("machine was suspended; clock advanced", "duration", suspended-r.suspendedFor)
 		r.suspendedFor = suspended
 		r.controller.EndTermsAfterSuspension(start)
--- a/internal/controller/runtime_test.go
+++ b/internal/controller/runtime_test.go
@@ -53,7 +53,7 @@
 			Priority:    store.Priority(priority),
 			Transaction: deletion,
 		}
-		for range 3 * tuning.StoreWritesInFlight {
+		for range 3 * tuning.MaxStoreWritesInFlight {
 			r.effects.CallState(write, func(time.Time, store.Result) { written++ })
 		}
 	}
@@ -63,7 +63,7 @@
 	for !read {
 		(<-r.events)(time.Now())
 	}
-	if written >= store.NumPriorities*tuning.StoreWritesInFlight {
+	if written >= store.NumPriorities*tuning.MaxStoreWritesInFlight {
 		t.Errorf("%d writes completed before the read", written)
 	}
 }
--- a/internal/controller/simulation_deployments_test.go
+++ b/internal/controller/simulation_deployments_test.go
@@ -38,37 +38,37 @@
 // Machine types of the simulated deployments.
 var (
 	smallType = wire.MachineType{
-		Name:        "g2",
-		Vcpus:       12,
-		Gpus:        2,
-		MemGb:       96,
-		FetchGbPerS: 1,
-		Price:       5,
-		SpotPrice:   2,
-		BootTimeS:   5,
-		Zones:       oneZone,
+		Name:            "g2",
+		Vcpus:           12,
+		Gpus:            2,
+		MemGB:           96,
+		ImagePullGBPerS: 1,
+		Price:           5,
+		SpotPrice:       2,
+		BootTimeS:       5,
+		Zones:           oneZone,
 	}
 	mediumType = wire.MachineType{
-		Name:        "g4",
-		Vcpus:       16,
-		Gpus:        4,
-		MemGb:       128,
-		FetchGbPerS: 1,
-		Price:       9,
-		SpotPrice:   4,
-		BootTimeS:   5,
-		Zones:       twoZones,
+		Name:            "g4",
+		Vcpus:           16,
+		Gpus:            4,
+		MemGB:           128,
+		ImagePullGBPerS: 1,
+		Price:           9,
+		SpotPrice:       4,
+		BootTimeS:       5,
+		Zones:           twoZones,
 	}
 	cpuOnlyType = wire.MachineType{
-		Name:        "c8",
-		Vcpus:       8,
-		Gpus:        0,
-		MemGb:       32,
-		FetchGbPerS: 1,
-		Price:       2,
-		SpotPrice:   1,
-		BootTimeS:   4,
-		Zones:       []string{"b"},
+		Name:            "c8",
+		Vcpus:           8,
+		Gpus:            0,
+		MemGB:           32,
+		ImagePullGBPerS: 1,
+		Price:           2,
+		SpotPrice:       1,
+		BootTimeS:       4,
+		Zones:           []string{"b"},
 	}
 
 	oneZoneTypes = []wire.MachineType{smallType}
@@ -79,15 +79,15 @@
 // largeMachineType returns a machine type with eight GPUs and the given boot time in seconds.
 func largeMachineType(bootTimeS float64) wire.MachineType {
 	return wire.MachineType{
-		Name:        "g8",
-		Vcpus:       64,
-		Gpus:        8,
-		MemGb:       384,
-		FetchGbPerS: 1,
-		Price:       5,
-		SpotPrice:   2,
-		BootTimeS:   bootTimeS,
-		Zones:       oneZone,
+		Name:            "g8",
+		Vcpus:           64,
+		Gpus:            8,
+		MemGB:           384,
+		ImagePullGBPerS: 1,
+		Price:           5,
+		SpotPrice:       2,
+		BootTimeS:       bootTimeS,
+		Zones:           oneZone,
 	}
 }
 
@@ -142,9 +142,9 @@
 		Tasks:             tasks,
 		Vcpus:             4,
 		Gpus:              1,
-		MemGb:             20,
+		MemGB:             20,
 		Image:             "img",
-		ImageGb:           2,
+		ImageGB:           2,
 		AnyType:           true,
 		EstimatedRunTimeS: runTimeS,
 	}
--- a/internal/controller/simulation_state_test.go
+++ b/internal/controller/simulation_state_test.go
@@ -40,12 +40,12 @@
 	if !sim.startsOnOldVersion || !e.node.upgraded {
 		return
 	}
-	limits := e.node.controller.config.Platform.State.StoredLimits()
+	limits := e.node.controller.config.Platform.State.RecordLimits()
 	writes := c.Transaction.Writes
 	for _, write := range writes {
 		if len(write.Value) > int(limits.ValueKB*1024) || len(writes) > limits.TxnOps {
 			sim.addViolation("%s writes %s with %d bytes in a transaction of %d writes, above the announced limits",
-				e.node.name, write.Put, len(write.Value), len(writes))
+				e.node.name, write.PutKey, len(write.Value), len(writes))
 		}
 	}
 }
--- a/internal/controller/simulation_test.go
+++ b/internal/controller/simulation_test.go
@@ -144,7 +144,7 @@
 	machineType := machineTypes[slices.IndexFunc(machineTypes, hasType)]
 	m := &machine{}
 	sim.machines[h.ID] = m
-	capacity := quota.Resources{CPUs: machineType.Vcpus, GPUs: machineType.Gpus, MemGB: machineType.MemGb}
+	capacity := quota.Resources{CPUs: machineType.Vcpus, GPUs: machineType.Gpus, MemGB: machineType.MemGB}
 	m.Worker = sim.cluster.AddWorker(h.Machine, capacity)
 	m.Faulty = sim.rng.Float64() < faultyShare
 }
--- a/internal/controller/simulation_users_test.go
+++ b/internal/controller/simulation_users_test.go
@@ -219,7 +219,7 @@
 		Tasks:    1,
 		Vcpus:    1,
 		Gpus:     1,
-		MemGb:    1,
+		MemGB:    1,
 		Image:    "img",
 		AnyType:  true,
 	}
@@ -227,7 +227,7 @@
 	case 0:
 		spec.Team = "nobody"
 	case 1:
-		spec.MemGb = 1e6
+		spec.MemGB = 1e6
 	case 2:
 		spec.AnyType = false
 	case 3:
--- a/internal/controller/unreadable_test.go
+++ b/internal/controller/unreadable_test.go
@@ -214,7 +214,7 @@
 		sim.state.OnCall = func(c store.Call, err error) {
 			for _, w := range c.Transaction.Writes {
 				if errors.Is(err, store.ErrInvalid) && w.Lease == 0 {
-					rejected[w.Put+string(w.Value)]++
+					rejected[w.PutKey+string(w.Value)]++
 				}
 			}
 		}
--- a/internal/fakes/fitting_test.go
+++ b/internal/fakes/fitting_test.go
@@ -50,7 +50,7 @@
 		},
 		{
 			name:   "a task larger than any machine does not fit",
-			change: func(spec *wire.JobSpec) { spec.MemGb = 65 },
+			change: func(spec *wire.JobSpec) { spec.MemGB = 65 },
 			want:   false,
 		},
 	} {
--- a/internal/fakes/fixture_test.go
+++ b/internal/fakes/fixture_test.go
@@ -42,7 +42,7 @@
 		Tasks:   3,
 		Vcpus:   1,
 		Gpus:    1,
-		MemGb:   1,
+		MemGB:   1,
 		Image:   "i",
 		AnyType: true,
 	}
--- a/internal/fakes/intent_checker.go
+++ b/internal/fakes/intent_checker.go
@@ -22,9 +22,9 @@
 	// BusyMachineDeleted means that a machine was deleted while it ran tasks that its intent did
 	// not cover.
 	BusyMachineDeleted Rule = "busy_machine_deleted"
-	// TaskOnTerminatingMachine means that a term started a task on a machine that an earlier term
+	// TaskOnDeletingMachine means that a term started a task on a machine that an earlier term
 	// had recorded for deletion.
-	TaskOnTerminatingMachine Rule = "work_on_terminating_machine"
+	TaskOnDeletingMachine Rule = "work_on_terminating_machine"
 )
 
 // IntentChecker compares the operations that the cloud executes with the intent log in the state
@@ -42,7 +42,7 @@
 	store           *StateService
 	recordedIntents map[string]intentlog.Entry // latest intent ever recorded, by target
 	pages           map[string]map[string]bool // targets in each page as currently stored, by key
-	inForceSince    time.Time                  // time at which the intent log was enabled; zero before
+	enabledSince    time.Time                  // time at which the intent log was enabled; zero before
 }
 
 // featureGatesKey is the key of the record that lists the enabled features.
@@ -77,15 +77,15 @@
 	}
 	for _, write := range call.Transaction.Writes {
 		switch {
-		case write.Put == featureGatesKey:
+		case write.PutKey == featureGatesKey:
 			c.observeFeatureGates(write.Value)
-		case strings.HasPrefix(write.Put, intentlog.Prefix):
+		case strings.HasPrefix(write.PutKey, intentlog.Prefix):
 			c.PageWrites++
-			c.observePage(write.Put, write.Value)
-		case strings.HasPrefix(write.Delete, intentlog.Prefix):
-			delete(c.pages, write.Delete)
-		case strings.HasPrefix(write.Put, fleet.ProvisioningPrefix):
-			name := write.Put[strings.LastIndex(write.Put, "/")+1:]
+			c.observePage(write.PutKey, write.Value)
+		case strings.HasPrefix(write.DeleteKey, intentlog.Prefix):
+			delete(c.pages, write.DeleteKey)
+		case strings.HasPrefix(write.PutKey, fleet.ProvisioningPrefix):
+			name := write.PutKey[strings.LastIndex(write.PutKey, "/")+1:]
 			c.recordedIntents[name] = intentlog.Entry{Operation: intentlog.Provision, Target: name}
 		}
 	}
@@ -94,8 +94,8 @@
 // observeFeatureGates records when the intent log is first enabled.
 func (c *IntentChecker) observeFeatureGates(value json.RawMessage) {
 	inForce := strings.Contains(string(value), strconv.Quote(featuregate.IntentLogFeature))
-	if inForce && c.inForceSince.IsZero() {
-		c.inForceSince = c.cluster.Clock.Now()
+	if inForce && c.enabledSince.IsZero() {
+		c.enabledSince = c.cluster.Clock.Now()
 	}
 }
 
@@ -133,8 +133,8 @@
 }
 
 // enforcing reports whether every executed operation must have an intent by now.
-func (c *IntentChecker) enforcing() bool {
-	return !c.inForceSince.IsZero() && c.cluster.Clock.Now().Sub(c.inForceSince) >= c.GracePeriod
+func (c *IntentChecker) checksActive() bool {
+	return !c.enabledSince.IsZero() && c.cluster.Clock.Now().Sub(c.enabledSince) >= c.GracePeriod
 }
 
 // requestRecorded reports whether the record of a provisioning request is currently stored.
@@ -149,7 +149,7 @@
 
 // checkCreation checks a provisioning request that the cloud executes for the first time.
 func (c *IntentChecker) checkCreation(name string) {
-	if !c.enforcing() {
+	if !c.checksActive() {
 		return
 	}
 	c.Executed[intentlog.Provision]++
@@ -162,7 +162,7 @@
 
 // checkDeletion checks the deletion of a machine that the cloud is about to execute.
 func (c *IntentChecker) checkDeletion(host string) {
-	if !c.enforcing() {
+	if !c.checksActive() {
 		return
 	}
 	entry, ok := c.recordedIntents[host]
@@ -190,8 +190,8 @@
 // checkTaskStart checks that a task starts on a machine that no earlier term is terminating.
 func (c *IntentChecker) checkTaskStart(worker *Worker, task *Task) {
 	entry, ok := c.recordedIntents[worker.Host.ID]
-	if ok && c.enforcing() && tokenOfTask(task) > entry.Token {
-		c.cluster.AddViolation(TaskOnTerminatingMachine, "%s starts attempt %d; intent %s has token %d",
+	if ok && c.checksActive() && tokenOfTask(task) > entry.Token {
+		c.cluster.AddViolation(TaskOnDeletingMachine, "%s starts attempt %d; intent %s has token %d",
 			worker.Host.ID, task.Attempt, entry.Operation, entry.Token)
 	}
 }
--- a/internal/fakes/intent_checker_test.go
+++ b/internal/fakes/intent_checker_test.go
@@ -53,7 +53,7 @@
 // write stores a value under a key, or deletes the key if value is empty.
 func (f *intentFixture) write(key, value string) {
 	f.t.Helper()
-	write := wire.Write{Put: key, Value: json.RawMessage(value)}
+	write := wire.Write{PutKey: key, Value: json.RawMessage(value)}
 	if value == "" {
 		write = store.Delete(key)
 	}
@@ -142,7 +142,7 @@
 	},
 	{
 		name: "a task of a later term on a terminating machine is found",
-		rule: TaskOnTerminatingMachine,
+		rule: TaskOnDeletingMachine,
 		run: func(f *intentFixture) {
 			f.addTestJob(nil)
 			f.write(logPage, reclaimIntent)
--- a/internal/fakes/job.go
+++ b/internal/fakes/job.go
@@ -50,5 +50,5 @@
 func isTerminal(state string) bool { return state == wire.JobDone || state == wire.JobCancelled }
 
 func (j *Job) resources() quota.Resources {
-	return quota.Resources{CPUs: j.Spec.Vcpus, GPUs: j.Spec.Gpus, MemGB: j.Spec.MemGb}
+	return quota.Resources{CPUs: j.Spec.Vcpus, GPUs: j.Spec.Gpus, MemGB: j.Spec.MemGB}
 }
--- a/internal/fakes/state.go
+++ b/internal/fakes/state.go
@@ -74,7 +74,7 @@
 // Put sets a key on behalf of the test, regardless of limits and outages.
 func (s *StateService) Put(key string, value json.RawMessage) {
 	s.Revision++
-	s.apply(wire.Write{Put: key, Value: value})
+	s.apply(wire.Write{PutKey: key, Value: value})
 	s.notifyWatches()
 }
 
@@ -186,14 +186,14 @@
 
 // apply executes one write at the current revision and appends it to the history.
 func (s *StateService) apply(write wire.Write) {
-	if write.Delete != "" {
-		if _, ok := s.Keys[write.Delete]; ok {
-			delete(s.Keys, write.Delete)
-			s.history = append(s.history, wire.Event{Delete: write.Delete, Version: s.Revision})
+	if write.DeleteKey != "" {
+		if _, ok := s.Keys[write.DeleteKey]; ok {
+			delete(s.Keys, write.DeleteKey)
+			s.history = append(s.history, wire.Event{DeleteKey: write.DeleteKey, Version: s.Revision})
 		}
 	} else {
-		s.Keys[write.Put] = wire.KeyValue{Key: write.Put, Value: write.Value, Version: s.Revision, Lease: write.Lease}
-		s.history = append(s.history, wire.Event{Put: write.Put, Value: write.Value, Version: s.Revision})
+		s.Keys[write.PutKey] = wire.KeyValue{Key: write.PutKey, Value: write.Value, Version: s.Revision, Lease: write.Lease}
+		s.history = append(s.history, wire.Event{PutKey: write.PutKey, Value: write.Value, Version: s.Revision})
 	}
 	s.compactHistory()
 }
--- a/internal/fakes/state_leases.go
+++ b/internal/fakes/state_leases.go
@@ -53,7 +53,7 @@
 	sort.Strings(keys)
 	for _, key := range keys {
 		s.Revision++
-		s.apply(wire.Write{Delete: key})
+		s.apply(wire.Write{DeleteKey: key})
 	}
 	s.notifyWatches()
 }
--- a/internal/fakes/state_watches.go
+++ b/internal/fakes/state_watches.go
@@ -64,7 +64,7 @@
 	}
 	result = store.Result{Revision: s.Revision}
 	for _, event := range s.history {
-		if event.Version > since && strings.HasPrefix(event.Put+event.Delete, prefix) {
+		if event.Version > since && strings.HasPrefix(event.PutKey+event.DeleteKey, prefix) {
 			result.Events = append(result.Events, event)
 		}
 	}
--- a/internal/fakes/task.go
+++ b/internal/fakes/task.go
@@ -18,7 +18,7 @@
 	CheckpointSaved bool
 	StateEndsAt     time.Time // end of the image pull, gang wait, run or checkpoint
 
-	peerLostAt time.Time // when a missing task of the gang was first noticed; zero if none is
+	memberLostAt time.Time // when a missing task of the gang was first noticed; zero if none is
 }
 
 // OnMachine reports whether the task still occupies resources of its machine.
@@ -83,10 +83,10 @@
 	now := w.cluster.Clock.Now()
 	gang := task.Job.Spec.Shape == wire.ShapeGang
 	if gang && len(w.cluster.gangMembers(task)) < task.Job.Spec.Tasks {
-		if task.peerLostAt.IsZero() {
-			task.peerLostAt = now
+		if task.memberLostAt.IsZero() {
+			task.memberLostAt = now
 		}
-		if now.Sub(task.peerLostAt) > peerLossTimeout {
+		if now.Sub(task.memberLostAt) > memberLossTimeout {
 			w.exit(task, wire.ExitGangMemberLost, false)
 			return
 		}
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -20,8 +20,8 @@
 	minHeartbeatInterval = 500 * time.Millisecond
 	// workerTickInterval is the interval at which a worker checks its lease, tasks and heartbeat.
 	workerTickInterval = 100 * time.Millisecond
-	// peerLossTimeout is the time after which the tasks of a gang exit because a sibling is lost.
-	peerLossTimeout = 2 * time.Second
+	// memberLossTimeout is the time after which the tasks of a gang exit because a sibling is lost.
+	memberLossTimeout = 2 * time.Second
 	// DefaultImagePullTime is the initial Worker.ImagePullTime.
 	DefaultImagePullTime = 2 * time.Second
 )
--- a/internal/fakes/worker_commands.go
+++ b/internal/fakes/worker_commands.go
@@ -50,7 +50,7 @@
 	switch {
 	case w.FindTask(job, index, 0) != nil:
 		task.ExitReason = wire.ExitOtherAttemptPresent
-	case !w.Available().Fits(job.resources()):
+	case !w.Available().Covers(job.resources()):
 		task.ExitReason = wire.ExitInsufficientResources
 	default:
 		w.cluster.checkTaskStart(w, job, index)
--- a/internal/fakes/workload.go
+++ b/internal/fakes/workload.go
@@ -98,15 +98,15 @@
 // LargeMachineType returns the type of the machines that run workloads.
 func LargeMachineType() wire.MachineType {
 	return wire.MachineType{
-		Name:        "g8",
-		Vcpus:       64,
-		Gpus:        8,
-		MemGb:       384,
-		FetchGbPerS: 1,
-		Price:       5,
-		SpotPrice:   2,
-		BootTimeS:   5,
-		Zones:       []string{"a"},
+		Name:            "g8",
+		Vcpus:           64,
+		Gpus:            8,
+		MemGB:           384,
+		ImagePullGBPerS: 1,
+		Price:           5,
+		SpotPrice:       2,
+		BootTimeS:       5,
+		Zones:           []string{"a"},
 	}
 }
 
@@ -133,9 +133,9 @@
 		Tasks:               w.TasksPerArray,
 		Vcpus:               6,
 		Gpus:                1,
-		MemGb:               36,
+		MemGB:               36,
 		Image:               fmt.Sprintf("img-%d", number%12),
-		ImageGb:             2,
+		ImageGB:             2,
 		AnyType:             true,
 		EstimatedRunTimeS:   w.RunTime.Seconds(),
 		CheckpointIntervalS: 20,
@@ -147,7 +147,7 @@
 func (w Workload) Gang(number int) wire.JobSpec {
 	spec := w.Array(number)
 	spec.Class, spec.Shape, spec.Priority = "model", wire.ShapeGang, "normal"
-	spec.Tasks, spec.Vcpus, spec.Gpus, spec.MemGb = 2, 57, 8, 310
+	spec.Tasks, spec.Vcpus, spec.Gpus, spec.MemGB = 2, 57, 8, 310
 	return spec
 }
 
@@ -163,9 +163,9 @@
 		"Pieces":    spec.Tasks,
 		"Vcpus":     spec.Vcpus,
 		"Gpus":      spec.Gpus,
-		"MemGb":     spec.MemGb,
+		"MemGb":     spec.MemGB,
 		"Bundle":    spec.Image,
-		"ImageGb":   spec.ImageGb,
+		"ImageGb":   spec.ImageGB,
 		"Builds":    nil,
 		"Yard":      nil,
 		"Together":  spec.SameZone,
--- a/internal/fleet/autoscaler.go
+++ b/internal/fleet/autoscaler.go
@@ -113,7 +113,7 @@
 func (a *Autoscaler) newRegistrations(options Options) *registrations {
 	pages := store.NewPages(store.PagesOptions{
 		Prefix:        RegistrationPrefix(options.Shard),
-		ValueKB:       options.Config.State.StoredLimits().ValueKB,
+		ValueKB:       options.Config.State.RecordLimits().ValueKB,
 		WriteInterval: tuning.RegistrationInterval,
 		Priority:      store.PriorityTerm,
 		TermCompare:   options.TermCompare,
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -64,7 +64,7 @@
 // maxRequestSize returns the number of machines that one request may ask for. The request's record
 // names them all and must fit the state service's present and announced limits.
 func (d *demandPlanner) maxRequestSize() int {
-	maxBytes := int(d.stateLimits.StoredLimits().ValueKB * 1024 * tuning.PageFillShare)
+	maxBytes := int(d.stateLimits.RecordLimits().ValueKB * 1024 * tuning.PageFillShare)
 	forHosts := maxBytes - tuning.ProvisioningRecordBytes
 	return max(1, min(d.provisioner.maxMachinesPerRequest, forHosts/tuning.HostNameBytes))
 }
--- a/internal/fleet/deprovisioner.go
+++ b/internal/fleet/deprovisioner.go
@@ -51,7 +51,7 @@
 			unreconciled++
 		}
 	}
-	return unreconciled*tuning.FewUnreconciledDivisor <= len(d.registry.All())
+	return unreconciled*tuning.UnreconciledDeletionMinRatio <= len(d.registry.All())
 }
 
 func (d *deprovisioner) candidate(machine *worker.Machine) terminationCandidate {
--- a/internal/fleet/deprovisioner_test.go
+++ b/internal/fleet/deprovisioner_test.go
@@ -109,7 +109,7 @@
 }
 
 func expireLeases(f *fixture) {
-	f.advance(f.registry.LeaseExpiry() + time.Minute)
+	f.advance(f.registry.LeaseTimeout() + time.Minute)
 	f.registry.ExpireLeases(f.now, f.now.Add(-time.Second))
 }
 
--- a/internal/fleet/fixture_test.go
+++ b/internal/fleet/fixture_test.go
@@ -54,7 +54,7 @@
 		OnTermLost:        func(time.Time) {},
 		OnDeleted:         func(time.Time, *worker.Machine) {},
 		OwnedByOtherShard: func(string, time.Time) bool { return false }})
-	f.autoscaler.ApplyMachineType(wire.MachineType{Name: "g2", Vcpus: 12, Gpus: 2, MemGb: 96,
+	f.autoscaler.ApplyMachineType(wire.MachineType{Name: "g2", Vcpus: 12, Gpus: 2, MemGB: 96,
 		Price: 5, SpotPrice: 2, BootTimeS: 25, Zones: []string{"a"}}, "")
 	return f
 }
@@ -129,7 +129,7 @@
 // addGang adds job n, a gang whose tasks each need a whole machine of type g2.
 func (f *fixture) addGang(n uint64, tasks int, spot bool) {
 	spec := wire.JobSpec{ID: fmt.Sprintf("job-%d", n), Team: "red", Class: "l", Shape: wire.ShapeGang, Priority: "low",
-		Tasks: tasks, Vcpus: 10, Gpus: 2, MemGb: 77, AnyType: true, Spot: spot}
+		Tasks: tasks, Vcpus: 10, Gpus: 2, MemGB: 77, AnyType: true, Spot: spot}
 	f.scheduler.AddJob(f.now, spec, f.now, n, false)
 }
 
--- a/internal/fleet/machine_types.go
+++ b/internal/fleet/machine_types.go
@@ -51,14 +51,14 @@
 }
 
 func capacityOf(machineType wire.MachineType) quota.Resources {
-	return quota.Resources{CPUs: machineType.Vcpus, GPUs: machineType.Gpus, MemGB: machineType.MemGb}
+	return quota.Resources{CPUs: machineType.Vcpus, GPUs: machineType.Gpus, MemGB: machineType.MemGB}
 }
 
 // setCapacity sets a machine's capacity to that of its type, if the type is known.
 func (t *machineTypes) setCapacity(machine *worker.Machine) {
 	machineType, ok := t.byName[machine.Type]
 	if capacity := capacityOf(machineType); ok && machine.Capacity != capacity {
-		machine.Capacity, machine.ImagePullGBPerS = capacity, machineType.FetchGbPerS
+		machine.Capacity, machine.ImagePullGBPerS = capacity, machineType.ImagePullGBPerS
 		t.scheduler.MarkMachineChanged(machine)
 	}
 }
--- a/internal/fleet/provisioner_records.go
+++ b/internal/fleet/provisioner_records.go
@@ -121,7 +121,7 @@
 		return other == host
 	})
 	if len(request.record.Hosts) == 0 {
-		deleted := pendingRemoval{host: host, version: request.writer.DesiredVersion() + 1}
+		deleted := pendingRemoval{host: host, version: request.writer.Generation() + 1}
 		request.pendingRemovals = append(request.pendingRemovals, deleted)
 		p.close(now, request, "all machines deleted")
 		return
--- a/internal/fleet/termination.go
+++ b/internal/fleet/termination.go
@@ -87,7 +87,7 @@
 		return deprovision("quarantined")
 	case candidate.Cordoned:
 		return deprovision("consolidated")
-	case candidate.Needed || candidate.Reserved != (quota.Resources{}):
+	case candidate.InDemand || candidate.Reserved != (quota.Resources{}):
 		return noTermination()
 	case r.now.Sub(candidate.IdleSince) > r.idleTimeout:
 		return deprovision("idle")
@@ -113,7 +113,7 @@
 		return reclaim("not listed, no contact in this term")
 	case r.termAge > r.workerLease:
 		return reclaim("no contact in this term")
-	case r.fewUnreconciled && r.termAge > tuning.FewUnreconciledTimeout:
+	case r.fewUnreconciled && r.termAge > tuning.UnreconciledDeletionDelay:
 		return reclaim("one of few without contact in this term")
 	}
 	return noTermination()
--- a/internal/fleet/termination_test.go
+++ b/internal/fleet/termination_test.go
@@ -107,7 +107,7 @@
 // makeUnreachable makes a machine's heartbeats arrive without confirming any reply or command.
 func makeUnreachable(machine *worker.Machine) {
 	since := machine.IdleSince
-	machine.ReplyConfirmed, machine.Needed = false, true
+	machine.ReplyConfirmed, machine.InDemand = false, true
 	machine.UnconfirmedSince, machine.LastHeartbeat = since, since.Add(time.Second)
 }
 
@@ -141,22 +141,22 @@
 	}{
 		{
 			name:     "one of a large fleet",
-			machines: 200, unreconciled: 1, after: tuning.FewUnreconciledTimeout + time.Second,
+			machines: 200, unreconciled: 1, after: tuning.UnreconciledDeletionDelay + time.Second,
 			want: true,
 		},
 		{
 			name:     "one of a large fleet, before the timeout",
-			machines: 200, unreconciled: 1, after: tuning.FewUnreconciledTimeout / 2,
+			machines: 200, unreconciled: 1, after: tuning.UnreconciledDeletionDelay / 2,
 			want: false,
 		},
 		{
 			name:     "a tenth of a large fleet",
-			machines: 200, unreconciled: 20, after: tuning.FewUnreconciledTimeout + time.Second,
+			machines: 200, unreconciled: 20, after: tuning.UnreconciledDeletionDelay + time.Second,
 			want: false,
 		},
 		{
 			name:     "one of a small fleet",
-			machines: 30, unreconciled: 1, after: tuning.FewUnreconciledTimeout + time.Second,
+			machines: 30, unreconciled: 1, after: tuning.UnreconciledDeletionDelay + time.Second,
 			want: false,
 		},
 	} {
--- a/internal/integration/deployment_test.go
+++ b/internal/integration/deployment_test.go
@@ -183,7 +183,7 @@
 // startWorker starts the worker of a booted machine.
 func (d *deployment) startWorker(host *fakes.CloudHost) {
 	machineType := d.cloud.MachineTypes[0]
-	capacity := quota.Resources{CPUs: machineType.Vcpus, GPUs: machineType.Gpus, MemGB: machineType.MemGb}
+	capacity := quota.Resources{CPUs: machineType.Vcpus, GPUs: machineType.Gpus, MemGB: machineType.MemGB}
 	d.clients[host.ID] = &http.Client{Timeout: replyTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	d.byAddress[host.Address] = d.cluster.AddWorker(host.Machine, capacity)
 }
--- a/internal/integration/request_benchmark_test.go
+++ b/internal/integration/request_benchmark_test.go
@@ -123,7 +123,7 @@
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { connection.Close() })
-	peerConnection, err := peer.Dial(settings.PeerBind)
+	peerConnection, err := peer.NewConnection(settings.PeerBind)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/integration/stall_fixture_test.go
+++ b/internal/integration/stall_fixture_test.go
@@ -108,9 +108,9 @@
 		Tasks:             4,
 		Vcpus:             2,
 		Gpus:              1,
-		MemGb:             8,
+		MemGB:             8,
 		Image:             "img",
-		ImageGb:           1,
+		ImageGB:           1,
 		AnyType:           true,
 		EstimatedRunTimeS: shortRunTime.Seconds(),
 	}
--- a/internal/integration/stall_test.go
+++ b/internal/integration/stall_test.go
@@ -27,9 +27,9 @@
 		return ok && slices.ContainsFunc(stored.Transaction.Writes, func(write wire.Write) bool {
 			value := string(write.Value)
 			if operation == intentlog.Provision {
-				return strings.HasPrefix(write.Put, fleet.ProvisioningPrefix) && !strings.Contains(value, "Hosts")
+				return strings.HasPrefix(write.PutKey, fleet.ProvisioningPrefix) && !strings.Contains(value, "Hosts")
 			}
-			return strings.HasPrefix(write.Put, intentlog.Prefix) &&
+			return strings.HasPrefix(write.PutKey, intentlog.Prefix) &&
 				strings.Contains(value, string(intentlog.Deprovision))
 		})
 	}
--- a/internal/integration/upgrade_fixture_test.go
+++ b/internal/integration/upgrade_fixture_test.go
@@ -57,15 +57,15 @@
 // upgradeMachineType returns a small type, so that the many machine names fill several pages.
 func upgradeMachineType() wire.MachineType {
 	return wire.MachineType{
-		Name:        "g2",
-		Vcpus:       16,
-		Gpus:        2,
-		MemGb:       96,
-		FetchGbPerS: 1,
-		Price:       5,
-		SpotPrice:   2,
-		BootTimeS:   2,
-		Zones:       []string{"a"},
+		Name:            "g2",
+		Vcpus:           16,
+		Gpus:            2,
+		MemGB:           96,
+		ImagePullGBPerS: 1,
+		Price:           5,
+		SpotPrice:       2,
+		BootTimeS:       2,
+		Zones:           []string{"a"},
 	}
 }
 
@@ -196,7 +196,7 @@
 		if len(write.Value) > nextValueKB*1024 || len(writes) > nextOps {
 			u.cluster.AddViolation(fakes.Expectation,
 				"write of %s exceeds the limits: %d bytes, %d writes in the transaction",
-				write.Put, len(write.Value), len(writes))
+				write.PutKey, len(write.Value), len(writes))
 		}
 	}
 }
--- a/internal/integration/upgrade_users_test.go
+++ b/internal/integration/upgrade_users_test.go
@@ -44,9 +44,9 @@
 		Tasks:             tasks,
 		Vcpus:             1,
 		Gpus:              0,
-		MemGb:             1,
+		MemGB:             1,
 		Image:             "img-long",
-		ImageGb:           1,
+		ImageGB:           1,
 		AnyType:           true,
 		EstimatedRunTimeS: longArrayRunTime.Seconds(),
 	}
@@ -82,9 +82,9 @@
 		Tasks:             1 + u.rng.IntN(6),
 		Vcpus:             2,
 		Gpus:              1,
-		MemGb:             8,
+		MemGB:             8,
 		Image:             fmt.Sprintf("img-%d", u.rng.IntN(4)),
-		ImageGb:           1,
+		ImageGB:           1,
 		AnyType:           true,
 		EstimatedRunTimeS: 5,
 	}
@@ -107,9 +107,9 @@
 		Tasks:    serviceReplicas,
 		Vcpus:    1,
 		Gpus:     1,
-		MemGb:    4,
+		MemGB:    4,
 		Image:    "img-portal",
-		ImageGb:  1,
+		ImageGB:  1,
 		AnyType:  true,
 	}, 0)
 	allRunning := func() bool { return len(u.runningOn(service)) == serviceReplicas }
--- a/internal/intentlog/recovery_test.go
+++ b/internal/intentlog/recovery_test.go
@@ -88,7 +88,7 @@
 	t.Helper()
 	for _, call := range log.calls {
 		for i, page := range pages {
-			if call.Transaction.Writes[0].Put == page.Key && !json.Valid(page.Value) {
+			if call.Transaction.Writes[0].PutKey == page.Key && !json.Valid(page.Value) {
 				t.Errorf("unreadable page %d is overwritten", i)
 			}
 		}
--- a/internal/intentlog/removals.go
+++ b/internal/intentlog/removals.go
@@ -58,8 +58,8 @@
 func countRemovals(transaction wire.Transaction, prefixes []string) int {
 	count := 0
 	for _, write := range transaction.Writes {
-		guarded := func(prefix string) bool { return strings.HasPrefix(write.Delete, prefix) }
-		if write.Delete != "" && slices.ContainsFunc(prefixes, guarded) {
+		guarded := func(prefix string) bool { return strings.HasPrefix(write.DeleteKey, prefix) }
+		if write.DeleteKey != "" && slices.ContainsFunc(prefixes, guarded) {
 			count++
 		}
 	}
--- a/internal/leader/election_test.go
+++ b/internal/leader/election_test.go
@@ -99,7 +99,7 @@
 			sent := h.lastTransaction()
 			key := ""
 			if len(sent.Writes) > 0 {
-				key = sent.Writes[0].Put
+				key = sent.Writes[0].PutKey
 			}
 			if key != c.wantKey {
 				t.Fatalf("writes %q, want %q", key, c.wantKey)
--- a/internal/leader/membership_test.go
+++ b/internal/leader/membership_test.go
@@ -64,7 +64,7 @@
 	h.respond(t, store.OpGrantLease, store.Result{Lease: 7})
 	h.respond(t, store.OpTransaction, store.Result{Revision: 60})
 	own := keyValue("c/m/n0", MemberRecord{Member: "n0", Incarnation: 7}, 60)
-	changes := []wire.Event{{Put: own.Key, Value: own.Value, Version: own.Version}}
+	changes := []wire.Event{{PutKey: own.Key, Value: own.Value, Version: own.Version}}
 	h.respond(t, store.OpWatch, store.Result{Revision: 60, Events: changes})
 	h.now = h.now.Add(time.Millisecond)
 	h.membership.Tick(h.now)
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -39,7 +39,7 @@
 	for _, peer := range peers {
 		// Package config has validated the address, so Dial does not fail because of it.
 		// A peer for which it fails anyway is treated as unknown.
-		connection, err := Dial(peer.Address)
+		connection, err := NewConnection(peer.Address)
 		if err == nil {
 			c.connections[peer.Member] = connection
 		}
@@ -48,7 +48,7 @@
 }
 
 // Dial returns a connection to a controller's peer address. It is opened at the first call.
-func Dial(address string) (*grpc.ClientConn, error) {
+func NewConnection(address string) (*grpc.ClientConn, error) {
 	return grpc.NewClient("passthrough:///"+address,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithNoProxy(),
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -34,7 +34,7 @@
 		grpc.ReadBufferSize(connectionBufferBytes),
 		grpc.WriteBufferSize(connectionBufferBytes),
 		grpc.MaxRecvMsgSize(tuning.MaxBodyBytes),
-		grpc.MaxConcurrentStreams(tuning.PeerCallsInFlight),
+		grpc.MaxConcurrentStreams(tuning.MaxPeerCallsInFlight),
 		grpc.ConnectionTimeout(handshakeTimeout),
 	)
 	s := &service{handler: handler}
--- a/internal/placement/array.go
+++ b/internal/placement/array.go
@@ -89,7 +89,7 @@
 // and has sufficient free resources for one more task.
 func (p *arrayPlacement) fits(info *machineInfo) bool {
 	machine := info.machine
-	if !machine.AvailableToPrimary().Fits(p.job.need) {
+	if !machine.AvailableToPrimary().Covers(p.job.need) {
 		return false
 	}
 	if p.tasksByZone != nil && !p.job.zoneAllowed(machine.Zone, p.tasksByZone) {
@@ -151,7 +151,7 @@
 	machines := a.registry.All()
 	for range min(tuning.BackupSamples, 2*len(machines)) {
 		machine := machines[a.rng.IntN(len(machines))]
-		if machine == task.primary || !task.Job.eligible(machine) || !machine.Capacity.Fits(task.Job.need) {
+		if machine == task.primary || !task.Job.eligible(machine) || !machine.Capacity.Covers(task.Job.need) {
 			continue
 		}
 		if len(a.capacity.info(machine).backupQueue) < tuning.MaxBackupsPerWorker {
--- a/internal/placement/capacity_index.go
+++ b/internal/placement/capacity_index.go
@@ -40,7 +40,7 @@
 	if !s.schedulable {
 		return false
 	}
-	return !earlier.schedulable || !earlier.free.Fits(s.free) || s.images > earlier.images || s.tasks > earlier.tasks
+	return !earlier.schedulable || !earlier.free.Covers(s.free) || s.images > earlier.images || s.tasks > earlier.tasks
 }
 
 // noRoomRevisions holds, for each image requirement, the first revision of the
@@ -110,7 +110,7 @@
 	}
 	c.smallestNeed = smallestNeed
 	for _, machine := range c.registry.All() {
-		free := machine.Schedulable() && machine.AvailableToPrimary().Fits(smallestNeed)
+		free := machine.Schedulable() && machine.AvailableToPrimary().Covers(smallestNeed)
 		c.setFree(c.info(machine), free)
 	}
 }
@@ -143,7 +143,7 @@
 			info.gainRevision = c.revision
 		}
 		info.lastSnapshot = snapshot
-		c.setFree(info, snapshot.schedulable && snapshot.free.Fits(c.smallestNeed))
+		c.setFree(info, snapshot.schedulable && snapshot.free.Covers(c.smallestNeed))
 		for class, slots := range c.slotsByClass {
 			slots.set(machine, c.feasibleSlots(now, class, machine))
 		}
--- a/internal/placement/consolidation.go
+++ b/internal/placement/consolidation.go
@@ -154,10 +154,10 @@
 func (p *consolidationPlan) targetFits(target *worker.Machine, job *Job, moved quota.Resources) bool {
 	available := target.AvailableToPrimary()
 	// The cheap check comes first: most targets have no free resources at all.
-	if !available.Fits(job.need) || target.Cordoned {
+	if !available.Covers(job.need) || target.Cordoned {
 		return false
 	}
-	if !available.Sub(p.planned[target]).Sub(moved).Fits(job.need) || !job.suits(target) {
+	if !available.Sub(p.planned[target]).Sub(moved).Covers(job.need) || !job.suits(target) {
 		return false
 	}
 	_, hasImage := target.Images[job.Spec.Image]
--- a/internal/placement/demand.go
+++ b/internal/placement/demand.go
@@ -139,7 +139,7 @@
 // accepts reports whether the job's constraints allow an offer and one task of the
 // job fits its capacity.
 func (j *Job) accepts(offer *Offer) bool {
-	return j.allows(offer.kind()) && offer.Capacity.Fits(j.need)
+	return j.allows(offer.kind()) && offer.Capacity.Covers(j.need)
 }
 
 // prefers reports whether the job ranks offer before other: services rank
--- a/internal/placement/demand_arrays.go
+++ b/internal/placement/demand_arrays.go
@@ -118,7 +118,7 @@
 			break
 		}
 		backlog.packInto(b)
-		full := backlog.remainingTime(b) <= 0 && !b.free.Fits(p.smallestNeed)
+		full := backlog.remainingTime(b) <= 0 && !b.free.Covers(p.smallestNeed)
 		if !full {
 			remaining = append(remaining, b)
 		}
@@ -135,10 +135,10 @@
 	need := a.job.need
 	machineTime := a.remainingTime(b)
 	// The cheap check comes first: most bins are full.
-	if machineTime <= 0 && !b.free.Fits(need) {
+	if machineTime <= 0 && !b.free.Covers(need) {
 		return
 	}
-	if !b.capacity.Fits(need) || !b.suits(a.job) {
+	if !b.capacity.Covers(need) || !b.suits(a.job) {
 		return
 	}
 	// Free resources admit tasks at once, even if their run time exceeds the horizon.
--- a/internal/placement/demand_bins.go
+++ b/internal/placement/demand_bins.go
@@ -28,7 +28,7 @@
 // markNeeded keeps an existing machine from being terminated as idle.
 func (b *bin) markNeeded() {
 	if b.machine != nil {
-		b.machine.Needed = true
+		b.machine.InDemand = true
 	}
 }
 
@@ -46,7 +46,7 @@
 func (p *demandPlan) addMachineBins() {
 	lease := config.Seconds(p.platform.Workers.LeaseS)
 	for _, machine := range p.registry.All() {
-		machine.Needed = machine.ActiveCopies > 0
+		machine.InDemand = machine.ActiveCopies > 0
 		if !acceptsWork(p.now, machine, lease) {
 			continue
 		}
--- a/internal/placement/demand_gangs.go
+++ b/internal/placement/demand_gangs.go
@@ -22,7 +22,7 @@
 		if n == 0 {
 			continue
 		}
-		remaining = slices.DeleteFunc(remaining, func(b *bin) bool { return !b.free.Fits(smallestNeed) })
+		remaining = slices.DeleteFunc(remaining, func(b *bin) bool { return !b.free.Covers(smallestNeed) })
 		remaining = p.packJob(job, n, remaining)
 	}
 }
@@ -130,7 +130,7 @@
 	var best *bin
 	for _, b := range p.bins {
 		// The cheap check comes first: most bins have no free resources at all.
-		if !b.free.Fits(job.need) || !freeIn(b, freeByBin).Fits(job.need) {
+		if !b.free.Covers(job.need) || !freeIn(b, freeByBin).Covers(job.need) {
 			continue
 		}
 		if zone != "" && b.kind.zone != zone || !job.zoneAllowed(b.kind.zone, inZone) || !b.suits(job) {
--- a/internal/placement/demand_test.go
+++ b/internal/placement/demand_test.go
@@ -67,7 +67,7 @@
 func (h *testHarness) addLargeServices(replicas int, withGPU bool) {
 	for range 2 {
 		job := h.addJob("blue", wire.ShapeService, "critical", replicas, 0)
-		job.Spec.MemGb, job.Spec.Vcpus = 40, 5
+		job.Spec.MemGB, job.Spec.Vcpus = 40, 5
 		job.need = quota.Resources{CPUs: 5, MemGB: 40}
 		if withGPU {
 			job.Spec.Gpus, job.need.GPUs = 1, 1
--- a/internal/placement/dispatch.go
+++ b/internal/placement/dispatch.go
@@ -60,7 +60,7 @@
 			d.tasks.preemptBackup(now, task, "primary is at the head of its queue")
 		}
 	case !d.ledger.AdmitsStart(job.Spec.Team, job.need) || !job.mayStartIn(machine.Zone):
-	case free.Fits(job.need):
+	case free.Covers(job.need):
 		d.Counters.PrimariesStarted++
 		d.queues.withdrawCopies(task)
 		d.tasks.dispatch(now, task, assignment{machine: machine, attempt: d.attempts.next(job)}, "primary starts")
@@ -74,7 +74,7 @@
 	stuckAfter := config.Seconds(d.platform.Workers.HeartbeatS * tuning.BackupStartHeartbeats)
 	for _, task := range slices.Clone(info.backupQueue) {
 		job := task.Job
-		if task.backup != info.machine || !free.Fits(job.need) || !backupMayStart(now, task, stuckAfter) {
+		if task.backup != info.machine || !free.Covers(job.need) || !backupMayStart(now, task, stuckAfter) {
 			continue
 		}
 		if !d.ledger.AdmitsReservation(job.Spec.Team, job.need) || !job.mayStartIn(info.machine.Zone) {
--- a/internal/placement/fair_share.go
+++ b/internal/placement/fair_share.go
@@ -54,7 +54,7 @@
 // uses, or 1 if no machine can take one.
 func (j *Job) machineShare(registry *worker.Registry) float64 {
 	for _, machine := range registry.All() {
-		if machine.Capacity.Fits(j.need) && j.allows(kindOf(machine)) {
+		if machine.Capacity.Covers(j.need) && j.allows(kindOf(machine)) {
 			return 1 / float64(max(1, machine.Capacity.FitCount(j.need, wire.MaxTasksPerJob)))
 		}
 	}
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -181,7 +181,7 @@
 		if !ok {
 			free = task.primary.Available()
 		}
-		if !free.Fits(gang.need) {
+		if !free.Covers(gang.need) {
 			g.tasks.preemptBackups(now, task.primary, gang.need.Sub(free))
 			return false
 		}
--- a/internal/placement/gang_placement.go
+++ b/internal/placement/gang_placement.go
@@ -73,7 +73,7 @@
 			continue
 		}
 		c := &gangCandidate{gangSlot: gangSlot{machine: machine}, free: machine.AvailableToPrimary()}
-		if c.costExact = c.free.Fits(gang.need); !c.costExact {
+		if c.costExact = c.free.Covers(gang.need); !c.costExact {
 			c.cost = tuning.CostPreemption
 		}
 		if _, ok := machine.Images[gang.Spec.Image]; !ok {
@@ -104,7 +104,7 @@
 			c.victims, c.free = selected.tasks, selected.free
 			c.cost += selected.cost
 		}
-		if c.free.Fits(gang.need) {
+		if c.free.Covers(gang.need) {
 			evaluated = slices.Insert(evaluated, insertionIndex(evaluated, c.cost), c)
 		}
 	}
@@ -142,7 +142,7 @@
 	var slots []gangSlot
 	inZone := map[string]int{}
 	for _, c := range candidates {
-		for len(slots) < gang.Spec.Tasks && c.free.Fits(gang.need) && gang.zoneAllowed(c.machine.Zone, inZone) {
+		for len(slots) < gang.Spec.Tasks && c.free.Covers(gang.need) && gang.zoneAllowed(c.machine.Zone, inZone) {
 			c.free = c.free.Sub(gang.need)
 			inZone[c.machine.Zone]++
 			slots = append(slots, c.gangSlot)
@@ -161,7 +161,7 @@
 	if _, ok := machine.Images[j.Spec.Image]; ok || machine.ImagePullGBPerS <= 0 {
 		return 0
 	}
-	return j.Spec.ImageGb / machine.ImagePullGBPerS
+	return j.Spec.ImageGB / machine.ImagePullGBPerS
 }
 
 // imageFetchCost returns the penalty for a machine without the gang's image. It is
--- a/internal/placement/gang_slots.go
+++ b/internal/placement/gang_slots.go
@@ -111,7 +111,7 @@
 		return 0
 	}
 	free := machine.AvailableToPrimary()
-	if !free.Fits(class.need) {
+	if !free.Covers(class.need) {
 		for _, task := range c.info(machine).assigned {
 			if c.rules.allow(now, task, class) {
 				free = free.Add(task.Job.need)
--- a/internal/placement/harness_test.go
+++ b/internal/placement/harness_test.go
@@ -77,7 +77,7 @@
 	h.now = h.now.Add(tuning.FairShareMinInterval)
 	spec := wire.JobSpec{
 		ID: fmt.Sprintf("job-%d", h.lastJob), Team: team, Class: testClass, Shape: shape, Priority: priority,
-		Tasks: tasks, Vcpus: 5, Gpus: gpus, MemGb: 30, Image: testImage, AnyType: true, EstimatedRunTimeS: 60,
+		Tasks: tasks, Vcpus: 5, Gpus: gpus, MemGB: 30, Image: testImage, AnyType: true, EstimatedRunTimeS: 60,
 	}
 	return h.scheduler.AddJob(h.now, spec, h.now, uint64(h.lastJob), false)
 }
--- a/internal/placement/job.go
+++ b/internal/placement/job.go
@@ -42,7 +42,7 @@
 		KnownSince:     now,
 		Version:        version,
 		priority:       priority,
-		need:           quota.Resources{CPUs: spec.Vcpus, GPUs: spec.Gpus, MemGB: spec.MemGb},
+		need:           quota.Resources{CPUs: spec.Vcpus, GPUs: spec.Gpus, MemGB: spec.MemGB},
 		jobTasks:       newJobTasks(spec.Tasks),
 		queuePosition:  queuePosition{effectivePriority: priority},
 		failureHistory: failureHistory{failedOn: map[string]int{}, succeededOn: map[string]bool{}},
--- a/internal/placement/pass_state.go
+++ b/internal/placement/pass_state.go
@@ -31,5 +31,5 @@
 	if gang == nil || !gang.starving(now) || array.starving(now) || array.priority < gang.priority {
 		return false
 	}
-	return gang.allows(kindOf(machine)) && machine.Capacity.Fits(gang.need)
+	return gang.allows(kindOf(machine)) && machine.Capacity.Covers(gang.need)
 }
--- a/internal/placement/preemption.go
+++ b/internal/placement/preemption.go
@@ -59,7 +59,7 @@
 	var selected []*Task
 	cost := 0.0
 	for _, task := range candidates {
-		if free.Fits(class.need) {
+		if free.Covers(class.need) {
 			break
 		}
 		free = free.Add(task.Job.need)
--- a/internal/placement/queues.go
+++ b/internal/placement/queues.go
@@ -21,7 +21,7 @@
 	info.primaryQueue = append(info.primaryQueue, task)
 	q.capacity.markDirty(info)
 	machine.Reserved = machine.Reserved.Add(task.Job.need)
-	if !machine.AvailableToPrimary().Fits(q.capacity.smallestNeed) {
+	if !machine.AvailableToPrimary().Covers(q.capacity.smallestNeed) {
 		q.capacity.setFree(info, false)
 	}
 	q.ledger.AddReserved(task.Job.Spec.Team, task.Job.need)
--- a/internal/placement/rescheduling.go
+++ b/internal/placement/rescheduling.go
@@ -83,13 +83,13 @@
 // startsWithNextHeartbeat reports whether a machine has sufficient unallocated
 // resources for a queued primary of the job.
 func startsWithNextHeartbeat(job *Job, machine *worker.Machine) bool {
-	return machine.Schedulable() && machine.Available().Fits(job.need)
+	return machine.Schedulable() && machine.Available().Covers(job.need)
 }
 
 // startsElsewhere reports whether a machine other than the given one could start
 // a task of the job at once.
 func (r *rescheduler) startsElsewhere(job *Job, machine *worker.Machine) bool {
 	return slices.ContainsFunc(r.registry.All(), func(other *worker.Machine) bool {
-		return other != machine && job.eligible(other) && other.Available().Sub(other.Reserved).Fits(job.need)
+		return other != machine && job.eligible(other) && other.Available().Sub(other.Reserved).Covers(job.need)
 	})
 }
--- a/internal/placement/service.go
+++ b/internal/placement/service.go
@@ -59,7 +59,7 @@
 	}
 	service.pendingReason = ""
 	task := service.addTask(index)
-	if len(victims) == 0 && machine.Available().Sub(machine.Reserved).Fits(service.need) {
+	if len(victims) == 0 && machine.Available().Sub(machine.Reserved).Covers(service.need) {
 		s.Counters.PrimariesStarted++
 		s.tasks.dispatch(now, task, assignment{machine: machine, attempt: s.attempts.next(service)}, "replica starts")
 		return true
@@ -125,7 +125,7 @@
 	var best []*worker.Machine
 	lowest := 0
 	for _, machine := range s.registry.All() {
-		if !machine.AvailableToPrimary().Fits(service.need) || !service.eligible(machine) {
+		if !machine.AvailableToPrimary().Covers(service.need) || !service.eligible(machine) {
 			continue
 		}
 		if tasksByZone != nil && !service.zoneAllowed(machine.Zone, tasksByZone) {
@@ -165,7 +165,7 @@
 			continue
 		}
 		selected := s.rules.selectVictims(now, class, s.capacity.info(machine), machine.AvailableToPrimary())
-		if !selected.free.Fits(service.need) {
+		if !selected.free.Covers(service.need) {
 			continue
 		}
 		cost := selected.cost + float64(s.capacity.info(machine).replicasOf(service))*tuning.CostPreemption
--- a/internal/quota/resources.go
+++ b/internal/quota/resources.go
@@ -41,7 +41,7 @@
 }
 
 // Fits reports whether r has at least the needed amount of each resource.
-func (r Resources) Fits(need Resources) bool {
+func (r Resources) Covers(need Resources) bool {
 	return need.CPUs <= r.CPUs+roundingTolerance &&
 		need.GPUs <= r.GPUs+roundingTolerance &&
 		need.MemGB <= r.MemGB+roundingTolerance
--- a/internal/store/client_test.go
+++ b/internal/store/client_test.go
@@ -82,7 +82,7 @@
 		status:      200,
 		response:    `{"Epoch":6,"Events":[{"Remove":"c/d","Stamp":6}]}`,
 		wantRequest: "GET /changes?Under=c%2F&After=5&WaitMs=10 ",
-		check:       func(r Result) bool { return r.Events[0].Delete == "c/d" },
+		check:       func(r Result) bool { return r.Events[0].DeleteKey == "c/d" },
 	},
 	{
 		name:        "truncated body with status 200 returns ErrNoResponse",
--- a/internal/store/desired_value.go
+++ b/internal/store/desired_value.go
@@ -39,14 +39,14 @@
 //	reading version  any result -> dirty
 //	too large        Set        -> dirty
 type DesiredValue struct {
-	options          DesiredValueOptions
-	state            desiredValueState
-	keyVersion       uint64
-	desired          json.RawMessage // nil: no key
-	desiredVersion   int
-	durableVersion   int // newest durable version of the desired value
-	retryAt          time.Time
-	sizeRetryBackoff time.Duration // after the last size rejection; 0 if there was none
+	options           DesiredValueOptions
+	state             desiredValueState
+	keyVersion        uint64
+	desired           json.RawMessage // nil: no key
+	generation        int
+	durableGeneration int // newest durable version of the desired value
+	retryAt           time.Time
+	sizeRetryBackoff  time.Duration // after the last size rejection; 0 if there was none
 }
 
 type desiredValueState int
@@ -74,19 +74,19 @@
 	if value != nil {
 		v.desired = Put(v.options.Key, value, 0).Value
 	}
-	v.desiredVersion++
+	v.generation++
 	if v.state == valueClean || v.state == valueTooLarge {
 		v.state = valueDirty
 	}
-	return v.desiredVersion
+	return v.generation
 }
 
-// DesiredVersion returns the version of the last Set. Versions count the calls of Set and are
+// Generation returns the version of the last Set. Versions count the calls of Set and are
 // not those of the stored key.
-func (v *DesiredValue) DesiredVersion() int { return v.desiredVersion }
+func (v *DesiredValue) Generation() int { return v.generation }
 
 // Durable reports whether the value of the last Set is durable.
-func (v *DesiredValue) Durable() bool { return v.durableVersion == v.desiredVersion }
+func (v *DesiredValue) Durable() bool { return v.durableGeneration == v.generation }
 
 // Tick starts a pending write unless a backoff is active. The controller calls it periodically.
 func (v *DesiredValue) Tick(now time.Time) {
@@ -94,7 +94,7 @@
 		return
 	}
 	if v.desired == nil && v.keyVersion == 0 {
-		v.markDurable(now, v.desiredVersion)
+		v.markDurable(now, v.generation)
 		return
 	}
 	v.startWrite()
@@ -102,13 +102,13 @@
 
 // desiredWrite describes a write in flight. The desired value may change before it finishes.
 type desiredWrite struct {
-	version int // of the desired value that is written
-	deletes bool
+	generation int // of the desired value that is written
+	deletes    bool
 }
 
 func (v *DesiredValue) startWrite() {
-	write := desiredWrite{version: v.desiredVersion, deletes: v.desired == nil}
-	change := wire.Write{Put: v.options.Key, Value: v.desired}
+	write := desiredWrite{generation: v.generation, deletes: v.desired == nil}
+	change := wire.Write{PutKey: v.options.Key, Value: v.desired}
 	if write.deletes {
 		change = Delete(v.options.Key)
 	}
@@ -127,14 +127,14 @@
 		if write.deletes {
 			v.keyVersion = 0
 		}
-		v.markDurable(now, write.version)
+		v.markDurable(now, write.generation)
 	case result.ConflictsOn(v.options.TermCompare.Key):
 		v.retryAfter(now, tuning.WriterBackoffInitial)
 		v.options.OnTermLost(now)
 	case errors.Is(result.Err, ErrConflict):
 		v.readVersion()
 	case errors.Is(result.Err, ErrInvalid):
-		v.handleSizeRejection(now, write.version)
+		v.handleSizeRejection(now, write.generation)
 	default:
 		v.retryAfter(now, tuning.WriterBackoffInitial)
 	}
@@ -146,9 +146,9 @@
 }
 
 func (v *DesiredValue) markDurable(now time.Time, version int) {
-	v.durableVersion, v.sizeRetryBackoff = version, 0
+	v.durableGeneration, v.sizeRetryBackoff = version, 0
 	v.state = valueClean
-	if v.desiredVersion != version {
+	if v.generation != version {
 		v.state = valueDirty
 	}
 	v.options.OnDurable(now, version)
@@ -157,7 +157,7 @@
 // handleSizeRejection waits for a smaller value if one will be set. Otherwise it retries with
 // exponential backoff.
 func (v *DesiredValue) handleSizeRejection(now time.Time, version int) {
-	if v.desiredVersion != version {
+	if v.generation != version {
 		v.state = valueDirty // the desired value has changed
 		return
 	}
--- a/internal/store/fake_service_test.go
+++ b/internal/store/fake_service_test.go
@@ -74,16 +74,16 @@
 	}
 	for _, write := range transaction.Writes {
 		if len(write.Value) > s.limit {
-			s.rejected = append(s.rejected, write.Put+string(write.Value))
+			s.rejected = append(s.rejected, write.PutKey+string(write.Value))
 			return Result{Err: ErrInvalid}
 		}
 	}
 	s.revision++
 	for _, write := range transaction.Writes {
 		s.writes++
-		delete(s.keys, write.Delete)
-		if write.Put != "" {
-			s.keys[write.Put] = wire.KeyValue{Key: write.Put, Value: write.Value, Version: s.revision}
+		delete(s.keys, write.DeleteKey)
+		if write.PutKey != "" {
+			s.keys[write.PutKey] = wire.KeyValue{Key: write.PutKey, Value: write.Value, Version: s.revision}
 		}
 	}
 	return Result{Revision: s.revision}
--- a/internal/store/page.go
+++ b/internal/store/page.go
@@ -9,22 +9,22 @@
 
 // page is one stored key, whose value is a JSON object of entries.
 type page struct {
-	value      *DesiredValue
+	writer     *DesiredValue
 	entries    map[string]json.RawMessage
 	size       int  // total size of the entries in bytes
 	unreadable bool // the stored value cannot be decoded and must not be overwritten
 	waiters    []pageWaiter
 
-	changed bool      // entries were set since the last write
-	writeAt time.Time // earliest time of the next write
-	pruned  bool      // entries were removed since the last write
-	pruneAt time.Time // time of the write if entries were only removed; zero if not scheduled
+	changed        bool      // entries were set since the last write
+	writeAt        time.Time // earliest time of the next write
+	removalPending bool      // entries were removed since the last write
+	removalWriteAt time.Time // time of the write if entries were only removed; zero if not scheduled
 }
 
 // pageWaiter is a callback for the durability of one version of a page.
 type pageWaiter struct {
-	version   int // of the page's DesiredValue; 0 until the next write assigns it
-	onDurable func(now time.Time)
+	generation int // of the page's DesiredValue; 0 until the next write assigns it
+	onDurable  func(now time.Time)
 }
 
 // entryOverhead is the number of bytes that JSON syntax adds to an entry.
@@ -62,7 +62,7 @@
 	if value, ok := p.entries[key]; ok {
 		p.size -= entrySize(key, value)
 		delete(p.entries, key)
-		p.pruned = true
+		p.removalPending = true
 	}
 }
 
@@ -76,7 +76,7 @@
 	waiters := p.waiters
 	p.waiters = nil
 	for _, waiter := range waiters {
-		if waiter.version != 0 && waiter.version <= version {
+		if waiter.generation != 0 && waiter.generation <= version {
 			waiter.onDurable(now)
 		} else {
 			p.waiters = append(p.waiters, waiter)
@@ -84,31 +84,31 @@
 	}
 }
 
-// schedulePrune schedules the write of a page from which entries were only removed.
-func (p *page) schedulePrune(now time.Time) {
-	if p.pruned && p.pruneAt.IsZero() {
-		p.pruneAt = now.Add(tuning.PageRemovalInterval)
+// scheduleRemovalWrite schedules the write of a page from which entries were only removed.
+func (p *page) scheduleRemovalWrite(now time.Time) {
+	if p.removalPending && p.removalWriteAt.IsZero() {
+		p.removalWriteAt = now.Add(tuning.PageRemovalInterval)
 	}
 }
 
 // writeDue reports whether a write of the page may start.
 func (p *page) writeDue(now time.Time) bool {
-	return p.changed && !now.Before(p.writeAt) || p.pruned && !now.Before(p.pruneAt)
+	return p.changed && !now.Before(p.writeAt) || p.removalPending && !now.Before(p.removalWriteAt)
 }
 
 // write sets the current entries as the desired value of the key. A page without entries is
 // deleted.
 func (p *page) write(now time.Time, interval time.Duration) {
-	p.changed, p.pruned, p.pruneAt = false, false, time.Time{}
+	p.changed, p.removalPending, p.removalWriteAt = false, false, time.Time{}
 	p.writeAt = now.Add(interval)
 	var desired any
 	if len(p.entries) > 0 {
 		desired = p.entries
 	}
-	version := p.value.Set(desired)
+	version := p.writer.Set(desired)
 	for i := range p.waiters {
-		if p.waiters[i].version == 0 {
-			p.waiters[i].version = version
+		if p.waiters[i].generation == 0 {
+			p.waiters[i].generation = version
 		}
 	}
 }
--- a/internal/store/pages.go
+++ b/internal/store/pages.go
@@ -106,7 +106,7 @@
 		if current == nil || current.unreadable {
 			continue
 		}
-		current.schedulePrune(now)
+		current.scheduleRemovalWrite(now)
 		if current.writeDue(now) {
 			if current.size > p.maxPageBytes {
 				p.split(current)
@@ -114,7 +114,7 @@
 				current.write(now, p.options.WriteInterval)
 			}
 		}
-		current.value.Tick(now)
+		current.writer.Tick(now)
 	}
 }
 
@@ -139,7 +139,7 @@
 // addPage adds an empty page. version is that of the stored key, 0 if the key does not exist.
 func (p *Pages) addPage(number int, version uint64) *page {
 	added := &page{entries: map[string]json.RawMessage{}}
-	added.value = NewDesiredValue(DesiredValueOptions{
+	added.writer = NewDesiredValue(DesiredValueOptions{
 		Key:         p.options.Prefix + strconv.Itoa(number),
 		KeyVersion:  version,
 		Priority:    p.options.Priority,
--- a/internal/store/pages_split.go
+++ b/internal/store/pages_split.go
@@ -14,12 +14,12 @@
 func (p *Pages) lowerLimit(rejected *page) bool {
 	if p.maxPageBytes <= tuning.MinPageBytes {
 		p.options.Log.Error("state service rejected a page at the minimum size limit",
-			"key", rejected.value.Key(), "bytes", rejected.size)
+			"key", rejected.writer.Key(), "bytes", rejected.size)
 		return false
 	}
 	p.maxPageBytes = max(tuning.MinPageBytes, min(p.maxPageBytes, rejected.size)/2)
 	p.options.Log.Warn("state service rejected a page for its size; page limit lowered",
-		"key", rejected.value.Key(), "bytes", rejected.size, "limit", p.maxPageBytes)
+		"key", rejected.writer.Key(), "bytes", rejected.size, "limit", p.maxPageBytes)
 	rejected.changed = true
 	if p.OnLimitLowered != nil {
 		p.OnLimitLowered()
--- a/internal/store/rate_limiter.go
+++ b/internal/store/rate_limiter.go
@@ -30,7 +30,7 @@
 // Take consumes the tokens for a call and returns true, or returns the time to wait before the
 // next attempt.
 func (l *RateLimiter) Take(now time.Time, call Call) (wait time.Duration, ok bool) {
-	l.updateLevel(now)
+	l.updateLimitState(now)
 	l.setShare(now, l.share.adjust(now))
 	if !l.buckets.allowCall(now) {
 		return tuning.RateLimitBackoff, false
@@ -64,7 +64,7 @@
 	if !l.limits.shouldLower() {
 		return false
 	}
-	l.setLevel(now, limitsLowered)
+	l.setLimitState(now, limitsLowered)
 	return true
 }
 
@@ -84,29 +84,29 @@
 
 func (l *RateLimiter) rates() rates {
 	limits := l.limits.effective()
-	return rates{calls: limits.RPS * l.share.fraction, writes: limits.WriteRPS * l.share.fraction}
+	return rates{calls: limits.RPS * l.share.current, writes: limits.WriteRPS * l.share.current}
 }
 
 // setShare changes the fraction without refilling the buckets.
 func (l *RateLimiter) setShare(now time.Time, fraction float64) {
-	if fraction == l.share.fraction {
+	if fraction == l.share.current {
 		return
 	}
-	l.share.fraction = fraction
+	l.share.current = fraction
 	l.buckets.setRates(now, l.rates())
 }
 
-// updateLevel starts a trial of the current limits, or ends a successful one, when it is due.
-func (l *RateLimiter) updateLevel(now time.Time) {
-	if level := l.limits.levelAt(now); level != l.limits.level {
-		l.setLevel(now, level)
+// updateLimitState starts a trial of the current limits, or ends a successful one, when it is due.
+func (l *RateLimiter) updateLimitState(now time.Time) {
+	if level := l.limits.stateAt(now); level != l.limits.state {
+		l.setLimitState(now, level)
 	}
 }
 
-// setLevel changes the level and refills the buckets, except after a successful trial, during
+// setState changes the level and refills the buckets, except after a successful trial, during
 // which the buckets already had the current rates.
-func (l *RateLimiter) setLevel(now time.Time, level limitLevel) {
-	l.limits.setLevel(now, level)
+func (l *RateLimiter) setLimitState(now time.Time, level limitState) {
+	l.limits.setState(now, level)
 	if level != limitsCurrent {
 		l.buckets = newRateBuckets(l.rates())
 	}
--- a/internal/store/rate_limiter_shared_test.go
+++ b/internal/store/rate_limiter_shared_test.go
@@ -23,8 +23,8 @@
 			shared := newSharedService(c.members, c.lowered)
 			shared.run(60 * time.Second)
 			for i, limiter := range shared.limiters {
-				if limiter.limits.level != limitsLowered {
-					t.Errorf("member %d has level %v, want %v", i, limiter.limits.level, limitsLowered)
+				if limiter.limits.state != limitsLowered {
+					t.Errorf("member %d has level %v, want %v", i, limiter.limits.state, limitsLowered)
 				}
 				// the demand of all members exceeds the rate throughout the test
 				sinceLast := shared.now.Sub(shared.lastUserWriteAt[i])
@@ -58,7 +58,7 @@
 	for i := range members {
 		limiter := NewRateLimiter(decreasingLimits(1000), members)
 		if i < lowered {
-			limiter.setLevel(s.now, limitsLowered)
+			limiter.setLimitState(s.now, limitsLowered)
 		}
 		s.limiters = append(s.limiters, limiter)
 		s.lastUserWriteAt[i] = s.now
--- a/internal/store/rate_limiter_test.go
+++ b/internal/store/rate_limiter_test.go
@@ -94,7 +94,7 @@
 	},
 	{
 		name: "an expired lease keeps the current limits",
-		call: Call{Op: OpTransaction, Transaction: wire.Transaction{Writes: []wire.Write{{Put: "c/leader", Lease: 7}}}},
+		call: Call{Op: OpTransaction, Transaction: wire.Transaction{Writes: []wire.Write{{PutKey: "c/leader", Lease: 7}}}},
 		err:  ErrInvalid, interval: 0, count: 3, want: false,
 	},
 	{
@@ -160,12 +160,12 @@
 			limiter := NewRateLimiter(decreasingLimits(100), 1)
 			start := time.Unix(100, 0)
 			now := start
-			for range tuning.RateLowerRejections {
+			for range tuning.LimitRejectionThreshold {
 				now = now.Add(100 * time.Millisecond)
 				limiter.Observe(now, singleWrite(PriorityUser), ErrThrottled)
 			}
-			if limiter.limits.level != limitsLowered {
-				t.Fatalf("level %v", limiter.limits.level)
+			if limiter.limits.state != limitsLowered {
+				t.Fatalf("level %v", limiter.limits.state)
 			}
 			tokens, rejected, last := 10.0, 0, 0
 			for end := start.Add(hours * time.Hour); now.Before(end); now = now.Add(20 * time.Millisecond) {
@@ -209,11 +209,11 @@
 	},
 	{
 		name: "demand below the share: share stays at the minimum", demandPerSecond: 5, rejected: false,
-		minWritten: 49, maxWritten: 51, wantFraction: tuning.StoreRateShare,
+		minWritten: 49, maxWritten: 51, wantFraction: tuning.MinStoreRateShare,
 	},
 	{
 		name: "rejections: share stays at the minimum", demandPerSecond: 30, rejected: true,
-		minWritten: 0, maxWritten: 125, wantFraction: tuning.StoreRateShare,
+		minWritten: 0, maxWritten: 125, wantFraction: tuning.MinStoreRateShare,
 	},
 }
 
@@ -245,9 +245,9 @@
 					limiter.Observe(now, call, ErrThrottled)
 				}
 			}
-			if written < c.minWritten || written > c.maxWritten || limiter.share.fraction != c.wantFraction {
+			if written < c.minWritten || written > c.maxWritten || limiter.share.current != c.wantFraction {
 				t.Errorf("%d writes in the last 10 s, share %g, want %d to %d and %g",
-					written, limiter.share.fraction, c.minWritten, c.maxWritten, c.wantFraction)
+					written, limiter.share.current, c.minWritten, c.maxWritten, c.wantFraction)
 			}
 		})
 	}
--- a/internal/store/rate_limits.go
+++ b/internal/store/rate_limits.go
@@ -7,93 +7,93 @@
 	"juniperchute/internal/tuning"
 )
 
-// limitLevel selects the service limits that the rate limiter enforces.
-type limitLevel int
+// limitState selects the service limits that the rate limiter enforces.
+type limitState int
 
 const (
-	limitsCurrent limitLevel = iota // current limits of the settings
+	limitsCurrent limitState = iota // current limits of the settings
 	limitsLowered                   // upcoming limits, after rejections of the current ones
 	limitsTrial                     // current limits again, to test whether calls are rejected
 )
 
-func (l limitLevel) String() string {
+func (l limitState) String() string {
 	return [...]string{"current", "lowered", "trial"}[l]
 }
 
 // serviceLimits selects the limits to enforce.
 //
-//	current  tuning.RateLowerRejections rejections  -> lowered
+//	current  tuning.LimitRejectionThreshold rejections  -> lowered
 //	lowered  after loweredDuration                -> trial
-//	trial    tuning.RateTrialRejections rejections  -> lowered
-//	trial    after tuning.RateLowerWindow         -> current
+//	trial    tuning.TrialRejectionThreshold rejections  -> lowered
+//	trial    after tuning.LimitRejectionWindow         -> current
 type serviceLimits struct {
 	current         config.StateLimits
 	upcoming        config.StateLimits
-	level           limitLevel
-	levelEndsAt     time.Time     // end of the lowered level or the trial
+	state           limitState
+	stateEndsAt     time.Time     // end of the lowered level or the trial
 	loweredDuration time.Duration // of the next lowered level; doubles each time
 	rejections      int           // since rejectionsSince
 	rejectionsSince time.Time
 }
 
 func newServiceLimits(limits config.StateLimits) serviceLimits {
-	return serviceLimits{current: limits, upcoming: limits.Upcoming(), loweredDuration: tuning.RateRaiseInitial}
+	return serviceLimits{current: limits, upcoming: limits.Upcoming(), loweredDuration: tuning.LoweredLimitsInitialDuration}
 }
 
 // effective returns the limits that the current level selects.
 func (s *serviceLimits) effective() config.StateLimits {
-	if s.level == limitsLowered {
+	if s.state == limitsLowered {
 		return s.upcoming
 	}
 	return s.current
 }
 
 // countSizeRejection records a size rejection. One is enough to lower the limits.
-func (s *serviceLimits) countSizeRejection() { s.rejections = tuning.RateLowerRejections }
+func (s *serviceLimits) countSizeRejection() { s.rejections = tuning.LimitRejectionThreshold }
 
 func (s *serviceLimits) countRateRejection(now time.Time) {
-	if now.Sub(s.rejectionsSince) > tuning.RateLowerWindow {
+	if now.Sub(s.rejectionsSince) > tuning.LimitRejectionWindow {
 		s.rejections, s.rejectionsSince = 0, now
 	}
 	s.rejections++
-	if s.level == limitsLowered {
+	if s.state == limitsLowered {
 		// other members still use the current limits: extend the lowered level
-		s.levelEndsAt = latest(s.levelEndsAt, now.Add(tuning.RateRaiseInitial))
+		s.stateEndsAt = latest(s.stateEndsAt, now.Add(tuning.LoweredLimitsInitialDuration))
 	}
 }
 
 // shouldLower reports whether the rejections indicate that the service enforces the upcoming
 // limits.
 func (s *serviceLimits) shouldLower() bool {
-	switch s.level {
+	switch s.state {
 	case limitsLowered:
 		return false
 	case limitsTrial:
-		return s.rejections >= tuning.RateTrialRejections
+		return s.rejections >= tuning.TrialRejectionThreshold
 	}
-	return s.rejections >= tuning.RateLowerRejections
+	return s.rejections >= tuning.LimitRejectionThreshold
 }
 
-// levelAt returns the level at a time if no further call is rejected.
-func (s *serviceLimits) levelAt(now time.Time) limitLevel {
+// stateAt returns the level at a time if no further call is rejected.
+func (s *serviceLimits) stateAt(now time.Time) limitState {
 	switch {
-	case now.Before(s.levelEndsAt):
-		return s.level
-	case s.level == limitsLowered:
+	case now.Before(s.stateEndsAt):
+		return s.state
+	case s.state == limitsLowered:
 		return limitsTrial
 	}
 	return limitsCurrent
 }
 
-func (s *serviceLimits) setLevel(now time.Time, level limitLevel) {
-	s.level = level
+func (s *serviceLimits) setState(now time.Time, level limitState) {
+	s.state = level
 	s.rejections = 0
 	switch level {
 	case limitsLowered:
-		s.levelEndsAt = now.Add(s.loweredDuration)
-		s.loweredDuration = min(2*s.loweredDuration, tuning.RateRaiseMax)
+		s.stateEndsAt = now.Add(s.loweredDuration)
+		s.loweredDuration = min(2*s.loweredDuration, tuning.LoweredLimitsMaxDuration)
 	case limitsTrial:
-		s.levelEndsAt = now.Add(tuning.RateLowerWindow)
+		s.stateEndsAt = now.Add(tuning.LimitRejectionWindow)
 	}
 }
 
--- a/internal/store/rate_share.go
+++ b/internal/store/rate_share.go
@@ -11,14 +11,14 @@
 // other members use less than their fractions. A rejection resets it to the minimum.
 type rateShare struct {
 	members        int
-	fraction       float64
+	current        float64
 	writesDelayed  bool // since the last adjustment
 	nextAdjustment time.Time
 }
 
 func newRateShare(members int) rateShare {
 	share := rateShare{members: max(1, members)}
-	share.fraction = share.minimum()
+	share.current = share.minimum()
 	return share
 }
 
@@ -27,18 +27,18 @@
 	if s.members == 1 {
 		return 1
 	}
-	return tuning.StoreRateShare
+	return tuning.MinStoreRateShare
 }
 
 // adjust returns the fraction to use from now on.
 func (s *rateShare) adjust(now time.Time) float64 {
 	if now.Before(s.nextAdjustment) {
-		return s.fraction
+		return s.current
 	}
 	s.nextAdjustment = now.Add(tuning.RateShareInterval)
 	if !s.writesDelayed {
-		return s.fraction
+		return s.current
 	}
 	s.writesDelayed = false
-	return min(1, s.fraction+tuning.RateShareStep)
+	return min(1, s.current+tuning.RateShareStep)
 }
--- a/internal/store/transaction.go
+++ b/internal/store/transaction.go
@@ -14,11 +14,11 @@
 	if err != nil {
 		panic(fmt.Sprintf("store: marshal value of key %s: %v", key, err))
 	}
-	return wire.Write{Put: key, Value: raw, Lease: lease}
+	return wire.Write{PutKey: key, Value: raw, Lease: lease}
 }
 
 // Delete returns a write that deletes key. It has no effect if the key does not exist.
-func Delete(key string) wire.Write { return wire.Write{Delete: key} }
+func Delete(key string) wire.Write { return wire.Write{DeleteKey: key} }
 
 // VersionEquals returns a compare that succeeds while key has the given version. Version 0
 // requires that the key does not exist.
--- a/internal/store/watch_cache.go
+++ b/internal/store/watch_cache.go
@@ -29,10 +29,10 @@
 //	listing, watching  failed     -> idle until the retry
 //
 // Exactly one list or watch is in flight unless the cache is idle. A catch-up, which
-// WaitCurrent starts, runs concurrently with them.
+// CatchUp starts, runs concurrently with them.
 type WatchCache struct {
 	// MinWatchInterval is the minimum time from a watch that returned changes to the next
-	// one. It bounds the number of calls for a prefix with frequent changes. WaitCurrent does
+	// one. It bounds the number of calls for a prefix with frequent changes. CatchUp does
 	// not wait for it.
 	MinWatchInterval time.Duration
 
@@ -120,11 +120,11 @@
 
 func (c *WatchCache) startList() {
 	c.list = listProgress{generation: c.list.generation + 1, listed: map[string]bool{}}
-	c.requestPage("")
+	c.requestListPage("")
 }
 
-// requestPage requests the page of keys that follow after.
-func (c *WatchCache) requestPage(after string) {
+// requestListPage requests the page of keys that follow after.
+func (c *WatchCache) requestListPage(after string) {
 	c.state = cacheListing
 	call := Call{
 		Op:       OpList,
@@ -133,10 +133,10 @@
 		After:    after,
 		PageSize: tuning.ListPageSize,
 	}
-	c.options.StateCall(call, func(now time.Time, page Result) { c.applyPage(now, after, page) })
+	c.options.StateCall(call, func(now time.Time, page Result) { c.applyListPage(now, after, page) })
 }
 
-func (c *WatchCache) applyPage(now time.Time, after string, page Result) {
+func (c *WatchCache) applyListPage(now time.Time, after string, page Result) {
 	if !page.OK() {
 		c.backOff(now, tuning.WatchCacheBackoff)
 		return
@@ -152,7 +152,7 @@
 		last = item.Key
 	}
 	if page.More && last != after {
-		c.requestPage(last)
+		c.requestListPage(last)
 		return
 	}
 	c.finishList(now)
@@ -221,12 +221,12 @@
 }
 
 func (c *WatchCache) applyEvent(now time.Time, event wire.Event) {
-	if event.Put != "" {
-		c.put(now, wire.KeyValue{Key: event.Put, Value: event.Value, Version: event.Version})
+	if event.PutKey != "" {
+		c.put(now, wire.KeyValue{Key: event.PutKey, Value: event.Value, Version: event.Version})
 		return
 	}
-	if item, ok := c.items[event.Delete]; ok && item.Version < event.Version {
-		c.remove(now, event.Delete)
+	if item, ok := c.items[event.DeleteKey]; ok && item.Version < event.Version {
+		c.remove(now, event.DeleteKey)
 	}
 }
 
--- a/internal/store/watch_cache_catch_up.go
+++ b/internal/store/watch_cache_catch_up.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// catchUp is the state of the non-blocking watches that WaitCurrent sends. At most one is in
+// catchUp is the state of the non-blocking watches that CatchUp sends. At most one is in
 // flight.
 type catchUp struct {
 	inFlight    bool
@@ -14,11 +14,11 @@
 // catchUpWaiter is called at the end of a catch-up. ok reports whether the cache is current.
 type catchUpWaiter func(now time.Time, ok bool)
 
-// WaitCurrent applies all changes that are committed at the time of the call, and then calls
+// CatchUp applies all changes that are committed at the time of the call, and then calls
 // done. ok is false if that failed or the cache is not synced. Calls that arrive while a
 // catch-up is in flight share the next one, because the response to the one in flight may lack
 // changes that were committed before these calls. Catch-ups start at least minInterval apart.
-func (c *WatchCache) WaitCurrent(now time.Time, minInterval time.Duration, done func(now time.Time, ok bool)) {
+func (c *WatchCache) CatchUp(now time.Time, minInterval time.Duration, done func(now time.Time, ok bool)) {
 	c.catchUp.nextWaiters = append(c.catchUp.nextWaiters, done)
 	c.startCatchUp(now, minInterval)
 }
--- a/internal/store/watch_cache_test.go
+++ b/internal/store/watch_cache_test.go
@@ -31,9 +31,9 @@
 	}
 	// events that the list includes or that are older than the list
 	service.reply(t, Result{Revision: 13, Events: []wire.Event{
-		{Delete: "q/b", Version: 11},
-		{Put: "q/b", Value: json.RawMessage("2"), Version: 12},
-		{Delete: "q/a", Version: 13},
+		{DeleteKey: "q/b", Version: 11},
+		{PutKey: "q/b", Value: json.RawMessage("2"), Version: 12},
+		{DeleteKey: "q/a", Version: 13},
 	}})
 	// compaction: the keys are listed again
 	service.reply(t, Result{Err: ErrCompacted})
--- a/internal/submission/feasibility.go
+++ b/internal/submission/feasibility.go
@@ -80,14 +80,14 @@
 // feasibleZones returns the allowed zones that offer an allowed machine type into which one task of the
 // job fits.
 func feasibleZones(spec *wire.JobSpec, machineTypes map[string]wire.MachineType) map[string]bool {
-	required := quota.Resources{CPUs: spec.Vcpus, GPUs: spec.Gpus, MemGB: spec.MemGb}
+	required := quota.Resources{CPUs: spec.Vcpus, GPUs: spec.Gpus, MemGB: spec.MemGB}
 	zones := map[string]bool{}
 	for _, machineType := range machineTypes {
 		if !spec.AnyType && !slices.Contains(spec.Types, machineType.Name) {
 			continue
 		}
-		capacity := quota.Resources{CPUs: machineType.Vcpus, GPUs: machineType.Gpus, MemGB: machineType.MemGb}
-		if !capacity.Fits(required) {
+		capacity := quota.Resources{CPUs: machineType.Vcpus, GPUs: machineType.Gpus, MemGB: machineType.MemGB}
+		if !capacity.Covers(required) {
 			continue
 		}
 		for _, zone := range machineType.Zones {
--- a/internal/submission/fixture_test.go
+++ b/internal/submission/fixture_test.go
@@ -14,8 +14,8 @@
 var (
 	startTime        = time.Unix(1000, 0)
 	testMachineTypes = map[string]wire.MachineType{
-		"g8": {Name: "g8", Vcpus: 96, Gpus: 8, MemGb: 768, Zones: []string{"a", "b"}},
-		"c1": {Name: "c1", Vcpus: 4, MemGb: 8, Zones: []string{"a"}},
+		"g8": {Name: "g8", Vcpus: 96, Gpus: 8, MemGB: 768, Zones: []string{"a", "b"}},
+		"c1": {Name: "c1", Vcpus: 4, MemGB: 8, Zones: []string{"a"}},
 	}
 )
 
@@ -62,7 +62,7 @@
 		MachineTypes: func() map[string]wire.MachineType { return machineTypes },
 		OpenJobs:     f.openJobs,
 		QueryProgress: func(now time.Time, _ int, _ string, callback func(time.Time, Progress)) {
-			callback(now, Progress{Known: true, Done: 3, Running: 2})
+			callback(now, Progress{Known: true, CompletedTasks: 3, Running: 2})
 		},
 		RecordCancellation: func(_ time.Time, id string) { f.cancelled = append(f.cancelled, id) },
 	})
@@ -114,7 +114,7 @@
 func newSpec(change func(spec *wire.JobSpec)) wire.JobSpec {
 	spec := wire.JobSpec{
 		ID: "job-1", Team: "red", Class: "l", Shape: wire.ShapeGang, Priority: "low",
-		Tasks: 2, Vcpus: 8, Gpus: 1, MemGb: 10, AnyType: true,
+		Tasks: 2, Vcpus: 8, Gpus: 1, MemGB: 10, AnyType: true,
 	}
 	if change != nil {
 		change(&spec)
--- a/internal/submission/lookup.go
+++ b/internal/submission/lookup.go
@@ -14,9 +14,9 @@
 
 // jobStatus is the status of a job according to its records in the state service.
 type jobStatus struct {
-	state   string // wire.JobPending while the job is open
-	done    int    // number of completed tasks, if the job has ended
-	version uint64 // of the open job's record, if the job is open
+	state          string // wire.JobPending while the job is open
+	completedTasks int    // number of completed tasks, if the job has ended
+	version        uint64 // of the open job's record, if the job is open
 }
 
 // lookUp reads a job's open job record and, if there is none, its end record. One transaction replaces
@@ -64,7 +64,7 @@
 			callback(jobStatus{}, fmt.Errorf("parse end record of job %s: %w", id, err))
 			return
 		}
-		s.observeEnd(now, wire.JobState{ID: id, State: record.State, Done: record.Done})
-		callback(jobStatus{state: record.State, done: record.Done}, nil)
+		s.observeEnd(now, wire.JobState{ID: id, State: record.State, CompletedTasks: record.Done})
+		callback(jobStatus{state: record.State, completedTasks: record.Done}, nil)
 	})
 }
--- a/internal/submission/query.go
+++ b/internal/submission/query.go
@@ -30,7 +30,7 @@
 		reply(response)
 	}
 	// One refresh of the open jobs serves all queries that arrived before it was sent.
-	s.options.OpenJobs.WaitCurrent(now, s.refreshInterval, func(now time.Time, ok bool) {
+	s.options.OpenJobs.CatchUp(now, s.catchUpInterval, func(now time.Time, ok bool) {
 		if !ok {
 			finish(UnavailableResponse(reasonStoreUnavailable))
 			return
@@ -59,7 +59,7 @@
 			s.queryEnded(id, reply)
 			return
 		}
-		state := wire.JobState{ID: id, State: wire.JobPending, Done: progress.Done, Running: progress.Running}
+		state := wire.JobState{ID: id, State: wire.JobPending, CompletedTasks: progress.CompletedTasks, Running: progress.Running}
 		if progress.Running > 0 {
 			state.State = wire.JobRunning
 		}
@@ -76,7 +76,7 @@
 		case err != nil:
 			reply(UnavailableResponse(reasonStoreUnavailable))
 		default:
-			state := wire.JobState{ID: id, State: found.state, Done: found.done}
+			state := wire.JobState{ID: id, State: found.state, CompletedTasks: found.completedTasks}
 			reply(Response{Status: http.StatusOK, Body: state})
 		}
 	})
--- a/internal/submission/query_test.go
+++ b/internal/submission/query_test.go
@@ -12,13 +12,13 @@
 
 // openJobEvent returns the watch event of job-1's submission.
 func openJobEvent() wire.Event {
-	return wire.Event{Put: OpenJobKey("job-1"), Value: storedJob(wire.JobPending).KeyValue.Value, Version: 12}
+	return wire.Event{PutKey: OpenJobKey("job-1"), Value: storedJob(wire.JobPending).KeyValue.Value, Version: 12}
 }
 
 // A job that ends during the progress query must not be reported as open: another controller may already
 // have reported its final state to a user.
 func TestJobEndsDuringQuery(t *testing.T) {
-	jobDeleted := []wire.Event{{Delete: OpenJobKey("job-1"), Version: 13}}
+	jobDeleted := []wire.Event{{DeleteKey: OpenJobKey("job-1"), Version: 13}}
 	for _, test := range []struct {
 		name      string
 		events    []wire.Event // during the progress query
@@ -51,7 +51,7 @@
 			var got *Response
 			f.query(func(response Response) { got = &response })
 			f.complete(store.Result{Revision: 12, Events: []wire.Event{openJobEvent()}})
-			f.openJobs.WaitCurrent(startTime, 0, func(time.Time, bool) {})
+			f.openJobs.CatchUp(startTime, 0, func(time.Time, bool) {})
 			f.complete(store.Result{Revision: 13, Events: test.events})
 			reportProgress(startTime, Progress{Known: true, Running: 1})
 			f.completeAll(test.results)
@@ -92,7 +92,7 @@
 		t.Fatalf("in flight %+v, want no call", f.calls)
 	}
 	// With a refresh interval, the next query waits for the interval to pass.
-	f.service.refreshInterval = time.Second
+	f.service.catchUpInterval = time.Second
 	query()
 	f.complete(store.Result{Revision: 12})
 	query()
--- a/internal/submission/service.go
+++ b/internal/submission/service.go
@@ -18,13 +18,13 @@
 
 // Progress holds the task counts of an open job, as reported by its shard's lease holder.
 type Progress struct {
-	Known         bool // false if the lease holder has not replied or does not know the job
-	Done, Running int  // numbers of tasks
+	Known                   bool // false if the lease holder has not replied or does not know the job
+	CompletedTasks, Running int  // numbers of tasks
 }
 
-// ProgressQuery asks the lease holder of a shard for a job's progress. The callback may run before the
+// QueryProgressFunc asks the lease holder of a shard for a job's progress. The callback may run before the
 // call returns.
-type ProgressQuery func(now time.Time, shard int, id string, callback func(now time.Time, progress Progress))
+type QueryProgressFunc func(now time.Time, shard int, id string, callback func(now time.Time, progress Progress))
 
 // Options holds the configuration and dependencies of a Service. All fields are required.
 type Options struct {
@@ -38,7 +38,7 @@
 	MachineTypes func() map[string]wire.MachineType
 	// OpenJobs caches the keys with the prefix OpenJobPrefix.
 	OpenJobs      *store.WatchCache
-	QueryProgress ProgressQuery
+	QueryProgress QueryProgressFunc
 	// RecordCancellation is called before this controller first reports to a user that a job is
 	// cancelled. A lease holder that cannot reach the state service learns of the cancellation only
 	// from the controller that has reported it.
@@ -48,7 +48,7 @@
 // Service serves users' requests on one controller. It is not safe for concurrent use.
 type Service struct {
 	options         Options
-	refreshInterval time.Duration // minimum time between two refreshes of the open jobs
+	catchUpInterval time.Duration // minimum time between two refreshes of the open jobs
 
 	writesInFlight  int // submissions and cancellations
 	queriesInFlight int
@@ -59,15 +59,15 @@
 func New(options Options) *Service {
 	return &Service{
 		options:         options,
-		refreshInterval: refreshInterval(options.Platform),
+		catchUpInterval: catchUpInterval(options.Platform),
 		endedJobs:       newEndedJobCache(),
 	}
 }
 
-// refreshInterval returns the minimum time between two refreshes of the open jobs. It divides the share of
+// catchUpInterval returns the minimum time between two refreshes of the open jobs. It divides the share of
 // the state service's request rate that is allotted to queries evenly among the controllers. It returns
 // 0 if the rate is unlimited.
-func refreshInterval(platform config.Platform) time.Duration {
+func catchUpInterval(platform config.Platform) time.Duration {
 	if platform.State.RPS <= 0 {
 		return 0
 	}
--- a/internal/submission/submit.go
+++ b/internal/submission/submit.go
@@ -93,7 +93,7 @@
 	if limits.ValueKB <= 0 {
 		return true
 	}
-	return len(raw) <= int(limits.StoredLimits().ValueKB*1024*tuning.PageFillShare)
+	return len(raw) <= int(limits.RecordLimits().ValueKB*1024*tuning.PageFillShare)
 }
 
 // create writes the record of a new job unless the job already has a record, open or ended.
--- a/internal/submission/submit_cases_test.go
+++ b/internal/submission/submit_cases_test.go
@@ -90,7 +90,7 @@
 	},
 	{
 		name:       "task too large for every machine type",
-		change:     func(spec *wire.JobSpec) { spec.MemGb = 800 },
+		change:     func(spec *wire.JobSpec) { spec.MemGB = 800 },
 		results:    []store.Result{notFound, notFound},
 		wantStatus: http.StatusUnprocessableEntity,
 	},
--- a/internal/term/cancellations.go
+++ b/internal/term/cancellations.go
@@ -48,8 +48,8 @@
 // renews worker leases. Tasks of a cancellation that it does not know must still stop within cancel_s.
 func (t *Term) maxRenewalPastWatermark() time.Duration {
 	cancelWithin := config.Seconds(t.options.Platform.Workers.CancelS)
-	bound := cancelWithin - t.workers.LeaseExpiry() - tuning.CancellationRenewMargin
-	return max(tuning.MinRenewBeyondWatermark, bound)
+	bound := cancelWithin - t.workers.LeaseTimeout() - tuning.CancellationRenewMargin
+	return max(tuning.MinRenewalPastWatermark, bound)
 }
 
 // CancellationWatermark returns the time up to which this lease holder is guaranteed to know every
--- a/internal/term/completion_bitmaps_test.go
+++ b/internal/term/completion_bitmaps_test.go
@@ -47,16 +47,16 @@
 func (s *bitmapStore) call(c store.Call, done func(time.Time, store.Result)) {
 	for _, w := range c.Transaction.Writes {
 		if len(w.Value) > s.limit {
-			s.rejected[w.Put+string(w.Value)]++
+			s.rejected[w.PutKey+string(w.Value)]++
 			done(s.now, store.Result{Err: store.ErrInvalid})
 			return
 		}
 	}
 	s.revision++
 	for _, w := range c.Transaction.Writes {
-		delete(s.keys, w.Delete)
-		if w.Put != "" {
-			s.keys[w.Put] = wire.KeyValue{Key: w.Put, Value: w.Value, Version: s.revision}
+		delete(s.keys, w.DeleteKey)
+		if w.PutKey != "" {
+			s.keys[w.PutKey] = wire.KeyValue{Key: w.PutKey, Value: w.Value, Version: s.revision}
 		}
 	}
 	done(s.now, store.Result{Revision: s.revision})
--- a/internal/term/fencing.go
+++ b/internal/term/fencing.go
@@ -23,7 +23,7 @@
 // is guaranteed to have expired. The time allows for renewals by the previous lease holder if that may
 // still run.
 func (t *Term) unreconciledLeaseExpiry() time.Time {
-	end := t.startedAt.Add(t.workers.LeaseExpiry())
+	end := t.startedAt.Add(t.workers.LeaseTimeout())
 	if !t.PredecessorEnded {
 		end = end.Add(t.maxRenewalPastWatermark())
 	}
--- a/internal/term/heartbeats.go
+++ b/internal/term/heartbeats.go
@@ -68,7 +68,7 @@
 	if !t.applyHeartbeat(now, machine, heartbeat, worker.FromHeartbeat) {
 		return nil, errStaleHeartbeat
 	}
-	leaseEnd := now.Add(t.workers.LeaseExpiry() + tuning.CancellationRenewMargin)
+	leaseEnd := now.Add(t.workers.LeaseTimeout() + tuning.CancellationRenewMargin)
 	if t.scheduler.MayStartAfterClose(machine, leaseEnd) {
 		// A start command of a cancelled job may still be in flight, and a stop command may
 		// overtake it. Only the end of the worker's incarnation invalidates the start command.
--- a/internal/term/recovery.go
+++ b/internal/term/recovery.go
@@ -42,7 +42,7 @@
 // waitUntilCurrent retries until a watch cache contains every write made before this term.
 func (t *Term) waitUntilCurrent(now time.Time, cache *store.WatchCache) {
 	retry := func(now time.Time) { t.waitUntilCurrent(now, cache) }
-	cache.WaitCurrent(now, 0, func(now time.Time, ok bool) {
+	cache.CatchUp(now, 0, func(now time.Time, ok bool) {
 		switch {
 		case !t.Live():
 		case ok:
--- a/internal/term/status.go
+++ b/internal/term/status.go
@@ -13,7 +13,7 @@
 	if job == nil {
 		return submission.Progress{}
 	}
-	return submission.Progress{Known: true, Done: job.CompletedTasks(), Running: job.RunningTasks()}
+	return submission.Progress{Known: true, CompletedTasks: job.CompletedTasks(), Running: job.RunningTasks()}
 }
 
 // Operations returns the status of the incomplete cloud operations by kind. known is false while the term
--- a/internal/term/term.go
+++ b/internal/term/term.go
@@ -109,7 +109,7 @@
 		Shard:       t.Shard,
 		Token:       t.Token,
 		TermCompare: t.compare(),
-		ValueKB:     t.options.Platform.State.StoredLimits().ValueKB,
+		ValueKB:     t.options.Platform.State.RecordLimits().ValueKB,
 		StateCall:   t.callState,
 		WallClock:   t.options.WallClock,
 		Log:         t.log,
@@ -142,7 +142,7 @@
 func (t *Term) newPages(prefix string, interval time.Duration, priority store.Priority) *store.Pages {
 	return store.NewPages(store.PagesOptions{
 		Prefix:        prefix,
-		ValueKB:       t.options.Platform.State.StoredLimits().ValueKB,
+		ValueKB:       t.options.Platform.State.RecordLimits().ValueKB,
 		WriteInterval: interval,
 		Priority:      priority,
 		TermCompare:   t.compare(),
--- a/internal/tuning/fleet.go
+++ b/internal/tuning/fleet.go
@@ -17,8 +17,8 @@
 	CloudBackoffInitial = 1 * time.Second
 	// CloudBackoffMax bounds the backoff, so that the end of an outage is detected soon.
 	CloudBackoffMax = 3 * time.Second
-	// CloudCallsInFlight bounds concurrent calls.
-	CloudCallsInFlight = 4
+	// MaxCloudCallsInFlight bounds concurrent calls.
+	MaxCloudCallsInFlight = 4
 	// MachineTypesInterval is the polling interval of machine types and their prices.
 	MachineTypesInterval = 30 * time.Second
 )
@@ -79,13 +79,13 @@
 	// PreemptionGrace is added to the time in a preemption notice before the machine counts as
 	// deleted.
 	PreemptionGrace = 2 * time.Second
-	// FewUnreconciledTimeout is the time from a failover to the deletion of unreconciled machines,
-	// if they are at most one in FewUnreconciledDivisor. Running jobs are blocked until every
+	// UnreconciledDeletionDelay is the time from a failover to the deletion of unreconciled machines,
+	// if they are at most one in UnreconciledDeletionMinRatio. Running jobs are blocked until every
 	// machine has been reconciled or deleted.
-	FewUnreconciledTimeout = 4 * time.Second
-	// FewUnreconciledDivisor is the minimum ratio of all machines to unreconciled ones for which
-	// FewUnreconciledTimeout applies.
-	FewUnreconciledDivisor = 100
+	UnreconciledDeletionDelay = 4 * time.Second
+	// UnreconciledDeletionMinRatio is the minimum ratio of all machines to unreconciled ones for which
+	// UnreconciledDeletionDelay applies.
+	UnreconciledDeletionMinRatio = 100
 )
 
 // Intent log, used by packages intentlog and fleet.
--- a/internal/tuning/peers.go
+++ b/internal/tuning/peers.go
@@ -12,8 +12,8 @@
 	ProgressTimeout = 400 * time.Millisecond
 	// MaxProgressJobs bounds the progress queries that are batched into one call to a lease holder.
 	MaxProgressJobs = 500
-	// PeerCallsInFlight bounds concurrent calls of peers.
-	PeerCallsInFlight = 32
+	// MaxPeerCallsInFlight bounds concurrent calls of peers.
+	MaxPeerCallsInFlight = 32
 	// DialTimeout bounds the dial of a connection to a peer, the state service or the cloud. A slower
 	// dial indicates a network partition.
 	DialTimeout = 1 * time.Second
--- a/internal/tuning/store.go
+++ b/internal/tuning/store.go
@@ -25,9 +25,9 @@
 
 // Rate limiter of the state service, used by package store.
 const (
-	// StoreRateShare is the minimum share of the service's rate limits that one of several members
+	// MinStoreRateShare is the minimum share of the service's rate limits that one of several members
 	// uses. The sum over all members may exceed 1, as they rarely peak together.
-	StoreRateShare = 0.6
+	MinStoreRateShare = 0.6
 	// RateShareStep is added to the share after each RateShareInterval in which writes waited for
 	// tokens of the rate limiter and none was rejected.
 	RateShareStep = 0.05
@@ -37,19 +37,19 @@
 	RateShareCooldown = 5 * time.Second
 	// RateLimitBackoff is the backoff of a queued call for which the rate limiter lacks tokens.
 	RateLimitBackoff = 50 * time.Millisecond
-	// RateLowerRejections is the number of rate rejections within RateLowerWindow that show that
+	// LimitRejectionThreshold is the number of rate rejections within LimitRejectionWindow that show that
 	// the service enforces its upcoming limits. A rejection for a value's size counts as that many.
 	// Members share the rate without coordination, so a few rejections are normal.
-	RateLowerRejections = 12
-	// RateLowerWindow is the window in which rate rejections are counted.
-	RateLowerWindow = 10 * time.Second
-	// RateRaiseInitial is the time for which lowered limits apply before the current limits of the
+	LimitRejectionThreshold = 12
+	// LimitRejectionWindow is the window in which rate rejections are counted.
+	LimitRejectionWindow = 10 * time.Second
+	// LoweredLimitsInitialDuration is the time for which lowered limits apply before the current limits of the
 	// settings are tried again. It doubles each time.
-	RateRaiseInitial = 2 * time.Minute
-	// RateRaiseMax bounds the doubling of RateRaiseInitial.
-	RateRaiseMax = 30 * time.Minute
-	// RateTrialRejections is the number of rejections that ends a trial of the current limits.
-	RateTrialRejections = 4
+	LoweredLimitsInitialDuration = 2 * time.Minute
+	// LoweredLimitsMaxDuration bounds the doubling of LoweredLimitsInitialDuration.
+	LoweredLimitsMaxDuration = 30 * time.Minute
+	// TrialRejectionThreshold is the number of rejections that ends a trial of the current limits.
+	TrialRejectionThreshold = 4
 )
 
 // WriteReserveShares lists, for each store.Priority, the share of the write bucket that calls of
@@ -78,11 +78,11 @@
 
 // Connections to the state service, used by package controller.
 const (
-	// StoreReadsInFlight bounds concurrent reads.
-	StoreReadsInFlight = 8
-	// StoreWritesInFlight bounds concurrent writes of each priority. The bounds are separate, so
+	// MaxStoreReadsInFlight bounds concurrent reads.
+	MaxStoreReadsInFlight = 8
+	// MaxStoreWritesInFlight bounds concurrent writes of each priority. The bounds are separate, so
 	// that writes that wait for tokens of the rate limiter do not block another priority.
-	StoreWritesInFlight = 8
+	MaxStoreWritesInFlight = 8
 	// StoreExtraInFlight is the number of further connections, for renewals and watches.
 	StoreExtraInFlight = 6
 )
--- a/internal/tuning/term.go
+++ b/internal/tuning/term.go
@@ -28,10 +28,10 @@
 	// CancellationRenewMargin is added to the duration of a worker lease when a lease holder checks
 	// that a renewal does not let the tasks of a cancelled job outlive their time limit.
 	CancellationRenewMargin = 5 * time.Second
-	// MinRenewBeyondWatermark is the lower bound of the time past its cancellation watermark in which
+	// MinRenewalPastWatermark is the lower bound of the time past its cancellation watermark in which
 	// a lease holder responds to heartbeats. It exceeds WatchTimeout, as a watch without events
 	// advances the watermark only when it ends.
-	MinRenewBeyondWatermark = 6 * time.Second
+	MinRenewalPastWatermark = 6 * time.Second
 )
 
 // Lease holders that may be isolated from their workers, used by package term.
--- a/internal/tuning/worker.go
+++ b/internal/tuning/worker.go
@@ -29,10 +29,10 @@
 	// WorkerDialTimeout bounds the dial of a connection to a worker. A failed dial shows that the
 	// machine is unreachable.
 	WorkerDialTimeout = 2 * time.Second
-	// CommandsInFlight is the lower bound of the limit on concurrent direct commands.
-	CommandsInFlight = 16
+	// MinCommandsInFlight is the lower bound of the limit on concurrent direct commands.
+	MinCommandsInFlight = 16
 	// CommandSocketShare is the share of the machine's sockets for direct commands, if that exceeds
-	// CommandsInFlight. Commands to unreachable machines hold their sockets until the dial times out.
+	// MinCommandsInFlight. Commands to unreachable machines hold their sockets until the dial times out.
 	CommandSocketShare = 0.025
 	// CommandIdleConnections is the number of idle connections kept for further commands.
 	CommandIdleConnections = 16
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -2,16 +2,16 @@
 
 // MachineType describes a machine type: the resources, prices and zones of its machines.
 type MachineType struct {
-	Name        string
-	Vcpus       float64
-	Gpus        float64
-	MemGb       float64 `json:"MemGb"`
-	LocalGb     float64 `json:"LocalGb"`     // local disk, the image cache
-	FetchGbPerS float64 `json:"FetchGbPerS"` // throughput of image pulls
-	Price       float64
-	SpotPrice   float64  `json:"LowPrice"`
-	BootTimeS   float64  `json:"BootS"`
-	Zones       []string `json:"Yards"`
+	Name            string
+	Vcpus           float64
+	Gpus            float64
+	MemGB           float64 `json:"MemGb"`
+	LocalDiskGB     float64 `json:"LocalGb"`     // local disk, the image cache
+	ImagePullGBPerS float64 `json:"FetchGbPerS"` // throughput of image pulls
+	Price           float64
+	SpotPrice       float64  `json:"LowPrice"`
+	BootTimeS       float64  `json:"BootS"`
+	Zones           []string `json:"Yards"`
 }
 
 // MachineTypes is the response to a query of machine types, with their current prices.
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -21,11 +21,11 @@
 	Shape             string  // one of the Shape constants
 	Priority          string  `json:"Rank"`
 	Tasks             int     `json:"Pieces"`
-	Vcpus             float64 // per task, as are Gpus and MemGb
+	Vcpus             float64 // per task, as are Gpus and MemGB
 	Gpus              float64
-	MemGb             float64  `json:"MemGb"`
+	MemGB             float64  `json:"MemGb"`
 	Image             string   `json:"Bundle"`
-	ImageGb           float64  `json:"ImageGb"`
+	ImageGB           float64  `json:"ImageGb"`
 	Types             []string `json:"Builds,omitempty"` // allowed machine types, unless AnyType
 	AnyType           bool     `json:"AnyBuild,omitempty"`
 	Zone              string   `json:"Yard,omitempty"`     // the only allowed zone, "" for any
@@ -42,10 +42,10 @@
 
 // JobState is the response to a query of a job.
 type JobState struct {
-	ID      string `json:"Id"`
-	State   string `json:"Stage"`
-	Done    int    `json:"done"`    // completed tasks, for display
-	Running int    `json:"running"` // running tasks, for display
+	ID             string `json:"Id"`
+	State          string `json:"Stage"`
+	CompletedTasks int    `json:"done"`    // completed tasks, for display
+	Running        int    `json:"running"` // running tasks, for display
 }
 
 // JobAccepted is the response to a submission or a cancellation.
--- a/internal/worker/machine.go
+++ b/internal/worker/machine.go
@@ -78,7 +78,7 @@
 	IdleSince time.Time
 	// Needed is set if the last pass of demand planning found a use for the machine, which keeps it from
 	// being terminated as idle.
-	Needed bool
+	InDemand bool
 	// Cordoned is set if no new work is placed on the machine, so that it can be deprovisioned.
 	Cordoned bool
 	// Quarantined is set if no new work is placed on the machine because too many tasks failed on it.
--- a/internal/worker/registry.go
+++ b/internal/worker/registry.go
@@ -18,7 +18,7 @@
 
 	log              *slog.Logger
 	heartbeatTimeout time.Duration
-	leaseExpiry      time.Duration
+	leaseTimeout     time.Duration
 
 	byHost  map[string]*Machine
 	ordered []*Machine      // in the order of Add
@@ -32,15 +32,15 @@
 	return &Registry{
 		log:              log,
 		heartbeatTimeout: config.Seconds(workers.HeartbeatS*tuning.UnresponsiveHeartbeats) + tuning.UnresponsiveGrace,
-		leaseExpiry:      lease + drift + tuning.WorkerLeaseMargin,
+		leaseTimeout:     lease + drift + tuning.WorkerLeaseMargin,
 		byHost:           map[string]*Machine{},
 		deleted:          map[string]bool{},
 	}
 }
 
-// LeaseExpiry returns the time from the arrival of a heartbeat that renews a worker's lease until the lease
+// LeaseTimeout returns the time from the arrival of a heartbeat that renews a worker's lease until the lease
 // has expired even with the maximum clock drift.
-func (r *Registry) LeaseExpiry() time.Duration { return r.leaseExpiry }
+func (r *Registry) LeaseTimeout() time.Duration { return r.leaseTimeout }
 
 // Get returns the machine with the given host name, or nil if there is none.
 func (r *Registry) Get(host string) *Machine { return r.byHost[host] }
@@ -106,7 +106,7 @@
 func (r *Registry) ExpireLeases(now time.Time, unreconciledLeaseExpiry time.Time) []*Machine {
 	var expired []*Machine
 	for _, machine := range r.ordered {
-		leaseExpired := now.After(machine.leaseExpiresAt(r.leaseExpiry, unreconciledLeaseExpiry))
+		leaseExpired := now.After(machine.leaseExpiresAt(r.leaseTimeout, unreconciledLeaseExpiry))
 		switch machine.State {
 		case Up:
 			if now.Sub(machine.LastContact) > r.heartbeatTimeout+r.HeartbeatDelay {
