--- a/cmd/juniperchute/serve.go
+++ b/cmd/juniperchute/serve.go
@@ -85,8 +85,9 @@
 	return rand.New(rand.NewPCG(high, low)), nil
 }
 
-// newClock returns the clock that times leases. With the intent log enabled, it includes suspensions of
-// the machine, so that a resumed lease holder with an expired lease stops acting.
+// newClock returns the clock that times leases. It includes suspensions of the machine only if the feature
+// gate of the intent log is on, which enables this behavior too: a resumed lease holder detects that its
+// lease has expired before it sends another call.
 func newClock(gates featuregate.Gates) *clock.Clock {
 	if gates.IntentLog {
 		return clock.New(clock.SuspendedSinceBoot)
--- a/cmd/juniperchute/trace.go
+++ b/cmd/juniperchute/trace.go
@@ -33,7 +33,7 @@
 		},
 	}
 	command.Flags().StringVar(&filter.target, "target", "", "show one machine or provisioning request only")
-	command.Flags().BoolVar(&filter.recovered, "taken-over", false, "show only operations that a successor recovered")
+	command.Flags().BoolVar(&filter.failedOver, "taken-over", false, "show only operations that a successor recovered")
 	command.Flags().BoolVar(&filter.incomplete, "unsettled", false,
 		"show only operations whose completion is not in the traces")
 	return command
@@ -42,7 +42,7 @@
 // traceFilter selects operations. The zero value selects all.
 type traceFilter struct {
 	target     string // "": any
-	recovered  bool
+	failedOver bool   // only operations that a successor recovered after a failover
 	incomplete bool
 }
 
@@ -50,7 +50,7 @@
 	switch {
 	case f.target != "" && f.target != history.Target:
 		return false
-	case f.recovered && !history.FailedOver:
+	case f.failedOver && !history.FailedOver:
 		return false
 	case f.incomplete && history.Completed:
 		return false
--- a/cmd/juniperchute/trace_test.go
+++ b/cmd/juniperchute/trace_test.go
@@ -8,8 +8,8 @@
 	"juniperchute/internal/intentlog"
 )
 
-// recoveredHistory returns the history of an operation that a successor recovered and completed.
-func recoveredHistory() intentlog.History {
+// failedOverHistory returns the history of an operation that a successor recovered after a failover and completed.
+func failedOverHistory() intentlog.History {
 	start := time.Date(2026, 12, 2, 10, 46, 1, 120_000_000, time.UTC)
 	return intentlog.History{
 		Operation: "return", Target: "i-000010", Shard: "0", FailedOver: true, Completed: true,
@@ -28,9 +28,9 @@
 `
 
 func TestPrintTrace(t *testing.T) {
-	incomplete := recoveredHistory()
+	incomplete := failedOverHistory()
 	incomplete.Target, incomplete.FailedOver, incomplete.Completed = "i-000011", false, false
-	histories := []intentlog.History{recoveredHistory(), incomplete}
+	histories := []intentlog.History{failedOverHistory(), incomplete}
 	for _, test := range []struct {
 		name   string
 		filter traceFilter
@@ -47,7 +47,7 @@
 		},
 		{
 			name:   "recovered",
-			filter: traceFilter{recovered: true},
+			filter: traceFilter{failedOver: true},
 			want:   []string{"i-000010"},
 		},
 		{
@@ -57,7 +57,7 @@
 		},
 		{
 			name:   "none",
-			filter: traceFilter{recovered: true, incomplete: true},
+			filter: traceFilter{failedOver: true, incomplete: true},
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -81,12 +81,12 @@
 
 func TestPrintHistory(t *testing.T) {
 	var out strings.Builder
-	printHistory(&out, recoveredHistory())
+	printHistory(&out, failedOverHistory())
 	if out.String() != wantTrace {
 		t.Errorf("printed\n%s\nwant\n%s", out.String(), wantTrace)
 	}
 	out.Reset()
-	incomplete := recoveredHistory()
+	incomplete := failedOverHistory()
 	incomplete.FailedOver, incomplete.Completed = false, false
 	printHistory(&out, incomplete)
 	const sentence = "first handled by node-0 under token 1; its completion is not in these traces, " +
--- a/internal/admin/settings.go
+++ b/internal/admin/settings.go
@@ -20,7 +20,7 @@
 	BackupWithdrawThreshold int           // preemptions before a task's backup copy is withdrawn
 	MaxMachines             int           // limit on machines, including requested ones; 0: none
 	ScaleOutPaused          bool          // stops provisioning
-	IdleTimeout             time.Duration // idle time before a machine is terminated
+	IdleTimeout             time.Duration // idle time after which a machine is deprovisioned
 }
 
 // Defaults returns the settings before any change by operators.
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,6 +1,6 @@
 // Package clock implements the monotonic clock that times leases. Unlike the system's monotonic clock
-// it includes the time in which the machine was suspended, so that a lease holder does not act on an
-// expired lease after a suspension.
+// it can include the time in which the machine was suspended, so that a lease holder does not act on an
+// expired lease after a suspension. The feature gate of the intent log determines whether the process includes it.
 package clock
 
 import (
@@ -13,7 +13,8 @@
 	"juniperchute/internal/tuning"
 )
 
-// Clock is a suspend-aware monotonic clock. It is safe for concurrent use.
+// Clock is a monotonic clock that includes suspensions if New got a function that reads them. It is safe
+// for concurrent use.
 type Clock struct {
 	// suspendedSinceBoot returns the total time in suspension since boot. It is nil if unsupported.
 	suspendedSinceBoot func() (time.Duration, error)
@@ -21,23 +22,23 @@
 	suspendedSinceNew  atomic.Int64  // nanoseconds in suspension since New, as of the last Advance
 }
 
-// New returns a clock. suspendedSinceBoot, such as the function SuspendedSinceBoot, returns the total time in
-// suspension since boot. If it is nil or its first call fails, the clock ignores suspensions.
-func New(timeSuspended func() (time.Duration, error)) *Clock {
-	if timeSuspended == nil {
+// New returns a clock. suspendedSinceBoot, such as the function SuspendedSinceBoot, returns the total time
+// in suspension since boot. If it is nil or its first call fails, the clock ignores suspensions.
+func New(suspendedSinceBoot func() (time.Duration, error)) *Clock {
+	if suspendedSinceBoot == nil {
 		return &Clock{}
 	}
-	atStart, err := timeSuspended()
+	suspendedAtNew, err := suspendedSinceBoot()
 	if err != nil {
 		return &Clock{}
 	}
-	return &Clock{suspendedSinceBoot: timeSuspended, suspendedAtNew: atStart}
+	return &Clock{suspendedSinceBoot: suspendedSinceBoot, suspendedAtNew: suspendedAtNew}
 }
 
 // Now returns the current time, without any suspension since the last Advance.
 func (c *Clock) Now() time.Time { return time.Now().Add(c.SuspendedSinceNew()) }
 
-// SuspendedSinceNew returns the time in suspension since the clock was created, as of the last Advance.
+// SuspendedSinceNew returns the time in suspension since New returned the clock, as of the last Advance.
 func (c *Clock) SuspendedSinceNew() time.Duration { return time.Duration(c.suspendedSinceNew.Load()) }
 
 // Advance adds any suspension up to now and returns the current time. Callers call it before an action
--- a/internal/cloud/errors.go
+++ b/internal/cloud/errors.go
@@ -7,8 +7,8 @@
 	"net/http"
 )
 
-// Errors of a call. Match them with errors.Is. Except after ErrNoResponse, the call was not
-// executed.
+// Errors of a call. Match them with errors.Is. The call was not executed, except after ErrNoResponse
+// and after the error of an unexpected HTTP status, which is none of these: then it may have been.
 var (
 	// ErrNoResponse means that no readable response arrived. The call may have been executed, or
 	// may still be executed later.
@@ -28,7 +28,8 @@
 // have status 503.
 const noCapacity = "no capacity"
 
-// statusError maps an HTTP status other than 200, and the body of the response, to an error.
+// statusError maps an HTTP status other than 200, and the body of the response, to an error. The error
+// of an unexpected status does not tell whether the call was executed.
 func statusError(status int, body []byte) error {
 	var failure struct {
 		Error string `json:"error"`
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config loads and validates the settings file of a controller. The platform defines the
-// names of its fields. Unknown fields are ignored.
+// Package config loads and validates the settings file of a controller. The names of its fields, in the
+// TOML tags, are an interface to the platform that writes the file. Unknown fields are ignored.
 //
 // A suffix of a field gives its unit: S is seconds, MS milliseconds, KB 1,024 bytes, MB 1,024^2 bytes,
 // RPS operations per second.
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -38,8 +38,9 @@
 	}
 }
 
-// RecordLimits returns the limits for stored records. Records have to fit the service both before and
-// after the upcoming change, as its date is unknown.
+// RecordLimits returns the limits on the size of stored records and of the transactions that write them:
+// the smaller of the current and the upcoming ones, as the date of the upcoming change is unknown. The rate
+// limits in the result are the upcoming ones.
 func (l StateLimits) RecordLimits() StateLimits {
 	limits := l.Upcoming()
 	limits.ValueKB = min(limits.ValueKB, l.ValueKB)
--- a/internal/fakes/cloud.go
+++ b/internal/fakes/cloud.go
@@ -23,7 +23,7 @@
 	PageSize               int     // maximum number of machines in a page of a list
 	Address                func(n int) string
 	OnBooted               func(h *CloudHost) // called when a machine has booted; must be set
-	OnRemoved              func(h *CloudHost) // called after a machine has terminated; must be set
+	OnRemoved              func(h *CloudHost) // called after a deletion or preemption; must be set
 	OnCreate               func(name string)  // called when a provisioning request is first executed; may be nil
 	OnDelete               func(host string)  // called before a machine is deleted; may be nil
 
@@ -171,7 +171,8 @@
 	return id
 }
 
-// randomBootTime draws the boot time of one machine, with two draws if FastBoot is set.
+// randomBootTime draws the boot time of one machine. With FastBoot it discards the first draw and uses a
+// second one, so the sequence of random numbers depends on FastBoot.
 func (c *Cloud) randomBootTime() time.Duration {
 	boot := time.Duration(1+c.rng.IntN(8)) * time.Second
 	if c.FastBoot {
@@ -196,7 +197,7 @@
 	return cloud.Success(cloud.Response{Page: page})
 }
 
-// Remove terminates a machine, for a deletion call or a preemption by the cloud. Unknown machines
+// Remove removes a machine, for a deletion call or a preemption by the cloud. Unknown machines
 // are ignored.
 func (c *Cloud) Remove(id string) {
 	host := c.Hosts[id]
--- a/internal/fakes/cluster.go
+++ b/internal/fakes/cluster.go
@@ -73,7 +73,8 @@
 	return c.machineNames
 }
 
-// Remove terminates a machine with its worker and tasks. Unknown machines are ignored.
+// Remove removes a machine, which the cloud has deleted or preempted, with its worker and tasks. Unknown
+// machines are ignored.
 func (c *Cluster) Remove(host string) {
 	worker := c.Workers[host]
 	if worker == nil {
--- a/internal/fakes/intent_checker.go
+++ b/internal/fakes/intent_checker.go
@@ -22,8 +22,8 @@
 	// BusyMachineDeleted means that a machine was deleted while it ran tasks that its intent did
 	// not cover.
 	BusyMachineDeleted Rule = "busy_machine_deleted"
-	// TaskOnDeletingMachine means that a term started a task on a machine that an earlier term
-	// had recorded for deletion.
+	// TaskOnDeletingMachine means that a term started a task on a machine for which an earlier term
+	// had recorded an intent to delete it.
 	TaskOnDeletingMachine Rule = "work_on_terminating_machine"
 )
 
@@ -42,7 +42,7 @@
 	store           *StateService
 	recordedIntents map[string]intentlog.Entry // latest intent ever recorded, by target
 	pages           map[string]map[string]bool // targets in each page as currently stored, by key
-	enabledSince    time.Time                  // time at which the intent log was enabled; zero before
+	enabledSince    time.Time                  // time at which the intent log was first enabled; zero before
 }
 
 // featureGatesKey is the key of the record that lists the enabled features.
@@ -58,10 +58,10 @@
 		recordedIntents: map[string]intentlog.Entry{},
 		pages:           map[string]map[string]bool{},
 	}
-	before := stateService.OnCall
+	previous := stateService.OnCall
 	stateService.OnCall = func(call store.Call, err error) {
-		if before != nil {
-			before(call, err)
+		if previous != nil {
+			previous(call, err)
 		}
 		checker.observeWrite(call, err)
 	}
@@ -93,8 +93,8 @@
 
 // observeFeatureGates records when the intent log is first enabled.
 func (c *IntentChecker) observeFeatureGates(value json.RawMessage) {
-	inForce := strings.Contains(string(value), strconv.Quote(featuregate.IntentLogFeature))
-	if inForce && c.enabledSince.IsZero() {
+	enabled := strings.Contains(string(value), strconv.Quote(featuregate.IntentLogFeature))
+	if enabled && c.enabledSince.IsZero() {
 		c.enabledSince = c.cluster.Clock.Now()
 	}
 }
@@ -132,7 +132,8 @@
 	return false
 }
 
-// enforcing reports whether every executed operation must have an intent by now.
+// checksActive reports whether the grace period after the enabling of the intent log has ended. From then
+// on every executed operation must have an intent.
 func (c *IntentChecker) checksActive() bool {
 	return !c.enabledSince.IsZero() && c.cluster.Clock.Now().Sub(c.enabledSince) >= c.GracePeriod
 }
@@ -187,7 +188,8 @@
 	}
 }
 
-// checkTaskStart checks that a task starts on a machine that no earlier term is terminating.
+// checkTaskStart checks that no earlier term has recorded an intent to delete the machine on which a task
+// starts.
 func (c *IntentChecker) checkTaskStart(worker *Worker, task *Task) {
 	entry, ok := c.recordedIntents[worker.Host.ID]
 	if ok && c.checksActive() && tokenOfTask(task) > entry.Token {
--- a/internal/fakes/rules.go
+++ b/internal/fakes/rules.go
@@ -90,7 +90,7 @@
 	}
 	for zone, count := range zones {
 		if spec.SameZone && count > 0 && zone != worker.Host.Zone {
-			c.AddViolation(PlacementViolated, "%s starts outside the zone of its siblings", name)
+			c.AddViolation(PlacementViolated, "%s starts outside the zone of the job's other tasks", name)
 		}
 	}
 	if spec.SpreadAcrossZones && zones[worker.Host.Zone]+1 > (spec.Tasks+1)/2 {
@@ -158,13 +158,13 @@
 	}
 }
 
-// RecordResponse records a response with a job's state. before is the state that the user knew when
-// the request was sent. changed reports whether this response was the first to show that the job
+// RecordResponse records a response with a job's state. knownState is the state that the user knew
+// when the request was sent. changed reports whether this response was the first to show that the job
 // is accepted, or that it has reached a terminal state.
-func (c *Cluster) RecordResponse(job *Job, state, before string) (changed bool) {
+func (c *Cluster) RecordResponse(job *Job, state, knownState string) (changed bool) {
 	switch {
-	case isTerminal(before) && state != before:
-		c.AddViolation(StateRegressed, "%s reported as %s after %s", job.Spec.ID, state, before)
+	case isTerminal(knownState) && state != knownState:
+		c.AddViolation(StateRegressed, "%s reported as %s after %s", job.Spec.ID, state, knownState)
 	case state == wire.JobDone && !job.Complete():
 		c.AddViolation(CompletedEarly, "%s reported as done before all tasks are done", job.Spec.ID)
 	case state == wire.JobCancelled && !job.CancelRequested:
@@ -186,15 +186,16 @@
 }
 
 // RecordFailedRequest records a request about a job that got a status other than 200 and 201, or no
-// response (status 0). before is the state that the user knew when the request was sent.
-func (c *Cluster) RecordFailedRequest(job *Job, before string, status int) {
+// response (status 0). knownState is the state that the user knew when the request was
+// sent.
+func (c *Cluster) RecordFailedRequest(job *Job, knownState string, status int) {
 	switch status {
 	case 429, 503, 0:
 		return
 	case 404:
-		if before == "" {
+		if knownState == "" {
 			return // no response has reported the job as accepted yet
 		}
 	}
-	c.AddViolation(JobLost, "%s reported as %q, then status %d", job.Spec.ID, before, status)
+	c.AddViolation(JobLost, "%s reported as %q, then status %d", job.Spec.ID, knownState, status)
 }
--- a/internal/fakes/state.go
+++ b/internal/fakes/state.go
@@ -192,7 +192,9 @@
 			s.history = append(s.history, wire.Event{DeleteKey: write.DeleteKey, Version: s.Revision})
 		}
 	} else {
-		s.Keys[write.PutKey] = wire.KeyValue{Key: write.PutKey, Value: write.Value, Version: s.Revision, Lease: write.Lease}
+		s.Keys[write.PutKey] = wire.KeyValue{
+			Key: write.PutKey, Value: write.Value, Version: s.Revision, Lease: write.Lease,
+		}
 		s.history = append(s.history, wire.Event{PutKey: write.PutKey, Value: write.Value, Version: s.Revision})
 	}
 	s.compactHistory()
--- a/internal/fakes/task.go
+++ b/internal/fakes/task.go
@@ -18,7 +18,7 @@
 	CheckpointSaved bool
 	StateEndsAt     time.Time // end of the image pull, gang wait, run or checkpoint
 
-	memberLostAt time.Time // when a missing task of the gang was first noticed; zero if none is
+	memberLostAt time.Time // when a missing gang member was first noticed; zero if none is
 }
 
 // OnMachine reports whether the task still occupies resources of its machine.
@@ -36,7 +36,7 @@
 	}
 }
 
-// advanceFetching starts a task whose image has been pulled. A gang task waits for its siblings.
+// advanceFetching starts a task whose image has been pulled. A gang task waits for the other gang members.
 func (w *Worker) advanceFetching(task *Task) {
 	now := w.cluster.Clock.Now()
 	if now.Before(task.StateEndsAt) {
@@ -57,8 +57,8 @@
 	}
 }
 
-// advanceWaiting starts a gang once all its tasks are waiting. A task whose siblings are missing at
-// the gang wait timeout exits.
+// advanceWaiting starts a gang once all its tasks are waiting. A task exits if gang members are
+// missing at the gang wait timeout.
 func (w *Worker) advanceWaiting(task *Task) {
 	now := w.cluster.Clock.Now()
 	members := w.cluster.gangMembers(task)
@@ -68,17 +68,17 @@
 		}
 		return
 	}
-	if slices.ContainsFunc(members, func(peer gangMember) bool { return peer.task.State != wire.TaskWaiting }) {
+	if slices.ContainsFunc(members, func(member gangMember) bool { return member.task.State != wire.TaskWaiting }) {
 		return
 	}
-	for _, peer := range members {
-		peer.task.State, peer.task.StateEndsAt = wire.TaskRunning, now.Add(task.Job.RunTime)
-		peer.worker.heartbeatRequested = true
+	for _, member := range members {
+		member.task.State, member.task.StateEndsAt = wire.TaskRunning, now.Add(task.Job.RunTime)
+		member.worker.heartbeatRequested = true
 	}
 }
 
-// advanceRunning ends a task that has completed, has saved its checkpoint, or has lost a sibling of
-// its gang. Services run until they are stopped.
+// advanceRunning ends a task that has completed, has saved its checkpoint, or whose gang has lost a
+// member. Services run until they are stopped.
 func (w *Worker) advanceRunning(task *Task) {
 	now := w.cluster.Clock.Now()
 	gang := task.Job.Spec.Shape == wire.ShapeGang
@@ -111,12 +111,12 @@
 // completeGang completes all tasks of a gang at once, unless one is not running.
 func (w *Worker) completeGang(task *Task) {
 	members := w.cluster.gangMembers(task)
-	if slices.ContainsFunc(members, func(peer gangMember) bool { return peer.task.State != wire.TaskRunning }) {
+	if slices.ContainsFunc(members, func(member gangMember) bool { return member.task.State != wire.TaskRunning }) {
 		return
 	}
-	for _, peer := range members {
-		task.Job.Done[peer.task.Index] = true
-		peer.worker.exit(peer.task, wire.ExitDone, false)
+	for _, member := range members {
+		task.Job.Done[member.task.Index] = true
+		member.worker.exit(member.task, wire.ExitDone, false)
 	}
 	w.cluster.notifyCompleted(task.Job)
 }
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -20,7 +20,7 @@
 	minHeartbeatInterval = 500 * time.Millisecond
 	// workerTickInterval is the interval at which a worker checks its lease, tasks and heartbeat.
 	workerTickInterval = 100 * time.Millisecond
-	// memberLossTimeout is the time after which the tasks of a gang exit because a sibling is lost.
+	// memberLossTimeout is the time after which the tasks of a gang exit because a gang member is lost.
 	memberLossTimeout = 2 * time.Second
 	// DefaultImagePullTime is the initial Worker.ImagePullTime.
 	DefaultImagePullTime = 2 * time.Second
@@ -39,7 +39,7 @@
 	Host           wire.Machine
 	Capacity       quota.Resources
 	ImagePullTime  time.Duration
-	Terminated     bool      // the machine has terminated
+	Terminated     bool      // the cloud has deleted or preempted the machine
 	Hung           bool      // the process is frozen and may resume later
 	Faulty         bool      // every task fails on the worker
 	PreemptionTime time.Time // when the cloud preempts the machine; zero without a notice
--- a/internal/fakes/worker_heartbeat.go
+++ b/internal/fakes/worker_heartbeat.go
@@ -48,11 +48,11 @@
 			w.tryNextController(number)
 		}
 	})
-	reply := func(status int, commands wire.HeartbeatResponse, redirectTo string) {
+	reply := func(status int, response wire.HeartbeatResponse, redirectTo string) {
 		if w.inFlight != number || w.Terminated || w.Hung || w.Incarnation != incarnation {
 			return
 		}
-		w.handleReply(number, now, status, commands, redirectTo)
+		w.handleReply(number, now, status, response, redirectTo)
 	}
 	w.cluster.network.Send(w, w.Controller, heartbeat, reply)
 }
@@ -60,17 +60,17 @@
 // handleReply handles the reply to the heartbeat in flight. A successful reply renews the worker's
 // lease from the time at which the heartbeat was sent.
 func (w *Worker) handleReply(
-	number int, sent time.Time, status int, commands wire.HeartbeatResponse, redirectTo string,
+	number int, sent time.Time, status int, response wire.HeartbeatResponse, redirectTo string,
 ) {
 	switch status {
 	case http.StatusOK:
 		w.inFlight = noHeartbeat
-		if commands.Token < w.Token {
+		if response.Token < w.Token {
 			return
 		}
-		w.observeToken(commands.Token)
+		w.observeToken(response.Token)
 		w.leaseRenewedAt = sent
-		w.execute(commands.Commands)
+		w.execute(response.Commands)
 	case http.StatusMisdirectedRequest:
 		controller := w.cluster.network.NodeIndex(redirectTo)
 		if controller < 0 || controller == w.Controller {
--- a/internal/httpapi/handlers.go
+++ b/internal/httpapi/handlers.go
@@ -24,7 +24,7 @@
 }
 
 // handleHealth responds without the event loop. A controller whose event loop is busy is not
-// unhealthy, and a load balancer that has ejected it is slow to restore it.
+// unhealthy. A load balancer that has removed a controller takes long to add it again.
 func (s *Server) handleHealth(w http.ResponseWriter, _ *http.Request) {
 	if s.options.Healthy() {
 		writeJSON(w, http.StatusOK, struct{}{}, 0)
@@ -56,22 +56,22 @@
 
 // handleJob handles queries and cancellations of one job.
 func (s *Server) handleJob(w http.ResponseWriter, req *http.Request) {
-	job := strings.TrimPrefix(req.URL.Path, "/submissions/")
-	if cancelled, ok := strings.CutSuffix(job, "/cancel"); ok && !strings.Contains(cancelled, "/") {
+	jobID := strings.TrimPrefix(req.URL.Path, "/submissions/")
+	if cancelledID, ok := strings.CutSuffix(jobID, "/cancel"); ok && !strings.Contains(cancelledID, "/") {
 		requireMethod(http.MethodPost, func(w http.ResponseWriter, req *http.Request) {
 			s.callController(w, req, func(now time.Time, reply func(submission.Response)) {
-				s.options.Controller.Cancel(now, cancelled, reply)
+				s.options.Controller.Cancel(now, cancelledID, reply)
 			})
 		})(w, req)
 		return
 	}
-	if strings.Contains(job, "/") {
+	if strings.Contains(jobID, "/") {
 		writeError(w, http.StatusNotFound, "no such path")
 		return
 	}
 	requireMethod(http.MethodGet, func(w http.ResponseWriter, req *http.Request) {
 		s.callController(w, req, func(now time.Time, reply func(submission.Response)) {
-			s.options.Controller.Query(now, job, reply)
+			s.options.Controller.Query(now, jobID, reply)
 		})
 	})(w, req)
 }
--- a/internal/integration/deployment_test.go
+++ b/internal/integration/deployment_test.go
@@ -188,7 +188,7 @@
 	d.byAddress[host.Address] = d.cluster.AddWorker(host.Machine, capacity)
 }
 
-// removeWorker removes the worker of a terminated machine.
+// removeWorker removes the worker of a machine that the cloud has deleted or preempted.
 func (d *deployment) removeWorker(host *fakes.CloudHost) {
 	d.cluster.Remove(host.ID)
 	delete(d.byAddress, host.Address)
--- a/internal/integration/upgrade_users_test.go
+++ b/internal/integration/upgrade_users_test.go
@@ -95,7 +95,7 @@
 	return spec
 }
 
-// exerciseServices runs a service, terminates the machine of a replica, waits for its replacement
+// exerciseServices runs a service, deletes the machine of a replica, waits for its replacement
 // and cancels the service. Services require that all controllers run the new version.
 func (u *upgradeTest) exerciseServices() {
 	service := u.submit(wire.JobSpec{
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -37,7 +37,7 @@
 func NewClients(peers []config.Peer) *Clients {
 	c := &Clients{connections: map[string]*grpc.ClientConn{}}
 	for _, peer := range peers {
-		// Package config has validated the address, so Dial does not fail because of it.
+		// Package config has validated the address, so NewConnection does not fail because of it.
 		// A peer for which it fails anyway is treated as unknown.
 		connection, err := NewConnection(peer.Address)
 		if err == nil {
@@ -47,7 +47,8 @@
 	return c
 }
 
-// Dial returns a connection to a controller's peer address. It is opened at the first call.
+// NewConnection returns a connection to a controller's peer address. It does not connect before the first
+// call. The caller closes it.
 func NewConnection(address string) (*grpc.ClientConn, error) {
 	return grpc.NewClient("passthrough:///"+address,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -13,7 +13,7 @@
 
 // teamAccount holds the guarantee and limit of one team and its usage.
 type teamAccount struct {
-	config.Team // without a limit, the guarantee is this shard's part of it
+	config.Team // if the team has no limit, CPUs and GPUs hold this shard's part of its guarantee
 	used        Resources
 	reserved    Resources
 }
@@ -55,11 +55,13 @@
 	return within(account.CPUsMax, total.CPUs) && within(account.GPUsMax, total.GPUs)
 }
 
-// within reports whether an amount does not exceed a bound. A bound of 0 means unbounded.
+// within reports whether an amount does not exceed a bound. A bound of 0 means that the resource has no
+// limit or no guarantee. The amount is then not compared.
 func within(bound, amount float64) bool { return bound == 0 || amount <= bound+roundingTolerance }
 
 // WithinGuarantee reports whether the team stays within its guarantee with need in addition to what it
-// uses and has reserved. It returns false for a team without a guarantee.
+// uses and has reserved. Resources of which the team has no guarantee are ignored. It returns false for a
+// team without any guarantee.
 func (l *Ledger) WithinGuarantee(team string, need Resources) bool {
 	account := l.teams[team]
 	if account == nil || !hasGuarantee(account.Team) {
@@ -69,8 +71,8 @@
 	return within(account.CPUs, total.CPUs) && within(account.GPUs, total.GPUs)
 }
 
-// OverGuarantee reports whether the team uses more than its guarantee. It returns true for a team without
-// a guarantee.
+// OverGuarantee reports whether the team uses more than its guarantee. Resources of which the team has no
+// guarantee are ignored. It returns true for a team without any guarantee.
 func (l *Ledger) OverGuarantee(team string) bool {
 	account := l.teams[team]
 	if account == nil || !hasGuarantee(account.Team) {
--- a/internal/quota/resources.go
+++ b/internal/quota/resources.go
@@ -40,7 +40,7 @@
 	return Resources{CPUs: max(r.CPUs, other.CPUs), GPUs: max(r.GPUs, other.GPUs), MemGB: max(r.MemGB, other.MemGB)}
 }
 
-// Fits reports whether r has at least the needed amount of each resource.
+// Covers reports whether r has at least the needed amount of each resource.
 func (r Resources) Covers(need Resources) bool {
 	return need.CPUs <= r.CPUs+roundingTolerance &&
 		need.GPUs <= r.GPUs+roundingTolerance &&
--- a/internal/quota/resources_test.go
+++ b/internal/quota/resources_test.go
@@ -16,7 +16,7 @@
 		{need: Resources{CPUs: 0.1, GPUs: 0, MemGB: 0}, fits: true, count: 120, dominantShare: 0.1 / 12},
 	} {
 		if got := whole.Covers(c.need); got != c.fits {
-			t.Errorf("Fits(%v) = %t, want %t", c.need, got, c.fits)
+			t.Errorf("Covers(%v) = %t, want %t", c.need, got, c.fits)
 		}
 		if got := whole.FitCount(c.need, 1000); got != c.count {
 			t.Errorf("FitCount(%v) = %d, want %d", c.need, got, c.count)
--- a/internal/store/desired_value.go
+++ b/internal/store/desired_value.go
@@ -16,8 +16,8 @@
 	Priority    Priority
 	TermCompare wire.Compare // succeeds until the writer's term ends
 	StateCall   Caller
-	// OnDurable is called with a version of the desired value once that version is durable.
-	OnDurable func(now time.Time, version int)
+	// OnDurable is called with the generation of a desired value once that value is durable.
+	OnDurable func(now time.Time, generation int)
 	// OnTermLost is called when a write fails because the term has ended.
 	OnTermLost func(now time.Time)
 	// OnTooLarge is called when the service rejects the desired value for its size. It
@@ -30,6 +30,9 @@
 // responses and delayed transactions. Each write is a compare-and-swap on the previous version
 // of the key and on the term, so a delayed write fails.
 //
+// A generation is the number of a desired value: it counts the calls of Set. A version is the
+// revision of the stored key.
+//
 //	clean            Set        -> dirty
 //	dirty            Tick       -> writing; clean if there is no key to delete
 //	writing          written    -> clean; dirty if the desired value has changed
@@ -44,7 +47,7 @@
 	keyVersion        uint64
 	desired           json.RawMessage // nil: no key
 	generation        int
-	durableGeneration int // newest durable version of the desired value
+	durableGeneration int // newest generation that is durable
 	retryAt           time.Time
 	sizeRetryBackoff  time.Duration // after the last size rejection; 0 if there was none
 }
@@ -67,7 +70,7 @@
 // Key returns the key in the state service.
 func (v *DesiredValue) Key() string { return v.options.Key }
 
-// Set changes the desired value and returns its version. A nil value deletes the key. The next
+// Set changes the desired value and returns its generation. A nil value deletes the key. The next
 // Tick starts the write.
 func (v *DesiredValue) Set(value any) int {
 	v.desired = nil
@@ -81,8 +84,7 @@
 	return v.generation
 }
 
-// Generation returns the version of the last Set. Versions count the calls of Set and are
-// not those of the stored key.
+// Generation returns the generation of the last Set, 0 before the first.
 func (v *DesiredValue) Generation() int { return v.generation }
 
 // Durable reports whether the value of the last Set is durable.
@@ -145,19 +147,19 @@
 	v.retryAt = now.Add(backoff)
 }
 
-func (v *DesiredValue) markDurable(now time.Time, version int) {
-	v.durableGeneration, v.sizeRetryBackoff = version, 0
+func (v *DesiredValue) markDurable(now time.Time, generation int) {
+	v.durableGeneration, v.sizeRetryBackoff = generation, 0
 	v.state = valueClean
-	if v.generation != version {
+	if v.generation != generation {
 		v.state = valueDirty
 	}
-	v.options.OnDurable(now, version)
+	v.options.OnDurable(now, generation)
 }
 
 // handleSizeRejection waits for a smaller value if one will be set. Otherwise it retries with
 // exponential backoff.
-func (v *DesiredValue) handleSizeRejection(now time.Time, version int) {
-	if v.generation != version {
+func (v *DesiredValue) handleSizeRejection(now time.Time, generation int) {
+	if v.generation != generation {
 		v.state = valueDirty // the desired value has changed
 		return
 	}
--- a/internal/store/page.go
+++ b/internal/store/page.go
@@ -7,7 +7,7 @@
 	"juniperchute/internal/tuning"
 )
 
-// page is one stored key, whose value is a JSON object of entries.
+// page is a stored page: one key, whose value is a JSON object of entries.
 type page struct {
 	writer     *DesiredValue
 	entries    map[string]json.RawMessage
@@ -21,7 +21,7 @@
 	removalWriteAt time.Time // time of the write if entries were only removed; zero if not scheduled
 }
 
-// pageWaiter is a callback for the durability of one version of a page.
+// pageWaiter is a callback for the durability of one generation of a page.
 type pageWaiter struct {
 	generation int // of the page's DesiredValue; 0 until the next write assigns it
 	onDurable  func(now time.Time)
@@ -71,12 +71,12 @@
 	p.waiters = append(p.waiters, pageWaiter{onDurable: onDurable})
 }
 
-// notifyWaiters invokes the callbacks for all versions up to the given one.
-func (p *page) notifyWaiters(now time.Time, version int) {
+// notifyWaiters invokes the callbacks for all generations up to the given one.
+func (p *page) notifyWaiters(now time.Time, generation int) {
 	waiters := p.waiters
 	p.waiters = nil
 	for _, waiter := range waiters {
-		if waiter.generation != 0 && waiter.generation <= version {
+		if waiter.generation != 0 && waiter.generation <= generation {
 			waiter.onDurable(now)
 		} else {
 			p.waiters = append(p.waiters, waiter)
@@ -105,10 +105,10 @@
 	if len(p.entries) > 0 {
 		desired = p.entries
 	}
-	version := p.writer.Set(desired)
+	generation := p.writer.Set(desired)
 	for i := range p.waiters {
 		if p.waiters[i].generation == 0 {
-			p.waiters[i].generation = version
+			p.waiters[i].generation = generation
 		}
 	}
 }
--- a/internal/store/pages.go
+++ b/internal/store/pages.go
@@ -25,9 +25,9 @@
 	OnTermLost func(now time.Time)
 }
 
-// Pages stores many small entries in few keys, which batches the writes: all changes of a page
-// within WriteInterval cost one write. An entry that no longer fits on its page moves to
-// another page. A page that exceeds the size limit is split before its next write.
+// Pages stores many small entries in few keys, the stored pages, which batches the writes: all
+// changes of a page within WriteInterval cost one write. An entry that no longer fits on its page
+// moves to another page. A page that exceeds the size limit is split before its next write.
 //
 // While an entry moves, both pages hold a copy until the newer copy is durable. After a
 // failover, Load may therefore return an entry twice but never misses one.
--- a/internal/store/rate_limiter.go
+++ b/internal/store/rate_limiter.go
@@ -87,27 +87,27 @@
 	return rates{calls: limits.RPS * l.share.current, writes: limits.WriteRPS * l.share.current}
 }
 
-// setShare changes the fraction without refilling the buckets.
-func (l *RateLimiter) setShare(now time.Time, fraction float64) {
-	if fraction == l.share.current {
+// setShare changes the share without refilling the buckets.
+func (l *RateLimiter) setShare(now time.Time, share float64) {
+	if share == l.share.current {
 		return
 	}
-	l.share.current = fraction
+	l.share.current = share
 	l.buckets.setRates(now, l.rates())
 }
 
 // updateLimitState starts a trial of the current limits, or ends a successful one, when it is due.
 func (l *RateLimiter) updateLimitState(now time.Time) {
-	if level := l.limits.stateAt(now); level != l.limits.state {
-		l.setLimitState(now, level)
+	if state := l.limits.stateAt(now); state != l.limits.state {
+		l.setLimitState(now, state)
 	}
 }
 
-// setState changes the level and refills the buckets, except after a successful trial, during
+// setState changes the state of the limits and refills the buckets, except after a successful trial, during
 // which the buckets already had the current rates.
-func (l *RateLimiter) setLimitState(now time.Time, level limitState) {
-	l.limits.setState(now, level)
-	if level != limitsCurrent {
+func (l *RateLimiter) setLimitState(now time.Time, state limitState) {
+	l.limits.setState(now, state)
+	if state != limitsCurrent {
 		l.buckets = newRateBuckets(l.rates())
 	}
 }
--- a/internal/store/rate_limiter_shared_test.go
+++ b/internal/store/rate_limiter_shared_test.go
@@ -24,7 +24,7 @@
 			shared.run(60 * time.Second)
 			for i, limiter := range shared.limiters {
 				if limiter.limits.state != limitsLowered {
-					t.Errorf("member %d has level %v, want %v", i, limiter.limits.state, limitsLowered)
+					t.Errorf("member %d has state %v, want %v", i, limiter.limits.state, limitsLowered)
 				}
 				// the demand of all members exceeds the rate throughout the test
 				sinceLast := shared.now.Sub(shared.lastUserWriteAt[i])
--- a/internal/store/rate_limiter_test.go
+++ b/internal/store/rate_limiter_test.go
@@ -94,8 +94,10 @@
 	},
 	{
 		name: "an expired lease keeps the current limits",
-		call: Call{Op: OpTransaction, Transaction: wire.Transaction{Writes: []wire.Write{{PutKey: "c/leader", Lease: 7}}}},
-		err:  ErrInvalid, interval: 0, count: 3, want: false,
+		call: Call{Op: OpTransaction, Transaction: wire.Transaction{
+			Writes: []wire.Write{{PutKey: "c/leader", Lease: 7}},
+		}},
+		err: ErrInvalid, interval: 0, count: 3, want: false,
 	},
 	{
 		name: "an invalid read keeps the current limits", call: Call{Op: OpGet}, err: ErrInvalid,
@@ -165,7 +167,7 @@
 				limiter.Observe(now, singleWrite(PriorityUser), ErrThrottled)
 			}
 			if limiter.limits.state != limitsLowered {
-				t.Fatalf("level %v", limiter.limits.state)
+				t.Fatalf("state %v", limiter.limits.state)
 			}
 			tokens, rejected, last := 10.0, 0, 0
 			for end := start.Add(hours * time.Hour); now.Before(end); now = now.Add(20 * time.Millisecond) {
@@ -199,21 +201,21 @@
 	rejected        bool // whether the service throttles one call per second
 	minWritten      int  // writes in the last 10 s
 	maxWritten      int
-	wantFraction    float64
+	wantShare       float64
 }
 
 var rateShareCases = []rateShareCase{
 	{
 		name: "demand above the share without rejections: share grows", demandPerSecond: 30, rejected: false,
-		minWritten: 180, maxWritten: 201, wantFraction: 1,
+		minWritten: 180, maxWritten: 201, wantShare: 1,
 	},
 	{
 		name: "demand below the share: share stays at the minimum", demandPerSecond: 5, rejected: false,
-		minWritten: 49, maxWritten: 51, wantFraction: tuning.MinStoreRateShare,
+		minWritten: 49, maxWritten: 51, wantShare: tuning.MinStoreRateShare,
 	},
 	{
 		name: "rejections: share stays at the minimum", demandPerSecond: 30, rejected: true,
-		minWritten: 0, maxWritten: 125, wantFraction: tuning.MinStoreRateShare,
+		minWritten: 0, maxWritten: 125, wantShare: tuning.MinStoreRateShare,
 	},
 }
 
@@ -245,9 +247,9 @@
 					limiter.Observe(now, call, ErrThrottled)
 				}
 			}
-			if written < c.minWritten || written > c.maxWritten || limiter.share.current != c.wantFraction {
+			if written < c.minWritten || written > c.maxWritten || limiter.share.current != c.wantShare {
 				t.Errorf("%d writes in the last 10 s, share %g, want %d to %d and %g",
-					written, limiter.share.current, c.minWritten, c.maxWritten, c.wantFraction)
+					written, limiter.share.current, c.minWritten, c.maxWritten, c.wantShare)
 			}
 		})
 	}
--- a/internal/store/rate_limits.go
+++ b/internal/store/rate_limits.go
@@ -7,7 +7,8 @@
 	"juniperchute/internal/tuning"
 )
 
-// limitState selects the service limits that the rate limiter enforces.
+// limitState is a state of serviceLimits. limitsCurrent and limitsTrial enforce the same limits and
+// differ in the number of rejections that ends them.
 type limitState int
 
 const (
@@ -22,25 +23,29 @@
 
 // serviceLimits selects the limits to enforce.
 //
-//	current  tuning.LimitRejectionThreshold rejections  -> lowered
-//	lowered  after loweredDuration                -> trial
-//	trial    tuning.TrialRejectionThreshold rejections  -> lowered
+//	current  tuning.LimitRejectionThreshold rejections -> lowered
+//	lowered  after loweredDuration                     -> trial
+//	trial    tuning.TrialRejectionThreshold rejections -> lowered
 //	trial    after tuning.LimitRejectionWindow         -> current
 type serviceLimits struct {
 	current         config.StateLimits
 	upcoming        config.StateLimits
 	state           limitState
-	stateEndsAt     time.Time     // end of the lowered level or the trial
-	loweredDuration time.Duration // of the next lowered level; doubles each time
+	stateEndsAt     time.Time     // end of the lowered state or the trial
+	loweredDuration time.Duration // of the next lowered state; doubles each time
 	rejections      int           // since rejectionsSince
 	rejectionsSince time.Time
 }
 
 func newServiceLimits(limits config.StateLimits) serviceLimits {
-	return serviceLimits{current: limits, upcoming: limits.Upcoming(), loweredDuration: tuning.LoweredLimitsInitialDuration}
+	return serviceLimits{
+		current:         limits,
+		upcoming:        limits.Upcoming(),
+		loweredDuration: tuning.LoweredLimitsInitialDuration,
+	}
 }
 
-// effective returns the limits that the current level selects.
+// effective returns the limits that are enforced in the current state.
 func (s *serviceLimits) effective() config.StateLimits {
 	if s.state == limitsLowered {
 		return s.upcoming
@@ -57,7 +62,7 @@
 	}
 	s.rejections++
 	if s.state == limitsLowered {
-		// other members still use the current limits: extend the lowered level
+		// other members still use the current limits: extend the lowered state
 		s.stateEndsAt = latest(s.stateEndsAt, now.Add(tuning.LoweredLimitsInitialDuration))
 	}
 }
@@ -74,7 +79,7 @@
 	return s.rejections >= tuning.LimitRejectionThreshold
 }
 
-// stateAt returns the level at a time if no further call is rejected.
+// stateAt returns the state at a time if no further call is rejected.
 func (s *serviceLimits) stateAt(now time.Time) limitState {
 	switch {
 	case now.Before(s.stateEndsAt):
@@ -85,10 +90,10 @@
 	return limitsCurrent
 }
 
-func (s *serviceLimits) setState(now time.Time, level limitState) {
-	s.state = level
+func (s *serviceLimits) setState(now time.Time, state limitState) {
+	s.state = state
 	s.rejections = 0
-	switch level {
+	switch state {
 	case limitsLowered:
 		s.stateEndsAt = now.Add(s.loweredDuration)
 		s.loweredDuration = min(2*s.loweredDuration, tuning.LoweredLimitsMaxDuration)
--- a/internal/store/rate_share.go
+++ b/internal/store/rate_share.go
@@ -6,9 +6,9 @@
 	"juniperchute/internal/tuning"
 )
 
-// rateShare determines the fraction of the service's rate limits that this member uses. The
-// fraction grows while writes are delayed and the service rejects none, which means that the
-// other members use less than their fractions. A rejection resets it to the minimum.
+// rateShare determines the share of the service's rate limits that this member uses, from 0 to 1.
+// The share grows while writes are delayed and the service rejects none, which means that the
+// other members use less than their shares. A rejection resets it to the minimum.
 type rateShare struct {
 	members        int
 	current        float64
@@ -22,7 +22,7 @@
 	return share
 }
 
-// minimum returns the fraction that a member may use regardless of the other members' load.
+// minimum returns the share that a member may use regardless of the other members' load.
 func (s *rateShare) minimum() float64 {
 	if s.members == 1 {
 		return 1
@@ -30,7 +30,7 @@
 	return tuning.MinStoreRateShare
 }
 
-// adjust returns the fraction to use from now on.
+// adjust returns the share to use from now on.
 func (s *rateShare) adjust(now time.Time) float64 {
 	if now.Before(s.nextAdjustment) {
 		return s.current
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -4,6 +4,12 @@
 // (DesiredValue) and for many small entries (Pages), and a client-side rate limiter
 // (RateLimiter).
 //
+// A term is the period in which one controller holds the lease of a shard. Its writes compare the
+// version of a key that changes with each term, so that they fail once the term has ended.
+//
+// The word page has two meanings. A list page is a part of the response to a list, which the service
+// returns in several parts. A stored page is one key of Pages, whose value holds many entries.
+//
 // Only Client is safe for concurrent use. The other types belong to the controller's event
 // loop, which receives the results of their calls through a Caller.
 package store
@@ -35,12 +41,14 @@
 
 // Priorities of calls, from the most to the least urgent.
 const (
-	// PriorityLease applies to leases, elections and watches.
+	// PriorityLease applies to leases, elections, and the lists and watches of a WatchCache,
+	// except its catch-ups.
 	PriorityLease Priority = iota
 	// PriorityTerm applies to writes that block a lease holder until they are durable:
-	// provisioning requests, used workers, start markers.
+	// provisioning requests, registrations of machines, start markers.
 	PriorityTerm
-	// PriorityUser applies to calls that a user's request waits for.
+	// PriorityUser applies to calls that a user's request waits for, and to all catch-ups of a
+	// WatchCache.
 	PriorityUser
 	// PriorityJobEnd applies to writes that record the end of a job.
 	PriorityJobEnd
@@ -57,8 +65,8 @@
 	Priority      Priority
 	Key           string           // OpGet
 	Prefix        string           // OpList, OpWatch
-	After         string           // OpList: last key of the previous page, "" for the first page
-	PageSize      int              // OpList: maximum number of keys
+	After         string           // OpList: last key of the previous list page, "" for the first
+	PageSize      int              // OpList: maximum number of keys per list page
 	SinceRevision uint64           // OpWatch: only changes after this revision are returned
 	WatchWaitMs   int              // OpWatch: time that the service waits for a change
 	Transaction   wire.Transaction // OpTransaction
@@ -87,7 +95,7 @@
 	SentAt    time.Time
 	KeyValue  wire.KeyValue   // OpGet
 	KeyValues []wire.KeyValue // OpList
-	More      bool            // OpList: another page exists
+	More      bool            // OpList: another list page exists
 	Revision  uint64          // revision of the service as of the response
 	Lease     uint64          // OpGrantLease, OpRenewLease
 	Events    []wire.Event    // OpWatch
--- a/internal/store/watch_cache.go
+++ b/internal/store/watch_cache.go
@@ -23,13 +23,13 @@
 // changes, and lists again if the service has compacted the revision that it needs.
 //
 //	idle               Tick       -> watching; listing while not synced
-//	listing            page       -> listing the next page; watching after the last page
+//	listing            list page  -> listing the next page; watching after the last page
 //	watching           changes    -> watching; idle until the minimum watch interval has passed
 //	watching           compacted  -> listing
 //	listing, watching  failed     -> idle until the retry
 //
 // Exactly one list or watch is in flight unless the cache is idle. A catch-up, which
-// CatchUp starts, runs concurrently with them.
+// CatchUp starts, is a further watch that runs concurrently with them.
 type WatchCache struct {
 	// MinWatchInterval is the minimum time from a watch that returned changes to the next
 	// one. It bounds the number of calls for a prefix with frequent changes. CatchUp does
@@ -61,9 +61,9 @@
 // listProgress is the state of a paginated list of all keys.
 type listProgress struct {
 	generation int             // number of the list, from 1
-	revision   uint64          // of the first page, from which the watch starts; 0 before that page
-	sentAt     time.Time       // time at which the first page was requested
-	listed     map[string]bool // keys on the pages received so far
+	revision   uint64          // of the first list page, from which the watch starts; 0 before that page
+	sentAt     time.Time       // time at which the first list page was requested
+	listed     map[string]bool // keys on the list pages received so far
 }
 
 // NewWatchCache returns an empty cache. It sends no call before the first Tick.
@@ -123,7 +123,7 @@
 	c.requestListPage("")
 }
 
-// requestListPage requests the page of keys that follow after.
+// requestListPage requests the list page with the keys that follow after.
 func (c *WatchCache) requestListPage(after string) {
 	c.state = cacheListing
 	call := Call{
--- a/internal/store/watch_cache_catch_up.go
+++ b/internal/store/watch_cache_catch_up.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// catchUp is the state of the non-blocking watches that CatchUp sends. At most one is in
-// flight.
+// catchUp is the state of the catch-ups, the watches that CatchUp sends and that the service
+// answers at once. At most one is in flight.
 type catchUp struct {
 	inFlight    bool
 	notBefore   time.Time       // earliest start of the next catch-up
--- a/internal/submission/cancellation_log.go
+++ b/internal/submission/cancellation_log.go
@@ -13,7 +13,7 @@
 // not safe for concurrent use.
 type CancellationLog struct {
 	shards    int
-	retention time.Duration        // all tasks of the job have been killed after it
+	retention time.Duration        // time until all tasks of a cancelled job have been killed, with a margin
 	capacity  int                  // in entries
 	entries   []*cancellationEntry // in the order of recordedAt
 	byID      map[string]*cancellationEntry
--- a/internal/submission/fixture_test.go
+++ b/internal/submission/fixture_test.go
@@ -48,7 +48,7 @@
 	})
 	f.openJobs.Tick(startTime)
 	f.complete(store.Result{Revision: 10})
-	f.complete(noResponse) // end the watch, so that only queries refresh the cache
+	f.complete(noResponse) // end the watch, so that the cache catches up only for queries
 	f.service = New(Options{
 		Platform: config.Platform{
 			Zones: []string{"a", "b"},
--- a/internal/submission/query.go
+++ b/internal/submission/query.go
@@ -29,7 +29,7 @@
 		s.queriesInFlight--
 		reply(response)
 	}
-	// One refresh of the open jobs serves all queries that arrived before it was sent.
+	// One catch-up of the open jobs serves all queries that arrived before it was sent.
 	s.options.OpenJobs.CatchUp(now, s.catchUpInterval, func(now time.Time, ok bool) {
 		if !ok {
 			finish(UnavailableResponse(reasonStoreUnavailable))
@@ -39,7 +39,7 @@
 	})
 }
 
-// queryCurrent replies with a job's state from open jobs that were refreshed after the query arrived.
+// queryCurrent replies with a job's state from a cache of open jobs that has caught up since the query arrived.
 func (s *Service) queryCurrent(now time.Time, id string, reply func(Response)) {
 	item, open := s.options.OpenJobs.Get(OpenJobKey(id))
 	if !open {
@@ -59,7 +59,12 @@
 			s.queryEnded(id, reply)
 			return
 		}
-		state := wire.JobState{ID: id, State: wire.JobPending, CompletedTasks: progress.CompletedTasks, Running: progress.Running}
+		state := wire.JobState{
+			ID:             id,
+			State:          wire.JobPending,
+			CompletedTasks: progress.CompletedTasks,
+			Running:        progress.Running,
+		}
 		if progress.Running > 0 {
 			state.State = wire.JobRunning
 		}
--- a/internal/submission/query_test.go
+++ b/internal/submission/query_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// A query must not be answered from a refresh that was sent before the query: another controller may have
+// A query must not be answered from a catch-up that was sent before the query: another controller may have
 // reported a newer state to the same user in between.
 func TestQueriesShareOneRefresh(t *testing.T) {
 	f := newFixture(testMachineTypes)
@@ -80,9 +80,9 @@
 	if len(f.calls) != 1 || f.calls[0].Op != store.OpWatch || f.calls[0].WatchWaitMs != 0 {
 		t.Fatalf("in flight %+v, want one watch that does not wait", f.calls)
 	}
-	f.complete(store.Result{Revision: 11}) // this refresh precedes the submission of the job
+	f.complete(store.Result{Revision: 11}) // this catch-up precedes the submission of the job
 	if len(f.calls) != 2 || f.calls[0].Key != JobEndKey("job-1") {
-		t.Fatalf("in flight %+v, want the read of the job end record and another refresh", f.calls)
+		t.Fatalf("in flight %+v, want the read of the job end record and another catch-up", f.calls)
 	}
 	f.complete(notFound)
 	checkStatuses(http.StatusNotFound)
@@ -91,7 +91,7 @@
 	if len(f.calls) != 0 {
 		t.Fatalf("in flight %+v, want no call", f.calls)
 	}
-	// With a refresh interval, the next query waits for the interval to pass.
+	// With a catch-up interval, the next query waits for the interval to pass.
 	f.service.catchUpInterval = time.Second
 	query()
 	f.complete(store.Result{Revision: 12})
@@ -102,7 +102,7 @@
 	f.openJobs.Tick(startTime.Add(2 * time.Second))
 	checkStatuses(http.StatusNotFound, http.StatusOK, http.StatusOK, http.StatusOK)
 	if len(f.calls) == 0 {
-		t.Fatal("no refresh after the interval")
+		t.Fatal("no catch-up after the interval")
 	}
 	f.complete(outage)
 	checkStatuses(http.StatusNotFound, http.StatusOK, http.StatusOK, http.StatusOK, http.StatusServiceUnavailable)
--- a/internal/submission/service.go
+++ b/internal/submission/service.go
@@ -48,7 +48,7 @@
 // Service serves users' requests on one controller. It is not safe for concurrent use.
 type Service struct {
 	options         Options
-	catchUpInterval time.Duration // minimum time between two refreshes of the open jobs
+	catchUpInterval time.Duration // minimum time between two catch-ups of the open jobs
 
 	writesInFlight  int // submissions and cancellations
 	queriesInFlight int
@@ -64,7 +64,7 @@
 	}
 }
 
-// catchUpInterval returns the minimum time between two refreshes of the open jobs. It divides the share of
+// catchUpInterval returns the minimum time between two catch-ups of the open jobs. It divides the share of
 // the state service's request rate that is allotted to queries evenly among the controllers. It returns
 // 0 if the rate is unlimited.
 func catchUpInterval(platform config.Platform) time.Duration {
--- a/internal/tracing/ids.go
+++ b/internal/tracing/ids.go
@@ -9,10 +9,10 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// rootSpanContext returns the parent of all spans of an identity. It is derived from the identity
+// rootSpanContext returns the parent of all spans of an operation. It is derived from the operation ID
 // alone, so that the spans of all controllers share a trace.
-func rootSpanContext(identity string) trace.SpanContext {
-	sum := sha256.Sum256([]byte(identity))
+func rootSpanContext(operationID string) trace.SpanContext {
+	sum := sha256.Sum256([]byte(operationID))
 	root := trace.SpanContextConfig{TraceFlags: trace.FlagsSampled, Remote: true}
 	copy(root.TraceID[:], sum[:])
 	copy(root.SpanID[:], sum[len(root.TraceID):])
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -1,7 +1,8 @@
 // Package tracing records OpenTelemetry spans in a file of bounded size, and reads such files.
 //
-// An identity names the operation that a trace follows. The trace ID is a hash of the identity, so
-// that the spans of several controllers share a trace without propagation of a trace context.
+// A trace follows one operation, which an operation ID names: a string that is unique in the deployment.
+// The trace ID is a hash of the operation ID, so that the spans of several controllers share a trace
+// without propagation of a trace context.
 package tracing
 
 import (
@@ -65,14 +66,14 @@
 	r.file.Close()
 }
 
-// Begin starts a span in the trace of the identity. The caller must end the span.
-func (r *Recorder) Begin(identity, name string, attributes ...attribute.KeyValue) trace.Span {
-	parent := trace.ContextWithRemoteSpanContext(context.Background(), rootSpanContext(identity))
+// Begin starts a span in the trace of an operation. The caller must end the span.
+func (r *Recorder) Begin(operationID, name string, attributes ...attribute.KeyValue) trace.Span {
+	parent := trace.ContextWithRemoteSpanContext(context.Background(), rootSpanContext(operationID))
 	_, span := r.tracer.Start(parent, name, trace.WithTimestamp(r.wallClock()), trace.WithAttributes(attributes...))
 	return span
 }
 
-// Event records a span of zero duration in the trace of the identity.
-func (r *Recorder) Event(identity, name string, attributes ...attribute.KeyValue) {
-	r.Begin(identity, name, attributes...).End(trace.WithTimestamp(r.wallClock()))
+// Event records a span of zero duration in the trace of an operation.
+func (r *Recorder) Event(operationID, name string, attributes ...attribute.KeyValue) {
+	r.Begin(operationID, name, attributes...).End(trace.WithTimestamp(r.wallClock()))
 }
--- a/internal/tuning/controller.go
+++ b/internal/tuning/controller.go
@@ -15,7 +15,8 @@
 	// EventQueueSize is the capacity of the queue of each kind of event.
 	EventQueueSize = 256
 	// FollowerWatchInterval is the minimum time between two watches of the open jobs, and of the
-	// provisioning requests, on a controller that holds no shard lease. Queries refresh its cache.
+	// provisioning requests, on a follower: a controller that holds no shard lease. The cache of a
+	// follower catches up for each query of a job.
 	FollowerWatchInterval = 1 * time.Second
 	// LeaseHolderWatchInterval is the minimum time between two such watches on a lease holder,
 	// which schedules from them.
--- a/internal/tuning/fleet.go
+++ b/internal/tuning/fleet.go
@@ -17,7 +17,7 @@
 	CloudBackoffInitial = 1 * time.Second
 	// CloudBackoffMax bounds the backoff, so that the end of an outage is detected soon.
 	CloudBackoffMax = 3 * time.Second
-	// MaxCloudCallsInFlight bounds concurrent calls.
+	// MaxCloudCallsInFlight bounds the concurrent calls of one controller.
 	MaxCloudCallsInFlight = 4
 	// MachineTypesInterval is the polling interval of machine types and their prices.
 	MachineTypesInterval = 30 * time.Second
@@ -79,12 +79,12 @@
 	// PreemptionGrace is added to the time in a preemption notice before the machine counts as
 	// deleted.
 	PreemptionGrace = 2 * time.Second
-	// UnreconciledDeletionDelay is the time from a failover to the deletion of unreconciled machines,
-	// if they are at most one in UnreconciledDeletionMinRatio. Running jobs are blocked until every
-	// machine has been reconciled or deleted.
+	// UnreconciledDeletionDelay is the time from a failover to the early deletion of the unreconciled
+	// machines, if UnreconciledDeletionMinRatio allows it. Otherwise they are deleted when their worker
+	// leases have expired. Running jobs are blocked until every machine is reconciled or deleted.
 	UnreconciledDeletionDelay = 4 * time.Second
-	// UnreconciledDeletionMinRatio is the minimum ratio of all machines to unreconciled ones for which
-	// UnreconciledDeletionDelay applies.
+	// UnreconciledDeletionMinRatio is the minimum ratio of all machines to unreconciled ones for an
+	// early deletion of the latter.
 	UnreconciledDeletionMinRatio = 100
 )
 
--- a/internal/tuning/placement.go
+++ b/internal/tuning/placement.go
@@ -23,8 +23,10 @@
 	FreeShareLevels = 4
 )
 
-// Cost of a placement of a gang, used by package placement. A cost is the work that the placement
-// loses, in seconds of a whole machine. The placement of the lowest total cost is selected.
+// Cost of a placement of a gang, used by package placement. The cost of a machine is the work that the
+// placement loses on it, in machine-seconds. The placement of the lowest total cost is selected.
+// GangStartOverhead and ImagePullSlack are no costs: they estimate the start time of a gang and the time
+// of an image pull, from which costs follow.
 const (
 	// CostPreemption applies to a machine on which tasks have to be preempted.
 	CostPreemption = 30.0
@@ -55,7 +57,7 @@
 	// DefaultObjective applies to a class for which the settings have no service-level objective.
 	DefaultObjective = 300 * time.Second
 	// BacklogObjectiveShare is the share of a class's objective within which its pending work has
-	// to drain on the existing machines. Longer backlogs scale out.
+	// to drain on the existing machines. Longer backlogs trigger a scale-out.
 	BacklogObjectiveShare = 0.1
 	// MinRunTime is the lower bound of a task's estimated run time.
 	MinRunTime = 10 * time.Second
--- a/internal/tuning/scheduling.go
+++ b/internal/tuning/scheduling.go
@@ -15,10 +15,12 @@
 	// MaxUnplacedGangs bounds the gangs for which one pass fails to find a placement before it
 	// skips the rest.
 	MaxUnplacedGangs = 200
-	// MaxGangClasses bounds the equivalence classes of gangs whose free slots are cached.
+	// MaxGangClasses bounds the equivalence classes of gangs whose free slots are cached. Gangs of one
+	// class have the same needs and constraints, and so the same free slots.
 	MaxGangClasses = 32
 	// StartMarkersAhead is the number of arrays at the head of the queue whose start markers are
-	// written before resources are free, so that the write does not delay their start.
+	// written before resources are free, so that the write does not delay their start. A start marker
+	// is a stored record that tasks of the job may have started.
 	StartMarkersAhead = 8
 	// MaxGangStartMarkers is the number of pending start markers at which gangs request no further
 	// ones.
--- a/internal/tuning/term.go
+++ b/internal/tuning/term.go
@@ -28,9 +28,9 @@
 	// CancellationRenewMargin is added to the duration of a worker lease when a lease holder checks
 	// that a renewal does not let the tasks of a cancelled job outlive their time limit.
 	CancellationRenewMargin = 5 * time.Second
-	// MinRenewalPastWatermark is the lower bound of the time past its cancellation watermark in which
-	// a lease holder responds to heartbeats. It exceeds WatchTimeout, as a watch without events
-	// advances the watermark only when it ends.
+	// MinRenewalPastWatermark is the lower bound of the period in which a lease holder continues to
+	// renew worker leases although its cancellation watermark does not advance. It exceeds
+	// WatchTimeout, as a watch without events advances the watermark only when it ends.
 	MinRenewalPastWatermark = 6 * time.Second
 )
 
--- a/internal/tuning/worker.go
+++ b/internal/tuning/worker.go
@@ -6,10 +6,12 @@
 const (
 	// WorkerLeaseMargin is added to a worker's lease before the lease counts as expired.
 	WorkerLeaseMargin = 300 * time.Millisecond
-	// UnresponsiveHeartbeats is the time without a heartbeat, in heartbeat intervals and in addition
-	// to UnresponsiveGrace, after which a machine gets no new tasks.
+	// UnresponsiveHeartbeats determines, with UnresponsiveGrace, the time without a heartbeat after
+	// which a machine gets no new tasks:
+	//
+	//	UnresponsiveHeartbeats * heartbeat interval + UnresponsiveGrace
 	UnresponsiveHeartbeats = 1.6
-	// UnresponsiveGrace is added to UnresponsiveHeartbeats.
+	// UnresponsiveGrace is the constant term of that formula.
 	UnresponsiveGrace = 500 * time.Millisecond
 	// WorkerReplyTimeout is the minimum time after which a worker without a response fails over to
 	// another controller: the protocol's 4 s less the network delay of its previous heartbeat.
@@ -29,9 +31,10 @@
 	// WorkerDialTimeout bounds the dial of a connection to a worker. A failed dial shows that the
 	// machine is unreachable.
 	WorkerDialTimeout = 2 * time.Second
-	// MinCommandsInFlight is the lower bound of the limit on concurrent direct commands.
+	// MinCommandsInFlight is the lower bound of the limit on concurrent direct commands, whatever
+	// CommandSocketShare yields.
 	MinCommandsInFlight = 16
-	// CommandSocketShare is the share of the machine's sockets for direct commands, if that exceeds
+	// CommandSocketShare is the share of the controller's sockets for direct commands, if that exceeds
 	// MinCommandsInFlight. Commands to unreachable machines hold their sockets until the dial times out.
 	CommandSocketShare = 0.025
 	// CommandIdleConnections is the number of idle connections kept for further commands.
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -6,8 +6,8 @@
 	Vcpus           float64
 	Gpus            float64
 	MemGB           float64 `json:"MemGb"`
-	LocalDiskGB     float64 `json:"LocalGb"`     // local disk, the image cache
-	ImagePullGBPerS float64 `json:"FetchGbPerS"` // throughput of image pulls
+	LocalDiskGB     float64 `json:"LocalGb"`     // local disk, which caches images
+	ImagePullGBPerS float64 `json:"FetchGbPerS"` // throughput of image pulls in gigabytes per second
 	Price           float64
 	SpotPrice       float64  `json:"LowPrice"`
 	BootTimeS       float64  `json:"BootS"`
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -44,8 +44,8 @@
 type JobState struct {
 	ID             string `json:"Id"`
 	State          string `json:"Stage"`
-	CompletedTasks int    `json:"done"`    // completed tasks, for display
-	Running        int    `json:"running"` // running tasks, for display
+	CompletedTasks int    `json:"done"`    // for display
+	Running        int    `json:"running"` // number of running tasks, for display
 }
 
 // JobAccepted is the response to a submission or a cancellation.
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -10,10 +10,10 @@
 
 // Write is an operation of a transaction, either a put or a deletion.
 type Write struct {
-	PutKey    string          `json:"Write,omitempty"` // key
+	PutKey    string          `json:"Write,omitempty"` // "" for a deletion
 	Value     json.RawMessage `json:",omitempty"`
 	Lease     uint64          `json:"Hold,omitempty"`   // lease whose expiry deletes the key; 0: none
-	DeleteKey string          `json:"Remove,omitempty"` // key
+	DeleteKey string          `json:"Remove,omitempty"` // "" for a put
 }
 
 // Transaction is a compare-and-swap: it executes all writes atomically if every condition holds.
@@ -32,8 +32,8 @@
 
 // Event is an event of a watch, either a put or a deletion.
 type Event struct {
-	PutKey    string `json:"Write"` // key
+	PutKey    string `json:"Write"` // "" for a deletion
 	Value     json.RawMessage
-	DeleteKey string `json:"Remove"` // key
+	DeleteKey string `json:"Remove"` // "" for a put
 	Version   uint64 `json:"Stamp"`  // revision of the change
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -5,17 +5,15 @@
 // and earlier versions read them. Go names are the usual terms of cluster scheduling. Receivers ignore
 // unknown fields. A field that may be null may also be omitted.
 //
-// A suffix gives the unit: S is seconds, Ms milliseconds, Gb gigabytes. Vcpus, Gpus and amounts of
+// A suffix gives the unit: S is seconds, Ms milliseconds, GB gigabytes. Vcpus, Gpus and amounts of
 // memory may be fractional. Prices are per machine and hour.
 package wire
 
 // Job shapes.
 const (
-	ShapeBatch = "batch" // job array: independent tasks that run to completion
-	ShapeGang  = "gang"  // gang scheduling: all tasks run at the same time, or none does
-	// ShapeService is a service, whose tasks run until its user cancels it. The protocol's
-	// documentation omits it.
-	ShapeService = "standing"
+	ShapeBatch   = "batch"    // job array: independent tasks that run to completion
+	ShapeGang    = "gang"     // gang scheduling: all tasks run at the same time, or none does
+	ShapeService = "standing" // service: its tasks run until a user cancels the job
 )
 
 // KnownShape reports whether this version supports a shape.
--- a/internal/worker/heartbeat.go
+++ b/internal/worker/heartbeat.go
@@ -8,7 +8,8 @@
 	"juniperchute/internal/wire"
 )
 
-// StatusSource distinguishes the messages in which a worker sends its status.
+// StatusSource distinguishes the messages in which a worker sends its status, both as a wire.Heartbeat:
+// true means a heartbeat, false a reply to direct commands.
 type StatusSource bool
 
 // The sources of a worker's status.
@@ -19,7 +20,8 @@
 	FromCommandReply StatusSource = false
 )
 
-// HeartbeatResult classifies a worker's status by its order relative to the last one applied.
+// HeartbeatResult classifies a worker's status, from either source, by its order relative to the last one
+// applied.
 type HeartbeatResult int
 
 // The results of applying a status.
@@ -52,7 +54,7 @@
 	return status.Sequence > sequence
 }
 
-// ApplyHeartbeat applies a worker's status to its machine unless the status is stale.
+// ApplyHeartbeat applies a worker's status, from either source, to its machine unless the status is stale.
 func (r *Registry) ApplyHeartbeat(now time.Time, machine *Machine, status *wire.Heartbeat,
 	source StatusSource) HeartbeatResult {
 	if machine.isStale(status) {
@@ -74,7 +76,7 @@
 }
 
 // isStale reports whether a status must be ignored as outdated. A network partition can delay and reorder
-// heartbeats.
+// messages.
 func (m *Machine) isStale(status *wire.Heartbeat) bool {
 	if m.Incarnation != 0 && !isNewer(status, m.Incarnation, m.Sequence) {
 		return true
@@ -102,8 +104,8 @@
 // heartbeat or a command since then. A worker without a reply times out and sends its heartbeats to other
 // controllers, so that the next one here arrives late and with a gap in the sequence.
 func (m *Machine) confirmsReply(now time.Time, status *wire.Heartbeat, source StatusSource) bool {
-	// The first status is applied only if it carries this term's token, which a message of this term
-	// must have brought to the worker.
+	// The caller applies the first status of a machine only if it carries the fencing token of this term.
+	// The worker has that token from a reply or command of this term.
 	if source == FromCommandReply || m.Incarnation == 0 {
 		return true
 	}
@@ -116,9 +118,9 @@
 
 func (l *Liveness) updateLiveness(now time.Time, status *wire.Heartbeat, source StatusSource) {
 	if l.LeaseRenewedAt.IsZero() || status.Incarnation > l.Incarnation {
-		// The lease of a new incarnation may have started just now: replies to an earlier incarnation
-		// or to a delayed copy of a heartbeat do not bound its end. The worker rejects replies of
-		// earlier terms from now on.
+		// The lease of a new incarnation may have started just now. It therefore ends later than a lease
+		// renewed by a reply to an earlier incarnation, or to a delayed copy of a heartbeat, would. The
+		// worker rejects replies of earlier terms from now on, so these cannot renew the lease.
 		l.LeaseRenewedAt = now
 	}
 	l.Incarnation, l.Sequence, l.LastContact = status.Incarnation, status.Sequence, now
--- a/internal/worker/machine.go
+++ b/internal/worker/machine.go
@@ -1,5 +1,8 @@
 // Package worker tracks the machines of a shard during one term: the last status of each worker, the
 // resources allocated on its machine, and the expiry of its lease.
+//
+// A copy is one placement of a task on a machine: the primary copy or, for tasks of job arrays, a backup
+// copy. A copy is active from its dispatch to the machine until it is known to have ended.
 package worker
 
 import (
@@ -76,8 +79,8 @@
 	PreemptionTime time.Time
 	// IdleSince is the time from which no copy has been active on the machine.
 	IdleSince time.Time
-	// Needed is set if the last pass of demand planning found a use for the machine, which keeps it from
-	// being terminated as idle.
+	// InDemand is set if the last pass of demand planning found a use for the machine, which keeps it from
+	// being deprovisioned as idle.
 	InDemand bool
 	// Cordoned is set if no new work is placed on the machine, so that it can be deprovisioned.
 	Cordoned bool
@@ -89,7 +92,8 @@
 //
 // A worker increments its incarnation when its lease expires, and its sequence number with each status
 // that it sends. Messages can be delayed and reordered, so a status is applied only if its pair
-// (incarnation, sequence) is above that of the last one applied.
+// (incarnation, sequence) is above that of the last one applied. A status is a wire.Heartbeat, which the
+// worker sends as a heartbeat or in its reply to direct commands.
 type Liveness struct {
 	// Incarnation and Sequence identify the last status applied.
 	Incarnation, Sequence uint64
@@ -123,9 +127,10 @@
 
 // Durability records which stored records name a machine. The next term recovers machines from them.
 type Durability struct {
-	// Recorded is set if a provisioning record names the machine.
+	// Recorded is set if the stored record of a provisioning request, in package fleet, names the machine.
 	Recorded bool
-	// Registered is set if the registrations name the machine, without which it gets no tasks.
+	// Registered is set if the stored registrations of the shard, in package fleet, name the machine. They
+	// list the machines that may run tasks. Without a registration the machine gets no tasks.
 	Registered bool
 }
 
--- a/internal/worker/registry.go
+++ b/internal/worker/registry.go
@@ -12,8 +12,9 @@
 
 // Registry tracks all machines of a shard during one term. It is not safe for concurrent use.
 type Registry struct {
-	// HeartbeatDelay is the queueing delay of the heartbeat handled last. It extends the heartbeat
-	// timeout, because heartbeats of other machines may be queued for as long.
+	// HeartbeatDelay is the time that the heartbeat handled last has spent in this controller's queue. It
+	// extends the heartbeat timeout, because the heartbeats of other machines may be in that queue for the
+	// same time.
 	HeartbeatDelay time.Duration
 
 	log              *slog.Logger
@@ -101,12 +102,12 @@
 func (r *Registry) WasDeleted(host string) bool { return r.deleted[host] }
 
 // ExpireLeases updates the states of machines whose heartbeats have stopped. It returns the machines whose
-// leases have expired and whose copies may still count as running. By unreconciledLeaseExpiry, every lease
+// leases have expired and whose copies may still count as running. After unreconciledExpiresAt, every lease
 // that an earlier term renewed has expired.
-func (r *Registry) ExpireLeases(now time.Time, unreconciledLeaseExpiry time.Time) []*Machine {
+func (r *Registry) ExpireLeases(now time.Time, unreconciledExpiresAt time.Time) []*Machine {
 	var expired []*Machine
 	for _, machine := range r.ordered {
-		leaseExpired := now.After(machine.leaseExpiresAt(r.leaseTimeout, unreconciledLeaseExpiry))
+		leaseExpired := now.After(machine.leaseExpiresAt(r.leaseTimeout, unreconciledExpiresAt))
 		switch machine.State {
 		case Up:
 			if now.Sub(machine.LastContact) > r.heartbeatTimeout+r.HeartbeatDelay {
@@ -118,14 +119,14 @@
 			}
 			if machine.State == Unresponsive {
 				r.SetState(now, machine, LeaseExpired, "lease expired")
-			} else if now.After(unreconciledLeaseExpiry) {
+			} else if now.After(unreconciledExpiresAt) {
 				machine.ExpiredWhileDeleting = true
 			}
 			if machine.ActiveCopies > 0 {
 				expired = append(expired, machine)
 			}
 		case Unreconciled:
-			if now.After(unreconciledLeaseExpiry) && leaseExpired {
+			if now.After(unreconciledExpiresAt) && leaseExpired {
 				r.SetState(now, machine, LeaseExpired, "lease expired, no contact in this term")
 				expired = append(expired, machine)
 			}
@@ -136,9 +137,9 @@
 
 // leaseExpiresAt returns the time by which the worker's lease has expired unless it is renewed. Without a
 // renewal in this term, an earlier term may have renewed it.
-func (l *Liveness) leaseExpiresAt(expiry time.Duration, unreconciledLeaseExpiry time.Time) time.Time {
+func (l *Liveness) leaseExpiresAt(timeout time.Duration, unreconciledExpiresAt time.Time) time.Time {
 	if l.LeaseRenewedAt.IsZero() {
-		return unreconciledLeaseExpiry
+		return unreconciledExpiresAt
 	}
-	return l.LeaseRenewedAt.Add(expiry)
+	return l.LeaseRenewedAt.Add(timeout)
 }
