--- a/internal/store/rate_limiter.go
+++ b/internal/store/rate_limiter.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// setState changes the state of the limits and refills the buckets, except after a successful trial, during
+// setLimitState changes the state of the limits and refills the buckets, except after a successful trial, during
 // which the buckets already had the current rates.
 func (l *RateLimiter) setLimitState(now time.Time, state limitState) {
 	l.limits.setState(now, state)
